--- a/src/main/java/org/apache/hc/core5/reactor/AcceptedChannels.java
+++ b/src/main/java/org/apache/hc/core5/reactor/AcceptedChannels.java
@@ -9,7 +9,7 @@
  */
 public final class AcceptedChannels {
 
-    private AcceptedChannels() { }
+    private AcceptedChannels() {}
 
     public static void hand(DefaultListeningIOReactor reactor, SocketChannel channel) {
         reactor.getWorkerSelector().next().enqueueChannel(new ChannelEntry(channel, null));
--- a/src/main/java/reedmux/attempt/Answer.java
+++ b/src/main/java/reedmux/attempt/Answer.java
@@ -6,8 +6,8 @@
 public sealed interface Answer {
 
     /** What a checker has said; {@code notRun}: that it has not run the request. */
-    record OfChecker(Head head, byte[] body, boolean notRun) implements Answer { }
+    record OfChecker(Head head, byte[] body, boolean notRun) implements Answer {}
 
     /** Ours; {@code retryAfter} in microseconds, below nought for none. */
-    record Own(int status, String text, long retryAfter) implements Answer { }
+    record Own(int status, String text, long retryAfter) implements Answer {}
 }
--- a/src/main/java/reedmux/attempt/Exchange.java
+++ b/src/main/java/reedmux/attempt/Exchange.java
@@ -10,7 +10,12 @@
 /** One request and what has become of it. Its state changes in {@link Requests} alone. */
 public final class Exchange {
 
-    enum State { NEW, WAITING, TRYING, OVER }
+    enum State {
+        NEW,
+        WAITING,
+        TRYING,
+        OVER
+    }
 
     /** What only those who read and write it need to know. */
     public interface Source {
@@ -32,9 +37,11 @@
     State state = State.NEW;
     /** Its place in the queue while it waits. */
     long number;
+
     String plant;
     /** Sendings that may have arrived at a checker, and those that certainly did not. */
     int sent;
+
     int unreached;
     boolean mayHaveRun;
     final List<Try> live = new ArrayList<>();
--- a/src/main/java/reedmux/attempt/Requests.java
+++ b/src/main/java/reedmux/attempt/Requests.java
@@ -18,12 +18,14 @@
     private static final long CONNECT = 300 * MILLI;
     /** A checker ends a request at the time that it was told; who says nothing by then will never. */
     private static final long LAST = 400 * MILLI;
+
     private static final int MOST_UNREACHED = 4;
     private static final int MOST_WAITING = 256;
     /** Less than this before its end a request is not sent again. */
     private static final long LEAST_LEFT = 20 * MILLI;
     /** Of its aim, how long a request may wait for a checker, and when a repeatable one is slow. */
     private static final double WAIT = 0.2;
+
     private static final double SLOW = 0.55;
     private static final long BACK = 120 * MILLI;
     private static final int SERVER_ERROR = 500;
@@ -53,9 +55,10 @@
     private long now;
     private long arrivals;
     private final TreeSet<Waiting> waiting = new TreeSet<>((one, other) -> one.priority != other.priority
-            ? Integer.compare(one.priority, other.priority) : Long.compare(one.number, other.number));
+            ? Integer.compare(one.priority, other.priority)
+            : Long.compare(one.number, other.number));
 
-    private record Waiting(int priority, long number, Exchange exchange) { }
+    private record Waiting(int priority, long number, Exchange exchange) {}
 
     public Requests(Effects effects, Roster roster, RetryBudget budget, long seed) {
         this.effects = effects;
@@ -134,8 +137,8 @@
 
     /** Sends a request to a checker if one can take it; {@code further}: it was sent before. */
     private boolean place(Exchange exchange, boolean further) {
-        Checker checker = roster.choose(exchange.plant, exchange.tried, exchange.source().large(),
-                patience(exchange.route()), now);
+        Checker checker = roster.choose(
+                exchange.plant, exchange.tried, exchange.source().large(), patience(exchange.route()), now);
         if (checker == null) {
             return false;
         }
@@ -176,8 +179,7 @@
     }
 
     private void room() {
-        for (Waiting next = waiting.isEmpty() ? null : waiting.first(); next != null;
-                next = waiting.higher(next)) {
+        for (Waiting next = waiting.isEmpty() ? null : waiting.first(); next != null; next = waiting.higher(next)) {
             Exchange exchange = next.exchange();
             place(exchange, exchange.sent + exchange.unreached > 0);
         }
@@ -222,8 +224,7 @@
             return; // another one is still under way
         }
         boolean may = verdict.safe() || exchange.route().repeatable();
-        if (may && exchange.source().sendable() && now + LEAST_LEFT < exchange.deadline()
-                && again(exchange, what)) {
+        if (may && exchange.source().sendable() && now + LEAST_LEFT < exchange.deadline() && again(exchange, what)) {
             return;
         }
         if (verdict == Verdict.RAN) {
@@ -253,10 +254,13 @@
 
     /** A copy at a second checker, while the first one is awaited. */
     private void slow(Exchange exchange) {
-        if (exchange.state == Exchange.State.TRYING && exchange.live.size() == 1
+        if (exchange.state == Exchange.State.TRYING
+                && exchange.live.size() == 1
                 && exchange.source().whole()
-                && exchange.sent < exchange.route().attempts() && budget.has(exchange.plant, 1)
-                && now + LEAST_LEFT < exchange.deadline() && place(exchange, true)) {
+                && exchange.sent < exchange.route().attempts()
+                && budget.has(exchange.plant, 1)
+                && now + LEAST_LEFT < exchange.deadline()
+                && place(exchange, true)) {
             budget.take(exchange.plant);
         }
     }
@@ -316,5 +320,4 @@
         }
         return answer;
     }
-
 }
--- a/src/main/java/reedmux/boot/Boot.java
+++ b/src/main/java/reedmux/boot/Boot.java
@@ -16,11 +16,20 @@
  *
  * @param dataDir null where the machine has no disk
  */
-public record Boot(String node, String ip, String zone, int firstPort, int lastPort,
-                   List<InetSocketAddress> seeds, boolean coldStart, Path dataDir,
-                   Map<String, Object> all, String file) {
+public record Boot(
+        String node,
+        String ip,
+        String zone,
+        int firstPort,
+        int lastPort,
+        List<InetSocketAddress> seeds,
+        boolean coldStart,
+        Path dataDir,
+        Map<String, Object> all,
+        String file) {
     /** The variable that names the file. */
     public static final String VARIABLE = "REEDMUX_BOOT";
+
     private static final int MOST_PORT = 65_535;
     private static final long MILLI = 1000;
 
@@ -45,11 +54,13 @@
     public static Boot read(String file, String text) throws BootException {
         Map<String, Object> all = Toml.read(file, text);
         List<Object> ports = list(file, all, "portRange");
-        if (ports.size() != 2 || !(ports.get(0) instanceof Double low)
+        if (ports.size() != 2
+                || !(ports.get(0) instanceof Double low)
                 || !(ports.get(1) instanceof Double high)
-                || low < 1 || high > MOST_PORT || low + 2 > high) {
-            throw new BootException(
-                    file + ": portRange is not two ports, the first at least two below the second");
+                || low < 1
+                || high > MOST_PORT
+                || low + 2 > high) {
+            throw new BootException(file + ": portRange is not two ports, the first at least two below the second");
         }
         List<InetSocketAddress> seeds = new ArrayList<>();
         for (Object seed : list(file, all, "seeds")) {
@@ -67,9 +78,17 @@
         if (dir != null && !(dir instanceof String)) {
             throw new BootException(file + ": dataDir is not a text");
         }
-        return new Boot(text(file, all, "node"), text(file, all, "ip"), text(file, all, "zone"),
-                low.intValue(), high.intValue(), List.copyOf(seeds), (Boolean) cold,
-                dir == null ? null : Path.of((String) dir), all, file);
+        return new Boot(
+                text(file, all, "node"),
+                text(file, all, "ip"),
+                text(file, all, "zone"),
+                low.intValue(),
+                high.intValue(),
+                List.copyOf(seeds),
+                (Boolean) cold,
+                dir == null ? null : Path.of((String) dir),
+                all,
+                file);
     }
 
     /** An address that this process serves on. */
@@ -111,8 +130,7 @@
 
     private static String text(String file, Map<String, Object> all, String key) throws BootException {
         if (!(all.get(key) instanceof String text) || text.isEmpty()) {
-            throw new BootException(file + ": " + key + (all.containsKey(key) ? " is not a text"
-                    : " is missing"));
+            throw new BootException(file + ": " + key + (all.containsKey(key) ? " is not a text" : " is missing"));
         }
         return text;
     }
@@ -120,8 +138,7 @@
     @SuppressWarnings("unchecked")
     private static List<Object> list(String file, Map<String, Object> all, String key) throws BootException {
         if (!(all.get(key) instanceof List<?> list)) {
-            throw new BootException(file + ": " + key + (all.containsKey(key) ? " is not a list"
-                    : " is missing"));
+            throw new BootException(file + ": " + key + (all.containsKey(key) ? " is not a list" : " is missing"));
         }
         return (List<Object>) list;
     }
--- a/src/main/java/reedmux/boot/Signals.java
+++ b/src/main/java/reedmux/boot/Signals.java
@@ -6,7 +6,7 @@
 /** Signals that the platform sends. */
 public final class Signals {
 
-    private Signals() { }
+    private Signals() {}
 
     /**
      * Runs this at each signal of a name, on a thread of its own. The JDK's class for signals is no part of
@@ -17,8 +17,8 @@
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object proxy = Proxy.newProxyInstance(Signals.class.getClassLoader(), new Class<?>[] {handler},
-                    (self, method, arguments) -> {
+            Object proxy = Proxy.newProxyInstance(
+                    Signals.class.getClassLoader(), new Class<?>[] {handler}, (self, method, arguments) -> {
                         switch (method.getName()) {
                             case "handle" -> task.run();
                             case "equals" -> {
--- a/src/main/java/reedmux/boot/Toml.java
+++ b/src/main/java/reedmux/boot/Toml.java
@@ -60,8 +60,8 @@
             return string("a key");
         }
         int begin = at;
-        while (at < text.length() && (Character.isLetterOrDigit(text.charAt(at)) || "-_.".indexOf(
-                text.charAt(at)) >= 0)) {
+        while (at < text.length()
+                && (Character.isLetterOrDigit(text.charAt(at)) || "-_.".indexOf(text.charAt(at)) >= 0)) {
             at++;
         }
         if (begin == at) {
--- a/src/main/java/reedmux/budget/RetryBudget.java
+++ b/src/main/java/reedmux/budget/RetryBudget.java
@@ -11,6 +11,7 @@
 public final class RetryBudget {
     /** Of what is allowed; the rest is for what is counted differently elsewhere. */
     private static final double USED = 0.8;
+
     private double ratio;
     private double slack;
     private final boolean restarted;
--- a/src/main/java/reedmux/choice/Checker.java
+++ b/src/main/java/reedmux/choice/Checker.java
@@ -22,6 +22,7 @@
     private long waitsSince;
     /** The part of its slots that is ours to fill. */
     private double part;
+
     private boolean guest;
 
     Checker(Incarnation life, long now) {
@@ -105,14 +106,22 @@
 
     /** The address is another's now. */
     public void gone() {
-        life = new Incarnation(life.id(), life.plant(), life.address(), life.zone(), life.capacity(),
+        life = new Incarnation(
+                life.id(),
+                life.plant(),
+                life.address(),
+                life.zone(),
+                life.capacity(),
                 Incarnation.GONE,
-                life.seq(), 0, life.silent());
+                life.seq(),
+                0,
+                life.silent());
     }
 
     /** Whether it is better left alone: it fails, or is asked and says nothing. */
     boolean doubtful(long now, long patience) {
-        return now < avoidUntil || inFlight > 0 && now - Math.max(answeredAt, waitsSince) > patience
+        return now < avoidUntil
+                || inFlight > 0 && now - Math.max(answeredAt, waitsSince) > patience
                 || life.silent() && now - answeredAt > 3_000_000;
     }
 
--- a/src/main/java/reedmux/choice/Roster.java
+++ b/src/main/java/reedmux/choice/Roster.java
@@ -24,6 +24,7 @@
     private static final double LUCK = 0.05;
     /** Up to so many proxies each may have a request at any checker; of more, so many. */
     private static final int FEW = 10;
+
     private static final int GUESTS = 6;
     private final String node;
     private final String zone;
@@ -82,7 +83,8 @@
             Map<String, List<Checker>> byZone = new HashMap<>();
             for (Checker checker : all) {
                 if (checker.takes()) {
-                    byZone.computeIfAbsent(checker.life().zone(), name -> new ArrayList<>()).add(checker);
+                    byZone.computeIfAbsent(checker.life().zone(), name -> new ArrayList<>())
+                            .add(checker);
                 }
             }
             byZone.forEach(this::divide);
@@ -91,8 +93,9 @@
 
     /** Divides one zone's checkers; those of a zone without proxies belong to all. */
     private void divide(String ofZone, List<Checker> checkers) {
-        List<Session> takers = view.members().stream().filter(member ->
-                member.zone().equals(ofZone)).toList();
+        List<Session> takers = view.members().stream()
+                .filter(member -> member.zone().equals(ofZone))
+                .toList();
         takers = takers.isEmpty() ? view.members() : takers;
         int place = -1;
         for (int i = 0; i < takers.size(); i++) {
@@ -226,7 +229,6 @@
             out += checker.inFlight();
         }
         busy += 0.1 * (Math.min(1.5, slots > 0 ? out / slots : 0.5) - busy);
-        checkers.values().removeIf(checker -> checker.life().phase() == Incarnation.GONE
-                && checker.inFlight() == 0);
+        checkers.values().removeIf(checker -> checker.life().phase() == Incarnation.GONE && checker.inFlight() == 0);
     }
 }
--- a/src/main/java/reedmux/cli/ControlClient.java
+++ b/src/main/java/reedmux/cli/ControlClient.java
@@ -22,8 +22,11 @@
     private static final int REDIRECTS = 2;
     private final List<String> addresses;
     private final long patienceMs;
-    private final HttpClient http = HttpClient.newBuilder().followRedirects(HttpClient.Redirect.NEVER)
-            .connectTimeout(Duration.ofSeconds(1)).proxy(HttpClient.Builder.NO_PROXY).build();
+    private final HttpClient http = HttpClient.newBuilder()
+            .followRedirects(HttpClient.Redirect.NEVER)
+            .connectTimeout(Duration.ofSeconds(1))
+            .proxy(HttpClient.Builder.NO_PROXY)
+            .build();
 
     /** {@code patienceMs}: after so long the last failure is told. */
     ControlClient(List<String> addresses, long patienceMs) {
@@ -32,7 +35,7 @@
     }
 
     /** What somebody answered; {@code at}: who. */
-    record Told(String at, int status, String text) { }
+    record Told(String at, int status, String text) {}
 
     /** The addresses that were given, and those of a settings file. */
     static List<String> addresses(List<String> given, String file) throws BootException {
@@ -46,7 +49,8 @@
         if (file != null) {
             Boot boot = Boot.of(Path.of(file));
             if (boot.all().containsKey("sockets.control")) {
-                all.add(boot.socket("control").getAddress().getHostAddress() + ':'
+                all.add(boot.socket("control").getAddress().getHostAddress()
+                        + ':'
                         + boot.socket("control").getPort());
             }
             boot.seeds().forEach(seed -> all.add(seed.getAddress().getHostAddress() + ':' + seed.getPort()));
@@ -59,7 +63,7 @@
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(patienceMs);
         long pause = 50;
         String failure = "";
-        for (int i = 0;; i++) {
+        for (int i = 0; ; i++) {
             String at = addresses.get(i % addresses.size());
             try {
                 HttpResponse<String> answer = send(method, URI.create("http://" + at + target), REDIRECTS);
@@ -69,8 +73,7 @@
                 }
                 failure = at + " answers " + status + ": " + answer.body().strip();
             } catch (IOException e) {
-                failure = at + ": " + (e.getMessage() == null ? e.getClass().getSimpleName()
-                        : e.getMessage());
+                failure = at + ": " + (e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage());
             }
             if (System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(pause) > until) {
                 throw new IOException("no answer within " + patienceMs + " ms; the last: " + failure);
@@ -82,19 +85,20 @@
         }
     }
 
-    private HttpResponse<String> send(String method, URI to, int redirects)
-            throws IOException, InterruptedException {
-        HttpRequest request = HttpRequest.newBuilder(to).version(HttpClient.Version.HTTP_1_1)
-                .timeout(Duration.ofSeconds(2)).method(method, HttpRequest.BodyPublishers.noBody()).build();
-        HttpResponse<String> answer = http.send(request,
-                HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8));
+    private HttpResponse<String> send(String method, URI to, int redirects) throws IOException, InterruptedException {
+        HttpRequest request = HttpRequest.newBuilder(to)
+                .version(HttpClient.Version.HTTP_1_1)
+                .timeout(Duration.ofSeconds(2))
+                .method(method, HttpRequest.BodyPublishers.noBody())
+                .build();
+        HttpResponse<String> answer = http.send(request, HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8));
         if (answer.statusCode() != 307 || redirects == 0) {
             return answer;
         }
         URI next;
         try {
-            next = to.resolve(answer.headers().firstValue("Location").orElseThrow(() ->
-                    new IOException("307 without Location")));
+            next = to.resolve(
+                    answer.headers().firstValue("Location").orElseThrow(() -> new IOException("307 without Location")));
         } catch (IllegalArgumentException e) {
             throw new IOException("307 with a Location that cannot be read: " + e.getMessage(), e);
         }
--- a/src/main/java/reedmux/cli/CoreCommand.java
+++ b/src/main/java/reedmux/cli/CoreCommand.java
@@ -15,10 +15,13 @@
 import reedmux.boot.BootException;
 
 /** Orders a machine out of the core. */
-@Command(name = "core", description = "core leave NODE: orders a machine out of the core; sent"
-        + " again until the core has agreed, which is harmless")
-@ExitCodes(codes = {0, 1, 2}, descriptions = {"it is no member of the core",
-    "refused, or not agreed on in time: send it again", "bad usage"})
+@Command(
+        name = "core",
+        description = "core leave NODE: orders a machine out of the core; sent"
+                + " again until the core has agreed, which is harmless")
+@ExitCodes(
+        codes = {0, 1, 2},
+        descriptions = {"it is no member of the core", "refused, or not agreed on in time: send it again", "bad usage"})
 public final class CoreCommand implements Callable<Integer> {
     private static final int FAILED = 1;
     private static final int BAD_USAGE = 2;
@@ -32,8 +35,7 @@
     @Option(name = "--control", title = "ADDRESS", description = "a control address; may be repeated")
     private List<String> control = new ArrayList<>();
 
-    @Option(name = "--boot", title = "FILE",
-            description = "a settings file whose control address and seeds are called")
+    @Option(name = "--boot", title = "FILE", description = "a settings file whose control address and seeds are called")
     private String boot;
 
     @Option(name = "--wait", title = "MS", description = "how long to try; 30000 where none is given")
@@ -44,7 +46,10 @@
         if (help != null && help.showHelpIfRequested()) {
             return 0;
         }
-        String line = words.size() == 2 && words.get(0).equals("leave") && !words.get(1).isEmpty() ? null
+        String line = words.size() == 2
+                        && words.get(0).equals("leave")
+                        && !words.get(1).isEmpty()
+                ? null
                 : "say: core leave NODE";
         List<String> addresses = List.of();
         try {
@@ -60,8 +65,8 @@
             return BAD_USAGE;
         }
         try {
-            ControlClient.Told told = new ControlClient(addresses, patience).call("POST",
-                    "/v1/Core.Leave/" + URLEncoder.encode(words.get(1), StandardCharsets.UTF_8));
+            ControlClient.Told told = new ControlClient(addresses, patience)
+                    .call("POST", "/v1/Core.Leave/" + URLEncoder.encode(words.get(1), StandardCharsets.UTF_8));
             if (told.status() == 200) {
                 System.out.println(words.get(1) + " is no member of the core");
                 return 0;
--- a/src/main/java/reedmux/cli/Lab.java
+++ b/src/main/java/reedmux/cli/Lab.java
@@ -20,8 +20,7 @@
     @Argument(index = 1, metaVar = "SCENE", usage = "the scene to run")
     private String scene;
 
-    @Option(name = "--seeds", metaVar = "A..B", usage = "the seeds to play; a scene in real time plays the "
-            + "first")
+    @Option(name = "--seeds", metaVar = "A..B", usage = "the seeds to play; a scene in real time plays the " + "first")
     private String seeds = "1..20";
 
     @Option(name = "--out", metaVar = "FOLDER", usage = "also keep the table there, as Markdown and CSV")
@@ -55,8 +54,13 @@
         if (last < first) {
             return bad("--seeds ends before it begins: " + seeds);
         }
-        return Scenes.run(scene, new Scenes.Asked(first, last, jar, other, most, out), out, System.out,
-                line -> System.err.println("lab: " + line)) ? 0
+        return Scenes.run(
+                        scene,
+                        new Scenes.Asked(first, last, jar, other, most, out),
+                        out,
+                        System.out,
+                        line -> System.err.println("lab: " + line))
+                ? 0
                 : FAILED;
     }
 
--- a/src/main/java/reedmux/cli/Loaded.java
+++ b/src/main/java/reedmux/cli/Loaded.java
@@ -39,14 +39,17 @@
     }
 
     /** Both, with the documents that the operators' settings name beside {@code file}. */
-    static Loaded of(Config config, OperatorSettings settings, Path file, Clock clock)
-            throws ConfigException {
-        List<String> misfits = settings.misfits(config.settings().groupSize(),
-                config.settings().mostUnits() >= 1e9 ? 1 : config.settings().mostUnits(), config.sockets());
+    static Loaded of(Config config, OperatorSettings settings, Path file, Clock clock) throws ConfigException {
+        List<String> misfits = settings.misfits(
+                config.settings().groupSize(),
+                config.settings().mostUnits() >= 1e9 ? 1 : config.settings().mostUnits(),
+                config.sockets());
         if (!misfits.isEmpty()) {
             throw new ConfigException(file + ": " + String.join("; ", misfits));
         }
-        return new Loaded(config, settings, Serving.of(config, settings.services(),
-                file.toAbsolutePath().getParent(), clock));
+        return new Loaded(
+                config,
+                settings,
+                Serving.of(config, settings.services(), file.toAbsolutePath().getParent(), clock));
     }
 }
--- a/src/main/java/reedmux/cli/Main.java
+++ b/src/main/java/reedmux/cli/Main.java
@@ -61,7 +61,7 @@
     @Option(name = "--help", aliases = "-h", help = true, usage = "print this")
     private boolean help;
 
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) throws IOException, InterruptedException {
         if (args.length > 0 && Programs.has(args[0])) {
@@ -77,8 +77,8 @@
             if (args.length > 0 && COMMANDS.containsKey(args[0])) {
                 System.err.println("try: reedmux " + args[0] + " --help");
             } else {
-                System.err.println(args.length > 0 ? "known commands: " + String.join(", ", COMMANDS.keySet())
-                        : usage());
+                System.err.println(
+                        args.length > 0 ? "known commands: " + String.join(", ", COMMANDS.keySet()) : usage());
             }
             System.exit(BAD_USAGE);
         }
@@ -109,8 +109,8 @@
         StringWriter options = new StringWriter();
         CmdLineParser parser = new CmdLineParser(command);
         parser.printUsage(options, null);
-        return "usage: reedmux " + name + parser.printExample(OptionHandlerFilter.REQUIRED)
-                + " [OPTION ...]: " + COMMANDS.get(name) + '\n' + options.toString().stripTrailing();
+        return "usage: reedmux " + name + parser.printExample(OptionHandlerFilter.REQUIRED) + " [OPTION ...]: "
+                + COMMANDS.get(name) + '\n' + options.toString().stripTrailing();
     }
 
     /** Reads all settings, or ends with one line that names the key at fault. */
@@ -135,30 +135,36 @@
         /** Where discovery is asked nothing counts as told before its answer: an old list is only worse. */
         private static final long FIRST_ANSWER_MILLIS = 1_000;
 
-        @Option(name = "--settings", metaVar = "FILE", usage = "the operators' own settings, a .star script;"
-                + " SIGHUP reads them anew")
+        @Option(
+                name = "--settings",
+                metaVar = "FILE",
+                usage = "the operators' own settings, a .star script;" + " SIGHUP reads them anew")
         private Path settings;
 
         @Override
         int run() throws IOException, InterruptedException {
             Clock clock = new Clock();
             Loaded loaded = loaded(System.getenv(), settings, clock);
-            Node node = new Node(loaded, clock,
+            Node node = new Node(
+                    loaded,
+                    clock,
                     line -> System.err.println("reedmux: " + line),
                     meeting(System.getenv(), loaded.config()));
             // Set before anything is ready: without a handler SIGHUP ends the program.
             onHangUp(() -> node.reload(() -> Loaded.again(System.getenv(), settings, clock)));
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-                node.leave();
-                try {
-                    node.awaitEnd(LONGEST_LEAVE_MILLIS);
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-            }, "reedmux-leave"));
-            node.listenAfterList(loaded.config().settings().askDiscovery() ? FIRST_ANSWER_MILLIS
-                    : FIRST_LIST_MILLIS);
-            node.warmUpAfter(() -> { });
+            Runtime.getRuntime()
+                    .addShutdownHook(new Thread(
+                            () -> {
+                                node.leave();
+                                try {
+                                    node.awaitEnd(LONGEST_LEAVE_MILLIS);
+                                } catch (InterruptedException e) {
+                                    Thread.currentThread().interrupt();
+                                }
+                            },
+                            "reedmux-leave"));
+            node.listenAfterList(loaded.config().settings().askDiscovery() ? FIRST_ANSWER_MILLIS : FIRST_LIST_MILLIS);
+            node.warmUpAfter(() -> {});
             try {
                 node.run();
             } catch (IOException | IllegalStateException e) {
@@ -172,9 +178,14 @@
     /** Where processes of this gatekeeper meet; null without a door, at which an upgrade says its yes. */
     private static Path meeting(Map<String, String> environment, Config config) {
         String folder = environment.get("TMPDIR");
-        return folder == null || folder.isBlank() || config.operator() == null ? null
-                : Link.place(Path.of(folder), config.name(), config.listen().getAddress().getHostAddress()
-                + '-' + config.listen().getPort());
+        return folder == null || folder.isBlank() || config.operator() == null
+                ? null
+                : Link.place(
+                        Path.of(folder),
+                        config.name(),
+                        config.listen().getAddress().getHostAddress()
+                                + '-'
+                                + config.listen().getPort());
     }
 
     /** Runs this at each SIGHUP, on a thread of its own. */
@@ -192,8 +203,10 @@
 
     /** Reads the settings and says whether they can be used. */
     public static final class CheckConfig extends Command {
-        @Option(name = "--settings", metaVar = "FILE", usage = "also the operators' own settings; without"
-                + " RELAY_CONFIG these alone")
+        @Option(
+                name = "--settings",
+                metaVar = "FILE",
+                usage = "also the operators' own settings; without" + " RELAY_CONFIG these alone")
         private Path settings;
 
         @Override
@@ -201,8 +214,7 @@
             if (settings != null && !System.getenv().containsKey("RELAY_CONFIG")) {
                 try {
                     OperatorSettings.read(settings).described().forEach(System.out::println);
-                    System.out.println("ok: " + settings + " by itself; its fit to a platform was not "
-                            + "checked");
+                    System.out.println("ok: " + settings + " by itself; its fit to a platform was not " + "checked");
                     return 0;
                 } catch (ScriptException e) {
                     System.err.println("reedmux: configuration: " + e.getMessage());
--- a/src/main/java/reedmux/cli/Node.java
+++ b/src/main/java/reedmux/cli/Node.java
@@ -39,6 +39,7 @@
      * that are accepted before there is time to close others for them.
      */
     private static final double CONSUMERS_SHARE = 0.42;
+
     private static final double PROVIDERS_SHARE = 0.25;
     /** Bytes that requests in flight may hold over all pools; twice that where all that is lent is out. */
     private static final long BUFFERED = 12L * 1024 * 1024;
@@ -46,6 +47,7 @@
     private static final long SWEEP = TimeUnit.MILLISECONDS.toMicros(250);
     /** Between words to another process that is this gatekeeper too. */
     private static final long EXCHANGE = TimeUnit.MILLISECONDS.toMicros(50);
+
     private final Config config;
     private final Clock clock;
     private final Consumer<String> log;
@@ -59,6 +61,7 @@
     private final CountDownLatch listening = new CountDownLatch(1);
     /** Open once discovery has been asked for the first time. */
     private final CountDownLatch asked = new CountDownLatch(1);
+
     private volatile boolean serving;
     private final LifeCycle life = new LifeCycle();
     private final Figures figures = new Figures();
@@ -67,6 +70,7 @@
     private final Succession succession;
     /** Whether another process of this gatekeeper ran at our start. */
     private final boolean second;
+
     private volatile boolean failed;
     private volatile boolean warm = true;
     private volatile Acceptor listener;
@@ -99,19 +103,27 @@
         if (!second) {
             peers.open();
         }
-        pools = new Pools(loaded.services().sharing(consumerConnections, BUFFERED,
-                (int) (config.sockets() * PROVIDERS_SHARE)), clock, peers, peers, config.seed(), log,
+        pools = new Pools(
+                loaded.services().sharing(consumerConnections, BUFFERED, (int) (config.sockets() * PROVIDERS_SHARE)),
+                clock,
+                peers,
+                peers,
+                config.seed(),
+                log,
                 figures);
         consumers = new ConsumerServer(pools.front(), this::canServe, life, consumerConnections);
-        regions = region == null ? null
-                : new RegionLink(region, config, clock, event -> pools.main().post(event), this::canServe,
-                life, log);
-        reactor = Transport.reactor(local -> regions == null ? consumers : regions.serverOf(local, consumers),
-                log, reactorThreads);
+        regions = region == null
+                ? null
+                : new RegionLink(region, config, clock, event -> pools.main().post(event), this::canServe, life, log);
+        reactor = Transport.reactor(
+                local -> regions == null ? consumers : regions.serverOf(local, consumers), log, reactorThreads);
         if (regions != null) {
             regions.connect(reactor, config, clock, event -> pools.main().post(event));
         }
-        pools.open(reactor, loaded.services().pools(), loaded.services().routes(),
+        pools.open(
+                reactor,
+                loaded.services().pools(),
+                loaded.services().routes(),
                 regions == null ? null : new Pool.Away(regions.desk(), regions::call));
         OperatorCalls calls = new OperatorCalls(life, figures, this::canServe, clock::now, log);
         door = config.operator() == null ? null : new Door(config.operator(), calls::answer, log);
@@ -204,8 +216,8 @@
             }
             List<Frame.Counted> all = new ArrayList<>();
             Map<String, Twin> twins = pools.twins();
-            twins.forEach((name, twin) -> all.add(new Frame.Counted(name, twin.hand(clock.now()),
-                    all.size() == twins.size() - 1)));
+            twins.forEach((name, twin) ->
+                    all.add(new Frame.Counted(name, twin.hand(clock.now()), all.size() == twins.size() - 1)));
             return all;
         }
 
@@ -301,28 +313,32 @@
      */
     Thread warmUpAfter(Step first) {
         warm = false;
-        WarmUp warmUp = new WarmUp(config, clock, log, () -> second || pools.main().restarted());
-        Thread thread = new Thread(() -> {
-            try {
-                first.run();
-                asked.await(); // what the warm-up takes of the core before that, the first list comes later
-                if (second) {
-                    warmUpAside(warmUp);
-                } else {
-                    warmUp.run(pools.main().client(),
-                            millis -> listening(millis) ? (InetSocketAddress) listenAddress : null);
-                }
-            } catch (InterruptedException | IOException | RuntimeException e) {
-                log.accept("warm-up: " + e); // it then starts cold, which is slower and no worse
-            } finally {
-                warm = true;
-                if (second) {
-                    takeOver();
-                } else if (serving) {
-                    ready();
-                }
-            }
-        }, "reedmux-warm-up");
+        WarmUp warmUp =
+                new WarmUp(config, clock, log, () -> second || pools.main().restarted());
+        Thread thread = new Thread(
+                () -> {
+                    try {
+                        first.run();
+                        asked.await(); // what the warm-up takes of the core before that, the first list comes later
+                        if (second) {
+                            warmUpAside(warmUp);
+                        } else {
+                            warmUp.run(
+                                    pools.main().client(),
+                                    millis -> listening(millis) ? (InetSocketAddress) listenAddress : null);
+                        }
+                    } catch (InterruptedException | IOException | RuntimeException e) {
+                        log.accept("warm-up: " + e); // it then starts cold, which is slower and no worse
+                    } finally {
+                        warm = true;
+                        if (second) {
+                            takeOver();
+                        } else if (serving) {
+                            ready();
+                        }
+                    }
+                },
+                "reedmux-warm-up");
         thread.setDaemon(true);
         thread.start();
         return thread;
@@ -330,8 +346,8 @@
 
     /** Warms up at a port of our own: at the consumers' one the other process would answer half of it. */
     private void warmUpAside(WarmUp warmUp) throws IOException, InterruptedException {
-        try (Acceptor aside = new Acceptor(new InetSocketAddress(config.listen().getAddress(), 0), false,
-                reactor, consumers.room(), log)) {
+        try (Acceptor aside = new Acceptor(
+                new InetSocketAddress(config.listen().getAddress(), 0), false, reactor, consumers.room(), log)) {
             InetSocketAddress here = (InetSocketAddress) aside.address();
             warmUp.run(pools.main().client(), millis -> here);
         }
@@ -386,7 +402,8 @@
             stopListening();
             consumers.sweep();
         }
-        return life.ends(now, pools.unanswered() + consumers.writing(), consumers.connected()) ? Loop.END
+        return life.ends(now, pools.unanswered() + consumers.writing(), consumers.connected())
+                ? Loop.END
                 : Math.min(life.next(now), nextLook());
     }
 
--- a/src/main/java/reedmux/cli/PlayWorld.java
+++ b/src/main/java/reedmux/cli/PlayWorld.java
@@ -11,8 +11,7 @@
 import reedmux.lab.world.Days;
 
 /** Plays drawn days of a whole deployment in virtual time, against the rules. */
-@Command(name = "world",
-        description = "plays drawn days of a whole deployment in virtual time, against the rules")
+@Command(name = "world", description = "plays drawn days of a whole deployment in virtual time, against the rules")
 public final class PlayWorld implements Callable<Integer> {
     private static final Pattern SEEDS = Pattern.compile("([0-9]{1,9})(?:\\.\\.([0-9]{1,9}))?");
     private static final int BROKEN = 1;
@@ -34,11 +33,12 @@
     @Option(name = "--pace", title = "N", description = "requests a second for each proxy")
     private double pace = 12;
 
-    @Option(name = "--storm",
-            description = "changes that cannot stand together, while the core is in trouble")
+    @Option(name = "--storm", description = "changes that cannot stand together, while the core is in trouble")
     private boolean storm;
 
-    @Option(name = "--point", title = "1..5",
+    @Option(
+            name = "--point",
+            title = "1..5",
             description = "days full of what the operators' point of that number tells of")
     private int point;
 
@@ -57,23 +57,27 @@
             return 0;
         }
         Matcher range = SEEDS.matcher(seeds);
-        if (!range.matches() || proxies < 1 || cores < 1 || jobs < 1 || !(pace > 0) || point < 0
-                || point > POINTS) {
-            System.err.println("reedmux: world: --seeds is A..B, --point 1 to 5, the others are numbers"
-                    + " above 0");
+        if (!range.matches() || proxies < 1 || cores < 1 || jobs < 1 || !(pace > 0) || point < 0 || point > POINTS) {
+            System.err.println("reedmux: world: --seeds is A..B, --point 1 to 5, the others are numbers" + " above 0");
             return BAD_USAGE;
         }
         long first = Long.parseLong(range.group(1));
         long last = range.group(2) == null ? first : Long.parseLong(range.group(2));
         long begin = System.nanoTime();
-        Days days = new Days(new Day.Shape(proxies, cores, pace, storm, point,
-                !sameAddresses));
-        Days.Sum sum = days.play(first, last, log ? 1 : jobs, log ? System.out::println : line -> { },
-                PlayWorld::tell);
+        Days days = new Days(new Day.Shape(proxies, cores, pace, storm, point, !sameAddresses));
+        Days.Sum sum = days.play(first, last, log ? 1 : jobs, log ? System.out::println : line -> {}, PlayWorld::tell);
         double wall = (System.nanoTime() - begin) / 1e9;
-        System.out.printf("%d days with %d proxies and %d core machines, %d broken; %.0f simulated seconds, "
-                + "%.1f a wall second; %d of %d requests served; digest %016x%n", sum.days(), proxies, cores,
-                sum.broken(), sum.simulated() / 1e6, sum.simulated() / 1e6 / wall, sum.served(), sum.asked(),
+        System.out.printf(
+                "%d days with %d proxies and %d core machines, %d broken; %.0f simulated seconds, "
+                        + "%.1f a wall second; %d of %d requests served; digest %016x%n",
+                sum.days(),
+                proxies,
+                cores,
+                sum.broken(),
+                sum.simulated() / 1e6,
+                sum.simulated() / 1e6 / wall,
+                sum.served(),
+                sum.asked(),
                 sum.digest());
         return sum.broken() == 0 ? 0 : BROKEN;
     }
--- a/src/main/java/reedmux/cli/Programs.java
+++ b/src/main/java/reedmux/cli/Programs.java
@@ -29,10 +29,10 @@
     private static final int FAILED = 1;
     private static final int BAD_USAGE = 2;
     private static final int BAD_SETTINGS = 3;
-    private static final Set<String> NAMES = Set.of("proxy", "registry", "store", "check",
-            "rehearse", "world", "show", "core");
+    private static final Set<String> NAMES =
+            Set.of("proxy", "registry", "store", "check", "rehearse", "world", "show", "core");
 
-    private Programs() { }
+    private Programs() {}
 
     static boolean has(String name) {
         return NAMES.contains(name);
@@ -42,8 +42,7 @@
     static int run(String[] args) {
         try {
             if (args.length == 1 && !Set.of("check", "world", "show", "core").contains(args[0])) {
-                return plain(args[0]).call(
-                        ); // as the platform starts it: reading no options saves 0.1 s of CPU
+                return plain(args[0]).call(); // as the platform starts it: reading no options saves 0.1 s of CPU
             }
             return parsed(args).call();
         } catch (ParseException e) {
@@ -158,8 +157,7 @@
     }
 
     /** Carries the traffic. */
-    @Command(name = "proxy",
-            description = "carries clients' requests to checkers; REEDMUX_BOOT names its settings")
+    @Command(name = "proxy", description = "carries clients' requests to checkers; REEDMUX_BOOT names its settings")
     public static final class RunProxy extends Run {
         @Override
         Program begin(Boot boot, Reactor reactor) throws BootException, IOException {
@@ -186,8 +184,7 @@
     }
 
     /** Reads a settings file and says whether it can be used. */
-    @Command(
-            name = "check", description = "says whether a settings file can be used, or what is wrong")
+    @Command(name = "check", description = "says whether a settings file can be used, or what is wrong")
     public static final class Check implements Callable<Integer> {
         @AirlineModule
         private HelpOption<Check> help;
@@ -232,15 +229,23 @@
                 int served = 0;
                 for (int i = 0; i < REQUESTS; i++) {
                     boolean look = i % 2 == 0;
-                    served += stage.request(i / 2 % 2, look ? "GET" : "POST", look ? "/look/1" : "/order/1",
-                            "rehearsed-" + i, look ? "" : "one").status() == 200 ? 1 : 0;
+                    served += stage.request(
+                                                    i / 2 % 2,
+                                                    look ? "GET" : "POST",
+                                                    look ? "/look/1" : "/order/1",
+                                                    "rehearsed-" + i,
+                                                    look ? "" : "one")
+                                            .status()
+                                    == 200
+                            ? 1
+                            : 0;
                 }
                 int read = stage.read().status();
                 new RunStore().rehearse(stage.further("store"), START);
                 new RunRegistry().rehearse(stage.further("registry"), START);
                 new RunProxy().rehearse(stage.further("proxy"), START);
-                System.out.println("first items " + first.status() + ", proxies " + (ready ? "" : "not ")
-                        + "ready, " + served + " of " + REQUESTS + " requests served, items read " + read);
+                System.out.println("first items " + first.status() + ", proxies " + (ready ? "" : "not ") + "ready, "
+                        + served + " of " + REQUESTS + " requests served, items read " + read);
                 return first.status() == 200 && ready && served == REQUESTS && read == 200 ? 0 : FAILED;
             }
         }
--- a/src/main/java/reedmux/cli/RegionLink.java
+++ b/src/main/java/reedmux/cli/RegionLink.java
@@ -13,13 +13,13 @@
 import reedmux.core.Clock;
 import reedmux.core.Event;
 import reedmux.core.InvokerCall;
-import reedmux.operator.LifeCycle;
 import reedmux.core.RegionDesk;
 import reedmux.http.Acceptor;
 import reedmux.http.Calls;
 import reedmux.http.ConsumerServer;
 import reedmux.http.RegionClient;
 import reedmux.http.RegionFront;
+import reedmux.operator.LifeCycle;
 import reedmux.policy.Gateway.RequestClass;
 import reedmux.region.Departure;
 import reedmux.region.RegionRules;
@@ -47,21 +47,31 @@
     private String told = "";
     private long toldAt;
 
-    RegionLink(Region settings, Config config, Clock clock, Consumer<Event> events, BooleanSupplier ready,
-               LifeCycle life, Consumer<String> log) {
+    RegionLink(
+            Region settings,
+            Config config,
+            Clock clock,
+            Consumer<Event> events,
+            BooleanSupplier ready,
+            LifeCycle life,
+            Consumer<String> log) {
         this.settings = settings;
         this.log = log;
-        server = new ConsumerServer(new RegionFront(config.settings(), clock, events), ready,
-                life, settings.connectionsIn());
-        desk = new RegionDesk(new Regions(settings.rules(), config.settings().groupSize(), clock.now(),
-                config.seed()), settings.gateways(),
-                config.settings().classes().stream().mapToLong(RequestClass::aim).toArray());
+        server = new ConsumerServer(
+                new RegionFront(config.settings(), clock, events), ready, life, settings.connectionsIn());
+        desk = new RegionDesk(
+                new Regions(settings.rules(), config.settings().groupSize(), clock.now(), config.seed()),
+                settings.gateways(),
+                config.settings().classes().stream()
+                        .mapToLong(RequestClass::aim)
+                        .toArray());
     }
 
     /** Makes the calls' side, once there is a reactor. */
     void connect(DefaultListeningIOReactor reactor, Config config, Clock clock, Consumer<Event> events) {
         calls = new Calls(reactor, clock, Calls.Room.of(settings.connectionsOut()), MOST_IDLE);
-        client = new RegionClient(calls, events, config.settings(), settings.rules().name());
+        client = new RegionClient(
+                calls, events, config.settings(), settings.rules().name());
     }
 
     void listen(DefaultListeningIOReactor reactor, boolean shared) throws IOException {
@@ -71,8 +81,7 @@
         try {
             listener = new Acceptor(settings.listen(), shared, reactor, server.room(), log);
         } catch (IOException e) {
-            throw new IOException("cannot listen for regions on " + settings.listen() + ": "
-                    + e.getMessage());
+            throw new IOException("cannot listen for regions on " + settings.listen() + ": " + e.getMessage());
         }
         port = ((InetSocketAddress) listener.address()).getPort();
     }
@@ -99,16 +108,18 @@
     Event reload(Region now) {
         if (now == null) {
             // All that is out comes back, nothing more goes or comes in; the listener stays until a restart.
-            return new Event.RegionsTold(new RegionRules(settings.rules().name(), Set.of(),
-                    settings.rules().visitors(), null), Map.of());
+            return new Event.RegionsTold(
+                    new RegionRules(
+                            settings.rules().name(), Set.of(), settings.rules().visitors(), null),
+                    Map.of());
         }
         if (!settings.fixedAtStart(now).isEmpty()) {
-            log.accept("settings: a change takes a restart: " + String.join(", ",
-                    settings.fixedAtStart(now)));
+            log.accept("settings: a change takes a restart: " + String.join(", ", settings.fixedAtStart(now)));
         }
         RegionRules rules = now.rules();
-        return new Event.RegionsTold(new RegionRules(settings.rules().name(), rules.takesFrom(),
-                rules.visitors(), rules.away()), now.gateways());
+        return new Event.RegionsTold(
+                new RegionRules(settings.rules().name(), rules.takesFrom(), rules.visitors(), rules.away()),
+                now.gateways());
     }
 
     /** Closes what has been idle for too long, and tells what has happened; on the reducer's thread. */
--- a/src/main/java/reedmux/cli/SelfCheck.java
+++ b/src/main/java/reedmux/cli/SelfCheck.java
@@ -32,8 +32,8 @@
             throw new IllegalStateException("the sample configuration is at fault: " + e.getMessage(), e);
         }
         Path folder = Files.createTempDirectory("reedmux");
-        try (Node node = new Node(Loaded.alone(config), clock, line -> { }, folder.resolve("s"))) {
-            node.warmUpAfter(() -> { });
+        try (Node node = new Node(Loaded.alone(config), clock, line -> {}, folder.resolve("s"))) {
+            node.warmUpAfter(() -> {});
             Thread asking = new Thread(() -> ask(node), "reedmux-self-check");
             asking.start();
             node.run();
@@ -49,8 +49,8 @@
     private void ask(Node node) {
         try {
             InetSocketAddress address = (InetSocketAddress) node.awaitListening();
-            HttpURLConnection request = (HttpURLConnection) new URL("http", address.getHostString(),
-                    address.getPort(), "/check").openConnection();
+            HttpURLConnection request = (HttpURLConnection)
+                    new URL("http", address.getHostString(), address.getPort(), "/check").openConnection();
             request.setRequestProperty("X-Trace-Id", "0000000000000001");
             request.setRequestProperty("X-Customer", "0000000000000001");
             request.setRequestProperty("X-Plan", "single-line");
@@ -58,14 +58,14 @@
             request.setRequestProperty("X-Quota", "units=1,spread=1,first=0");
             answered = request.getResponseCode();
             for (String call : List.of("check", "vars")) {
-                try (Socket door = new Socket(node.operatorAddress().getAddress(),
+                try (Socket door = new Socket(
+                        node.operatorAddress().getAddress(),
                         node.operatorAddress().getPort())) {
                     door.getOutputStream().write((call + '\n').getBytes(StandardCharsets.US_ASCII));
                     told += door.getInputStream().readAllBytes().length;
                 }
             }
-            System.out.println("answered " + answered + " with Retry-After "
-                    + request.getHeaderField("Retry-After"));
+            System.out.println("answered " + answered + " with Retry-After " + request.getHeaderField("Retry-After"));
         } catch (IOException | InterruptedException e) {
             System.out.println("not answered: " + e.getMessage());
         } finally {
--- a/src/main/java/reedmux/cli/Serving.java
+++ b/src/main/java/reedmux/cli/Serving.java
@@ -27,8 +27,7 @@
 
     /** The platform's service alone. */
     static Serving alone(Config config) {
-        return new Serving(List.of(PoolSetup.alone(config.service())), null,
-                new Services.Sharing(true, 0, 0));
+        return new Serving(List.of(PoolSetup.alone(config.service())), null, new Services.Sharing(true, 0, 0));
     }
 
     /** Reads what is set; paths of documents begin at {@code folder}. */
@@ -38,10 +37,15 @@
         }
         List<PoolSetup> pools = new ArrayList<>();
         for (Services.Service told : services.services()) {
-            pools.add(new PoolSetup(told.name(), service(config, told, folder, clock), told.weight(),
-                    told.mostQueued(), new Most(told.mostInFlight() == 0 ? Integer.MAX_VALUE
-                    : told.mostInFlight(),
-                    told.mostBuffered() == 0 ? Long.MAX_VALUE : told.mostBuffered()), told.hostless()));
+            pools.add(new PoolSetup(
+                    told.name(),
+                    service(config, told, folder, clock),
+                    told.weight(),
+                    told.mostQueued(),
+                    new Most(
+                            told.mostInFlight() == 0 ? Integer.MAX_VALUE : told.mostInFlight(),
+                            told.mostBuffered() == 0 ? Long.MAX_VALUE : told.mostBuffered()),
+                    told.hostless()));
         }
         return new Serving(pools, services.routes(), services.sharing());
     }
@@ -66,7 +70,10 @@
 
     /** What the pools share; what is not set is what the program has room for. */
     Pools.Sharing sharing(int inFlight, long bytes, int descriptors) {
-        return new Pools.Sharing(settled.inFlight() == 0 ? inFlight : settled.inFlight(),
-                settled.buffered() == 0 ? bytes : settled.buffered(), descriptors, settled.fair());
+        return new Pools.Sharing(
+                settled.inFlight() == 0 ? inFlight : settled.inFlight(),
+                settled.buffered() == 0 ? bytes : settled.buffered(),
+                descriptors,
+                settled.fair());
     }
 }
--- a/src/main/java/reedmux/cli/Show.java
+++ b/src/main/java/reedmux/cli/Show.java
@@ -19,10 +19,17 @@
 import reedmux.item.Json;
 
 /** Shows what a control machine knows, also one that is cut off, with its age and contact. */
-@Command(name = "show", description = "shows members, core, checkers, items or duties as one control"
-        + " machine knows them, with age and epoch, and whether that machine has contact with a majority")
-@ExitCodes(codes = {0, 1, 2}, descriptions = {"told, also by a machine without a majority, which is said",
-    "nobody answered, or the answer was a refusal", "bad usage"})
+@Command(
+        name = "show",
+        description = "shows members, core, checkers, items or duties as one control"
+                + " machine knows them, with age and epoch, and whether that machine has contact with a majority")
+@ExitCodes(
+        codes = {0, 1, 2},
+        descriptions = {
+            "told, also by a machine without a majority, which is said",
+            "nobody answered, or the answer was a refusal",
+            "bad usage"
+        })
 public final class Show implements Callable<Integer> {
     private static final int FAILED = 1;
     private static final int BAD_USAGE = 2;
@@ -47,15 +54,13 @@
     @Option(name = "--control", title = "ADDRESS", description = "a control address to ask; may be repeated")
     private List<String> control = new ArrayList<>();
 
-    @Option(name = "--boot", title = "FILE",
-            description = "a settings file whose control address and seeds are asked")
+    @Option(name = "--boot", title = "FILE", description = "a settings file whose control address and seeds are asked")
     private String boot;
 
     @Option(name = "--service", title = "NAME", description = "only the checkers of that service")
     private String service;
 
-    @Option(name = "--limit", title = "N",
-            description = "so many entries, 1 to 1000; 200 where none is given")
+    @Option(name = "--limit", title = "N", description = "so many entries, 1 to 1000; 200 where none is given")
     private String limit;
 
     @Option(name = "--after", title = "KEY", description = "only entries behind that one, as 'next' told it")
@@ -109,7 +114,9 @@
         String[][] parameters = {{"service", service}, {"limit", limit}, {"after", after}};
         for (String[] parameter : parameters) {
             if (parameter[1] != null) {
-                target.append(before).append(parameter[0]).append('=')
+                target.append(before)
+                        .append(parameter[0])
+                        .append('=')
                         .append(URLEncoder.encode(parameter[1], StandardCharsets.UTF_8));
                 before = '&';
             }
@@ -122,11 +129,16 @@
         Map<String, Object> all = Json.map(Json.read(text), "the answer");
         boolean majority = Boolean.TRUE.equals(all.get("majority"));
         StringBuilder out = new StringBuilder();
-        out.append(majority ? "in contact with a majority"
-                : "NO CONTACT WITH A MAJORITY: may be out of date");
-        out.append("; told by ").append(all.get("node")).append(" (").append(at).append("), age ")
-                .append(all.get("ageMs") == null ? "not known" : all.get("ageMs") + " ms").append(", epoch ")
-                .append(all.get("epoch") == null ? "not known" : all.get("epoch")).append('\n');
+        out.append(majority ? "in contact with a majority" : "NO CONTACT WITH A MAJORITY: may be out of date");
+        out.append("; told by ")
+                .append(all.get("node"))
+                .append(" (")
+                .append(at)
+                .append("), age ")
+                .append(all.get("ageMs") == null ? "not known" : all.get("ageMs") + " ms")
+                .append(", epoch ")
+                .append(all.get("epoch") == null ? "not known" : all.get("epoch"))
+                .append('\n');
         if (all.get("why") != null) {
             out.append("no store has answered: ").append(all.get("why")).append('\n');
         }
@@ -147,7 +159,8 @@
             out.append("; the next: --after ").append(all.get("next"));
         }
         List<?> held = Json.list(all.get("held"), "held");
-        return out.append(held.isEmpty() ? "" : "; " + held.size() + " calls not decided on").toString();
+        return out.append(held.isEmpty() ? "" : "; " + held.size() + " calls not decided on")
+                .toString();
     }
 
     private static void rows(StringBuilder out, List<String> names, List<Map<String, Object>> rows) {
@@ -155,7 +168,8 @@
         for (int i = 0; i < width.length; i++) {
             width[i] = names.get(i).length();
             for (Map<String, Object> row : rows) {
-                width[i] = Math.max(width[i], Math.min(WIDEST, cell(row, names.get(i)).length()));
+                width[i] = Math.max(
+                        width[i], Math.min(WIDEST, cell(row, names.get(i)).length()));
             }
         }
         for (int row = -1; row < rows.size(); row++) {
--- a/src/main/java/reedmux/cli/WarmUp.java
+++ b/src/main/java/reedmux/cli/WarmUp.java
@@ -27,8 +27,8 @@
 import reedmux.operator.Figures;
 import reedmux.policy.Brain;
 import reedmux.policy.Gateway.Plan;
-import reedmux.policy.Gateway.RequestClass;
 import reedmux.policy.Gateway.Repeat;
+import reedmux.policy.Gateway.RequestClass;
 import reedmux.policy.Gateway.Scope;
 import reedmux.policy.Gateway.Server;
 import reedmux.policy.Gateway.Status;
@@ -44,24 +44,29 @@
     private static final int ROUNDS = 600;
     /** Of the rounds, how many are made of one kind before it is the other's turn. */
     private static final int TURN = 50;
+
     private static final int AT_ONCE = 4;
     /**
      * Decisions in a row, and the gap after them. On a part of one core the sockets' thread else waits for
      * all of them: discovery's first list was read up to 1.0 s late, and until then nobody heeds it.
      */
     private static final int GIVE_WAY = 5;
+
     private static final long GAP = TimeUnit.MICROSECONDS.toNanos(50);
     private static final int PROVIDERS = 8;
     private static final long ROUND = TimeUnit.MILLISECONDS.toMicros(5);
     /** The most time for it; at a restart the others bear our load meanwhile, and every second counts. */
     private static final long FRAME = TimeUnit.MILLISECONDS.toNanos(4_000);
+
     private static final long FRAME_AT_RESTART = TimeUnit.MILLISECONDS.toNanos(2_000);
     private static final long HANGS_MILLIS = 500;
     /** Between looks whether our address is open and whether the time is over. */
     private static final long LOOK_MILLIS = 50;
+
     private static final byte[] BODY = new byte[200];
     /** A body that is passed on as it comes, and one request in how many has it. */
     private static final byte[] LONG_BODY = new byte[100_000];
+
     private static final int LONG_EACH = 25;
 
     private final Config config;
@@ -137,7 +142,7 @@
         }
 
         @Override
-        public void answer(Invocation invocation, Answer answer) { }
+        public void answer(Invocation invocation, Answer answer) {}
 
         @Override
         public void call(InvokerCall call, long timeout) {
@@ -145,19 +150,19 @@
         }
 
         @Override
-        public void callAway(InvokerCall call, Departure departure) { }
+        public void callAway(InvokerCall call, Departure departure) {}
 
         @Override
-        public void stopConnecting(InvokerCall call) { }
+        public void stopConnecting(InvokerCall call) {}
 
         @Override
-        public void stop(InvokerCall call) { }
+        public void stop(InvokerCall call) {}
 
         @Override
-        public void probe(String provider, InetSocketAddress address, long askedAt) { }
+        public void probe(String provider, InetSocketAddress address, long askedAt) {}
 
         @Override
-        public void closeIdle(String provider, InetSocketAddress address) { }
+        public void closeIdle(String provider, InetSocketAddress address) {}
 
         @Override
         public void tell(int peer, byte[] bytes) {
@@ -174,17 +179,21 @@
     private final class Sparring {
         private final Practice here = new Practice(1);
         private final Practice there = new Practice(2);
-        private final RequestReader reader = new RequestReader(config.settings(), clock, event -> { },
-                new Figures().service(""));
+        private final RequestReader reader =
+                new RequestReader(config.settings(), clock, event -> {}, new Figures().service(""));
         private final int self = config.settings().self();
         private final int other = config.settings().groupSize() - 1 - self;
         private long now = 1;
 
         Sparring() {
             InetSocketAddress nowhere = InetSocketAddress.createUnresolved("nowhere", 1);
-            Event list = new Event.ProvidersTold(new ProviderList(Scope.FULL, 1, IntStream
-                    .range(0, PROVIDERS).mapToObj(i -> new ProviderList.Provider(new Server("warm-up-" + i,
-                            i % 2, i % 2, 0, Status.READY, 1, 0), nowhere)).toList()));
+            Event list = new Event.ProvidersTold(new ProviderList(
+                    Scope.FULL,
+                    1,
+                    IntStream.range(0, PROVIDERS)
+                            .mapToObj(i -> new ProviderList.Provider(
+                                    new Server("warm-up-" + i, i % 2, i % 2, 0, Status.READY, 1, 0), nowhere))
+                            .toList()));
             here.reducer.reduce(now, list);
             there.reducer.reduce(now, list);
         }
@@ -202,8 +211,8 @@
                 here.reducer.reduceDue(now);
                 there.reducer.reduceDue(now);
                 while (here.out.size() > PROVIDERS) {
-                    here.reducer.reduce(now, new Event.CallEnded(here.out.poll(),
-                            new CallResult.Answered(200, false, null, BODY)));
+                    here.reducer.reduce(
+                            now, new Event.CallEnded(here.out.poll(), new CallResult.Answered(200, false, null, BODY)));
                 }
                 deliver(here, there, now, self);
                 deliver(there, here, now, other);
@@ -223,8 +232,7 @@
         List<RequestClass> kinds = config.settings().classes();
         List<Plan> plans = config.settings().plans();
         RequestClass kind = kinds.get(i % kinds.size());
-        BasicHttpRequest head = new BasicHttpRequest(kind.repeat() == Repeat.SAFE ? "GET" : "POST",
-                '/' + kind.name());
+        BasicHttpRequest head = new BasicHttpRequest(kind.repeat() == Repeat.SAFE ? "GET" : "POST", '/' + kind.name());
         head.addHeader("X-Trace-Id", String.format("%016x", i));
         head.addHeader("X-Plan", plans.get(i / 2 % plans.size()).name());
         head.addHeader("X-Customer", String.format("%016x", i % 100));
--- a/src/main/java/reedmux/config/Addresses.java
+++ b/src/main/java/reedmux/config/Addresses.java
@@ -8,7 +8,7 @@
 public final class Addresses {
     private static final int MOST_PORTS = 65_535;
 
-    private Addresses() { }
+    private Addresses() {}
 
     /** The address in {@code a.b.c.d:port}, or null if it is none; port 0 stands for any free one. */
     public static InetSocketAddress parse(String text) {
@@ -27,8 +27,7 @@
                 bytes[i] = (byte) part;
             }
             int port = Integer.parseInt(text.substring(colon + 1));
-            return port < 0 || port > MOST_PORTS ? null
-                    : new InetSocketAddress(InetAddress.getByAddress(bytes), port);
+            return port < 0 || port > MOST_PORTS ? null : new InetSocketAddress(InetAddress.getByAddress(bytes), port);
         } catch (NumberFormatException | UnknownHostException e) {
             return null;
         }
--- a/src/main/java/reedmux/config/Config.java
+++ b/src/main/java/reedmux/config/Config.java
@@ -16,24 +16,37 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Objects;
+import reedmux.core.Clock;
+import reedmux.core.ProviderList;
 import reedmux.policy.Gateway.Plan;
 import reedmux.policy.Gateway.Scope;
 import reedmux.policy.Gateway.Settings;
-import reedmux.core.Clock;
-import reedmux.core.ProviderList;
 
 /**
  * All that the gatekeeper is told at its start, read once and checked here, with the defaults that hold where
  * a key is missing. A {@link ConfigException} names the key that is at fault. {@code operator} is null where
  * no place for operators is named.
  */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-                     int sockets, InetSocketAddress peerListen, List<InetSocketAddress> peers,
-                     InetSocketAddress everyPeer, Settings settings, long connectTimeout, long connIdle,
-                     ProviderList known, ProviderListReader lists, InetSocketAddress operator) {
+public record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        int sockets,
+        InetSocketAddress peerListen,
+        List<InetSocketAddress> peers,
+        InetSocketAddress everyPeer,
+        Settings settings,
+        long connectTimeout,
+        long connIdle,
+        ProviderList known,
+        ProviderListReader lists,
+        InetSocketAddress operator) {
     /** A key told twice has one value that nobody meant. */
     private static final JsonFactory JSON = JsonFactory.builder()
-            .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
+            .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+            .build();
+
     private static final int DEFAULT_SOCKETS = 1024;
     private static final int LEAST_SOCKETS = 256;
     private static final ProviderList NOBODY = new ProviderList(Scope.CACHED, 0, List.of());
@@ -88,11 +101,16 @@
         draft.settings.put("position", Integer.toString(settings.self()));
         draft.settings.put("groupSize", Integer.toString(settings.groupSize()));
         draft.settings.put("az", Integer.toString(settings.zone()));
-        draft.settings.put("limits.peerMessages", Boolean.toString(settings.limits().peers()));
+        draft.settings.put(
+                "limits.peerMessages", Boolean.toString(settings.limits().peers()));
         draft.settings.put("extra.mailPerS", Double.toString(settings.limits().peerMessagesPerS()));
         SettingsReader reader = new SettingsReader("settings.", draft.settings);
         ProviderListReader own = new ProviderListReader(reader.names("dcs"), reader.names("kinds"), clock);
-        return new Service(reader.settings(), where, known(draft, own), own,
+        return new Service(
+                reader.settings(),
+                where,
+                known(draft, own),
+                own,
                 reader.time("limits.connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT),
                 reader.time("limits.connIdleUs", DEFAULT_CONN_IDLE),
                 reader.names("dcs") + " " + reader.names("kinds"));
@@ -110,12 +128,21 @@
     /** All that must be the same in two processes of this gatekeeper for their counts to mean the same. */
     public String rules() {
         // Put together here: a record's own text is linked at run time, which costs a start 20 ms of CPU.
-        StringBuilder rules = new StringBuilder().append(settings.self()).append(" of ")
-                .append(settings.groupSize());
+        StringBuilder rules =
+                new StringBuilder().append(settings.self()).append(" of ").append(settings.groupSize());
         for (Plan plan : settings.plans()) {
-            rules.append("; ").append(plan.name()).append(' ').append(plan.rate()).append(' ')
-                    .append(plan.burst()).append(' ').append(plan.maxOpen()).append(' ')
-                    .append(plan.ceilingRate()).append(' ').append(plan.ceilingBurst());
+            rules.append("; ")
+                    .append(plan.name())
+                    .append(' ')
+                    .append(plan.rate())
+                    .append(' ')
+                    .append(plan.burst())
+                    .append(' ')
+                    .append(plan.maxOpen())
+                    .append(' ')
+                    .append(plan.ceilingRate())
+                    .append(' ')
+                    .append(plan.ceilingBurst());
         }
         return rules.toString();
     }
@@ -132,20 +159,19 @@
         if (sockets != other.sockets) {
             keys.add("limits.sockets");
         }
-        if (!Objects.equals(peerListen, other.peerListen) || !peers.equals(other.peers)
+        if (!Objects.equals(peerListen, other.peerListen)
+                || !peers.equals(other.peers)
                 || !Objects.equals(everyPeer, other.everyPeer)) {
             keys.add("peers");
         }
-        if (!settings.equals(other.settings) || connectTimeout != other.connectTimeout
-                || connIdle != other.connIdle) {
+        if (!settings.equals(other.settings) || connectTimeout != other.connectTimeout || connIdle != other.connIdle) {
             keys.add("settings");
         }
         return keys;
     }
 
     /** Reads a configuration from its bytes. */
-    public static Config read(byte[] bytes, Map<String, String> environment, Clock clock)
-            throws ConfigException {
+    public static Config read(byte[] bytes, Map<String, String> environment, Clock clock) throws ConfigException {
         Draft draft = new Draft();
         parse(bytes, "RELAY_CONFIG", draft);
         if (draft.settings.isEmpty()) {
@@ -159,12 +185,20 @@
         if (settings.limits().peers()) {
             checkPeers(draft, settings.groupSize());
         }
-        return new Config(environment.getOrDefault("RELAY_NAME", draft.name),
+        return new Config(
+                environment.getOrDefault("RELAY_NAME", draft.name),
                 address("listen", environment, draft.listen),
-                address("discovery", environment, draft.discovery), draft.seed, draft.sockets,
-                settings.limits().peers() ? draft.peerListen : null, List.copyOf(draft.peers),
-                draft.everyPeer, settings, reader.time("limits.connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT),
-                reader.time("limits.connIdleUs", DEFAULT_CONN_IDLE), known, lists,
+                address("discovery", environment, draft.discovery),
+                draft.seed,
+                draft.sockets,
+                settings.limits().peers() ? draft.peerListen : null,
+                List.copyOf(draft.peers),
+                draft.everyPeer,
+                settings,
+                reader.time("limits.connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT),
+                reader.time("limits.connIdleUs", DEFAULT_CONN_IDLE),
+                known,
+                lists,
                 optional("operator", environment, draft.operator));
     }
 
@@ -174,8 +208,8 @@
             throw new ConfigException("peer_listen is missing, and settings.limits.peerMessages is true");
         }
         if (draft.peers.size() != groupSize && (groupSize > 1 || !draft.peers.isEmpty())) {
-            throw new ConfigException("peers holds " + draft.peers.size()
-                    + " addresses, and settings.groupSize is " + groupSize);
+            throw new ConfigException(
+                    "peers holds " + draft.peers.size() + " addresses, and settings.groupSize is " + groupSize);
         }
         for (int i = 0; i < draft.peers.size(); i++) {
             int first = draft.peers.indexOf(draft.peers.get(i));
@@ -191,8 +225,8 @@
         settings.put(SettingsReader.UNITS_WHEN_WHOLE, "true");
     }
 
-    private static InetSocketAddress address(String key, Map<String, String> environment,
-                                             InetSocketAddress inFile) throws ConfigException {
+    private static InetSocketAddress address(String key, Map<String, String> environment, InetSocketAddress inFile)
+            throws ConfigException {
         InetSocketAddress address = optional(key, environment, inFile);
         if (address == null) {
             throw new ConfigException(key + " is missing");
@@ -200,8 +234,8 @@
         return address;
     }
 
-    private static InetSocketAddress optional(String key, Map<String, String> environment,
-                                              InetSocketAddress inFile) throws ConfigException {
+    private static InetSocketAddress optional(String key, Map<String, String> environment, InetSocketAddress inFile)
+            throws ConfigException {
         String variable = "RELAY_" + key.toUpperCase(Locale.ROOT);
         String told = environment.get(variable);
         InetSocketAddress address = told == null ? inFile : Addresses.parse(told);
@@ -308,7 +342,7 @@
                     settings.put(at + ".count", Integer.toString(count));
                     settings.put(at, String.join(",", plain));
                 }
-                case VALUE_NULL -> { }
+                case VALUE_NULL -> {}
                 default -> settings.put(at, json.getText());
             }
         }
--- a/src/main/java/reedmux/config/Json.java
+++ b/src/main/java/reedmux/config/Json.java
@@ -18,12 +18,12 @@
         void read() throws IOException, ConfigException;
     }
 
-    private Json() { }
+    private Json() {}
 
     static ConfigException bad(JsonParser json, String what) {
         String path = json.getParsingContext().pathAsPointer().toString();
-        return new ConfigException((path.isEmpty() ? "the document" : path.substring(1).replace('/', '.'))
-                + ' ' + what);
+        return new ConfigException(
+                (path.isEmpty() ? "the document" : path.substring(1).replace('/', '.')) + ' ' + what);
     }
 
     static void object(JsonParser json, Field field) throws IOException, ConfigException {
--- a/src/main/java/reedmux/config/ProviderListReader.java
+++ b/src/main/java/reedmux/config/ProviderListReader.java
@@ -7,11 +7,11 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
+import reedmux.core.Clock;
+import reedmux.core.ProviderList;
 import reedmux.policy.Gateway.Scope;
 import reedmux.policy.Gateway.Server;
 import reedmux.policy.Gateway.Status;
-import reedmux.core.Clock;
-import reedmux.core.ProviderList;
 
 /** Reads lists of providers in discovery's form, from discovery and from the configuration alike. */
 public final class ProviderListReader {
@@ -26,11 +26,18 @@
     }
 
     /** An entry as it was written. */
-    record Entry(String id, InetSocketAddress address, String zone, String kind, int cell, Status status,
-                 double weight, long upSinceMillis) { }
+    record Entry(
+            String id,
+            InetSocketAddress address,
+            String zone,
+            String kind,
+            int cell,
+            Status status,
+            double weight,
+            long upSinceMillis) {}
 
     /** A list as it was written. */
-    record Listing(long revision, boolean complete, List<Entry> entries) { }
+    record Listing(long revision, boolean complete, List<Entry> entries) {}
 
     /** Reads an answer of discovery. */
     public ProviderList read(byte[] body) throws ConfigException {
@@ -44,14 +51,23 @@
 
     /** Puts in the numbers of zones and kinds, and times of our clock; {@code whole}: scope when complete. */
     ProviderList resolve(Listing listing, Scope whole) {
-        return new ProviderList(listing.complete() ? whole : Scope.CHANGES, listing.revision(),
+        return new ProviderList(
+                listing.complete() ? whole : Scope.CHANGES,
+                listing.revision(),
                 listing.entries().stream().map(this::provider).toList());
     }
 
     private ProviderList.Provider provider(Entry entry) {
-        return new ProviderList.Provider(new Server(entry.id(), zones.indexOf(entry.zone()),
-                kinds.indexOf(entry.kind()), entry.cell(), entry.status(), entry.weight(),
-                clock.fromUnixMillis(entry.upSinceMillis())), entry.address());
+        return new ProviderList.Provider(
+                new Server(
+                        entry.id(),
+                        zones.indexOf(entry.zone()),
+                        kinds.indexOf(entry.kind()),
+                        entry.cell(),
+                        entry.status(),
+                        entry.weight(),
+                        clock.fromUnixMillis(entry.upSinceMillis())),
+                entry.address());
     }
 
     /** Reads the object that the parser stands at. */
--- a/src/main/java/reedmux/config/SettingsReader.java
+++ b/src/main/java/reedmux/config/SettingsReader.java
@@ -25,6 +25,7 @@
     private static final long MOST_ADVICE = 1_000_000;
     /** Most bytes of a message between gatekeepers, by the platform's protocol. */
     private static final int PEER_BYTES = 256;
+
     private final Map<String, String> values;
 
     private final String place;
@@ -60,9 +61,18 @@
         for (String list : List.of("lanes", "packages")) {
             checkNames(list);
         }
-        return new Settings(self, groupSize, (int) number("az", 0), text("discovery", "push").equals("ask"),
-                flag(UNITS_WHEN_WHOLE), mostUnits, time("tickUs", 1000),
-                List.copyOf(classes), List.copyOf(plans), rules(), limits());
+        return new Settings(
+                self,
+                groupSize,
+                (int) number("az", 0),
+                text("discovery", "push").equals("ask"),
+                flag(UNITS_WHEN_WHOLE),
+                mostUnits,
+                time("tickUs", 1000),
+                List.copyOf(classes),
+                List.copyOf(plans),
+                rules(),
+                limits());
     }
 
     /** A list of names, in its order. */
@@ -71,25 +81,35 @@
     }
 
     private RequestClass requestClass(String at) throws ConfigException {
-        Repeat repeat = switch (text(at + "effect", "non_idempotent")) {
-            case "read_like" -> Repeat.SAFE;
-            case "idempotency_key" -> Repeat.KEYED;
-            case "non_idempotent" -> Repeat.UNSAFE;
-            default -> throw bad(at + "effect is not known");
-        };
-        Group group = switch (text(at + "group", "cell")) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            case "cell" -> Group.CELL;
-            default -> throw bad(at + "group is not known");
-        };
+        Repeat repeat =
+                switch (text(at + "effect", "non_idempotent")) {
+                    case "read_like" -> Repeat.SAFE;
+                    case "idempotency_key" -> Repeat.KEYED;
+                    case "non_idempotent" -> Repeat.UNSAFE;
+                    default -> throw bad(at + "effect is not known");
+                };
+        Group group =
+                switch (text(at + "group", "cell")) {
+                    case "all" -> Group.ALL;
+                    case "zone" -> Group.ZONE;
+                    case "cell" -> Group.CELL;
+                    default -> throw bad(at + "group is not known");
+                };
         long deadline = needed(at + "deadlineUs");
         long aim = needed(at + "targetUs");
         if (aim > deadline) {
             throw bad(at + "targetUs lies past its deadlineUs");
         }
-        return new RequestClass(text(at + "name", "class"), repeat, group, time(at + "windowUs", 0), aim,
-                deadline, number(at + "worth", 1), number(at + "lateValue", 0), flag(at + "streaming"));
+        return new RequestClass(
+                text(at + "name", "class"),
+                repeat,
+                group,
+                time(at + "windowUs", 0),
+                aim,
+                deadline,
+                number(at + "worth", 1),
+                number(at + "lateValue", 0),
+                flag(at + "streaming"));
     }
 
     /** A request names its class and plan, so that of two with one name the second is never meant. */
@@ -105,10 +125,17 @@
     }
 
     private Plan plan(String at, double mostUnits) throws ConfigException {
-        Plan plan = new Plan(text(at + "name", "plan"), number(at + "refill", 0),
-                number(at + "mostAtOnce", 0), whole(at + "concurrency", 0), number(at + "hardRate", 0),
-                number(at + "capDepth", 0), number(at + "capSlack", 0), number(at + "pays", 1),
-                number(at + "beyondEarns", 0), number(at + "beyondCosts", 0));
+        Plan plan = new Plan(
+                text(at + "name", "plan"),
+                number(at + "refill", 0),
+                number(at + "mostAtOnce", 0),
+                whole(at + "concurrency", 0),
+                number(at + "hardRate", 0),
+                number(at + "capDepth", 0),
+                number(at + "capSlack", 0),
+                number(at + "pays", 1),
+                number(at + "beyondEarns", 0),
+                number(at + "beyondCosts", 0));
         if (plan.rate() > 0 && plan.burst() <= 0) {
             throw bad(at + "mostAtOnce must be above nought where refill is");
         }
@@ -118,26 +145,41 @@
         if (plan.rate() > 0 && mostUnits < NO_BOUND && plan.burst() < mostUnits) {
             throw bad(at + "mostAtOnce is under extra.unitsTop: the largest request would never be let in");
         }
-        if (plan.rate() > 0 && plan.ceilingRate() > 0
+        if (plan.rate() > 0
+                && plan.ceilingRate() > 0
                 && (plan.ceilingRate() < plan.rate() || plan.ceilingBurst() < plan.burst())) {
-            throw bad(at + (plan.ceilingRate() < plan.rate() ? "hardRate is under its refill"
-                    : "capDepth is under its mostAtOnce") + ": the ceiling would cut into the quota");
+            throw bad(at
+                    + (plan.ceilingRate() < plan.rate()
+                            ? "hardRate is under its refill"
+                            : "capDepth is under its mostAtOnce")
+                    + ": the ceiling would cut into the quota");
         }
         return plan;
     }
 
     private Rules rules() throws ConfigException {
-        return new Rules(time("rules.answerSlackUs", 0), time("rules.askWithinUs", 0),
-                number("rules.coldFrom", 0), time("rules.coldUs", 0), time("rules.drainGraceUs", 0),
-                number("rules.fallMultiple", 1), time("rules.fallUs", 0));
+        return new Rules(
+                time("rules.answerSlackUs", 0),
+                time("rules.askWithinUs", 0),
+                number("rules.coldFrom", 0),
+                time("rules.coldUs", 0),
+                time("rules.drainGraceUs", 0),
+                number("rules.fallMultiple", 1),
+                time("rules.fallUs", 0));
     }
 
     private Limits limits() throws ConfigException {
-        return new Limits(flag("limits.cancelling"), flag("limits.secondCopies"), flag("limits.probes"),
-                flag("limits.peerMessages"), flag("extra.mayCount"),
+        return new Limits(
+                flag("limits.cancelling"),
+                flag("limits.secondCopies"),
+                flag("limits.probes"),
+                flag("limits.peerMessages"),
+                flag("extra.mayCount"),
                 Math.max(1, whole("limits.sendCap", 1)),
                 flag("limits.retryAfter") ? time("limits.maxRetryAfterUs", MOST_ADVICE) : 0,
-                number("extra.mailPerS", 0), PEER_BYTES, time("extra.countLimitUs", 0));
+                number("extra.mailPerS", 0),
+                PEER_BYTES,
+                time("extra.countLimitUs", 0));
     }
 
     private String text(String key, String missing) {
--- a/src/main/java/reedmux/core/CallResult.java
+++ b/src/main/java/reedmux/core/CallResult.java
@@ -6,7 +6,12 @@
 public sealed interface CallResult {
 
     /** How far a call had come when it ended. */
-    enum Stage { CONNECTING, WRITING, ON_WIRE, ANSWERING }
+    enum Stage {
+        CONNECTING,
+        WRITING,
+        ON_WIRE,
+        ANSWERING
+    }
 
     /** The body of an answer that is still coming in; only the protocol that made it looks inside. */
     interface Rest {
@@ -21,12 +26,19 @@
      * come again, both in microseconds, -1 where not told. {@code bodyTook} is how long after its head the
      * last byte came, in microseconds: a peer that writes slowly is not one that has much to do.
      */
-    record Answered(int status, boolean neverRan, String contentType, byte[] body, long took,
-                    long retryAfter, Rest rest, long bodyTook) implements CallResult {
+    record Answered(
+            int status,
+            boolean neverRan,
+            String contentType,
+            byte[] body,
+            long took,
+            long retryAfter,
+            Rest rest,
+            long bodyTook)
+            implements CallResult {
 
         /** A whole answer. */
-        public Answered(int status, boolean neverRan, String contentType, byte[] body, long took,
-                        long retryAfter) {
+        public Answered(int status, boolean neverRan, String contentType, byte[] body, long took, long retryAfter) {
             this(status, neverRan, contentType, body, took, retryAfter, null, 0);
         }
 
@@ -37,14 +49,16 @@
     }
 
     /** No whole answer: the connection broke, was refused or was closed by us. */
-    record Broken(Stage stage, String reason) implements CallResult { }
+    record Broken(Stage stage, String reason) implements CallResult {}
 
     /** The outcome in the module's terms; nothing but a whole answer or an unfinished write proves much. */
     default Outcome outcome() {
         if (this instanceof Answered answered) {
-            return answered.status() == 200 ? Outcome.OK
+            return answered.status() == 200
+                    ? Outcome.OK
                     : (answered.status() == 503 || answered.status() == 504) && answered.neverRan()
-                    ? Outcome.FULL : Outcome.ERROR;
+                            ? Outcome.FULL
+                            : Outcome.ERROR;
         }
         Stage stage = ((Broken) this).stage();
         return stage == Stage.CONNECTING || stage == Stage.WRITING ? Outcome.CONNECT_FAILED : Outcome.RESET;
--- a/src/main/java/reedmux/core/Effects.java
+++ b/src/main/java/reedmux/core/Effects.java
@@ -10,7 +10,7 @@
     void answer(Invocation invocation, Answer answer);
 
     /** The invocation has its answer, or nobody waits for one any more: told exactly once of each. */
-    default void over(Invocation invocation) { }
+    default void over(Invocation invocation) {}
 
     /** Starts a call, which the provider is told we wait for so long; ends as {@link Event.CallEnded}. */
     void call(InvokerCall call, long timeout);
--- a/src/main/java/reedmux/core/Invocation.java
+++ b/src/main/java/reedmux/core/Invocation.java
@@ -42,12 +42,15 @@
     boolean over;
     /** Whether a decision on it has thrown. */
     boolean faulty;
+
     Timer deadline;
     /** When its consumer gives up, and when its body was whole if it came in behind it, else nought. */
     long deadlineAt;
+
     long wholeAt;
     /** When it was taken, in microseconds; whether another region sent it; whether its service is noted. */
     long takenAt;
+
     boolean visitor;
     boolean judged;
     /** When its pool let it in, in microseconds; -1 where nobody counts it. */
--- a/src/main/java/reedmux/core/InvokerCall.java
+++ b/src/main/java/reedmux/core/InvokerCall.java
@@ -7,7 +7,11 @@
 public final class InvokerCall {
 
     /** Why we stopped waiting for it, if we did. */
-    enum Stop { NONE, TIMED_OUT, CANCELLED }
+    enum Stop {
+        NONE,
+        TIMED_OUT,
+        CANCELLED
+    }
 
     final Invocation invocation;
     final int number;
@@ -16,6 +20,7 @@
     final long sentAt;
     /** How it goes to another region, or null for a provider's call; and our own advice if that refuses. */
     final Departure departure;
+
     final long advice;
     Stop stop = Stop.NONE;
     boolean ended;
@@ -31,8 +36,14 @@
         this(invocation, number, provider, address, sentAt, null, 0);
     }
 
-    InvokerCall(Invocation invocation, int number, String provider, InetSocketAddress address, long sentAt,
-                Departure departure, long advice) {
+    InvokerCall(
+            Invocation invocation,
+            int number,
+            String provider,
+            InetSocketAddress address,
+            long sentAt,
+            Departure departure,
+            long advice) {
         this.departure = departure;
         this.advice = advice;
         this.invocation = invocation;
--- a/src/main/java/reedmux/core/ProviderList.java
+++ b/src/main/java/reedmux/core/ProviderList.java
@@ -9,5 +9,5 @@
 public record ProviderList(Scope scope, long revision, List<Provider> providers) {
 
     /** One provider; the server is what the module knows of it. */
-    public record Provider(Server server, InetSocketAddress address) { }
+    public record Provider(Server server, InetSocketAddress address) {}
 }
--- a/src/main/java/reedmux/core/Reducer.java
+++ b/src/main/java/reedmux/core/Reducer.java
@@ -94,11 +94,15 @@
     }
 
     private static Invocation concerned(Event event) {
-        return event instanceof Event.InvocationTaken e ? e.invocation()
-                : event instanceof Event.VisitorTaken e ? e.invocation()
-                : event instanceof Event.CallEnded e ? e.call().invocation
-                : event instanceof Event.AnswerBegun e ? e.call().invocation
-                : event instanceof Event.SendVoid e ? e.invocation() : null;
+        return event instanceof Event.InvocationTaken e
+                ? e.invocation()
+                : event instanceof Event.VisitorTaken e
+                        ? e.invocation()
+                        : event instanceof Event.CallEnded e
+                                ? e.call().invocation
+                                : event instanceof Event.AnswerBegun e
+                                        ? e.call().invocation
+                                        : event instanceof Event.SendVoid e ? e.invocation() : null;
     }
 
     /** The module knows it in part or not at all: what it might still say of it is not waited for. */
@@ -176,8 +180,11 @@
         } else if (event instanceof Event.ProvidersTold e) {
             onProviders(e.list());
         } else if (event instanceof Event.SendVoid e) {
-            module.handle(now, new AttemptEnded(e.invocation().id(), e.invocation().over, e.provider(),
-                    e.number(), 0, 0, e.outcome()), actions);
+            module.handle(
+                    now,
+                    new AttemptEnded(
+                            e.invocation().id(), e.invocation().over, e.provider(), e.number(), 0, 0, e.outcome()),
+                    actions);
         } else if (event instanceof Event.ProbeEnded e) {
             Outcome outcome = e.result().outcome();
             module.handle(now, new Probed(e.provider(), outcome, now - e.askedAt()), actions);
@@ -266,8 +273,7 @@
             return;
         }
         finish(invocation, new Answer.Served(head));
-        module.handle(now, new StreamStarted(invocation.id(), call.provider, call.number, took(call, head)),
-                actions);
+        module.handle(now, new StreamStarted(invocation.id(), call.provider, call.number, took(call, head)), actions);
     }
 
     /**
@@ -275,15 +281,17 @@
      * nor an answer's is work at the provider.
      */
     private long took(InvokerCall call, CallResult result) {
-        long until = call.begunAt > 0 ? call.begunAt
+        long until = call.begunAt > 0
+                ? call.begunAt
                 : result instanceof CallResult.Answered answered ? now - answered.bodyTook() : now;
         return Math.max(0, until - Math.max(call.sentAt, call.invocation.wholeAt));
     }
 
     private void onConsumerLeft(Invocation invocation) {
         // Without its consumer, a body that was coming in never will be whole, and an answer goes nowhere.
-        invocation.calls.stream().filter(call -> !call.ended && (call.begunAt > 0
-                || invocation.message.flows() && invocation.wholeAt == 0))
+        invocation.calls.stream()
+                .filter(call ->
+                        !call.ended && (call.begunAt > 0 || invocation.message.flows() && invocation.wholeAt == 0))
                 .forEach(call -> stop(call, InvokerCall.Stop.CANCELLED));
         withdraw(invocation);
     }
@@ -296,13 +304,16 @@
             streaming--;
         }
         Outcome outcome = result.outcome();
-        if (outcome == Outcome.CONNECT_FAILED && call.stop == InvokerCall.Stop.CANCELLED
+        if (outcome == Outcome.CONNECT_FAILED
+                && call.stop == InvokerCall.Stop.CANCELLED
                 && call.invocation.message.flows()) {
             outcome = Outcome.MOOT; // its consumer broke it off, which says nothing of the provider
         }
         // One that never was whole on the wire never ran, whatever made us stop; else our stop counts.
-        if (result instanceof CallResult.Broken && outcome != Outcome.CONNECT_FAILED
-                && outcome != Outcome.MOOT && call.stop != InvokerCall.Stop.NONE) {
+        if (result instanceof CallResult.Broken
+                && outcome != Outcome.CONNECT_FAILED
+                && outcome != Outcome.MOOT
+                && call.stop != InvokerCall.Stop.NONE) {
             outcome = call.stop == InvokerCall.Stop.TIMED_OUT ? Outcome.TIMEOUT : Outcome.CANCELLED;
         }
         call.end();
@@ -315,8 +326,11 @@
         if (outcome == Outcome.OK) {
             finish(invocation, new Answer.Served((CallResult.Answered) result));
         }
-        module.handle(now, new AttemptEnded(invocation.id(), invocation.over, call.provider, call.number, 0,
-                took(call, result), outcome), actions);
+        module.handle(
+                now,
+                new AttemptEnded(
+                        invocation.id(), invocation.over, call.provider, call.number, 0, took(call, result), outcome),
+                actions);
         tellArriving(invocation);
         if (invocation.faulty) {
             onDecisionFailed(invocation);
@@ -335,10 +349,10 @@
             finish(invocation, new Answer.Served((CallResult.Answered) result));
         } else if (invocation.repeatable || invocation.neverRan()) {
             long told = result instanceof CallResult.Answered answered ? answered.retryAfter() : -1;
-            finish(invocation, new Answer.Rejection(Math.max(call.advice, told), true,
-                    invocation.neverRan()));
+            finish(invocation, new Answer.Rejection(Math.max(call.advice, told), true, invocation.neverRan()));
         } else {
-            boolean late = result instanceof CallResult.Answered answered ? answered.status() == LATE
+            boolean late = result instanceof CallResult.Answered answered
+                    ? answered.status() == LATE
                     : outcome == Outcome.TIMEOUT;
             finish(invocation, new Answer.Failed(late));
         }
@@ -352,7 +366,8 @@
             end(invocation);
             // What another region does for nobody costs two regions; but one that must not run twice may
             // have run by now, and nothing is gained by not hearing of it.
-            invocation.calls.stream().filter(call -> call.departure != null && invocation.repeatable)
+            invocation.calls.stream()
+                    .filter(call -> call.departure != null && invocation.repeatable)
                     .forEach(call -> stop(call, InvokerCall.Stop.CANCELLED));
             forgetIfSettled(invocation);
             module.handle(now, new Withdrawn(invocation.id()), actions);
@@ -369,9 +384,11 @@
             if (desk != null) {
                 desk.judge(invocation, now, false);
             }
-            effects.answer(invocation, harmless
-                    ? new Answer.Rejection(ADVICE, !invocation.calls.isEmpty(), invocation.neverRan())
-                    : new Answer.Failed(now >= invocation.deadlineAt));
+            effects.answer(
+                    invocation,
+                    harmless
+                            ? new Answer.Rejection(ADVICE, !invocation.calls.isEmpty(), invocation.neverRan())
+                            : new Answer.Failed(now >= invocation.deadlineAt));
             withdraw(invocation);
         }
     }
@@ -397,8 +414,14 @@
             }
         });
         anyProvider = !providers.isEmpty();
-        module.handle(now, new ServerList(list.scope(),
-                list.providers().stream().map(ProviderList.Provider::server).toList()), actions);
+        module.handle(
+                now,
+                new ServerList(
+                        list.scope(),
+                        list.providers().stream()
+                                .map(ProviderList.Provider::server)
+                                .toList()),
+                actions);
     }
 
     private void stop(InvokerCall call, InvokerCall.Stop why) {
@@ -460,13 +483,12 @@
             InetSocketAddress address = providers.get(server);
             InvokerCall call = new InvokerCall(invocation, number, server, address, now);
             invocation.calls.add(call);
-            boolean moot = invocation.over || left <= 0 || number >= maxAttempts
-                    || !invocation.message.sendable();
+            boolean moot = invocation.over || left <= 0 || number >= maxAttempts || !invocation.message.sendable();
             if (moot || address == null) {
                 call.ended = true;
                 call.neverRan = true;
-                followUps.add(new Event.SendVoid(invocation, number, server,
-                        moot ? Outcome.MOOT : Outcome.CONNECT_FAILED));
+                followUps.add(
+                        new Event.SendVoid(invocation, number, server, moot ? Outcome.MOOT : Outcome.CONNECT_FAILED));
                 return;
             }
             long wait = timeout == 0 ? left : Math.min(left, Math.max(0, timeout));
@@ -479,8 +501,8 @@
             try {
                 how.run();
             } catch (RuntimeException e) {
-                followUps.add(new Event.CallEnded(call,
-                        new CallResult.Broken(CallResult.Stage.CONNECTING, String.valueOf(e))));
+                followUps.add(new Event.CallEnded(
+                        call, new CallResult.Broken(CallResult.Stage.CONNECTING, String.valueOf(e))));
             }
         }
 
@@ -501,8 +523,14 @@
             if (departure == null) {
                 return false;
             }
-            InvokerCall call = new InvokerCall(invocation, number, departure.gateway(),
-                    desk.address(departure.gateway()), now, departure, retryAfter);
+            InvokerCall call = new InvokerCall(
+                    invocation,
+                    number,
+                    departure.gateway(),
+                    desk.address(departure.gateway()),
+                    now,
+                    departure,
+                    retryAfter);
             invocation.calls.add(call);
             setTimers(call, departure.patience());
             start(call, () -> effects.callAway(call, departure));
@@ -520,11 +548,10 @@
                 return;
             }
             if (answer instanceof Answer.Rejection rejection && !invocation.calls.isEmpty()) {
-                finish(invocation, new Answer.Rejection(rejection.retryAfter(), true,
-                        invocation.neverRan()));
+                finish(invocation, new Answer.Rejection(rejection.retryAfter(), true, invocation.neverRan()));
             } else if (answer instanceof Answer.Failed) {
-                InvokerCall last = invocation.calls.isEmpty() ? null
-                        : invocation.calls.get(invocation.calls.size() - 1);
+                InvokerCall last =
+                        invocation.calls.isEmpty() ? null : invocation.calls.get(invocation.calls.size() - 1);
                 boolean late = last != null && last.stop == InvokerCall.Stop.TIMED_OUT;
                 finish(invocation, new Answer.Failed(late));
             } else {
@@ -570,11 +597,11 @@
 
         /** Discovery is watched without pause from the start, so there is nothing more to ask for. */
         @Override
-        public void fetchServers() { }
+        public void fetchServers() {}
 
         /** As for {@link #fetchServers}. */
         @Override
-        public void watchServers(boolean on) { }
+        public void watchServers(boolean on) {}
 
         @Override
         public void timer(long at, long token) {
--- a/src/main/java/reedmux/core/RegionDesk.java
+++ b/src/main/java/reedmux/core/RegionDesk.java
@@ -80,18 +80,26 @@
     }
 
     Departure depart(Invocation invocation, int callsLeft, long now) {
-        Decision decision = regions.depart(now, new Wish(invocation.request.deadline(),
-                invocation.request.units(), invocation.repeatable, invocation.neverRan(), invocation.visitor,
-                callsLeft));
+        Decision decision = regions.depart(
+                now,
+                new Wish(
+                        invocation.request.deadline(),
+                        invocation.request.units(),
+                        invocation.repeatable,
+                        invocation.neverRan(),
+                        invocation.visitor,
+                        callsLeft));
         return decision.departure();
     }
 
     void returned(InvokerCall call, CallResult result, Outcome outcome, long now) {
         long tookThere = result instanceof CallResult.Answered answered ? answered.took() : -1;
         long retryAfter = result instanceof CallResult.Answered answered ? answered.retryAfter() : -1;
-        Return how = call.stop == InvokerCall.Stop.CANCELLED ? Return.GIVEN_UP
-                : outcome == Outcome.FULL ? Return.REFUSED
-                : result instanceof CallResult.Answered ? Return.ANSWERED : Return.FAILED;
+        Return how = call.stop == InvokerCall.Stop.CANCELLED
+                ? Return.GIVEN_UP
+                : outcome == Outcome.FULL
+                        ? Return.REFUSED
+                        : result instanceof CallResult.Answered ? Return.ANSWERED : Return.FAILED;
         regions.returned(now, call.departure, how, now - call.sentAt, tookThere, retryAfter);
     }
 }
--- a/src/main/java/reedmux/discovery/Watch.java
+++ b/src/main/java/reedmux/discovery/Watch.java
@@ -38,6 +38,7 @@
      * have started at once for seconds: whoever gives up and asks again stands last once more.
      */
     private static final long WHOLE_MILLIS = 4_000;
+
     private static final long PATIENCE_MILLIS = 2_000;
     /** A pause after a failure, so that a broken agent is not asked in a tight circle. */
     private static final long PAUSE_MILLIS = 100;
@@ -48,7 +49,7 @@
     private final Consumer<String> log;
     private final ScheduledExecutorService timers;
     private InetSocketAddress discovery;
-    private Runnable stopCall = () -> { };
+    private Runnable stopCall = () -> {};
     private long revision;
     private boolean heard;
     private boolean failing;
@@ -59,11 +60,19 @@
      * discovery that is asked a line for each provider, for each gatekeeper that starts: fourteen that did at
      * once kept it busy for so long that nearly every later call failed, and hardly a list came after that.
      */
-    public Watch(ProviderClient client, InetSocketAddress discovery, ProviderListReader lists,
-                 ProviderList known, Consumer<Event> events, Consumer<String> log,
-                 ScheduledExecutorService timers) {
-        revision = known != null && known.scope() == Scope.CACHED && !known.providers().isEmpty()
-                ? known.revision() : -1;
+    public Watch(
+            ProviderClient client,
+            InetSocketAddress discovery,
+            ProviderListReader lists,
+            ProviderList known,
+            Consumer<Event> events,
+            Consumer<String> log,
+            ScheduledExecutorService timers) {
+        revision = known != null
+                        && known.scope() == Scope.CACHED
+                        && !known.providers().isEmpty()
+                ? known.revision()
+                : -1;
         this.timers = timers;
         this.client = client;
         this.discovery = discovery;
@@ -98,8 +107,7 @@
             onAnswer(asked, result);
         });
         stopCall = stop;
-        timeout.set(timers.schedule(stop, revision < 0 ? WHOLE_MILLIS : wait + PATIENCE_MILLIS,
-                TimeUnit.MILLISECONDS));
+        timeout.set(timers.schedule(stop, revision < 0 ? WHOLE_MILLIS : wait + PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
     }
 
     /** The limit on one call, which may end before the limit is even set. */
--- a/src/main/java/reedmux/disk/Folder.java
+++ b/src/main/java/reedmux/disk/Folder.java
@@ -41,8 +41,11 @@
     @Override
     public File create(String name) throws IOException {
         Files.createDirectories(dir);
-        return new Open(FileChannel.open(dir.resolve(name), StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING));
+        return new Open(FileChannel.open(
+                dir.resolve(name),
+                StandardOpenOption.CREATE,
+                StandardOpenOption.WRITE,
+                StandardOpenOption.TRUNCATE_EXISTING));
     }
 
     @Override
--- a/src/main/java/reedmux/disk/Journal.java
+++ b/src/main/java/reedmux/disk/Journal.java
@@ -17,6 +17,7 @@
 public final class Journal implements AutoCloseable {
     /** The form of the files; what has a higher one is of a later program, and is left as it is. */
     static final int FORM = 1;
+
     private static final byte[] MARK = {'r', 'e', 'e', 'd', 'm', 'u', 'x'};
     private static final String PREFIX = "items-";
     private static final String FRESH = "fresh";
@@ -27,6 +28,7 @@
     private Volume.File file;
     /** Files that are there, by their generation; null until the folder could be read. */
     private TreeMap<Long, String> files;
+
     private long generation;
     private long length;
     private boolean broken = true;
@@ -45,7 +47,8 @@
             TreeMap<Long, String> all = new TreeMap<>();
             for (String name : volume.names()) {
                 String number = name.startsWith(PREFIX) ? name.substring(PREFIX.length()) : "";
-                if (number.chars().allMatch(c -> c >= '0' && c <= '9') && !number.isEmpty()
+                if (number.chars().allMatch(c -> c >= '0' && c <= '9')
+                        && !number.isEmpty()
                         && number.length() <= MOST_DIGITS) {
                     all.put(Long.parseLong(number), name);
                 }
@@ -134,8 +137,8 @@
                 whole = whole || intact;
             } else if (start == 0 && isForm(record)) {
                 if (record[MARK.length] > FORM) {
-                    newer = name + " is of form " + record[MARK.length] + ", and this program knows forms up"
-                            + " to " + FORM + ": nothing is written here";
+                    newer = name + " is of form " + record[MARK.length] + ", and this program knows forms up" + " to "
+                            + FORM + ": nothing is written here";
                     problems.add(newer);
                     return false;
                 }
--- a/src/main/java/reedmux/fleet/Fleet.java
+++ b/src/main/java/reedmux/fleet/Fleet.java
@@ -29,6 +29,7 @@
         private final Recent.Node<Entry> place = new Recent.Node<>(this);
         /** The registry that it calls, with the number of the call that says so; null if unknown. */
         private Owner owner;
+
         private long ownerSeq;
         private Recent.Node<Entry> ownerPlace;
         /** Who says that it has this one's address now. */
@@ -47,10 +48,10 @@
     }
 
     /** That a checker has called a registry's process, with the number of that call. */
-    public record Owned(String id, long seq, long process) { }
+    public record Owned(String id, long seq, long process) {}
 
     /** That a registry's process has come so far in counting, as it does while it lives. */
-    public record Contact(long process, long count) { }
+    public record Contact(long process, long count) {}
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final Map<String, String> byAddress = new HashMap<>();
@@ -122,7 +123,9 @@
         int phase = Math.max(had.phase(), told.phase());
         boolean silent = told.seq() >= had.seq() ? told.silent() : had.silent();
         entry.life = base.with(phase, silent, 0);
-        boolean news = phase != had.phase() || silent != had.silent() || !base.address().equals(had.address())
+        boolean news = phase != had.phase()
+                || silent != had.silent()
+                || !base.address().equals(had.address())
                 || base.capacity() != had.capacity();
         if (news || told.silent() && !silent && entry.owner != null && entry.owner.process == self) {
             changed(entry); // also where we know better than who told
@@ -141,8 +144,7 @@
         }
         String before = byAddress.get(holder.address());
         Entry old = before == null || before.equals(holder.id()) ? null : entries.get(before);
-        if (old != null && old.life.phase() != Incarnation.GONE && !old.life.silent()
-                && now - heardAt(old) <= OWNER) {
+        if (old != null && old.life.phase() != Incarnation.GONE && !old.life.silent() && now - heardAt(old) <= OWNER) {
             return false;
         }
         byAddress.put(holder.address(), holder.id());
@@ -213,7 +215,7 @@
         owner(self, now).count++;
         List<Contact> all = new ArrayList<>();
         all.add(new Contact(self, owner(self, now).count));
-        for (Iterator<Owner> at = owners.values().iterator(); at.hasNext();) {
+        for (Iterator<Owner> at = owners.values().iterator(); at.hasNext(); ) {
             Owner owner = at.next();
             if (owner.process != self && now - owner.heardAt <= TOLD_ON) {
                 all.add(new Contact(owner.process, owner.count));
@@ -226,7 +228,8 @@
 
     /** When somebody heard of it last: who has an owner is heard of as long as that one is. */
     private long heardAt(Entry entry) {
-        return entry.owner == null || entry.owner.process == self ? entry.heardAt
+        return entry.owner == null || entry.owner.process == self
+                ? entry.heardAt
                 : Math.max(entry.heardAt, entry.owner.heardAt);
     }
 
@@ -236,7 +239,7 @@
      */
     public int sweep(long now, long silence) {
         int fell = 0;
-        for (Iterator<Entry> all = entries.values().iterator(); all.hasNext();) {
+        for (Iterator<Entry> all = entries.values().iterator(); all.hasNext(); ) {
             Entry entry = all.next();
             if (entry.life.phase() == Incarnation.GONE && now - entry.heardAt > REMEMBERED) {
                 all.remove();
@@ -251,8 +254,7 @@
             if (entry.rival != null) {
                 settle(entry, now);
             }
-            if (!entry.life.silent() && entry.life.phase() != Incarnation.GONE && now - heardAt(entry) >
-                    silence) {
+            if (!entry.life.silent() && entry.life.phase() != Incarnation.GONE && now - heardAt(entry) > silence) {
                 entry.life = entry.life.with(entry.life.phase(), true, 0);
                 changed(entry);
                 fell++;
@@ -266,8 +268,10 @@
         Entry rival = entries.get(entry.rival);
         if (rival == null || rival.life.phase() == Incarnation.GONE || rival.life.silent()) {
             entry.rival = null;
-        } else if (entry.life.phase() != Incarnation.GONE && entry.owner != null
-                && entry.owner.process == self && now - entry.heardAt > OWNER) {
+        } else if (entry.life.phase() != Incarnation.GONE
+                && entry.owner != null
+                && entry.owner.process == self
+                && now - entry.heardAt > OWNER) {
             byAddress.put(rival.life.address(), rival.life.id());
             entry.life = entry.life.with(Incarnation.GONE, entry.life.silent(), 0);
             changed(entry);
@@ -286,8 +290,7 @@
     }
 
     private static Incarnation told(Entry entry, long now) {
-        return entry.life.with(entry.life.phase(), entry.life.silent(),
-                Math.max(0, (entry.coldUntil - now) / MILLI));
+        return entry.life.with(entry.life.phase(), entry.life.silent(), Math.max(0, (entry.coldUntil - now) / MILLI));
     }
 
     /** The number of the last change. */
--- a/src/main/java/reedmux/fleet/Incarnation.java
+++ b/src/main/java/reedmux/fleet/Incarnation.java
@@ -7,9 +7,16 @@
  * @param coldMs how much longer it is slow from its start, as of when this is told
  * @param silent whether nobody has heard from it for a while
  */
-public record Incarnation(String id, String plant, String address, String zone, int capacity, int phase,
+public record Incarnation(
+        String id,
+        String plant,
+        String address,
+        String zone,
+        int capacity,
+        int phase,
         long seq,
-                   long coldMs, boolean silent) {
+        long coldMs,
+        boolean silent) {
     public static final int READY = 0;
     public static final int DRAINING = 1;
     public static final int GONE = 2;
--- a/src/main/java/reedmux/handover/Frames.java
+++ b/src/main/java/reedmux/handover/Frames.java
@@ -18,9 +18,10 @@
     public static final int VERSION = 1;
     /** Bytes of a frame's body: some fifty thousand customers. */
     static final int LONGEST = 8 * 1024 * 1024;
+
     private static final int NEIGHBOURS = 3;
 
-    private Frames() { }
+    private Frames() {}
 
     /** A frame's bytes, its length in front. */
     public static byte[] bytes(Frame frame) {
@@ -67,8 +68,7 @@
         }
     }
 
-    private static void whose(long customer, int plan, int first, int spread, DataOutputStream out)
-            throws IOException {
+    private static void whose(long customer, int plan, int first, int spread, DataOutputStream out) throws IOException {
         out.writeLong(customer);
         out.writeShort(plan);
         out.writeInt(first);
@@ -138,8 +138,8 @@
                 near[n] = in.readInt();
                 owed[n] = number(in);
             }
-            all.add(new Kept(customer, plan, first, spread, sharers, count, margin, sight, ceiling, seenFor,
-                    near, owed));
+            all.add(new Kept(
+                    customer, plan, first, spread, sharers, count, margin, sight, ceiling, seenFor, near, owed));
         }
         return new Frame.Counted(service, all, last);
     }
--- a/src/main/java/reedmux/handover/Link.java
+++ b/src/main/java/reedmux/handover/Link.java
@@ -24,6 +24,7 @@
 public final class Link implements AutoCloseable {
     /** Frames that may wait to be written; a process that takes none for so long is as good as gone. */
     private static final int MOST_WAITING = 256;
+
     private static final byte[] NO_MORE = {};
 
     /** Hears frames and the end, on threads of the link. */
@@ -140,7 +141,7 @@
                     return;
                 }
                 for (ByteBuffer bytes = next == null ? null : ByteBuffer.wrap(next);
-                        bytes != null && bytes.hasRemaining();) {
+                        bytes != null && bytes.hasRemaining(); ) {
                     channel.write(bytes);
                 }
             }
--- a/src/main/java/reedmux/http/Acceptor.java
+++ b/src/main/java/reedmux/http/Acceptor.java
@@ -21,6 +21,7 @@
 public final class Acceptor implements AutoCloseable {
     /** Connections that may wait to be accepted. */
     private static final int QUEUE = 512;
+
     private static final long PAUSE_MILLIS = 50;
 
     private final ServerSocketChannel server;
@@ -36,8 +37,13 @@
      * @param shared whether another process may listen there too, as one that takes our place does
      * @param room   has a permit for each connection that there is still room for
      */
-    public Acceptor(SocketAddress listen, boolean shared, DefaultListeningIOReactor reactor, Semaphore room,
-                    Consumer<String> log) throws IOException {
+    public Acceptor(
+            SocketAddress listen,
+            boolean shared,
+            DefaultListeningIOReactor reactor,
+            Semaphore room,
+            Consumer<String> log)
+            throws IOException {
         this.reactor = reactor;
         this.room = room;
         this.log = log;
@@ -66,7 +72,8 @@
     }
 
     private void run() {
-        try (selector; server) {
+        try (selector;
+                server) {
             while (!ending) {
                 selector.select();
                 selector.selectedKeys().clear();
--- a/src/main/java/reedmux/http/Body.java
+++ b/src/main/java/reedmux/http/Body.java
@@ -62,5 +62,5 @@
         }
     }
 
-    private Body() { }
+    private Body() {}
 }
--- a/src/main/java/reedmux/http/CallExchange.java
+++ b/src/main/java/reedmux/http/CallExchange.java
@@ -31,12 +31,15 @@
      * microseconds: it may be a long one, and its consumer waits for the first of it.
      */
     private static final int LITTLE = 4 * 1024;
+
     private static final long SLOW = TimeUnit.MILLISECONDS.toMicros(20);
     /** How long a provider may neither take nor bring a byte in the middle of a long body. */
     private static final long HALTED = TimeUnit.SECONDS.toMicros(15);
+
     private static final double SECOND = 1e6;
     /** Of times that another region tells, in microseconds. */
     private static final double LONGEST = 3.6e9;
+
     private final Calls calls;
     private final Connection.Origin origin;
     private final OutgoingRequest request;
@@ -49,6 +52,7 @@
     private volatile Future<?> connecting;
     /** The connection that carries it; set by the pool. */
     volatile Connection connection;
+
     private volatile EndpointDetails endpoint;
     private long sentBefore;
     private long length;
@@ -58,18 +62,26 @@
     private long headAt;
     /** Whether the answer does not tell its length. */
     private boolean untold;
+
     private Body.In body;
     /** The rest of an answer that is passed on as it comes, or null. */
     private volatile Flow rest;
+
     private volatile boolean uploaded;
     private long window = Transport.WINDOW;
     /** What had moved when that was looked at last, and when; below nought before the first look. */
     private long moved = -1;
+
     private long movedAt;
     private CallResult result;
 
-    CallExchange(Calls calls, Connection.Origin origin, OutgoingRequest request, Runnable written,
-                 Consumer<CallResult.Answered> begun, Consumer<CallResult> done) {
+    CallExchange(
+            Calls calls,
+            Connection.Origin origin,
+            OutgoingRequest request,
+            Runnable written,
+            Consumer<CallResult.Answered> begun,
+            Consumer<CallResult> done) {
         this.begun = begun;
         this.calls = calls;
         this.written = written;
@@ -116,8 +128,7 @@
 
     // ---- The request -------------------------------------------------------------------------------
     @Override
-    public void produceRequest(RequestChannel channel, HttpContext context)
-            throws HttpException, IOException {
+    public void produceRequest(RequestChannel channel, HttpContext context) throws HttpException, IOException {
         connection.asked();
         head = request.head();
         length = request.length(head);
@@ -150,7 +161,7 @@
 
     // ---- The response ------------------------------------------------------------------------------
     @Override
-    public void consumeInformation(HttpResponse information, HttpContext context) { }
+    public void consumeInformation(HttpResponse information, HttpContext context) {}
 
     @Override
     public void consumeResponse(HttpResponse received, EntityDetails entity, HttpContext context)
@@ -222,8 +233,8 @@
         rest.put(ByteBuffer.wrap(body.bytes()));
         calls.flows(this);
         Header type = response.getFirstHeader("Content-Type");
-        begun.accept(new CallResult.Answered(SERVED, false, type == null ? null : type.getValue(), Body.NONE,
-                -1, -1, rest, 0));
+        begun.accept(new CallResult.Answered(
+                SERVED, false, type == null ? null : type.getValue(), Body.NONE, -1, -1, rest, 0));
     }
 
     /** Gives it up where the provider neither takes nor brings anything, though it is waited for. */
@@ -244,10 +255,15 @@
         Header neverRan = response.getFirstHeader(RegionFront.NEVER_RAN);
         Header type = response.getFirstHeader("Content-Type");
         boolean region = request.hop() != null;
-        result = new CallResult.Answered(response.getCode(),
-                neverRan != null && "1".equals(neverRan.getValue()), type == null ? null : type.getValue(),
-                bytes, region ? number(RegionFront.TOOK, 1) : -1, region ? number("Retry-After", SECOND)
-                        : -1, null, Math.max(0, calls.now() - headAt));
+        result = new CallResult.Answered(
+                response.getCode(),
+                neverRan != null && "1".equals(neverRan.getValue()),
+                type == null ? null : type.getValue(),
+                bytes,
+                region ? number(RegionFront.TOOK, 1) : -1,
+                region ? number("Retry-After", SECOND) : -1,
+                null,
+                Math.max(0, calls.now() - headAt));
         connection.answered();
     }
 
@@ -267,8 +283,7 @@
     /** A header's number in microseconds, -1 where there is none that makes sense. */
     private long number(String name, double unit) {
         Header header = response.getFirstHeader(name);
-        double value = header == null || header.getValue() == null ? 0
-                : RequestReader.units(header.getValue());
+        double value = header == null || header.getValue() == null ? 0 : RequestReader.units(header.getValue());
         return header == null || value < 0 ? -1 : (long) Math.min(value * unit, LONGEST);
     }
 
--- a/src/main/java/reedmux/http/Calls.java
+++ b/src/main/java/reedmux/http/Calls.java
@@ -32,6 +32,7 @@
     private final Map<Origin, Deque<Connection>> idle = new HashMap<>();
     /** Calls with bodies that are passed on as they come. */
     private final Set<CallExchange> flowing = ConcurrentHashMap.newKeySet();
+
     private boolean ended;
 
     /** Places for connections; called by all threads. */
@@ -68,15 +69,19 @@
 
     /** Starts a call; {@code done} hears of its end exactly once, on whatever thread that happens. */
     CallExchange start(Origin to, OutgoingRequest request, Consumer<CallResult> done) {
-        return start(to, request, () -> { }, null, done);
+        return start(to, request, () -> {}, null, done);
     }
 
     /**
      * The same; {@code written} hears once it has been written whole, if it ever is, and {@code begun} of an
      * answer that is passed on before it is whole; where that is null none is.
      */
-    CallExchange start(Origin to, OutgoingRequest request, Runnable written,
-                       Consumer<CallResult.Answered> begun, Consumer<CallResult> done) {
+    CallExchange start(
+            Origin to,
+            OutgoingRequest request,
+            Runnable written,
+            Consumer<CallResult.Answered> begun,
+            Consumer<CallResult> done) {
         CallExchange exchange = new CallExchange(this, to, request, written, begun, done);
         if (request.flow() != null) {
             flowing.add(exchange);
@@ -103,9 +108,8 @@
         Origin to = exchange.origin();
         Connection connection = new Connection(to, this);
         try {
-            Future<IOSession> future = reactor.connect(named(to.address()), to.address(), null,
-                    Timeout.DISABLED, connection,
-                    new FutureCallback<>() {
+            Future<IOSession> future = reactor.connect(
+                    named(to.address()), to.address(), null, Timeout.DISABLED, connection, new FutureCallback<>() {
                         @Override
                         public void completed(IOSession session) {
                             if (own(connection, exchange)) {
@@ -146,8 +150,7 @@
      * for 20 s.
      */
     private static HttpHost named(InetSocketAddress address) {
-        return new HttpHost(null, address.getAddress(), address.getAddress().getHostAddress(),
-                address.getPort());
+        return new HttpHost(null, address.getAddress(), address.getAddress().getHostAddress(), address.getPort());
     }
 
     private synchronized Connection lease(CallExchange exchange) {
@@ -232,7 +235,8 @@
         connection.user = null;
         if (good && !ended) {
             connection.idleSince = clock.now();
-            idle.computeIfAbsent(connection.origin, origin -> new ArrayDeque<>()).add(connection);
+            idle.computeIfAbsent(connection.origin, origin -> new ArrayDeque<>())
+                    .add(connection);
         } else {
             connection.close();
         }
--- a/src/main/java/reedmux/http/Connection.java
+++ b/src/main/java/reedmux/http/Connection.java
@@ -19,8 +19,7 @@
 
 /** A connection of ours to a provider or to discovery; it carries one call at a time. */
 final class Connection {
-    private static final DefaultHttpRequestWriterFactory WRITERS =
-            new DefaultHttpRequestWriterFactory(Transport.HTTP);
+    private static final DefaultHttpRequestWriterFactory WRITERS = new DefaultHttpRequestWriterFactory(Transport.HTTP);
 
     /** Whom it leads to: at one address a provider may follow another, which knows nothing of its calls. */
     record Origin(String provider, InetSocketAddress address) {
@@ -28,8 +27,7 @@
         // Written out, as what a record brings is linked at run time, in the middle of a start.
         @Override
         public boolean equals(Object other) {
-            return other instanceof Origin origin && provider.equals(origin.provider)
-                    && address.equals(origin.address);
+            return other instanceof Origin origin && provider.equals(origin.provider) && address.equals(origin.address);
         }
 
         @Override
@@ -44,6 +42,7 @@
     private final ByteBuffer unasked = ByteBuffer.allocate(1);
     /** A call that is to be written next. */
     private final AtomicReference<CallExchange> waiting = new AtomicReference<>();
+
     private volatile ClientHttp1StreamDuplexer duplexer;
     private volatile ProtocolIOSession session;
     private volatile boolean awaitsAnswer;
@@ -51,6 +50,7 @@
     private boolean counted = true;
     /** The call that has it, since when it waits for one, in microseconds; guarded by the pool. */
     CallExchange user;
+
     long idleSince;
 
     Connection(Origin origin, Calls calls) {
@@ -59,8 +59,17 @@
     }
 
     synchronized IOEventHandler handler(ProtocolIOSession made) {
-        ClientHttp1StreamDuplexer client = new ClientHttp1StreamDuplexer(made, ConsumerServer.NOTHING_ADDED,
-                Transport.HTTP, null, null, heads, WRITERS.create(), null, null, null);
+        ClientHttp1StreamDuplexer client = new ClientHttp1StreamDuplexer(
+                made,
+                ConsumerServer.NOTHING_ADDED,
+                Transport.HTTP,
+                null,
+                null,
+                heads,
+                WRITERS.create(),
+                null,
+                null,
+                null);
         duplexer = client;
         session = made;
         if (abandoned) { // given up just while it came up
@@ -122,7 +131,8 @@
 
     /** Carries a call over a connection that has just come up. */
     void carryFirst(CallExchange exchange) {
-        session.enqueue(new RequestExecutionCommand(exchange, null, null, HttpCoreContext.create()),
+        session.enqueue(
+                new RequestExecutionCommand(exchange, null, null, HttpCoreContext.create()),
                 Command.Priority.IMMEDIATE);
     }
 
--- a/src/main/java/reedmux/http/ConsumerExchange.java
+++ b/src/main/java/reedmux/http/ConsumerExchange.java
@@ -42,11 +42,13 @@
     private volatile Body.Out out;
     /** A long body that comes in, and a long answer that goes out; or null. */
     private volatile Flow upload;
+
     private volatile Flow rest;
     private volatile boolean written;
     private long window = Transport.WINDOW;
     /** From when on, and from which byte, a slow body is judged. */
     private long paceSince;
+
     private long paceFrom;
     private long wholeAt;
 
@@ -94,8 +96,8 @@
 
     // ---- The request -------------------------------------------------------------------------------
     @Override
-    public void handleRequest(HttpRequest request, EntityDetails entity, ResponseChannel channel,
-                              HttpContext context) throws HttpException, IOException {
+    public void handleRequest(HttpRequest request, EntityDetails entity, ResponseChannel channel, HttpContext context)
+            throws HttpException, IOException {
         this.request = request;
         this.channel = channel;
         this.context = context;
@@ -307,8 +309,7 @@
             return;
         }
         out = new Body.Out(bytes);
-        channel.sendResponse(response, bytes.length == 0 ? null
-                : new BasicEntityDetails(bytes.length, null), context);
+        channel.sendResponse(response, bytes.length == 0 ? null : new BasicEntityDetails(bytes.length, null), context);
     }
 
     private void count(int status) {
--- a/src/main/java/reedmux/http/ConsumerServer.java
+++ b/src/main/java/reedmux/http/ConsumerServer.java
@@ -42,6 +42,7 @@
 public final class ConsumerServer {
     /** Headers are set by the exchanges themselves; the library need not add any. */
     static final HttpProcessor NOTHING_ADDED = HttpProcessorBuilder.create().build();
+
     private static final DefaultHttpResponseWriterFactory WRITERS =
             new DefaultHttpResponseWriterFactory(Transport.HTTP);
     /** A request must be whole so long after its first byte, the first one so long after connecting. */
@@ -63,7 +64,13 @@
     private static final int MOST_DISCARDED = 256 * 1024;
 
     /** What a connection is doing, those that give way first in front. */
-    private enum Doing { CLOSING, DAWDLING, IDLE, STARTING, SERVING }
+    private enum Doing {
+        CLOSING,
+        DAWDLING,
+        IDLE,
+        STARTING,
+        SERVING
+    }
 
     private final Front reader;
     private final BooleanSupplier ready;
@@ -71,6 +78,7 @@
     private final int mostConnections;
     /** Used on the I/O thread alone. */
     private final ByteBuffer scrap = ByteBuffer.allocate(16 * 1024);
+
     private final Set<Link> links = new LinkedHashSet<>();
     private final Semaphore room;
     private volatile long requestLimit = REQUEST_LIMIT;
@@ -155,8 +163,7 @@
             Doing least = Doing.STARTING;
             for (Link link : all) {
                 Doing doing = link.gone ? Doing.SERVING : link.doing(now);
-                if (doing.compareTo(least) < 0
-                        || first != null && doing == least && link.since < first.since) {
+                if (doing.compareTo(least) < 0 || first != null && doing == least && link.since < first.since) {
                     first = link;
                     least = doing;
                 }
@@ -182,12 +189,14 @@
         private volatile long takenBytes;
         /** Since when it is idle, has been reading a request, or is being closed. */
         private volatile long since = reader.now();
+
         private volatile boolean closing;
         private volatile boolean gone;
         private volatile boolean toldToClose;
         private int discarded;
         /** What bounds its next request, by its last one; null for nothing. The I/O thread's, as the next. */
         Intake intake;
+
         private volatile boolean waiting;
 
         Link(ProtocolIOSession session) {
@@ -200,17 +209,33 @@
         private final class StrictDuplexer extends ServerHttp1StreamDuplexer {
 
             StrictDuplexer() {
-                super(session, NOTHING_ADDED, (request, context) -> exchange(), null, Transport.HTTP, null,
-                        Link.this, heads, WRITERS.create(), null, null, Link.this, null);
+                super(
+                        session,
+                        NOTHING_ADDED,
+                        (request, context) -> exchange(),
+                        null,
+                        Transport.HTTP,
+                        null,
+                        Link.this,
+                        heads,
+                        WRITERS.create(),
+                        null,
+                        null,
+                        Link.this,
+                        null);
             }
 
             @Override
-            protected ContentDecoder createContentDecoder(long length, ReadableByteChannel channel,
-                    SessionInputBuffer buffer, BasicHttpTransportMetrics metrics) throws HttpException {
+            protected ContentDecoder createContentDecoder(
+                    long length,
+                    ReadableByteChannel channel,
+                    SessionInputBuffer buffer,
+                    BasicHttpTransportMetrics metrics)
+                    throws HttpException {
                 return length != ContentLengthStrategy.CHUNKED
                         ? super.createContentDecoder(length, channel, buffer, metrics)
-                        : new ChunkDecoder(channel, new StrictInput.Chunks(this::fault).of(buffer),
-                                Transport.HTTP, metrics);
+                        : new ChunkDecoder(
+                                channel, new StrictInput.Chunks(this::fault).of(buffer), Transport.HTTP, metrics);
             }
 
             private void fault(String problem) {
@@ -270,9 +295,13 @@
         }
 
         private Doing doing(long now) {
-            return closing ? Doing.CLOSING : unwritten > 0 && !readingBody() ? Doing.SERVING
-                    : takenBytes > 0 && !reading() ? Doing.IDLE
-                    : now - since > DAWDLES ? Doing.DAWDLING : Doing.STARTING;
+            return closing
+                    ? Doing.CLOSING
+                    : unwritten > 0 && !readingBody()
+                            ? Doing.SERVING
+                            : takenBytes > 0 && !reading()
+                                    ? Doing.IDLE
+                                    : now - since > DAWDLES ? Doing.DAWDLING : Doing.STARTING;
         }
 
         private boolean readingBody() {
@@ -284,11 +313,13 @@
             ConsumerExchange exchange = current;
             return switch (doing(now)) {
                 case CLOSING -> now - since > LINGER;
-                case DAWDLING, STARTING -> readingBody() ? exchange.late(now, since, requestLimit)
-                        : now - since > requestLimit;
+                case DAWDLING, STARTING ->
+                    readingBody() ? exchange.late(now, since, requestLimit) : now - since > requestLimit;
                 case IDLE -> now - since > IDLE_LIMIT;
-                case SERVING -> exchange != null && (exchange.late(now, since, REQUEST_LIMIT)
-                        || exchange.waitsForReader() && now - since > WRITE_LIMIT);
+                case SERVING ->
+                    exchange != null
+                            && (exchange.late(now, since, REQUEST_LIMIT)
+                                    || exchange.waitsForReader() && now - since > WRITE_LIMIT);
             };
         }
 
@@ -371,15 +402,14 @@
         /** A connection that has gone deaf is closed by us, after a moment, not by the library at once. */
         @Override
         public boolean keepAlive(HttpRequest request, HttpResponse response, HttpContext context) {
-            return heads.deaf()
-                    || DefaultConnectionReuseStrategy.INSTANCE.keepAlive(request, response, context);
+            return heads.deaf() || DefaultConnectionReuseStrategy.INSTANCE.keepAlive(request, response, context);
         }
 
         @Override
-        public void onRequestHead(HttpConnection connection, HttpRequest request) { }
+        public void onRequestHead(HttpConnection connection, HttpRequest request) {}
 
         @Override
-        public void onResponseHead(HttpConnection connection, HttpResponse response) { }
+        public void onResponseHead(HttpConnection connection, HttpResponse response) {}
 
         @Override
         public void onExchangeComplete(HttpConnection connection, boolean keepAlive) {
--- a/src/main/java/reedmux/http/Flow.java
+++ b/src/main/java/reedmux/http/Flow.java
@@ -17,12 +17,15 @@
 final class Flow implements CallResult.Rest {
     /** Bytes that one flow may hold, and one beside too many others; a read may bring a little more. */
     static final int AHEAD = 64 * 1024;
+
     static final int AHEAD_SCARCE = 8 * 1024;
     /** Bytes in all flows from which on each holds less. */
     private static final long MOST_HELD = 8L * 1024 * 1024;
+
     private static final int CHUNK = 8 * 1024;
     /** Less than this is not worth asking for. */
     private static final int LEAST = 4 * 1024;
+
     private static final AtomicLong HELD = new AtomicLong();
 
     private final long length;
@@ -33,7 +36,7 @@
     private long granted;
     private CapacityChannel source;
     private DataStreamChannel sink;
-    private Runnable broken = () -> { };
+    private Runnable broken = () -> {};
     private boolean finished;
     private boolean failed;
     private boolean over;
--- a/src/main/java/reedmux/http/Front.java
+++ b/src/main/java/reedmux/http/Front.java
@@ -36,8 +36,14 @@
      * told, or a refusal of it, which may be the connection's last answer. {@code intake} is null where
      * nothing bounds what the connection's next request may meet, {@code counts} where nobody counts it.
      */
-    record Read(Invocation invocation, Event event, Consumer<Event> home, Response refusal, boolean last,
-                Intake intake, Figures.OfClass counts) {
+    record Read(
+            Invocation invocation,
+            Event event,
+            Consumer<Event> home,
+            Response refusal,
+            boolean last,
+            Intake intake,
+            Figures.OfClass counts) {
 
         static Read of(Invocation invocation, Event event, Consumer<Event> home) {
             return new Read(invocation, event, home, null, false, null, null);
@@ -64,8 +70,7 @@
     }
 
     /** A response; {@code retryAfter} in microseconds, below nought for none. */
-    record Response(int status, String contentType, byte[] body, long retryAfter, boolean neverRan,
-                    Flow rest) {
+    record Response(int status, String contentType, byte[] body, long retryAfter, boolean neverRan, Flow rest) {
 
         public Response(int status, String contentType, byte[] body, long retryAfter, boolean neverRan) {
             this(status, contentType, body, retryAfter, neverRan, null);
@@ -74,8 +79,9 @@
         /** The response to a consumer. */
         public static Response of(Answer answer) {
             if (answer instanceof Answer.Served served) {
-                return new Response(200, served.result().contentType(), served.result().body(), -1, false,
-                        (Flow) served.result().rest());
+                return new Response(
+                        200, served.result().contentType(), served.result().body(), -1, false, (Flow)
+                                served.result().rest());
             } else if (answer instanceof Answer.Rejection rejection) {
                 return text(rejection.tried() ? 503 : 429, "rejected", rejection.retryAfter(), false);
             }
@@ -84,8 +90,8 @@
         }
 
         public static Response text(int status, String line, long retryAfter, boolean neverRan) {
-            return new Response(status, "text/plain", (line + '\n').getBytes(StandardCharsets.UTF_8),
-                    retryAfter, neverRan);
+            return new Response(
+                    status, "text/plain", (line + '\n').getBytes(StandardCharsets.UTF_8), retryAfter, neverRan);
         }
 
         public static Response text(int status, String line) {
--- a/src/main/java/reedmux/http/Grammar.java
+++ b/src/main/java/reedmux/http/Grammar.java
@@ -18,7 +18,7 @@
         }
     }
 
-    private Grammar() { }
+    private Grammar() {}
 
     /** {@code method SP request-target SP HTTP-version}, with single spaces and nothing round them. */
     public static String requestLine(CharSequence line) {
@@ -38,10 +38,14 @@
     }
 
     private static boolean isVersion(CharSequence line, int from) {
-        return line.length() - from == 8 && line.charAt(from) == 'H' && line.charAt(from + 1) == 'T'
-                && line.charAt(from + 2) == 'T' && line.charAt(from + 3) == 'P' && line.charAt(from + 4)
-                == '/'
-                && isDigit(line.charAt(from + 5)) && line.charAt(from + 6) == '.'
+        return line.length() - from == 8
+                && line.charAt(from) == 'H'
+                && line.charAt(from + 1) == 'T'
+                && line.charAt(from + 2) == 'T'
+                && line.charAt(from + 3) == 'P'
+                && line.charAt(from + 4) == '/'
+                && isDigit(line.charAt(from + 5))
+                && line.charAt(from + 6) == '.'
                 && isDigit(line.charAt(from + 7));
     }
 
@@ -84,7 +88,8 @@
             int equals = skipBlank(line, at);
             if (equals < line.length() && line.charAt(equals) == '=') {
                 int value = skipBlank(line, equals + 1);
-                at = value < line.length() && line.charAt(value) == '"' ? quotedEnd(line, value)
+                at = value < line.length() && line.charAt(value) == '"'
+                        ? quotedEnd(line, value)
                         : tokenEnd(line, value);
                 if (at <= value) {
                     return "a chunk's extension has no value";
--- a/src/main/java/reedmux/http/Heads.java
+++ b/src/main/java/reedmux/http/Heads.java
@@ -36,7 +36,7 @@
     private static final int UNREADABLE = 400;
     private static final int TOO_LARGE = 431;
 
-    private Heads() { }
+    private Heads() {}
 
     /**
      * A request whose path is the target as it came. The library's own would take {@code //a/b} for the path
@@ -62,7 +62,7 @@
     private static String problem(HttpMessage message) {
         int lengths = 0;
         int codings = 0;
-        for (Iterator<Header> headers = message.headerIterator(); headers.hasNext();) {
+        for (Iterator<Header> headers = message.headerIterator(); headers.hasNext(); ) {
             Header header = headers.next();
             String name = header.getName();
             if (!Grammar.isToken(name, 0, name.length())) {
@@ -81,7 +81,8 @@
             }
         }
         boolean old = message.getVersion() != null && message.getVersion().lessEquals(HttpVersion.HTTP_1_0);
-        return lengths + codings > 1 ? "the body's length is told more than once"
+        return lengths + codings > 1
+                ? "the body's length is told more than once"
                 : codings > 0 && old ? "Transfer-Encoding is not of this version" : null;
     }
 
@@ -92,9 +93,11 @@
     private static String hostProblem(HttpRequest request) {
         int hosts = request.countHeaders("Host");
         Header host = hosts == 0 ? null : request.getFirstHeader("Host");
-        return hosts > 1 ? "the host is told more than once"
-                : host != null && !host.getValue().isEmpty()
-                && HostName.end(host.getValue()) == HostName.BAD ? "the host cannot be read" : null;
+        return hosts > 1
+                ? "the host is told more than once"
+                : host != null && !host.getValue().isEmpty() && HostName.end(host.getValue()) == HostName.BAD
+                        ? "the host cannot be read"
+                        : null;
     }
 
     private static boolean isLength(String value) {
@@ -181,7 +184,7 @@
 
     /** Whether the provider has said that the connection's end is the answer's, RFC 9112, section 6.3. */
     private static boolean endsWithConnection(HttpResponse response) {
-        for (Iterator<Header> all = response.headerIterator("Connection"); all.hasNext();) {
+        for (Iterator<Header> all = response.headerIterator("Connection"); all.hasNext(); ) {
             for (String token : all.next().getValue().split(",")) {
                 if (token.trim().equalsIgnoreCase("close")) {
                     return true;
@@ -214,8 +217,7 @@
         }
 
         @Override
-        public HttpResponse parse(SessionInputBuffer in, boolean endOfStream)
-                throws IOException, HttpException {
+        public HttpResponse parse(SessionInputBuffer in, boolean endOfStream) throws IOException, HttpException {
             ended |= endOfStream;
             if (!expected.getAsBoolean()) {
                 if (in.hasData()) {
@@ -233,8 +235,11 @@
             }
             // Without a length only the connection's end would tell where the body ends, and a break looks
             // just like it: half an answer would be passed on as a whole one.
-            if (problem == null && response.getCode() >= 200 && !response.containsHeader("Content-Length")
-                    && !response.containsHeader("Transfer-Encoding") && !endsWithConnection(response)) {
+            if (problem == null
+                    && response.getCode() >= 200
+                    && !response.containsHeader("Content-Length")
+                    && !response.containsHeader("Transfer-Encoding")
+                    && !endsWithConnection(response)) {
                 problem = "the answer does not tell its length";
             }
             if (problem != null) {
--- a/src/main/java/reedmux/http/Message.java
+++ b/src/main/java/reedmux/http/Message.java
@@ -7,8 +7,7 @@
  *
  * @param patience how long its consumer waits after its last byte, in microseconds
  */
-record Message(String method, String target, String traceId, String contentType, Content content,
-               long patience)
+record Message(String method, String target, String traceId, String contentType, Content content, long patience)
         implements Invocation.Message {
 
     byte[] body() {
--- a/src/main/java/reedmux/http/OutgoingRequest.java
+++ b/src/main/java/reedmux/http/OutgoingRequest.java
@@ -7,14 +7,28 @@
  * A request of ours; {@code traceId} may be null, and {@code expiresMs} below nought, to be left out.
  * {@code hop} is what another region is told beside, or null where it is no region that is called.
  */
-record OutgoingRequest(String method, String target, String host, String traceId, long expiresMs,
-                       String contentType, byte[] body, Flow flow, Hop hop) {
+record OutgoingRequest(
+        String method,
+        String target,
+        String host,
+        String traceId,
+        long expiresMs,
+        String contentType,
+        byte[] body,
+        Flow flow,
+        Hop hop) {
 
     /** The regions passed, what a repeat does, and the units that were counted at home. */
-    record Hop(String path, String repeat, String units) { }
+    record Hop(String path, String repeat, String units) {}
 
-    OutgoingRequest(String method, String target, String host, String traceId, long expiresMs,
-                    String contentType, byte[] body) {
+    OutgoingRequest(
+            String method,
+            String target,
+            String host,
+            String traceId,
+            long expiresMs,
+            String contentType,
+            byte[] body) {
         this(method, target, host, traceId, expiresMs, contentType, body, null, null);
     }
 
@@ -58,7 +72,11 @@
      * of its head alone.
      */
     long length(HttpRequest head) {
-        long length = REQUEST_LINE + method.length() + target.length() + END_OF_HEAD + body.length
+        long length = REQUEST_LINE
+                + method.length()
+                + target.length()
+                + END_OF_HEAD
+                + body.length
                 + (flow == null ? 0 : Math.max(0, flow.length()));
         for (Header header : head.getHeaders()) {
             length += header.getName().length() + header.getValue().length() + HEADER_LINE;
--- a/src/main/java/reedmux/http/Pace.java
+++ b/src/main/java/reedmux/http/Pace.java
@@ -12,7 +12,7 @@
     /** What a body has for its first bytes, beside what its head may take. */
     private static final long GRANTED = TimeUnit.MILLISECONDS.toMicros(400);
 
-    private Pace() { }
+    private Pace() {}
 
     /**
      * Whether a request that began so long ago should have more of its body here than it has.
@@ -25,7 +25,6 @@
 
     /** The longest that a body of this length may take, or one of unknown length where it is below nought. */
     static long longest(long length) {
-        return (long) ((length < 0 ? Transport.MOST_FLOWING : length) / BYTES_A_MICRO)
-                + TimeUnit.MINUTES.toMicros(1);
+        return (long) ((length < 0 ? Transport.MOST_FLOWING : length) / BYTES_A_MICRO) + TimeUnit.MINUTES.toMicros(1);
     }
 }
--- a/src/main/java/reedmux/http/ProviderClient.java
+++ b/src/main/java/reedmux/http/ProviderClient.java
@@ -12,6 +12,7 @@
 public final class ProviderClient {
     /** In place of a provider's id where it is discovery that is called, or ourselves. */
     private static final String NOBODY = "";
+
     private final Calls calls;
     private final Consumer<Event> events;
     private final Runnable written;
@@ -27,10 +28,20 @@
     public void call(InvokerCall call, long timeout) {
         Message message = (Message) call.invocation().message();
         long told = message.flow() == null ? timeout : message.patience(); // it begins with the last byte
-        call.transport(calls.start(new Origin(call.provider(), call.address()),
-                new OutgoingRequest(message.method(), message.target(), host(call.address()),
-                message.traceId(), told / 1000, message.contentType(), message.body(), message.flow(),
-                null), written, head -> events.accept(new Event.AnswerBegun(call, head)),
+        call.transport(calls.start(
+                new Origin(call.provider(), call.address()),
+                new OutgoingRequest(
+                        message.method(),
+                        message.target(),
+                        host(call.address()),
+                        message.traceId(),
+                        told / 1000,
+                        message.contentType(),
+                        message.body(),
+                        message.flow(),
+                        null),
+                written,
+                head -> events.accept(new Event.AnswerBegun(call, head)),
                 result -> events.accept(new Event.CallEnded(call, result))));
     }
 
@@ -43,7 +54,9 @@
     }
 
     public void probe(String provider, InetSocketAddress address, long askedAt) {
-        calls.start(new Origin(provider, address), OutgoingRequest.get("/healthz", host(address)),
+        calls.start(
+                new Origin(provider, address),
+                OutgoingRequest.get("/healthz", host(address)),
                 result -> events.accept(new Event.ProbeEnded(provider, askedAt, result)));
     }
 
@@ -55,8 +68,8 @@
     /** Sends a body, or none, and hears of the end. */
     public void ask(InetSocketAddress from, String target, byte[] body, Consumer<CallResult> done) {
         String method = body.length > 0 ? "POST" : "GET";
-        calls.start(new Origin(NOBODY, from),
-                new OutgoingRequest(method, target, host(from), null, -1, null, body), done);
+        calls.start(
+                new Origin(NOBODY, from), new OutgoingRequest(method, target, host(from), null, -1, null, body), done);
     }
 
     /** Sends a long body, as it would be passed on, and hears of the end. */
@@ -64,8 +77,10 @@
         Flow flow = new Flow(body.length, body.length, body.length);
         flow.put(ByteBuffer.wrap(body));
         flow.finish();
-        calls.start(new Origin(NOBODY, from),
-                new OutgoingRequest("POST", target, host(from), null, -1, null, Body.NONE, flow, null), done);
+        calls.start(
+                new Origin(NOBODY, from),
+                new OutgoingRequest("POST", target, host(from), null, -1, null, Body.NONE, flow, null),
+                done);
     }
 
     /** Closes the idle connections to a provider. */
--- a/src/main/java/reedmux/http/RegionClient.java
+++ b/src/main/java/reedmux/http/RegionClient.java
@@ -26,13 +26,23 @@
     /** Starts a call; the other region is told the time that the decision leaves it. */
     public void call(InvokerCall call, Departure departure) {
         Message message = (Message) call.invocation().message();
-        OutgoingRequest.Hop hop = new OutgoingRequest.Hop(region,
-                RegionFront.word(settings.classes().get(call.invocation().requestClass()).repeat()),
+        OutgoingRequest.Hop hop = new OutgoingRequest.Hop(
+                region,
+                RegionFront.word(
+                        settings.classes().get(call.invocation().requestClass()).repeat()),
                 String.format(Locale.ROOT, "%.6f", call.invocation().units()));
-        call.transport(calls.start(new Origin(call.provider(), call.address()),
-                new OutgoingRequest(message.method(), message.target(), ProviderClient.host(call.address()),
-                        message.traceId(), departure.told() / 1000, message.contentType(), message.body(),
-                                null, hop),
+        call.transport(calls.start(
+                new Origin(call.provider(), call.address()),
+                new OutgoingRequest(
+                        message.method(),
+                        message.target(),
+                        ProviderClient.host(call.address()),
+                        message.traceId(),
+                        departure.told() / 1000,
+                        message.contentType(),
+                        message.body(),
+                        null,
+                        hop),
                 result -> events.accept(new Event.CallEnded(call, result))));
     }
 }
--- a/src/main/java/reedmux/http/RegionFront.java
+++ b/src/main/java/reedmux/http/RegionFront.java
@@ -30,6 +30,7 @@
     static final String NEVER_RAN = "X-Never-Ran";
     /** Advice to a region whose requests make no sense here, in microseconds: somebody must mend that. */
     private static final long FAULT_ADVICE = 10_000_000;
+
     private static final long MOST_MILLIS = 3_600_000;
 
     private final Settings settings;
@@ -95,11 +96,27 @@
             if (!(units > 0) || units > settings.mostUnits()) {
                 throw new BadHeader(UNITS + " is not what one request may take");
             }
-            Request decided = new Request(traceId, requestClass, Gateway.VISITOR, Gateway.VISITOR,
-                    takenAt + left, units, 1, settings.self(), false);
-            Invocation invocation = new Invocation(decided, repeat == Repeat.SAFE,
-                    new Message(request.getMethod(), request.getPath(), traceId,
-                            RequestReader.contentType(request), body, left), reply);
+            Request decided = new Request(
+                    traceId,
+                    requestClass,
+                    Gateway.VISITOR,
+                    Gateway.VISITOR,
+                    takenAt + left,
+                    units,
+                    1,
+                    settings.self(),
+                    false);
+            Invocation invocation = new Invocation(
+                    decided,
+                    repeat == Repeat.SAFE,
+                    new Message(
+                            request.getMethod(),
+                            request.getPath(),
+                            traceId,
+                            RequestReader.contentType(request),
+                            body,
+                            left),
+                    reply);
             return Read.of(invocation, new Event.VisitorTaken(invocation, path), home);
         } catch (BadHeader e) {
             return Read.refused(Response.text(503, e.getMessage(), FAULT_ADVICE, true));
@@ -109,8 +126,9 @@
     @Override
     public Response response(Answer answer) {
         if (answer instanceof Answer.Served served) {
-            return new Response(200, served.result().contentType(), served.result().body(), -1, false,
-                    (Flow) served.result().rest());
+            return new Response(
+                    200, served.result().contentType(), served.result().body(), -1, false, (Flow)
+                            served.result().rest());
         } else if (answer instanceof Answer.Rejection rejection) {
             return Response.text(503, "rejected", rejection.retryAfter(), rejection.neverRan());
         }
--- a/src/main/java/reedmux/http/RequestReader.java
+++ b/src/main/java/reedmux/http/RequestReader.java
@@ -7,11 +7,6 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.regex.Pattern;
-import reedmux.policy.Gateway.Plan;
-import reedmux.policy.Gateway.Repeat;
-import reedmux.policy.Gateway.Request;
-import reedmux.policy.Gateway.RequestClass;
-import reedmux.policy.Gateway.Settings;
 import org.apache.hc.core5.http.Header;
 import org.apache.hc.core5.http.HttpRequest;
 import reedmux.core.Answer;
@@ -19,6 +14,11 @@
 import reedmux.core.Event;
 import reedmux.core.Invocation;
 import reedmux.operator.Figures;
+import reedmux.policy.Gateway.Plan;
+import reedmux.policy.Gateway.Repeat;
+import reedmux.policy.Gateway.Request;
+import reedmux.policy.Gateway.RequestClass;
+import reedmux.policy.Gateway.Settings;
 
 /** Reads what the headers say of a request, and says plainly what is wrong with one. */
 public final class RequestReader implements Front {
@@ -82,7 +82,7 @@
 
     /** Reads a request that nobody waits for; null where it makes no sense here. */
     public Invocation practise(HttpRequest request, byte[] body, long takenAt) {
-        return read(request, Content.whole(body), takenAt, answer -> { }).invocation();
+        return read(request, Content.whole(body), takenAt, answer -> {}).invocation();
     }
 
     @Override
@@ -97,8 +97,7 @@
         return read(request, requestClass, body, takenAt, reply).counted(counts.get(requestClass));
     }
 
-    private Read read(HttpRequest request, int requestClass, Content body, long takenAt,
-                      Invocation.Reply reply) {
+    private Read read(HttpRequest request, int requestClass, Content body, long takenAt, Invocation.Reply reply) {
         Repeat repeat = settings.classes().get(requestClass).repeat();
         if (!request.getMethod().equals(repeat == Repeat.SAFE ? "GET" : "POST")) {
             return refused(405, "the class does not take this method");
@@ -116,12 +115,28 @@
             long wait = number(request, "X-Expires-In-Ms", MOST_MILLIS) * 1000;
             Quota quota = quota(text(request, "X-Quota"));
             Header secondTry = request.getFirstHeader("X-Second-Try");
-            Invocation invocation = new Invocation(new Request(traceId, requestClass, plan, customer,
-                    takenAt + patience(wait) + (body.flow() == null ? 0
-                            : Pace.longest(body.flow().length())), quota.units(), quota.spread(),
-                    quota.first(),
-                    secondTry != null && "1".equals(secondTry.getValue())), repeat == Repeat.SAFE,
-                    new Message(request.getMethod(), request.getPath(), traceId, contentType(request), body,
+            Invocation invocation = new Invocation(
+                    new Request(
+                            traceId,
+                            requestClass,
+                            plan,
+                            customer,
+                            takenAt
+                                    + patience(wait)
+                                    + (body.flow() == null
+                                            ? 0
+                                            : Pace.longest(body.flow().length())),
+                            quota.units(),
+                            quota.spread(),
+                            quota.first(),
+                            secondTry != null && "1".equals(secondTry.getValue())),
+                    repeat == Repeat.SAFE,
+                    new Message(
+                            request.getMethod(),
+                            request.getPath(),
+                            traceId,
+                            contentType(request),
+                            body,
                             patience(wait)),
                     reply);
             return Read.of(invocation, new Event.InvocationTaken(invocation), home);
@@ -207,7 +222,7 @@
     }
 
     /** What {@code X-Quota} says; fields that we do not know are passed over. */
-    private record Quota(double units, int spread, int first) { }
+    private record Quota(double units, int spread, int first) {}
 
     private Quota quota(String header) throws BadHeader {
         Map<String, String> fields = new HashMap<>();
--- a/src/main/java/reedmux/http/StrictInput.java
+++ b/src/main/java/reedmux/http/StrictInput.java
@@ -103,7 +103,12 @@
 
     /** The lines of a chunked body. One at fault ends the reading; nothing behind it is read as anything. */
     static final class Chunks extends StrictInput {
-        private enum Next { SIZE, END_OF_CHUNK, TRAILER, NOTHING }
+        private enum Next {
+            SIZE,
+            END_OF_CHUNK,
+            TRAILER,
+            NOTHING
+        }
 
         /** Hears what is wrong, once. */
         interface Fault {
--- a/src/main/java/reedmux/http/Target.java
+++ b/src/main/java/reedmux/http/Target.java
@@ -8,7 +8,7 @@
 final class Target {
     private static final String SCHEME = "http://";
 
-    private Target() { }
+    private Target() {}
 
     /**
      * Puts a target in absolute form into origin form, which is all that is read from then on. False where it
@@ -42,7 +42,8 @@
 
     private static boolean same(String one, String other) {
         int end = HostName.end(one);
-        return end == HostName.end(other) && one.regionMatches(true, 0, other, 0, end)
+        return end == HostName.end(other)
+                && one.regionMatches(true, 0, other, 0, end)
                 && port(one).equals(port(other));
     }
 
--- a/src/main/java/reedmux/http/Transport.java
+++ b/src/main/java/reedmux/http/Transport.java
@@ -22,30 +22,45 @@
     private static final int BUFFER = 4096;
     /** With the lines' length these bound what a head without end can take up, some hundred times over. */
     private static final int MOST_HEADERS = 40;
+
     private static final int LONGEST_LINE = 4096;
     /** Connections have no time-outs of their own, so the reactor need not look for them often. */
     private static final TimeValue LOOK = TimeValue.ofSeconds(5);
 
-    static final Http1Config HTTP = Http1Config.custom().setBufferSize(BUFFER).setChunkSizeHint(BUFFER)
-            .setMaxHeaderCount(MOST_HEADERS).setMaxLineLength(LONGEST_LINE)
-            .setInitialWindowSize(WINDOW).build();
+    static final Http1Config HTTP = Http1Config.custom()
+            .setBufferSize(BUFFER)
+            .setChunkSizeHint(BUFFER)
+            .setMaxHeaderCount(MOST_HEADERS)
+            .setMaxLineLength(LONGEST_LINE)
+            .setInitialWindowSize(WINDOW)
+            .build();
 
-    private Transport() { }
+    private Transport() {}
 
     /** A reactor whose accepted connections and calls are handled by these, and its threads. */
-    public static DefaultListeningIOReactor reactor(Function<SocketAddress, ConsumerServer> servers,
-                                                    Consumer<String> log, Collection<Thread> threads) {
+    public static DefaultListeningIOReactor reactor(
+            Function<SocketAddress, ConsumerServer> servers, Consumer<String> log, Collection<Thread> threads) {
         ThreadFactory daemon = task -> {
             Thread thread = new Thread(task, "reedmux-io");
             thread.setDaemon(true);
             threads.add(thread);
             return thread;
         };
-        return new DefaultListeningIOReactor((session, attachment) ->
-                attachment instanceof Connection ours ? ours.handler(session)
+        return new DefaultListeningIOReactor(
+                (session, attachment) -> attachment instanceof Connection ours
+                        ? ours.handler(session)
                         : servers.apply(session.getLocalAddress()).handler(session),
-                IOReactorConfig.custom().setIoThreadCount(1).setTcpNoDelay(true).setSoReuseAddress(true)
-                        .setSelectInterval(LOOK).build(),
-                daemon, daemon, null, failure -> log.accept("reactor: " + failure), null, null);
+                IOReactorConfig.custom()
+                        .setIoThreadCount(1)
+                        .setTcpNoDelay(true)
+                        .setSoReuseAddress(true)
+                        .setSelectInterval(LOOK)
+                        .build(),
+                daemon,
+                daemon,
+                null,
+                failure -> log.accept("reactor: " + failure),
+                null,
+                null);
     }
 }
--- a/src/main/java/reedmux/item/Agreement.java
+++ b/src/main/java/reedmux/item/Agreement.java
@@ -35,6 +35,7 @@
     private static final long CONTENDED = 200_000;
     /** A round that has no end by then has failed. */
     private static final long ROUND = 800_000;
+
     public static final int GOOD = 200;
     public static final int WRONG = 400;
     public static final int CONFLICT = 409;
@@ -107,6 +108,7 @@
     private final Map<String, Ballot> safe = new HashMap<>();
     /** The highest ballot that was seen of each call, also of those that we do not hold, and when. */
     private final Map<String, Ballot> seen = new HashMap<>();
+
     private final Map<String, Long> seenAt = new LinkedHashMap<>();
     private final Set<String> dropped = new LinkedHashSet<>();
     private final Map<Long, Contact> contacts = new LinkedHashMap<>();
@@ -117,9 +119,11 @@
     private final Set<String> merged = new HashSet<>();
     /** What those hold, until we are whole: by then all is merged that is in force. */
     private final List<Proposal> heldElsewhere = new ArrayList<>();
+
     private boolean whole;
     /** Whether the disk had been lost when this process started. */
     private boolean mended;
+
     private boolean fenced;
     private long provenAt = -1;
     private final Map<String, Set<String>> votedFor = new HashMap<>();
@@ -129,16 +133,16 @@
     private long now;
 
     /** What the operator asked for, and since when. */
-    private record Order(List<Item> items, BiConsumer<Integer, String> reply, long since) { }
+    private record Order(List<Item> items, BiConsumer<Integer, String> reply, long since) {}
 
     /** One call on its way; {@code order}: whose, or null where nobody waits for it. */
-    private record Round(Proposal proposal, Order order, Map<String, Vote> votes, long since, int tries) { }
+    private record Round(Proposal proposal, Order order, Map<String, Vote> votes, long since, int tries) {}
 
     /** Who was in touch since it began, and what was held here then and still is. */
-    private record Contact(Set<String> by, Set<String> held, long since, Consumer<Boolean> done) { }
+    private record Contact(Set<String> by, Set<String> held, long since, Consumer<Boolean> done) {}
 
     /** Another store waits until nothing of that is held here any more. */
-    private record Asked(String by, long id, Set<String> held, long since) { }
+    private record Asked(String by, long id, Set<String> held, long since) {}
 
     /** {@code replica} has what was found on disk, {@code whole}: that nothing of it was lost. */
     public Agreement(String self, long life, Replica replica, boolean whole, Effects effects) {
@@ -254,8 +258,8 @@
      * held here, too.
      */
     private void takeOver(Proposal proposal) {
-        if (!replica.holds(proposal.call()) && replica.judge(proposal.call(),
-                proposal.items()) == Replica.Verdict.GOOD) {
+        if (!replica.holds(proposal.call())
+                && replica.judge(proposal.call(), proposal.items()) == Replica.Verdict.GOOD) {
             votedFor.put(proposal.call(), new HashSet<>(Set.of(UNKNOWN)));
             hold(proposal);
         }
@@ -347,8 +351,13 @@
             return;
         }
         long id = ++ids;
-        contacts.put(id, new Contact(new HashSet<>(Set.of(self)),
-                settled ? new HashSet<>(replica.held().keySet()) : new HashSet<>(), since, done));
+        contacts.put(
+                id,
+                new Contact(
+                        new HashSet<>(Set.of(self)),
+                        settled ? new HashSet<>(replica.held().keySet()) : new HashSet<>(),
+                        since,
+                        done));
         effects.confirm(id, settled);
         reached(id);
     }
@@ -502,8 +511,13 @@
         }
         Replica.Verdict verdict = replica.judge(call, proposal.items()); // good where it is held already
         if (verdict != Replica.Verdict.GOOD) {
-            voted(by, call, ballot, verdict == Replica.Verdict.INVALID ? Vote.INVALID
-                    : verdict == Replica.Verdict.CONFLICT ? Vote.CONFLICT : Vote.BUSY);
+            voted(
+                    by,
+                    call,
+                    ballot,
+                    verdict == Replica.Verdict.INVALID
+                            ? Vote.INVALID
+                            : verdict == Replica.Verdict.CONFLICT ? Vote.CONFLICT : Vote.BUSY);
             return;
         }
         asking.computeIfAbsent(call, name -> new LinkedHashMap<>()).put(by, ballot);
@@ -526,9 +540,16 @@
         for (Map.Entry<String, Ballot> one : List.copyOf(who.entrySet())) {
             if (one.getValue().compareTo(ballot) <= 0) {
                 who.remove(one.getKey());
-                voted(one.getKey(), call, one.getValue(), !done ? Vote.UNABLE
-                        : passed(call, one.getValue()) || !one.getValue().equals(ballot) ? Vote.PASSED
-                        : Vote.HELD);
+                voted(
+                        one.getKey(),
+                        call,
+                        one.getValue(),
+                        !done
+                                ? Vote.UNABLE
+                                : passed(call, one.getValue())
+                                                || !one.getValue().equals(ballot)
+                                        ? Vote.PASSED
+                                        : Vote.HELD);
             }
         }
         if (who.isEmpty()) {
@@ -669,7 +690,9 @@
      * force.
      */
     private boolean givesWay(Round round) {
-        if (fenced || round.proposal.precommitted() || !round.votes.containsValue(Vote.BUSY)
+        if (fenced
+                || round.proposal.precommitted()
+                || !round.votes.containsValue(Vote.BUSY)
                 || round.votes.containsValue(Vote.PRECOMMITTED)) {
             return false;
         }
--- a/src/main/java/reedmux/item/Change.java
+++ b/src/main/java/reedmux/item/Change.java
@@ -9,7 +9,7 @@
 public final class Change {
     private static final List<String> KINDS = List.of("routes", "plants", "tenants", "saturation");
 
-    private Change() { }
+    private Change() {}
 
     /** Reads a call's body; what is wrong in one item alone is found here. */
     public static List<Item> read(String text) throws Invalid {
@@ -56,7 +56,10 @@
     private static Item signal(Map<String, Object> signal) throws Invalid {
         String kind = kind(Json.text(signal.get("signalKind"), "signalKind"), "signalKind");
         Map<String, Object> heading = Json.map(signal.get("heading"), "heading");
-        return new Item(kind, name(kind, heading), revision(heading, kind),
+        return new Item(
+                kind,
+                name(kind, heading),
+                revision(heading, kind),
                 Json.write(Json.map(signal.get("reference"), "reference")));
     }
 
@@ -88,13 +91,18 @@
         String between = "";
         for (Item item : items) {
             if (!item.dropped()) {
-                out.append(between).append("{\"signalKind\":").append(Json.write(item.kind()))
+                out.append(between)
+                        .append("{\"signalKind\":")
+                        .append(Json.write(item.kind()))
                         .append(",\"heading\":{");
                 if (!item.kind().equals("saturation")) {
                     out.append("\"name\":").append(Json.write(item.name())).append(',');
                 }
-                out.append("\"revision\":").append(item.revision()).append("},\"reference\":")
-                        .append(item.body()).append('}');
+                out.append("\"revision\":")
+                        .append(item.revision())
+                        .append("},\"reference\":")
+                        .append(item.body())
+                        .append('}');
                 between = ",";
             }
         }
--- a/src/main/java/reedmux/item/Item.java
+++ b/src/main/java/reedmux/item/Item.java
@@ -12,7 +12,9 @@
     // Written out, as what a record brings is linked at run time, in the middle of a start.
     @Override
     public boolean equals(Object other) {
-        return other instanceof Item item && revision == item.revision && key().equals(item.key())
+        return other instanceof Item item
+                && revision == item.revision
+                && key().equals(item.key())
                 && body.equals(item.body);
     }
 
@@ -32,8 +34,7 @@
     /** Which of two of one name holds. */
     @Override
     public int compareTo(Item other) {
-        return revision != other.revision ? Long.compare(revision, other.revision)
-                : body.compareTo(other.body);
+        return revision != other.revision ? Long.compare(revision, other.revision) : body.compareTo(other.body);
     }
 
     /** Whether this one would take the place of another of its name, or of none. */
--- a/src/main/java/reedmux/item/Json.java
+++ b/src/main/java/reedmux/item/Json.java
@@ -17,9 +17,10 @@
 public final class Json {
     private static final int DEEPEST = 32;
     private static final JsonFactory FACTORY = JsonFactory.builder()
-            .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
+            .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+            .build();
 
-    private Json() { }
+    private Json() {}
 
     /** Reads one whole document. */
     public static Object read(String text) throws Invalid {
--- a/src/main/java/reedmux/item/Mark.java
+++ b/src/main/java/reedmux/item/Mark.java
@@ -12,8 +12,7 @@
     // Written out, as what a record brings is linked at run time, in the middle of a start.
     @Override
     public boolean equals(Object other) {
-        return other instanceof Mark mark && revision == mark.revision && digest == mark.digest
-                && key.equals(mark.key);
+        return other instanceof Mark mark && revision == mark.revision && digest == mark.digest && key.equals(mark.key);
     }
 
     @Override
--- a/src/main/java/reedmux/item/Marks.java
+++ b/src/main/java/reedmux/item/Marks.java
@@ -14,10 +14,12 @@
 final class Marks {
     /** Of one item. */
     static final int MOST = 256;
+
     private final Map<String, TreeMap<Long, Long>> taken = new HashMap<>();
     private final Map<String, Long> floors = new HashMap<>();
     /** Each by the number of the change that brought it. */
     private final TreeMap<Long, Mark> byChange = new TreeMap<>();
+
     private final Map<Mark, Long> changedAt = new HashMap<>();
     private Digests digests;
 
--- a/src/main/java/reedmux/item/Membership.java
+++ b/src/main/java/reedmux/item/Membership.java
@@ -21,6 +21,7 @@
 public final class Membership {
     /** A step that was not answered is said again after so long, and a round given up, in microseconds. */
     private static final long AGAIN = 125_000;
+
     private static final long ROUND = 2_000_000;
     /** A joiner has everything for so long before it is proposed. */
     private static final long SETTLED = 1_000_000;
@@ -28,12 +29,19 @@
     private static final long AFTER_LOSS = 4_000_000;
     /** An order to leave that could not be carried out is forgotten after so long. */
     private static final long PATIENCE = 30_000_000;
+
     private static final int AGREED = 200;
     private static final int REFUSED = 409;
     private static final int LATER = 503;
 
     /** What a step of a round is. */
-    public enum Kind { PREPARE, PROMISE, ACCEPT, ACCEPTED, PASSED }
+    public enum Kind {
+        PREPARE,
+        PROMISE,
+        ACCEPT,
+        ACCEPTED,
+        PASSED
+    }
 
     /**
      * One message of a round.
@@ -42,17 +50,17 @@
      * @param under with a promise, the ballot of what was accepted before, else null
      * @param value what is to be accepted, or was; else null
      */
-    public record Step(Kind kind, long epoch, Ballot ballot, Ballot under, Members value) { }
+    public record Step(Kind kind, long epoch, Ballot ballot, Ballot under, Members value) {}
 
     /**
      * What has to outlive the process.
      *
      * @param left it was a member once and is none now, so that it does not ask to join
      */
-    public record State(Members core, Ballot promised, Ballot accepted, Members value, boolean left) { }
+    public record State(Members core, Ballot promised, Ballot accepted, Members value, boolean left) {}
 
     /** Who carries changes through, under which epoch, and since when by this store's clock. */
-    public record Duty(String holder, long epoch, long since) { }
+    public record Duty(String holder, long epoch, long since) {}
 
     /** What is to be done. */
     public interface Effects {
@@ -91,10 +99,12 @@
     private boolean safe;
     /** Fenced members whose items and calls we have, and whether these are on our disk. */
     private final Set<String> handed = new HashSet<>();
+
     private boolean handedKept;
     private boolean handedSafe;
     /** From when on this store may promise and accept as a member; it had lost its disk before. */
     private long soundAt;
+
     private final Map<String, Peer> peers = new LinkedHashMap<>();
     private final Map<String, Leaving> leaving = new LinkedHashMap<>();
     private Round round;
@@ -114,7 +124,7 @@
         }
     }
 
-    private record Leaving(long since, List<BiConsumer<Integer, String>> replies) { }
+    private record Leaving(long since, List<BiConsumer<Integer, String>> replies) {}
 
     /** One attempt of ours. */
     private static final class Round {
@@ -236,7 +246,7 @@
             nodes.forEach((ip, node) -> core = core.named(ip, node));
         }
         if (core != before) {
-            keep(done -> { });
+            keep(done -> {});
         }
     }
 
@@ -262,7 +272,7 @@
         round = null;
         peers.values().forEach(peer -> peer.fenced = false);
         peers.forEach((ip, peer) -> core = core.named(ip, peer.node));
-        keep(done -> { });
+        keep(done -> {});
         effects.adopted();
         turn();
         for (String node : List.copyOf(leaving.keySet())) {
@@ -308,11 +318,14 @@
         boolean up = ip.equals(self) || peers.containsKey(ip);
         int needed = up ? 2 * copies - 1 : copies;
         if (rest < needed) {
-            reply.accept(REFUSED, node + " cannot leave: of " + rest + " members too few could be lost, "
-                    + needed + " are needed");
+            reply.accept(
+                    REFUSED,
+                    node + " cannot leave: of " + rest + " members too few could be lost, " + needed + " are needed");
             return;
         }
-        leaving.computeIfAbsent(node, name -> new Leaving(now, new ArrayList<>())).replies.add(reply);
+        leaving.computeIfAbsent(node, name -> new Leaving(now, new ArrayList<>()))
+                .replies
+                .add(reply);
         look(time);
     }
 
@@ -390,7 +403,11 @@
             to.retainAll(Set.of(self)); // a ballot that others have seen is on our own disk first
         }
         to.removeAll(mine.yes);
-        Step step = new Step(mine.accepting ? Kind.ACCEPT : Kind.PREPARE, core.epoch(), mine.ballot, null,
+        Step step = new Step(
+                mine.accepting ? Kind.ACCEPT : Kind.PREPARE,
+                core.epoch(),
+                mine.ballot,
+                null,
                 mine.accepting ? mine.value : null);
         for (String each : to) {
             send(each, step);
--- a/src/main/java/reedmux/item/Plant.java
+++ b/src/main/java/reedmux/item/Plant.java
@@ -14,7 +14,7 @@
         String place = "plant " + item.name();
         Map<String, Object> map = Json.map(Json.read(item.body()), place);
         Object probe = map.get("probe");
-        return new Plant(item.name(), probe == null ? "/" : Json.text(probe, place + ": probe"),
-                (int) Json.number(map.get("connCeiling"), USUAL, place + ": connCeiling"));
+        return new Plant(item.name(), probe == null ? "/" : Json.text(probe, place + ": probe"), (int)
+                Json.number(map.get("connCeiling"), USUAL, place + ": connCeiling"));
     }
 }
--- a/src/main/java/reedmux/item/Poll.java
+++ b/src/main/java/reedmux/item/Poll.java
@@ -13,6 +13,7 @@
     private final Map<String, Item> items = new TreeMap<>();
     /** Those of them that are not in the table yet. */
     private final Map<String, Item> pending = new TreeMap<>();
+
     private final Snapshot snapshot = new Snapshot();
     private final Map<String, long[]> vector = new HashMap<>();
     private Table table;
--- a/src/main/java/reedmux/item/Proposal.java
+++ b/src/main/java/reedmux/item/Proposal.java
@@ -21,9 +21,11 @@
     // Written out, as what a record brings is linked at run time, in the middle of a start.
     @Override
     public boolean equals(Object other) {
-        return other instanceof Proposal proposal && call.equals(proposal.call)
+        return other instanceof Proposal proposal
+                && call.equals(proposal.call)
                 && ballot.equals(proposal.ballot)
-                && items.equals(proposal.items) && precommitted == proposal.precommitted;
+                && items.equals(proposal.items)
+                && precommitted == proposal.precommitted;
     }
 
     @Override
--- a/src/main/java/reedmux/item/Replica.java
+++ b/src/main/java/reedmux/item/Replica.java
@@ -30,14 +30,17 @@
 
     /** About what an item takes beside its name and body. */
     private static final int ITEM = 24;
+
     private final Map<String, Item> inForce = new TreeMap<>();
     /** The number of the change that brought each, and each by that number. */
     private final Map<String, Long> changedAt = new HashMap<>();
+
     private final TreeMap<Long, Item> byChange = new TreeMap<>();
     /** Of what is in force and the marks; null until another store compares. */
     private Digests digests;
     /** What is in force, as it is used; null until the first call is judged, as a start does without. */
     private Table table;
+
     private final Map<String, Proposal> held = new LinkedHashMap<>();
     private final Marks marks = new Marks();
     private long changes;
@@ -60,8 +63,7 @@
         for (Proposal other : held.values()) {
             for (Item one : unrecorded) {
                 for (Item beside : other.items()) {
-                    if (one.key().equals(beside.key()) && one.revision() == beside.revision()
-                            && !one.equals(beside)) {
+                    if (one.key().equals(beside.key()) && one.revision() == beside.revision() && !one.equals(beside)) {
                         return Verdict.BUSY;
                     }
                 }
@@ -186,7 +188,8 @@
         List<Item> news = new ArrayList<>();
         for (Item item : items) {
             Item had = inForce.get(item.key());
-            if (had == null || item.compareTo(had) > 0
+            if (had == null
+                    || item.compareTo(had) > 0
                     || item.revision() < had.revision() && marks.isNews(Mark.of(item))) {
                 news.add(item);
             }
@@ -256,15 +259,22 @@
 
         /** The first of each, at most so many. */
         public Piece first(int most) {
-            return new Piece(upTo, items.subList(0, Math.min(most, items.size())),
-                    marks.subList(0, Math.min(most, marks.size())), false);
+            return new Piece(
+                    upTo,
+                    items.subList(0, Math.min(most, items.size())),
+                    marks.subList(0, Math.min(most, marks.size())),
+                    false);
         }
 
         /** What comes behind those, or null. */
         public Piece rest(int most) {
-            return items.size() <= most && marks.size() <= most ? null : new Piece(upTo,
-                    items.subList(Math.min(most, items.size()), items.size()),
-                    marks.subList(Math.min(most, marks.size()), marks.size()), last);
+            return items.size() <= most && marks.size() <= most
+                    ? null
+                    : new Piece(
+                            upTo,
+                            items.subList(Math.min(most, items.size()), items.size()),
+                            marks.subList(Math.min(most, marks.size()), marks.size()),
+                            last);
         }
     }
 
--- a/src/main/java/reedmux/item/Route.java
+++ b/src/main/java/reedmux/item/Route.java
@@ -11,11 +11,20 @@
  * @param cutoff     the longest time that a request is held
  * @param aim        the time within which an answer earns its full worth
  */
-public record Route(String name, String host, String prefix, boolean repeatable, long cutoff, long aim,
-                    int priority, List<Part> parts, int attempts, boolean unkeyed) {
+public record Route(
+        String name,
+        String host,
+        String prefix,
+        boolean repeatable,
+        long cutoff,
+        long aim,
+        int priority,
+        List<Part> parts,
+        int attempts,
+        boolean unkeyed) {
 
     /** A service that a share of the requests goes to. */
-    public record Part(String plant, double gain) { }
+    public record Part(String plant, double gain) {}
 
     private static final long MILLI = 1000;
     private static final long LONGEST = 3_600_000;
@@ -35,7 +44,8 @@
         if (split != null) {
             for (Object element : Json.list(split, place + ": split")) {
                 Map<String, Object> part = Json.map(element, place + ": split");
-                parts.add(new Part(Json.text(part.get("plant"), place + ": split: plant"),
+                parts.add(new Part(
+                        Json.text(part.get("plant"), place + ": split: plant"),
                         Json.number(part.get("gain"), 1, place + ": split: gain")));
             }
             if (parts.stream().mapToDouble(Part::gain).sum() <= 0) {
@@ -48,10 +58,15 @@
         if (!List.of("idempotent", "effectful", "inflow").contains(kind)) {
             throw new Invalid(place + ": kind is none that is known: " + kind);
         }
-        return new Route(item.name(), host.toLowerCase(java.util.Locale.ROOT), prefix,
+        return new Route(
+                item.name(),
+                host.toLowerCase(java.util.Locale.ROOT),
+                prefix,
                 kind.equals("idempotent"),
-                millis(map, "cutoffMs", place), millis(map, "setpointMs", place),
-                (int) Json.number(map.get("priority"), 0, place + ": priority"), List.copyOf(parts),
+                millis(map, "cutoffMs", place),
+                millis(map, "setpointMs", place),
+                (int) Json.number(map.get("priority"), 0, place + ": priority"),
+                List.copyOf(parts),
                 (int) Math.max(1, Json.number(map.get("attempts"), 1, place + ": attempts")),
                 Json.flag(map.get("unkeyed"), false, place + ": unkeyed"));
     }
--- a/src/main/java/reedmux/item/Table.java
+++ b/src/main/java/reedmux/item/Table.java
@@ -31,6 +31,7 @@
     private int missing;
     /** Routes beyond the first of one host and prefix. */
     private int alike;
+
     private String problem = "";
 
     /**
@@ -215,7 +216,9 @@
     /** Another route of the same host and prefix, where {@code at} is the place of this one, or null. */
     private static Route twin(List<Route> beside, Route route, int at) {
         for (int i = at - 1; i <= at + 1; i++) {
-            if (i >= 0 && i < beside.size() && beside.get(i) != route
+            if (i >= 0
+                    && i < beside.size()
+                    && beside.get(i) != route
                     && beside.get(i).prefix().equals(route.prefix())) {
                 return beside.get(i);
             }
@@ -265,18 +268,22 @@
             }
         }
         for (Item item : items) {
-            String why = switch (item.kind()) {
-                case "routes" -> why(routes.get(item.name()));
-                case "plants" -> naming.containsKey(item.name()) && !plants.containsKey(item.name())
-                        ? unknown(naming.get(item.name()).first(), item.name()) : null;
-                case "tenants" -> why(tenants.get(item.name()));
-                default -> null;
-            };
+            String why =
+                    switch (item.kind()) {
+                        case "routes" -> why(routes.get(item.name()));
+                        case "plants" ->
+                            naming.containsKey(item.name()) && !plants.containsKey(item.name())
+                                    ? unknown(naming.get(item.name()).first(), item.name())
+                                    : null;
+                        case "tenants" -> why(tenants.get(item.name()));
+                        default -> null;
+                    };
             if (why != null) {
                 return why;
             }
         }
-        return unreadable.isEmpty() ? "what is in force already does not stand together"
+        return unreadable.isEmpty()
+                ? "what is in force already does not stand together"
                 : unreadable.values().iterator().next();
     }
 
@@ -318,8 +325,8 @@
             return null;
         }
         int colon = host.lastIndexOf(':');
-        String name = (colon > 0 && host.indexOf(']') < colon ? host.substring(0, colon) : host)
-                .toLowerCase(Locale.ROOT);
+        String name =
+                (colon > 0 && host.indexOf(']') < colon ? host.substring(0, colon) : host).toLowerCase(Locale.ROOT);
         for (Route route : byHost.getOrDefault(name, List.of())) {
             if (path.startsWith(route.prefix())) {
                 return route;
--- a/src/main/java/reedmux/item/Tenant.java
+++ b/src/main/java/reedmux/item/Tenant.java
@@ -20,7 +20,9 @@
         for (Object key : Json.list(map.get("keys"), place + ": keys")) {
             keys.add(Json.text(key, place + ": keys"));
         }
-        return new Tenant(item.name(), List.copyOf(keys),
+        return new Tenant(
+                item.name(),
+                List.copyOf(keys),
                 (int) Json.number(map.get("priority"), -1, place + ": priority"),
                 Json.number(map.get("flowPerS"), 0, place + ": flowPerS"),
                 Json.number(map.get("burst"), 0, place + ": burst"));
