--- a/src/main/java/reedmux/lab/CapacityScene.java
+++ b/src/main/java/reedmux/lab/CapacityScene.java
@@ -25,6 +25,7 @@
     static final Size TARGET = new Size(7_400, 22, 140_000);
     /** Above linear by no more than what a few sizes spread by. */
     private static final double MOST_POWER = 1.15;
+
     private static final int[] SIZES = {30, 100, 300, 1000};
     private static final int FEW_PROXIES = 30;
     private static final int FEW_CHECKERS = 60;
@@ -33,15 +34,17 @@
     private static final int CORE_PROXIES = 60;
 
     /** One thing that grows while the others stay. */
-    private record Axis(String name, int target, List<Size> sizes, ToDoubleFunction<Size> of) { }
+    private record Axis(String name, int target, List<Size> sizes, ToDoubleFunction<Size> of) {}
 
-    private record Figure(String name, ToDoubleFunction<Row> of) { }
+    private record Figure(String name, ToDoubleFunction<Row> of) {}
 
-    private static final List<Figure> FIGURES = List.of(new Figure("kB/s", Row::kilobytes),
-            new Figure("messages/s", Row::messages), new Figure("events/s", Row::events),
+    private static final List<Figure> FIGURES = List.of(
+            new Figure("kB/s", Row::kilobytes),
+            new Figure("messages/s", Row::messages),
+            new Figure("events/s", Row::events),
             new Figure("CPU ms/s", Row::cpuMillis));
 
-    private CapacityScene() { }
+    private CapacityScene() {}
 
     /** Plays all sizes up to one; rows, powers and charts go to {@code folder}, if there is one. */
     public static Claims run(int most, Path folder, Consumer<String> progress) throws IOException {
@@ -57,8 +60,12 @@
                 long begin = System.nanoTime();
                 List<Row> rows = Growth.play(size);
                 played.add(rows);
-                progress.accept(String.format(Locale.ROOT, "%s %.0f: %.1f s", axis.name,
-                        axis.of.applyAsDouble(size), (System.nanoTime() - begin) / 1e9));
+                progress.accept(String.format(
+                        Locale.ROOT,
+                        "%s %.0f: %.1f s",
+                        axis.name,
+                        axis.of.applyAsDouble(size),
+                        (System.nanoTime() - begin) / 1e9));
                 rows.forEach(row -> csv.append(line(axis, row)));
             }
             fit(axis, played, claims);
@@ -75,20 +82,31 @@
 
     /** Bytes against size, both as logarithms: a line for each role and phase. */
     private static void chart(Axis axis, List<List<Row>> played, Path folder) throws IOException {
-        XYChart chart = new XYChartBuilder().width(900).height(560)
+        XYChart chart = new XYChartBuilder()
+                .width(900)
+                .height(560)
                 .title("kB/s of one machine by " + axis.name)
-                .xAxisTitle(axis.name).yAxisTitle("kB/s").build();
+                .xAxisTitle(axis.name)
+                .yAxisTitle("kB/s")
+                .build();
         chart.getStyler().setXAxisLogarithmic(true);
         chart.getStyler().setYAxisLogarithmic(true);
         double[] sizes = axis.sizes.stream().mapToDouble(axis.of).toArray();
         for (int at = 0; at < played.get(0).size(); at++) {
             int row = at;
             Row first = played.get(0).get(row);
-            List<List<Row>> having = played.stream().filter(rows -> rows.size() > row).toList();
-            chart.addSeries(first.role() + ", " + first.phase(), Arrays.copyOf(sizes, having.size()),
-                    having.stream().mapToDouble(rows -> Math.max(1e-3, rows.get(row).kilobytes())).toArray());
+            List<List<Row>> having =
+                    played.stream().filter(rows -> rows.size() > row).toList();
+            chart.addSeries(
+                    first.role() + ", " + first.phase(),
+                    Arrays.copyOf(sizes, having.size()),
+                    having.stream()
+                            .mapToDouble(rows -> Math.max(1e-3, rows.get(row).kilobytes()))
+                            .toArray());
         }
-        BitmapEncoder.saveBitmap(chart, folder.resolve("capacity-" + axis.name.replace(' ', '-')).toString(),
+        BitmapEncoder.saveBitmap(
+                chart,
+                folder.resolve("capacity-" + axis.name.replace(' ', '-')).toString(),
                 BitmapEncoder.BitmapFormat.PNG);
     }
 
@@ -105,23 +123,35 @@
         for (int size : CORE_SIZES) {
             cores.add(new Size(CORE_PROXIES, size, FEW_CHECKERS));
         }
-        return List.of(new Axis("proxies", TARGET.proxies(), members, Size::proxies),
+        return List.of(
+                new Axis("proxies", TARGET.proxies(), members, Size::proxies),
                 new Axis("checkers", TARGET.checkers(), checkers, Size::checkers),
                 new Axis("core machines", TARGET.cores(), cores, Size::cores));
     }
 
     private static String line(Axis axis, Row row) {
-        return String.format(Locale.ROOT, "%s,%.0f,%d,%d,%d,%s,%s,%.3f,%.2f,%.2f,%.3f%n", axis.name,
-                axis.of.applyAsDouble(row.size()), row.size().proxies(), row.size().cores(),
-                row.size().checkers(), row.phase(), row.role(), row.kilobytes(), row.messages(),
-                row.events(), row.cpuMillis());
+        return String.format(
+                Locale.ROOT,
+                "%s,%.0f,%d,%d,%d,%s,%s,%.3f,%.2f,%.2f,%.3f%n",
+                axis.name,
+                axis.of.applyAsDouble(row.size()),
+                row.size().proxies(),
+                row.size().cores(),
+                row.size().checkers(),
+                row.phase(),
+                row.role(),
+                row.kilobytes(),
+                row.messages(),
+                row.events(),
+                row.cpuMillis());
     }
 
     /** Notes each role's figures at each size, with the power of their growth and the value at the target. */
     private static void fit(Axis axis, List<List<Row>> all, Claims claims) {
         for (int place = 0; place < all.get(0).size(); place++) {
             int at = place;
-            List<List<Row>> played = all.stream().filter(rows -> rows.size() > at).toList();
+            List<List<Row>> played =
+                    all.stream().filter(rows -> rows.size() > at).toList();
             Row first = played.get(0).get(at);
             for (Figure figure : FIGURES) {
                 double[] sizes = new double[played.size()];
@@ -134,8 +164,8 @@
                 }
                 double power = power(sizes, values);
                 String what = axis.name + ", " + first.phase() + ", " + first.role() + ", " + figure.name;
-                String told = String.format(Locale.ROOT, "%s ^%.2f -> %.4g", shown, power,
-                        at(axis.target, sizes, values, power));
+                String told = String.format(
+                        Locale.ROOT, "%s ^%.2f -> %.4g", shown, power, at(axis.target, sizes, values, power));
                 if (figure == FIGURES.get(0) && !first.phase().equals("roll")) {
                     claims.claim(what, told, "^" + MOST_POWER, power <= MOST_POWER);
                 } else { // while all are restarted each is told of each: the square, for the registries
--- a/src/main/java/reedmux/lab/CapacityState.java
+++ b/src/main/java/reedmux/lab/CapacityState.java
@@ -19,7 +19,7 @@
     private static final int[] SIZES = {1_000, 10_000, 100_000};
     private static final int MILLION = 1_000_000;
 
-    private CapacityState() { }
+    private CapacityState() {}
 
     static void measure(Claims claims) {
         heap(claims, "heap of the checkers a registry knows", CapacityState::registry, 140_000);
@@ -30,15 +30,24 @@
     }
 
     private static Incarnation life(int number) {
-        return new Incarnation("instance-" + number, "service-" + number % 3_600,
+        return new Incarnation(
+                "instance-" + number,
+                "service-" + number % 3_600,
                 "10." + number / 62_500 + '.' + number / 250 % 250 + '.' + number % 250 + ":8080",
-                "zone-" + number % 11, 4,
-                Incarnation.READY, 1_000 + number, 0, false);
+                "zone-" + number % 11,
+                4,
+                Incarnation.READY,
+                1_000 + number,
+                0,
+                false);
     }
 
     private static Session session(int number) {
-        return new Session("edge-" + number, "10.9." + number / 250 + '.' + number % 250,
-                "zone-" + number % 11, number * 0x9E3779B97F4A7C15L);
+        return new Session(
+                "edge-" + number,
+                "10.9." + number / 250 + '.' + number % 250,
+                "zone-" + number % 11,
+                number * 0x9E3779B97F4A7C15L);
     }
 
     private static Object registry(int many) {
@@ -79,17 +88,22 @@
         for (int i = 0; i < many; i++) {
             all.add(session(i));
         }
-        return new Codec().write(new Messages.News(1, 1, List.of(), List.of(), new Differences(true, all,
-                List.of()))).length;
+        return new Codec()
+                .write(new Messages.News(1, 1, List.of(), List.of(), new Differences(true, all, List.of())))
+                .length;
     }
 
     private static void heap(Claims claims, String what, IntFunction<Object> made, int target) {
-        note(claims, what, many -> {
-            long before = used();
-            Object kept = made.apply(many);
-            long after = used();
-            return kept == null ? 0 : after - before;
-        }, target);
+        note(
+                claims,
+                what,
+                many -> {
+                    long before = used();
+                    Object kept = made.apply(many);
+                    long after = used();
+                    return kept == null ? 0 : after - before;
+                },
+                target);
     }
 
     private static void bytes(Claims claims, String what, ToLongFunction<Integer> of, int target) {
@@ -105,9 +119,15 @@
             values[i] = of.applyAsLong(SIZES[i]);
             shown.append(String.format(Locale.ROOT, "%.3f ", values[i] / MILLION));
         }
-        claims.note(what + ", MB at 1,000, 10,000, 100,000", String.format(Locale.ROOT,
-                "%s ^%.2f; %.2f at %d", shown, CapacityScene.power(sizes, values),
-                of.applyAsLong(target) / (double) MILLION, target));
+        claims.note(
+                what + ", MB at 1,000, 10,000, 100,000",
+                String.format(
+                        Locale.ROOT,
+                        "%s ^%.2f; %.2f at %d",
+                        shown,
+                        CapacityScene.power(sizes, values),
+                        of.applyAsLong(target) / (double) MILLION,
+                        target));
     }
 
     private static long used() {
--- a/src/main/java/reedmux/lab/Claims.java
+++ b/src/main/java/reedmux/lab/Claims.java
@@ -31,14 +31,17 @@
 
     /** Whether there are claims and all of them hold. */
     public boolean hold() {
-        return all.stream().anyMatch(claim -> !claim.bound.isEmpty()) && all.stream().allMatch(Claim::holds);
+        return all.stream().anyMatch(claim -> !claim.bound.isEmpty())
+                && all.stream().allMatch(Claim::holds);
     }
 
     /** The table as Markdown. */
     public String table() {
-        return "| claim | figure | bound | holds |\n| --- | --- | --- | --- |\n" + all.stream()
-                .map(claim -> "| " + claim.what + " | " + claim.figure + " | " + claim.bound + " | "
-                        + claim.verdict("yes", "NO") + " |\n").collect(Collectors.joining());
+        return "| claim | figure | bound | holds |\n| --- | --- | --- | --- |\n"
+                + all.stream()
+                        .map(claim -> "| " + claim.what + " | " + claim.figure + " | " + claim.bound + " | "
+                                + claim.verdict("yes", "NO") + " |\n")
+                        .collect(Collectors.joining());
     }
 
     /** Prints the table in columns. */
@@ -47,18 +50,31 @@
         int figure = all.stream().mapToInt(claim -> claim.figure.length()).max().orElse(0);
         int bound = all.stream().mapToInt(claim -> claim.bound.length()).max().orElse(0);
         for (Claim claim : all) {
-            out.printf("%-" + what + "s  %" + figure + "s  %-" + bound + "s  %s%n", claim.what, claim.figure,
-                    claim.bound, claim.verdict("holds", "FAILS"));
+            out.printf(
+                    "%-" + what + "s  %" + figure + "s  %-" + bound + "s  %s%n",
+                    claim.what,
+                    claim.figure,
+                    claim.bound,
+                    claim.verdict("holds", "FAILS"));
         }
     }
 
     void keep(Path folder, String name, String command) throws IOException {
         Files.createDirectories(folder);
         Files.writeString(folder.resolve(name + ".md"), "# " + name + "\n\n`" + command + "`\n\n" + table());
-        Files.writeString(folder.resolve(name + ".csv"), "claim,figure,bound,holds\n" + all.stream()
-                .map(claim -> quoted(claim.what) + ',' + quoted(claim.figure) + ',' + quoted(claim.bound)
-                + ','
-                        + claim.verdict("true", "false") + '\n').collect(Collectors.joining()));
+        Files.writeString(
+                folder.resolve(name + ".csv"),
+                "claim,figure,bound,holds\n"
+                        + all.stream()
+                                .map(claim -> quoted(claim.what)
+                                        + ','
+                                        + quoted(claim.figure)
+                                        + ','
+                                        + quoted(claim.bound)
+                                        + ','
+                                        + claim.verdict("true", "false")
+                                        + '\n')
+                                .collect(Collectors.joining()));
     }
 
     private static String quoted(String text) {
--- a/src/main/java/reedmux/lab/ConsumerStandIn.java
+++ b/src/main/java/reedmux/lab/ConsumerStandIn.java
@@ -27,8 +27,14 @@
 public final class ConsumerStandIn implements AutoCloseable {
 
     /** A request to be sent. */
-    public record Asked(String id, String requestClass, boolean repeatable, long customer, int units,
-                        long deadlineMillis, int members) { }
+    public record Asked(
+            String id,
+            String requestClass,
+            boolean repeatable,
+            long customer,
+            int units,
+            long deadlineMillis,
+            int members) {}
 
     /**
      * What came of one; times in nanoseconds of the system's monotonic clock.
@@ -100,8 +106,13 @@
             ClassicHttpResponse response = connection.receiveResponseHeader();
             connection.receiveResponseEntity(response);
             String body = response.getEntity() == null ? "" : EntityUtils.toString(response.getEntity());
-            Told one = new Told(asked, sentAt, System.nanoTime(), response.getCode(),
-                    seconds(response.getFirstHeader("Retry-After")), body.equals("verdict " + asked.id()));
+            Told one = new Told(
+                    asked,
+                    sentAt,
+                    System.nanoTime(),
+                    response.getCode(),
+                    seconds(response.getFirstHeader("Retry-After")),
+                    body.equals("verdict " + asked.id()));
             Header close = response.getFirstHeader("Connection");
             if (close != null && close.getValue().equals("close")) {
                 connection.close();
@@ -127,8 +138,8 @@
     }
 
     private ClassicHttpRequest request(Asked asked) {
-        ClassicHttpRequest request = new BasicClassicHttpRequest(asked.repeatable() ? "GET" : "POST",
-                '/' + asked.requestClass());
+        ClassicHttpRequest request =
+                new BasicClassicHttpRequest(asked.repeatable() ? "GET" : "POST", '/' + asked.requestClass());
         if (host != null) {
             request.setHeader("Host", host);
         }
--- a/src/main/java/reedmux/lab/CostScene.java
+++ b/src/main/java/reedmux/lab/CostScene.java
@@ -25,9 +25,9 @@
     private static final Pattern USED = Pattern.compile("used ([0-9]+)K");
 
     /** One round: microseconds of CPU a request, KiB of heap, and the share answered with 200. */
-    private record Round(double cpu, double heap, double served) { }
+    private record Round(double cpu, double heap, double served) {}
 
-    private CostScene() { }
+    private CostScene() {}
 
     /**
      * Measures two builds in turns.
@@ -43,22 +43,28 @@
         for (int i = 0; i < rounds; i++) {
             ones.add(round(one));
             others.add(round(other));
-            progress.accept(String.format(Locale.ROOT, "round %d: %.0f and %.0f us a request", i + 1,
-                    ones.get(i).cpu, others.get(i).cpu));
+            progress.accept(String.format(
+                    Locale.ROOT, "round %d: %.0f and %.0f us a request", i + 1, ones.get(i).cpu, others.get(i).cpu));
         }
         Claims claims = new Claims();
-        double cpu = ratio(ones.stream().mapToDouble(Round::cpu).toArray(),
+        double cpu = ratio(
+                ones.stream().mapToDouble(Round::cpu).toArray(),
                 others.stream().mapToDouble(Round::cpu).toArray());
-        double heap = ratio(ones.stream().mapToDouble(Round::heap).toArray(),
+        double heap = ratio(
+                ones.stream().mapToDouble(Round::heap).toArray(),
                 others.stream().mapToDouble(Round::heap).toArray());
-        claims.note("CPU a request, us, median of each", text(median(ones.stream().mapToDouble(Round::cpu)
-                .toArray())) + " and " + text(median(others.stream().mapToDouble(Round::cpu).toArray())));
+        claims.note(
+                "CPU a request, us, median of each",
+                text(median(ones.stream().mapToDouble(Round::cpu).toArray())) + " and "
+                        + text(median(others.stream().mapToDouble(Round::cpu).toArray())));
         claims.claim("CPU a request, median ratio", text(cpu), "1.10", cpu <= 1.1);
-        claims.note("heap in use after a collection, KiB, median of each", text(median(ones.stream()
-                .mapToDouble(Round::heap).toArray())) + " and " + text(median(others.stream()
-                .mapToDouble(Round::heap).toArray())));
+        claims.note(
+                "heap in use after a collection, KiB, median of each",
+                text(median(ones.stream().mapToDouble(Round::heap).toArray())) + " and "
+                        + text(median(others.stream().mapToDouble(Round::heap).toArray())));
         claims.claim("heap in use, median ratio", text(heap), "1.10", heap <= 1.1);
-        double served = Math.min(ones.stream().mapToDouble(Round::served).min().orElse(0),
+        double served = Math.min(
+                ones.stream().mapToDouble(Round::served).min().orElse(0),
                 others.stream().mapToDouble(Round::served).min().orElse(0));
         claims.claim("served in the worst round", text(served), "0.98", served >= 0.98);
         return claims;
@@ -74,8 +80,8 @@
                 providers.add(new ProviderStandIn(8, 16, 15));
                 discovery.list("s" + i, providers.get(i).hostPort(), "Ready");
             }
-            try (Gatekeeper gatekeeper = new Gatekeeper(folder, Gatekeeper.config(0, addresses, discovery),
-                    null, jar)) {
+            try (Gatekeeper gatekeeper =
+                    new Gatekeeper(folder, Gatekeeper.config(0, addresses, discovery), null, jar)) {
                 gatekeeper.start();
                 gatekeeper.awaitReady(consumers);
                 load(consumers, WARM_SECONDS, 0);
@@ -84,7 +90,9 @@
                 double cpu = (gatekeeper.cpuNanos() - before) / 1e3 / measured;
                 double heap = heap(gatekeeper);
                 consumers.finish();
-                double served = consumers.told().stream().filter(told -> told.status() == 200).count()
+                double served = consumers.told().stream()
+                                .filter(told -> told.status() == 200)
+                                .count()
                         / (double) consumers.told().size();
                 return new Round(cpu, heap, served);
             }
@@ -99,10 +107,15 @@
         long begin = System.nanoTime();
         long count = (long) seconds * PER_SECOND;
         for (long i = 0; i < count; i++) {
-            consumers.ask(new Asked(String.format(Locale.ROOT, "%016x", ids + i + 1),
-                    i % 2 == 0 ? "check" : "reject", i % 2 == 0, i % 40, 1, 3_000, 1));
-            TimeUnit.NANOSECONDS.sleep(Math.max(0,
-                    begin + (i + 1) * 1_000_000_000 / PER_SECOND - System.nanoTime()));
+            consumers.ask(new Asked(
+                    String.format(Locale.ROOT, "%016x", ids + i + 1),
+                    i % 2 == 0 ? "check" : "reject",
+                    i % 2 == 0,
+                    i % 40,
+                    1,
+                    3_000,
+                    1));
+            TimeUnit.NANOSECONDS.sleep(Math.max(0, begin + (i + 1) * 1_000_000_000 / PER_SECOND - System.nanoTime()));
         }
         return count;
     }
@@ -110,8 +123,9 @@
     /** Heap in use after a collection, KiB. */
     static double heap(Gatekeeper gatekeeper) throws IOException, InterruptedException {
         String jcmd = Path.of(System.getProperty("java.home"), "bin", "jcmd").toString();
-        new ProcessBuilder(jcmd, Long.toString(gatekeeper.pid()), "GC.run").start().waitFor(10,
-                TimeUnit.SECONDS);
+        new ProcessBuilder(jcmd, Long.toString(gatekeeper.pid()), "GC.run")
+                .start()
+                .waitFor(10, TimeUnit.SECONDS);
         Process info = new ProcessBuilder(jcmd, Long.toString(gatekeeper.pid()), "GC.heap_info").start();
         String text = new String(info.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         Matcher matcher = USED.matcher(text);
--- a/src/main/java/reedmux/lab/DiscoveryStandIn.java
+++ b/src/main/java/reedmux/lab/DiscoveryStandIn.java
@@ -15,7 +15,11 @@
 /** Discovery: tells the whole list, and holds a watch until there is news. */
 public final class DiscoveryStandIn extends StandIn {
     /** What it does with a question. */
-    public enum Does { ANSWERS, SILENT, NONSENSE }
+    public enum Does {
+        ANSWERS,
+        SILENT,
+        NONSENSE
+    }
 
     private static final long LONGEST_WATCH_MILLIS = 60_000;
     private final Map<String, String> members = new LinkedHashMap<>();
@@ -23,7 +27,7 @@
     private long revision = 1;
     private volatile Does does = Does.ANSWERS;
 
-    public DiscoveryStandIn() throws IOException { }
+    public DiscoveryStandIn() throws IOException {}
 
     /** Lists a provider under a phase, or strikes it off at {@code Gone}. */
     public synchronized void list(String id, String hostPort, String phase) {
@@ -87,8 +91,7 @@
 
     private synchronized void await(long since, long millis) throws InterruptedException {
         long end = System.nanoTime() + millis * 1_000_000;
-        for (long left = millis; revision <= since
-                && left > 0; left = (end - System.nanoTime()) / 1_000_000) {
+        for (long left = millis; revision <= since && left > 0; left = (end - System.nanoTime()) / 1_000_000) {
             wait(left);
         }
     }
--- a/src/main/java/reedmux/lab/Gatekeeper.java
+++ b/src/main/java/reedmux/lab/Gatekeeper.java
@@ -19,14 +19,21 @@
 
 /** A real gatekeeper as a process of its own, which can be hung up on, told to leave and killed. */
 final class Gatekeeper implements AutoCloseable {
-    private static final List<String> JVM = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-            "-XX:-UsePerfData", "-Xms48m", "-Xmx48m", "-Xmn16m", "-XX:MaxMetaspaceSize=48m", "-Xss512k");
+    private static final List<String> JVM = List.of(
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
+            "-XX:-UsePerfData",
+            "-Xms48m",
+            "-Xmx48m",
+            "-Xmn16m",
+            "-XX:MaxMetaspaceSize=48m",
+            "-Xss512k");
     private static final Path TASKSET = Path.of("/usr/bin/taskset");
     private static final long READY_MILLIS = 12_000;
     private static final InetAddress HERE = InetAddress.getLoopbackAddress();
 
     /** Where a region's gatekeepers listen: for consumers, for regions, for each other. */
-    record Addresses(InetSocketAddress consumers, InetSocketAddress regions, InetSocketAddress peers) { }
+    record Addresses(InetSocketAddress consumers, InetSocketAddress regions, InetSocketAddress peers) {}
 
     private final Path folder;
     private final Path settings;
@@ -62,7 +69,8 @@
             taken.add(new ServerSocket(0, 1, HERE));
             taken.add(new ServerSocket(0, 1, HERE));
             datagrams.add(new DatagramSocket(0, HERE));
-            all.add(new Addresses((InetSocketAddress) taken.get(2 * i).getLocalSocketAddress(),
+            all.add(new Addresses(
+                    (InetSocketAddress) taken.get(2 * i).getLocalSocketAddress(),
                     (InetSocketAddress) taken.get(2 * i + 1).getLocalSocketAddress(),
                     (InetSocketAddress) datagrams.get(i).getLocalSocketAddress()));
         }
@@ -119,8 +127,11 @@
         List<String> command = new ArrayList<>(prefix);
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(JVM);
-        command.addAll(List.of("-cp", jar == null ? System.getProperty("java.class.path") : jar.toString(),
-                "reedmux.cli.Main", "serve"));
+        command.addAll(List.of(
+                "-cp",
+                jar == null ? System.getProperty("java.class.path") : jar.toString(),
+                "reedmux.cli.Main",
+                "serve"));
         if (settings != null) {
             command.addAll(List.of("--settings", settings.toString()));
         }
@@ -128,7 +139,8 @@
         builder.environment().put("RELAY_CONFIG", folder.resolve("config.json").toString());
         builder.environment().putAll(variables);
         builder.redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("log.txt").toFile()));
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(
+                        folder.resolve("log.txt").toFile()));
         process = builder.start();
     }
 
@@ -139,8 +151,13 @@
     boolean onOneCore() throws IOException, InterruptedException {
         int cores = Runtime.getRuntime().availableProcessors();
         if (Files.isExecutable(TASKSET) && cores > 1) {
-            new ProcessBuilder(TASKSET.toString(), "-apc", "1-" + (cores - 1),
-                    Long.toString(ProcessHandle.current().pid())).start().waitFor(5, TimeUnit.SECONDS);
+            new ProcessBuilder(
+                            TASKSET.toString(),
+                            "-apc",
+                            "1-" + (cores - 1),
+                            Long.toString(ProcessHandle.current().pid()))
+                    .start()
+                    .waitFor(5, TimeUnit.SECONDS);
             prefix = List.of(TASKSET.toString(), "-c", "0");
         }
         return !prefix.isEmpty();
@@ -221,9 +238,7 @@
     long leave(long patienceMillis) throws InterruptedException {
         long begin = System.nanoTime();
         process.destroy();
-        return process.waitFor(patienceMillis, TimeUnit.MILLISECONDS)
-                ? (System.nanoTime() - begin) / 1_000_000
-                : -1;
+        return process.waitFor(patienceMillis, TimeUnit.MILLISECONDS) ? (System.nanoTime() - begin) / 1_000_000 : -1;
     }
 
     String log() throws IOException {
--- a/src/main/java/reedmux/lab/ItemScene.java
+++ b/src/main/java/reedmux/lab/ItemScene.java
@@ -15,7 +15,7 @@
     private static final int ROUNDS = 41;
     private static final double MOST_POWER = 0.5;
 
-    private ItemScene() { }
+    private ItemScene() {}
 
     static Claims run(Consumer<String> progress) {
         Claims claims = new Claims();
@@ -30,9 +30,11 @@
             }
         }
         for (int i = 0; i < SIZES.length; i++) {
-            claims.note(SIZES[i] + " items: a call at a store, judged, merged and told on, microseconds",
+            claims.note(
+                    SIZES[i] + " items: a call at a store, judged, merged and told on, microseconds",
                     String.format(Locale.ROOT, "%.1f", store[i]));
-            claims.note(SIZES[i] + " items: the change at a proxy, microseconds",
+            claims.note(
+                    SIZES[i] + " items: the change at a proxy, microseconds",
                     String.format(Locale.ROOT, "%.1f", proxy[i]));
         }
         claim(claims, "power of a call at a store from 300 items on", power(store));
@@ -47,11 +49,20 @@
     private static Item item(int number, long revision) {
         return switch (number % 10) {
             case 0 -> new Item("plants", "p" + number, revision, "{\"connCeiling\":" + revision + "}");
-            case 1, 2, 3, 4 -> new Item("routes", "r" + number, revision, "{\"host\":\"h" + number / 10
-                    + ".example\",\"prefix\":\"/" + number + "\",\"kind\":\"idempotent\",\"plant\":\"p"
-                    + number / 10 * 10 + "\",\"attempts\":" + revision + "}");
-            default -> new Item("tenants", "t" + number, revision, "{\"keys\":[\"k" + number
-                    + "\"],\"flowPerS\":" + revision + "}");
+            case 1, 2, 3, 4 ->
+                new Item(
+                        "routes",
+                        "r" + number,
+                        revision,
+                        "{\"host\":\"h" + number / 10
+                                + ".example\",\"prefix\":\"/" + number + "\",\"kind\":\"idempotent\",\"plant\":\"p"
+                                + number / 10 * 10 + "\",\"attempts\":" + revision + "}");
+            default ->
+                new Item(
+                        "tenants",
+                        "t" + number,
+                        revision,
+                        "{\"keys\":[\"k" + number + "\"],\"flowPerS\":" + revision + "}");
         };
     }
 
--- a/src/main/java/reedmux/lab/LinkStandIn.java
+++ b/src/main/java/reedmux/lab/LinkStandIn.java
@@ -20,10 +20,16 @@
 /** The line between two regions: notes each request that crosses it, and breaks as it is told to. */
 public final class LinkStandIn extends StandIn {
     /** What it does with a request. */
-    public enum Does { PASSES, SILENT, BREAKS_BEFORE, BREAKS_AFTER, BREAKS_ANSWERING }
+    public enum Does {
+        PASSES,
+        SILENT,
+        BREAKS_BEFORE,
+        BREAKS_AFTER,
+        BREAKS_ANSWERING
+    }
 
     /** One that has crossed; {@code at} in nanoseconds of the system's monotonic clock. */
-    public record Crossing(long at, String id, String path, double units) { }
+    public record Crossing(long at, String id, String path, double units) {}
 
     private static final int LONGEST_MILLIS = 20_000;
     private final InetSocketAddress to;
@@ -48,8 +54,11 @@
     boolean handle(Socket socket, DefaultBHttpServerConnection connection, ClassicHttpRequest request)
             throws IOException, HttpException, InterruptedException {
         String units = header(request, "X-Region-Units");
-        crossings.add(new Crossing(System.nanoTime(), header(request, "X-Trace-Id"),
-                header(request, "X-Region-Path"), units.isEmpty() ? 0 : Double.parseDouble(units)));
+        crossings.add(new Crossing(
+                System.nanoTime(),
+                header(request, "X-Trace-Id"),
+                header(request, "X-Region-Path"),
+                units.isEmpty() ? 0 : Double.parseDouble(units)));
         Does does = script.get();
         if (does == Does.SILENT) {
             Thread.sleep(LONGEST_MILLIS);
@@ -84,8 +93,7 @@
             }
             ClassicHttpResponse answer = onward.receiveResponseHeader();
             onward.receiveResponseEntity(answer);
-            byte[] told = answer.getEntity() == null ? new byte[0]
-                    : EntityUtils.toByteArray(answer.getEntity());
+            byte[] told = answer.getEntity() == null ? new byte[0] : EntityUtils.toByteArray(answer.getEntity());
             if (does == Does.BREAKS_ANSWERING) {
                 reset(socket);
                 return false;
--- a/src/main/java/reedmux/lab/ProviderStandIn.java
+++ b/src/main/java/reedmux/lab/ProviderStandIn.java
@@ -19,7 +19,16 @@
  */
 public final class ProviderStandIn extends StandIn {
     /** What it does with a request. */
-    public enum Does { ANSWERS, FULL, ERRS, HANGS, SLOW, RESETS_BEFORE, RESETS_AFTER, HALF_ANSWERS }
+    public enum Does {
+        ANSWERS,
+        FULL,
+        ERRS,
+        HANGS,
+        SLOW,
+        RESETS_BEFORE,
+        RESETS_AFTER,
+        HALF_ANSWERS
+    }
 
     private static final long SLOW_FACTOR = 20;
     private static final int HANGS_MILLIS = 30_000;
@@ -91,8 +100,8 @@
             reset(socket);
             return false;
         } else if (does == Does.HALF_ANSWERS) {
-            socket.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nhalf"
-                    .getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nhalf".getBytes(StandardCharsets.US_ASCII));
             reset(socket);
             return false;
         }
--- a/src/main/java/reedmux/lab/QuickPoolScene.java
+++ b/src/main/java/reedmux/lab/QuickPoolScene.java
@@ -26,7 +26,7 @@
     private static final int[] WORK_MILLIS = {0, 1, 5, 50};
     private static final int ROUNDS = 3;
 
-    private QuickPoolScene() { }
+    private QuickPoolScene() {}
 
     static Claims run(Consumer<String> progress) throws IOException, InterruptedException {
         Claims claims = new Claims();
@@ -37,10 +37,13 @@
                     for (int i = 0; i < (work > 5 || !neighbour ? 1 : ROUNDS); i++) {
                         worst = Math.max(worst, round(providers, work, neighbour));
                     }
-                    String which = providers + " providers of " + work + " ms" + (neighbour
-                            ? " beside a busy neighbour" : "");
-                    claims.claim(which + ": share refused, worst round",
-                            String.format(Locale.ROOT, "%.4f", worst), "0.01", worst < 0.01);
+                    String which =
+                            providers + " providers of " + work + " ms" + (neighbour ? " beside a busy neighbour" : "");
+                    claims.claim(
+                            which + ": share refused, worst round",
+                            String.format(Locale.ROOT, "%.4f", worst),
+                            "0.01",
+                            worst < 0.01);
                     progress.accept(which + ": " + worst);
                 }
             }
@@ -48,8 +51,7 @@
         return claims;
     }
 
-    private static double round(int count, int workMillis, boolean neighbour) throws IOException,
-            InterruptedException {
+    private static double round(int count, int workMillis, boolean neighbour) throws IOException, InterruptedException {
         List<Gatekeeper.Addresses> addresses = Gatekeeper.free(1);
         List<ProviderStandIn> providers = new ArrayList<>();
         try (DiscoveryStandIn discovery = new DiscoveryStandIn();
@@ -58,8 +60,8 @@
                 providers.add(new ProviderStandIn(CONSUMERS, CONSUMERS, workMillis));
                 discovery.list("s" + i, providers.get(i).hostPort(), "Ready");
             }
-            try (Gatekeeper gatekeeper = new Gatekeeper(Files.createTempDirectory("reedmux-quick"),
-                    Gatekeeper.config(0, addresses, discovery), null)) {
+            try (Gatekeeper gatekeeper = new Gatekeeper(
+                    Files.createTempDirectory("reedmux-quick"), Gatekeeper.config(0, addresses, discovery), null)) {
                 boolean oneCore = neighbour && gatekeeper.onOneCore();
                 gatekeeper.start();
                 gatekeeper.awaitReady(consumers);
@@ -86,10 +88,17 @@
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONGEST_SECONDS);
         for (int i = 0; i < CONSUMERS; i++) {
             StandIn.thread("consumer-in-turn", () -> {
-                for (int id = ids.incrementAndGet(); id <= REQUESTS && System.nanoTime() < end;
+                for (int id = ids.incrementAndGet();
+                        id <= REQUESTS && System.nanoTime() < end;
                         id = ids.incrementAndGet()) {
-                    Told told = consumers.askAndWait(new Asked(String.format(Locale.ROOT, "%016x", id),
-                            id % 2 == 0 ? "check" : "reject", id % 2 == 0, id % CUSTOMERS, 1, 3_000, 1));
+                    Told told = consumers.askAndWait(new Asked(
+                            String.format(Locale.ROOT, "%016x", id),
+                            id % 2 == 0 ? "check" : "reject",
+                            id % 2 == 0,
+                            id % CUSTOMERS,
+                            1,
+                            3_000,
+                            1));
                     if (told.status() != 200) {
                         refused.incrementAndGet();
                     }
--- a/src/main/java/reedmux/lab/RegionScene.java
+++ b/src/main/java/reedmux/lab/RegionScene.java
@@ -31,9 +31,11 @@
     private static final int PER_SECOND = 30;
     /** Less than what east is asked, about 45 units a second, so that the budget is what bounds. */
     private static final double RATE = 24;
+
     private static final double BURST = 24;
     /** Between the time on which a decision rests and the line's note of it, in seconds. */
     private static final double NOTED_WITHIN = 0.2;
+
     private static final long PATIENCE_MILLIS = 12_000;
     private static final long SECOND = 1_000_000_000;
 
@@ -47,6 +49,7 @@
         final List<ConsumerStandIn> consumers = new ArrayList<>();
         /** The lines that lead from the other region to our gatekeepers. */
         final List<LinkStandIn> lines = new ArrayList<>();
+
         final Path settings;
 
         Region(String name, Path folder) throws IOException {
@@ -64,7 +67,11 @@
         }
 
         void settle(Region other, boolean lastResort) throws IOException {
-            Files.writeString(settings, region(other) + (lastResort ? """
+            Files.writeString(
+                    settings,
+                    region(other)
+                            + (lastResort
+                                    ? """
 
                     last_resort(
                         region = "%s",
@@ -72,8 +79,14 @@
                         budget = budget(share = 1, rate = %s, burst = %s),
                         most_at_once = 32, least_time = "100ms", margin = "20ms", first_guess = "20ms",
                     )
-                    """.formatted(other.name, other.lines.stream().map(line -> '"' + line.hostPort() + '"')
-                            .collect(Collectors.joining(", ")), RATE, BURST) : ""));
+                    """.formatted(
+                                                    other.name,
+                                                    other.lines.stream()
+                                                            .map(line -> '"' + line.hostPort() + '"')
+                                                            .collect(Collectors.joining(", ")),
+                                                    RATE,
+                                                    BURST)
+                                    : ""));
         }
 
         private String region(Region other) {
@@ -133,7 +146,8 @@
                 region.gatekeepers.forEach(Gatekeeper::close);
                 region.consumers.forEach(ConsumerStandIn::close);
                 for (StandIn standIn : Stream.of(region.providers, region.lines, List.of(region.discovery))
-                        .flatMap(List::stream).toList()) {
+                        .flatMap(List::stream)
+                        .toList()) {
                     standIn.close();
                 }
             }
@@ -145,8 +159,11 @@
             region.settle(region == east ? west : east, lastResort);
             String whole = Files.readString(region.settings);
             for (int i = 0; i < GATEKEEPERS; i++) {
-                Files.writeString(own(region, i), whole.replace("%s",
-                        Gatekeeper.hostPort(region.addresses.get(i).regions())));
+                Files.writeString(
+                        own(region, i),
+                        whole.replace(
+                                "%s",
+                                Gatekeeper.hostPort(region.addresses.get(i).regions())));
             }
         }
     }
@@ -159,8 +176,10 @@
         settle(true);
         for (Region region : List.of(east, west)) {
             for (int i = 0; i < GATEKEEPERS; i++) {
-                Gatekeeper gatekeeper = new Gatekeeper(folder.resolve(region.name + '-' + i),
-                        Gatekeeper.config(i, region.addresses, region.discovery), own(region, i));
+                Gatekeeper gatekeeper = new Gatekeeper(
+                        folder.resolve(region.name + '-' + i),
+                        Gatekeeper.config(i, region.addresses, region.discovery),
+                        own(region, i));
                 region.gatekeepers.add(gatekeeper);
                 gatekeeper.start();
             }
@@ -197,9 +216,16 @@
     private void ask(Region region) {
         boolean repeatable = random.nextBoolean();
         long id = (region == east ? 0xe000_0000_0000L : 0x3000_0000_0000L) + ++ids;
-        region.consumers.get(random.nextInt(GATEKEEPERS)).ask(new Asked(String.format("%016x", id),
-                repeatable ? "check" : "reject", repeatable, random.nextInt(CUSTOMERS), 1 + random.nextInt(2),
-                DEADLINE_MILLIS, GATEKEEPERS));
+        region.consumers
+                .get(random.nextInt(GATEKEEPERS))
+                .ask(new Asked(
+                        String.format("%016x", id),
+                        repeatable ? "check" : "reject",
+                        repeatable,
+                        random.nextInt(CUSTOMERS),
+                        1 + random.nextInt(2),
+                        DEADLINE_MILLIS,
+                        GATEKEEPERS));
     }
 
     private Claims play() throws IOException, InterruptedException {
@@ -261,16 +287,17 @@
         }
         judge(claims, new long[] {calm, calmEnd, gone, restarted, back, backEnd, none, noneEnd, off, offEnd});
         claims.claim("every consumer has its answer", all, true, all);
-        claims.claim("all end after SIGTERM, ms", ended ? longest : "never", "8000", ended
-                && longest < 8_000);
+        claims.claim("all end after SIGTERM, ms", ended ? longest : "never", "8000", ended && longest < 8_000);
         return claims;
     }
 
     private void judge(Claims claims, long[] at) {
         List<Crossing> fromEast = crossings(west);
         List<Crossing> fromWest = crossings(east);
-        claims.claim("requests that cross while all is well", between(fromEast, at[0], at[1])
-                + between(fromWest, at[0], at[1]), 0,
+        claims.claim(
+                "requests that cross while all is well",
+                between(fromEast, at[0], at[1]) + between(fromWest, at[0], at[1]),
+                0,
                 between(fromEast, at[0], at[1]) + between(fromWest, at[0], at[1]) == 0);
         double well = served(east, at[0], at[1]);
         double away = served(east, at[2] + SECOND, at[2] + 6 * SECOND);
@@ -282,69 +309,96 @@
         claims.claim("west's own served meanwhile", share(westWell), "0.98", westWell >= 0.98);
         double after = served(east, at[3] + SECOND, at[4]);
         claims.claim("east served after a west gatekeeper is back", share(after), "0.40", after >= 0.4);
-        long last = Stream.of(fromEast, fromWest).flatMap(List::stream).mapToLong(Crossing::at)
-                .filter(when -> when >= at[4] && when < at[5]).max().orElse(at[4]);
-        claims.claim("last crossing after east is back, s", share((last - at[4]) / 1e9), "6",
-                last - at[4] < 6 * SECOND);
+        long last = Stream.of(fromEast, fromWest)
+                .flatMap(List::stream)
+                .mapToLong(Crossing::at)
+                .filter(when -> when >= at[4] && when < at[5])
+                .max()
+                .orElse(at[4]);
+        claims.claim(
+                "last crossing after east is back, s", share((last - at[4]) / 1e9), "6", last - at[4] < 6 * SECOND);
         double returned = served(east, at[5] - SECOND, at[5] - SECOND / 5);
         claims.claim("east served by its own again", share(returned), "0.98", returned >= 0.98);
-        double slowest = Stream.of(east, west).flatMap(Region::told)
+        double slowest = Stream.of(east, west)
+                .flatMap(Region::told)
                 .filter(told -> told.sentAt() >= at[6] + SECOND && told.sentAt() < at[7])
-                .mapToDouble(Told::millis).max().orElse(-1);
-        claims.claim("both have none: slowest answer, ms", share(slowest), "500",
-                slowest >= 0 && slowest < 500);
+                .mapToDouble(Told::millis)
+                .max()
+                .orElse(-1);
+        claims.claim("both have none: slowest answer, ms", share(slowest), "500", slowest >= 0 && slowest < 500);
         long offCrossed = between(fromEast, at[8], at[9]) + between(fromWest, at[8], at[9]);
         claims.claim("crossings once it is off", offCrossed, 0, offCrossed == 0);
 
-        Map<String, Long> often = Stream.of(fromEast, fromWest).flatMap(List::stream)
+        Map<String, Long> often = Stream.of(fromEast, fromWest)
+                .flatMap(List::stream)
                 .collect(Collectors.groupingBy(Crossing::id, Collectors.counting()));
         long twice = often.values().stream().filter(count -> count > 1).count();
         claims.claim("requests that crossed", often.size(), "over 200", often.size() > 200);
         claims.claim("requests that crossed twice", twice, 0, twice == 0);
-        long strange = Stream.concat(fromEast.stream().filter(c -> !c.path().equals("east")),
-                fromWest.stream().filter(c -> !c.path().equals("west"))).count();
+        long strange = Stream.concat(
+                        fromEast.stream().filter(c -> !c.path().equals("east")),
+                        fromWest.stream().filter(c -> !c.path().equals("west")))
+                .count();
         claims.claim("crossings that do not name just their own region", strange, 0, strange == 0);
         double over = Math.max(excess(fromEast), excess(fromWest));
         claims.claim("most units sent beyond the budget, any stretch", share(over), 0, over <= 0);
         claims.claim("so near the budget came to its bound", share(-over), "under 15", -over < 15);
 
         Map<String, Integer> runs = new HashMap<>();
-        Stream.of(east, west).flatMap(region -> region.providers.stream()).forEach(provider ->
-                provider.runs().forEach((id, count) -> runs.merge(id, count.get(), Integer::sum)));
+        Stream.of(east, west)
+                .flatMap(region -> region.providers.stream())
+                .forEach(provider -> provider.runs().forEach((id, count) -> runs.merge(id, count.get(), Integer::sum)));
         List<Told> told = Stream.of(east, west).flatMap(Region::told).toList();
         Predicate<Told> ran = one -> runs.getOrDefault(one.asked().id(), 0) > 0;
-        long copies = told.stream().filter(one -> !one.asked().repeatable()
-                && runs.getOrDefault(one.asked().id(), 0) > 1).count();
+        long copies = told.stream()
+                .filter(one -> !one.asked().repeatable()
+                        && runs.getOrDefault(one.asked().id(), 0) > 1)
+                .count();
         claims.claim("requests asked", told.size(), ids, told.size() == ids);
         claims.claim("rejects that ran twice", copies, 0, copies == 0);
-        long wrong = told.stream().filter(one -> (one.status() == 429 || one.status() == 503)
-                && !one.asked().repeatable()).filter(ran).count();
+        long wrong = told.stream()
+                .filter(one -> (one.status() == 429 || one.status() == 503)
+                        && !one.asked().repeatable())
+                .filter(ran)
+                .count();
         claims.claim("rejects refused that ran", wrong, 0, wrong == 0);
-        long spoilt = told.stream().filter(one -> one.status() == 200 && !one.whole()).count();
+        long spoilt =
+                told.stream().filter(one -> one.status() == 200 && !one.whole()).count();
         claims.claim("answers that are another's", spoilt, 0, spoilt == 0);
-        long late = told.stream().filter(one -> one.status() > 0 && one.millis() > DEADLINE_MILLIS + 50)
+        long late = told.stream()
+                .filter(one -> one.status() > 0 && one.millis() > DEADLINE_MILLIS + 50)
                 .count();
         claims.claim("answers after the deadline", late, 0, late == 0);
-        long lost = told.stream().filter(one -> one.status() <= 0 && one.asked().id().startsWith("0000e"))
+        long lost = told.stream()
+                .filter(one -> one.status() <= 0 && one.asked().id().startsWith("0000e"))
                 .count();
         claims.claim("east's requests without an answer", lost, 0, lost == 0);
-        long bare = told.stream().filter(one -> (one.status() == 429 || one.status() == 503)
-                && one.retryAfter() < 0).count();
+        long bare = told.stream()
+                .filter(one -> (one.status() == 429 || one.status() == 503) && one.retryAfter() < 0)
+                .count();
         claims.claim("refusals without Retry-After", bare, 0, bare == 0);
     }
 
     private static List<Crossing> crossings(Region into) {
-        return into.lines.stream().flatMap(line -> line.crossings().stream())
-                .sorted(Comparator.comparingLong(Crossing::at)).toList();
+        return into.lines.stream()
+                .flatMap(line -> line.crossings().stream())
+                .sorted(Comparator.comparingLong(Crossing::at))
+                .toList();
     }
 
     private static long between(List<Crossing> crossings, long from, long to) {
-        return crossings.stream().filter(crossing -> crossing.at() >= from && crossing.at() < to).count();
+        return crossings.stream()
+                .filter(crossing -> crossing.at() >= from && crossing.at() < to)
+                .count();
     }
 
     private static double served(Region region, long from, long to) {
-        List<Told> asked = region.told().filter(told -> told.sentAt() >= from && told.sentAt() < to).toList();
-        return asked.stream().filter(told -> told.status() == 200 && told.millis() <= 1_200).count()
+        List<Told> asked = region.told()
+                .filter(told -> told.sentAt() >= from && told.sentAt() < to)
+                .toList();
+        return asked.stream()
+                        .filter(told -> told.status() == 200 && told.millis() <= 1_200)
+                        .count()
                 / (double) Math.max(1, asked.size());
     }
 
--- a/src/main/java/reedmux/lab/ServicesScene.java
+++ b/src/main/java/reedmux/lab/ServicesScene.java
@@ -32,6 +32,7 @@
     private static final int QUIET_PER_SECOND = 40;
     /** Of the loud service: two providers of two cores and 20 ms each. */
     private static final int LOUD_CAPACITY = 200;
+
     private static final int DEADLINE_MILLIS = 2_000;
     private static final int SECONDS = 4;
     private static final int ROUNDS = 3;
@@ -39,6 +40,7 @@
     private static final int IDLE = 1_000;
     /** Consumers that ask without a pause: as many requests always wait in the gatekeeper. */
     private static final int PRESSING = 128;
+
     private static final long SECOND = 1_000_000_000;
 
     /** A service and all that stands round it. */
@@ -101,18 +103,21 @@
 
     // ---- The settings ------------------------------------------------------------------------------
     private String service(String name, String as) {
-        return "service(name = \"" + as + "\", discovery = \"" + services.get(name).discovery.hostPort()
-                + "\")\nroute(host = \"" + services.get(name).host + "\", service = \"" + as + "\")\n";
+        return "service(name = \"" + as + "\", discovery = \""
+                + services.get(name).discovery.hostPort() + "\")\nroute(host = \"" + services.get(name).host
+                + "\", service = \"" + as + "\")\n";
     }
 
     private void settle(boolean fair, String... further) throws IOException {
-        Files.writeString(settings, "sharing(fair = " + (fair ? "True" : "False") + ")\n"
-                + service(LOUD, LOUD) + service(QUIET.get(1), QUIET.get(1)) + String.join("", further));
+        Files.writeString(
+                settings,
+                "sharing(fair = " + (fair ? "True" : "False") + ")\n" + service(LOUD, LOUD)
+                        + service(QUIET.get(1), QUIET.get(1)) + String.join("", further));
     }
 
     private Gatekeeper gatekeeper(List<Gatekeeper.Addresses> addresses, String name) throws IOException {
-        return new Gatekeeper(folder.resolve(name), Gatekeeper.config(0, addresses,
-                services.get(QUIET.get(0)).discovery), settings);
+        return new Gatekeeper(
+                folder.resolve(name), Gatekeeper.config(0, addresses, services.get(QUIET.get(0)).discovery), settings);
     }
 
     // ---- The load ----------------------------------------------------------------------------------
@@ -121,30 +126,45 @@
         final Map<String, ConsumerStandIn> consumers = new HashMap<>();
 
         Load(Gatekeeper.Addresses at) {
-            services.forEach((name, service) ->
-                    consumers.put(name, new ConsumerStandIn(at.consumers(), service.host)));
+            services.forEach((name, service) -> consumers.put(name, new ConsumerStandIn(at.consumers(), service.host)));
         }
 
         void ask(String name) {
             long id = ++ids;
             asked++;
             boolean repeatable = id % 2 == 0;
-            consumers.get(name).ask(new Asked(String.format(Locale.ROOT, "%016x", services.get(name).ids
-                    + id),
-                    repeatable ? "check" : "reject", repeatable, id % 50, 1, DEADLINE_MILLIS, 1));
+            consumers
+                    .get(name)
+                    .ask(new Asked(
+                            String.format(Locale.ROOT, "%016x", services.get(name).ids + id),
+                            repeatable ? "check" : "reject",
+                            repeatable,
+                            id % 50,
+                            1,
+                            DEADLINE_MILLIS,
+                            1));
         }
 
         /** Has so many consumers ask the loud service without a pause until they are told to end. */
         List<Thread> press(int consumers, AtomicBoolean pressing) {
-            return IntStream.range(0, consumers).mapToObj(i -> StandIn.thread("press", () -> {
-                while (pressing.get()) {
-                    long id = pressed.incrementAndGet();
-                    Told one = this.consumers.get(LOUD).askAndWait(new Asked(String.format(Locale.ROOT,
-                            "%016x",
-                            services.get(LOUD).ids + id), "check", true, id % 50, 1, DEADLINE_MILLIS, 1));
-                    outcomes.merge(one.status(), 1, Integer::sum);
-                }
-            })).toList();
+            return IntStream.range(0, consumers)
+                    .mapToObj(i -> StandIn.thread("press", () -> {
+                        while (pressing.get()) {
+                            long id = pressed.incrementAndGet();
+                            Told one = this.consumers
+                                    .get(LOUD)
+                                    .askAndWait(new Asked(
+                                            String.format(Locale.ROOT, "%016x", services.get(LOUD).ids + id),
+                                            "check",
+                                            true,
+                                            id % 50,
+                                            1,
+                                            DEADLINE_MILLIS,
+                                            1));
+                            outcomes.merge(one.status(), 1, Integer::sum);
+                        }
+                    }))
+                    .toList();
         }
 
         /** For so many seconds; {@code loud} requests a second to the one service beside the quiet ones. */
@@ -160,8 +180,7 @@
                 for (; owe[1] >= 1; owe[1]--) {
                     ask(LOUD);
                 }
-                TimeUnit.NANOSECONDS.sleep(Math.max(0, begin + (step
-                        + 1) * SECOND / 200 - System.nanoTime()));
+                TimeUnit.NANOSECONDS.sleep(Math.max(0, begin + (step + 1) * SECOND / 200 - System.nanoTime()));
             }
         }
 
@@ -182,20 +201,23 @@
     }
 
     /** How the quiet services fared in one stretch. */
-    private record Fared(double service, double p99, int refusedLoud, int askedLoud) { }
+    private record Fared(double service, double p99, int refusedLoud, int askedLoud) {}
 
     private Fared stretch(Gatekeeper.Addresses at, int loud) throws InterruptedException {
         try (Load load = new Load(at)) {
             load.run(SECONDS, loud);
             List<Told> all = load.finish();
             long from = services.get(LOUD).ids;
-            List<Told> quiet = all.stream().filter(one -> (id(one) >>> 48 << 48) != from).toList();
+            List<Told> quiet =
+                    all.stream().filter(one -> (id(one) >>> 48 << 48) != from).toList();
             double[] millis = quiet.stream().mapToDouble(Told::millis).sorted().toArray();
-            List<Told> print = all.stream().filter(one -> (id(one) >>> 48 << 48) == from).toList();
-            return new Fared(quiet.stream().filter(one -> one.status()
-                    == 200).count() / (double) quiet.size(),
+            List<Told> print =
+                    all.stream().filter(one -> (id(one) >>> 48 << 48) == from).toList();
+            return new Fared(
+                    quiet.stream().filter(one -> one.status() == 200).count() / (double) quiet.size(),
                     millis[(int) (millis.length * 0.99)],
-                    (int) print.stream().filter(one -> one.status() != 200).count(), print.size());
+                    (int) print.stream().filter(one -> one.status() != 200).count(),
+                    print.size());
         }
     }
 
@@ -213,9 +235,11 @@
             }
             List<Told> quiet = load.finish();
             double[] millis = quiet.stream().mapToDouble(Told::millis).sorted().toArray();
-            return new Fared(quiet.stream().filter(one -> one.status()
-                    == 200).count() / (double) quiet.size(),
-                    millis[(int) (millis.length * 0.99)], 0, 0);
+            return new Fared(
+                    quiet.stream().filter(one -> one.status() == 200).count() / (double) quiet.size(),
+                    millis[(int) (millis.length * 0.99)],
+                    0,
+                    0);
         }
     }
 
@@ -250,17 +274,18 @@
                 calm.add(stretch(addresses.get(0), 0));
                 loud.add(stretch(addresses.get(0), LOUD_CAPACITY * 10));
                 press.add(pressed(addresses.get(0)));
-                progress.accept(how + ": calm " + calm.get(i) + ", loud " + loud.get(i) + ", pressed "
-                        + press.get(i));
+                progress.accept(how + ": calm " + calm.get(i) + ", loud " + loud.get(i) + ", pressed " + press.get(i));
             }
-            claims.note(how + ", asked without a pause by " + PRESSING + ": ratio of the p99",
+            claims.note(
+                    how + ", asked without a pause by " + PRESSING + ": ratio of the p99",
                     text(median(press, false) / median(calm, false)));
             claims.note(how + ", asked without a pause: what came of it", outcomes.toString());
             outcomes.clear();
             double ratio = median(loud, false) / median(calm, false);
             double lost = median(calm, true) - median(loud, true);
-            claims.note(how + ": p99 of the quiet, ms, calm and flooded", text(median(calm, false)) + " and "
-                    + text(median(loud, false)));
+            claims.note(
+                    how + ": p99 of the quiet, ms, calm and flooded",
+                    text(median(calm, false)) + " and " + text(median(loud, false)));
             if (fair) {
                 claims.claim(how + ": ratio of the p99", text(ratio), "1.2", ratio <= 1.2);
                 claims.claim(how + ": service lost by the quiet", text(lost), "0.01", lost <= 0.01);
@@ -268,8 +293,7 @@
                 claims.note(how + ": ratio of the p99", text(ratio));
                 claims.note(how + ": service lost by the quiet", text(lost));
             }
-            claims.note(how + ": of the loud refused", loud.get(0).refusedLoud + " of "
-                    + loud.get(0).askedLoud);
+            claims.note(how + ": of the loud refused", loud.get(0).refusedLoud + " of " + loud.get(0).askedLoud);
             if (fair) {
                 hang(claims, addresses.get(0), calm);
                 crowd(claims, addresses.get(0), calm);
@@ -282,10 +306,15 @@
         services.get(LOUD).providers.forEach(provider -> provider.script(id -> Does.HANGS));
         Fared hung = stretch(at, LOUD_CAPACITY);
         services.get(LOUD).providers.forEach(provider -> provider.script(id -> Does.ANSWERS));
-        claims.claim("loud providers hang: service of the quiet lost", text(median(calm,
-                true) - hung.service),
-                "0.01", median(calm, true) - hung.service <= 0.01);
-        claims.claim("loud providers hang: ratio of the p99", text(hung.p99 / median(calm, false)), "1.2",
+        claims.claim(
+                "loud providers hang: service of the quiet lost",
+                text(median(calm, true) - hung.service),
+                "0.01",
+                median(calm, true) - hung.service <= 0.01);
+        claims.claim(
+                "loud providers hang: ratio of the p99",
+                text(hung.p99 / median(calm, false)),
+                "1.2",
                 hung.p99 / median(calm, false) <= 1.2);
     }
 
@@ -298,8 +327,9 @@
                 for (int i = 0; i < IDLE; i++) {
                     Socket socket = new Socket();
                     socket.connect(at.consumers(), 5_000);
-                    socket.getOutputStream().write(("GET /check HTTP/1.1\r\nHost: " + services.get(LOUD).host
-                            + "\r\n\r\n").getBytes(java.nio.charset.StandardCharsets.US_ASCII));
+                    socket.getOutputStream()
+                            .write(("GET /check HTTP/1.1\r\nHost: " + services.get(LOUD).host + "\r\n\r\n")
+                                    .getBytes(java.nio.charset.StandardCharsets.US_ASCII));
                     crowd.add(socket);
                 }
             } catch (IOException e) {
@@ -309,8 +339,11 @@
         Fared crowded = stretch(at, 0);
         opener.join(5_000);
         claims.claim("connections for the loud host that stay", crowd.size(), IDLE, crowd.size() == IDLE);
-        claims.claim("with them: service of the quiet lost", text(median(calm, true) - crowded.service),
-                "0.01", median(calm, true) - crowded.service <= 0.01);
+        claims.claim(
+                "with them: service of the quiet lost",
+                text(median(calm, true) - crowded.service),
+                "0.01",
+                median(calm, true) - crowded.service <= 0.01);
         for (Socket socket : crowd) {
             socket.close();
         }
@@ -329,11 +362,15 @@
             long descriptors = gatekeeper.descriptors();
             for (int i = 0; i < RELOADS; i++) {
                 switch (i % 4) {
-                    case 0 -> settle(true, service(LOUD, "extra-" + i).replace(services.get(LOUD).host,
-                            "extra.example.org")); // one comes
+                    case 0 ->
+                        settle(
+                                true,
+                                service(LOUD, "extra-" + i)
+                                        .replace(services.get(LOUD).host, "extra.example.org")); // one comes
                     case 1 -> settle(true); // it goes
-                    case 2 -> Files.writeString(settings, service(LOUD, "renamed-" + i)
-                            + service(QUIET.get(1), QUIET.get(1)));
+                    case 2 ->
+                        Files.writeString(
+                                settings, service(LOUD, "renamed-" + i) + service(QUIET.get(1), QUIET.get(1)));
                     default -> Files.writeString(settings, "service(name = \"broken\")\n");
                 }
                 gatekeeper.hangUp();
@@ -345,20 +382,27 @@
             settle(true);
             gatekeeper.hangUp();
             load.run(4, LOUD_CAPACITY / 2);
-            long lost = load.finish().stream().filter(one -> one.status() != 200).count();
+            long lost =
+                    load.finish().stream().filter(one -> one.status() != 200).count();
             claims.claim(RELOADS + " reloads: requests without their answer", lost, 0, lost == 0);
             String log = gatekeeper.log();
-            long swaps = Stream.of(log.split("\n")).filter(line -> line.contains("services: now")).count();
+            long swaps = Stream.of(log.split("\n"))
+                    .filter(line -> line.contains("services: now"))
+                    .count();
             claims.claim("tables that took over", swaps, "over 30", swaps > 30);
-            long bad = Stream.of(log.split("\n")).filter(line -> line.contains("the old settings"
-                    + " stay")).count();
+            long bad = Stream.of(log.split("\n"))
+                    .filter(line -> line.contains("the old settings" + " stay"))
+                    .count();
             claims.claim("broken files that changed nothing", bad, 12, bad == 12);
             double heapAfter = CostScene.heap(gatekeeper);
             long after = gatekeeper.descriptors();
-            claims.claim("heap in use before and after, KiB", text(heap) + " and " + text(heapAfter), "+1024",
+            claims.claim(
+                    "heap in use before and after, KiB",
+                    text(heap) + " and " + text(heapAfter),
+                    "+1024",
                     heapAfter <= heap + 1024);
-            claims.claim("descriptors before and after", descriptors + " and " + after, "+16",
-                    after <= descriptors + 16);
+            claims.claim(
+                    "descriptors before and after", descriptors + " and " + after, "+16", after <= descriptors + 16);
         }
     }
 
@@ -372,25 +416,33 @@
                 }
             }
             Map<String, Integer> runs = new HashMap<>();
-            service.providers.forEach(provider -> provider.runs().forEach((id, count) ->
-                    runs.merge(id, count.get(), Integer::sum)));
-            twice += told.stream().filter(one -> !one.asked().repeatable()
-                    && runs.getOrDefault(one.asked().id(), 0) > 1).count();
+            service.providers.forEach(
+                    provider -> provider.runs().forEach((id, count) -> runs.merge(id, count.get(), Integer::sum)));
+            twice += told.stream()
+                    .filter(one -> !one.asked().repeatable()
+                            && runs.getOrDefault(one.asked().id(), 0) > 1)
+                    .count();
         }
         claims.claim("requests that ran at another service's provider", strange, 0, strange == 0);
         claims.claim("rejects that ran twice", twice, 0, twice == 0);
         claims.claim("requests with an outcome", told.size(), asked, told.size() == asked);
-        long spoilt = told.stream().filter(one -> one.status() == 200 && !one.whole()).count();
+        long spoilt =
+                told.stream().filter(one -> one.status() == 200 && !one.whole()).count();
         claims.claim("answers that are another's", spoilt, 0, spoilt == 0);
-        long bare = told.stream().filter(one -> (one.status() == 429 || one.status() == 503)
-                && one.retryAfter() < 0).count();
+        long bare = told.stream()
+                .filter(one -> (one.status() == 429 || one.status() == 503) && one.retryAfter() < 0)
+                .count();
         claims.claim("refusals without Retry-After", bare, 0, bare == 0);
-        long late = told.stream().filter(one -> one.millis() > DEADLINE_MILLIS + 100).count();
+        long late = told.stream()
+                .filter(one -> one.millis() > DEADLINE_MILLIS + 100)
+                .count();
         claims.claim("answers after the deadline", late, 0, late == 0);
     }
 
     private static double median(List<Fared> fared, boolean service) {
-        double[] values = fared.stream().mapToDouble(one -> service ? one.service : one.p99).toArray();
+        double[] values = fared.stream()
+                .mapToDouble(one -> service ? one.service : one.p99)
+                .toArray();
         Arrays.sort(values);
         return values[values.length / 2];
     }
--- a/src/main/java/reedmux/lab/StandIn.java
+++ b/src/main/java/reedmux/lab/StandIn.java
@@ -66,8 +66,7 @@
     }
 
     private void serve(Socket socket) {
-        try (DefaultBHttpServerConnection connection = new DefaultBHttpServerConnection("http",
-                Http1Config.DEFAULT)) {
+        try (DefaultBHttpServerConnection connection = new DefaultBHttpServerConnection("http", Http1Config.DEFAULT)) {
             connection.bind(socket);
             ClassicHttpRequest request = connection.receiveRequestHeader();
             while (request != null && handle(socket, connection, request)) {
@@ -83,8 +82,7 @@
     }
 
     /** Serves one request, of which only the head has been read; returns whether the connection lives on. */
-    abstract boolean handle(Socket socket, DefaultBHttpServerConnection connection,
-            ClassicHttpRequest request)
+    abstract boolean handle(Socket socket, DefaultBHttpServerConnection connection, ClassicHttpRequest request)
             throws IOException, HttpException, InterruptedException;
 
     static byte[] body(DefaultBHttpServerConnection connection, ClassicHttpRequest request)
--- a/src/main/java/reedmux/lab/UpgradeScene.java
+++ b/src/main/java/reedmux/lab/UpgradeScene.java
@@ -22,6 +22,7 @@
     private static final int SECONDS = 32;
     /** The customer who asks for too much, in so many of so many requests. */
     private static final long GREEDY = 7;
+
     private static final int GREEDY_OF = 2;
     private static final double RATE = 10;
     private static final double BURST = 40;
@@ -61,8 +62,8 @@
                 discovery.list("s" + i, providers.get(i).hostPort(), "Ready");
             }
             String config = Gatekeeper.config(0, addresses, discovery)
-                    .replace("\"refill\":200.0,\"mostAtOnce\":600.0",
-                            "\"refill\":" + RATE + ",\"mostAtOnce\":" + BURST);
+                    .replace(
+                            "\"refill\":200.0,\"mostAtOnce\":600.0", "\"refill\":" + RATE + ",\"mostAtOnce\":" + BURST);
             return new UpgradeScene(folder, config, listen).play(consumers, progress);
         } finally {
             for (ProviderStandIn provider : providers) {
@@ -75,7 +76,8 @@
         int number = started++;
         InetSocketAddress door = Gatekeeper.free(1).get(0).consumers();
         Gatekeeper process = new Gatekeeper(folder.resolve("p" + number), config, null)
-                .with("TMPDIR", shared.toString()).with("RELAY_OPERATOR", Gatekeeper.hostPort(door));
+                .with("TMPDIR", shared.toString())
+                .with("RELAY_OPERATOR", Gatekeeper.hostPort(door));
         process.start();
         return new Running(process, door, System.nanoTime());
     }
@@ -91,8 +93,7 @@
         return (System.nanoTime() - one.startedAt) / 1_000_000;
     }
 
-    private Claims play(ConsumerStandIn consumers, Consumer<String> progress)
-            throws IOException, InterruptedException {
+    private Claims play(ConsumerStandIn consumers, Consumer<String> progress) throws IOException, InterruptedException {
         Running first = start();
         await(first);
         long begin = System.nanoTime();
@@ -107,8 +108,11 @@
         TimeUnit.SECONDS.sleep(3);
         long overAt = System.nanoTime();
         String log = second.process.log();
-        claims.claim("one that dies: the former serves on", second.serves() && log.contains("serving on"),
-                true, second.serves() && log.contains("serving on"));
+        claims.claim(
+                "one that dies: the former serves on",
+                second.serves() && log.contains("serving on"),
+                true,
+                second.serves() && log.contains("serving on"));
         TimeUnit.SECONDS.sleep(2);
         Running last = upgrade(second, "second upgrade", progress);
         load.join();
@@ -127,8 +131,7 @@
         claims.claim(what + ": yes after, ms", yes, YES_MILLIS, yes >= 0 && yes <= YES_MILLIS);
         long memory = next.process.memory() + from.process.memory();
         claims.claim(what + ": memory of both, MB", memory >> 20, MEMORY >> 20, memory <= MEMORY);
-        claims.note(what + ": descriptors of both", next.process.descriptors()
-                + from.process.descriptors());
+        claims.note(what + ": descriptors of both", next.process.descriptors() + from.process.descriptors());
         long left = from.process.leave(LEAVE_MILLIS);
         claims.claim(what + ": the former ended after, ms", left, LEAVE_MILLIS, left >= 0);
         progress.accept(what + ": yes after " + yes + " ms, the former ended after " + left + " ms");
@@ -139,11 +142,16 @@
         try {
             for (long i = 0; i < (long) SECONDS * PER_SECOND; i++) {
                 boolean check = i % 3 != 0;
-                consumers.ask(new Asked(String.format(Locale.ROOT, "%016x", i + 1),
-                        check ? "check" : "reject", check, i % GREEDY_OF == 0 ? GREEDY : 100 + i, 1,
-                        3_000, 1));
-                TimeUnit.NANOSECONDS.sleep(Math.max(0,
-                        begin + (i + 1) * 1_000_000_000 / PER_SECOND - System.nanoTime()));
+                consumers.ask(new Asked(
+                        String.format(Locale.ROOT, "%016x", i + 1),
+                        check ? "check" : "reject",
+                        check,
+                        i % GREEDY_OF == 0 ? GREEDY : 100 + i,
+                        1,
+                        3_000,
+                        1));
+                TimeUnit.NANOSECONDS.sleep(
+                        Math.max(0, begin + (i + 1) * 1_000_000_000 / PER_SECOND - System.nanoTime()));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -151,25 +159,43 @@
     }
 
     private void judge(List<Told> told, long begin, long killedAt, long overAt) {
-        long broken = told.stream().filter(one -> one.status() <= 0
-                && (one.sentAt() < killedAt || one.sentAt() > overAt)).count();
+        long broken = told.stream()
+                .filter(one -> one.status() <= 0 && (one.sentAt() < killedAt || one.sentAt() > overAt))
+                .count();
         claims.claim("refused, reset or unread, over two upgrades", broken, 4, broken <= 4);
-        claims.note("the same while one was killed", told.stream().filter(one -> one.status() <= 0
-                && one.sentAt() >= killedAt && one.sentAt() <= overAt).count());
-        long spoilt = told.stream().filter(one -> one.status() == 200 && !one.whole()).count();
+        claims.note(
+                "the same while one was killed",
+                told.stream()
+                        .filter(one -> one.status() <= 0 && one.sentAt() >= killedAt && one.sentAt() <= overAt)
+                        .count());
+        long spoilt =
+                told.stream().filter(one -> one.status() == 200 && !one.whole()).count();
         claims.claim("served with another's answer", spoilt, 0, spoilt == 0);
-        long modest = told.stream().filter(one -> one.asked().customer() != GREEDY).count();
-        double served = (double) told.stream().filter(one -> one.asked().customer() != GREEDY
-                && one.status() == 200).count() / modest;
-        claims.claim("customers within their quota served", String.format(Locale.ROOT, "%.3f", served),
-                "0.98", served >= 0.98);
-        long greedy = told.stream().filter(one -> one.asked().customer() == GREEDY
-                && one.status() == 200).count();
+        long modest =
+                told.stream().filter(one -> one.asked().customer() != GREEDY).count();
+        double served = (double) told.stream()
+                        .filter(one -> one.asked().customer() != GREEDY && one.status() == 200)
+                        .count()
+                / modest;
+        claims.claim(
+                "customers within their quota served",
+                String.format(Locale.ROOT, "%.3f", served),
+                "0.98",
+                served >= 0.98);
+        long greedy = told.stream()
+                .filter(one -> one.asked().customer() == GREEDY && one.status() == 200)
+                .count();
         double seconds = (told.stream().mapToLong(Told::toldAt).max().orElse(begin) - begin) / 1e9;
         double quota = BURST + RATE * seconds;
-        claims.claim("the one beyond it served, units", greedy,
-                String.format(Locale.ROOT, "%.0f", quota * 1.03), greedy <= quota * 1.03);
-        claims.claim("and what it is owed, units", greedy, String.format(Locale.ROOT, "%.0f", quota * 0.85),
+        claims.claim(
+                "the one beyond it served, units",
+                greedy,
+                String.format(Locale.ROOT, "%.0f", quota * 1.03),
+                greedy <= quota * 1.03);
+        claims.claim(
+                "and what it is owed, units",
+                greedy,
+                String.format(Locale.ROOT, "%.0f", quota * 0.85),
                 greedy >= quota * 0.85);
     }
 }
--- a/src/main/java/reedmux/lab/rules/History.java
+++ b/src/main/java/reedmux/lab/rules/History.java
@@ -68,26 +68,33 @@
             checker.allow(new Tolerance(Double.parseDouble(f[1]), Long.parseLong(f[2])));
             return;
         } else if (f[0].equals("budget")) {
-            budgets.put(f[1], new Budget(Double.parseDouble(f[2]), Double.parseDouble(f[3]),
-                    Double.parseDouble(f[4])));
+            budgets.put(f[1], new Budget(Double.parseDouble(f[2]), Double.parseDouble(f[3]), Double.parseDouble(f[4])));
             return;
         }
         long at = Long.parseLong(f[0]);
         switch (f[1]) {
-            case "taken" -> checker.taken(at, f[2], f[3], f[4], word(f[5], "safe", "unsafe"), plan(f[6]),
-                    Long.parseLong(f[7]), Double.parseDouble(f[8]), Long.parseLong(f[9]));
+            case "taken" ->
+                checker.taken(
+                        at,
+                        f[2],
+                        f[3],
+                        f[4],
+                        word(f[5], "safe", "unsafe"),
+                        plan(f[6]),
+                        Long.parseLong(f[7]),
+                        Double.parseDouble(f[8]),
+                        Long.parseLong(f[9]));
             case "excused" -> checker.excused(at, f[2]);
             case "answered" -> checker.answered(at, f[2], Kind.valueOf(f[3].toUpperCase(Locale.ROOT)));
             case "begins" -> checker.begins(at, f[2], f[3], Integer.parseInt(f[4]), f[5]);
-            case "whole" -> checker.whole(at, f[2], f[3], Integer.parseInt(f[4]), f[5],
-                    Double.parseDouble(f[6]));
-            case "ended" -> checker.ended(at, f[2], f[3], Integer.parseInt(f[4]),
-                    word(f[5], "never-ran", "may-have-run"));
+            case "whole" -> checker.whole(at, f[2], f[3], Integer.parseInt(f[4]), f[5], Double.parseDouble(f[6]));
+            case "ended" ->
+                checker.ended(at, f[2], f[3], Integer.parseInt(f[4]), word(f[5], "never-ran", "may-have-run"));
             case "runs" -> checker.runs(at, f[2]);
             case "told" -> checker.told(at, f[2], f[3], word(f[4], "ready", "not-ready"));
             case "restarted" -> checker.restarted(at, f[2]);
-            case "started" -> checker.started(at, f[2], Double.parseDouble(f[3]), Double.parseDouble(f[4]),
-                    Long.parseLong(f[5]));
+            case "started" ->
+                checker.started(at, f[2], Double.parseDouble(f[3]), Double.parseDouble(f[4]), Long.parseLong(f[5]));
             case "crossed" -> checker.crossed(at, f[2], f[3], Double.parseDouble(f[4]));
             default -> throw new IllegalArgumentException("no such event: " + f[1]);
         }
@@ -105,7 +112,11 @@
             return null;
         }
         String[] f = told.split("/");
-        return new Plan(Double.parseDouble(f[0]), Double.parseDouble(f[1]), Double.parseDouble(f[2]),
-                Double.parseDouble(f[3]), Double.parseDouble(f[4]));
+        return new Plan(
+                Double.parseDouble(f[0]),
+                Double.parseDouble(f[1]),
+                Double.parseDouble(f[2]),
+                Double.parseDouble(f[3]),
+                Double.parseDouble(f[4]));
     }
 }
--- a/src/main/java/reedmux/lab/rules/RuleChecker.java
+++ b/src/main/java/reedmux/lab/rules/RuleChecker.java
@@ -17,10 +17,22 @@
 public final class RuleChecker {
 
     /** The rules, and the budget of what another region may be sent. */
-    public enum Rule { ANSWER, REPEAT, DRAIN, COLD, CEILING, QUOTA, AWAY }
+    public enum Rule {
+        ANSWER,
+        REPEAT,
+        DRAIN,
+        COLD,
+        CEILING,
+        QUOTA,
+        AWAY
+    }
 
     /** What a final answer says. */
-    public enum Kind { SERVED, REFUSED, FAILED }
+    public enum Kind {
+        SERVED,
+        REFUSED,
+        FAILED
+    }
 
     /**
      * The figures of the rules, times in microseconds.
@@ -34,18 +46,24 @@
      * @param copies         whether two calls of one request may be out at once
      * @param quotaTolerance by how many bursts, and how many microseconds of the rate, quotas may be passed
      */
-    public record Figures(long answerSlack, long drainGrace, double fallMultiple, long fallTime,
-                          long ceilingTime, int calls, boolean copies, Tolerance quotaTolerance) { }
+    public record Figures(
+            long answerSlack,
+            long drainGrace,
+            double fallMultiple,
+            long fallTime,
+            long ceilingTime,
+            int calls,
+            boolean copies,
+            Tolerance quotaTolerance) {}
 
     /** See {@link Figures}. */
-    public record Tolerance(double bursts, long time) { }
+    public record Tolerance(double bursts, long time) {}
 
     /** A plan's quota and ceiling in units and units a second; a rate of nought for none. */
-    public record Plan(double rate, double burst, double ceilingRate, double ceilingBurst,
-                       double ceilingSlack) { }
+    public record Plan(double rate, double burst, double ceilingRate, double ceilingBurst, double ceilingSlack) {}
 
     /** What a group may send to other regions: a share of its requests, and a rate with a burst. */
-    public record Budget(double share, double rate, double burst) { }
+    public record Budget(double share, double rate, double burst) {}
 
     /** A rule that is broken. */
     public record Fault(Rule rule, long at, String what) {
@@ -80,8 +98,7 @@
         int ran;
         int crossed;
 
-        Entry(String group, String keeper, boolean repeatable, Plan plan, long customer, double units,
-              long deadline) {
+        Entry(String group, String keeper, boolean repeatable, Plan plan, long customer, double units, long deadline) {
             this.group = group;
             this.keeper = keeper;
             this.repeatable = repeatable;
@@ -99,7 +116,7 @@
         long at;
     }
 
-    private record Sent(long at, double amount) { }
+    private record Sent(long at, double amount) {}
 
     private static final class Provider {
         long startedAt = Long.MIN_VALUE;
@@ -133,7 +150,11 @@
     public void allow(Tolerance tolerance) {
         quotaTolerance = tolerance;
         if (transcript != null) {
-            transcript.append("tolerance ").append(tolerance.bursts).append(' ').append(tolerance.time)
+            transcript
+                    .append("tolerance ")
+                    .append(tolerance.bursts)
+                    .append(' ')
+                    .append(tolerance.time)
                     .append('\n');
         }
     }
@@ -150,7 +171,11 @@
 
     private void note(long at, String line, Object... values) {
         if (transcript != null) {
-            transcript.append(at).append(' ').append(String.format(Locale.ROOT, line, values)).append('\n');
+            transcript
+                    .append(at)
+                    .append(' ')
+                    .append(String.format(Locale.ROOT, line, values))
+                    .append('\n');
         }
     }
 
@@ -166,18 +191,37 @@
 
     // ---- Consumers ---------------------------------------------------------------------------------
     /** A request's last byte has come in at a gatekeeper; {@code plan} is null where nothing is counted. */
-    public void taken(long at, String group, String keeper, String id, boolean repeatable, Plan plan,
-                      long customer, double units, long deadline) {
-        note(at, "taken %s %s %s %s %s %d %s %d", group, keeper, id, repeatable ? "safe" : "unsafe",
-                planName(plan), customer, units, deadline);
+    public void taken(
+            long at,
+            String group,
+            String keeper,
+            String id,
+            boolean repeatable,
+            Plan plan,
+            long customer,
+            double units,
+            long deadline) {
+        note(
+                at,
+                "taken %s %s %s %s %s %d %s %d",
+                group,
+                keeper,
+                id,
+                repeatable ? "safe" : "unsafe",
+                planName(plan),
+                customer,
+                units,
+                deadline);
         saw(Rule.ANSWER);
         entries.put(id, new Entry(group, keeper, repeatable, plan, customer, units, deadline));
         taken.merge(group, 1, Integer::sum);
     }
 
     private static String planName(Plan plan) {
-        return plan == null ? "-" : plan.rate + "/" + plan.burst + "/" + plan.ceilingRate + "/"
-                + plan.ceilingBurst + "/" + plan.ceilingSlack;
+        return plan == null
+                ? "-"
+                : plan.rate + "/" + plan.burst + "/" + plan.ceilingRate + "/" + plan.ceilingBurst + "/"
+                        + plan.ceilingSlack;
     }
 
     /** Nobody waits for it any more: its consumer has left, or the gatekeeper that took it has died. */
@@ -196,7 +240,8 @@
             fault(Rule.ANSWER, at, id + " is answered " + (at - entry.deadline) + " us late");
         }
         entry.answer = kind;
-        if (kind == Kind.REFUSED && !entry.repeatable
+        if (kind == Kind.REFUSED
+                && !entry.repeatable
                 && (entry.ran > 0 || entry.calls.values().stream().anyMatch(Call::mayHaveRun))) {
             fault(Rule.REPEAT, at, id + " is rejected, but has run or may have");
         }
@@ -220,8 +265,10 @@
         }
         Long since = notReadySince.get(keeper + ' ' + provider);
         if (since != null && at - since > figures.drainGrace) {
-            fault(Rule.DRAIN, at, id + " goes to " + provider + " " + (at - since)
-                    + " us after the word that it is not ready");
+            fault(
+                    Rule.DRAIN,
+                    at,
+                    id + " goes to " + provider + " " + (at - since) + " us after the word that it is not ready");
         }
     }
 
@@ -266,11 +313,12 @@
             saw(Rule.QUOTA);
             use.level = Math.max(0, use.level - plan.rate * passed) + entry.units;
             double over = use.level - plan.burst;
-            double most = quotaTolerance.bursts * plan.burst
-                    + plan.rate * quotaTolerance.time / SECOND;
+            double most = quotaTolerance.bursts * plan.burst + plan.rate * quotaTolerance.time / SECOND;
             if (over > most + GRAIN) {
-                fault(Rule.QUOTA, at, id + " lifts " + entry.customer + " " + over
-                        + " units over its quota, at most " + most);
+                fault(
+                        Rule.QUOTA,
+                        at,
+                        id + " lifts " + entry.customer + " " + over + " units over its quota, at most " + most);
             }
         }
         if (plan.ceilingRate > 0) {
@@ -278,8 +326,11 @@
             use.store = Math.min(plan.ceilingBurst, use.store + plan.ceilingRate * passed) - entry.units;
             double least = -plan.ceilingSlack - plan.ceilingRate * figures.ceilingTime / SECOND;
             if (use.store < least - GRAIN) {
-                fault(Rule.CEILING, at, id + " leaves " + entry.customer + " " + use.store
-                        + " units of its ceiling, at least " + least);
+                fault(
+                        Rule.CEILING,
+                        at,
+                        id + " leaves " + entry.customer + " " + use.store + " units of its ceiling, at least "
+                                + least);
             }
         }
     }
@@ -388,8 +439,10 @@
             long passed = i == 0 ? 0 : sent.get(i).at - sent.get(i - 1).at;
             level = Math.max(0, level - budget.rate * passed / SECOND) + sent.get(i).amount;
             if (level > budget.burst + GRAIN) {
-                fault(Rule.AWAY, sent.get(i).at, group + " sent " + level
-                        + " units away in a burst, at most " + budget.burst);
+                fault(
+                        Rule.AWAY,
+                        sent.get(i).at,
+                        group + " sent " + level + " units away in a burst, at most " + budget.burst);
                 return;
             }
         }
--- a/src/main/java/reedmux/lab/sim/Ledger.java
+++ b/src/main/java/reedmux/lab/sim/Ledger.java
@@ -39,7 +39,7 @@
     }
 
     /** One crossing of a link. */
-    private record Crossing(long at, double units) { }
+    private record Crossing(long at, double units) {}
 
     private final Timeline time;
     private final Map<String, Entry> entries = new HashMap<>();
@@ -50,13 +50,28 @@
     /** For groups of so many gatekeepers at most. */
     Ledger(Timeline time, int gatekeepers) {
         this.time = time;
-        rules = new RuleChecker(new RuleChecker.Figures(SLACK, 250_000, 4, 1_000_000, 150_000, 4, true,
+        rules = new RuleChecker(new RuleChecker.Figures(
+                SLACK,
+                250_000,
+                4,
+                1_000_000,
+                150_000,
+                4,
+                true,
                 new RuleChecker.Tolerance(gatekeepers - 1, gatekeepers * CROSSING)));
     }
 
     /** A gatekeeper of a region has taken a consumer's request. */
-    void taken(String region, String keeper, String id, boolean repeatable, RuleChecker.Plan plan,
-               long customer, double units, long deadline, long aim) {
+    void taken(
+            String region,
+            String keeper,
+            String id,
+            boolean repeatable,
+            RuleChecker.Plan plan,
+            long customer,
+            double units,
+            long deadline,
+            long aim) {
         entries.put(id, new Entry(region, repeatable, time.now(), aim));
         rules.taken(time.now(), region, keeper, id, repeatable, plan, customer, units, deadline);
     }
@@ -70,8 +85,12 @@
         Entry entry = entries.get(id);
         entry.answer = answer;
         entry.answeredAt = time.now();
-        rules.answered(time.now(), id, answer instanceof Answer.Served ? Kind.SERVED
-                : answer instanceof Answer.Rejection ? Kind.REFUSED : Kind.FAILED);
+        rules.answered(
+                time.now(),
+                id,
+                answer instanceof Answer.Served
+                        ? Kind.SERVED
+                        : answer instanceof Answer.Rejection ? Kind.REFUSED : Kind.FAILED);
     }
 
     /** A provider has begun to run it. */
@@ -90,12 +109,14 @@
 
     /** Looks at what only the end shows; returns all that is wrong, or nothing. */
     List<String> faults(Map<String, RuleChecker.Budget> budgets) {
-        return rules.faults(time.now(), budgets).stream().map(RuleChecker.Fault::toString).toList();
+        return rules.faults(time.now(), budgets).stream()
+                .map(RuleChecker.Fault::toString)
+                .toList();
     }
 
     /** What became of one region's requests. */
-    record Service(int taken, int inTime, int served, int rejected, int failed, int crossed,
-                   double mostUnitsInASecond) {
+    record Service(
+            int taken, int inTime, int served, int rejected, int failed, int crossed, double mostUnitsInASecond) {
         /** Share answered well within the wanted time. */
         double share() {
             return taken == 0 ? 0 : (double) inTime / taken;
@@ -132,12 +153,16 @@
 
     /** Units of a region's requests that crossed. */
     double unitsCrossed(String region) {
-        return crossings.getOrDefault(region, List.of()).stream().mapToDouble(Crossing::units).sum();
+        return crossings.getOrDefault(region, List.of()).stream()
+                .mapToDouble(Crossing::units)
+                .sum();
     }
 
     /** When requests of a region crossed, in microseconds. */
     List<Long> crossedAt(String region) {
-        return crossings.getOrDefault(region, List.of()).stream().map(Crossing::at).toList();
+        return crossings.getOrDefault(region, List.of()).stream()
+                .map(Crossing::at)
+                .toList();
     }
 
     /** Requests that must not run twice: taken in all, and second runs. */
--- a/src/main/java/reedmux/lab/sim/QuickScenes.java
+++ b/src/main/java/reedmux/lab/sim/QuickScenes.java
@@ -17,15 +17,17 @@
     private static final int[] PROVIDERS = {1, 2, 8, 32, 200};
     /** On a machine with room, and beside a busy neighbour. */
     private static final double[] PAUSES = {0.005, 0.2};
+
     private static final int CORES = 8;
     /**
      * Consumers of a pool: half of its cores, so that there is always room, and no more than can be
      * played.
      */
     private static final double BUSY = 0.5;
+
     private static final int MOST_CONSUMERS = 200;
 
-    private QuickScenes() { }
+    private QuickScenes() {}
 
     /** The share refused where the pool has room; {@code pauses}: share of answers held up for 5 to 20 ms. */
     static double refused(long seed, int providers, long work, double pauses) {
@@ -50,11 +52,17 @@
         for (int providers : PROVIDERS) {
             for (long work : WORK) {
                 for (double pauses : PAUSES) {
-                    double share = LongStream.rangeClosed(first, last).parallel()
-                            .mapToDouble(seed -> refused(seed, providers, work, pauses)).average().orElse(1);
-                    claims.claim(providers + " providers of " + work / 1000.0 + " ms, " + pauses
-                            + " of them held up: share refused", String.format(Locale.ROOT, "%.4f", share),
-                            "0.01", share < 0.01);
+                    double share = LongStream.rangeClosed(first, last)
+                            .parallel()
+                            .mapToDouble(seed -> refused(seed, providers, work, pauses))
+                            .average()
+                            .orElse(1);
+                    claims.claim(
+                            providers + " providers of " + work / 1000.0 + " ms, " + pauses
+                                    + " of them held up: share refused",
+                            String.format(Locale.ROOT, "%.4f", share),
+                            "0.01",
+                            share < 0.01);
                 }
             }
             progress.accept(providers + " providers done");
--- a/src/main/java/reedmux/lab/sim/RegionScenes.java
+++ b/src/main/java/reedmux/lab/sim/RegionScenes.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.apache.commons.rng.UniformRandomProvider;
-import reedmux.lab.sim.Ledger.Service;
 import reedmux.lab.rules.RuleChecker.Budget;
+import reedmux.lab.sim.Ledger.Service;
 import reedmux.lab.sim.World.Setup;
 import reedmux.region.RegionRules;
 import reedmux.region.RegionRules.Away;
@@ -17,21 +17,35 @@
 public final class RegionScenes {
     /** What the tables and tests use unless they say otherwise. */
     static final Budget BUDGET = new Budget(1, 60, 120);
+
     private static final int GATEKEEPERS = 3;
     private static final int PROVIDERS = 10;
     /** Requests a second of one region: about half of what its providers can do. */
     private static final double LOAD = 90;
 
-    private RegionScenes() { }
+    private RegionScenes() {}
 
     static Visitors visitors() {
         return new Visitors(24, 120, 240, 0.02, World.SECOND);
     }
 
     static RegionRules rules(String name, Set<String> takesFrom, String to, int gateways, Budget budget) {
-        return new RegionRules(name, takesFrom, visitors(), to == null ? null : new Away(to,
-                World.gateways(to, gateways), budget.share(), budget.rate(), budget.burst(), 48,
-                100 * World.MS, 20 * World.MS, 50 * World.MS));
+        return new RegionRules(
+                name,
+                takesFrom,
+                visitors(),
+                to == null
+                        ? null
+                        : new Away(
+                                to,
+                                World.gateways(to, gateways),
+                                budget.share(),
+                                budget.rate(),
+                                budget.burst(),
+                                48,
+                                100 * World.MS,
+                                20 * World.MS,
+                                50 * World.MS));
     }
 
     /**
@@ -44,26 +58,38 @@
      * @param rejects  requests that must not run twice
      * @param copies   second runs of such
      */
-    public record Result(String name, long seed, Map<String, Service> services, List<String> faults,
-                         long rejects, long copies) { }
+    public record Result(
+            String name, long seed, Map<String, Service> services, List<String> faults, long rejects, long copies) {}
 
-    private static Result result(String name, long seed, World world, Map<String, Budget> budgets,
-                                 long from) {
+    private static Result result(String name, long seed, World world, Map<String, Budget> budgets, long from) {
         Map<String, Service> services = new TreeMap<>();
         world.regions.keySet().forEach(region -> services.put(region, world.ledger.service(region, from)));
-        return new Result(name, seed, services, world.ledger.faults(budgets), world.ledger.mustNotRepeat(),
+        return new Result(
+                name,
+                seed,
+                services,
+                world.ledger.faults(budgets),
+                world.ledger.mustNotRepeat(),
                 world.ledger.copies());
     }
 
     /** Two regions, each the other's last resort or neither. */
     static World pair(long seed, boolean lastResort, double eastLoad, double westLoad) {
-        return new World(seed, List.of(
-                new Setup("east", lastResort ? rules("east", Set.of("west"), "west", GATEKEEPERS, BUDGET)
-                        : null,
-                        GATEKEEPERS, PROVIDERS, eastLoad),
-                new Setup("west", lastResort ? rules("west", Set.of("east"), "east", GATEKEEPERS, BUDGET)
-                        : null,
-                        GATEKEEPERS, PROVIDERS, westLoad)));
+        return new World(
+                seed,
+                List.of(
+                        new Setup(
+                                "east",
+                                lastResort ? rules("east", Set.of("west"), "west", GATEKEEPERS, BUDGET) : null,
+                                GATEKEEPERS,
+                                PROVIDERS,
+                                eastLoad),
+                        new Setup(
+                                "west",
+                                lastResort ? rules("west", Set.of("east"), "east", GATEKEEPERS, BUDGET) : null,
+                                GATEKEEPERS,
+                                PROVIDERS,
+                                westLoad)));
     }
 
     static Map<String, Budget> budgets(String... regions) {
@@ -82,11 +108,16 @@
      */
     public static Result providersGone(long seed, double goneShare, boolean lastResort) {
         World world = pair(seed, lastResort, LOAD, LOAD / 2);
-        world.time.at(World.BEGIN + 5 * World.SECOND, () -> world.providers("east",
-                (int) Math.round(goneShare * PROVIDERS), SimProvider.Mood.GONE));
+        world.time.at(
+                World.BEGIN + 5 * World.SECOND,
+                () -> world.providers("east", (int) Math.round(goneShare * PROVIDERS), SimProvider.Mood.GONE));
         world.time.run(World.BEGIN + 25 * World.SECOND);
-        return result("gone " + Math.round(goneShare * 100) + "%", seed, world,
-                lastResort ? budgets("east", "west") : Map.of(), World.BEGIN + 6 * World.SECOND);
+        return result(
+                "gone " + Math.round(goneShare * 100) + "%",
+                seed,
+                world,
+                lastResort ? budgets("east", "west") : Map.of(),
+                World.BEGIN + 6 * World.SECOND);
     }
 
     static RegionRules renamed(RegionRules rules) {
@@ -97,8 +128,7 @@
     public static long returnsAfter(long seed) {
         World world = pair(seed, true, LOAD, LOAD / 2);
         long back = World.BEGIN + 20 * World.SECOND;
-        world.time.at(World.BEGIN + 5 * World.SECOND,
-                () -> world.providers("east", PROVIDERS, SimProvider.Mood.GONE));
+        world.time.at(World.BEGIN + 5 * World.SECOND, () -> world.providers("east", PROVIDERS, SimProvider.Mood.GONE));
         world.time.at(back, () -> world.providers("east", PROVIDERS, SimProvider.Mood.WELL));
         world.time.run(back + 20 * World.SECOND);
         List<Long> crossed = world.ledger.crossedAt("east");
@@ -113,18 +143,26 @@
      */
     public static Result pressed(long seed, boolean lastResort, boolean first) {
         Visitors told = visitors();
-        Visitors open = new Visitors(told.mostAtOnce(), told.rate(), told.burst(), first ? told.suffersAt()
-                : 1,
-                told.hold());
-        World world = new World(seed, List.of(
-                new Setup("east", lastResort ? rules("east", Set.of(), "west", GATEKEEPERS, BUDGET) : null,
-                        GATEKEEPERS, PROVIDERS, LOAD),
-                new Setup("west", new RegionRules("west", Set.of("east"), open, null), GATEKEEPERS, PROVIDERS,
-                        2 * LOAD)));
+        Visitors open =
+                new Visitors(told.mostAtOnce(), told.rate(), told.burst(), first ? told.suffersAt() : 1, told.hold());
+        World world = new World(
+                seed,
+                List.of(
+                        new Setup(
+                                "east",
+                                lastResort ? rules("east", Set.of(), "west", GATEKEEPERS, BUDGET) : null,
+                                GATEKEEPERS,
+                                PROVIDERS,
+                                LOAD),
+                        new Setup(
+                                "west",
+                                new RegionRules("west", Set.of("east"), open, null),
+                                GATEKEEPERS,
+                                PROVIDERS,
+                                2 * LOAD)));
         world.providers("east", PROVIDERS, SimProvider.Mood.GONE);
         world.time.run(World.BEGIN + 20 * World.SECOND);
-        return result("pressed", seed, world, lastResort ? budgets("east") : Map.of(),
-                World.BEGIN + 2 * World.SECOND);
+        return result("pressed", seed, world, lastResort ? budgets("east") : Map.of(), World.BEGIN + 2 * World.SECOND);
     }
 
     /**
@@ -145,21 +183,30 @@
         Map<String, Budget> budgets = new TreeMap<>();
         for (int i = 0; i < ring; i++) {
             members[i] = 1 + random.nextInt(3);
-            budgets.put(names.get(i), new Budget(0.2 + 0.8 * random.nextDouble(), 10 + random.nextInt(60),
-                    24 + random.nextInt(100)));
+            budgets.put(
+                    names.get(i),
+                    new Budget(0.2 + 0.8 * random.nextDouble(), 10 + random.nextInt(60), 24 + random.nextInt(100)));
         }
         List<Setup> setups = new ArrayList<>();
         for (int i = 0; i < ring; i++) { // each is the last resort of the one before it
             String name = names.get(i);
             int next = (i + 1) % ring;
-            setups.add(new Setup(name, rules(name, Set.of(names.get((i + ring - 1) % ring)), names.get(next),
-                    members[next], budgets.get(name)), members[i], 3, 30 + random.nextInt(60)));
+            setups.add(new Setup(
+                    name,
+                    rules(
+                            name,
+                            Set.of(names.get((i + ring - 1) % ring)),
+                            names.get(next),
+                            members[next],
+                            budgets.get(name)),
+                    members[i],
+                    3,
+                    30 + random.nextInt(60)));
         }
         World world = new World(seed, setups, planted);
         world.linkFaults = new double[] {0, 0.04, 0.04, 0.06, 0.06, 0.06};
         long end = World.BEGIN + seconds * World.SECOND;
-        for (long at = World.BEGIN + World.SECOND; at < end; at += 200 * World.MS
-                + random.nextLong(World.SECOND)) {
+        for (long at = World.BEGIN + World.SECOND; at < end; at += 200 * World.MS + random.nextLong(World.SECOND)) {
             String region = names.get(random.nextInt(ring));
             int what = random.nextInt(10);
             int count = random.nextInt(4);
--- a/src/main/java/reedmux/lab/sim/RuleScenes.java
+++ b/src/main/java/reedmux/lab/sim/RuleScenes.java
@@ -21,20 +21,30 @@
     private static final String GROUP = "ennis";
     /** The longest time for a count to cross the heap of three, lost packets included. */
     private static final long CROSSING = 2 * World.SECOND;
+
     static final Plan SINGLE = new Plan("single-line", 2, 16, 0, 0, 0, 0, 1.2, 0, 1.2);
     static final Plan FULL = new Plan("full-plant", 9.7, 32, 0, 17, 55, 8, 1.6, 0, 1.2);
 
-    private RuleScenes() { }
+    private RuleScenes() {}
 
     /** What a run shows: rules broken, what was looked at, and all that happened as text. */
-    public record Result(List<Fault> faults, Map<RuleChecker.Rule, Integer> seen, String history) { }
+    public record Result(List<Fault> faults, Map<RuleChecker.Rule, Integer> seen, String history) {}
 
     /** Plays a storm of so many seconds; all chance comes from the seed. */
     public static Result storm(long seed, int seconds) {
         UniformRandomProvider random = World.stream(seed, 99);
         int members = 2 + random.nextInt(2);
-        World world = new World(seed, List.of(new Setup(GROUP, null, members, 4 + random.nextInt(5),
-                40 + random.nextInt(200), 100 * World.MS, 2, List.of(SINGLE, FULL))));
+        World world = new World(
+                seed,
+                List.of(new Setup(
+                        GROUP,
+                        null,
+                        members,
+                        4 + random.nextInt(5),
+                        40 + random.nextInt(200),
+                        100 * World.MS,
+                        2,
+                        List.of(SINGLE, FULL))));
         world.ledger.rules.record();
         world.customers = 4 + random.nextInt(20);
         world.loss = random.nextInt(3) * 0.05;
@@ -57,8 +67,8 @@
      * what the rate gives while a count crosses the heap; a restart forgets a burst, as in a cut nobody tells
      * it; and a cut holds counts up for as long as it lasts.
      */
-    private static Tolerance trouble(World world, UniformRandomProvider random, int members, long at,
-                                     Tolerance before) {
+    private static Tolerance trouble(
+            World world, UniformRandomProvider random, int members, long at, Tolerance before) {
         int member = random.nextInt(members);
         int provider = random.nextInt(world.regions.get(GROUP).providers.size());
         long length = 100 * World.MS + random.nextLong(4 * World.SECOND);
@@ -72,25 +82,23 @@
                 world.time.at(at, () -> world.cut = (from, to) -> to == member);
                 world.time.at(at + length, () -> world.cut = (from, to) -> false);
             }
-            case 2 -> world.time.at(at, () -> {
-                renumberPlans(world, member);
-                world.restart(GROUP, member, length / 4);
-            });
+            case 2 ->
+                world.time.at(at, () -> {
+                    renumberPlans(world, member);
+                    world.restart(GROUP, member, length / 4);
+                });
             case 3 -> {
                 world.time.at(at, () -> world.drain(GROUP, provider, true));
                 world.time.at(at + length, () -> world.drain(GROUP, provider, false));
             }
             case 4 -> world.time.at(at, () -> world.startAnew(GROUP, provider));
             default -> {
-                SimProvider.Mood mood = SimProvider.Mood.values()[random.nextInt(
-                        SimProvider.Mood.values().length)];
+                SimProvider.Mood mood = SimProvider.Mood.values()[random.nextInt(SimProvider.Mood.values().length)];
                 world.time.at(at, () -> world.providers(GROUP, 1 + provider / 2, mood));
-                world.time.at(at + length, () -> world.providers(GROUP, 1 + provider / 2,
-                        SimProvider.Mood.WELL));
+                world.time.at(at + length, () -> world.providers(GROUP, 1 + provider / 2, SimProvider.Mood.WELL));
             }
         }
-        return new Tolerance(before.bursts() + (kind == 2 ? 1 : 0),
-                before.time() + (kind < 2 ? length : 0));
+        return new Tolerance(before.bursts() + (kind == 2 ? 1 : 0), before.time() + (kind < 2 ? length : 0));
     }
 
     /** As a rolling restart with other settings does: for a while its peers number the plans otherwise. */
@@ -99,8 +107,17 @@
         List<Plan> plans = new ArrayList<>(all[member].plans());
         Collections.reverse(plans);
         Settings old = all[member];
-        all[member] = new Settings(old.self(), old.groupSize(), old.zone(), old.askDiscovery(),
-                old.unitsWhenWhole(), old.mostUnits(), old.tick(), old.classes(), plans, old.rules(),
+        all[member] = new Settings(
+                old.self(),
+                old.groupSize(),
+                old.zone(),
+                old.askDiscovery(),
+                old.unitsWhenWhole(),
+                old.mostUnits(),
+                old.tick(),
+                old.classes(),
+                plans,
+                old.rules(),
                 old.limits());
     }
 }
--- a/src/main/java/reedmux/lab/sim/SimNode.java
+++ b/src/main/java/reedmux/lab/sim/SimNode.java
@@ -42,7 +42,7 @@
 final class SimNode {
     private static final long CONNECT_TIMEOUT = 250 * World.MS;
     private static final InetSocketAddress NOWHERE = InetSocketAddress.createUnresolved("sim", 1);
-    private static final Invocation.Message NOTHING = new Invocation.Message() { };
+    private static final Invocation.Message NOTHING = new Invocation.Message() {};
 
     private final World world;
     private final World.Region region;
@@ -99,10 +99,18 @@
         if (life != null) {
             List<ProviderList.Provider> all = new ArrayList<>();
             region.providers.values().forEach(provider -> {
-                Status status = !provider.reachable() ? Status.GONE
-                        : provider.draining ? Status.DRAINING : Status.READY;
-                all.add(new ProviderList.Provider(new Server(provider.id, 0, 0, 0, status, 1,
-                        world.planted == Planted.TELLS_NO_START ? 0 : provider.startedAt), NOWHERE));
+                Status status =
+                        !provider.reachable() ? Status.GONE : provider.draining ? Status.DRAINING : Status.READY;
+                all.add(new ProviderList.Provider(
+                        new Server(
+                                provider.id,
+                                0,
+                                0,
+                                0,
+                                status,
+                                1,
+                                world.planted == Planted.TELLS_NO_START ? 0 : provider.startedAt),
+                        NOWHERE));
                 world.ledger.rules.told(world.time.now(), name(), provider.id, status == Status.READY);
             });
             Incarnation told = life;
@@ -130,7 +138,7 @@
     }
 
     Invocation take(String id, int kind, long customer, long deadline, double units) {
-        return take(id, kind, customer, deadline, units, () -> { });
+        return take(id, kind, customer, deadline, units, () -> {});
     }
 
     /** Takes a consumer's request; {@code then} is run when it has its answer. */
@@ -139,9 +147,16 @@
         int spread = world.spread == 0 ? region.nodes.size() : world.spread;
         int first = world.spread == 0 ? 0 : (int) (customer % region.nodes.size());
         boolean alone = world.planted == Planted.WHOLE_CEILING_EACH;
-        Request request = new Request(id, kind,
-                region.settings[number].plans().indexOf(region.setup.plan(customer)), customer, deadline,
-                units, alone ? 1 : spread, alone ? number : first, false);
+        Request request = new Request(
+                id,
+                kind,
+                region.settings[number].plans().indexOf(region.setup.plan(customer)),
+                customer,
+                deadline,
+                units,
+                alone ? 1 : spread,
+                alone ? number : first,
+                false);
         Invocation invocation = new Invocation(request, kind == 0, NOTHING, answer -> {
             at.owed.remove(id);
             if (world.planted == Planted.FORGETS_ANSWERS && answer instanceof Answer.Failed) {
@@ -172,7 +187,7 @@
         boolean written;
         boolean ended;
         /** Run where our side of the connection goes: the other side sees it end. */
-        Runnable closed = () -> { };
+        Runnable closed = () -> {};
 
         Flight(Incarnation from, InvokerCall call) {
             this.from = from;
@@ -185,9 +200,11 @@
                 ended = true;
                 from.flights.remove(this);
                 if (call.departure() == null) {
-                    from.toldEnd(call, result instanceof CallResult.Answered answer
-                            ? answer.neverRan() && (answer.status() == 503 || answer.status() == 504)
-                            : !written);
+                    from.toldEnd(
+                            call,
+                            result instanceof CallResult.Answered answer
+                                    ? answer.neverRan() && (answer.status() == 503 || answer.status() == 504)
+                                    : !written);
                 }
                 from.event(new Event.CallEnded(call, result));
             }
@@ -215,6 +232,7 @@
         final Set<Flight> flights = new LinkedHashSet<>();
         /** Visitors in work, each with what tells its home that our side has gone. */
         final Map<Invocation, Runnable> visitors = new HashMap<>();
+
         private long wakeAt = Long.MAX_VALUE;
 
         Incarnation(long chance) {
@@ -222,10 +240,15 @@
             RegionRules rules = region.rules;
             name = rules == null ? region.setup.name() : rules.name();
             int members = world.planted == Planted.WHOLE_BUDGET_EACH ? 1 : region.settings.length;
-            desk = rules == null ? null : new RegionDesk(new Regions(rules, members, now, chance),
-                    addresses(rules),
-                    region.settings[number].classes().stream().mapToLong(RequestClass::aim).toArray());
-            front = new RegionFront(region.settings[number], new Clock(), event -> { });
+            desk = rules == null
+                    ? null
+                    : new RegionDesk(
+                            new Regions(rules, members, now, chance),
+                            addresses(rules),
+                            region.settings[number].classes().stream()
+                                    .mapToLong(RequestClass::aim)
+                                    .toArray());
+            front = new RegionFront(region.settings[number], new Clock(), event -> {});
             reducer = new Reducer(new Brain(region.settings[number], chance), 4, CONNECT_TIMEOUT, this, desk);
         }
 
@@ -238,8 +261,7 @@
         }
 
         private void toldEnd(InvokerCall call, boolean neverRan) {
-            world.ledger.rules.ended(world.time.now(), name(), call.invocation().id(), call.number(),
-                    neverRan);
+            world.ledger.rules.ended(world.time.now(), name(), call.invocation().id(), call.number(), neverRan);
         }
 
         private void wake() {
@@ -280,9 +302,10 @@
                 }
                 flight.written = true;
                 world.time.in(world.delay, () -> {
-                    world.ledger.rules.whole(world.time.now(), name(), id, call.number(), provider.id,
-                            region.setup.work());
-                    SimProvider.Job job = provider.take(id,
+                    world.ledger.rules.whole(
+                            world.time.now(), name(), id, call.number(), provider.id, region.setup.work());
+                    SimProvider.Job job = provider.take(
+                            id,
                             result -> world.time.in(world.delay + world.held(), () -> flight.end(result)),
                             () -> world.time.in(world.delay, () -> flight.broken("reset")));
                     flight.closed = () -> provider.abort(job);
@@ -297,7 +320,10 @@
         public void callAway(InvokerCall call, Departure departure) {
             Flight flight = new Flight(this, call);
             call.transport(flight);
-            world.ledger.crossed(region.setup.name(), call.invocation().id(), call.invocation().units());
+            world.ledger.crossed(
+                    region.setup.name(),
+                    call.invocation().id(),
+                    call.invocation().units());
             LinkFault fault = world.drawLinkFault();
             SimNode there = world.node(departure.gateway());
             if (fault == LinkFault.SILENT) {
@@ -339,16 +365,18 @@
         }
 
         @Override
-        public void probe(String provider, InetSocketAddress address, long askedAt) { }
+        public void probe(String provider, InetSocketAddress address, long askedAt) {}
 
         @Override
-        public void closeIdle(String provider, InetSocketAddress address) { }
+        public void closeIdle(String provider, InetSocketAddress address) {}
 
         @Override
         public void tell(int peer, byte[] bytes) {
             for (int i = 0; i < region.nodes.size(); i++) {
                 SimNode to = region.nodes.get(i);
-                if (i != number && (peer < 0 || peer == i) && world.network.nextDouble() >= world.loss
+                if (i != number
+                        && (peer < 0 || peer == i)
+                        && world.network.nextDouble() >= world.loss
                         && !world.cut.test(number, i)) {
                     world.time.in(world.delay + world.network.nextLong(5 * World.MS), () -> {
                         if (to.life != null) {
@@ -380,16 +408,28 @@
         }
         long takenAt = world.time.now();
         Invocation home = flight.call.invocation();
-        Request request = new Request(home.id(), home.requestClass(), Gateway.VISITOR, Gateway.VISITOR,
-                takenAt + departure.told(), home.units(), 1, number, false);
+        Request request = new Request(
+                home.id(),
+                home.requestClass(),
+                Gateway.VISITOR,
+                Gateway.VISITOR,
+                takenAt + departure.told(),
+                home.units(),
+                1,
+                number,
+                false);
         Invocation[] visitor = new Invocation[1];
         visitor[0] = new Invocation(request, home.requestClass() == 0, NOTHING, answer -> {
             here.visitors.remove(visitor[0]);
             // The production code's own form of the answer, read as the production code reads it.
             Front.Response response = here.front.response(answer);
-            CallResult result = new CallResult.Answered(response.status(), neverRan(response),
-                    response.contentType(), response.body(), world.time.now() - takenAt,
-                            response.retryAfter());
+            CallResult result = new CallResult.Answered(
+                    response.status(),
+                    neverRan(response),
+                    response.contentType(),
+                    response.body(),
+                    world.time.now() - takenAt,
+                    response.retryAfter());
             world.time.in(world.linkTime(), () -> {
                 if (fault == LinkFault.BREAKS_ANSWERING) {
                     flight.end(new CallResult.Broken(Stage.ANSWERING, "reset"));
@@ -405,8 +445,10 @@
         });
         here.visitors.put(visitor[0], () -> world.time.in(world.linkTime(), () -> flight.broken("reset")));
         flight.closed = leaves;
-        here.event(world.planted == Planted.SENDS_VISITORS_ON ? new Event.InvocationTaken(visitor[0])
-                : new Event.VisitorTaken(visitor[0], new Path(List.of(from))));
+        here.event(
+                world.planted == Planted.SENDS_VISITORS_ON
+                        ? new Event.InvocationTaken(visitor[0])
+                        : new Event.VisitorTaken(visitor[0], new Path(List.of(from))));
         if (flight.ended) {
             leaves.run();
         } else if (fault == LinkFault.BREAKS_AFTER) {
--- a/src/main/java/reedmux/lab/sim/SimProvider.java
+++ b/src/main/java/reedmux/lab/sim/SimProvider.java
@@ -9,7 +9,14 @@
 /** A provider as a model: some cores, a waiting room, and the ways in which it fails. */
 final class SimProvider {
     /** What it does with a request just now. */
-    enum Mood { WELL, GONE, HANGS, FULL, ERRS, RESETS }
+    enum Mood {
+        WELL,
+        GONE,
+        HANGS,
+        FULL,
+        ERRS,
+        RESETS
+    }
 
     /** One request in work. */
     static final class Job {
@@ -27,6 +34,7 @@
 
     /** The share of its capacity that it starts with, and the time until it has all. */
     static final double COLD_FROM = 0.18;
+
     static final long COLD_TIME = 16_000_000;
 
     final String id;
@@ -46,8 +54,14 @@
     long started;
 
     /** {@code meanWork} in microseconds. */
-    SimProvider(String id, Timeline time, Ledger ledger, UniformRandomProvider random, int cores, int room,
-                double meanWork) {
+    SimProvider(
+            String id,
+            Timeline time,
+            Ledger ledger,
+            UniformRandomProvider random,
+            int cores,
+            int room,
+            double meanWork) {
         this.id = id;
         this.time = time;
         this.ledger = ledger;
--- a/src/main/java/reedmux/lab/sim/SizeScenes.java
+++ b/src/main/java/reedmux/lab/sim/SizeScenes.java
@@ -39,14 +39,15 @@
     private static final int SPREAD = 4;
     /** The longest time for a count to cross the heap of so many, lost packets included. */
     private static final long CROSSING = 4 * World.SECOND;
+
     private static final long TROUBLE = World.BEGIN + 6 * World.SECOND;
     private static final long LENGTH = 7 * World.SECOND;
     private static final long END = World.BEGIN + 18 * World.SECOND;
 
-    private SizeScenes() { }
+    private SizeScenes() {}
 
     /** What a run shows: rules broken, how often each was looked at, and the share of the requests served. */
-    public record Result(List<Fault> faults, Map<RuleChecker.Rule, Integer> seen, double served) { }
+    public record Result(List<Fault> faults, Map<RuleChecker.Rule, Integer> seen, double served) {}
 
     /** Plays a day; all chance comes from the seed. */
     public static Result play(Day day, int gatekeepers, int providers, long seed) {
@@ -55,8 +56,18 @@
 
     static Result play(Day day, int gatekeepers, int providers, long seed, Planted planted) {
         double perSecond = LOAD * providers * CORES * World.SECOND / WORK;
-        World world = new World(seed, List.of(new Setup(GROUP, null, gatekeepers, providers, perSecond, WORK,
-                CORES, List.of(RuleScenes.SINGLE, RuleScenes.FULL))), planted);
+        World world = new World(
+                seed,
+                List.of(new Setup(
+                        GROUP,
+                        null,
+                        gatekeepers,
+                        providers,
+                        perSecond,
+                        WORK,
+                        CORES,
+                        List.of(RuleScenes.SINGLE, RuleScenes.FULL))),
+                planted);
         world.customers = (int) (1.2 * perSecond); // at 1.7 units a second each
         world.spread = SPREAD;
         world.hot = HOT;
@@ -68,8 +79,9 @@
                 for (int i = 0; i < gatekeepers; i++) {
                     int member = i;
                     if (i % 10 < 7) {
-                        world.time.at(TROUBLE, () -> world.restart(GROUP, member,
-                                World.SECOND + random.nextLong(World.SECOND)));
+                        world.time.at(
+                                TROUBLE,
+                                () -> world.restart(GROUP, member, World.SECOND + random.nextLong(World.SECOND)));
                     }
                 }
                 replace(world, random, providers / 2);
@@ -89,7 +101,9 @@
         world.time.at(END, () -> world.regions.get(GROUP).perSecond = 0);
         world.time.run(END + 5 * World.SECOND);
         Ledger.Service service = world.ledger.service(GROUP, World.BEGIN);
-        return new Result(world.ledger.rules.faults(world.time.now(), Map.of()), world.ledger.rules.seen(),
+        return new Result(
+                world.ledger.rules.faults(world.time.now(), Map.of()),
+                world.ledger.rules.seen(),
                 (double) service.served() / service.taken());
     }
 
@@ -100,13 +114,17 @@
             for (Day day : Day.values()) {
                 String what = size[0] + " gatekeepers, " + size[1] + " providers, "
                         + day.name().toLowerCase(Locale.ROOT);
-                List<Result> all = LongStream.rangeClosed(first, last).parallel()
-                        .mapToObj(seed -> play(day, size[0], size[1], seed)).toList();
-                long broken = all.stream().filter(result -> !result.faults().isEmpty()).count();
+                List<Result> all = LongStream.rangeClosed(first, last)
+                        .parallel()
+                        .mapToObj(seed -> play(day, size[0], size[1], seed))
+                        .toList();
+                long broken = all.stream()
+                        .filter(result -> !result.faults().isEmpty())
+                        .count();
                 claims.claim(what + ": days with a broken rule", String.valueOf(broken), "0", broken == 0);
                 double served = all.stream().mapToDouble(Result::served).min().orElse(0);
-                claims.claim(what + ": least share served", String.format(Locale.ROOT, "%.3f", served), "0.5",
-                        served > 0.5);
+                claims.claim(
+                        what + ": least share served", String.format(Locale.ROOT, "%.3f", served), "0.5", served > 0.5);
                 progress.accept(what + " done");
             }
         }
--- a/src/main/java/reedmux/lab/sim/World.java
+++ b/src/main/java/reedmux/lab/sim/World.java
@@ -9,6 +9,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import reedmux.core.Invocation;
+import reedmux.lab.rules.RuleChecker;
 import reedmux.policy.Gateway.Group;
 import reedmux.policy.Gateway.Limits;
 import reedmux.policy.Gateway.Plan;
@@ -16,7 +17,6 @@
 import reedmux.policy.Gateway.RequestClass;
 import reedmux.policy.Gateway.Rules;
 import reedmux.policy.Gateway.Settings;
-import reedmux.lab.rules.RuleChecker;
 import reedmux.region.RegionRules;
 
 /**
@@ -28,12 +28,20 @@
     static final long SECOND = 1000 * MS;
     /** Where time begins, above nought as on the program's own clock. */
     static final long BEGIN = 3600 * SECOND;
+
     private static final long AIM = 1_200 * MS;
     /** The one that asks too much. */
     private static final long HOT = 1;
 
     /** What goes wrong with a call on its way to another region. */
-    enum LinkFault { NONE, SILENT, REFUSED, BREAKS_WRITING, BREAKS_AFTER, BREAKS_ANSWERING }
+    enum LinkFault {
+        NONE,
+        SILENT,
+        REFUSED,
+        BREAKS_WRITING,
+        BREAKS_AFTER,
+        BREAKS_ANSWERING
+    }
 
     /**
      * One region.
@@ -46,14 +54,35 @@
      * @param cores       of each provider
      * @param plans       of customers, who have them in turn
      */
-    record Setup(String name, RegionRules rules, int gatekeepers, int providers, double perSecond, long work,
-                 int cores, List<Plan> plans) {
+    record Setup(
+            String name,
+            RegionRules rules,
+            int gatekeepers,
+            int providers,
+            double perSecond,
+            long work,
+            int cores,
+            List<Plan> plans) {
 
         /** Each customer may take so many units a second, and three times as many at once. */
-        Setup(String name, RegionRules rules, int gatekeepers, int providers, double perSecond, long work,
-              int cores, double quota) {
-            this(name, rules, gatekeepers, providers, perSecond, work, cores, List.of(
-                    new Plan("single-line", quota, 3 * quota, 0, 0, 0, 0, 1.2, 0, 1.2)));
+        Setup(
+                String name,
+                RegionRules rules,
+                int gatekeepers,
+                int providers,
+                double perSecond,
+                long work,
+                int cores,
+                double quota) {
+            this(
+                    name,
+                    rules,
+                    gatekeepers,
+                    providers,
+                    perSecond,
+                    work,
+                    cores,
+                    List.of(new Plan("single-line", quota, 3 * quota, 0, 0, 0, 0, 1.2, 0, 1.2)));
         }
 
         Setup(String name, RegionRules rules, int gatekeepers, int providers, double perSecond) {
@@ -78,6 +107,7 @@
         final Map<String, SimProvider> providers = new LinkedHashMap<>();
         /** As gatekeepers started from now on are told. */
         RegionRules rules;
+
         double perSecond;
         long listRevision;
 
@@ -93,16 +123,27 @@
             SimProvider newest = chosen;
             for (SimProvider provider : providers.values()) {
                 newest = provider.startedAt > newest.startedAt && !provider.draining && provider.reachable()
-                        ? provider : newest;
+                        ? provider
+                        : newest;
             }
             return newest;
         }
     }
 
     /** Faults put into what surrounds the decisions, to prove that a checker finds them. */
-    enum Planted { NOTHING, LINK_RESENDS, CLAIMS_NEVER_RAN, ANSWERS_TWICE, FORGETS_ANSWERS, SENDS_VISITORS_ON,
-        WHOLE_BUDGET_EACH, TELLS_NO_START, SENDS_TO_NEWEST,
-        TELLS_DRAINS_LATE, WHOLE_CEILING_EACH }
+    enum Planted {
+        NOTHING,
+        LINK_RESENDS,
+        CLAIMS_NEVER_RAN,
+        ANSWERS_TWICE,
+        FORGETS_ANSWERS,
+        SENDS_VISITORS_ON,
+        WHOLE_BUDGET_EACH,
+        TELLS_NO_START,
+        SENDS_TO_NEWEST,
+        TELLS_DRAINS_LATE,
+        WHOLE_CEILING_EACH
+    }
 
     final Planted planted;
     final Timeline time = new Timeline();
@@ -124,15 +165,18 @@
     double hot;
     /** One way between regions, and within one, in microseconds. */
     long linkDelay = 15 * MS;
+
     long delay = MS;
     /**
      * How an answer may be late by chance, as threads and collectors hold it up: mean and share of
      * pauses.
      */
     long jitter;
+
     double pauses;
     /** Share of datagrams between gatekeepers that is lost, and whether one cannot reach another at all. */
     double loss = 0.05;
+
     BiPredicate<Integer, Integer> cut = (from, to) -> false;
     private long ids;
 
@@ -142,7 +186,8 @@
 
     World(long seed, List<Setup> setups, Planted planted) {
         this.planted = planted;
-        ledger = new Ledger(time, setups.stream().mapToInt(Setup::gatekeepers).max().orElse(1));
+        ledger = new Ledger(
+                time, setups.stream().mapToInt(Setup::gatekeepers).max().orElse(1));
         network = stream(seed, 1);
         arrivals = stream(seed, 2);
         links = stream(seed, 3);
@@ -158,8 +203,8 @@
             UniformRandomProvider work = stream(seed, stream++);
             for (int i = 0; i < setup.providers(); i++) {
                 String id = setup.name() + "-s" + i;
-                region.providers.put(id, new SimProvider(id, time, ledger, work, setup.cores(),
-                        4 * setup.cores(), setup.work()));
+                region.providers.put(
+                        id, new SimProvider(id, time, ledger, work, setup.cores(), 4 * setup.cores(), setup.work()));
             }
             for (int i = 0; i < settings.length; i++) {
                 region.nodes.add(new SimNode(this, region, i, seed * 31 + stream++));
@@ -177,10 +222,17 @@
     }
 
     private static Settings settings(int self, int members, Setup setup) {
-        return new Settings(self, members, 0, false, true, 8, 2 * MS, List.of(
-                new RequestClass("check", Repeat.SAFE, Group.ALL, 0, setup.aim(), 4 * SECOND, 1, 0, false),
-                new RequestClass("reject", Repeat.UNSAFE, Group.ALL, 0, setup.aim(), 4 * SECOND, 3, 0,
-                        false)),
+        return new Settings(
+                self,
+                members,
+                0,
+                false,
+                true,
+                8,
+                2 * MS,
+                List.of(
+                        new RequestClass("check", Repeat.SAFE, Group.ALL, 0, setup.aim(), 4 * SECOND, 1, 0, false),
+                        new RequestClass("reject", Repeat.UNSAFE, Group.ALL, 0, setup.aim(), 4 * SECOND, 3, 0, false)),
                 setup.plans(),
                 new Rules(Ledger.SLACK, 10 * SECOND, 0.18, 16 * SECOND, 250 * MS, 4, SECOND),
                 new Limits(true, true, true, members > 1, false, 4, SECOND, 100, 256, 50 * MS));
@@ -189,8 +241,7 @@
     /** The node that a gateway's name stands for: {@code REGION/NUMBER}, whatever the region calls itself. */
     SimNode node(String gateway) {
         int slash = gateway.indexOf('/');
-        return regions.get(gateway.substring(0, slash)).nodes.get(
-                Integer.parseInt(gateway.substring(slash + 1)));
+        return regions.get(gateway.substring(0, slash)).nodes.get(Integer.parseInt(gateway.substring(slash + 1)));
     }
 
     /** The gateways of a region, by name. */
@@ -245,16 +296,23 @@
         String id = region.setup.name() + '-' + ++ids;
         SimNode node = region.nodes.get((int) (customer % region.nodes.size()));
         taken(region, node, id, kind, customer, 1, deadline, region.setup.aim());
-        node.take(id, kind, customer, deadline, 1,
-                () -> time.in(100, () -> askInTurn(region, customer, until)));
+        node.take(id, kind, customer, deadline, 1, () -> time.in(100, () -> askInTurn(region, customer, until)));
     }
 
-    private void taken(Region region, SimNode node, String id, int kind, long customer, double units,
-                       long deadline, long aim) {
+    private void taken(
+            Region region, SimNode node, String id, int kind, long customer, double units, long deadline, long aim) {
         Plan plan = region.setup.plan(customer);
-        ledger.taken(region.setup.name(), node.name(), id, kind == 0, new RuleChecker.Plan(plan.rate(),
-                plan.burst(), plan.ceilingRate(), plan.ceilingBurst(), plan.ceilingSlack()), customer, units,
-                deadline, aim);
+        ledger.taken(
+                region.setup.name(),
+                node.name(),
+                id,
+                kind == 0,
+                new RuleChecker.Plan(
+                        plan.rate(), plan.burst(), plan.ceilingRate(), plan.ceilingBurst(), plan.ceilingSlack()),
+                customer,
+                units,
+                deadline,
+                aim);
     }
 
     private void request(Region region) {
@@ -264,8 +322,8 @@
         long deadline = time.now() + 2 * SECOND + arrivals.nextLong(2 * SECOND);
         boolean leaves = arrivals.nextInt(200) == 0;
         int members = region.nodes.size();
-        SimNode node = region.nodes.get(spread == 0 ? arrivals.nextInt(members)
-                : (int) ((customer + arrivals.nextInt(spread)) % members));
+        SimNode node = region.nodes.get(
+                spread == 0 ? arrivals.nextInt(members) : (int) ((customer + arrivals.nextInt(spread)) % members));
         String id = region.setup.name() + '-' + ++ids;
         if (!node.alive()) {
             return; // the consumer gets no connection, and nobody owes it an answer
--- a/src/main/java/reedmux/lab/stage/Asker.java
+++ b/src/main/java/reedmux/lab/stage/Asker.java
@@ -35,8 +35,7 @@
     }
 
     /** {@code patience}: how long an answer is waited for, in microseconds. */
-    public Asker(Reactor reactor, InetSocketAddress to, byte[] request, long patience, Done done)
-            throws IOException {
+    public Asker(Reactor reactor, InetSocketAddress to, byte[] request, long patience, Done done) throws IOException {
         this.done = done;
         wire = Wire.open(reactor, to, null, this);
         wire.write(request);
@@ -59,8 +58,7 @@
     }
 
     @Override
-    public void connected() {
-    }
+    public void connected() {}
 
     @Override
     public void input() {
--- a/src/main/java/reedmux/lab/stage/CheckerStage.java
+++ b/src/main/java/reedmux/lab/stage/CheckerStage.java
@@ -15,6 +15,7 @@
     private static final long PERIOD = 500_000;
     /** What a request takes whose path says so. */
     private static final long SLOW = 400_000;
+
     private final Reactor reactor;
     private final Listener listener;
     private final String id;
@@ -28,17 +29,22 @@
     private int calls;
 
     /** {@code work}: how long a request takes, in microseconds. */
-    CheckerStage(Reactor reactor, String ip, String id, String plant, String zone,
+    CheckerStage(
+            Reactor reactor,
+            String ip,
+            String id,
+            String plant,
+            String zone,
             List<InetSocketAddress> control,
-                 long work) throws IOException {
+            long work)
+            throws IOException {
         this.reactor = reactor;
         this.id = id;
         this.plant = plant;
         this.zone = zone;
         this.control = control;
         this.work = work;
-        listener = new Listener(reactor, new InetSocketAddress(ip, 0), wire -> new Calls(reactor, wire,
-                this::serve));
+        listener = new Listener(reactor, new InetSocketAddress(ip, 0), wire -> new Calls(reactor, wire, this::serve));
         beat();
     }
 
@@ -64,18 +70,22 @@
             from.raw(wrong.getBytes(StandardCharsets.ISO_8859_1));
             return;
         }
-        reactor.after(how.equals("slow") ? SLOW : work, () ->
-                from.answer(Head.answer(200).add("Reedmux-Attempt-Id", attempt)
-                .add("Reedmux-Server-Seal", "seal-" + id).add("Content-Type", "text/plain"),
-                (id + " has " + call.body().length + " bytes of " + head.path() + '\n')
-                        .getBytes(StandardCharsets.UTF_8)));
+        reactor.after(
+                how.equals("slow") ? SLOW : work,
+                () -> from.answer(
+                        Head.answer(200)
+                                .add("Reedmux-Attempt-Id", attempt)
+                                .add("Reedmux-Server-Seal", "seal-" + id)
+                                .add("Content-Type", "text/plain"),
+                        (id + " has " + call.body().length + " bytes of " + head.path() + '\n')
+                                .getBytes(StandardCharsets.UTF_8)));
     }
 
     /** What it says to a request whose path ends with a way to misbehave, or null. */
     private static String mischief(String how, String attempt) {
         String seal = "Reedmux-Server-Seal: s\r\n";
-        String good = "HTTP/1.1 200 OK\r\nReedmux-Attempt-Id: " + attempt + "\r\n" + seal
-                + "Content-Length: 4\r\n\r\ngood";
+        String good =
+                "HTTP/1.1 200 OK\r\nReedmux-Attempt-Id: " + attempt + "\r\n" + seal + "Content-Length: 4\r\n\r\ngood";
         return switch (how) {
             case "stray" -> good.replace(attempt, "of-another").replace("good", "evil") + good;
             case "behind" -> good + good.replace("good", "evil");
@@ -102,11 +112,15 @@
             InetSocketAddress at = listener.address();
             String address = at.getAddress().getHostAddress() + ':' + at.getPort();
             String body = String.format(
-                    "{'plant':'%s','address':'%s','zone':'%s','revision':'v1','capacity':3,"
-                    + "'phase':'%s','coldLeftMs':0,'seq':%d}", plant, address, zone, phase, ++seq)
+                            "{'plant':'%s','address':'%s','zone':'%s','revision':'v1','capacity':3,"
+                                    + "'phase':'%s','coldLeftMs':0,'seq':%d}",
+                            plant, address, zone, phase, ++seq)
                     .replace('\'', '"');
-            new Asker(reactor, control.get(calls++ % control.size()), Asker.post(
-                    "/v1/Instances.Heartbeat/" + id, body), (status, head, text) -> { });
+            new Asker(
+                    reactor,
+                    control.get(calls++ % control.size()),
+                    Asker.post("/v1/Instances.Heartbeat/" + id, body),
+                    (status, head, text) -> {});
         } catch (IOException e) {
             reactor.log("checker " + id + ": " + e.getMessage());
         }
--- a/src/main/java/reedmux/lab/stage/Stage.java
+++ b/src/main/java/reedmux/lab/stage/Stage.java
@@ -56,6 +56,7 @@
     private final List<CheckerStage> checkers = new ArrayList<>();
     /** Has a proxy leave, as at SIGTERM. */
     private final List<Runnable> leaving = new ArrayList<>();
+
     private final Reactor outside;
     private final int proxies;
 
@@ -88,9 +89,8 @@
             control.add(new InetSocketAddress(ip(i), base + CONTROL));
         }
         for (int i = 0; i < checkerCount; i++) {
-            checkers.add(new CheckerStage(outside, ip(100 + i), "c-" + i, "desk",
-                    ZONES[i % ZONES.length], control,
-                    5_000));
+            checkers.add(
+                    new CheckerStage(outside, ip(100 + i), "c-" + i, "desk", ZONES[i % ZONES.length], control, 5_000));
         }
         start(outside, "outside");
     }
@@ -108,19 +108,21 @@
     }
 
     private Reactor reactor() throws IOException {
-        Reactor made = new Reactor(new Ring("stage", 100, line -> { }, System::nanoTime));
+        Reactor made = new Reactor(new Ring("stage", 100, line -> {}, System::nanoTime));
         reactors.add(made);
         return made;
     }
 
     private static void start(Reactor reactor, String name) {
-        Thread thread = new Thread(() -> {
-            try {
-                reactor.run();
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        }, "stage-" + name);
+        Thread thread = new Thread(
+                () -> {
+                    try {
+                        reactor.run();
+                    } catch (IOException e) {
+                        throw new IllegalStateException(e);
+                    }
+                },
+                "stage-" + name);
         thread.setDaemon(true);
         thread.start();
     }
@@ -145,13 +147,22 @@
                 """;
         String sockets = "";
         for (int socket : new int[] {FRONT, READY, CONTROL}) {
-            sockets += (
-                    socket == FRONT ? "front" : socket == READY ? "ready" : "control") + " = \"" + ip(machine)
-                    + ':' + (base + socket) + "\"\n";
+            sockets += (socket == FRONT ? "front" : socket == READY ? "ready" : "control") + " = \"" + ip(machine) + ':'
+                    + (base + socket) + "\"\n";
         }
-        return Boot.read("stage/" + node, String.format(text, node, ip(machine),
-                ZONES[zone % ZONES.length], base,
-                base + WIDTH, String.join("\", \"", seeds), cold, dir.resolve(node)) + sockets);
+        return Boot.read(
+                "stage/" + node,
+                String.format(
+                                text,
+                                node,
+                                ip(machine),
+                                ZONES[zone % ZONES.length],
+                                base,
+                                base + WIDTH,
+                                String.join("\", \"", seeds),
+                                cold,
+                                dir.resolve(node))
+                        + sockets);
     }
 
     /** The settings of one more machine, for a program that is started beside. */
@@ -170,15 +181,14 @@
     }
 
     /** What somebody outside is answered. */
-    public record Told(int status, String text) { }
+    public record Told(int status, String text) {}
 
     /** Makes a call from outside and waits for what comes of it. */
     public Told ask(InetSocketAddress to, byte[] request) throws IOException {
         CompletableFuture<Told> told = new CompletableFuture<>();
         outside.execute(() -> {
             try {
-                new Asker(outside, to, request, (status, head, text) ->
-                        told.complete(new Told(status, text)));
+                new Asker(outside, to, request, (status, head, text) -> told.complete(new Told(status, text)));
             } catch (IOException e) {
                 told.complete(new Told(0, e.getMessage()));
             }
@@ -212,11 +222,17 @@
     }
 
     /** A client's request, of the attempt's id. */
-    public Told request(int proxy, String method, String path, String attempt, String body)
-            throws IOException {
-        return ask(front(proxy), Asker.request(method, path, "desk.example", body,
-                "Reedmux-Attempt-Id: " + attempt
-                + "\r\n", "Reedmux-Time-Left-Ms: 2000\r\n", "Authorization: Bearer key-of-first\r\n"));
+    public Told request(int proxy, String method, String path, String attempt, String body) throws IOException {
+        return ask(
+                front(proxy),
+                Asker.request(
+                        method,
+                        path,
+                        "desk.example",
+                        body,
+                        "Reedmux-Attempt-Id: " + attempt + "\r\n",
+                        "Reedmux-Time-Left-Ms: 2000\r\n",
+                        "Authorization: Bearer key-of-first\r\n"));
     }
 
     /** Waits until all proxies call themselves ready; false if they don't. */
@@ -241,7 +257,8 @@
 
     /** What a proxy says to the platform. */
     public Told readiness(int proxy) throws IOException {
-        return ask(new InetSocketAddress(ip(CORE + proxy), base + READY),
+        return ask(
+                new InetSocketAddress(ip(CORE + proxy), base + READY),
                 Asker.request("GET", "/v1/readiness", "ready", ""));
     }
 
--- a/src/main/java/reedmux/lab/world/CatchUp.java
+++ b/src/main/java/reedmux/lab/world/CatchUp.java
@@ -26,14 +26,13 @@
     private long revision;
 
     /** What a disk has. */
-    record OnDisk(int items, boolean whole) { }
+    record OnDisk(int items, boolean whole) {}
 
     CatchUp(long seed) {
         world = new World(seed);
         deployment = new Deployment(world, 1, 3, log::add);
         deployment.start();
-        operator = new Operator(world, "10.8.0.1", deployment.control().subList(0, 2),
-                new InvariantChecker());
+        operator = new Operator(world, "10.8.0.1", deployment.control().subList(0, 2), new InvariantChecker());
         late = deployment.cores().get(2);
         world.run(5 * SECOND);
     }
@@ -52,8 +51,7 @@
         for (int from = first; from < first + many; from += CALL) {
             String body = tenants(from, Math.min(CALL, first + many - from), revision);
             boolean[] done = {false};
-            operator.adjust(body, InvariantChecker.Proper.VALID, Settings::shows,
-                    status -> done[0] = status == 200);
+            operator.adjust(body, InvariantChecker.Proper.VALID, Settings::shows, status -> done[0] = status == 200);
             for (long end = world.now() + LONGEST; !done[0]; ) {
                 world.run(SECOND / 20);
                 if (world.now() > end) {
@@ -68,9 +66,12 @@
         StringBuilder body = new StringBuilder("{\"apply\":{\"signals\":[");
         for (int i = first; i < first + many; i++) {
             body.append(i == first ? "" : ",")
-                    .append("{\"signalKind\":\"tenants\",\"heading\":{\"name\":\"t").append(i)
-                    .append("\",\"revision\":").append(revision)
-                    .append("},\"reference\":{\"keys\":[\"key-of-tenant-").append(i)
+                    .append("{\"signalKind\":\"tenants\",\"heading\":{\"name\":\"t")
+                    .append(i)
+                    .append("\",\"revision\":")
+                    .append(revision)
+                    .append("},\"reference\":{\"keys\":[\"key-of-tenant-")
+                    .append(i)
                     .append("\"],\"priority\":1,\"flowPerS\":20,\"burst\":40}}");
         }
         return body.append("]}}").toString();
@@ -119,11 +120,17 @@
             while (!day.said("whole again") && day.world.now() < lost + LONGEST) {
                 day.world.run(SECOND / 200);
             }
-            claims.claim(size + " items, an empty disk: ms until it counts itself",
-                    (day.world.now() - lost - SECOND) / 1000, "< " + LONGEST / 1000, day.said("whole again"));
+            claims.claim(
+                    size + " items, an empty disk: ms until it counts itself",
+                    (day.world.now() - lost - SECOND) / 1000,
+                    "< " + LONGEST / 1000,
+                    day.said("whole again"));
             day.world.run(5 * SECOND);
             OnDisk left = day.onDisk();
-            claims.claim(size + " items, an empty disk: items on it then", left.items, size,
+            claims.claim(
+                    size + " items, an empty disk: items on it then",
+                    left.items,
+                    size,
                     left.items == size && left.whole);
         }
         return claims;
--- a/src/main/java/reedmux/lab/world/CheckerActor.java
+++ b/src/main/java/reedmux/lab/world/CheckerActor.java
@@ -29,6 +29,7 @@
     private final Runnable onEnd;
     /** Hears the address of who acknowledged that it leaves. */
     private final java.util.function.Consumer<String> onDrain;
+
     private final Deque<Runnable> queue = new ArrayDeque<>();
     private int busy;
     private boolean draining;
@@ -38,12 +39,20 @@
     private int calls;
     /** Of its answers, how many are lost after it has run. */
     private double loses;
+
     private double misbehaves;
     /** How much longer it serves on once its leaving was acknowledged. */
     private long lingers;
 
-    CheckerActor(World world, Machine machine, String id, String service, List<InetSocketAddress> control,
-            InvariantChecker watch, Runnable onEnd, java.util.function.Consumer<String> onDrain) {
+    CheckerActor(
+            World world,
+            Machine machine,
+            String id,
+            String service,
+            List<InetSocketAddress> control,
+            InvariantChecker watch,
+            Runnable onEnd,
+            java.util.function.Consumer<String> onDrain) {
         this.world = world;
         this.watch = watch;
         this.id = id;
@@ -52,15 +61,17 @@
         this.onEnd = onEnd;
         this.onDrain = onDrain;
         calls = world.random().nextInt(control.size());
-        host = new Host(world, machine, id, 0, line -> { });
+        host = new Host(world, machine, id, 0, line -> {});
         try {
-            new Listener(host.reactor(), new InetSocketAddress(machine.ip(), PORT),
+            new Listener(
+                    host.reactor(),
+                    new InetSocketAddress(machine.ip(), PORT),
                     wire -> new Calls(host.reactor(), wire, this::serve));
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
         host.reactor().after(world.random().nextInt((int) PERIOD / 4), () -> beat(0));
-        host.enter(() -> { });
+        host.enter(() -> {});
     }
 
     String id() {
@@ -129,8 +140,8 @@
     }
 
     private void answer(String attempt, Calls from) {
-        from.answer(Head.answer(200).add("Reedmux-Attempt-Id", attempt).add("Reedmux-Server-Seal", id),
-                content(attempt));
+        from.answer(
+                Head.answer(200).add("Reedmux-Attempt-Id", attempt).add("Reedmux-Server-Seal", id), content(attempt));
     }
 
     private byte[] content(String attempt) {
@@ -140,27 +151,32 @@
     private void misbehave(String attempt, Calls from) {
         byte[] whole = whole(attempt);
         switch (world.random().nextInt(6)) {
-            case 0 -> host.reactor().after(500_000 + world.random().nextInt(2_500_000), () ->
-                    answer(attempt, from));
+            case 0 -> host.reactor().after(500_000 + world.random().nextInt(2_500_000), () -> answer(attempt, from));
             case 1 -> from.raw(java.util.Arrays.copyOf(whole, 1 + world.random().nextInt(whole.length - 1)));
             case 2, 3 -> { // once more, at once or when the connection may carry another request
                 answer(attempt, from);
-                host.reactor().after(world.random().nextInt(3) == 0 ? 0 : world.random().nextInt(60_000),
-                    () ->
-                        from.unasked(whole));
+                host.reactor()
+                        .after(
+                                world.random().nextInt(3) == 0
+                                        ? 0
+                                        : world.random().nextInt(60_000),
+                                () -> from.unasked(whole));
             }
             case 4 -> {
                 from.unasked("HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.UTF_8));
                 answer(attempt, from);
             }
-            default -> { }
+            default -> {}
         }
     }
 
     private byte[] whole(String attempt) {
         byte[] content = content(attempt);
-        byte[] head = Head.answer(200).add("Reedmux-Attempt-Id", attempt).add("Reedmux-Server-Seal", id)
-                .add("Content-Length", Integer.toString(content.length)).bytes();
+        byte[] head = Head.answer(200)
+                .add("Reedmux-Attempt-Id", attempt)
+                .add("Reedmux-Server-Seal", id)
+                .add("Content-Length", Integer.toString(content.length))
+                .bytes();
         byte[] all = java.util.Arrays.copyOf(head, head.length + content.length);
         System.arraycopy(content, 0, all, head.length, content.length);
         return all;
@@ -172,10 +188,11 @@
             return;
         }
         boolean said = draining;
-        String body = "{\"plant\":\"" + service + "\",\"address\":\"" + host.machine().ip() + ':' + PORT
-                + "\",\"zone\":\"" + host.machine().zone() + "\",\"revision\":\"v1\",\"capacity\":" + SLOTS
-                + ",\"phase\":\"" + (said ? "draining" : "ready") + "\",\"coldLeftMs\":0,\"seq\":" + ++seq
-                + '}';
+        String body =
+                "{\"plant\":\"" + service + "\",\"address\":\"" + host.machine().ip() + ':' + PORT
+                        + "\",\"zone\":\"" + host.machine().zone() + "\",\"revision\":\"v1\",\"capacity\":" + SLOTS
+                        + ",\"phase\":\"" + (said ? "draining" : "ready") + "\",\"coldLeftMs\":0,\"seq\":" + ++seq
+                        + '}';
         ask("/v1/Instances.Heartbeat/" + id, body, good -> {
             if (good && said && !drainAcked) {
                 drainAcked = true;
@@ -214,7 +231,11 @@
 
     private void ask(String path, String body, java.util.function.Consumer<Boolean> done) {
         try {
-            new Asker(host.reactor(), control.get(calls % control.size()), Asker.post(path, body), PATIENCE,
+            new Asker(
+                    host.reactor(),
+                    control.get(calls % control.size()),
+                    Asker.post(path, body),
+                    PATIENCE,
                     (status, head, text) -> done.accept(status / 100 == 2));
         } catch (IOException e) {
             done.accept(false);
--- a/src/main/java/reedmux/lab/world/Clients.java
+++ b/src/main/java/reedmux/lab/world/Clients.java
@@ -32,23 +32,32 @@
      * @param keys   items by which it is judged what a probe shows, the route's and the key's
      * @param tenant whose key it has
      */
-    record Wish(String path, boolean repeatable, String key, String tenant, String service,
-            String routeItem, String keyItem) { }
+    record Wish(
+            String path,
+            boolean repeatable,
+            String key,
+            String tenant,
+            String service,
+            String routeItem,
+            String keyItem) {}
 
     Clients(World world, Deployment deployment, InvariantChecker watch) {
         this.world = world;
         this.deployment = deployment;
         this.watch = watch;
-        host = new Host(world, new Machine(world, "10.9.0.1", Deployment.ZONES[1], false), "clients", 0,
-                line -> { });
+        host = new Host(world, new Machine(world, "10.9.0.1", Deployment.ZONES[1], false), "clients", 0, line -> {});
         platform();
     }
 
     // ---- The platform ------------------------------------------------------------------------------
     private void platform() {
         for (Deployment.Node edge : deployment.edges()) {
-            ask(() -> new Asker(host.reactor(), deployment.ready(edge),
-                    Asker.request("GET", "/v1/readiness", "ready", ""), SECOND, (status, head, text) -> {
+            ask(() -> new Asker(
+                    host.reactor(),
+                    deployment.ready(edge),
+                    Asker.request("GET", "/v1/readiness", "ready", ""),
+                    SECOND,
+                    (status, head, text) -> {
                         missed.merge(edge.name(), 1, (had, one) -> status == 200 ? 0 : had + 1);
                         if (status == 200) {
                             watch.ready(edge.name(), edge.bornAt(), world.now());
@@ -115,8 +124,7 @@
     void request(Wish wish) {
         boolean counted = world.now() >= since;
         askedSince += counted ? 1 : 0;
-        request(wish, "q" + ++numbers, 1, world.now() + DEADLINE, good ->
-                servedSince += counted && good ? 1 : 0);
+        request(wish, "q" + ++numbers, 1, world.now() + DEADLINE, good -> servedSince += counted && good ? 1 : 0);
     }
 
     private void request(Wish wish, String name, int number, long deadline, Consumer<Boolean> done) {
@@ -126,15 +134,17 @@
         long begun = world.now();
         send(edge, wish, id, deadline, (status, head, text) -> {
             told(edge, id, status, head, text, begun);
-            boolean again = status == 429 || status == 503 || wish.repeatable && status != 200
-                    && status != 401 && status != 404;
+            boolean again = status == 429
+                    || status == 503
+                    || wish.repeatable && status != 200 && status != 401 && status != 404;
             if (!again || number >= TRIES || world.now() + 50_000 > deadline) {
                 done.accept(status == 200);
                 return;
             }
             String after = head == null ? null : head.get("Retry-After");
-            long pause = after == null ? 50_000 : Math.min((long) (Double.parseDouble(after) * SECOND),
-                    (deadline - world.now()) / 3);
+            long pause = after == null
+                    ? 50_000
+                    : Math.min((long) (Double.parseDouble(after) * SECOND), (deadline - world.now()) / 3);
             world.after(pause, () -> request(wish, name, number + 1, deadline, done));
         });
     }
@@ -151,13 +161,17 @@
     }
 
     private void send(Deployment.Node edge, Wish wish, String id, long deadline, Asker.Done done) {
-        List<String> headers = new ArrayList<>(List.of("Reedmux-Attempt-Id: " + id + "\r\n",
+        List<String> headers = new ArrayList<>(List.of(
+                "Reedmux-Attempt-Id: " + id + "\r\n",
                 "Reedmux-Time-Left-Ms: " + Math.max(1, (deadline - world.now()) / 1000) + "\r\n"));
         headers.add("Authorization: Bearer " + wish.key + "\r\n");
-        byte[] bytes = Asker.request(wish.repeatable ? "GET" : "POST", wish.path, "h.example",
-                wish.repeatable ? "" : "some body", headers.toArray(new String[0]));
-        ask(() -> new Asker(host.reactor(), deployment.front(edge), bytes, deadline - world.now() + 20_000,
-                done));
+        byte[] bytes = Asker.request(
+                wish.repeatable ? "GET" : "POST",
+                wish.path,
+                "h.example",
+                wish.repeatable ? "" : "some body",
+                headers.toArray(new String[0]));
+        ask(() -> new Asker(host.reactor(), deployment.front(edge), bytes, deadline - world.now() + 20_000, done));
     }
 
     /** The platform sends one to a proxy that is in, to see which configuration is in force there. */
@@ -175,17 +189,28 @@
                 return;
             }
             if (status == 404) {
-                watch.showed(edge.name(), life, wish.routeItem, InvariantChecker.NONE,
-                        InvariantChecker.NONE::equals, begun,
+                watch.showed(
+                        edge.name(),
+                        life,
+                        wish.routeItem,
+                        InvariantChecker.NONE,
+                        InvariantChecker.NONE::equals,
+                        begun,
                         world.now());
             } else if (status == 401) {
-                watch.showed(edge.name(), life, wish.keyItem, "no " + wish.key,
-                        keys -> !keys.contains(wish.key), begun, world.now());
+                watch.showed(
+                        edge.name(),
+                        life,
+                        wish.keyItem,
+                        "no " + wish.key,
+                        keys -> !keys.contains(wish.key),
+                        begun,
+                        world.now());
             } else if (status == 200) {
                 String service = text.split(" ")[1];
                 watch.showed(edge.name(), life, wish.routeItem, service, service::equals, begun, world.now());
-                watch.showed(edge.name(), life, wish.keyItem, wish.key, keys -> keys.contains(wish.key),
-                        begun, world.now());
+                watch.showed(
+                        edge.name(), life, wish.keyItem, wish.key, keys -> keys.contains(wish.key), begun, world.now());
             }
         });
     }
--- a/src/main/java/reedmux/lab/world/Day.java
+++ b/src/main/java/reedmux/lab/world/Day.java
@@ -41,8 +41,15 @@
      *
      * @param story the troubles, with seconds from the start of traffic
      */
-    public record Outcome(long seed, List<String> broken, List<String> story, long digest, long asked,
-            long served, long events, long simulated) { }
+    public record Outcome(
+            long seed,
+            List<String> broken,
+            List<String> story,
+            long digest,
+            long asked,
+            long served,
+            long events,
+            long simulated) {}
 
     /**
      * What all days of a run have in common.
@@ -94,19 +101,19 @@
         deployment.cores().forEach(core -> core.machine().disk().syncTakes(sync));
         int many = Math.max(CHECKERS, deployment.edges().size());
         for (int i = 0; i < many; i++) {
-            checker(new Machine(world, "10.3." + i / 200 + '.' + (1 + i % 200),
-                    Deployment.ZONES[i % ZONES], false), i % 2);
+            checker(
+                    new Machine(world, "10.3." + i / 200 + '.' + (1 + i % 200), Deployment.ZONES[i % ZONES], false),
+                    i % 2);
         }
-        operators.get(0).adjust(settings.first(), InvariantChecker.Proper.VALID, Settings::shows, status ->
-                { });
+        operators.get(0).adjust(settings.first(), InvariantChecker.Proper.VALID, Settings::shows, status -> {});
         world.run(LEAD);
         long length = shape.point() > 0 ? STORM_LENGTH : LENGTH;
         long end = begin + length;
         traffic(end + AFTER + SECOND);
         probes(end + AFTER);
         if (shape.point() > 0) {
-            new Storm(this, shape.point(), shape.readdresses(), world, deployment, watch, settings, operators,
-                    random).begin(end);
+            new Storm(this, shape.point(), shape.readdresses(), world, deployment, watch, settings, operators, random)
+                    .begin(end);
         } else {
             changes(end - SECOND);
             troubles(end - 2 * SECOND);
@@ -115,8 +122,7 @@
         String rule = "CONFIG";
         if (random.nextInt(3) == 0 && world.now() >= coreFreeAt) {
             rule = "LOST";
-            operators.get(0).adjust(settings.change(), InvariantChecker.Proper.VALID, Settings::shows,
-                    status -> {
+            operators.get(0).adjust(settings.change(), InvariantChecker.Proper.VALID, Settings::shows, status -> {
                 if (status == 200) {
                     close();
                 }
@@ -136,17 +142,30 @@
         watch.readBack(read[0], rule, sentAt[0]);
         watch.end();
         world.saw(String.valueOf(read[0]));
-        return new Outcome(seed, watch.broken(), story, world.digest(), watch.asked(), watch.served(),
-                world.events(), world.now() - begin + LEAD);
+        return new Outcome(
+                seed,
+                watch.broken(),
+                story,
+                world.digest(),
+                watch.asked(),
+                watch.served(),
+                world.events(),
+                world.now() - begin + LEAD);
     }
 
     // ---- What goes on all day ----------------------------------------------------------------------
     private void checker(Machine machine, int service) {
         String id = "i-" + checkerNumber++;
         CheckerActor[] made = {null};
-        made[0] = new CheckerActor(world, machine, id, Settings.SERVICES[service],
-                deployment.control(), watch,
-                () -> checkers.remove(made[0]), this::drainAcked);
+        made[0] = new CheckerActor(
+                world,
+                machine,
+                id,
+                Settings.SERVICES[service],
+                deployment.control(),
+                watch,
+                () -> checkers.remove(made[0]),
+                this::drainAcked);
         checkers.add(made[0]);
     }
 
@@ -154,7 +173,9 @@
         Consumer<Deployment.Node> then = afterDrain;
         if (then != null && world.now() >= coreFreeAt) {
             afterDrain = null;
-            deployment.cores().stream().filter(core -> core.machine().ip().equals(ip)).forEach(then);
+            deployment.cores().stream()
+                    .filter(core -> core.machine().ip().equals(ip))
+                    .forEach(then);
         }
     }
 
@@ -167,8 +188,8 @@
     }
 
     private void probes(long until) {
-        clients.probe(deployment.edges().get(random.nextInt(deployment.edges().size())), settings.probe(),
-                settings::swapped);
+        clients.probe(
+                deployment.edges().get(random.nextInt(deployment.edges().size())), settings.probe(), settings::swapped);
         if (world.now() < until) {
             world.after(400_000 / deployment.edges().size(), () -> probes(until));
         }
@@ -179,29 +200,34 @@
             return;
         }
         switch (shape.storm() ? Math.min(2, 1 + random.nextInt(6) / 5) : random.nextInt(6)) {
-            case 0 -> operators.get(1).adjust(settings.invalid(), InvariantChecker.Proper.INVALID,
-                    Settings::shows,
-                    status -> { });
+            case 0 ->
+                operators
+                        .get(1)
+                        .adjust(settings.invalid(), InvariantChecker.Proper.INVALID, Settings::shows, status -> {});
             case 1 -> {
                 var pair = settings.pair();
                 for (int i = 0; i < 2; i++) {
-                    operators.get(i).adjust(pair.getValue().get(i), pair.getKey()
-                            ? InvariantChecker.Proper.VALID
-                            : InvariantChecker.Proper.EITHER, Settings::shows, status -> { });
+                    operators
+                            .get(i)
+                            .adjust(
+                                    pair.getValue().get(i),
+                                    pair.getKey() ? InvariantChecker.Proper.VALID : InvariantChecker.Proper.EITHER,
+                                    Settings::shows,
+                                    status -> {});
                 }
             }
-            default -> operators.get(0).adjust(settings.change(), InvariantChecker.Proper.VALID,
-                    Settings::shows,
-                    status -> {
-                        Runnable then = afterAck;
-                        if (status == 200 && then != null) {
-                            afterAck = null;
-                            then.run();
-                        }
-                    });
+            default ->
+                operators.get(0).adjust(settings.change(), InvariantChecker.Proper.VALID, Settings::shows, status -> {
+                    Runnable then = afterAck;
+                    if (status == 200 && then != null) {
+                        afterAck = null;
+                        then.run();
+                    }
+                });
         }
         boolean soon = random.nextInt(8) == 0;
-        long pause = shape.storm() ? soon ? 10_000 : 50_000 + random.nextInt(300_000)
+        long pause = shape.storm()
+                ? soon ? 10_000 : 50_000 + random.nextInt(300_000)
                 : soon ? 100_000 : 400_000 + random.nextInt(1_400_000);
         world.after(pause, () -> changes(until));
     }
@@ -295,8 +321,10 @@
             case 22 -> {
                 boolean all = random.nextBoolean();
                 afterDrain = acked -> {
-                    tell(all ? "all of the core is killed after a drain was acknowledged"
-                            : acked.name() + " loses power after it has acknowledged a drain");
+                    tell(
+                            all
+                                    ? "all of the core is killed after a drain was acknowledged"
+                                    : acked.name() + " loses power after it has acknowledged a drain");
                     if (all) {
                         coreTrouble(null, 2 * SECOND, true);
                         deployment.cores().forEach(core -> core.kill(500_000));
@@ -349,10 +377,12 @@
                 world.cut(other.machine(), node.machine());
             }
         }
-        world.after(length, () -> others.forEach(other -> {
-            world.join(node.machine(), other.machine());
-            world.join(other.machine(), node.machine());
-        }));
+        world.after(
+                length,
+                () -> others.forEach(other -> {
+                    world.join(node.machine(), other.machine());
+                    world.join(other.machine(), node.machine());
+                }));
     }
 
     private void edge(int kind) {
@@ -467,8 +497,10 @@
         long back = 500_000 + random.nextInt(1_500_000);
         int kind = random.nextInt(3);
         Deployment.Node wiped = kind == 2 ? any(deployment.cores()) : null;
-        tell(kind == 0 ? "all processes are killed" : "all lose power" + (wiped == null ? "" : ", and "
-                + wiped.name() + " its disk"));
+        tell(
+                kind == 0
+                        ? "all processes are killed"
+                        : "all lose power" + (wiped == null ? "" : ", and " + wiped.name() + " its disk"));
         watch.coreTrouble(world.now(), world.now() + back + SECOND, true);
         for (Deployment.Node node : all) {
             watch.trouble(node.name(), world.now(), world.now() + back + SECOND);
--- a/src/main/java/reedmux/lab/world/Days.java
+++ b/src/main/java/reedmux/lab/world/Days.java
@@ -13,7 +13,7 @@
     private final Day.Shape shape;
 
     /** What many days come to. */
-    public record Sum(int days, int broken, long asked, long served, long simulated, long digest) { }
+    public record Sum(int days, int broken, long asked, long served, long simulated, long digest) {}
 
     public Days(Day.Shape shape) {
         this.shape = shape;
--- a/src/main/java/reedmux/lab/world/Deployment.java
+++ b/src/main/java/reedmux/lab/world/Deployment.java
@@ -33,7 +33,7 @@
     private final List<Node> cores = new ArrayList<>();
     private final List<InetSocketAddress> control = new ArrayList<>();
     private final List<String> first = new ArrayList<>();
-    private Consumer<String> byItself = process -> { };
+    private Consumer<String> byItself = process -> {};
 
     /** A machine with its programs. */
     final class Node {
@@ -99,11 +99,12 @@
             try {
                 Boot boot = boot(this, role);
                 Host host = new Host(world, machine, name + '/' + role, COST, log);
-                Program program = switch (role) {
-                    case "store" -> new Store(boot, host.reactor());
-                    case "registry" -> new Registry(boot, host.reactor());
-                    default -> new Proxy(boot, host.reactor());
-                };
+                Program program =
+                        switch (role) {
+                            case "store" -> new Store(boot, host.reactor());
+                            case "registry" -> new Registry(boot, host.reactor());
+                            default -> new Proxy(boot, host.reactor());
+                        };
                 hosts.put(role, host);
                 programs.put(role, program);
                 host.onEnd(() -> world.after(AGAIN, () -> {
@@ -117,7 +118,7 @@
                         start(role);
                     }
                 }));
-                host.enter(() -> { });
+                host.enter(() -> {});
             } catch (BootException e) {
                 throw new IllegalStateException(name + ": " + e.getMessage(), e);
             } catch (IOException e) { // as when the disk refuses: it is tried again
@@ -165,8 +166,7 @@
             int fall = ++falls;
             int place = cores.indexOf(this);
             world.after(downFor, () -> {
-                machine = new Machine(world, ip, machine.zone(), withDisk ? machine.disk()
-                        : new SimDisk(world));
+                machine = new Machine(world, ip, machine.zone(), withDisk ? machine.disk() : new SimDisk(world));
                 if (fall == falls) {
                     start();
                 }
@@ -178,7 +178,8 @@
         void term(long downFor) {
             leaving = true;
             int of = (int) lives;
-            hosts.forEach((role, host) -> host.reactor().execute(() -> programs.get(role).leave()));
+            hosts.forEach((role, host) ->
+                    host.reactor().execute(() -> programs.get(role).leave()));
             world.after(GRACE, () -> {
                 if (lives == of && !down) {
                     kill(downFor);
@@ -198,8 +199,7 @@
         this.log = log;
         for (int i = 0; i < coreCount; i++) {
             String zone = ZONES[i % ZONES.length];
-            cores.add(new Node("core-" + zone + '-' + i, new Machine(world, "10.1." + i + ".10", zone, true),
-                    true));
+            cores.add(new Node("core-" + zone + '-' + i, new Machine(world, "10.1." + i + ".10", zone, true), true));
             control.add(Addresses.parse("10.1." + i + ".10:" + CONTROL));
             if (i < SEEDS) {
                 first.add("10.1." + i + ".10");
@@ -207,8 +207,10 @@
         }
         for (int i = 0; i < proxies; i++) {
             String zone = ZONES[i % ZONES.length];
-            edges.add(new Node("edge-" + zone + '-' + i, new Machine(world, "10.2." + i / 200 + '.'
-                    + (10 + i % 200), zone, false), false));
+            edges.add(new Node(
+                    "edge-" + zone + '-' + i,
+                    new Machine(world, "10.2." + i / 200 + '.' + (10 + i % 200), zone, false),
+                    false));
         }
     }
 
@@ -249,12 +251,14 @@
             seeds.add('"' + seed + ':' + CONTROL + '"');
         }
         String ip = node.machine.ip();
-        return Boot.read(node.name + '/' + role, "node = \"" + node.name + "\"\nip = \"" + ip
-                + "\"\nzone = \"" + node.machine.zone() + "\"\nportRange = [" + STORE + ", " + (STORE + 15)
-                + "]\nseeds = [" + String.join(", ", seeds) + "]\ncoldStart = " + node.first
-                + "\nperiodMs = 1500\n" + (node.core ? "dataDir = \"/data\"\n" : "")
-                + "[sockets]\nfront = \"" + ip + ':' + FRONT + "\"\nready = \"" + ip + ':' + READY
-                + "\"\ncontrol = \"" + ip + ':' + CONTROL + "\"\n[tolerance]\nmachines = 1\n[envelope]\n"
-                + "graceS = 6\nretryRatio = 0.2\nretrySlack = 56\n[saturation]\nfdLimit = 4100\n");
+        return Boot.read(
+                node.name + '/' + role,
+                "node = \"" + node.name + "\"\nip = \"" + ip
+                        + "\"\nzone = \"" + node.machine.zone() + "\"\nportRange = [" + STORE + ", " + (STORE + 15)
+                        + "]\nseeds = [" + String.join(", ", seeds) + "]\ncoldStart = " + node.first
+                        + "\nperiodMs = 1500\n" + (node.core ? "dataDir = \"/data\"\n" : "")
+                        + "[sockets]\nfront = \"" + ip + ':' + FRONT + "\"\nready = \"" + ip + ':' + READY
+                        + "\"\ncontrol = \"" + ip + ':' + CONTROL + "\"\n[tolerance]\nmachines = 1\n[envelope]\n"
+                        + "graceS = 6\nretryRatio = 0.2\nretrySlack = 56\n[saturation]\nfdLimit = 4100\n");
     }
 }
--- a/src/main/java/reedmux/lab/world/Growth.java
+++ b/src/main/java/reedmux/lab/world/Growth.java
@@ -23,20 +23,28 @@
     private static final long DOWN = 300_000;
     /** Beyond so many proxies they are not all restarted: it would take minutes. */
     private static final int MOST_ROLLED = 300;
+
     private final World world;
     private final Deployment deployment;
 
     /** How many of each there are. */
-    public record Size(int proxies, int cores, int checkers) { }
+    public record Size(int proxies, int cores, int checkers) {}
 
     /** One role's median machine in one phase; bytes both ways, all by the second. */
-    public record Row(Size size, String phase, String role, double seconds, double kilobytes,
-            double messages, double events, double cpuMillis) { }
+    public record Row(
+            Size size,
+            String phase,
+            String role,
+            double seconds,
+            double kilobytes,
+            double messages,
+            double events,
+            double cpuMillis) {}
 
     private Growth(Size size) {
         world = new World(size.proxies() * 31L + size.cores());
         world.measure();
-        deployment = new Deployment(world, size.proxies(), size.cores(), line -> { });
+        deployment = new Deployment(world, size.proxies(), size.cores(), line -> {});
     }
 
     /** Plays one size. */
@@ -48,14 +56,27 @@
         InvariantChecker unheard = new InvariantChecker();
         deployment.start();
         for (int i = 0; i < size.checkers(); i++) {
-            Machine machine = new Machine(world, "10.3." + i / 200 + '.' + (1 + i % 200),
-                    Deployment.ZONES[i % Deployment.ZONES.length], false);
-            new CheckerActor(world, machine, "i-" + i, Settings.SERVICES[i % 2], deployment.control(),
-                    unheard, () -> { }, ip -> { });
+            Machine machine = new Machine(
+                    world,
+                    "10.3." + i / 200 + '.' + (1 + i % 200),
+                    Deployment.ZONES[i % Deployment.ZONES.length],
+                    false);
+            new CheckerActor(
+                    world,
+                    machine,
+                    "i-" + i,
+                    Settings.SERVICES[i % 2],
+                    deployment.control(),
+                    unheard,
+                    () -> {},
+                    ip -> {});
         }
-        new Operator(world, "10.8.0.1", deployment.control(), unheard).adjust(
-                new Settings(new Random(1)).first(), InvariantChecker.Proper.VALID, Settings::shows,
-                status -> { });
+        new Operator(world, "10.8.0.1", deployment.control(), unheard)
+                .adjust(
+                        new Settings(new Random(1)).first(),
+                        InvariantChecker.Proper.VALID,
+                        Settings::shows,
+                        status -> {});
         world.run(SETTLE);
         List<Row> rows = new ArrayList<>();
         measure(rows, size, "rest", REST);
@@ -84,7 +105,11 @@
                 gone[at] = then.get(at).less(before.get(i).get(at));
             }
             double seconds = length / 1e6;
-            rows.add(new Row(size, phase, ROLES.get(i), seconds,
+            rows.add(new Row(
+                    size,
+                    phase,
+                    ROLES.get(i),
+                    seconds,
                     median(gone, load -> (load.sent + load.got) / 1e3) / seconds,
                     median(gone, load -> load.messages) / seconds,
                     median(gone, load -> load.events) / seconds,
--- a/src/main/java/reedmux/lab/world/Host.java
+++ b/src/main/java/reedmux/lab/world/Host.java
@@ -25,17 +25,19 @@
     private final String name;
     /** What one thing to do takes. */
     private final long cost;
+
     private final Reactor reactor;
     private final Load load;
     /** Whether it is one of the system's programs, and no stand-in. */
     private final boolean program;
+
     private final Deque<Runnable> posted = new ArrayDeque<>();
     private final Deque<Runnable> frozen = new ArrayDeque<>();
     private final Deque<Runnable> frozenWork = new ArrayDeque<>();
     private final Map<Integer, SimPort> ports = new HashMap<>();
     private final Map<Integer, SimBox> boxes = new HashMap<>();
     private final Set<SimLine> lines = new LinkedHashSet<>();
-    private Runnable ended = () -> { };
+    private Runnable ended = () -> {};
     private boolean alive = true;
     private boolean froze;
     private boolean onDisk;
@@ -113,7 +115,7 @@
             world.at(next, () -> {
                 if (wakeAt == next) {
                     wakeAt = Long.MAX_VALUE;
-                    enter(() -> { });
+                    enter(() -> {});
                 }
             });
         }
@@ -140,7 +142,7 @@
 
     private void give(Runnable task) {
         posted.add(task);
-        enter(() -> { });
+        enter(() -> {});
     }
 
     @Override
@@ -256,8 +258,8 @@
         if (machine.listening(number) != null) {
             throw new BindException("Address already in use");
         }
-        SimPort port = new SimPort(this, new InetSocketAddress(at.getAddress(), number), backlog,
-                () -> ports.remove(number));
+        SimPort port =
+                new SimPort(this, new InetSocketAddress(at.getAddress(), number), backlog, () -> ports.remove(number));
         ports.put(number, port);
         return port;
     }
