--- a/src/main/java/reedmux/lab/world/InvariantChecker.java
+++ b/src/main/java/reedmux/lab/world/InvariantChecker.java
@@ -43,7 +43,8 @@
 
     /** What is right to do with a call of the operator. */
     enum Proper {
-        VALID, INVALID,
+        VALID,
+        INVALID,
         /** Of two that are sent at once and cannot stand together, either may be refused. */
         EITHER
     }
@@ -73,8 +74,7 @@
         private int arrivals;
         private int status = -1;
 
-        private Sent(long at, String proxy, boolean repeatable, String tenant, String service,
-                String route) {
+        private Sent(long at, String proxy, boolean repeatable, String tenant, String service, String route) {
             this.at = at;
             this.route = route;
             this.proxy = proxy;
@@ -91,6 +91,7 @@
     private final Map<String, Deque<Long>> quota = new HashMap<>();
     /** Of tenants beyond their quota, the most that ran in one window. */
     private final Map<String, Integer> mostOfQuota = new LinkedHashMap<>();
+
     private final Map<String, Map<Long, int[]>> budget = new HashMap<>();
     private final Map<String, Long> floors = new HashMap<>();
     private final Map<String, List<long[]>> troubles = new HashMap<>();
@@ -164,11 +165,12 @@
     /** A version was sent for the first time; {@code shows}: what requests under it come to. */
     void sentVersion(Item item, String shows, long now) {
         versions.computeIfAbsent(item.key(), key -> {
-            TreeMap<Item, Version> all = new TreeMap<>();
-            Item none = new Item(item.kind(), item.name(), 0, "");
-            all.put(none, new Version(none, NONE, 0));
-            return all;
-        }).putIfAbsent(item, new Version(item, shows, now));
+                    TreeMap<Item, Version> all = new TreeMap<>();
+                    Item none = new Item(item.kind(), item.name(), 0, "");
+                    all.put(none, new Version(none, NONE, 0));
+                    return all;
+                })
+                .putIfAbsent(item, new Version(item, shows, now));
     }
 
     private Version version(Item item) {
@@ -188,8 +190,9 @@
                 version.ackedAt = now;
                 for (Version other : versions.get(item.key()).values()) {
                     if (other != version && other.ackedAt >= 0 && other.item.revision() == item.revision()) {
-                        broke("CONFIG", "two contents are acknowledged under one number: " + item + " and "
-                                + other.item);
+                        broke(
+                                "CONFIG",
+                                "two contents are acknowledged under one number: " + item + " and " + other.item);
                     }
                 }
             }
@@ -213,8 +216,7 @@
 
     private void waited(List<Item> items, Proper proper, long sentAt, long now) {
         if (proper == Proper.VALID && settledStretch(sentAt, now) >= ACK) {
-            broke("ACKS", "a valid change has no acknowledgement after " + (now - sentAt) / 1000 + " ms: "
-                    + items);
+            broke("ACKS", "a valid change has no acknowledgement after " + (now - sentAt) / 1000 + " ms: " + items);
         }
     }
 
@@ -240,8 +242,9 @@
     void ready(String machine, long bornAt, long now) {
         for (long[] span : minorities.getOrDefault(machine, List.of())) {
             if (span[0] <= bornAt && now <= span[1]) {
-                broke("CONTACT", machine + " is ready " + (now - bornAt) / 1000
-                        + " ms after a start on the word of a minority");
+                broke(
+                        "CONTACT",
+                        machine + " is ready " + (now - bornAt) / 1000 + " ms after a start on the word of a minority");
                 return;
             }
         }
@@ -253,8 +256,7 @@
     }
 
     /** What a request sent to one proxy has shown of an item; {@code fits}: the versions that show it. */
-    void showed(String proxy, String life, String key, String shows, Predicate<String> fits, long sentAt,
-            long now) {
+    void showed(String proxy, String life, String key, String shows, Predicate<String> fits, long sentAt, long now) {
         TreeMap<Item, Version> all = versions.get(key);
         if (all == null || !inTouch(proxy, sentAt, now)) {
             return;
@@ -269,8 +271,7 @@
         long least = -1;
         long most = -1;
         for (Version version : all.values()) {
-            if (fits.test(version.shows) && version.sentAt <= now && !version.refused
-                    && !overruled(version, all)) {
+            if (fits.test(version.shows) && version.sentAt <= now && !version.refused && !overruled(version, all)) {
                 least = least < 0 ? version.item.revision() : least;
                 most = version.item.revision();
             }
@@ -279,8 +280,10 @@
         if (most < 0) {
             broke("CONFIG", proxy + " handles " + key + " as no version allows: " + shows);
         } else if (most < must && !half) {
-            broke("CONFIG", proxy + " shows " + shows + " of " + key + ", which only " + most
-                    + " allows; " + must + " was acknowledged long before");
+            broke(
+                    "CONFIG",
+                    proxy + " shows " + shows + " of " + key + ", which only " + most + " allows; " + must
+                            + " was acknowledged long before");
         }
         String floor = life + ' ' + key;
         long[] seen = {floors.getOrDefault(floor, -1L), floors.getOrDefault(floor + " at", 0L)};
@@ -295,8 +298,9 @@
 
     /** Another content was acknowledged under its number. */
     private static boolean overruled(Version version, Map<Item, Version> all) {
-        return version.ackedAt < 0 && all.values().stream().anyMatch(other -> other.ackedAt >= 0
-                && other.item.revision() == version.item.revision());
+        return version.ackedAt < 0
+                && all.values().stream()
+                        .anyMatch(other -> other.ackedAt >= 0 && other.item.revision() == version.item.revision());
     }
 
     /** What the operator reads back at the end; null: no answer at all. */
@@ -331,13 +335,20 @@
             Version told = has == null ? null : all.get(has);
             boolean droppedLater = false;
             for (Version version : all.values()) {
-                droppedLater |= acked != null && version.item.revision() >= acked.revision()
-                        && version.item.dropped() && !version.refused;
+                droppedLater |= acked != null
+                        && version.item.revision() >= acked.revision()
+                        && version.item.dropped()
+                        && !version.refused;
             }
-            if (acked != null && (has == null ? !droppedLater : has.revision() < acked.revision()
-                    || has.revision() == acked.revision() && !has.equals(acked))) {
-                broke(rule, key + " was acknowledged with " + acked.revision() + " and reads "
-                        + (has == null ? "missing" : has.revision()));
+            if (acked != null
+                    && (has == null
+                            ? !droppedLater
+                            : has.revision() < acked.revision()
+                                    || has.revision() == acked.revision() && !has.equals(acked))) {
+                broke(
+                        rule,
+                        key + " was acknowledged with " + acked.revision() + " and reads "
+                                + (has == null ? "missing" : has.revision()));
             } else if (has != null && (told == null || told.refused || !told.item.equals(has))) {
                 broke("CONFIG", key + " reads as nobody sent it, or as it was refused: " + has);
             }
@@ -347,8 +358,7 @@
 
     // ---- Requests ----------------------------------------------------------------------------------
     /** {@code service}: that it is a request for, or null where it is only a probe. */
-    void sent(String id, String proxy, boolean repeatable, String tenant, String service, String route,
-            long now) {
+    void sent(String id, String proxy, boolean repeatable, String tenant, String service, String route, long now) {
         sent.put(id, new Sent(now, proxy, repeatable, tenant, service, route));
         if (service != null) {
             asked++;
@@ -357,8 +367,8 @@
     }
 
     private int[] bucket(String service, long now) {
-        return budget.computeIfAbsent(service, name -> new HashMap<>()).computeIfAbsent(now / SECOND,
-                second -> new int[2]);
+        return budget.computeIfAbsent(service, name -> new HashMap<>())
+                .computeIfAbsent(now / SECOND, second -> new int[2]);
     }
 
     /** A request has reached a checker that did not turn it away for being another. */
@@ -377,8 +387,8 @@
             return;
         }
         request.ran.add(checker);
-        if (versions.containsKey(request.route) && versions.get(request.route).values().stream()
-                .noneMatch(version -> version.shows.equals(service))) {
+        if (versions.containsKey(request.route)
+                && versions.get(request.route).values().stream().noneMatch(version -> version.shows.equals(service))) {
             broke("ROUTE", id + " runs at " + service + ", where no version of " + request.route + " leads");
         }
         if (!request.repeatable && request.ran.size() > 1) {
@@ -391,10 +401,11 @@
             broke("UNASKED", id + " is of " + request.tenant + " and runs for " + tenant);
         }
         Long drainedAt = drained.get(checker);
-        if (drainedAt != null && now > drainedAt + DRAIN && inTouch(request.proxy, now, now)
-                && settled(now, now)) {
-            broke("DRAIN", id + " reaches " + checker + " " + (now - drainedAt) / 1000
-                    + " ms after its drain was acknowledged");
+        if (drainedAt != null && now > drainedAt + DRAIN && inTouch(request.proxy, now, now) && settled(now, now)) {
+            broke(
+                    "DRAIN",
+                    id + " reaches " + checker + " " + (now - drainedAt) / 1000
+                            + " ms after its drain was acknowledged");
         }
         if (tenant != null && rate > 0) {
             Deque<Long> times = quota.computeIfAbsent(tenant, name -> new ArrayDeque<>());
@@ -422,8 +433,7 @@
         }
         if (status >= 200 && status < 300) {
             if (!request.ran.contains(sealedBy)) {
-                broke("MIXED", id + " is answered with what " + sealedBy + " said, and ran at "
-                        + request.ran);
+                broke("MIXED", id + " is answered with what " + sealedBy + " said, and ran at " + request.ran);
             }
             served += request.service == null ? 0 : 1;
         }
@@ -458,8 +468,10 @@
         if (drainsUnheard >= UNHEARD_LEAST && drainsUnheard * UNHEARD_PART > drains) {
             broke("ACKS", drainsUnheard + " of " + drains + " checkers that leave were not acknowledged");
         }
-        mostOfQuota.forEach((tenant, most) -> broke("QUOTA", most + " of " + tenant + " in 5 s, "
-                + (long) ((rate * QUOTA_WINDOW / SECOND + burst) * OVERSHOOT + QUOTA_SLACK) + " allowed"));
+        mostOfQuota.forEach((tenant, most) -> broke(
+                "QUOTA",
+                most + " of " + tenant + " in 5 s, "
+                        + (long) ((rate * QUOTA_WINDOW / SECOND + burst) * OVERSHOOT + QUOTA_SLACK) + " allowed"));
         budget.forEach((service, seconds) -> {
             Set<Long> ends = new HashSet<>(seconds.keySet());
             long window = BUDGET_WINDOW / SECOND;
@@ -471,13 +483,11 @@
                     further += second > end - window ? here[1] : 0;
                     first[0] += second > end - window ? here[0] : 0;
                     first[1] += second <= end - window ? here[0] : 0;
-                    first[2] += second > end - window - window / 2 && second <= end - window / 2
-                            ? here[0] : 0;
+                    first[2] += second > end - window - window / 2 && second <= end - window / 2 ? here[0] : 0;
                 }
                 double most = BUDGET_RATIO * Math.max(first[0], Math.max(first[1], first[2])) + BUDGET_SLACK;
                 if (further > most) {
-                    broke("BUDGET", further + " further tries at " + service + ", " + (long) most
-                            + " allowed");
+                    broke("BUDGET", further + " further tries at " + service + ", " + (long) most + " allowed");
                     return;
                 }
             }
--- a/src/main/java/reedmux/lab/world/Operator.java
+++ b/src/main/java/reedmux/lab/world/Operator.java
@@ -22,15 +22,15 @@
     private final List<InetSocketAddress> control;
     /** Of clear answers, how many are lost on their way, and how much later such a call is sent again. */
     private double loses;
+
     private long again;
     private int underWay;
     private String lastAcked = "";
     /** Hears of each call of the operator whom it is sent to. */
-    private Consumer<String> onSent = ip -> { };
+    private Consumer<String> onSent = ip -> {};
 
     Operator(World world, String ip, List<InetSocketAddress> control, InvariantChecker watch) {
-        host = new Host(world, new Machine(world, ip, Deployment.ZONES[0], false), "operator " + ip, 0,
-                line -> { });
+        host = new Host(world, new Machine(world, ip, Deployment.ZONES[0], false), "operator " + ip, 0, line -> {});
         this.watch = watch;
         this.control = control;
     }
@@ -93,8 +93,14 @@
         return to;
     }
 
-    private void send(String body, List<Item> items, InvariantChecker.Proper proper, long since, long pause,
-            InetSocketAddress last, Consumer<Integer> done) {
+    private void send(
+            String body,
+            List<Item> items,
+            InvariantChecker.Proper proper,
+            long since,
+            long pause,
+            InetSocketAddress last,
+            Consumer<Integer> done) {
         InetSocketAddress to = another(last);
         onSent.accept(to.getAddress().getHostAddress());
         ask(to, Asker.post("/v1/Config.Adjust", body), (status, text) -> {
@@ -118,8 +124,10 @@
                 watch.refused(items, proper, false, since, host.now());
                 done.accept(0);
             } else {
-                host.reactor().after(pause, () -> send(body, items, proper, since,
-                        Math.min(MOST_PAUSE, 2 * pause), to, done));
+                host.reactor()
+                        .after(
+                                pause,
+                                () -> send(body, items, proper, since, Math.min(MOST_PAUSE, 2 * pause), to, done));
             }
         });
     }
@@ -131,8 +139,7 @@
     private void ask(InetSocketAddress to, byte[] call, Told told) {
         host.reactor().execute(() -> {
             try {
-                new Asker(host.reactor(), to, call, PATIENCE, (status, head, text) ->
-                        told.told(status, text));
+                new Asker(host.reactor(), to, call, PATIENCE, (status, head, text) -> told.told(status, text));
             } catch (IOException e) {
                 told.told(0, e.getMessage());
             }
--- a/src/main/java/reedmux/lab/world/Settings.java
+++ b/src/main/java/reedmux/lab/world/Settings.java
@@ -37,8 +37,8 @@
     }
 
     private static String signal(String kind, String name, long at, String reference) {
-        return "{\"signalKind\":\"" + kind + "\",\"heading\":{" + (name.isEmpty() ? "" : "\"name\":\"" + name
-                + "\",") + "\"revision\":" + at + "},\"reference\":{" + reference + "}}";
+        return "{\"signalKind\":\"" + kind + "\",\"heading\":{" + (name.isEmpty() ? "" : "\"name\":\"" + name + "\",")
+                + "\"revision\":" + at + "},\"reference\":{" + reference + "}}";
     }
 
     private static String call(List<String> signals, String removed) {
@@ -46,14 +46,22 @@
     }
 
     private static String route(String name, String prefix, String service, boolean repeatable, long at) {
-        return signal("routes", name, at, "\"host\":\"h.example\",\"prefix\":\"" + prefix + "\",\"kind\":\""
-                + (repeatable ? "idempotent" : "effectful") + "\",\"cutoffMs\":3000,\"setpointMs\":400,"
-                + "\"priority\":1,\"plant\":\"" + service + "\",\"attempts\":2,\"unkeyed\":false");
+        return signal(
+                "routes",
+                name,
+                at,
+                "\"host\":\"h.example\",\"prefix\":\"" + prefix + "\",\"kind\":\""
+                        + (repeatable ? "idempotent" : "effectful") + "\",\"cutoffMs\":3000,\"setpointMs\":400,"
+                        + "\"priority\":1,\"plant\":\"" + service + "\",\"attempts\":2,\"unkeyed\":false");
     }
 
     private String tenant(String name, long at) {
-        return signal("tenants", name, at, "\"keys\":[\"" + String.join("\",\"", keysOf.get(name))
-                + "\"],\"priority\":1,\"flowPerS\":" + RATE + ",\"burst\":" + BURST);
+        return signal(
+                "tenants",
+                name,
+                at,
+                "\"keys\":[\"" + String.join("\",\"", keysOf.get(name)) + "\"],\"priority\":1,\"flowPerS\":" + RATE
+                        + ",\"burst\":" + BURST);
     }
 
     /** What requests under an item come to. */
@@ -63,7 +71,8 @@
                 return InvariantChecker.NONE;
             }
             Map<String, Object> map = Json.map(Json.read(item.body()), "item");
-            return item.kind().equals("routes") ? String.valueOf(map.get("plant"))
+            return item.kind().equals("routes")
+                    ? String.valueOf(map.get("plant"))
                     : item.kind().equals("tenants") ? String.valueOf(map.get("keys")) : "";
         } catch (reedmux.item.Invalid e) {
             return "";
@@ -75,7 +84,10 @@
         List<String> all = new ArrayList<>();
         long at = next();
         for (String service : SERVICES) {
-            all.add(signal("plants", service, at,
+            all.add(signal(
+                    "plants",
+                    service,
+                    at,
                     "\"probe\":\"/health\",\"connCeiling\":110,\"protocol\":\"h1\",\"tls\":false"));
         }
         for (int i = 0; i < ROUTES; i++) {
@@ -86,7 +98,10 @@
             keysOf.put("t" + i, new ArrayList<>(List.of("key-" + i + "-first.")));
             all.add(tenant("t" + i, at));
         }
-        all.add(signal("saturation", "", at,
+        all.add(signal(
+                "saturation",
+                "",
+                at,
                 "\"headerBytes\":16384,\"bodyBytes\":1048576,\"headerMs\":3000,\"idleMs\":15000"));
         return call(all, "");
     }
@@ -104,14 +119,12 @@
             case 0 -> {
                 String name = "a" + added++;
                 extra.add(name);
-                return call(List.of(route(name, "/" + name + "/", SERVICES[random.nextInt(2)], true,
-                        next())), "");
+                return call(List.of(route(name, "/" + name + "/", SERVICES[random.nextInt(2)], true, next())), "");
             }
             case 1 -> {
                 if (!extra.isEmpty()) {
                     String name = extra.remove(random.nextInt(extra.size()));
-                    return call(List.of(), "\"routes\":[{\"name\":\"" + name + "\",\"revision\":" + next()
-                            + "}]");
+                    return call(List.of(), "\"routes\":[{\"name\":\"" + name + "\",\"revision\":" + next() + "}]");
                 }
             }
             case 2 -> {
@@ -119,7 +132,8 @@
                     String name = extra.remove(random.nextInt(extra.size()));
                     swapped.add("routes/" + name);
                     long at = next();
-                    return call(List.of(route(name + 'n', "/" + name + "/", SERVICES[0], true, at)),
+                    return call(
+                            List.of(route(name + 'n', "/" + name + "/", SERVICES[0], true, at)),
                             "\"routes\":[{\"name\":\"" + name + "\",\"revision\":" + at + "}]");
                 }
             }
@@ -137,7 +151,7 @@
                 String other = "r" + (Integer.parseInt(any.substring(1)) + 1) % ROUTES;
                 return call(List.of(moved(any), moved(other)), "");
             }
-            default -> { }
+            default -> {}
         }
         return call(List.of(moved(any)), "");
     }
@@ -148,16 +162,20 @@
             case 0 -> {
                 String prefix = "/w" + added++ + "/";
                 String name = "w" + added++;
-                return Map.entry(false, List.of(call(List.of(route(name + 'x', prefix, SERVICES[0], true,
-                        next())), ""), call(List.of(route(name + 'y', prefix, SERVICES[1], true, next())),
-                        "")));
+                return Map.entry(
+                        false,
+                        List.of(
+                                call(List.of(route(name + 'x', prefix, SERVICES[0], true, next())), ""),
+                                call(List.of(route(name + 'y', prefix, SERVICES[1], true, next())), "")));
             }
             case 1 -> {
                 String key = "\"key-both-" + keys++ + ".\"";
                 String body = "\"priority\":1,\"flowPerS\":" + RATE + ",\"burst\":" + BURST + ",\"keys\":[";
-                return Map.entry(false, List.of(
-                        call(List.of(signal("tenants", "x" + keys, next(), body + key + ']')), ""),
-                        call(List.of(signal("tenants", "y" + keys, next(), body + key + ']')), "")));
+                return Map.entry(
+                        false,
+                        List.of(
+                                call(List.of(signal("tenants", "x" + keys, next(), body + key + ']')), ""),
+                                call(List.of(signal("tenants", "y" + keys, next(), body + key + ']')), "")));
             }
             default -> {
                 String any = "r" + random.nextInt(ROUTES);
@@ -177,7 +195,8 @@
             keysOf.get(name).add("key-" + name + "-" + keys++ + '.');
             return List.of(call(List.of(one), ""), call(List.of(tenant(name, at)), ""));
         }
-        return List.of(call(List.of(route(any, "/" + any + "/", SERVICES[0], repeats, at)), ""),
+        return List.of(
+                call(List.of(route(any, "/" + any + "/", SERVICES[0], repeats, at)), ""),
                 call(List.of(route(any, "/" + any + "/", SERVICES[1], repeats, at)), ""));
     }
 
@@ -186,18 +205,31 @@
         int number = added++;
         long at = next();
         if (random.nextBoolean()) {
-            return List.of(call(List.of(signal("plants", "p" + number, at,
-                    "\"probe\":\"/health\",\"connCeiling\":110,\"protocol\":\"h1\",\"tls\":false")), ""),
+            return List.of(
+                    call(
+                            List.of(signal(
+                                    "plants",
+                                    "p" + number,
+                                    at,
+                                    "\"probe\":\"/health\",\"connCeiling\":110,\"protocol\":\"h1\",\"tls\":false")),
+                            ""),
                     call(List.of(route("c" + number, "/c" + number + "/", "p" + number, true, next())), ""));
         }
         String key = "\"key-handed-" + keys++ + ".\"";
         String body = "\"priority\":1,\"flowPerS\":" + RATE + ",\"burst\":" + BURST + ",\"keys\":[";
         String giver = "g" + number;
-        return List.of(call(List.of(signal("tenants", giver, at, body + key + ']')), ""),
-                call(List.of(signal("tenants", giver, next(), body + ']'),
-                        signal("tenants", "h" + number, next(), body + key + ']')), ""),
-                call(List.of(signal("tenants", "h" + number, next(), body + ']'),
-                        signal("tenants", giver, next(), body + key + ']')), ""));
+        return List.of(
+                call(List.of(signal("tenants", giver, at, body + key + ']')), ""),
+                call(
+                        List.of(
+                                signal("tenants", giver, next(), body + ']'),
+                                signal("tenants", "h" + number, next(), body + key + ']')),
+                        ""),
+                call(
+                        List.of(
+                                signal("tenants", "h" + number, next(), body + ']'),
+                                signal("tenants", giver, next(), body + key + ']')),
+                        ""));
     }
 
     /** A valid call of many bytes. */
@@ -206,11 +238,22 @@
         long at = next();
         StringBuilder many = new StringBuilder();
         for (int i = 0; i < LARGE; i++) {
-            many.append(i == 0 ? "\"" : ",\"").append("key-of-").append(name).append("-with-a-long-name-")
-                    .append(at).append('-').append(i).append('"');
+            many.append(i == 0 ? "\"" : ",\"")
+                    .append("key-of-")
+                    .append(name)
+                    .append("-with-a-long-name-")
+                    .append(at)
+                    .append('-')
+                    .append(i)
+                    .append('"');
         }
-        return call(List.of(signal("tenants", name, at, "\"priority\":1,\"flowPerS\":" + RATE
-                + ",\"burst\":" + BURST + ",\"keys\":[" + many + ']')), "");
+        return call(
+                List.of(signal(
+                        "tenants",
+                        name,
+                        at,
+                        "\"priority\":1,\"flowPerS\":" + RATE + ",\"burst\":" + BURST + ",\"keys\":[" + many + ']')),
+                "");
     }
 
     /** A call that is invalid. */
@@ -225,8 +268,7 @@
                 String whole = change();
                 yield whole.substring(0, whole.length() / 2);
             }
-            default -> call(List.of(signal("tenants", name, next(),
-                    "\"priority\":1,\"keys\":[\"key-0-first.\"]")), "");
+            default -> call(List.of(signal("tenants", name, next(), "\"priority\":1,\"keys\":[\"key-0-first.\"]")), "");
         };
     }
 
@@ -244,8 +286,13 @@
     Clients.Wish wish(String name) {
         int number = random.nextInt(ROUTES);
         int tenant = Integer.parseInt(name.substring(1));
-        return new Clients.Wish("/r" + number + "/x", number % 3 != 0, "key-" + tenant + "-first.",
-                name, SERVICES[serviceOf.get("r" + number)], "routes/r" + number,
+        return new Clients.Wish(
+                "/r" + number + "/x",
+                number % 3 != 0,
+                "key-" + tenant + "-first.",
+                name,
+                SERVICES[serviceOf.get("r" + number)],
+                "routes/r" + number,
                 "tenants/t" + tenant);
     }
 
@@ -253,12 +300,11 @@
     Clients.Wish probe() {
         int tenant = random.nextInt(TENANTS);
         List<String> has = keysOf.get("t" + tenant);
-        String route = added > 0 && random.nextInt(3) == 0 ? "a" + random.nextInt(added)
-                : "r" + random.nextInt(ROUTES);
+        String route = added > 0 && random.nextInt(3) == 0 ? "a" + random.nextInt(added) : "r" + random.nextInt(ROUTES);
         boolean known = route.startsWith("r");
         String key = known && random.nextInt(3) == 0 && keys > 0
-                ? "key-t" + tenant + '-' + random.nextInt(keys) + '.' : has.get(0);
-        return new Clients.Wish("/" + route + "/x", true, key, null, null, "routes/" + route,
-                "tenants/t" + tenant);
+                ? "key-t" + tenant + '-' + random.nextInt(keys) + '.'
+                : has.get(0);
+        return new Clients.Wish("/" + route + "/x", true, key, null, null, "routes/" + route, "tenants/t" + tenant);
     }
 }
--- a/src/main/java/reedmux/lab/world/SimBox.java
+++ b/src/main/java/reedmux/lab/world/SimBox.java
@@ -14,7 +14,7 @@
     private final Deque<Letter> letters = new ArrayDeque<>();
     private Environment.Handler handler;
 
-    private record Letter(InetSocketAddress from, byte[] bytes) { }
+    private record Letter(InetSocketAddress from, byte[] bytes) {}
 
     SimBox(Host host, InetSocketAddress address) {
         this.host = host;
--- a/src/main/java/reedmux/lab/world/SimDisk.java
+++ b/src/main/java/reedmux/lab/world/SimDisk.java
@@ -26,6 +26,7 @@
     private final World world;
     /** As a process sees it, and as it was after the last loss. */
     private Map<String, Content> names = new TreeMap<>();
+
     private Map<String, byte[]> kept = new TreeMap<>();
     private final List<Step> steps = new ArrayList<>();
     private long clock;
@@ -44,10 +45,17 @@
         }
     }
 
-    private enum Kind { CREATE, WRITE, TRUNCATE, SYNC, RENAME, DELETE, SYNC_NAMES }
+    private enum Kind {
+        CREATE,
+        WRITE,
+        TRUNCATE,
+        SYNC,
+        RENAME,
+        DELETE,
+        SYNC_NAMES
+    }
 
-    private record Step(Kind kind, Content file, String name, String other, long at, byte[] bytes,
-            long over) { }
+    private record Step(Kind kind, Content file, String name, String other, long at, byte[] bytes, long over) {}
 
     SimDisk(World world) {
         this.world = world;
@@ -105,7 +113,8 @@
         for (Step step : steps) {
             if (step.over > world.now()) {
                 if (step.kind == Kind.WRITE) {
-                    unsynced.computeIfAbsent(step.file, file -> new ArrayList<>()).add(step);
+                    unsynced.computeIfAbsent(step.file, file -> new ArrayList<>())
+                            .add(step);
                 }
                 break;
             }
@@ -145,9 +154,12 @@
     }
 
     /** Names that were made, renamed or removed since their folder's last sync are kept or lost. */
-    private Map<String, Content> drawn(Map<String, Content> last, Map<String, Content> seen,
+    private Map<String, Content> drawn(
+            Map<String, Content> last,
+            Map<String, Content> seen,
             boolean noneLasts,
-            Map<Content, Content> live, Map<Content, Content> synced) {
+            Map<Content, Content> live,
+            Map<Content, Content> synced) {
         Map<Content, Content> durable = new HashMap<>();
         live.forEach((file, now) -> durable.put(now, synced.getOrDefault(file, new Content())));
         Map<String, Content> lasting = new TreeMap<>();
--- a/src/main/java/reedmux/lab/world/SimLine.java
+++ b/src/main/java/reedmux/lab/world/SimLine.java
@@ -15,6 +15,7 @@
     private static final long SECOND = 1_000_000;
     /** A line that was opened here and has had no path for so long is given up. */
     private static final long DEAD = 5 * SECOND;
+
     private final Host host;
     private final World world;
     private SimLine peer;
@@ -99,8 +100,8 @@
             }
             if (up && peer != null) {
                 Machine there = peer.host.machine();
-                boolean path = world.open(host.machine(), there) && world.open(there, host.machine())
-                        && there.powered();
+                boolean path =
+                        world.open(host.machine(), there) && world.open(there, host.machine()) && there.powered();
                 if (path && peer.gone) {
                     fail(new IOException("Connection reset by peer"));
                     return;
@@ -128,8 +129,7 @@
             }
             return;
         }
-        lastArrival = Math.max(lastArrival + 1, world.now() + world.delay(host.machine(),
-                peer.host.machine()));
+        lastArrival = Math.max(lastArrival + 1, world.now() + world.delay(host.machine(), peer.host.machine()));
         world.at(lastArrival, () -> arrive(arrival));
     }
 
@@ -141,8 +141,7 @@
         } else {
             while (!held.isEmpty()) {
                 Runnable next = held.poll();
-                lastArrival = Math.max(lastArrival + 1, world.now() + world.delay(host.machine(),
-                        peer.host.machine()));
+                lastArrival = Math.max(lastArrival + 1, world.now() + world.delay(host.machine(), peer.host.machine()));
                 world.at(lastArrival, () -> arrive(next));
             }
         }
@@ -257,8 +256,7 @@
             if (!closed && due()) {
                 try {
                     boolean failed = failure != null;
-                    handler.ready(failed || reads && (!in.isEmpty() || ended), failed || writes
-                            && inFlight < WINDOW);
+                    handler.ready(failed || reads && (!in.isEmpty() || ended), failed || writes && inFlight < WINDOW);
                 } catch (IOException e) {
                     handler.failed(e);
                 }
@@ -268,8 +266,7 @@
     }
 
     private boolean due() {
-        return failure != null || (upTold ? reads && (!in.isEmpty() || ended) || writes && inFlight < WINDOW
-                : up);
+        return failure != null || (upTold ? reads && (!in.isEmpty() || ended) || writes && inFlight < WINDOW : up);
     }
 
     @Override
--- a/src/main/java/reedmux/lab/world/Storm.java
+++ b/src/main/java/reedmux/lab/world/Storm.java
@@ -18,6 +18,7 @@
     private static final long LONG_CUT = 20 * SECOND;
     /** A machine that is back, or new, counts as lost for so long. */
     private static final long CONVERGENCE = 4 * SECOND;
+
     private static final int MOST_UNDER_WAY = 8;
     private final Day day;
     private final int point;
@@ -30,13 +31,22 @@
     private final boolean readdresses;
     /** Addresses that have been the core's, the newest last. */
     private final Set<String> addresses = new LinkedHashSet<>();
+
     private long until;
     private int replaced;
     private Runnable afterAck;
     private Consumer<Deployment.Node> afterSent;
 
-    Storm(Day day, int point, boolean readdresses, World world, Deployment deployment, InvariantChecker watch,
-            Settings settings, List<Operator> operators, Random random) {
+    Storm(
+            Day day,
+            int point,
+            boolean readdresses,
+            World world,
+            Deployment deployment,
+            InvariantChecker watch,
+            Settings settings,
+            List<Operator> operators,
+            Random random) {
         this.day = day;
         this.point = point;
         this.readdresses = readdresses;
@@ -52,13 +62,14 @@
         until = end - SECOND;
         deployment.cores().forEach(core -> addresses.add(core.machine().ip()));
         for (Operator operator : operators) {
-            operator.loses(point == 2 ? 0.2 : 0.03, SECOND + random.nextInt(point == 2 ? 15_000_000
-                    : 4_000_000));
+            operator.loses(point == 2 ? 0.2 : 0.03, SECOND + random.nextInt(point == 2 ? 15_000_000 : 4_000_000));
             operator.onSent(ip -> {
                 Consumer<Deployment.Node> then = afterSent;
                 if (then != null && day.coreFree()) {
                     afterSent = null;
-                    deployment.cores().stream().filter(core -> core.machine().ip().equals(ip)).findFirst()
+                    deployment.cores().stream()
+                            .filter(core -> core.machine().ip().equals(ip))
+                            .findFirst()
                             .ifPresent(then);
                 }
             });
@@ -84,23 +95,27 @@
         Operator other = operators.get(1 - operators.indexOf(one));
         int kind = random.nextInt(point == 2 ? 10 : 14);
         if (kind == 0) {
-            adjust(one, settings.invalid(), Proper.INVALID, 0, () -> { });
+            adjust(one, settings.invalid(), Proper.INVALID, 0, () -> {});
         } else if (kind == 1) {
             var pair = settings.pair();
             Proper proper = pair.getKey() ? Proper.VALID : Proper.EITHER;
-            adjust(one, pair.getValue().get(0), proper, 0, () -> { });
-            adjust(other, pair.getValue().get(1), proper, later(20_000), () -> { });
+            adjust(one, pair.getValue().get(0), proper, 0, () -> {});
+            adjust(other, pair.getValue().get(1), proper, later(20_000), () -> {});
         } else if (kind < 4 && point == 2) {
             List<String> pair = settings.sameNumber();
-            adjust(one, pair.get(0), Proper.EITHER, 0, () -> { });
-            adjust(other, pair.get(1), Proper.EITHER, random.nextBoolean() ? later(20_000)
-                    : later(5_000_000), () -> { });
+            adjust(one, pair.get(0), Proper.EITHER, 0, () -> {});
+            adjust(
+                    other,
+                    pair.get(1),
+                    Proper.EITHER,
+                    random.nextBoolean() ? later(20_000) : later(5_000_000),
+                    () -> {});
         } else if (kind < 6) {
             chain(one, settings.chain(), 0);
         } else if (kind == 6 && point == 4) {
-            adjust(one, settings.large(), Proper.VALID, 0, () -> { });
+            adjust(one, settings.large(), Proper.VALID, 0, () -> {});
         } else {
-            adjust(one, settings.change(), Proper.VALID, 0, () -> { });
+            adjust(one, settings.change(), Proper.VALID, 0, () -> {});
         }
     }
 
@@ -112,16 +127,18 @@
     }
 
     private void adjust(Operator operator, String body, Proper proper, long delay, Runnable acked) {
-        world.after(delay, () -> operator.adjust(body, proper, Settings::shows, status -> {
-            if (status == 200) {
-                acked.run();
-                Runnable then = afterAck;
-                if (then != null && day.coreFree()) {
-                    afterAck = null;
-                    then.run();
-                }
-            }
-        }));
+        world.after(
+                delay,
+                () -> operator.adjust(body, proper, Settings::shows, status -> {
+                    if (status == 200) {
+                        acked.run();
+                        Runnable then = afterAck;
+                        if (then != null && day.coreFree()) {
+                            afterAck = null;
+                            then.run();
+                        }
+                    }
+                }));
     }
 
     private void reads() {
@@ -157,8 +174,7 @@
     }
 
     private void contact() {
-        long length = Math.min(random.nextInt(4) > 0 ? LONG_CUT : 3 * SECOND + later(17_000_000),
-                until - world.now());
+        long length = Math.min(random.nextInt(4) > 0 ? LONG_CUT : 3 * SECOND + later(17_000_000), until - world.now());
         switch (random.nextInt(8)) {
             case 0 -> freeze(any(), length);
             case 1 -> {
@@ -173,7 +189,9 @@
 
     private Deployment.Node lastAcker() {
         String ip = operators.get(random.nextInt(operators.size())).lastAcked();
-        return deployment.cores().stream().filter(core -> core.machine().ip().equals(ip)).findFirst()
+        return deployment.cores().stream()
+                .filter(core -> core.machine().ip().equals(ip))
+                .findFirst()
                 .orElseGet(this::any);
     }
 
@@ -209,8 +227,8 @@
             (with ? edges : rest).add(edge);
         }
         side.addAll(edges);
-        day.tell(side.stream().map(Deployment.Node::name).toList() + " are cut off for " + length / 1000
-                + " ms" + (out ? "" : ", not out") + (in ? "" : ", not in"));
+        day.tell(side.stream().map(Deployment.Node::name).toList() + " are cut off for " + length / 1000 + " ms"
+                + (out ? "" : ", not out") + (in ? "" : ", not in"));
         day.coreTrouble(null, length, false);
         for (Deployment.Node one : side) {
             watch.trouble(one.name(), world.now(), world.now() + length);
@@ -227,10 +245,12 @@
                 }
             }
         }
-        world.after(length, () -> side.forEach(one -> rest.forEach(other -> {
-            world.join(one.machine(), other.machine());
-            world.join(other.machine(), one.machine());
-        })));
+        world.after(
+                length,
+                () -> side.forEach(one -> rest.forEach(other -> {
+                    world.join(one.machine(), other.machine());
+                    world.join(other.machine(), one.machine());
+                })));
         List<String> seeds = new ArrayList<>();
         side.subList(0, alone).forEach(core -> seeds.add(core.machine().ip()));
         seeds.add(rest.get(0).machine().ip());
@@ -248,24 +268,26 @@
     private void orders() {
         long length = 500_000 + later(3_000_000);
         switch (random.nextInt(7)) {
-            case 0, 1 -> afterSent = node -> world.after(later(4) == 0 ? later(2_000) : later(60_000), () -> {
-                day.tell(node.name() + " is killed with an order in its hands");
-                day.coreTrouble(node, length + SECOND, false);
-                node.kill(length);
-            });
-            case 2 -> afterSent = node -> world.after(later(30_000), () -> {
-                boolean wiped = random.nextInt(3) == 0;
-                day.tell(node.name() + " loses power with an order in its hands" + (wiped ? ", and its disk"
-                        : ""));
-                day.coreTrouble(node, length + SECOND, false);
-                node.losePower(length, wiped);
-            });
+            case 0, 1 ->
+                afterSent = node -> world.after(later(4) == 0 ? later(2_000) : later(60_000), () -> {
+                    day.tell(node.name() + " is killed with an order in its hands");
+                    day.coreTrouble(node, length + SECOND, false);
+                    node.kill(length);
+                });
+            case 2 ->
+                afterSent = node -> world.after(later(30_000), () -> {
+                    boolean wiped = random.nextInt(3) == 0;
+                    day.tell(node.name() + " loses power with an order in its hands" + (wiped ? ", and its disk" : ""));
+                    day.coreTrouble(node, length + SECOND, false);
+                    node.losePower(length, wiped);
+                });
             case 3 -> cutOff(any(), SECOND + later(4_000_000));
             case 4 -> freeze(any(), SECOND + later(19_000_000));
-            case 5 -> afterAck = () -> {
-                day.tell("all of the core is killed after a 200");
-                killCore(300_000 + later(600_000));
-            };
+            case 5 ->
+                afterAck = () -> {
+                    day.tell("all of the core is killed after a 200");
+                    killCore(300_000 + later(600_000));
+                };
             default -> cutOff(lastAcker(), length);
         }
     }
@@ -280,7 +302,8 @@
             return;
         }
         node.seeds(drawnSeeds(node));
-        Deployment.Node edge = deployment.edges().get(random.nextInt(deployment.edges().size()));
+        Deployment.Node edge =
+                deployment.edges().get(random.nextInt(deployment.edges().size()));
         edge.seeds(drawnSeeds(node));
         watch.trouble(edge.name(), world.now(), world.now() + length + SECOND);
         day.coreTrouble(node, length + CONVERGENCE, false);
@@ -330,8 +353,8 @@
         switch (random.nextInt(8)) {
             case 0, 1, 2 -> {
                 int kind = random.nextInt(3);
-                day.tell(node.name() + (kind == 0 ? " is killed" : kind == 1 ? " loses power"
-                        : " loses its disk") + " for " + length / 1000 + " ms");
+                day.tell(node.name() + (kind == 0 ? " is killed" : kind == 1 ? " loses power" : " loses its disk")
+                        + " for " + length / 1000 + " ms");
                 day.coreTrouble(node, length + SECOND, false);
                 if (kind == 0) {
                     node.kill(length);
@@ -364,7 +387,8 @@
 
     private void answers() {
         long length = 2 * SECOND + later(4_000_000);
-        CheckerActor one = day.checkers().isEmpty() ? null
+        CheckerActor one = day.checkers().isEmpty()
+                ? null
                 : day.checkers().get(random.nextInt(day.checkers().size()));
         switch (random.nextInt(8)) {
             case 0 -> cutOff(any(), length);
--- a/src/main/java/reedmux/link/Codec.java
+++ b/src/main/java/reedmux/link/Codec.java
@@ -9,8 +9,8 @@
 import reedmux.config.Addresses;
 import reedmux.fleet.Fleet;
 import reedmux.fleet.Incarnation;
-import reedmux.item.Ballot;
 import reedmux.item.Agreement.Vote;
+import reedmux.item.Ballot;
 import reedmux.item.Item;
 import reedmux.item.Mark;
 import reedmux.item.Members;
@@ -18,30 +18,30 @@
 import reedmux.item.Proposal;
 import reedmux.link.Messages.Adjust;
 import reedmux.link.Messages.Ask;
-import reedmux.link.Messages.Contacts;
+import reedmux.link.Messages.Compare;
 import reedmux.link.Messages.Confirm;
 import reedmux.link.Messages.Confirmed;
-import reedmux.link.Messages.Current;
+import reedmux.link.Messages.Contacts;
 import reedmux.link.Messages.CoreKept;
 import reedmux.link.Messages.CoreTold;
+import reedmux.link.Messages.Current;
 import reedmux.link.Messages.Decided;
+import reedmux.link.Messages.Differ;
 import reedmux.link.Messages.Fetch;
 import reedmux.link.Messages.Fetched;
 import reedmux.link.Messages.Hello;
 import reedmux.link.Messages.Items;
 import reedmux.link.Messages.Known;
-import reedmux.link.Messages.Marks;
 import reedmux.link.Messages.Leave;
+import reedmux.link.Messages.Marks;
 import reedmux.link.Messages.News;
 import reedmux.link.Messages.Outcome;
-import reedmux.link.Messages.Ping;
-import reedmux.link.Messages.Compare;
-import reedmux.link.Messages.Differ;
 import reedmux.link.Messages.Piece;
-import reedmux.link.Messages.Resume;
+import reedmux.link.Messages.Ping;
 import reedmux.link.Messages.Propose;
 import reedmux.link.Messages.Pull;
 import reedmux.link.Messages.Read;
+import reedmux.link.Messages.Resume;
 import reedmux.link.Messages.Tell;
 import reedmux.link.Messages.Voted;
 import reedmux.member.Differences;
@@ -61,6 +61,7 @@
     private static final byte PULL = 2;
     /** These three as they were written on disk before there were ballots. */
     private static final byte ITEMS_WITHOUT = 3;
+
     private static final byte ADJUST = 5;
     private static final byte READ = 6;
     private static final byte OUTCOME = 7;
@@ -73,6 +74,7 @@
     private static final byte PACKET = 14;
     /** As it was written on disk when there was one phase. */
     private static final byte PROPOSE_ONE_PHASE = 15;
+
     private static final byte DECIDED = 16;
     private static final byte ITEMS = 17;
     private static final byte MARKS = 40;
@@ -243,8 +245,8 @@
     }
 
     private static Membership.Step step(Input in) {
-        Membership.Step step = new Membership.Step(Membership.Kind.values()[in.readByte()], in.readLong(),
-                ballot(in), orNone(in), members(in));
+        Membership.Step step = new Membership.Step(
+                Membership.Kind.values()[in.readByte()], in.readLong(), ballot(in), orNone(in), members(in));
         if (step.value() == null && (step.kind() == Membership.Kind.ACCEPT || step.under() != null)) {
             throw new IllegalArgumentException("nothing to accept");
         }
@@ -349,18 +351,23 @@
             case PING -> new Ping();
             case PULL -> new Pull(in.readLong(), in.readLong());
             case ITEMS -> told(in);
-            case NEWS -> new News(in.readLong(), in.readLong(), lives(in), owned(in),
-                    differences(in));
+            case NEWS -> new News(in.readLong(), in.readLong(), lives(in), owned(in), differences(in));
             case CONTACTS -> contacts(in);
-            case HELLO -> new Hello(in.readInt(), in.readString(), in.readString(), in.readString(),
-                    in.readString(), in.readLong(), texts(in));
+            case HELLO ->
+                new Hello(
+                        in.readInt(),
+                        in.readString(),
+                        in.readString(),
+                        in.readString(),
+                        in.readString(),
+                        in.readLong(),
+                        texts(in));
             case TELL -> new Tell(in.readLong(), lives(in));
             case KNOWN -> new Known(in.readLong());
             case PROPOSE -> new Propose(proposal(in));
             case VOTED -> new Voted(in.readString(), ballot(in), Vote.values()[in.readByte()]);
             case DECIDED -> new Decided(in.readString(), ballot(in), in.readBoolean(), items(in));
-            case ITEMS_WITHOUT -> new Items(in.readLong(), in.readLong(), in.readBoolean(), items(in),
-                    List.of());
+            case ITEMS_WITHOUT -> new Items(in.readLong(), in.readLong(), in.readBoolean(), items(in), List.of());
             case PROPOSE_ONE_PHASE -> new Propose(new Proposal(in.readString(), ballot(in), items(in)));
             case PROPOSE_WITHOUT -> new Propose(new Proposal(in.readString(), WITHOUT, items(in)));
             case DECIDED_WITHOUT -> new Decided(in.readString(), WITHOUT, in.readBoolean(), items(in));
@@ -604,8 +611,7 @@
         int size = in.readVarInt(true);
         ArrayList<Quotas.Entry> all = list(size);
         for (int i = 0; i < size; i++) {
-            all.add(new Quotas.Entry(in.readString(), Frame.finite(in.readDouble()),
-                    Frame.finite(in.readFloat())));
+            all.add(new Quotas.Entry(in.readString(), Frame.finite(in.readDouble()), Frame.finite(in.readFloat())));
         }
         return new Quotas.Packet(from, life, generation, view, reach, all);
     }
@@ -634,10 +640,16 @@
     }
 
     private static Incarnation life(Input in) {
-        return new Incarnation(in.readString(), in.readString(), in.readString(), in.readString(),
+        return new Incarnation(
+                in.readString(),
+                in.readString(),
+                in.readString(),
+                in.readString(),
                 (int) Frame.within(1, in.readVarInt(true), Integer.MAX_VALUE),
                 (int) Frame.within(Incarnation.READY, in.readByte(), Incarnation.GONE),
-                in.readVarLong(true), in.readVarLong(true), in.readBoolean());
+                in.readVarLong(true),
+                in.readVarLong(true),
+                in.readBoolean());
     }
 
     private static void session(Output out, Session session) {
--- a/src/main/java/reedmux/link/Dialer.java
+++ b/src/main/java/reedmux/link/Dialer.java
@@ -9,10 +9,12 @@
 public final class Dialer implements Link.Owner {
     /** Between the first tries, so that who starts together with us is met soon, and between later ones. */
     private static final long PAUSE = 30_000;
+
     private static final long LATER_PAUSE = 200_000;
     private static final int FIRST_TRIES = 20;
     /** A connection that is not up by then has met a machine without power: its first packet is lost. */
     private static final long CONNECT = 300_000;
+
     private final Reactor reactor;
     private final Codec codec;
     private final Hello self;
--- a/src/main/java/reedmux/link/Frame.java
+++ b/src/main/java/reedmux/link/Frame.java
@@ -20,8 +20,7 @@
         if (readVarIntFlag()) {
             int length = readVarIntFlag(true) - 1;
             if (length < 0 || length > limit() - position()) {
-                throw new KryoException("a text of " + length + " characters in " + (limit() - position())
-                        + " bytes");
+                throw new KryoException("a text of " + length + " characters in " + (limit() - position()) + " bytes");
             }
         }
         setPosition(at);
--- a/src/main/java/reedmux/link/Link.java
+++ b/src/main/java/reedmux/link/Link.java
@@ -17,6 +17,7 @@
     private static final int LENGTH = 4;
     /** Of whoever has not said who it is no more than this is taken in. */
     private static final int MOST_HELLO = 64 * 1024;
+
     private static final long PACE = 700_000;
     public static final long SILENCE = 2_200_000;
     /** More than this that waits to go out means that the other side does not read. */
@@ -141,7 +142,10 @@
             return;
         }
         saidAt = reactor.now();
-        wire.write(ByteBuffer.allocate(LENGTH + bytes.length).putInt(bytes.length).put(bytes).flip());
+        wire.write(ByteBuffer.allocate(LENGTH + bytes.length)
+                .putInt(bytes.length)
+                .put(bytes)
+                .flip());
         if (wire.queued() > MOST_WAITING) {
             reactor.execute(this::close);
         }
@@ -155,8 +159,9 @@
         }
         heardAt = reactor.now();
         while (!over && wire.available() >= LENGTH) {
-            int length = (wire.peek(0) & 0xff) << 24 | (wire.peek(1) & 0xff) << 16 | (wire.peek(
-                    2) & 0xff) << 8
+            int length = (wire.peek(0) & 0xff) << 24
+                    | (wire.peek(1) & 0xff) << 16
+                    | (wire.peek(2) & 0xff) << 8
                     | wire.peek(3) & 0xff;
             if (length <= 0 || length > MOST || other == null && length > MOST_HELLO) {
                 refuse("a length of " + length + " is no frame's");
--- a/src/main/java/reedmux/member/Session.java
+++ b/src/main/java/reedmux/member/Session.java
@@ -10,8 +10,11 @@
     // Written out, as what a record brings is linked at run time, in the middle of a start.
     @Override
     public boolean equals(Object other) {
-        return other instanceof Session session && life == session.life && node.equals(session.node)
-                && ip.equals(session.ip) && zone.equals(session.zone);
+        return other instanceof Session session
+                && life == session.life
+                && node.equals(session.node)
+                && ip.equals(session.ip)
+                && zone.equals(session.zone);
     }
 
     @Override
--- a/src/main/java/reedmux/member/Sessions.java
+++ b/src/main/java/reedmux/member/Sessions.java
@@ -19,6 +19,7 @@
     private final Map<String, Told> told = new HashMap<>();
     /** By node the sessions of its links with us, which may overlap, in the order in which they began. */
     private final Map<String, List<Session>> own = new TreeMap<>();
+
     private final Counter counter;
     private final Numbered ownNumbered;
     private final Numbered viewNumbered;
@@ -32,6 +33,7 @@
         private final Map<String, Session> sessions = new TreeMap<>();
         /** When each was told first. */
         private final Map<String, Long> at = new HashMap<>();
+
         private long lostAt = -1;
 
         private void take(Session session, long now) {
--- a/src/main/java/reedmux/message/BodyReader.java
+++ b/src/main/java/reedmux/message/BodyReader.java
@@ -16,10 +16,17 @@
         void take(byte[] bytes);
     }
 
-    private enum At { SIZE, DATA, DATA_END, TRAILERS, WHOLE }
+    private enum At {
+        SIZE,
+        DATA,
+        DATA_END,
+        TRAILERS,
+        WHOLE
+    }
 
     /** The length that the head told, or -1 where it comes in chunks. */
     private final long length;
+
     private At at;
     private long left;
     private int trailers;
@@ -48,8 +55,8 @@
 
     private static BodyReader of(Head head, long otherwise) {
         String told = head.get("Content-Length");
-        return new BodyReader(head.count("Transfer-Encoding") > 0 ? -1
-                : told == null ? otherwise : Long.parseLong(told));
+        return new BodyReader(
+                head.count("Transfer-Encoding") > 0 ? -1 : told == null ? otherwise : Long.parseLong(told));
     }
 
     /** The length that was told, or -1. */
--- a/src/main/java/reedmux/message/Calls.java
+++ b/src/main/java/reedmux/message/Calls.java
@@ -26,7 +26,7 @@
     private long since;
 
     /** One call. */
-    public record Call(Head head, byte[] body) { }
+    public record Call(Head head, byte[] body) {}
 
     public Calls(Reactor reactor, Wire wire, BiConsumer<Call, Calls> taken) {
         this.reactor = reactor;
--- a/src/main/java/reedmux/message/Head.java
+++ b/src/main/java/reedmux/message/Head.java
@@ -9,13 +9,14 @@
 public final class Head {
     /** Of a request; null in an answer. */
     private String method;
+
     private String target;
     private int status;
     private String version;
     private final List<String> names = new ArrayList<>();
     private final List<String> values = new ArrayList<>();
 
-    private Head() { }
+    private Head() {}
 
     public static Head request(String method, String target) {
         Head head = new Head();
@@ -117,8 +118,17 @@
     /** Whether a header of this message concerns one connection only, RFC 9110, section 7.6.1. */
     public boolean ofConnection(String name) {
         return switch (name.toLowerCase(Locale.ROOT)) {
-            case "connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization",
-                    "te", "trailer", "transfer-encoding", "upgrade", "content-length", "expect" -> true;
+            case "connection",
+                    "keep-alive",
+                    "proxy-connection",
+                    "proxy-authenticate",
+                    "proxy-authorization",
+                    "te",
+                    "trailer",
+                    "transfer-encoding",
+                    "upgrade",
+                    "content-length",
+                    "expect" -> true;
             default -> lists("Connection", name);
         };
     }
@@ -129,7 +139,11 @@
         if (method != null) {
             out.append(method).append(' ').append(target).append(" HTTP/1.1\r\n");
         } else {
-            out.append("HTTP/1.1 ").append(status).append(' ').append(reason(status)).append("\r\n");
+            out.append("HTTP/1.1 ")
+                    .append(status)
+                    .append(' ')
+                    .append(reason(status))
+                    .append("\r\n");
         }
         for (int i = 0; i < names.size(); i++) {
             out.append(names.get(i)).append(": ").append(values.get(i)).append("\r\n");
--- a/src/main/java/reedmux/message/HeadReader.java
+++ b/src/main/java/reedmux/message/HeadReader.java
@@ -20,14 +20,15 @@
 
     /** The next head, or null while it is not whole. */
     public Head read(Wire wire, int most) throws BadMessage {
-        if (requests && looked == 0 && wire.available() >= 2 && wire.peek(0) == '\r'
-                && wire.peek(1) == '\n') {
+        if (requests && looked == 0 && wire.available() >= 2 && wire.peek(0) == '\r' && wire.peek(1) == '\n') {
             wire.skip(2); // RFC 9112, section 2.2: one empty line before a request is passed over
         }
         int available = wire.available();
         int end = -1;
         for (int i = Math.max(0, looked - 3); i + 3 < available && end < 0; i++) {
-            if (wire.peek(i) == '\r' && wire.peek(i + 1) == '\n' && wire.peek(i + 2) == '\r'
+            if (wire.peek(i) == '\r'
+                    && wire.peek(i + 1) == '\n'
+                    && wire.peek(i + 2) == '\r'
                     && wire.peek(i + 3) == '\n') {
                 end = i;
             }
@@ -102,8 +103,8 @@
         }
         if (requests) {
             String host = head.get("Host");
-            if (head.count("Host") > 1 || host != null && !host.isEmpty()
-                    && HostName.end(host) == HostName.BAD
+            if (head.count("Host") > 1
+                    || host != null && !host.isEmpty() && HostName.end(host) == HostName.BAD
                     || host == null && !head.old()) {
                 throw bad("the host is missing, told twice or cannot be read");
             }
@@ -112,7 +113,8 @@
     }
 
     private static boolean isLength(String value) {
-        return !value.isEmpty() && value.length() <= LONGEST_LENGTH
+        return !value.isEmpty()
+                && value.length() <= LONGEST_LENGTH
                 && value.chars().allMatch(c -> c >= '0' && c <= '9');
     }
 
--- a/src/main/java/reedmux/net/Failures.java
+++ b/src/main/java/reedmux/net/Failures.java
@@ -5,7 +5,7 @@
 
 /** Failures that should not be, in words for the log. */
 public final class Failures {
-    private Failures() { }
+    private Failures() {}
 
     public static String told(Throwable failure) {
         StringWriter text = new StringWriter();
--- a/src/main/java/reedmux/net/Kernel.java
+++ b/src/main/java/reedmux/net/Kernel.java
@@ -101,8 +101,7 @@
         });
     }
 
-    private SelectionKey register(SelectableChannel channel, int interest, Handler handler)
-            throws IOException {
+    private SelectionKey register(SelectableChannel channel, int interest, Handler handler) throws IOException {
         channel.configureBlocking(false);
         return channel.register(selector, interest, handler);
     }
--- a/src/main/java/reedmux/net/Reactor.java
+++ b/src/main/java/reedmux/net/Reactor.java
@@ -47,6 +47,7 @@
     final ByteBuffer chunk = ByteBuffer.allocateDirect(CHUNK);
     /** When what was complained of last. */
     private final Map<String, Long> complaints = new HashMap<>();
+
     private long now;
     private long numbers;
     private volatile boolean ended;
@@ -164,7 +165,7 @@
     /** Ends {@link #run()} after this turn. */
     public void end() {
         ended = true;
-        environment.execute(() -> { });
+        environment.execute(() -> {});
     }
 
     public boolean ended() {
--- a/src/main/java/reedmux/net/Wire.java
+++ b/src/main/java/reedmux/net/Wire.java
@@ -19,13 +19,13 @@
     public interface Owner {
 
         /** It is up. */
-        default void connected() { }
+        default void connected() {}
 
         /** More has come in, or the other side has ended it. */
         void input() throws IOException;
 
         /** All that waited has gone out. */
-        default void flushed() throws IOException { }
+        default void flushed() throws IOException {}
 
         /** It is gone, and not by our {@link #close()}; told once. */
         void closed(String why);
@@ -155,8 +155,9 @@
             return;
         }
         int held = to - from;
-        byte[] next = held + some <= in.length ? in : new byte[Math.max(LEAST, Math.max(held + some,
-                Math.min(2 * in.length, in.length + 65_536)))];
+        byte[] next = held + some <= in.length
+                ? in
+                : new byte[Math.max(LEAST, Math.max(held + some, Math.min(2 * in.length, in.length + 65_536)))];
         System.arraycopy(in, from, next, 0, held);
         in = next;
         from = 0;
--- a/src/main/java/reedmux/operator/Door.java
+++ b/src/main/java/reedmux/operator/Door.java
@@ -25,6 +25,7 @@
     public static final int MOST = 24;
     /** Bytes of a line, its end included; no call is nearly as long. */
     static final int LONGEST = 128;
+
     private static final long PATIENCE = TimeUnit.SECONDS.toNanos(10);
     private static final long LOOK_MILLIS = 1_000;
     private static final int QUEUE = 64;
--- a/src/main/java/reedmux/operator/Figures.java
+++ b/src/main/java/reedmux/operator/Figures.java
@@ -39,8 +39,7 @@
 
         /** A request has its final answer of this status. */
         public void answered(int status) {
-            (status == SERVED ? success : status == TOO_MANY || status == UNAVAILABLE ? busy : failure)
-                    .increment();
+            (status == SERVED ? success : status == TOO_MANY || status == UNAVAILABLE ? busy : failure).increment();
         }
 
         /** A request's answer was cut off after its head had gone out. */
@@ -112,6 +111,12 @@
     }
 
     private static void line(StringBuilder text, String name, long value, char kind) {
-        text.append(PREFIX).append(name).append(':').append(value).append('|').append(kind).append('\n');
+        text.append(PREFIX)
+                .append(name)
+                .append(':')
+                .append(value)
+                .append('|')
+                .append(kind)
+                .append('\n');
     }
 }
--- a/src/main/java/reedmux/operator/LifeCycle.java
+++ b/src/main/java/reedmux/operator/LifeCycle.java
@@ -10,7 +10,12 @@
 public final class LifeCycle {
 
     /** Where it stands. From leaving no way leads back. */
-    public enum Phase { STARTING, SERVING, DRAINING, LEAVING }
+    public enum Phase {
+        STARTING,
+        SERVING,
+        DRAINING,
+        LEAVING
+    }
 
     /**
      * After the call to drain, new connections arrive for a moment and kept ones carry on: closed before that
@@ -27,7 +32,7 @@
     static final long LAST_WRITES = TimeUnit.MILLISECONDS.toMicros(50);
 
     /** One state, replaced as a whole; {@code since} when this phase began. */
-    private record Stage(Phase phase, long since, boolean warm, boolean succeeded) { }
+    private record Stage(Phase phase, long since, boolean warm, boolean succeeded) {}
 
     private volatile Stage stage = new Stage(Phase.STARTING, 0, false, false);
     private long quietSince = Long.MAX_VALUE;
@@ -92,8 +97,7 @@
     /** Whether new connections are accepted. */
     public boolean accepts(long now) {
         Stage is = stage;
-        return is.phase != Phase.LEAVING
-                || now - is.since < (is.succeeded ? ACCEPT_ON_SUCCEEDED : ACCEPT_ON);
+        return is.phase != Phase.LEAVING || now - is.since < (is.succeeded ? ACCEPT_ON_SUCCEEDED : ACCEPT_ON);
     }
 
     /**
@@ -104,8 +108,8 @@
      * @param connected  whether clients still hold connections that could bring one more
      */
     public boolean ends(long now, int unanswered, boolean connected) {
-        boolean quiet = stage.phase == Phase.LEAVING && !accepts(now) && unanswered == 0
-                && (closesIdle(now) || !connected);
+        boolean quiet =
+                stage.phase == Phase.LEAVING && !accepts(now) && unanswered == 0 && (closesIdle(now) || !connected);
         quietSince = quiet ? Math.min(quietSince, now) : Long.MAX_VALUE;
         return quiet && now - quietSince >= LAST_WRITES;
     }
@@ -113,8 +117,8 @@
     /** When to ask again at the latest. */
     public long next(long now) {
         Stage is = stage;
-        return is.phase != Phase.LEAVING ? Long.MAX_VALUE
-                : accepts(now) ? is.since + (is.succeeded ? ACCEPT_ON_SUCCEEDED : ACCEPT_ON)
-                : now + LAST_WRITES;
+        return is.phase != Phase.LEAVING
+                ? Long.MAX_VALUE
+                : accepts(now) ? is.since + (is.succeeded ? ACCEPT_ON_SUCCEEDED : ACCEPT_ON) : now + LAST_WRITES;
     }
 }
--- a/src/main/java/reedmux/operator/OperatorCalls.java
+++ b/src/main/java/reedmux/operator/OperatorCalls.java
@@ -19,8 +19,8 @@
      * @param takesClients whether clients may be sent here now
      * @param clock        microseconds of the program's clock
      */
-    public OperatorCalls(LifeCycle life, Figures figures, BooleanSupplier takesClients, LongSupplier clock,
-                         Consumer<String> log) {
+    public OperatorCalls(
+            LifeCycle life, Figures figures, BooleanSupplier takesClients, LongSupplier clock, Consumer<String> log) {
         this.life = life;
         this.figures = figures;
         this.takesClients = takesClients;
--- a/src/main/java/reedmux/peer/PoolTag.java
+++ b/src/main/java/reedmux/peer/PoolTag.java
@@ -16,9 +16,10 @@
     public static final int NONE = 0;
     /** Bytes that a mark takes. */
     public static final int LENGTH = Short.BYTES + Integer.BYTES;
+
     private static final int TURNED = 0xA5C3;
 
-    private PoolTag() { }
+    private PoolTag() {}
 
     /** The mark of a pool, the same at all gatekeepers; never {@link #NONE}. */
     public static int of(String name) {
@@ -37,7 +38,10 @@
 
     /** The datagram with a mark. */
     public static byte[] tagged(int tag, byte[] own) {
-        byte[] all = ByteBuffer.allocate(LENGTH + own.length).putShort((short) 0).putInt(tag).put(own)
+        byte[] all = ByteBuffer.allocate(LENGTH + own.length)
+                .putShort((short) 0)
+                .putInt(tag)
+                .put(own)
                 .array();
         return ByteBuffer.wrap(all).putShort(check(all)).array();
     }
--- a/src/main/java/reedmux/policy/Brain.java
+++ b/src/main/java/reedmux/policy/Brain.java
@@ -20,6 +20,7 @@
     private static final double MAIL_SHARE = 0.8;
     /** Δs: shortest, as bytes cost, and longest; time between looks at the mail, and its change at one. */
     private static final long SYNC_MIN = 40_000, SYNC_MAX = 1_000_000;
+
     private static final double PACE_LOOK = 0.5 * SECOND, PACE_STEP = 1.5;
     /** Assumed time of a packet on its way (Δt), until measured none is known to be longer. */
     private static final long MAIL_TIME = 15_000;
@@ -27,6 +28,7 @@
     private static final int ASK_SYNCS = 2, ANSWER_SYNCS = 1, SILENT_SYNCS = 12;
     /** Time that makes silent: least, most, doubled by false alarms, and what is kept of it each Δs. */
     private static final long SILENT_LEAST = 300_000, SILENT_MOST = 4_000_000;
+
     private static final double SILENT_FADE = 0.999;
     /** Pace of asking a silent neighbour; Δs without event in an own stall; time to forget idle accounts. */
     private static final long PROBE_PACE = 1_000_000, STALL_SYNCS = 3, ACCOUNT_IDLE = 60_000_000;
@@ -37,6 +39,7 @@
     private static final double TELL_COUNT = 0.1, OVERSHOOT = 0.75, CEILING_SPARE = 0.5;
     /** Most bursts that races are taken to have under way; forgotten slowly while counts exceed a share. */
     private static final double MARGIN_MOST = 6, MARGIN_MEMORY = 20 * SECOND;
+
     private static final double QUIET_COUNT = 0.2, QUIET_MEMORY = 2 * SECOND;
     /** Open attempts are told where that crosses within so many first guesses; how near a mean may come. */
     private static final double OPEN_CROSSING = 3, OPEN_CHANCE = 0.5;
@@ -48,6 +51,7 @@
     private static final double SIZE_LEAST = 0.5, SIZE_MOST = 3, RATIO_BOX = 20, RATIO_CLASS = 3;
     /** Failures in a row, or share of failures, that take a server out, and good answers to be back. */
     private static final int FAILURES_OUT = 3, GOOD_BACK = 2;
+
     private static final double ERRORS_OUT = 0.4, KEEP_IN = 0.5;
     /** First and longest time out, and its doublings; this share stays in, as all slow is not their fault. */
     private static final long OUT_FIRST = 500_000, OUT_MOST = 4_000_000, OUT_DOUBLED = 5;
@@ -58,10 +62,12 @@
      * what is under a small share of the aim is none, or the machine's own jitter would close quick servers.
      */
     private static final double LIMIT_START = 24, LIMIT_LEAST = 2, LIMIT_UP = 0.2, LIMIT_SLOW = 0.8;
+
     private static final double LIMIT_FULL = 0.6, SLOW = 0.5, SLOW_BEST = 4, SLOW_LEAST = 0.05;
     private static final double BEST_FADE = 0.0005;
     /** Shares by relative worth, least, most, slope: of all bounds in use, of the aim in a request's time. */
     private static final double FILL_LEAST = 0.6, FILL_MOST = 1, FILL_SLOPE = 0.2;
+
     private static final double WAIT_LEAST = 0.3, WAIT_MOST = 0.85, WAIT_SLOPE = 0.35;
     /** What an error costs against an answer, in usual times. */
     private static final double ERROR_COST = 4;
@@ -76,6 +82,7 @@
      * many seconds, but so many at least, and so many gateways to a server at least.
      */
     private static final int SAMPLED = 16, WINDOW_LEAST = 4, WINDOW_COVER = 2;
+
     private static final double WINDOW = 0.5;
     /** A repeatable attempt is given up at this multiple of its usual time, or share of its aim if longer. */
     private static final double PATIENCE = 5, PATIENCE_AIM = 0.5;
@@ -90,6 +97,7 @@
      * the share of what is wanted that is a trial at least, as from single ones it took 9 s to recover.
      */
     private static final double SENDS_PER_GOOD = 2, GOOD_MEMORY = 2 * SECOND, TRIAL = 1, YOUNG = 2;
+
     private static final double TRIAL_SHARE = 0.05;
     /** Advice to stay away after a refusal in overload; pause before discovery is asked again. */
     private static final long OVERLOAD_ADVICE = 700_000, ASK_AGAIN = 500_000;
@@ -131,9 +139,11 @@
         status = new int[settings.groupSize()];
         edgeTo = new Edge[settings.groupSize()];
         settings.classes().forEach(kind -> classes.add(new ClassTimes(kind.aim() * FIRST_GUESS)));
-        firstTime = classes.stream().mapToDouble(times -> times.latency).average().orElse(0);
+        firstTime =
+                classes.stream().mapToDouble(times -> times.latency).average().orElse(0);
         attemptTime = firstTime;
-        double cheapest = settings.plans().stream().mapToDouble(Plan::price).min().orElse(1);
+        double cheapest =
+                settings.plans().stream().mapToDouble(Plan::price).min().orElse(1);
         Plan free = new Plan("visitors", 0, 0, 0, 0, 0, 0, cheapest * VISITOR_WORTH, 0, 0);
         visitors = new Account(VISITOR, free, VISITOR, settings.self(), 1, part, 0);
         mail(settings.limits().peerMessagesPerS());
@@ -200,7 +210,8 @@
         startedAt = now;
         if (settings.limits().peers() && settings.groupSize() > 1) {
             act.timer(now + sync, SYNC_TIMER);
-            Arrays.stream(neighbours(0, status.length)).filter(peer -> peer >= 0)
+            Arrays.stream(neighbours(0, status.length))
+                    .filter(peer -> peer >= 0)
                     .forEach(peer -> edge(peer).news.add(settings.self())); // a new life asks for counts
         }
         if (settings.askDiscovery()) {
@@ -255,8 +266,7 @@
         if (taken.account == visitors) {
             most = Math.min(most, VISITOR_SLOW * taken.times.best * size(taken));
         }
-        return throttled(density / meanDensity) || fleet.open() > fill * fleet.limit()
-                || expected(taken, box) > most;
+        return throttled(density / meanDensity) || fleet.open() > fill * fleet.limit() || expected(taken, box) > most;
     }
 
     /**
@@ -358,7 +368,8 @@
         if (account == null) {
             account = new Account(customer, settings.plans().get(plan), plan, first, spread, part, now);
             account.member = inSet(first, spread);
-            account.ceiling = Math.min(account.share(account.plan.ceilingBurst()),
+            account.ceiling = Math.min(
+                    account.share(account.plan.ceilingBurst()),
                     account.share(account.plan.ceilingRate()) * (now - startedAt) / SECOND);
             accounts.put(customer, account);
         }
@@ -369,7 +380,8 @@
     /** The plan and set that a request tells hold; a peer's word of them may come from older settings. */
     private Account account(Request request) {
         Account account = account(request.customer(), request.plan(), request.first(), request.spread());
-        if (account.planIndex != request.plan() || account.first != request.first()
+        if (account.planIndex != request.plan()
+                || account.first != request.first()
                 || account.spread != request.spread()) {
             account.move(settings.plans().get(request.plan()), request);
             account.member = inSet(account.first, account.spread);
@@ -381,7 +393,8 @@
     private boolean forgettable(Account account) {
         drain(account);
         Plan plan = account.plan;
-        return account.open == 0 && now - account.usedAt > ACCOUNT_IDLE
+        return account.open == 0
+                && now - account.usedAt > ACCOUNT_IDLE
                 && (plan.rate() == 0 || account.localCount == 0)
                 && (plan.ceilingRate() == 0 || account.ceiling >= account.share(plan.ceilingBurst()));
     }
@@ -389,9 +402,12 @@
     private boolean withinPlan(Account account, double units) {
         Plan plan = account.plan;
         double room = plan.burst() - account.localCount;
-        boolean quota = plan.rate() == 0 || units <= room && !firstSight(account, units)
-                && (room >= account.margin || random.nextDouble() * account.margin <= room);
-        return quota && (plan.maxOpen() == 0 || openEverywhere(account) + OPEN_CHANCE < plan.maxOpen())
+        boolean quota = plan.rate() == 0
+                || units <= room
+                        && !firstSight(account, units)
+                        && (room >= account.margin || random.nextDouble() * account.margin <= room);
+        return quota
+                && (plan.maxOpen() == 0 || openEverywhere(account) + OPEN_CHANCE < plan.maxOpen())
                 && (plan.ceilingRate() == 0 || account.ceiling >= units);
     }
 
@@ -410,7 +426,8 @@
     }
 
     private boolean firstSight(Account account, double units) {
-        return account.sightUnits > 0 && now < account.seenAt + crossing(account.spread)
+        return account.sightUnits > 0
+                && now < account.seenAt + crossing(account.spread)
                 && account.sightUnits + units > account.share(account.plan.burst());
     }
 
@@ -443,11 +460,11 @@
         Plan plan = account.plan;
         double drained = plan.rate() * (1 - account.silentShare) * passed;
         account.drain(drained);
-        account.ceiling = Math.min(account.share(plan.ceilingBurst()),
-                account.ceiling + account.share(plan.ceilingRate()) * passed);
+        account.ceiling = Math.min(
+                account.share(plan.ceilingBurst()), account.ceiling + account.share(plan.ceilingRate()) * passed);
         account.fadeBranches(Math.exp(-passed * SECOND / BRANCH_MEMORY));
-        account.margin *= Math.exp(-passed * SECOND
-                / (account.localCount < QUIET_COUNT * plan.burst() ? QUIET_MEMORY : MARGIN_MEMORY));
+        account.margin *= Math.exp(
+                -passed * SECOND / (account.localCount < QUIET_COUNT * plan.burst() ? QUIET_MEMORY : MARGIN_MEMORY));
     }
 
     /** Worst time for a count to cross the heap: 2(log2(N+1)-1)(Δs+Δt), with whole levels. */
@@ -612,18 +629,28 @@
     }
 
     private boolean due(Edge edge, long pace, boolean out) {
-        return out || !edge.dirty.isEmpty() || !edge.news.isEmpty()
+        return out
+                || !edge.dirty.isEmpty()
+                || !edge.news.isEmpty()
                 || edge.owesSince >= 0 && now - edge.owesSince >= ANSWER_SYNCS * pace
                 || edge.askedSince >= 0 && now - edge.sentAt >= ASK_SYNCS * pace;
     }
 
     private void pack(Edge edge) {
         List<Integer> told = edge.takeNews(PeerPacket.Writer.newsRoom());
-        List<PeerPacket.News> news = told.stream().map(m -> new PeerPacket.News(m, status[m])).toList();
-        boolean asks = edge.askedSince >= 0 || !told.isEmpty() || !edge.dirty.isEmpty()
-                || (status[edge.peer] & 1) == 1;
-        PeerPacket.Writer packet = new PeerPacket.Writer(edge.names, incarnation, edge.peerIncarnation,
-                edge.accepted, ++edge.sent, edge.received, asks, (int) (sync / MILLI), news,
+        List<PeerPacket.News> news =
+                told.stream().map(m -> new PeerPacket.News(m, status[m])).toList();
+        boolean asks = edge.askedSince >= 0 || !told.isEmpty() || !edge.dirty.isEmpty() || (status[edge.peer] & 1) == 1;
+        PeerPacket.Writer packet = new PeerPacket.Writer(
+                edge.names,
+                incarnation,
+                edge.peerIncarnation,
+                edge.accepted,
+                ++edge.sent,
+                edge.received,
+                asks,
+                (int) (sync / MILLI),
+                news,
                 settings.limits().peerBytes());
         List<Carried> carried = new ArrayList<>();
         List<Account> due = new ArrayList<>(edge.dirty);
@@ -654,9 +681,15 @@
         account.to[slot] -= delta;
         account.tellCount[slot] = false;
         account.toldOpen[slot] = account.openBut(slot);
-        packet.add(new PeerPacket.Entry(account.customer, account.planIndex, account.first, account.spread,
-                delta, count ? Double.valueOf(account.localCount - delta) : null,
-                sharesOpen(account) ? Integer.valueOf(account.toldOpen[slot]) : null, account.grant[slot]));
+        packet.add(new PeerPacket.Entry(
+                account.customer,
+                account.planIndex,
+                account.first,
+                account.spread,
+                delta,
+                count ? Double.valueOf(account.localCount - delta) : null,
+                sharesOpen(account) ? Integer.valueOf(account.toldOpen[slot]) : null,
+                account.grant[slot]));
         account.grant[slot] = 0;
         return new Carried(account, delta, count);
     }
@@ -676,7 +709,9 @@
         }
         // A new life counts from one. Else a second packet has to say the same: one spoilt one that passes
         // its check would make all that come after it look old.
-        if (newLife && edge.peerIncarnation != 0 && packet.number() > FIRST_PACKETS
+        if (newLife
+                && edge.peerIncarnation != 0
+                && packet.number() > FIRST_PACKETS
                 && edge.unconfirmed != packet.incarnation()) {
             edge.unconfirmed = packet.incarnation();
             return;
@@ -707,8 +742,7 @@
         }
         edge.accepted |= 1;
         packet.news().forEach(news -> learn(news.member(), news.version(), from));
-        packet.entries().stream().map(edge.names::full).filter(Objects::nonNull)
-                .forEach(entry -> takeIn(entry, from));
+        packet.entries().stream().map(edge.names::full).filter(Objects::nonNull).forEach(entry -> takeIn(entry, from));
     }
 
     /** A neighbour's new life knows nothing: what it had not acknowledged goes again. */
@@ -735,8 +769,9 @@
     void takeBack(Edge edge, List<Packet> lost) {
         for (Packet packet : lost) {
             edge.news.addAll(packet.news());
-            packet.carried().stream().filter(c -> c.account().takeBack(edge.peer, c)).forEach(
-                    c -> edge.dirty.add(c.account()));
+            packet.carried().stream()
+                    .filter(c -> c.account().takeBack(edge.peer, c))
+                    .forEach(c -> edge.dirty.add(c.account()));
         }
     }
 
@@ -745,9 +780,14 @@
      * is no neighbour in our view, its units are counted here and go no further: nothing can go round.
      */
     private void takeIn(PeerPacket.Entry entry, int from) {
-        if (entry.plan() < 0 || entry.plan() >= settings.plans().size() || entry.spread() < 1
-                || entry.spread() > status.length || entry.first() < 0 || entry.first() >= status.length
-                || entry.customer() >>> CUSTOMER_BITS != 0 || entry.open() != null && entry.open() < 0) {
+        if (entry.plan() < 0
+                || entry.plan() >= settings.plans().size()
+                || entry.spread() < 1
+                || entry.spread() > status.length
+                || entry.first() < 0
+                || entry.first() >= status.length
+                || entry.customer() >>> CUSTOMER_BITS != 0
+                || entry.open() != null && entry.open() < 0) {
             return; // what we would pass on has to fit into a packet
         }
         Account account = account(entry.customer(), entry.plan(), entry.first(), entry.spread());
@@ -819,8 +859,10 @@
         int looks = 0;
         for (int i = 0; i < ready.size() && looks < SAMPLED && (i < window || looks == 0); i++) {
             Box box = ready.get((place + (i < window ? (turn + i) % window : i)) % ready.size());
-            if (i >= window && coldShare(box) < 1 || box.open > 0 && box.open + 1 > box.limit
-                    || taken.tried(box) || !maySend(taken, box)) {
+            if (i >= window && coldShare(box) < 1
+                    || box.open > 0 && box.open + 1 > box.limit
+                    || taken.tried(box)
+                    || !maySend(taken, box)) {
                 continue;
             }
             if (box.out() && !ignoreOut) {
@@ -860,7 +902,8 @@
     /** The least share of its capacity that a started server may count on; 1 when it is warm. */
     private double coldShare(Box box) {
         double from = Math.max(COLD_LEAST, settings.rules().coldFrom());
-        double age = (double) Math.max(0, now - box.listed.started()) / settings.rules().coldTime();
+        double age = (double) Math.max(0, now - box.listed.started())
+                / settings.rules().coldTime();
         return box.listed.started() > 0 && age < 1 ? from + (1 - from) * age : 1;
     }
 
@@ -898,8 +941,7 @@
     private void judge(Box box, Outcome outcome) {
         // Being turned away says nothing of health where its line may be full of our own; where nothing of
         // ours is out it is of no use to us now, though it answers faster than any and so looks free.
-        if (outcome == Outcome.CANCELLED || outcome == Outcome.MOOT
-                || outcome == Outcome.FULL && box.open > 0) {
+        if (outcome == Outcome.CANCELLED || outcome == Outcome.MOOT || outcome == Outcome.FULL && box.open > 0) {
             return;
         }
         boolean good = outcome == Outcome.OK;
@@ -919,8 +961,11 @@
     // ---- Attempts: one guard for every choice, time-outs, what follows an outcome --------------------
     /** The effect rules, drains, attempt limits and the fall budget; no server is chosen without this. */
     private boolean maySend(Live taken, Box box) {
-        if (taken.over || taken.streaming || box.listed.status() != Status.READY
-                || taken.attempts.size() >= settings.limits().maxAttempts() || timeLeft(taken) <= 0
+        if (taken.over
+                || taken.streaming
+                || box.listed.status() != Status.READY
+                || taken.attempts.size() >= settings.limits().maxAttempts()
+                || timeLeft(taken) <= 0
                 || !withinFall(box)) {
             return false;
         }
@@ -937,11 +982,12 @@
 
     private boolean mayRepeat(Live taken, Attempt attempt, Box box) {
         Server before = attempt.box.listed;
-        boolean sameGroup = switch (taken.kind.group()) {
-            case ALL -> true;
-            case ZONE -> before.zone() == box.listed.zone();
-            case CELL -> before.cell() == box.listed.cell() && before.zone() == box.listed.zone();
-        };
+        boolean sameGroup =
+                switch (taken.kind.group()) {
+                    case ALL -> true;
+                    case ZONE -> before.zone() == box.listed.zone();
+                    case CELL -> before.cell() == box.listed.cell() && before.zone() == box.listed.zone();
+                };
         return switch (taken.kind.repeat()) {
             case SAFE -> true;
             case UNSAFE -> false;
@@ -958,8 +1004,8 @@
         long timeout = timeLeft(taken);
         if (taken.kind.repeat() != Repeat.UNSAFE
                 && taken.attempts.size() + 1 < settings.limits().maxAttempts()) {
-            double patience = (1 + TIMEOUT_WEIGHT * timeouts)
-                    * Math.max(PATIENCE * work(taken), PATIENCE_AIM * taken.kind.aim());
+            double patience =
+                    (1 + TIMEOUT_WEIGHT * timeouts) * Math.max(PATIENCE * work(taken), PATIENCE_AIM * taken.kind.aim());
             if (now + patience + work(taken) < taken.arrivedAt + taken.kind.aim()) {
                 timeout = Math.min(timeout, (long) patience);
             }
@@ -994,8 +1040,9 @@
         if (ended.outcome() == Outcome.OK || ended.outcome() == Outcome.ERROR) {
             attempt.box.quietSince = now;
         }
-        if (ended.attempt() == 0 && (ended.outcome() == Outcome.ERROR
-                || ended.outcome() == Outcome.OK && ended.took() <= SLOW * taken.kind.aim())) {
+        if (ended.attempt() == 0
+                && (ended.outcome() == Outcome.ERROR
+                        || ended.outcome() == Outcome.OK && ended.took() <= SLOW * taken.kind.aim())) {
             fadeGood();
             good++; // an error in time speaks of the server, not of the load
         }
--- a/src/main/java/reedmux/policy/Gateway.java
+++ b/src/main/java/reedmux/policy/Gateway.java
@@ -12,15 +12,29 @@
     void handle(long now, Event event, Actions actions);
 
     /** What a repeat does: nothing more, nothing more within its group and window, or the effect again. */
-    enum Repeat { SAFE, KEYED, UNSAFE }
+    enum Repeat {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
     /** The servers that recognise a keyed request's repeats: all, or those of the same zone or cell. */
-    enum Group { ALL, ZONE, CELL }
+    enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** How an attempt ended. */
     enum Outcome {
-        OK(false), ERROR(false), FULL(true), TIMEOUT(false), CONNECT_FAILED(true), RESET(false),
-        CANCELLED(false), MOOT(true);
+        OK(false),
+        ERROR(false),
+        FULL(true),
+        TIMEOUT(false),
+        CONNECT_FAILED(true),
+        RESET(false),
+        CANCELLED(false),
+        MOOT(true);
 
         private final boolean neverRan;
 
@@ -35,82 +49,141 @@
     }
 
     /** What a server list holds: changes, all, all as last known, or nothing as the call failed. */
-    enum Scope { CHANGES, FULL, CACHED, FAILED }
+    enum Scope {
+        CHANGES,
+        FULL,
+        CACHED,
+        FAILED
+    }
 
     /** A listed server's state. */
-    enum Status { READY, DRAINING, GONE }
+    enum Status {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     /** A class of requests; {@code aim} and {@code deadline} run from the arrival. */
-    record RequestClass(String name, Repeat repeat, Group group, long window, long aim, long deadline,
-                        double worth, double lateWorth, boolean stream) { }
+    record RequestClass(
+            String name,
+            Repeat repeat,
+            Group group,
+            long window,
+            long aim,
+            long deadline,
+            double worth,
+            double lateWorth,
+            boolean stream) {}
 
     /**
      * A plan. {@code rate} and {@code burst} bound a customer's units, {@code maxOpen} its attempts out at
      * once and the three ceiling values what may never be passed; 0 means no bound.
      */
-    record Plan(String name, double rate, double burst, int maxOpen, double ceilingRate, double ceilingBurst,
-                double ceilingSlack, double price, double beyondEarns, double beyondCosts) { }
+    record Plan(
+            String name,
+            double rate,
+            double burst,
+            int maxOpen,
+            double ceilingRate,
+            double ceilingBurst,
+            double ceilingSlack,
+            double price,
+            double beyondEarns,
+            double beyondCosts) {}
 
     /** The figures of the rules. */
-    record Rules(long answerSlack, long askWithin, double coldFrom, long coldTime, long drainGrace,
-                 double fallMultiple, long fallTime) { }
+    record Rules(
+            long answerSlack,
+            long askWithin,
+            double coldFrom,
+            long coldTime,
+            long drainGrace,
+            double fallMultiple,
+            long fallTime) {}
 
     /** What the deployment permits. */
-    record Limits(boolean cancel, boolean secondCopies, boolean probes, boolean peers, boolean counter,
-                  int maxAttempts, long maxRetryAfter, double peerMessagesPerS, int peerBytes,
-                  long counterTimeout) { }
+    record Limits(
+            boolean cancel,
+            boolean secondCopies,
+            boolean probes,
+            boolean peers,
+            boolean counter,
+            int maxAttempts,
+            long maxRetryAfter,
+            double peerMessagesPerS,
+            int peerBytes,
+            long counterTimeout) {}
 
     /**
      * All that a gateway is told at its start; {@code unitsWhenWhole}: a request takes its units only once an
      * attempt has come whole to a server, and else when it is first sent on.
      */
-    record Settings(int self, int groupSize, int zone, boolean askDiscovery, boolean unitsWhenWhole,
-                    double mostUnits, long tick, List<RequestClass> classes, List<Plan> plans, Rules rules,
-                    Limits limits) { }
+    record Settings(
+            int self,
+            int groupSize,
+            int zone,
+            boolean askDiscovery,
+            boolean unitsWhenWhole,
+            double mostUnits,
+            long tick,
+            List<RequestClass> classes,
+            List<Plan> plans,
+            Rules rules,
+            Limits limits) {}
 
     /** One server as the list has it; {@code started} is 0 when that was long ago. */
-    record Server(String id, int zone, int kind, int cell, Status status, double weight, long started) { }
+    record Server(String id, int zone, int kind, int cell, Status status, double weight, long started) {}
 
     /** Something the gateway is told. */
-    sealed interface Event { }
+    sealed interface Event {}
 
     /** The list of servers, or changes to it. */
-    record ServerList(Scope scope, List<Server> servers) implements Event { }
+    record ServerList(Scope scope, List<Server> servers) implements Event {}
 
     /** In place of a plan: a request that another region sends, which has counted it; charges nobody here. */
     int VISITOR = -1;
 
     /** A client's request, which the gateway now owes one final answer before {@code deadline}. */
-    record Request(String id, int requestClass, int plan, long customer, long deadline, double units,
-                   int spread, int first, boolean repeat) implements Event { }
+    record Request(
+            String id,
+            int requestClass,
+            int plan,
+            long customer,
+            long deadline,
+            double units,
+            int spread,
+            int first,
+            boolean repeat)
+            implements Event {}
 
     /** A timer set earlier has come due. */
-    record TimerDue(long token) implements Event { }
+    record TimerDue(long token) implements Event {}
 
     /** An attempt has ended; {@code over} tells that so has the request, {@code units} are the true ones. */
-    record AttemptEnded(String request, boolean over, String server, int attempt, double units, long took,
-                        Outcome outcome) implements Event { }
+    record AttemptEnded(
+            String request, boolean over, String server, int attempt, double units, long took, Outcome outcome)
+            implements Event {}
 
     /** The answer to an attempt has begun to stream; its time-outs no longer run. */
-    record StreamStarted(String request, String server, int attempt, long took) implements Event { }
+    record StreamStarted(String request, String server, int attempt, long took) implements Event {}
 
     /** A request's body, of which its attempts have what has come, is still coming in, or is whole now. */
-    record Arriving(String request, boolean whole) implements Event { }
+    record Arriving(String request, boolean whole) implements Event {}
 
     /** A message of another gateway. */
-    record PeerMessage(int from, byte[] bytes) implements Event { }
+    record PeerMessage(int from, byte[] bytes) implements Event {}
 
     /** The answer to a call of the counter service. */
-    record Counted(long name, Outcome outcome, double total, long took) implements Event { }
+    record Counted(long name, Outcome outcome, double total, long took) implements Event {}
 
     /** The request has ended without the gateway's doing; nothing is owed for it. */
-    record Withdrawn(String request) implements Event { }
+    record Withdrawn(String request) implements Event {}
 
     /** A request that was {@linkplain Actions#sendAway sent away} is back, and its final answer given. */
-    record Returned(String request) implements Event { }
+    record Returned(String request) implements Event {}
 
     /** A probe has ended. */
-    record Probed(String server, Outcome outcome, long took) implements Event { }
+    record Probed(String server, Outcome outcome, long took) implements Event {}
 
     /** What a gateway may do; each call takes effect at once, in the order made. */
     interface Actions {
--- a/src/main/java/reedmux/policy/HeapCount.java
+++ b/src/main/java/reedmux/policy/HeapCount.java
@@ -10,12 +10,14 @@
     public static final int NOBODY = -2;
     /** A number beyond all members, for one that is none any more. */
     private static final int LEFT = 1_000_000;
+
     private static final int LINKS = 3;
 
     /** The numbers of parent, left and right, each below nought where there is none. */
     int[] near = {-1, -1, -1};
     /** What each of them has still to be told. */
     double[] to = new double[LINKS];
+
     double localCount;
 
     /** Adds to all counters but the one facing {@code from}. */
--- a/src/main/java/reedmux/policy/PeerPacket.java
+++ b/src/main/java/reedmux/policy/PeerPacket.java
@@ -17,12 +17,21 @@
  * taken in. {@code pace} is the time in milliseconds that the sender wants between packets to it, and
  * {@code news} is what it learnt of members.
  */
-record PeerPacket(int incarnation, int forIncarnation, int accepted, long number, long highest, boolean asks,
-                  int pace, List<News> news, List<Entry> entries) {
+record PeerPacket(
+        int incarnation,
+        int forIncarnation,
+        int accepted,
+        long number,
+        long highest,
+        boolean asks,
+        int pace,
+        List<News> news,
+        List<Entry> entries) {
     /** Packets that one acknowledgement can speak of, and the bound of an incarnation. */
     static final int ACK_WINDOW = 16, INCARNATIONS = 1 << 16;
     /** Most bytes of a message's news, and the most that one entry and one piece of news can take. */
     private static final int NEWS_BYTES = 128;
+
     private static final int ENTRY = 30, NEWS = 6;
     private static final int CHECK = 2;
     private static final int HEAD = CHECK + 3 * Short.BYTES;
@@ -34,17 +43,24 @@
     private static final double GRAIN = 100, MOST = 1e6;
 
     /** How often a member has changed between heard and silent; odd means silent. */
-    record News(int member, int version) { }
+    record News(int member, int version) {}
 
     /**
      * One customer's part: its gateways, the delta, where given its count and its open attempts, and the
      * units of the ceiling that pass to the receiver. {@code alias} stands for the first four once the other
      * side has them; {@code plan} is -1 where only the alias was sent.
      */
-    record Entry(int alias, long customer, int plan, int first, int spread, double delta, Double count,
-                 Integer open, double grant) {
-        Entry(long customer, int plan, int first, int spread, double delta, Double count, Integer open,
-              double grant) {
+    record Entry(
+            int alias,
+            long customer,
+            int plan,
+            int first,
+            int spread,
+            double delta,
+            Double count,
+            Integer open,
+            double grant) {
+        Entry(long customer, int plan, int first, int spread, double delta, Double count, Integer open, double grant) {
             this(0, customer, plan, first, spread, delta, count, open, grant);
         }
     }
@@ -85,8 +101,18 @@
                 return entry;
             }
             Entry known = theirs.get(entry.alias);
-            return known == null ? null : new Entry(entry.alias, known.customer, known.plan, known.first,
-                    known.spread, entry.delta, entry.count, entry.open, entry.grant);
+            return known == null
+                    ? null
+                    : new Entry(
+                            entry.alias,
+                            known.customer,
+                            known.plan,
+                            known.first,
+                            known.spread,
+                            entry.delta,
+                            entry.count,
+                            entry.open,
+                            entry.grant);
         }
 
         private int alias(Entry entry, long number) {
@@ -116,12 +142,23 @@
         private final Names names;
         private final long number;
 
-        Writer(Names names, int incarnation, int forIncarnation, int accepted, long number, long highest,
-               boolean asks, int pace, List<News> news, int length) {
+        Writer(
+                Names names,
+                int incarnation,
+                int forIncarnation,
+                int accepted,
+                long number,
+                long highest,
+                boolean asks,
+                int pace,
+                List<News> news,
+                int length) {
             bytes = ByteBuffer.allocate(length);
             this.names = names;
             this.number = number;
-            bytes.position(CHECK).putShort((short) incarnation).putShort((short) forIncarnation)
+            bytes.position(CHECK)
+                    .putShort((short) incarnation)
+                    .putShort((short) forIncarnation)
                     .putShort((short) accepted);
             put(number);
             put(highest);
@@ -146,8 +183,12 @@
             int alias = names.alias(entry, number);
             boolean full = names.sentIn.containsKey(alias);
             boolean whole = entry.delta == Math.rint(entry.delta);
-            put((long) alias << FLAGS | (entry.count != null ? 1 : 0) | (entry.open != null ? 2 : 0)
-                    | (entry.grant > 0 ? 4 : 0) | (full ? 8 : 0) | (whole ? 16 : 0));
+            put((long) alias << FLAGS
+                    | (entry.count != null ? 1 : 0)
+                    | (entry.open != null ? 2 : 0)
+                    | (entry.grant > 0 ? 4 : 0)
+                    | (full ? 8 : 0)
+                    | (whole ? 16 : 0));
             if (full) {
                 put(entry.customer);
                 put(entry.plan);
@@ -208,15 +249,27 @@
             while (bytes.hasRemaining()) {
                 int flags = (int) get(bytes);
                 boolean full = (flags & 8) != 0;
-                entries.add(new Entry(flags >> FLAGS, full ? get(bytes) : 0, full ? (int) get(bytes) : -1,
-                        full ? (int) get(bytes) : 0, full ? (int) get(bytes) : 0,
+                entries.add(new Entry(
+                        flags >> FLAGS,
+                        full ? get(bytes) : 0,
+                        full ? (int) get(bytes) : -1,
+                        full ? (int) get(bytes) : 0,
+                        full ? (int) get(bytes) : 0,
                         getSigned(bytes) * ((flags & 16) != 0 ? GRAIN : 1),
                         (flags & 1) != 0 ? getSigned(bytes) : null,
                         (flags & 2) != 0 ? Integer.valueOf((int) get(bytes)) : null,
                         (flags & 4) != 0 ? getSigned(bytes) : 0));
             }
-            return new PeerPacket(incarnation, forIncarnation, accepted, number, highest, (pace & 1) != 0,
-                    (int) (pace >> 1), news, entries);
+            return new PeerPacket(
+                    incarnation,
+                    forIncarnation,
+                    accepted,
+                    number,
+                    highest,
+                    (pace & 1) != 0,
+                    (int) (pace >> 1),
+                    news,
+                    entries);
         } catch (BufferUnderflowException e) {
             return null;
         }
--- a/src/main/java/reedmux/policy/State.java
+++ b/src/main/java/reedmux/policy/State.java
@@ -15,7 +15,7 @@
 /** What a {@link Brain} remembers; it holds values and decides nothing. */
 final class State {
 
-    private State() { }
+    private State() {}
 
     /** Which part of this gateway's shares is ours: all, but while another process is the gateway too. */
     static final class Part {
@@ -33,6 +33,7 @@
         int sharers;
         /** Whether we are one of its gateways. */
         boolean member;
+
         double[] branch = new double[3];
         int[] branchOpen = new int[3];
         int[] toldOpen = new int[3];
@@ -44,6 +45,7 @@
         double ceiling;
         /** Counted since the twin was told last. */
         double toTwin;
+
         int open;
         int view = -1;
         private final Part part;
@@ -91,7 +93,9 @@
 
         /** Whether anything is still to be told to a neighbour. */
         boolean hasNews(int slot, boolean sharesOpen) {
-            return PeerPacket.grained(to[slot]) != 0 || tellCount[slot] || grant[slot] > 0
+            return PeerPacket.grained(to[slot]) != 0
+                    || tellCount[slot]
+                    || grant[slot] > 0
                     || sharesOpen && openBut(slot) != toldOpen[slot];
         }
 
@@ -143,10 +147,10 @@
     }
 
     /** What a packet carried for one customer, kept until it is acknowledged. */
-    record Carried(Account account, double units, boolean count) { }
+    record Carried(Account account, double units, boolean count) {}
 
     /** An unacknowledged packet. */
-    record Packet(long number, List<Carried> carried, List<Integer> news) { }
+    record Packet(long number, List<Carried> carried, List<Integer> news) {}
 
     /** The link to another gateway; times are -1 while there is nothing to wait for. */
     static final class Edge {
@@ -165,6 +169,7 @@
         long received;
         /** An incarnation that one packet has told of, and none since. */
         int unconfirmed;
+
         int accepted;
 
         Edge(int peer, long pace, long now) {
@@ -187,8 +192,7 @@
         /** Moves the window of what was accepted up to a packet just received. */
         void receive(long number) {
             long steps = number - received;
-            accepted = steps >= PeerPacket.ACK_WINDOW ? 0
-                    : accepted << steps & PeerPacket.INCARNATIONS - 1;
+            accepted = steps >= PeerPacket.ACK_WINDOW ? 0 : accepted << steps & PeerPacket.INCARNATIONS - 1;
             received = number;
         }
 
@@ -259,7 +263,8 @@
                 }
             }
             ready.clear();
-            boxes.values().stream().filter(box -> box.listed.status() == Gateway.Status.READY)
+            boxes.values().stream()
+                    .filter(box -> box.listed.status() == Gateway.Status.READY)
                     .forEach(ready::add);
             return fresh;
         }
@@ -376,6 +381,7 @@
 
         /** Whether an attempt has come whole to a server, or it went to another region. */
         boolean reached;
+
         boolean streaming;
         boolean away;
 
--- a/src/main/java/reedmux/policy/Twin.java
+++ b/src/main/java/reedmux/policy/Twin.java
@@ -22,12 +22,22 @@
      * @param seenFor how long it has been known, in microseconds
      * @param near    neighbours that have not been told {@code owed} units yet; -1 for none
      */
-    public record Kept(long customer, int plan, int first, int spread, int sharers, double count,
-                       double margin, double sight, double ceiling, long seenFor, int[] near,
-                       double[] owed) { }
+    public record Kept(
+            long customer,
+            int plan,
+            int first,
+            int spread,
+            int sharers,
+            double count,
+            double margin,
+            double sight,
+            double ceiling,
+            long seenFor,
+            int[] near,
+            double[] owed) {}
 
     /** Units that were counted of a customer since the last time. */
-    public record Spent(long customer, int plan, int first, int spread, double units) { }
+    public record Spent(long customer, int plan, int first, int spread, double units) {}
 
     private final Brain brain;
 
@@ -47,9 +57,19 @@
             brain.drain(account);
             account.ceiling *= HALF;
             account.toTwin = 0;
-            all.add(new Kept(account.customer, account.planIndex, account.first, account.spread,
-                    account.sharers, account.localCount, account.margin, account.sightUnits,
-                    account.ceiling, now - account.seenAt, account.near.clone(), account.to.clone()));
+            all.add(new Kept(
+                    account.customer,
+                    account.planIndex,
+                    account.first,
+                    account.spread,
+                    account.sharers,
+                    account.localCount,
+                    account.margin,
+                    account.sightUnits,
+                    account.ceiling,
+                    now - account.seenAt,
+                    account.near.clone(),
+                    account.to.clone()));
         }
         brain.part.of = HALF;
         return all;
@@ -86,8 +106,7 @@
         List<Spent> all = new ArrayList<>();
         for (Account account : brain.accounts.values()) {
             if (account.toTwin != 0) {
-                all.add(new Spent(account.customer, account.planIndex, account.first, account.spread,
-                        account.toTwin));
+                all.add(new Spent(account.customer, account.planIndex, account.first, account.spread, account.toTwin));
                 account.toTwin = 0;
             }
         }
@@ -115,7 +134,12 @@
 
     private boolean fits(long customer, int plan, int first, int spread) {
         Gateway.Settings settings = brain.settings;
-        return customer >= 0 && plan >= 0 && plan < settings.plans().size() && spread >= 1
-                && spread <= settings.groupSize() && first >= 0 && first < settings.groupSize();
+        return customer >= 0
+                && plan >= 0
+                && plan < settings.plans().size()
+                && spread >= 1
+                && spread <= settings.groupSize()
+                && first >= 0
+                && first < settings.groupSize();
     }
 }
--- a/src/main/java/reedmux/pool/Admission.java
+++ b/src/main/java/reedmux/pool/Admission.java
@@ -16,6 +16,7 @@
     private static final double RESERVE = 0.5;
     /** Advice to those who are turned away, before anything is known, and its bounds. */
     private static final long FIRST_ADVICE = 100_000;
+
     private static final long LEAST_ADVICE = 20_000;
     private static final long MOST_ADVICE = 5_000_000;
     /** The weight of one more request in the mean time that requests stay. */
@@ -24,10 +25,10 @@
     private static final int BLOCK = 1024;
 
     /** A bound on pools' own, whatever is idle elsewhere. */
-    public record Most(int inFlight, long bytes) { }
+    public record Most(int inFlight, long bytes) {}
 
     /** What was decided of a request: let in, or turned away with advice when to come back. */
-    public record Verdict(boolean in, long retryAfter) { }
+    public record Verdict(boolean in, long retryAfter) {}
 
     private static final Verdict IN = new Verdict(true, 0);
 
@@ -82,8 +83,7 @@
         long blocks = blocks(bytes);
         boolean fits = member.inFlight < member.most.inFlight()
                 && (member.blocks + blocks) * BLOCK <= Math.max(BLOCK, member.most.bytes())
-                && (member.blocks + blocks <= blockParts.get(pool)
-                || blocksUsed + blocks + kept(pool) <= allBlocks);
+                && (member.blocks + blocks <= blockParts.get(pool) || blocksUsed + blocks + kept(pool) <= allBlocks);
         if (!fits || !take(pool)) {
             return new Verdict(false, advice(member));
         }
--- a/src/main/java/reedmux/pool/FairQueues.java
+++ b/src/main/java/reedmux/pool/FairQueues.java
@@ -19,9 +19,9 @@
  */
 public final class FairQueues<E> {
     /** A piece of work and the pool that it is for. */
-    public record Turn<E>(int pool, E work) { }
+    public record Turn<E>(int pool, E work) {}
 
-    private record Piece<E>(E work, long cost) { }
+    private record Piece<E>(E work, long cost) {}
 
     /** One pool's queue. */
     private static final class Queue<E> {
@@ -40,6 +40,7 @@
     private final List<Queue<E>> queues = new ArrayList<>();
     /** Pools that have work, the one whose turn it is in front. */
     private final Deque<Integer> round = new ArrayDeque<>();
+
     private int size;
 
     /**
--- a/src/main/java/reedmux/pool/Lending.java
+++ b/src/main/java/reedmux/pool/Lending.java
@@ -20,7 +20,7 @@
     }
 
     /** A verdict, and for {@link Verdict#RECLAIM} the pool that must give back; else -1. */
-    public record Answer(Verdict verdict, int from) { }
+    public record Answer(Verdict verdict, int from) {}
 
     private static final Answer GRANTED = new Answer(Verdict.GRANTED, -1);
     private static final Answer REFUSED = new Answer(Verdict.REFUSED, -1);
@@ -75,8 +75,7 @@
     public void part(int pool, int own) {
         Share share = shares.get(pool);
         if (own < 0 || owned - share.own + own > all) {
-            throw new IllegalArgumentException("the parts come to " + (owned - share.own + own) + " of "
-                    + all);
+            throw new IllegalArgumentException("the parts come to " + (owned - share.own + own) + " of " + all);
         }
         owned += own - share.own;
         share.own = own;
--- a/src/main/java/reedmux/pool/Pool.java
+++ b/src/main/java/reedmux/pool/Pool.java
@@ -47,12 +47,18 @@
     private static final int UNDECIDED = 8;
 
     /** What all pools use together. */
-    record Shared(ConnectionInitiator reactor, Clock clock, Loop loop, PeerLink peers,
-                  ScheduledExecutorService timers, Consumer<String> log, BiConsumer<Pool,
-                  Invocation> over, Figures figures) { }
+    record Shared(
+            ConnectionInitiator reactor,
+            Clock clock,
+            Loop loop,
+            PeerLink peers,
+            ScheduledExecutorService timers,
+            Consumer<String> log,
+            BiConsumer<Pool, Invocation> over,
+            Figures figures) {}
 
     /** What the pool of the platform's own service has in addition: other regions. Null for all others. */
-    public record Away(RegionDesk desk, BiConsumer<InvokerCall, Departure> calls) { }
+    public record Away(RegionDesk desk, BiConsumer<InvokerCall, Departure> calls) {}
 
     private final Shared shared;
     private final Away away;
@@ -60,6 +66,7 @@
     private final int tag;
     /** Its number among the pools, free for another one when it has ended. */
     final int slot;
+
     private final Queue<Event> posted = new ConcurrentLinkedQueue<>();
     private final Intake intake = new Intake(UNDECIDED);
     private final Figures.OfService figures;
@@ -75,6 +82,7 @@
     private volatile boolean closed;
     /** Since when no further request is led to it, or nought; used by the turns' thread alone. */
     private long leavingSince;
+
     private long refused;
     private long refusedTold;
 
@@ -91,12 +99,21 @@
         reader = new RequestReader(service.settings(), shared.clock, this::post, figures);
         calls = new Calls(shared.reactor, shared.clock, room, (long) (service.connIdle() * IDLE_SHARE));
         providers = new ProviderClient(calls, this::post, figures::called);
-        watch = new Watch(providers, service.discovery(), service.lists(),
-                service.settings().askDiscovery() ? service.known() : null, this::told, this::log,
+        watch = new Watch(
+                providers,
+                service.discovery(),
+                service.lists(),
+                service.settings().askDiscovery() ? service.known() : null,
+                this::told,
+                this::log,
                 shared.timers);
         module = new Brain(service.settings(), seed ^ tag);
-        reducer = new Reducer(module, service.settings().limits().maxAttempts(), service.connectTimeout(),
-                this, away == null ? null : away.desk);
+        reducer = new Reducer(
+                module,
+                service.settings().limits().maxAttempts(),
+                service.connectTimeout(),
+                this,
+                away == null ? null : away.desk);
         posted.add(new Event.ProvidersTold(service.known()));
     }
 
--- a/src/main/java/reedmux/pool/PoolSetup.java
+++ b/src/main/java/reedmux/pool/PoolSetup.java
@@ -11,8 +11,8 @@
  * @param most     bounds on its own, beside its part
  * @param hostless whether it serves requests without {@code Host}
  */
-public record PoolSetup(String name, Service service, double weight, int queued, Admission.Most most,
-                        boolean hostless) {
+public record PoolSetup(
+        String name, Service service, double weight, int queued, Admission.Most most, boolean hostless) {
     /** The pool of the platform's own service. */
     public static final String DEFAULT = "default";
     /** Pieces that may wait where nothing is set. */
@@ -20,7 +20,6 @@
 
     /** The platform's own service, where the operators have set nothing of it. */
     public static PoolSetup alone(Service service) {
-        return new PoolSetup(DEFAULT, service, 1, QUEUED,
-                new Admission.Most(Integer.MAX_VALUE, Long.MAX_VALUE), true);
+        return new PoolSetup(DEFAULT, service, 1, QUEUED, new Admission.Most(Integer.MAX_VALUE, Long.MAX_VALUE), true);
     }
 }
--- a/src/main/java/reedmux/pool/Pools.java
+++ b/src/main/java/reedmux/pool/Pools.java
@@ -35,6 +35,7 @@
     private static final int MOST_A_TURN = 64;
     /** What a pool may spend in its turn, with a weight of one; and what the pieces cost. */
     private static final int QUANTUM = 8;
+
     private static final long DECIDES = 4;
     private static final long ENDS = 3;
     private static final long ELSE = 1;
@@ -55,13 +56,13 @@
      * @param descriptors for connections to providers
      * @param fair        whether pools take turns, or events come in the order of their arrival
      */
-    public record Sharing(int inFlight, long bytes, int descriptors, boolean fair) { }
+    public record Sharing(int inFlight, long bytes, int descriptors, boolean fair) {}
 
     /** A change that the turns' thread makes. */
-    private record Change(List<Pool> joining, List<Pool> leaving) { }
+    private record Change(List<Pool> joining, List<Pool> leaving) {}
 
     /** An event that waits for its turn. */
-    private record Piece(Pool pool, Event event) { }
+    private record Piece(Pool pool, Event event) {}
 
     private final Clock clock;
     private final Loop loop;
@@ -82,18 +83,26 @@
     private final Queue<Integer> free = new ConcurrentLinkedQueue<>();
     /** Guarded by the monitor. */
     private int slots;
+
     private List<Pool> named = List.of();
     private Pool.Shared shared;
     /** The turns' thread's: all pools that still run, by their slots, and the one where there is one. */
     private final List<Pool> running = new ArrayList<>();
+
     private final Map<Integer, Pool> byTag = new HashMap<>();
     private Pool alone;
     private long now;
     private long strays;
     private long toldAt;
 
-    public Pools(Sharing sharing, Clock clock, Loop.Waiter waiter, PeerLink peers, long seed,
-                 Consumer<String> log, Figures figures) {
+    public Pools(
+            Sharing sharing,
+            Clock clock,
+            Loop.Waiter waiter,
+            PeerLink peers,
+            long seed,
+            Consumer<String> log,
+            Figures figures) {
         this.figures = figures;
         this.sharing = sharing;
         this.clock = clock;
@@ -121,8 +130,8 @@
      * @param routes by the pools' numbers; null where there is one pool, which takes all
      * @param away   for the platform's own service; may be null
      */
-    public synchronized void open(ConnectionInitiator reactor, List<PoolSetup> setups, RouteTable routes,
-                                  Pool.Away away) {
+    public synchronized void open(
+            ConnectionInitiator reactor, List<PoolSetup> setups, RouteTable routes, Pool.Away away) {
         shared = new Pool.Shared(reactor, clock, loop, peers, timers, log, this::over, figures);
         List<Pool> made = new ArrayList<>();
         for (PoolSetup setup : setups) {
@@ -138,7 +147,9 @@
     private List<Pool> targets(List<PoolSetup> setups) {
         List<Pool> targets = new ArrayList<>();
         for (PoolSetup setup : setups) {
-            targets.add(named.stream().filter(pool -> pool.name().equals(setup.name())).findFirst()
+            targets.add(named.stream()
+                    .filter(pool -> pool.name().equals(setup.name()))
+                    .findFirst()
                     .orElseThrow());
         }
         targets.add(null); // the last number of all stands for nobody
@@ -187,10 +198,12 @@
         List<Pool> joining = new ArrayList<>();
         List<Pool> leaving = new ArrayList<>(named);
         for (PoolSetup setup : setups) {
-            Pool kept = named.stream().filter(pool -> pool.name().equals(setup.name())).findFirst()
+            Pool kept = named.stream()
+                    .filter(pool -> pool.name().equals(setup.name()))
+                    .findFirst()
                     .orElse(null);
-            boolean same = kept != null && (kept.tag() == PoolTag.NONE
-                    || kept.setup().service().sameRules(setup.service()));
+            boolean same = kept != null
+                    && (kept.tag() == PoolTag.NONE || kept.setup().service().sameRules(setup.service()));
             Pool pool = same ? kept : make(setup, null);
             if (same) {
                 leaving.remove(kept);
@@ -222,8 +235,10 @@
         changes.add(new Change(List.of(), leaving));
         loop.posted();
         if (!joining.isEmpty() || !leaving.isEmpty()) {
-            log.accept("services: now " + names() + (leaving.isEmpty() ? "" : "; leaving "
-                    + leaving.stream().map(Pool::name).toList()));
+            log.accept("services: now " + names()
+                    + (leaving.isEmpty()
+                            ? ""
+                            : "; leaving " + leaving.stream().map(Pool::name).toList()));
         }
     }
 
@@ -268,7 +283,9 @@
         }
         for (Pool pool : running) {
             double weight = weights[pool.slot];
-            queues.set(pool.slot, Math.max(QUANTUM, (long) (QUANTUM * weight / least)),
+            queues.set(
+                    pool.slot,
+                    Math.max(QUANTUM, (long) (QUANTUM * weight / least)),
                     pool.setup().queued());
             if (weight > 0) {
                 pool.mail(pool.mailLimit() * weight / sum);
@@ -351,8 +368,11 @@
 
     @Override
     public boolean waits() {
-        return !tasks.isEmpty() || !changes.isEmpty() || (alone != null ? alone.waits()
-                : queues.size() > 0 || running.stream().anyMatch(Pool::waits));
+        return !tasks.isEmpty()
+                || !changes.isEmpty()
+                || (alone != null
+                        ? alone.waits()
+                        : queues.size() > 0 || running.stream().anyMatch(Pool::waits));
     }
 
     @Override
@@ -390,8 +410,9 @@
             pool.tellHosts();
             pool.intake().sweep();
             long since = pool.leavingSince();
-            if (since > 0 && (at - since > LAST_POSTS && pool.idle() && queues.waiting(pool.slot) == 0
-                    || at - since > LATEST)) {
+            if (since > 0
+                    && (at - since > LAST_POSTS && pool.idle() && queues.waiting(pool.slot) == 0
+                            || at - since > LATEST)) {
                 end(pool);
             }
         }
--- a/src/main/java/reedmux/proxy/CheckerWire.java
+++ b/src/main/java/reedmux/proxy/CheckerWire.java
@@ -20,6 +20,7 @@
     private static final int MOST_BODY = 16 * 1024 * 1024;
     /** Bytes of a body that wait here to be taken by the checker. */
     private static final int AHEAD = 128 * 1024;
+
     private static final int MOST_STRAYS = 4;
     private static final long USUAL_IDLE = 8_000_000;
     private static final byte[] END = "0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
@@ -234,7 +235,7 @@
         current = null;
         idleSince = reactor.now();
         if (request.upload() != null) {
-            request.upload().listen(() -> { });
+            request.upload().listen(() -> {});
         }
         request = null;
         if (wire.available() > 0 || wire.ended()) {
--- a/src/main/java/reedmux/proxy/ClientRequest.java
+++ b/src/main/java/reedmux/proxy/ClientRequest.java
@@ -8,6 +8,7 @@
 final class ClientRequest implements Exchange.Source {
     /** What the checker is told to have is a little less, for the way back. */
     private static final long WAY_BACK = 2_000;
+
     private static final int LARGE = 20_000;
     private final Head head;
     private final String attempt;
@@ -88,7 +89,8 @@
     }
 
     private boolean ours(String name) {
-        return name.equalsIgnoreCase("Reedmux-Time-Left-Ms") || name.equalsIgnoreCase("Reedmux-Tenant")
+        return name.equalsIgnoreCase("Reedmux-Time-Left-Ms")
+                || name.equalsIgnoreCase("Reedmux-Tenant")
                 || name.equalsIgnoreCase("Reedmux-Target-Instance")
                 || tenant != null && name.equalsIgnoreCase("Authorization");
     }
--- a/src/main/java/reedmux/proxy/ClientWire.java
+++ b/src/main/java/reedmux/proxy/ClientWire.java
@@ -16,6 +16,7 @@
     private static final long LINGER = SECOND / 2;
     /** Of a body that nobody wants so much is read and thrown away; a longer one ends the connection. */
     private static final long MOST_DISCARDED = 1024 * 1024;
+
     private static final int TIMEOUT = 408;
     private static final int TOO_LARGE = 413;
 
@@ -56,12 +57,14 @@
     private boolean closing;
     /** Since when it has been idle, reading a head, or closing. */
     private long since;
+
     private boolean reading;
     private long movedAt;
     /** How long it may rest, as its client was told: a bound that falls holds from the next answer on. */
     private long rest;
     /** A request that waits for what the proxy has to know, and when its head was whole. */
     private Head parked;
+
     private long headAt;
 
     ClientWire(Front proxy, Wire wire) {
@@ -178,8 +181,8 @@
             }
         });
         if (reader.taken() > proxy.bounds().bodyBytes()) {
-            throw new BadMessage(TOO_LARGE, "the body is larger than " + proxy.bounds().bodyBytes()
-                    + " bytes");
+            throw new BadMessage(
+                    TOO_LARGE, "the body is larger than " + proxy.bounds().bodyBytes() + " bytes");
         } else if (answered && reader.taken() > MOST_DISCARDED && !reader.whole()) {
             closeSoon();
             return false;
@@ -357,9 +360,10 @@
                     fail(new BadMessage(TIMEOUT, "the body has not come in time"));
                 }
             }
-        } else if (request == null && body == null && parked == null
-                && (now - since > Math.max(rest, bounds.idleTime())
-                || closesIdle && wire.available() == 0)) {
+        } else if (request == null
+                && body == null
+                && parked == null
+                && (now - since > Math.max(rest, bounds.idleTime()) || closesIdle && wire.available() == 0)) {
             wire.close();
             proxy.gone(this);
         }
--- a/src/main/java/reedmux/proxy/Proxy.java
+++ b/src/main/java/reedmux/proxy/Proxy.java
@@ -31,15 +31,15 @@
 import reedmux.link.Dialer;
 import reedmux.link.Link;
 import reedmux.link.Messages;
-import reedmux.link.Messages.Current;
-import reedmux.link.Messages.CoreTold;
 import reedmux.link.Messages.Contacts;
+import reedmux.link.Messages.CoreTold;
+import reedmux.link.Messages.Current;
 import reedmux.link.Messages.Hello;
 import reedmux.link.Messages.Items;
 import reedmux.link.Messages.News;
 import reedmux.link.Messages.Piece;
-import reedmux.link.Messages.Resume;
 import reedmux.link.Messages.Pull;
+import reedmux.link.Messages.Resume;
 import reedmux.link.Messages.Tell;
 import reedmux.member.Sessions;
 import reedmux.member.View;
@@ -69,6 +69,7 @@
     private static final int MOST_ENTRIES = 24;
     /** After SIGTERM new connections still come for about two seconds. */
     private static final long STAYS = 3 * SECOND;
+
     private static final int DESCRIPTORS_KEPT = 400;
     /** So long after a change of the bounds clients may still go by the ones before. */
     private static final long NARROWS = 5 * SECOND;
@@ -76,6 +77,7 @@
     private static final long HELD_UP = SECOND;
     /** Of further tries, where the settings file does not say. */
     private static final double RATIO = 0.1;
+
     private static final double SLACK = 10;
     /** After so long without a store that has a quorum, what the others tell is served. */
     private static final long ALONE = 4 * SECOND;
@@ -83,6 +85,7 @@
     private static final long STARTS = SECOND / 5;
     /** Of the time that it has left, what a request may wait for that, and the most. */
     private static final int PARKED_PART = 8;
+
     private static final long MOST_PARKED = SECOND / 4;
     private static final int MOST_PARKED_CLIENTS = 256;
 
@@ -106,22 +109,25 @@
     private final CheckerPool pool;
     /** Clients whose requests wait for the end of our start. */
     private final Set<ClientWire> parked = new LinkedHashSet<>();
+
     private final int mostClients;
     private final long grace;
     private View view = View.of(List.of());
     /** What clients may send, and what they might before a change that they need not have heard of. */
     private Bounds bounds;
+
     private Bounds wide;
     private long narrowsAt;
     private long lookedAt;
     private boolean ready;
     /** Whether a store has told all that was in force when it was in touch with a quorum, after our start. */
     private boolean proved;
+
     private final long bornAt;
     private long leavingAt = -1;
 
     /** A request as it was read, or why it is refused at once. */
-    record Reading(ClientRequest request, Answer refusal) { }
+    record Reading(ClientRequest request, Answer refusal) {}
 
     public Proxy(Boot boot, Reactor reactor) throws BootException, IOException {
         this.boot = boot;
@@ -135,7 +141,8 @@
         self = new Hello(Messages.FORM, PROGRAM, boot.node(), boot.ip(), boot.zone(), life, core.machines());
         roster = new Roster(boot.node(), boot.zone(), life);
         quotas = new Quotas(boot.node(), life, !boot.coldStart(), reactor.now());
-        budget = new RetryBudget(boot.figure("envelope.retryRatio", RATIO),
+        budget = new RetryBudget(
+                boot.figure("envelope.retryRatio", RATIO),
                 boot.figure("envelope.retrySlack", SLACK),
                 !boot.coldStart());
         requests = new Requests(this, roster, budget, life);
@@ -151,8 +158,8 @@
     /** Keeps up links with both programs of a core machine. */
     private void dial(InetSocketAddress store) {
         stores.add(new Dialer(reactor, codec, self, store, this));
-        registries.add(new Dialer(reactor, codec, self,
-                new InetSocketAddress(store.getAddress(), boot.registryPort()), this));
+        registries.add(
+                new Dialer(reactor, codec, self, new InetSocketAddress(store.getAddress(), boot.registryPort()), this));
     }
 
     @Override
@@ -197,7 +204,10 @@
             sessions.found(source);
         }
         long arrived = store ? poll.snapshot().from(source, link.other().life()) : -1;
-        link.say(arrived < 0 ? new Pull(from[0], from[1]) : new Resume(link.other().life(), arrived));
+        link.say(
+                arrived < 0
+                        ? new Pull(from[0], from[1])
+                        : new Resume(link.other().life(), arrived));
     }
 
     @Override
@@ -288,8 +298,7 @@
             return false;
         }
         long patience = Math.min(MOST_PARKED, wait(head.get("Reedmux-Time-Left-Ms")) * 1000 / PARKED_PART);
-        if (now() + patience < bornAt + STARTS || now() > bornAt + 2 * SECOND 
-                || parked.size() >= MOST_PARKED_CLIENTS) {
+        if (now() + patience < bornAt + STARTS || now() > bornAt + 2 * SECOND || parked.size() >= MOST_PARKED_CLIENTS) {
             return false;
         }
         parked.add(client);
@@ -334,8 +343,15 @@
             int from = 0;
             do {
                 int end = Math.min(all.size(), from + MOST_ENTRIES);
-                peers.send(to, codec.write(new Quotas.Packet(self.node(), self.life(), packet.generation(),
-                        packet.view(), packet.reach(), new ArrayList<>(all.subList(from, end)))));
+                peers.send(
+                        to,
+                        codec.write(new Quotas.Packet(
+                                self.node(),
+                                self.life(),
+                                packet.generation(),
+                                packet.view(),
+                                packet.reach(),
+                                new ArrayList<>(all.subList(from, end)))));
                 from = end;
             } while (from < all.size());
         }
@@ -351,8 +367,10 @@
     // ---- Clients -----------------------------------------------------------------------------------
     private void client(Wire wire) {
         if (clients.size() >= mostClients) {
-            clients.stream().filter(ClientWire::idle).findFirst().ifPresent(
-                    oldest -> oldest.look(Long.MAX_VALUE / 2, true));
+            clients.stream()
+                    .filter(ClientWire::idle)
+                    .findFirst()
+                    .ifPresent(oldest -> oldest.look(Long.MAX_VALUE / 2, true));
         }
         if (clients.size() >= mostClients) {
             wire.close();
@@ -377,11 +395,12 @@
             return false;
         }
         if (!ready) {
-            long heard = registries.stream().filter(other -> other.link() != null).count();
+            long heard =
+                    registries.stream().filter(other -> other.link() != null).count();
             ready = known() && heard > 0 && !roster.empty() && view.place(boot.node()) >= 0;
             if (ready) {
-                reactor.log("ready after " + (now() - bornAt) / 1000 + " ms, with " + roster.size()
-                        + " checkers and " + view.size() + " members");
+                reactor.log("ready after " + (now() - bornAt) / 1000 + " ms, with " + roster.size() + " checkers and "
+                        + view.size() + " members");
             }
         }
         return ready;
@@ -402,7 +421,8 @@
         Tenant tenant = null;
         if (table.keyed() && !route.unkeyed()) {
             String told = head.count("Authorization") == 1 ? head.get("Authorization") : null;
-            tenant = told == null || !told.regionMatches(true, 0, "Bearer ", 0, 7) ? null
+            tenant = told == null || !told.regionMatches(true, 0, "Bearer ", 0, 7)
+                    ? null
                     : table.byKey(told.substring(7).trim());
             if (tenant == null) {
                 return known() ? refused(401, "the key is not known", -1) : unsure();
@@ -411,8 +431,7 @@
         String attempt = head.get("Reedmux-Attempt-Id");
         long left = wait(head.get("Reedmux-Time-Left-Ms"));
         if (attempt == null || attempt.isEmpty() || head.count("Reedmux-Attempt-Id") > 1 || left < 0) {
-            return refused(
-                    400, "Reedmux-Attempt-Id is missing, or Reedmux-Time-Left-Ms is no whole number", -1);
+            return refused(400, "Reedmux-Attempt-Id is missing, or Reedmux-Time-Left-Ms is no whole number", -1);
         }
         if (upload != null && upload.length() > bounds().bodyBytes()) {
             return refused(413, "the body is larger than " + bounds().bodyBytes() + " bytes", -1);
@@ -423,11 +442,9 @@
         if (tenant != null && !quotas.admit(tenant, now())) {
             return refused(429, "the quota is used up", Math.max(BACK / 4, quotas.roomIn(tenant, now())));
         }
-        ClientRequest request = new ClientRequest(client, head, attempt, tenant == null ? null
-                : tenant.name(),
-                upload);
-        request.exchange(new Exchange(route, tenant, request, client.headAt(),
-                client.headAt() + Math.min(left * 1000, route.cutoff())));
+        ClientRequest request = new ClientRequest(client, head, attempt, tenant == null ? null : tenant.name(), upload);
+        request.exchange(new Exchange(
+                route, tenant, request, client.headAt(), client.headAt() + Math.min(left * 1000, route.cutoff())));
         return new Reading(request, null);
     }
 
@@ -443,7 +460,8 @@
         if (told == null) {
             return 3_600_000;
         }
-        return told.isEmpty() || told.length() > 9 || !told.chars().allMatch(c -> c >= '0' && c <= '9') ? -1
+        return told.isEmpty() || told.length() > 9 || !told.chars().allMatch(c -> c >= '0' && c <= '9')
+                ? -1
                 : Long.parseLong(told);
     }
 
--- a/src/main/java/reedmux/proxy/Upload.java
+++ b/src/main/java/reedmux/proxy/Upload.java
@@ -15,13 +15,14 @@
 
     /** The length that was told, or -1. */
     private final long length;
+
     private final List<byte[]> pieces = new ArrayList<>();
     private int held;
     private long size;
     private boolean whole;
     private boolean flows;
-    private Runnable more = () -> { };
-    private Runnable room = () -> { };
+    private Runnable more = () -> {};
+    private Runnable room = () -> {};
 
     Upload(long length) {
         this.length = length;
--- a/src/main/java/reedmux/quota/Quotas.java
+++ b/src/main/java/reedmux/quota/Quotas.java
@@ -19,11 +19,13 @@
 public final class Quotas {
     /** How often the counters are sent while nobody is near its burst, and while somebody is. */
     private static final long PACE = 50_000;
+
     private static final long QUICK_PACE = 20_000;
     private static final double NEAR = 0.1;
     private static final double HOT = 0.3;
     /** What a message takes from one member to the next at the most, but for its waiting to be sent. */
     private static final long UNDER_WAY = 20_000;
+
     private static final double SECOND = 1e6;
     /** A total is told so often after its last change, as datagrams are lost now and then. */
     private static final int TIMES = 3;
@@ -34,9 +36,11 @@
     private static final double MOST = 3.5;
     /** How often a neighbour hears from us without news: usually, and while a tenant is near its burst. */
     private static final long BEAT = 200_000;
+
     private static final long QUICK_BEAT = 40_000;
     /** A neighbour that says nothing for so long is cut off, with all who are behind it. */
     private static final long SILENCE = 500_000;
+
     private static final long QUICK_SILENCE = 160_000;
     /**
      * The same by how long a count takes to cross the heap: so much of a surge is let through before all know
@@ -58,14 +62,13 @@
      *                   comes back
      * @param reach      how many members it can reach without the receiver, itself among them
      */
-    public record Packet(String from, long life, long generation, long view, int reach,
-                         ArrayList<Entry> entries) { }
+    public record Packet(String from, long life, long generation, long view, int reach, ArrayList<Entry> entries) {}
 
     /** {@code count} is below nought unless the receiver is new and is told what the sender counts. */
-    public record Entry(String tenant, double total, double count) { }
+    public record Entry(String tenant, double total, double count) {}
 
     /** Where a packet goes. */
-    public record Letter(int place, Packet packet) { }
+    public record Letter(int place, Packet packet) {}
 
     private static final class Count extends HeapCount {
         private double rate;
@@ -77,13 +80,14 @@
         private double sight;
         /** Of the burst, what is left to those that we cannot reach, in this view and in those before it. */
         private double withheld;
+
         private double former;
         /** What did not drain since then for the sake of those that we cannot reach. */
         private double owed;
     }
 
     /** The totals of one sender's last generation; {@code ended}: its incarnation before this one. */
-    private record Heard(long life, long generation, long ended, Map<String, Double> totals) { }
+    private record Heard(long life, long generation, long ended, Map<String, Double> totals) {}
 
     private final String self;
     private final boolean restarted;
@@ -91,6 +95,7 @@
     private final Map<String, Count> counts = new LinkedHashMap<>();
     /** Totals heard, by the sender's node. */
     private final Map<String, Heard> heard = new HashMap<>();
+
     private final long life;
     private long generation;
     private View view = View.of(List.of());
@@ -98,16 +103,19 @@
     private long newNeighbourAt;
     /** By link: when we said and heard something last, and how many the other side can reach. */
     private final long[] saidAt = new long[3];
+
     private final long[] heardAt = new long[3];
     private final int[] reach = new int[3];
     private final boolean[] silent = new boolean[3];
     /** Whether a tenant has used so much that a silent neighbour matters at once, and since when. */
     private boolean hot;
+
     private long hotSince;
     private int reached = 1;
     private boolean alone;
     /** When somebody with our view told us something last. */
     private long toldAt;
+
     private final Map<String, Long> away = new HashMap<>();
 
     /** {@code life}: of this process; {@code restarted}: others may remember what we no longer do. */
@@ -137,7 +145,8 @@
         }
         reached = members();
         generation++;
-        before.members().stream().filter(member -> next.place(member.node()) < 0)
+        before.members().stream()
+                .filter(member -> next.place(member.node()) < 0)
                 .forEach(member -> away.put(member.node(), now));
         next.members().forEach(member -> away.remove(member.node()));
         counts.values().forEach(count -> rewire(count, before));
@@ -148,7 +157,9 @@
         int[] was = new int[3];
         for (int i = 0; i < 3; i++) {
             int old = count.neighbour(i);
-            was[i] = old < 0 || old >= before.size() ? -1 : view.place(before.member(old).node());
+            was[i] = old < 0 || old >= before.size()
+                    ? -1
+                    : view.place(before.member(old).node());
         }
         count.renumber(was);
         count.rewire(view.neighbours(place));
@@ -191,8 +202,7 @@
 
     /** Who was counted out is so until it is heard, also if it matters less or more by then. */
     private boolean live(int link, long now) {
-        silent[link] |= now - heardAt[link] > SILENCE
-                || hot && now - Math.max(heardAt[link], hotSince) > QUICK_SILENCE;
+        silent[link] |= now - heardAt[link] > SILENCE || hot && now - Math.max(heardAt[link], hotSince) > QUICK_SILENCE;
         return view.neighbours(place)[link] >= 0 && !silent[link];
     }
 
@@ -281,11 +291,11 @@
         }
         Count count = count(tenant, now);
         look(now);
-        double burst = apart(now) ? Math.max(1, tenant.burst()) / members()
+        double burst = apart(now)
+                ? Math.max(1, tenant.burst()) / members()
                 : Math.max(1, tenant.burst() - Math.max(count.withheld, count.former));
         boolean sight = now - bornAt < crossing();
-        if (count.localCount() + 1 > burst || sight && count.sight >= Math.max(1,
-                tenant.burst() / members())) {
+        if (count.localCount() + 1 > burst || sight && count.sight >= Math.max(1, tenant.burst() / members())) {
             return false;
         }
         count.sight += sight ? 1 : 0;
@@ -349,14 +359,13 @@
                 }
                 if (links[i] >= 0 && (count.times[i] > 0 || tellCounts && count.localCount() > 0)) {
                     count.times[i] = Math.max(0, count.times[i] - 1);
-                    entries.add(new Entry(entry.getKey(), count.total[i], tellCounts
-                            ? count.localCount() : -1));
+                    entries.add(new Entry(entry.getKey(), count.total[i], tellCounts ? count.localCount() : -1));
                 }
             }
             if (links[i] >= 0 && (!entries.isEmpty() || now - saidAt[i] >= beat)) {
                 saidAt[i] = now;
-                letters.add(new Letter(links[i], new Packet(self, life, generation, view.tag(),
-                        reach(i, now), entries)));
+                letters.add(
+                        new Letter(links[i], new Packet(self, life, generation, view.tag(), reach(i, now), entries)));
             }
         }
         return letters;
@@ -385,8 +394,11 @@
         if (sameLife && packet.generation() < before.generation()) {
             return; // overtaken by one whose totals began anew
         } else if (!sameLife || packet.generation() > before.generation()) {
-            before = new Heard(packet.life(), packet.generation(), before == null ? packet.life() - 1
-                    : sameLife ? before.ended() : before.life(), new HashMap<>());
+            before = new Heard(
+                    packet.life(),
+                    packet.generation(),
+                    before == null ? packet.life() - 1 : sameLife ? before.ended() : before.life(),
+                    new HashMap<>());
             heard.put(packet.from(), before);
         }
         Map<String, Double> totals = before.totals();
@@ -406,8 +418,8 @@
                     count.hear(delta);
                 }
             }
-            count.atMost(count.owed + Math.max(MOST * tenant.burst(), tenant.burst()
-                    + tenant.rate() * EXCESS * crossing() / SECOND));
+            count.atMost(count.owed
+                    + Math.max(MOST * tenant.burst(), tenant.burst() + tenant.rate() * EXCESS * crossing() / SECOND));
             if (entry.count() >= 0 && now - bornAt < 2 * crossing()) {
                 count.atLeast(entry.count());
             }
--- a/src/main/java/reedmux/region/Bucket.java
+++ b/src/main/java/reedmux/region/Bucket.java
@@ -49,7 +49,8 @@
     /** Microseconds until it holds so many units; a second where it never will. */
     long until(double units, long now) {
         fill(now);
-        return rate <= 0 || units > burst ? (long) SECOND
+        return rate <= 0 || units > burst
+                ? (long) SECOND
                 : (long) Math.ceil(Math.max(0, units - level) / rate * SECOND);
     }
 
--- a/src/main/java/reedmux/region/Departure.java
+++ b/src/main/java/reedmux/region/Departure.java
@@ -7,4 +7,4 @@
  * @param told    microseconds that the other region is told it has
  * @param patience microseconds after which we give it up ourselves; more than {@code told} by the link's time
  */
-public record Departure(String gateway, long told, long patience) { }
+public record Departure(String gateway, long told, long patience) {}
--- a/src/main/java/reedmux/region/Gateways.java
+++ b/src/main/java/reedmux/region/Gateways.java
@@ -16,6 +16,7 @@
     static final int FAILURES_OUT = 3;
     /** Microseconds that a gateway is out at first, and at most. */
     static final long OUT_FIRST = 500_000;
+
     static final long OUT_MOST = 8_000_000;
     /** The longest that a refusal keeps a gateway out, in microseconds. */
     static final long PAUSE_MOST = 5_000_000;
@@ -46,7 +47,8 @@
         Map<String, Gateway> known = new HashMap<>();
         all.forEach(gateway -> known.put(gateway.name, gateway));
         all = new ArrayList<>(names.stream()
-                .map(name -> known.getOrDefault(name, new Gateway(name))).toList());
+                .map(name -> known.getOrDefault(name, new Gateway(name)))
+                .toList());
     }
 
     /** The gateway with the fewest requests of ours, by lot among equals; null while there is none. */
@@ -64,8 +66,7 @@
                 continue;
             }
             ties = best != null && gateway.open == best.open ? ties + 1 : 1;
-            if (best == null || gateway.open < best.open
-                    || gateway.open == best.open && random.nextInt(ties) == 0) {
+            if (best == null || gateway.open < best.open || gateway.open == best.open && random.nextInt(ties) == 0) {
                 best = gateway;
             }
         }
@@ -95,8 +96,7 @@
         answered(name);
         Gateway gateway = find(name);
         if (gateway != null) {
-            gateway.pausedUntil = Math.max(gateway.pausedUntil,
-                    now + Math.min(PAUSE_MOST, Math.max(0, retryAfter)));
+            gateway.pausedUntil = Math.max(gateway.pausedUntil, now + Math.min(PAUSE_MOST, Math.max(0, retryAfter)));
         }
     }
 
--- a/src/main/java/reedmux/region/Path.java
+++ b/src/main/java/reedmux/region/Path.java
@@ -23,7 +23,8 @@
         if (header.length() > LONGEST) {
             return null;
         }
-        List<String> names = Arrays.stream(header.split(",", -1)).map(String::strip).toList();
+        List<String> names =
+                Arrays.stream(header.split(",", -1)).map(String::strip).toList();
         return names.stream().allMatch(name -> NAME.matcher(name).matches()) ? new Path(names) : null;
     }
 
--- a/src/main/java/reedmux/region/RegionRules.java
+++ b/src/main/java/reedmux/region/RegionRules.java
@@ -23,7 +23,7 @@
      * @param suffersAt  share of our own consumers' requests served badly from which no visitor is taken in
      * @param hold       microseconds for which we stay closed after that
      */
-    public record Visitors(int mostAtOnce, double rate, double burst, double suffersAt, long hold) { }
+    public record Visitors(int mostAtOnce, double rate, double burst, double suffersAt, long hold) {}
 
     /**
      * Where we send what our own providers cannot take.
@@ -38,6 +38,14 @@
      * @param margin     microseconds kept for the answer's way on, beyond what the link takes
      * @param firstGuess microseconds that the link is taken to need until it has been measured
      */
-    public record Away(String region, List<String> gateways, double share, double rate, double burst,
-                       int mostAtOnce, long leastTime, long margin, long firstGuess) { }
+    public record Away(
+            String region,
+            List<String> gateways,
+            double share,
+            double rate,
+            double burst,
+            int mostAtOnce,
+            long leastTime,
+            long margin,
+            long firstGuess) {}
 }
--- a/src/main/java/reedmux/region/Regions.java
+++ b/src/main/java/reedmux/region/Regions.java
@@ -66,8 +66,7 @@
 
     /** Whether a request that our own providers cannot take goes away. */
     public Decision depart(long now, Wish wish) {
-        Decision decision = rules.away() == null ? Decision.no(Decision.Why.NONE) : outbound.decide(now,
-                wish);
+        Decision decision = rules.away() == null ? Decision.no(Decision.Why.NONE) : outbound.decide(now, wish);
         departures.merge(decision.why(), 1L, Long::sum);
         return decision;
     }
@@ -79,8 +78,7 @@
      * @param tookThere  microseconds that the other region says it had it, or -1
      * @param retryAfter microseconds for which it wants no more, or -1
      */
-    public void returned(long now, Departure departure, Return how, long took, long tookThere,
-                         long retryAfter) {
+    public void returned(long now, Departure departure, Return how, long took, long tookThere, long retryAfter) {
         if (outbound != null) {
             outbound.returned(now, departure.gateway(), how, took, tookThere, retryAfter);
         }
@@ -129,7 +127,8 @@
 
     /** All counts since the start in one line, or an empty one while nothing has happened. */
     public String counts() {
-        return departures.isEmpty() && refusals.isEmpty() && admitted == 0 ? ""
+        return departures.isEmpty() && refusals.isEmpty() && admitted == 0
+                ? ""
                 : "away " + departures + ", visitors taken in " + admitted + ", refused " + refusals;
     }
 }
--- a/src/main/java/reedmux/region/Visitors.java
+++ b/src/main/java/reedmux/region/Visitors.java
@@ -19,9 +19,11 @@
 
     /** Visitors at once at the start, and how many more a second while own service is well. */
     private static final double WINDOW_FIRST = 2;
+
     private static final double WINDOW_GROWTH = 2;
     /** How often a pause is doubled, and for how many pauses after an opening it counts as again. */
     private static final int MOST_DOUBLINGS = 5;
+
     private static final int AGAIN = 4;
 
     private final OwnService own = new OwnService();
@@ -59,8 +61,7 @@
         boolean closed = now < closedUntil;
         if (own.badShare(now) <= rules.visitors().suffersAt() * (closed ? REOPEN : 1)) {
             if (!closed) {
-                window = Math.min(rules.visitors().mostAtOnce(), window
-                        + WINDOW_GROWTH * (now - grownAt) / 1e6);
+                window = Math.min(rules.visitors().mostAtOnce(), window + WINDOW_GROWTH * (now - grownAt) / 1e6);
             }
             grownAt = now;
             return;
--- a/src/main/java/reedmux/region/Wish.java
+++ b/src/main/java/reedmux/region/Wish.java
@@ -10,5 +10,4 @@
  * @param visitor    whether another region sent it
  * @param callsLeft  calls that it may still be given
  */
-public record Wish(long deadline, double units, boolean repeatable, boolean neverRan, boolean visitor,
-                   int callsLeft) { }
+public record Wish(long deadline, double units, boolean repeatable, boolean neverRan, boolean visitor, int callsLeft) {}
--- a/src/main/java/reedmux/registry/ControlCall.java
+++ b/src/main/java/reedmux/registry/ControlCall.java
@@ -21,32 +21,34 @@
     String SHOW = "/v1/Show.";
     /** Entries of one answer, where nothing else is asked for, and at most. */
     int PAGE = 200;
+
     int MOST = 1000;
     int BAD = 400;
     /** Of names, and of a whole heartbeat: they are told to all, and kept. */
     int LONGEST = 255;
+
     int LONGEST_BEAT = 16 * 1024;
     long MOST_CAPACITY = 1_000_000;
     long MOST_SEQ = 1L << 53;
     long MOST_COLD = 86_400_000;
 
     /** A checker tells of itself. */
-    record Heartbeat(Incarnation life) implements ControlCall { }
+    record Heartbeat(Incarnation life) implements ControlCall {}
 
     /** A checker ends. */
-    record Leave(String id) implements ControlCall { }
+    record Leave(String id) implements ControlCall {}
 
     /** The operator orders a machine out of the core. */
-    record CoreLeave(String node) implements ControlCall { }
+    record CoreLeave(String node) implements ControlCall {}
 
     /** The operator asks what this machine knows; {@code service}: of which alone, or empty. */
-    record Show(String what, String service, String after, int limit) implements ControlCall { }
+    record Show(String what, String service, String after, int limit) implements ControlCall {}
 
     /** The operator changes items. */
-    record Adjust(String body) implements ControlCall { }
+    record Adjust(String body) implements ControlCall {}
 
     /** The operator asks for all items. */
-    record Read() implements ControlCall { }
+    record Read() implements ControlCall {}
 
     static ControlCall of(Head head, byte[] body) throws BadMessage {
         String path = head.path();
@@ -75,14 +77,14 @@
 
     private static ControlCall show(String what, String target) throws BadMessage {
         if (!List.of("Members", "Core", "Checkers", "Items", "Duties").contains(what)) {
-            throw new BadMessage(404, "there is no Show." + what
-                    + ", but Members, Core, Checkers, Items and Duties");
+            throw new BadMessage(404, "there is no Show." + what + ", but Members, Core, Checkers, Items and Duties");
         }
         String service = "";
         String after = "";
         int limit = PAGE;
         int query = target.indexOf('?');
-        String[] parameters = query < 0 || query + 1 == target.length() ? new String[0]
+        String[] parameters = query < 0 || query + 1 == target.length()
+                ? new String[0]
                 : target.substring(query + 1).split("&");
         for (String parameter : parameters) {
             int equals = parameter.indexOf('=');
@@ -98,8 +100,7 @@
             } else if (name.equals("service") && what.equals("Checkers")) {
                 service = value;
             } else if (name.equals("limit")) {
-                if (!value.matches("[0-9]{1,4}") || Integer.parseInt(value) < 1
-                        || Integer.parseInt(value) > MOST) {
+                if (!value.matches("[0-9]{1,4}") || Integer.parseInt(value) < 1 || Integer.parseInt(value) > MOST) {
                     throw new BadMessage(400, "Show." + what + ": limit is no number from 1 to " + MOST);
                 }
                 limit = Integer.parseInt(value);
@@ -142,10 +143,16 @@
         if (!phase.equals("ready") && !phase.equals("draining")) {
             throw new Invalid("phase is neither ready nor draining");
         }
-        return new Heartbeat(new Incarnation(id, name(map, "plant"), address, name(map, "zone"),
+        return new Heartbeat(new Incarnation(
+                id,
+                name(map, "plant"),
+                address,
+                name(map, "zone"),
                 (int) Math.max(1, number(map, "capacity", 1, MOST_CAPACITY)),
                 phase.equals("draining") ? Incarnation.DRAINING : Incarnation.READY,
-                number(map, "seq", 0, MOST_SEQ), number(map, "coldLeftMs", 0, MOST_COLD), false));
+                number(map, "seq", 0, MOST_SEQ),
+                number(map, "coldLeftMs", 0, MOST_COLD),
+                false));
     }
 
     private static String name(Map<String, Object> map, String place) throws Invalid {
@@ -156,8 +163,7 @@
         return text;
     }
 
-    private static long number(Map<String, Object> map, String place, long otherwise, long most)
-            throws Invalid {
+    private static long number(Map<String, Object> map, String place, long otherwise, long most) throws Invalid {
         double number = Json.number(map.get(place), otherwise, place);
         if (number > most) {
             throw new Invalid(place + " is over " + most);
--- a/src/main/java/reedmux/registry/Memory.java
+++ b/src/main/java/reedmux/registry/Memory.java
@@ -21,6 +21,7 @@
     private static final long PACE = 300_000;
     /** After a failure it is tried again so much later. */
     private static final long PAUSE = 2_000_000;
+
     private final Reactor reactor;
     private final Codec codec;
     private final Fleet fleet;
--- a/src/main/java/reedmux/registry/Pending.java
+++ b/src/main/java/reedmux/registry/Pending.java
@@ -50,7 +50,7 @@
     /** A link is gone: who waits for what only it could bring. */
     List<T> lost(L link) {
         List<T> all = new ArrayList<>();
-        for (Iterator<Question<L, T>> at = questions.values().iterator(); at.hasNext();) {
+        for (Iterator<Question<L, T>> at = questions.values().iterator(); at.hasNext(); ) {
             Question<L, T> question = at.next();
             if (question.over.remove(link) && question.over.isEmpty()) {
                 at.remove();
--- a/src/main/java/reedmux/registry/Registry.java
+++ b/src/main/java/reedmux/registry/Registry.java
@@ -17,13 +17,13 @@
 import reedmux.fleet.Counter;
 import reedmux.fleet.Fleet;
 import reedmux.fleet.Incarnation;
+import reedmux.item.Members;
 import reedmux.link.Codec;
 import reedmux.link.Dialer;
 import reedmux.link.Link;
 import reedmux.link.Messages;
-import reedmux.item.Members;
-import reedmux.link.Messages.CoreTold;
 import reedmux.link.Messages.Contacts;
+import reedmux.link.Messages.CoreTold;
 import reedmux.link.Messages.Hello;
 import reedmux.link.Messages.Known;
 import reedmux.link.Messages.News;
@@ -51,14 +51,17 @@
     private static final long LINGER = 2 * SECOND;
     /** Callers wait for a second, those with large bodies longer. */
     private static final long PATIENCE = 900_000;
+
     private static final long STORE_PATIENCE = 850_000;
     /** Checkers call about each {@code periodMs}; so many that are missing make one silent. */
     private static final int MISSED = 4;
     /** So long for each that pulls, news are gathered before they are told. */
     private static final long GATHER = 2_000;
+
     private static final long MOST_GATHER = 200_000;
     /** How many proxies tell of us those who cannot hear us, and us what we have forgotten. */
     private static final int WITNESSES = 3;
+
     private static final int GOOD = 200;
     private static final int LATER = 503;
     private static final String UNTOLD = "no other machine could be told";
@@ -70,6 +73,7 @@
     private final Hello self;
     /** Numbers each change of lives and of sessions. */
     private final Counter counter = new Counter();
+
     private final Fleet fleet;
     private final Sessions sessions = new Sessions(LINGER, counter);
     private final List<Dialer> others = new ArrayList<>();
@@ -82,30 +86,41 @@
     private final Set<Link> proxies = new LinkedHashSet<>();
     /** Those that were asked for the lives that they know, and how many of them knew none. */
     private final Set<String> askedBack = new HashSet<>();
+
     private int emptyBack;
     /** The answer to a heartbeat: it is to come here again, so that others need not be told of each. */
     private final String acknowledged;
     /** The last change that those who pull were or are about to be told of. */
     private long seen;
+
     private boolean flushing;
 
-    private record Waiting(long since) { }
+    private record Waiting(long since) {}
 
     public Registry(Boot boot, Reactor reactor) throws BootException, IOException {
         this.boot = boot;
         this.reactor = reactor;
         core = new Core(boot, true);
-        self = new Hello(Messages.FORM, PROGRAM, boot.node(), boot.ip(), boot.zone(),
-                reactor.draw() ^ (long) boot.node().hashCode() << 32, core.machines());
+        self = new Hello(
+                Messages.FORM,
+                PROGRAM,
+                boot.node(),
+                boot.ip(),
+                boot.zone(),
+                reactor.draw() ^ (long) boot.node().hashCode() << 32,
+                core.machines());
         fleet = new Fleet(self.life(), counter);
-        acknowledged = "{\"beatTarget\":\"" + boot.ip() + ':' + boot.socket("control").getPort() + "\"}";
+        acknowledged =
+                "{\"beatTarget\":\"" + boot.ip() + ':' + boot.socket("control").getPort() + "\"}";
         if (boot.dataDir() != null) {
             new Memory(boot.dataDir().resolve("lives"), reactor, codec, fleet);
         }
         core.others(boot.registryPort()).forEach(other -> dial(others, other));
         dial(stores, Addresses.parse(boot.ip() + ':' + boot.storePort()));
         core.others(boot.storePort()).forEach(other -> dial(stores, other));
-        new Listener(reactor, Addresses.parse(boot.ip() + ':' + boot.registryPort()),
+        new Listener(
+                reactor,
+                Addresses.parse(boot.ip() + ':' + boot.registryPort()),
                 wire -> Link.of(reactor, codec, self, wire, this));
         new Listener(reactor, boot.socket("control"), wire -> new Calls(reactor, wire, this::call));
         long silence = MISSED * boot.millis("periodMs", 1500);
@@ -137,7 +152,8 @@
         }
         for (List<Dialer> all : List.of(others, stores)) {
             for (Dialer gone : List.copyOf(all)) {
-                if (core.gone(gone.to()) && !gone.to().getAddress().getHostAddress().equals(boot.ip())) {
+                if (core.gone(gone.to())
+                        && !gone.to().getAddress().getHostAddress().equals(boot.ip())) {
                     all.remove(gone);
                     gone.end();
                 }
@@ -196,7 +212,8 @@
     /** A few of the proxies are to tell us the lives that they know, as we have just started. */
     private void askBack() {
         for (Link link : proxies) {
-            if (askedBack.size() - emptyBack < WITNESSES && askedBack.add(link.other().node())) {
+            if (askedBack.size() - emptyBack < WITNESSES
+                    && askedBack.add(link.other().node())) {
                 link.say(new Pull(0, 0));
             }
         }
@@ -219,9 +236,18 @@
             if (before == null) { // all that can be known of it: that it is over
                 before = new Incarnation(leave.id(), "", "0.0.0.0:0", "", 1, Incarnation.READY, 0, 0, false);
             }
-            fleet.merge(new Incarnation(leave.id(), before.plant(), before.address(), before.zone(),
-                    before.capacity(),
-                    Incarnation.GONE, before.seq(), 0, false), reactor.now());
+            fleet.merge(
+                    new Incarnation(
+                            leave.id(),
+                            before.plant(),
+                            before.address(),
+                            before.zone(),
+                            before.capacity(),
+                            Incarnation.GONE,
+                            before.seq(),
+                            0,
+                            false),
+                    reactor.now());
             known(leave.id(), "{}", from);
         } else if (command instanceof ControlCall.CoreLeave leave) {
             ask(0, id -> new Messages.Leave(id, leave.node()), from);
@@ -242,7 +268,8 @@
             from.answer(GOOD, good);
             return;
         }
-        List<Link> up = others.stream().map(Dialer::link).filter(link -> link != null).toList();
+        List<Link> up =
+                others.stream().map(Dialer::link).filter(link -> link != null).toList();
         if (up.isEmpty()) {
             from.answer(LATER, UNTOLD); // at once, so that it goes on to another
             return;
@@ -270,8 +297,8 @@
             return;
         }
         long number = asked.ask(List.of(link), outcome -> {
-            boolean next = outcome.status() == LATER && message.apply(0) instanceof Messages.Read
-                    && store + 1 < stores.size();
+            boolean next =
+                    outcome.status() == LATER && message.apply(0) instanceof Messages.Read && store + 1 < stores.size();
             if (next) {
                 ask(store + 1, message, from);
             } else {
@@ -298,8 +325,13 @@
             from.answer(GOOD, shown(show, null, "no store can be reached"));
             return;
         }
-        long number = asked.ask(List.of(store), outcome -> from.answer(GOOD, outcome.status() == GOOD
-                ? shown(show, outcome.body(), "") : shown(show, null, outcome.body())));
+        long number = asked.ask(
+                List.of(store),
+                outcome -> from.answer(
+                        GOOD,
+                        outcome.status() == GOOD
+                                ? shown(show, outcome.body(), "")
+                                : shown(show, null, outcome.body())));
         store.say(new Messages.Show(number, show.what(), show.after(), show.limit()));
         reactor.after(STORE_PATIENCE, () -> unanswered(asked.ended(number), "the store does not answer"));
     }
@@ -341,8 +373,13 @@
         if (link.other() != null && link.other().program().equals(PROXY)) {
             sessions.end(session(link));
             changed();
-        } else if (link.other() != null && others.stream().noneMatch(other -> other.link() != null
-                && other.link().other().node().equals(link.other().node()))) {
+        } else if (link.other() != null
+                && others.stream()
+                        .noneMatch(other -> other.link() != null
+                                && other.link()
+                                        .other()
+                                        .node()
+                                        .equals(link.other().node()))) {
             sessions.lost(link.other().node(), reactor.now());
         }
     }
@@ -422,10 +459,15 @@
         byte[] told = registry || written == null ? null : written.get(waiting.since());
         if (told == null) {
             sessions.look(reactor.now());
-            News news = new News(self.life(), counter.last(), fleet.since(waiting.since(), reactor.now()),
+            News news = new News(
+                    self.life(),
+                    counter.last(),
+                    fleet.since(waiting.since(), reactor.now()),
                     registry ? fleet.ownedSince(waiting.since()) : List.of(),
                     registry ? sessions.ownSince(waiting.since()) : sessions.viewSince(waiting.since()));
-            if (news.lives().isEmpty() && news.owned().isEmpty() && news.sessions().none()) {
+            if (news.lives().isEmpty()
+                    && news.owned().isEmpty()
+                    && news.sessions().none()) {
                 // What has changed is not for it.
                 link.note(new Waiting(counter.last()));
                 return;
--- a/src/main/java/reedmux/routing/HostName.java
+++ b/src/main/java/reedmux/routing/HostName.java
@@ -9,12 +9,13 @@
 public final class HostName {
     /** The result for what is no host, or might be read as two. */
     public static final int BAD = -1;
+
     private static final int LONGEST = 255;
     private static final int LONGEST_LABEL = 63;
     private static final int LONGEST_PORT = 5;
     private static final int MOST_PORT = 65_535;
 
-    private HostName() { }
+    private HostName() {}
 
     /**
      * Where the host ends in {@code authority}, without port and without the dot of a name's root, or
@@ -27,8 +28,7 @@
         if (from >= to || to - from > LONGEST + 1 + LONGEST_PORT) {
             return BAD;
         }
-        int end = authority.charAt(from) == '[' ? literalEnd(authority, from, to) : nameEnd(authority, from,
-                to);
+        int end = authority.charAt(from) == '[' ? literalEnd(authority, from, to) : nameEnd(authority, from, to);
         if (end == BAD || !portFollows(authority, end, to)) {
             return BAD;
         }
--- a/src/main/java/reedmux/routing/PathForm.java
+++ b/src/main/java/reedmux/routing/PathForm.java
@@ -10,7 +10,7 @@
     /** The result for a path that might be read in two ways. */
     public static final int BAD = -1;
 
-    private PathForm() { }
+    private PathForm() {}
 
     /** Where the path ends in an origin-form target, at its query or its own end, or {@link #BAD}. */
     public static int end(String target) {
@@ -54,10 +54,13 @@
             return false;
         }
         int value = high << 4 | low;
-        boolean unreserved = value >= 'a' && value <= 'z' || value >= 'A' && value <= 'Z'
-                || value >= '0' && value <= '9' || value == '-' || value == '.' || value == '_' || value
-                == '~';
-        return !unreserved && value != '/' && value != '\\' && value != ';' && value > ' ' - 1
-                && value != 0x7f;
+        boolean unreserved = value >= 'a' && value <= 'z'
+                || value >= 'A' && value <= 'Z'
+                || value >= '0' && value <= '9'
+                || value == '-'
+                || value == '.'
+                || value == '_'
+                || value == '~';
+        return !unreserved && value != '/' && value != '\\' && value != ';' && value > ' ' - 1 && value != 0x7f;
     }
 }
--- a/src/main/java/reedmux/routing/RouteTable.java
+++ b/src/main/java/reedmux/routing/RouteTable.java
@@ -28,9 +28,11 @@
 
     /** Host patterns, lower case; a wildcard's without its {@code *}, so that it begins with the dot. */
     private final String[] hosts;
+
     private final int[] hostNumbers;
     /** Paths without a slash at the end, each with the number of its host and its service. */
     private final String[] paths;
+
     private final int[] pathHosts;
     private final int[] services;
     private final boolean anyPath;
@@ -85,9 +87,11 @@
             numbers.putIfAbsent(pattern, numbers.size());
             Route before = seen.putIfAbsent(pattern + ' ' + trimmed(route.path()), route);
             if (before != null) {
-                throw new RouteException(route.line(), "the route in line " + route.line()
-                        + " can never be reached: line " + before.line() + " says the same of "
-                        + route.host() + route.path());
+                throw new RouteException(
+                        route.line(),
+                        "the route in line " + route.line()
+                                + " can never be reached: line " + before.line() + " says the same of "
+                                + route.host() + route.path());
             }
             all.add(route);
         }
@@ -104,8 +108,8 @@
         }
         String path = trimmed(route.path());
         if (!route.path().startsWith("/") || !path.isEmpty() && PathForm.end(path) != path.length()) {
-            throw new RouteException(route.line(), "the route's path can be read in two ways, or is none: "
-                    + route.path());
+            throw new RouteException(
+                    route.line(), "the route's path can be read in two ways, or is none: " + route.path());
         }
     }
 
@@ -213,8 +217,7 @@
 
     private int path(int hash, int host, String target, int length) {
         for (int slot = slot(hash, paths.length); paths[slot] != null; slot = slot + 1 & paths.length - 1) {
-            if (pathHosts[slot] == host && paths[slot].length() == length
-                    && target.startsWith(paths[slot])) {
+            if (pathHosts[slot] == host && paths[slot].length() == length && target.startsWith(paths[slot])) {
                 return services[slot];
             }
         }
--- a/src/main/java/reedmux/settings/Declaration.java
+++ b/src/main/java/reedmux/settings/Declaration.java
@@ -8,10 +8,10 @@
 record Declaration(String kind, Place place, Map<String, Told> keys) {
 
     /** One key's value and its place. */
-    record Told(Object value, Place place) { }
+    record Told(Object value, Place place) {}
 
     /** A function of the script that declares; {@code whole}: a call of it stands for itself. */
-    record Kind(String name, boolean whole, List<String> keys) implements Values.Function { }
+    record Kind(String name, boolean whole, List<String> keys) implements Values.Function {}
 
     @Override
     public String toString() {
--- a/src/main/java/reedmux/settings/Interpreter.java
+++ b/src/main/java/reedmux/settings/Interpreter.java
@@ -30,7 +30,12 @@
     static final int LONGEST = 256 * 1024;
 
     /** How a suite ended. */
-    private enum End { THROUGH, BREAK, CONTINUE, RETURN }
+    private enum End {
+        THROUGH,
+        BREAK,
+        CONTINUE,
+        RETURN
+    }
 
     /** Names and their values; what is not found here is looked for outside. */
     private static final class Scope {
@@ -57,7 +62,7 @@
     }
 
     /** A value's own function, such as {@code list.append}. */
-    private record Bound(Object value, String name) implements Values.Function { }
+    private record Bound(Object value, String name) implements Values.Function {}
 
     private final Meter meter = new Meter();
     private final Operations operations = new Operations(meter);
@@ -80,19 +85,20 @@
      * @return what it declares, in order
      * @throws ScriptException with the place and the name at fault
      */
-    static List<Declaration> run(String file, String script, List<Declaration.Kind> kinds)
-            throws ScriptException {
+    static List<Declaration> run(String file, String script, List<Declaration.Kind> kinds) throws ScriptException {
         if (script.length() > LONGEST) {
-            throw new ScriptException(file, new Place(1, 1), "the script is longer than " + LONGEST
-                    + " characters: " + script.length());
+            throw new ScriptException(
+                    file, new Place(1, 1), "the script is longer than " + LONGEST + " characters: " + script.length());
         }
         Interpreter interpreter = new Interpreter(kinds);
         try {
             for (StatementContext statement : parse(script).statement()) {
                 End end = interpreter.run(statement, interpreter.globals);
                 if (end != End.THROUGH) {
-                    throw new Fault(Fault.at(statement.start), "'" + end.name().toLowerCase(Locale.ROOT)
-                            + "' outside of " + (end == End.RETURN ? "a function" : "a loop"));
+                    throw new Fault(
+                            Fault.at(statement.start),
+                            "'" + end.name().toLowerCase(Locale.ROOT) + "' outside of "
+                                    + (end == End.RETURN ? "a function" : "a loop"));
                 }
             }
             return interpreter.declared;
@@ -106,15 +112,22 @@
     private static FileContext parse(String script) {
         BaseErrorListener listener = new BaseErrorListener() {
             @Override
-            public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column,
-                                    String message, RecognitionException e) {
-                String found = symbol instanceof Token token ? switch (token.getType()) {
-                    case Token.EOF -> "the end of the file";
-                    case ScriptParser.NEWLINE -> "the end of the line";
-                    case ScriptParser.INDENT -> "an indent";
-                    case ScriptParser.DEDENT -> "the end of an indent";
-                    default -> "'" + token.getText() + "'";
-                } : "a character";
+            public void syntaxError(
+                    Recognizer<?, ?> recognizer,
+                    Object symbol,
+                    int line,
+                    int column,
+                    String message,
+                    RecognitionException e) {
+                String found = symbol instanceof Token token
+                        ? switch (token.getType()) {
+                            case Token.EOF -> "the end of the file";
+                            case ScriptParser.NEWLINE -> "the end of the line";
+                            case ScriptParser.INDENT -> "an indent";
+                            case ScriptParser.DEDENT -> "the end of an indent";
+                            default -> "'" + token.getText() + "'";
+                        }
+                        : "a character";
                 throw new Fault(new Place(line, column + 1), found + " makes no sense here");
             }
         };
@@ -142,7 +155,9 @@
                     return run(branch.suite(i), scope);
                 }
             }
-            return branch.otherwise() == null ? End.THROUGH : run(branch.otherwise().suite(), scope);
+            return branch.otherwise() == null
+                    ? End.THROUGH
+                    : run(branch.otherwise().suite(), scope);
         } else if (statement.loop() != null) {
             LoopContext loop = statement.loop();
             for (Object value : operations.each(at(loop.tests()), eval(loop.tests(), scope))) {
@@ -203,8 +218,7 @@
             if (parameter.test() != null) {
                 defaults.put(name, eval(parameter.test(), scope));
             } else if (!defaults.isEmpty()) {
-                throw new Fault(at(parameter), "the parameter '" + name
-                        + "' needs a default, as one before it");
+                throw new Fault(at(parameter), "the parameter '" + name + "' needs a default, as one before it");
             }
         }
         bind(code.NAME().getSymbol(), new Defined(code, scope, defaults), scope);
@@ -212,8 +226,7 @@
 
     private void bind(Token name, Object value, Scope scope) {
         if (globals.outside.names.get(name.getText()) instanceof Declaration.Kind) {
-            throw new Fault(Fault.at(name), "'" + name.getText()
-                    + "' is a function of ours and keeps its meaning");
+            throw new Fault(Fault.at(name), "'" + name.getText() + "' is a function of ours and keeps its meaning");
         }
         meter.elements(Fault.at(name), 1);
         scope.names.put(name.getText(), value);
@@ -228,10 +241,10 @@
                 throw new Fault(at(target), "'" + op + "' takes one name or element");
             }
             PlaceContext place = target.place(0);
-            Object before = place.NAME() != null ? found(place.NAME().getSymbol(), scope, true)
+            Object before = place.NAME() != null
+                    ? found(place.NAME().getSymbol(), scope, true)
                     : operations.element(at(place), eval(place.place(), scope), eval(place.test(), scope));
-            value = operations.binary(Fault.at(assignment.op), op.substring(0, op.length() - 1), before,
-                    value);
+            value = operations.binary(Fault.at(assignment.op), op.substring(0, op.length() - 1), before, value);
         }
         assign(assignment.target(), value, scope);
     }
@@ -278,8 +291,8 @@
             for (Scope at = scope; at != null; at = at.outside) {
                 known.addAll(at.names.keySet());
             }
-            throw new Fault(Fault.at(name), "unknown name '" + name.getText() + "'"
-                    + Names.hint(name.getText(), known));
+            throw new Fault(
+                    Fault.at(name), "unknown name '" + name.getText() + "'" + Names.hint(name.getText(), known));
         }
         return found;
     }
@@ -311,21 +324,29 @@
             } else if (test instanceof ElementContext element) {
                 return operations.element(place, eval(element.test(0), scope), eval(element.test(1), scope));
             } else if (test instanceof SliceContext slice) {
-                return operations.slice(place, eval(slice.test(0), scope),
+                return operations.slice(
+                        place,
+                        eval(slice.test(0), scope),
                         slice.low == null ? null : eval(slice.low, scope),
                         slice.high == null ? null : eval(slice.high, scope));
             } else if (test instanceof SignContext sign) {
                 return operations.sign(place, sign.op.getText(), eval(sign.test(), scope));
             } else if (test instanceof ProductContext product) {
-                return operations.binary(Fault.at(product.op), product.op.getText(),
-                        eval(product.test(0), scope), eval(product.test(1), scope));
+                return operations.binary(
+                        Fault.at(product.op),
+                        product.op.getText(),
+                        eval(product.test(0), scope),
+                        eval(product.test(1), scope));
             } else if (test instanceof SumContext sum) {
-                return operations.binary(Fault.at(sum.op), sum.op.getText(),
-                        eval(sum.test(0), scope), eval(sum.test(1), scope));
+                return operations.binary(
+                        Fault.at(sum.op), sum.op.getText(), eval(sum.test(0), scope), eval(sum.test(1), scope));
             } else if (test instanceof ComparisonContext comparison) {
                 boolean not = comparison.getChild(1).getText().equals("not");
-                boolean holds = operations.compare(Fault.at(comparison.op), comparison.op.getText(),
-                        eval(comparison.test(0), scope), eval(comparison.test(1), scope));
+                boolean holds = operations.compare(
+                        Fault.at(comparison.op),
+                        comparison.op.getText(),
+                        eval(comparison.test(0), scope),
+                        eval(comparison.test(1), scope));
                 return holds != not;
             } else if (test instanceof NegationContext negation) {
                 return !Values.truth(eval(negation.test(), scope));
@@ -386,8 +407,7 @@
         operations.put(at(entry), made, eval(entry.test(0), scope), eval(entry.test(1), scope));
     }
 
-    private void comprehend(List<ClauseContext> clauses, int at, Scope scope,
-                            Consumer<Scope> element) {
+    private void comprehend(List<ClauseContext> clauses, int at, Scope scope, Consumer<Scope> element) {
         if (at == clauses.size()) {
             element.accept(scope);
         } else if (clauses.get(at) instanceof EachContext each) {
@@ -406,9 +426,9 @@
         String name = attribute.NAME().getText();
         List<String> known = Operations.methods(value);
         if (!known.contains(name)) {
-            throw new Fault(Fault.at(attribute.NAME().getSymbol()), "a " + Values.type(value) + " has no '"
-                    + name
-                    + "'" + Names.hint(name, known));
+            throw new Fault(
+                    Fault.at(attribute.NAME().getSymbol()),
+                    "a " + Values.type(value) + " has no '" + name + "'" + Names.hint(name, known));
         }
         return new Bound(value, name);
     }
@@ -426,8 +446,7 @@
                     throw new Fault(at(argument), "a value without a name behind one with a name");
                 }
                 values.add(value);
-            } else if (named.put(argument.NAME().getText(), new Declaration.Told(value,
-                    at(argument))) != null) {
+            } else if (named.put(argument.NAME().getText(), new Declaration.Told(value, at(argument))) != null) {
                 throw new Fault(at(argument), "'" + argument.NAME().getText() + "' is told twice");
             }
         }
@@ -451,16 +470,18 @@
         });
     }
 
-    private Declaration declare(Declaration.Kind kind, Place place, List<Object> values,
-                                Map<String, Declaration.Told> named) {
+    private Declaration declare(
+            Declaration.Kind kind, Place place, List<Object> values, Map<String, Declaration.Told> named) {
         if (!values.isEmpty()) {
-            throw new Fault(place, kind.name() + " takes its values by name, as in " + kind.keys().get(0)
-                    + " = ...");
+            throw new Fault(
+                    place,
+                    kind.name() + " takes its values by name, as in "
+                            + kind.keys().get(0) + " = ...");
         }
         named.forEach((name, told) -> {
             if (!kind.keys().contains(name)) {
-                throw new Fault(told.place(), kind.name() + " has no key '" + name + "'"
-                        + Names.hint(name, kind.keys()));
+                throw new Fault(
+                        told.place(), kind.name() + " has no key '" + name + "'" + Names.hint(name, kind.keys()));
             }
         });
         meter.elements(place, named.size() + 1L);
@@ -471,35 +492,40 @@
         return made;
     }
 
-    private Object call(Defined defined, Place place, List<Object> values, Map<String,
-            Declaration.Told> named) {
+    private Object call(Defined defined, Place place, List<Object> values, Map<String, Declaration.Told> named) {
         if (running.contains(defined.code)) {
             throw new Fault(place, "'" + defined.name() + "' calls itself: recursion is not allowed");
         }
         Scope scope = new Scope(defined.scope);
         List<ParameterContext> parameters = defined.code.parameter();
         if (values.size() > parameters.size()) {
-            throw new Fault(place, "'" + defined.name() + "' takes " + parameters.size() + " values, not "
-                    + values.size());
+            throw new Fault(
+                    place, "'" + defined.name() + "' takes " + parameters.size() + " values, not " + values.size());
         }
         Map<String, Object> given = new HashMap<>(defined.defaults);
-        List<String> names = parameters.stream().map(parameter -> parameter.NAME().getText()).toList();
+        List<String> names =
+                parameters.stream().map(parameter -> parameter.NAME().getText()).toList();
         for (int i = 0; i < values.size(); i++) {
             given.put(names.get(i), values.get(i));
         }
         named.forEach((name, told) -> {
             int at = names.indexOf(name);
             if (at < 0 || at < values.size()) {
-                throw new Fault(told.place(), "'" + defined.name() + "' " + (at < 0 ? "has no parameter '"
-                        + name
-                        + "'" + Names.hint(name, names) : "is told '" + name + "' twice"));
+                throw new Fault(
+                        told.place(),
+                        "'" + defined.name() + "' "
+                                + (at < 0
+                                        ? "has no parameter '" + name + "'" + Names.hint(name, names)
+                                        : "is told '" + name + "' twice"));
             }
             given.put(name, told.value());
         });
         for (ParameterContext parameter : parameters) {
             Object value = given.get(parameter.NAME().getText());
             if (value == null) {
-                throw new Fault(place, "'" + defined.name() + "' needs '" + parameter.NAME().getText() + "'");
+                throw new Fault(
+                        place,
+                        "'" + defined.name() + "' needs '" + parameter.NAME().getText() + "'");
             }
             bind(parameter.NAME().getSymbol(), value, scope);
         }
--- a/src/main/java/reedmux/settings/Keys.java
+++ b/src/main/java/reedmux/settings/Keys.java
@@ -109,12 +109,14 @@
     }
 
     Set<String> texts(String key) {
-        return !has(key) ? Set.of() : new LinkedHashSet<>(list(key, (name, value) -> {
-            if (value instanceof String text && !text.isEmpty()) {
-                return text;
-            }
-            throw bad(name, "is not a text: " + plain(value));
-        }));
+        return !has(key)
+                ? Set.of()
+                : new LinkedHashSet<>(list(key, (name, value) -> {
+                    if (value instanceof String text && !text.isEmpty()) {
+                        return text;
+                    }
+                    throw bad(name, "is not a text: " + plain(value));
+                }));
     }
 
     boolean flag(String key, boolean otherwise) {
@@ -162,17 +164,17 @@
         if (matcher == null || !matcher.matches()) {
             throw bad(key, "is not a time with a unit, as in \"250ms\" or \"2s\": " + plain(value));
         }
-        double unit = switch (matcher.group(2)) {
-            case "us" -> 1;
-            case "ms" -> 1e3;
-            case "s" -> 1e6;
-            case "m" -> 60e6;
-            default -> 3600e6;
-        };
+        double unit =
+                switch (matcher.group(2)) {
+                    case "us" -> 1;
+                    case "ms" -> 1e3;
+                    case "s" -> 1e6;
+                    case "m" -> 60e6;
+                    default -> 3600e6;
+                };
         long micros = Math.round(Double.parseDouble(matcher.group(1)) * unit);
         if (micros < least || micros > most) {
-            throw bad(key, "lies outside of " + least / 1000.0 + " to " + most / 1000.0 + " ms: "
-                    + plain(value));
+            throw bad(key, "lies outside of " + least / 1000.0 + " to " + most / 1000.0 + " ms: " + plain(value));
         }
         return micros;
     }
--- a/src/main/java/reedmux/settings/Layout.java
+++ b/src/main/java/reedmux/settings/Layout.java
@@ -63,10 +63,13 @@
             return;
         }
         if (type == ScriptParser.STRAY) {
-            throw new Fault(Fault.at(token), token.getText().equals("\t")
-                    ? "a tab: indents and gaps are made of spaces"
-                    : token.getText().matches("[\"']") ? "a string that does not end on its line"
-                    : "a character that has no place here: '" + token.getText() + "'");
+            throw new Fault(
+                    Fault.at(token),
+                    token.getText().equals("\t")
+                            ? "a tab: indents and gaps are made of spaces"
+                            : token.getText().matches("[\"']")
+                                    ? "a string that does not end on its line"
+                                    : "a character that has no place here: '" + token.getText() + "'");
         }
         if (type == ScriptParser.UNSUPPORTED) {
             throw new Fault(Fault.at(token), "'" + token.getText() + "' is not part of the settings script");
@@ -103,12 +106,11 @@
         switch (token.getText()) {
             case "(", "[", "{" -> {
                 if (++brackets > DEEPEST_BRACKETS) {
-                    throw new Fault(Fault.at(token), "more than " + DEEPEST_BRACKETS
-                            + " brackets within each other");
+                    throw new Fault(Fault.at(token), "more than " + DEEPEST_BRACKETS + " brackets within each other");
                 }
             }
             case ")", "]", "}" -> brackets = Math.max(0, brackets - 1);
-            default -> { }
+            default -> {}
         }
         // Only what the parser descends for without a bracket: signs, 'not' and the rest of a choice.
         signs = switch (token.getText()) {
--- a/src/main/java/reedmux/settings/Meter.java
+++ b/src/main/java/reedmux/settings/Meter.java
@@ -11,6 +11,7 @@
     static final int MOST_STEPS = 1_000_000;
     /** Characters of strings, elements of lists and entries of dicts, the latter two as 16. */
     static final long MOST_MEMORY = 8_000_000;
+
     private static final int ELEMENT = 16;
     /** Expressions within each other and calls of functions, together. */
     private static final int DEEPEST = 400;
--- a/src/main/java/reedmux/settings/Names.java
+++ b/src/main/java/reedmux/settings/Names.java
@@ -8,15 +8,17 @@
 final class Names {
     private static final int MOST_EDITS = 3;
 
-    private Names() { }
+    private Names() {}
 
     /** {@code ", did you mean 'NAME'?"} with the nearest of the known names, or nothing if none is near. */
     static String hint(String name, Collection<String> known) {
         int most = Math.min(MOST_EDITS, Math.max(1, name.length() / 2));
         LevenshteinDistance distance = new LevenshteinDistance(most);
-        return known.stream().filter(other -> distance.apply(name, other) >= 0)
+        return known.stream()
+                .filter(other -> distance.apply(name, other) >= 0)
                 .min(Comparator.<String>comparingInt(other -> distance.apply(name, other))
                         .thenComparing(Comparator.naturalOrder()))
-                .map(other -> ", did you mean '" + other + "'?").orElse("");
+                .map(other -> ", did you mean '" + other + "'?")
+                .orElse("");
     }
 }
