--- a/src/main/java/reedmux/settings/Operations.java
+++ b/src/main/java/reedmux/settings/Operations.java
@@ -14,19 +14,30 @@
 final class Operations {
 
     /** A function that every script knows, by the number of values it takes. */
-    record Builtin(String name, int least, int most) implements Values.Function { }
-
-    static final List<Builtin> BUILTINS = List.of(new Builtin("len", 1, 1), new Builtin("range", 1, 3),
-            new Builtin("str", 1, 1), new Builtin("int", 1, 1), new Builtin("float", 1, 1),
-            new Builtin("bool", 1, 1), new Builtin("list", 0, 1), new Builtin("min", 1, 99),
-            new Builtin("max", 1, 99), new Builtin("abs", 1, 1), new Builtin("sorted", 1, 1),
-            new Builtin("reversed", 1, 1), new Builtin("enumerate", 1, 1), new Builtin("zip", 1, 9),
-            new Builtin("any", 1, 1), new Builtin("all", 1, 1), new Builtin("type", 1, 1),
+    record Builtin(String name, int least, int most) implements Values.Function {}
+
+    static final List<Builtin> BUILTINS = List.of(
+            new Builtin("len", 1, 1),
+            new Builtin("range", 1, 3),
+            new Builtin("str", 1, 1),
+            new Builtin("int", 1, 1),
+            new Builtin("float", 1, 1),
+            new Builtin("bool", 1, 1),
+            new Builtin("list", 0, 1),
+            new Builtin("min", 1, 99),
+            new Builtin("max", 1, 99),
+            new Builtin("abs", 1, 1),
+            new Builtin("sorted", 1, 1),
+            new Builtin("reversed", 1, 1),
+            new Builtin("enumerate", 1, 1),
+            new Builtin("zip", 1, 9),
+            new Builtin("any", 1, 1),
+            new Builtin("all", 1, 1),
+            new Builtin("type", 1, 1),
             new Builtin("fail", 1, 9));
 
-    private static final List<String> OF_STRINGS = List.of("upper", "lower", "strip", "split", "join",
-            "format",
-            "replace", "startswith", "endswith");
+    private static final List<String> OF_STRINGS =
+            List.of("upper", "lower", "strip", "split", "join", "format", "replace", "startswith", "endswith");
     private static final List<String> OF_LISTS = List.of("append", "extend", "index");
     private static final List<String> OF_DICTS = List.of("get", "keys", "values", "items", "update");
 
@@ -39,7 +50,8 @@
     // ---- Literals ----------------------------------------------------------------------------------
     static Long whole(Place place, String text) {
         try {
-            return text.startsWith("0x") ? Long.parseLong(text.substring(2), 16)
+            return text.startsWith("0x")
+                    ? Long.parseLong(text.substring(2), 16)
                     : Long.parseLong(text.replace("_", ""));
         } catch (NumberFormatException e) {
             throw new Fault(place, "not a whole number of 64 bits: " + text);
@@ -120,20 +132,32 @@
             throw new Fault(place, "division by nought");
         }
         try {
-            Object result = switch (op) {
-                case "+" -> whole ? (Object) Math.addExact(one.longValue(), other.longValue())
-                        : (Object) (one.doubleValue() + other.doubleValue());
-                case "-" -> whole ? (Object) Math.subtractExact(one.longValue(), other.longValue())
-                        : (Object) (one.doubleValue() - other.doubleValue());
-                case "*" -> whole ? (Object) Math.multiplyExact(one.longValue(), other.longValue())
-                        : (Object) (one.doubleValue() * other.doubleValue());
-                case "/" -> one.doubleValue() / other.doubleValue();
-                case "//" -> whole ? (Object) Math.floorDiv(one.longValue(), other.longValue())
-                        : (Object) Math.floor(one.doubleValue() / other.doubleValue());
-                default -> whole ? (Object) Math.floorMod(one.longValue(), other.longValue())
-                        : (Object) (one.doubleValue() - other.doubleValue()
-                                * Math.floor(one.doubleValue() / other.doubleValue()));
-            };
+            Object result =
+                    switch (op) {
+                        case "+" ->
+                            whole
+                                    ? (Object) Math.addExact(one.longValue(), other.longValue())
+                                    : (Object) (one.doubleValue() + other.doubleValue());
+                        case "-" ->
+                            whole
+                                    ? (Object) Math.subtractExact(one.longValue(), other.longValue())
+                                    : (Object) (one.doubleValue() - other.doubleValue());
+                        case "*" ->
+                            whole
+                                    ? (Object) Math.multiplyExact(one.longValue(), other.longValue())
+                                    : (Object) (one.doubleValue() * other.doubleValue());
+                        case "/" -> one.doubleValue() / other.doubleValue();
+                        case "//" ->
+                            whole
+                                    ? (Object) Math.floorDiv(one.longValue(), other.longValue())
+                                    : (Object) Math.floor(one.doubleValue() / other.doubleValue());
+                        default ->
+                            whole
+                                    ? (Object) Math.floorMod(one.longValue(), other.longValue())
+                                    : (Object) (one.doubleValue()
+                                            - other.doubleValue()
+                                                    * Math.floor(one.doubleValue() / other.doubleValue()));
+                    };
             if (result instanceof Double value && !Double.isFinite(value)) {
                 throw new Fault(place, "the result of '" + op + "' is no number");
             }
@@ -158,8 +182,9 @@
             } else if ((kind == 's' || kind == 'd') && next < values.size()) {
                 out.append(Values.text(meter, place, values.get(next++)));
             } else {
-                throw new Fault(place, kind == 's' || kind == 'd' ? "too few values for the text"
-                        : "only %s, %d and %% are known");
+                throw new Fault(
+                        place,
+                        kind == 's' || kind == 'd' ? "too few values for the text" : "only %s, %d and %% are known");
             }
         }
         if (next < values.size()) {
@@ -221,9 +246,14 @@
         if (of instanceof Map<?, ?> map) {
             Object found = map.get(at);
             if (found == null) {
-                throw new Fault(place, "the dict has no key " + Values.text(meter, place, List.of(at))
-                        + Names.hint(String.valueOf(at), map.keySet().stream().map(String::valueOf)
-                        .toList()));
+                throw new Fault(
+                        place,
+                        "the dict has no key " + Values.text(meter, place, List.of(at))
+                                + Names.hint(
+                                        String.valueOf(at),
+                                        map.keySet().stream()
+                                                .map(String::valueOf)
+                                                .toList()));
             }
             return found;
         } else if (of instanceof List<?> list && at instanceof Long index) {
@@ -251,8 +281,7 @@
         int from = bound(low, 0, size);
         int to = Math.max(from, bound(high, size, size));
         meter.elements(place, to - from);
-        return of instanceof String text ? text.substring(from, to)
-                : new ArrayList<>(((List<?>) of).subList(from, to));
+        return of instanceof String text ? text.substring(from, to) : new ArrayList<>(((List<?>) of).subList(from, to));
     }
 
     private static int bound(Object told, int none, int size) {
@@ -277,8 +306,9 @@
 
     // ---- Functions of values -----------------------------------------------------------------------
     static List<String> methods(Object value) {
-        return value instanceof String ? OF_STRINGS : value instanceof List ? OF_LISTS
-                : value instanceof Map ? OF_DICTS : List.of();
+        return value instanceof String
+                ? OF_STRINGS
+                : value instanceof List ? OF_LISTS : value instanceof Map ? OF_DICTS : List.of();
     }
 
     @SuppressWarnings("unchecked")
@@ -323,10 +353,13 @@
             }
             default -> {
                 take(place, name, values, 0, 0);
-                return name.equals("keys") ? new ArrayList<>(map.keySet())
-                        : name.equals("values") ? new ArrayList<>(map.values())
-                        : map.entrySet().stream().map(e -> new ArrayList<>(Arrays.asList(e.getKey(),
-                                e.getValue()))).collect(Collectors.toCollection(ArrayList::new));
+                return name.equals("keys")
+                        ? new ArrayList<>(map.keySet())
+                        : name.equals("values")
+                                ? new ArrayList<>(map.values())
+                                : map.entrySet().stream()
+                                        .map(e -> new ArrayList<>(Arrays.asList(e.getKey(), e.getValue())))
+                                        .collect(Collectors.toCollection(ArrayList::new));
             }
         }
     }
@@ -336,7 +369,8 @@
         switch (name) {
             case "upper", "lower", "strip" -> {
                 take(place, name, values, 0, 0);
-                return name.equals("upper") ? text.toUpperCase(Locale.ROOT)
+                return name.equals("upper")
+                        ? text.toUpperCase(Locale.ROOT)
                         : name.equals("lower") ? text.toLowerCase(Locale.ROOT) : text.strip();
             }
             case "split", "startswith", "endswith" -> {
@@ -348,14 +382,14 @@
                     throw new Fault(place, "split needs a separator");
                 }
                 meter.elements(place, text.length());
-                return new ArrayList<Object>(Arrays.asList(text.split(java.util.regex.Pattern.quote(part),
-                        -1)));
+                return new ArrayList<Object>(Arrays.asList(text.split(java.util.regex.Pattern.quote(part), -1)));
             }
             case "join" -> {
                 take(place, name, values, 1, 1);
                 List<Object> parts = each(place, values.get(0));
                 for (Object part : parts) {
-                    meter.characters(place, (long) text.length() + string(place, part).length());
+                    meter.characters(
+                            place, (long) text.length() + string(place, part).length());
                 }
                 return parts.stream().map(String.class::cast).collect(Collectors.joining(text));
             }
@@ -398,8 +432,10 @@
 
     private static void take(Place place, String function, List<Object> values, int least, int most) {
         if (values.size() < least || values.size() > most) {
-            throw new Fault(place, function + " takes " + (least == most ? "" + least : least + " to " + most)
-                    + " values, not " + values.size());
+            throw new Fault(
+                    place,
+                    function + " takes " + (least == most ? "" + least : least + " to " + most) + " values, not "
+                            + values.size());
         }
     }
 
@@ -409,9 +445,11 @@
         Object first = values.isEmpty() ? Values.NONE : values.get(0);
         switch (builtin.name()) {
             case "len" -> {
-                return first instanceof String text ? (long) text.length()
-                        : first instanceof Map<?, ?> map ? (long) map.size() : (long) each(place, first)
-                        .size();
+                return first instanceof String text
+                        ? (long) text.length()
+                        : first instanceof Map<?, ?> map
+                                ? (long) map.size()
+                                : (long) each(place, first).size();
             }
             case "range" -> {
                 return range(place, values);
@@ -423,13 +461,16 @@
                 return Values.type(first);
             }
             case "int" -> {
-                return first instanceof String text ? whole(place, text.strip())
-                        : first instanceof Boolean flag ? (Long) (flag ? 1L : 0L)
-                        : (Long) (long) number(place, first).doubleValue();
+                return first instanceof String text
+                        ? whole(place, text.strip())
+                        : first instanceof Boolean flag
+                                ? (Long) (flag ? 1L : 0L)
+                                : (Long) (long) number(place, first).doubleValue();
             }
             case "float" -> {
                 try {
-                    return first instanceof String text ? decimal(place, text)
+                    return first instanceof String text
+                            ? decimal(place, text)
                             : (Double) number(place, first).doubleValue();
                 } catch (NumberFormatException e) {
                     throw new Fault(place, "not a number: " + first);
@@ -446,9 +487,9 @@
             }
             case "min", "max" -> {
                 List<Object> all = values.size() > 1 ? values : each(place, first);
-                return all.stream().min((a, b) -> builtin.name().equals("min") ? order(place, a, b)
-                        : order(place, b, a)).orElseThrow(() -> new Fault(place, builtin.name()
-                        + " of nothing"));
+                return all.stream()
+                        .min((a, b) -> builtin.name().equals("min") ? order(place, a, b) : order(place, b, a))
+                        .orElseThrow(() -> new Fault(place, builtin.name() + " of nothing"));
             }
             case "sorted" -> {
                 List<Object> all = each(place, first);
@@ -461,8 +502,14 @@
                 return all;
             }
             case "enumerate", "zip" -> {
-                return together(place, builtin.name().equals("zip") ? values
-                        : List.of(range(place, List.of((long) each(place, first).size())), first));
+                return together(
+                        place,
+                        builtin.name().equals("zip")
+                                ? values
+                                : List.of(
+                                        range(place, List.of((long)
+                                                each(place, first).size())),
+                                        first));
             }
             case "any" -> {
                 return each(place, first).stream().anyMatch(Values::truth);
@@ -470,8 +517,12 @@
             case "all" -> {
                 return each(place, first).stream().allMatch(Values::truth);
             }
-            default -> throw new Fault(place, values.stream().map(value -> Values.text(meter, place, value))
-                    .collect(Collectors.joining(" ")));
+            default ->
+                throw new Fault(
+                        place,
+                        values.stream()
+                                .map(value -> Values.text(meter, place, value))
+                                .collect(Collectors.joining(" ")));
         }
     }
 
--- a/src/main/java/reedmux/settings/OperatorSettings.java
+++ b/src/main/java/reedmux/settings/OperatorSettings.java
@@ -37,14 +37,19 @@
     private static final long LONGEST = 4L * Interpreter.LONGEST;
 
     private static final List<Declaration.Kind> KINDS = List.of(
-            new Declaration.Kind("region", true, List.of("name", "listen", "takes_from", "visitors",
-                    "connections_in", "connections_out")),
-            new Declaration.Kind("last_resort", true, List.of("region", "gateways", "budget", "most_at_once",
-                    "least_time", "margin", "first_guess")),
+            new Declaration.Kind(
+                    "region",
+                    true,
+                    List.of("name", "listen", "takes_from", "visitors", "connections_in", "connections_out")),
+            new Declaration.Kind(
+                    "last_resort",
+                    true,
+                    List.of("region", "gateways", "budget", "most_at_once", "least_time", "margin", "first_guess")),
             new Declaration.Kind("budget", false, List.of("share", "rate", "burst")),
-            new Declaration.Kind("visitors", false, List.of("most_at_once", "rate", "burst", "suffers_at",
-                    "hold")),
-            Services.SERVICE, Services.ROUTE, Services.SHARING);
+            new Declaration.Kind("visitors", false, List.of("most_at_once", "rate", "burst", "suffers_at", "hold")),
+            Services.SERVICE,
+            Services.ROUTE,
+            Services.SHARING);
 
     /**
      * The region part: the rules, and what the link needs.
@@ -55,15 +60,22 @@
      * @param connectionsIn  most connections that other regions may open to us
      * @param connectionsOut most connections that we open to another region
      */
-    public record Region(RegionRules rules, InetSocketAddress listen, Map<String, InetSocketAddress> gateways,
-                         int connectionsIn, int connectionsOut) {
+    public record Region(
+            RegionRules rules,
+            InetSocketAddress listen,
+            Map<String, InetSocketAddress> gateways,
+            int connectionsIn,
+            int connectionsOut) {
 
         /** What differs from other settings but takes a restart, by its keys. */
         public List<String> fixedAtStart(Region other) {
-            return !rules.name().equals(other.rules.name()) ? List.of("region.name")
-                    : !Objects.equals(listen, other.listen) ? List.of("region.listen")
-                    : connectionsIn != other.connectionsIn || connectionsOut != other.connectionsOut
-                    ? List.of("region.connections") : List.of();
+            return !rules.name().equals(other.rules.name())
+                    ? List.of("region.name")
+                    : !Objects.equals(listen, other.listen)
+                            ? List.of("region.listen")
+                            : connectionsIn != other.connectionsIn || connectionsOut != other.connectionsOut
+                                    ? List.of("region.connections")
+                                    : List.of();
         }
     }
 
@@ -73,11 +85,15 @@
         try {
             long size = Files.size(file);
             if (size > LONGEST) {
-                throw new ScriptException(name, new Place(1, 1), "the file is longer than " + LONGEST
-                        + " bytes: " + size);
+                throw new ScriptException(
+                        name, new Place(1, 1), "the file is longer than " + LONGEST + " bytes: " + size);
             }
-            return parse(name, StandardCharsets.UTF_8.newDecoder()
-                    .decode(ByteBuffer.wrap(Files.readAllBytes(file))).toString());
+            return parse(
+                    name,
+                    StandardCharsets.UTF_8
+                            .newDecoder()
+                            .decode(ByteBuffer.wrap(Files.readAllBytes(file)))
+                            .toString());
         } catch (CharacterCodingException e) {
             throw new ScriptException(name, new Place(1, 1), "the file is not UTF-8");
         } catch (IOException e) {
@@ -94,8 +110,7 @@
             if (region == null && away != null) {
                 throw away.bad("region", "needs a region(...) that tells our own name");
             }
-            return new OperatorSettings(region == null ? null : region(region, away),
-                    Services.of(file, declared));
+            return new OperatorSettings(region == null ? null : region(region, away), Services.of(file, declared));
         } catch (Fault e) {
             throw new ScriptException(file, e.place(), e.getMessage());
         }
@@ -106,8 +121,10 @@
         for (Declaration declaration : declared) {
             if (declaration.kind().equals(kind)) {
                 if (found != null) {
-                    throw new Fault(declaration.place(), kind + " is declared twice, first in line "
-                            + found.place().line());
+                    throw new Fault(
+                            declaration.place(),
+                            kind + " is declared twice, first in line "
+                                    + found.place().line());
                 }
                 found = declaration;
             }
@@ -127,8 +144,12 @@
         }
         Map<String, InetSocketAddress> gateways = new LinkedHashMap<>();
         Away away = last == null ? null : away(last, name, gateways);
-        return new Region(new RegionRules(name, takesFrom, visitors(keys), away), listen, gateways,
-                keys.whole("connections_in", 1, MOST, 64), keys.whole("connections_out", 1, MOST, 32));
+        return new Region(
+                new RegionRules(name, takesFrom, visitors(keys), away),
+                listen,
+                gateways,
+                keys.whole("connections_in", 1, MOST, 64),
+                keys.whole("connections_out", 1, MOST, 32));
     }
 
     private static Visitors visitors(Keys keys) {
@@ -137,8 +158,11 @@
         }
         Keys told = keys.of("visitors", "visitors");
         double rate = told.number("rate", 0, MOST, 20);
-        return new Visitors(told.whole("most_at_once", 0, MOST, 16), rate,
-                told.number("burst", 0, MOST, 2 * rate), told.number("suffers_at", 0, 1, 0.02),
+        return new Visitors(
+                told.whole("most_at_once", 0, MOST, 16),
+                rate,
+                told.number("burst", 0, MOST, 2 * rate),
+                told.number("suffers_at", 0, 1, 0.02),
                 told.time("hold", 0, 60 * SECOND, SECOND));
     }
 
@@ -152,8 +176,13 @@
         }
         Keys budget = keys.of("budget", "budget");
         double rate = budget.number("rate", 0, MOST);
-        return new Away(region, List.copyOf(gateways.keySet()), budget.number("share", 0, 1), rate,
-                budget.number("burst", 0, MOST, 2 * rate), keys.whole("most_at_once", 0, MOST, 16),
+        return new Away(
+                region,
+                List.copyOf(gateways.keySet()),
+                budget.number("share", 0, 1),
+                rate,
+                budget.number("burst", 0, MOST, 2 * rate),
+                keys.whole("most_at_once", 0, MOST, 16),
                 keys.time("least_time", MILLI, 60 * SECOND, 100 * MILLI),
                 keys.time("margin", 0, 10 * SECOND, 20 * MILLI),
                 keys.time("first_guess", 0, 10 * SECOND, 50 * MILLI));
@@ -174,15 +203,22 @@
         }
         Away away = region.rules().away();
         if (away != null && away.rate() > 0 && away.burst() / members < mostUnits) {
-            found.add(String.format(Locale.ROOT, "budget.burst of %s is %s for each of %d gatekeepers, less "
-                    + "than"
-                    + " one request may take: %s", away.burst(), away.burst() / members, members, mostUnits));
+            found.add(String.format(
+                    Locale.ROOT,
+                    "budget.burst of %s is %s for each of %d gatekeepers, less " + "than" + " one request may take: %s",
+                    away.burst(),
+                    away.burst() / members,
+                    members,
+                    mostUnits));
         }
         Visitors visitors = region.rules().visitors();
-        if (!region.rules().takesFrom().isEmpty() && visitors.rate() > 0
-                && visitors.burst() / members < mostUnits) {
-            found.add(String.format(Locale.ROOT, "visitors.burst of %s is %s for each of %d gatekeepers, less"
-                    + " than one request may take: %s", visitors.burst(), visitors.burst() / members, members,
+        if (!region.rules().takesFrom().isEmpty() && visitors.rate() > 0 && visitors.burst() / members < mostUnits) {
+            found.add(String.format(
+                    Locale.ROOT,
+                    "visitors.burst of %s is %s for each of %d gatekeepers, less" + " than one request may take: %s",
+                    visitors.burst(),
+                    visitors.burst() / members,
+                    members,
                     mostUnits));
         }
         int connections = region.connectionsIn() + region.connectionsOut();
@@ -201,25 +237,42 @@
             return lines.isEmpty() ? List.of("nothing is set") : lines;
         }
         RegionRules rules = region.rules();
-        lines.add("region " + rules.name() + (region.listen() == null
-                ? ", takes in no other region's requests"
-                : ", listens for regions on " + region.listen().getHostString() + ':'
-                        + region.listen().getPort()));
+        lines.add("region " + rules.name()
+                + (region.listen() == null
+                        ? ", takes in no other region's requests"
+                        : ", listens for regions on " + region.listen().getHostString() + ':'
+                                + region.listen().getPort()));
         if (region.listen() != null) {
             Visitors visitors = rules.visitors();
-            lines.add(String.format(Locale.ROOT, "visitors from %s: at most %d at once, %s units/s with "
-                    + "bursts of"
-                    + " %s, none while over %s of our own are served badly and %s ms after",
-                    rules.takesFrom(), visitors.mostAtOnce(), visitors.rate(), visitors.burst(),
-                    visitors.suffersAt(), visitors.hold() / 1000.0));
+            lines.add(String.format(
+                    Locale.ROOT,
+                    "visitors from %s: at most %d at once, %s units/s with "
+                            + "bursts of"
+                            + " %s, none while over %s of our own are served badly and %s ms after",
+                    rules.takesFrom(),
+                    visitors.mostAtOnce(),
+                    visitors.rate(),
+                    visitors.burst(),
+                    visitors.suffersAt(),
+                    visitors.hold() / 1000.0));
         }
         Away away = rules.away();
-        lines.add(away == null ? "no last resort" : String.format(Locale.ROOT,
-                "last resort %s at %s: at most %s"
-                + " of the requests, %s units/s with bursts of %s, %d at once; %s ms must be left, %s ms are "
-                + "kept",
-                away.region(), away.gateways(), away.share(), away.rate(), away.burst(), away.mostAtOnce(),
-                away.leastTime() / 1000.0, away.margin() / 1000.0));
+        lines.add(
+                away == null
+                        ? "no last resort"
+                        : String.format(
+                                Locale.ROOT,
+                                "last resort %s at %s: at most %s"
+                                        + " of the requests, %s units/s with bursts of %s, %d at once; %s ms must be left, %s ms are "
+                                        + "kept",
+                                away.region(),
+                                away.gateways(),
+                                away.share(),
+                                away.rate(),
+                                away.burst(),
+                                away.mostAtOnce(),
+                                away.leastTime() / 1000.0,
+                                away.margin() / 1000.0));
         return lines;
     }
 }
--- a/src/main/java/reedmux/settings/ScriptException.java
+++ b/src/main/java/reedmux/settings/ScriptException.java
@@ -5,7 +5,7 @@
     private static final long serialVersionUID = 1;
 
     /** A place in a script; lines and columns count from 1. */
-    public record Place(int line, int column) { }
+    public record Place(int line, int column) {}
 
     private final transient Place place;
 
--- a/src/main/java/reedmux/settings/Services.java
+++ b/src/main/java/reedmux/settings/Services.java
@@ -22,14 +22,24 @@
 public record Services(List<Service> services, RouteTable routes, Sharing sharing) {
     /** The name of the platform's own service. */
     public static final String DEFAULT = "default";
+
     static final Services NONE = new Services(List.of(), null, new Sharing(true, 0, 0));
-    static final Declaration.Kind SERVICE = new Declaration.Kind("service", true, List.of("name", "config",
-            "discovery", "weight", "most_in_flight", "most_queued", "most_buffered", "hostless"));
-    static final Declaration.Kind ROUTE = new Declaration.Kind("route", true, List.of("host", "path",
-            "classes",
-            "service"));
-    static final Declaration.Kind SHARING = new Declaration.Kind("sharing", true, List.of("fair", "in_flight",
-            "buffered"));
+    static final Declaration.Kind SERVICE = new Declaration.Kind(
+            "service",
+            true,
+            List.of(
+                    "name",
+                    "config",
+                    "discovery",
+                    "weight",
+                    "most_in_flight",
+                    "most_queued",
+                    "most_buffered",
+                    "hostless"));
+    static final Declaration.Kind ROUTE =
+            new Declaration.Kind("route", true, List.of("host", "path", "classes", "service"));
+    static final Declaration.Kind SHARING =
+            new Declaration.Kind("sharing", true, List.of("fair", "in_flight", "buffered"));
     private static final int MOST = 1_000_000;
     private static final int MOST_BYTES = 1 << 30;
     private static final int MOST_SERVICES = 64;
@@ -47,9 +57,16 @@
      * @param hostless     whether it serves requests without {@code Host}
      * @param place        where it is declared; null for the platform's own where nothing is set of it
      */
-    public record Service(String name, String config, InetSocketAddress discovery, double weight,
-                          int mostInFlight, int mostQueued, int mostBuffered, boolean hostless,
-                          Place place) { }
+    public record Service(
+            String name,
+            String config,
+            InetSocketAddress discovery,
+            double weight,
+            int mostInFlight,
+            int mostQueued,
+            int mostBuffered,
+            boolean hostless,
+            Place place) {}
 
     /**
      * What all services share.
@@ -58,7 +75,7 @@
      * @param inFlight requests in flight over all services; 0 for as many as there may be connections
      * @param buffered bytes that these hold; 0 for what the program has room for
      */
-    public record Sharing(boolean fair, int inFlight, int buffered) { }
+    public record Sharing(boolean fair, int inFlight, int buffered) {}
 
     static Services of(String file, List<Declaration> declared) throws ScriptException {
         Keys shared = OperatorSettings.only(declared, "sharing");
@@ -70,15 +87,15 @@
                 Service service = service(new Keys(declaration));
                 Service before = services.put(service.name, service);
                 if (before != null && before.place != null) {
-                    throw new Fault(declaration.place(), "service " + service.name
-                            + " is declared twice, first in line " + before.place.line());
+                    throw new Fault(
+                            declaration.place(),
+                            "service " + service.name + " is declared twice, first in line " + before.place.line());
                 }
                 any = true;
             }
         }
         if (services.size() > MOST_SERVICES) {
-            throw new ScriptException(file, new Place(1, 1), "there are more than " + MOST_SERVICES
-                    + " services");
+            throw new ScriptException(file, new Place(1, 1), "there are more than " + MOST_SERVICES + " services");
         }
         List<String> numbers = new ArrayList<>(services.keySet());
         List<Route> routes = new ArrayList<>();
@@ -93,15 +110,20 @@
         }
         for (Service service : services.values()) {
             if (!reached[numbers.indexOf(service.name)] && !service.name.equals(DEFAULT)) {
-                throw new Fault(service.place, "service " + service.name + " can never be reached: no route"
-                        + " leads to it");
+                throw new Fault(
+                        service.place, "service " + service.name + " can never be reached: no route" + " leads to it");
             }
         }
-        if (routes.stream().noneMatch(route -> route.host().equals("*") && route.path().equals("/"))) {
+        if (routes.stream()
+                .noneMatch(route -> route.host().equals("*") && route.path().equals("/"))) {
             routes.add(new Route("*", "/", 0, 1));
         }
-        Sharing sharing = shared == null ? NONE.sharing : new Sharing(shared.flag("fair", true),
-                shared.whole("in_flight", 1, MOST, 0), shared.whole("buffered", 1 << 16, MOST_BYTES, 0));
+        Sharing sharing = shared == null
+                ? NONE.sharing
+                : new Sharing(
+                        shared.flag("fair", true),
+                        shared.whole("in_flight", 1, MOST, 0),
+                        shared.whole("buffered", 1 << 16, MOST_BYTES, 0));
         try {
             return new Services(List.copyOf(services.values()), RouteTable.of(routes), sharing);
         } catch (RouteException e) {
@@ -120,11 +142,16 @@
         if (!main && !keys.has("config") && !keys.has("discovery")) {
             throw keys.bad("discovery", "is missing, and there is no config that could tell it");
         }
-        return new Service(name, keys.text("config", null),
+        return new Service(
+                name,
+                keys.text("config", null),
                 keys.has("discovery") ? keys.address("discovery") : null,
-                keys.number("weight", 0.01, 100, 1), keys.whole("most_in_flight", 1, MOST, 0),
-                keys.whole("most_queued", 1, MOST, QUEUED), keys.whole("most_buffered", 1024, MOST_BYTES, 0),
-                keys.flag("hostless", main), keys.place("name"));
+                keys.number("weight", 0.01, 100, 1),
+                keys.whole("most_in_flight", 1, MOST, 0),
+                keys.whole("most_queued", 1, MOST, QUEUED),
+                keys.whole("most_buffered", 1024, MOST_BYTES, 0),
+                keys.flag("hostless", main),
+                keys.place("name"));
     }
 
     private static List<Route> routes(Keys keys, Place place, List<String> numbers, boolean[] reached) {
@@ -160,13 +187,19 @@
     List<String> described() {
         List<String> lines = new ArrayList<>();
         for (Service service : services) {
-            lines.add(String.format(Locale.ROOT, "service %s: weight %s, %s%s", service.name, service.weight,
-                    service.name.equals(DEFAULT) ? "the platform's own"
-                            : service.config == null ? "the platform's settings" : "settings of "
-                            + service.config,
-                    service.discovery == null ? "" : ", discovery at " + service.discovery.getHostString()
-                    + ':'
-                            + service.discovery.getPort()));
+            lines.add(String.format(
+                    Locale.ROOT,
+                    "service %s: weight %s, %s%s",
+                    service.name,
+                    service.weight,
+                    service.name.equals(DEFAULT)
+                            ? "the platform's own"
+                            : service.config == null ? "the platform's settings" : "settings of " + service.config,
+                    service.discovery == null
+                            ? ""
+                            : ", discovery at " + service.discovery.getHostString()
+                                    + ':'
+                                    + service.discovery.getPort()));
         }
         return lines;
     }
--- a/src/main/java/reedmux/settings/Values.java
+++ b/src/main/java/reedmux/settings/Values.java
@@ -23,23 +23,41 @@
         String name();
     }
 
-    private Values() { }
+    private Values() {}
 
     /** A value's type under its name in scripts. */
     static String type(Object value) {
-        return value instanceof Boolean ? "bool" : value instanceof Long ? "int"
-                : value instanceof Double ? "float" : value instanceof String ? "string"
-                : value instanceof List ? "list" : value instanceof Map ? "dict"
-                : value instanceof Function ? "function"
-                : value instanceof Declaration declared ? declared.kind() : "NoneType";
+        return value instanceof Boolean
+                ? "bool"
+                : value instanceof Long
+                        ? "int"
+                        : value instanceof Double
+                                ? "float"
+                                : value instanceof String
+                                        ? "string"
+                                        : value instanceof List
+                                                ? "list"
+                                                : value instanceof Map
+                                                        ? "dict"
+                                                        : value instanceof Function
+                                                                ? "function"
+                                                                : value instanceof Declaration declared
+                                                                        ? declared.kind()
+                                                                        : "NoneType";
     }
 
     static boolean truth(Object value) {
-        return value instanceof Boolean flag ? flag : value instanceof Long whole ? whole != 0
-                : value instanceof Double number ? number != 0
-                : value instanceof String text ? !text.isEmpty()
-                : value instanceof List<?> list ? !list.isEmpty()
-                : value instanceof Map<?, ?> map ? !map.isEmpty() : value != NONE;
+        return value instanceof Boolean flag
+                ? flag
+                : value instanceof Long whole
+                        ? whole != 0
+                        : value instanceof Double number
+                                ? number != 0
+                                : value instanceof String text
+                                        ? !text.isEmpty()
+                                        : value instanceof List<?> list
+                                                ? !list.isEmpty()
+                                                : value instanceof Map<?, ?> map ? !map.isEmpty() : value != NONE;
     }
 
     static boolean isNumber(Object value) {
@@ -50,7 +68,8 @@
     static boolean same(Meter meter, Place place, Object one, Object other) {
         meter.step(place);
         if (isNumber(one) && isNumber(other)) {
-            return one instanceof Long a && other instanceof Long b ? a.longValue() == b
+            return one instanceof Long a && other instanceof Long b
+                    ? a.longValue() == b
                     : ((Number) one).doubleValue() == ((Number) other).doubleValue();
         }
         if (one instanceof List<?> a && other instanceof List<?> b) {
@@ -61,9 +80,10 @@
             return same;
         }
         if (one instanceof Map<?, ?> a && other instanceof Map<?, ?> b) {
-            return a.size() == b.size() && a.entrySet().stream()
-                    .allMatch(entry -> b.containsKey(entry.getKey())
-                    && same(meter, place, entry.getValue(), b.get(entry.getKey())));
+            return a.size() == b.size()
+                    && a.entrySet().stream()
+                            .allMatch(entry -> b.containsKey(entry.getKey())
+                                    && same(meter, place, entry.getValue(), b.get(entry.getKey())));
         }
         return one.equals(other);
     }
@@ -81,7 +101,8 @@
     private static void write(Meter meter, Place place, Object value, StringBuilder out) {
         int before = out.length();
         if (value instanceof String text) {
-            out.append('"').append(text.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n"))
+            out.append('"')
+                    .append(text.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n"))
                     .append('"');
         } else if (value instanceof Boolean flag) {
             out.append(flag ? "True" : "False");
--- a/src/main/java/reedmux/store/Core.java
+++ b/src/main/java/reedmux/store/Core.java
@@ -19,6 +19,7 @@
     private final Set<String> machines = new TreeSet<>();
     /** Seeds and members, as far as we know. */
     private final Set<String> counted = new TreeSet<>();
+
     private final Set<String> gone = new TreeSet<>();
     private long epoch = -1;
 
@@ -80,8 +81,7 @@
     public List<InetSocketAddress> learn(List<String> told, int port) {
         List<String> news = new ArrayList<>();
         for (String machine : told) {
-            if (Addresses.parse(machine + ":1") != null && !gone.contains(machine)
-                    && machines.add(machine)) {
+            if (Addresses.parse(machine + ":1") != null && !gone.contains(machine) && machines.add(machine)) {
                 news.add(machine);
             }
         }
--- a/src/main/java/reedmux/store/ReplicaStorage.java
+++ b/src/main/java/reedmux/store/ReplicaStorage.java
@@ -36,24 +36,29 @@
     private static final long COMPACT_AT = 4L * 1024 * 1024;
     /** After a failure the next generation is tried so much later, and twice that after each further one. */
     private static final long PAUSE = 125_000;
+
     private static final long LONGEST_PAUSE = 2_000_000;
     /** How many items, and about how many bytes of them, a record of the state has. */
     private static final int PIECE = 512;
+
     private static final int PIECE_BYTES = 256 * 1024;
     private final Reactor reactor;
     private final Codec codec;
     /** For the disk's thread. */
     private final Codec encoder = new Codec();
+
     private final Replica replica;
     private final Journal journal;
     private final Executor disk;
     private final List<Waiting> waiting = new ArrayList<>();
     /** As the disk's thread has told: bytes of the generation now and at its beginning. */
     private long length;
+
     private long begun;
     private boolean spoilt;
     /** Whether a state is on its way to the disk. */
     private boolean compacting;
+
     private long tryAt;
     private long pause = PAUSE;
     /**
@@ -62,14 +67,15 @@
     private boolean whole;
     /** Whether a generation that stands says so. */
     private boolean wholeOnDisk;
+
     private Membership.State core;
 
     /** A record that waits to be written, or a state; and who hears whether it is safe. */
-    private record Waiting(byte[] record, State state, Consumer<Boolean> done) { }
+    private record Waiting(byte[] record, State state, Consumer<Boolean> done) {}
 
     /** What a generation begins with, as of one moment; encoded on the disk's thread. */
-    private record State(Membership.State core, boolean whole, List<Item> items, List<Mark> marks,
-            List<Proposal> held) { }
+    private record State(
+            Membership.State core, boolean whole, List<Item> items, List<Mark> marks, List<Proposal> held) {}
 
     ReplicaStorage(Path dir, Reactor reactor, Codec codec, Replica replica) {
         this.reactor = reactor;
@@ -139,7 +145,11 @@
     }
 
     private State state() {
-        return new State(core, whole, List.copyOf(replica.inForce()), List.copyOf(replica.marks()),
+        return new State(
+                core,
+                whole,
+                List.copyOf(replica.inForce()),
+                List.copyOf(replica.marks()),
                 List.copyOf(replica.held().values()));
     }
 
@@ -171,13 +181,11 @@
                     return encoder.write(new Marks(state.marks.subList(from, mark)));
                 }
                 int from = item;
-                for (int bytes = 0; item < state.items.size() && item - from < PIECE && bytes < PIECE_BYTES;
-                        item++) {
+                for (int bytes = 0; item < state.items.size() && item - from < PIECE && bytes < PIECE_BYTES; item++) {
                     bytes += state.items.get(item).body().length();
                 }
                 held = item == state.items.size() ? 0 : -1;
-                return encoder.write(new Items(0, 0, state.whole, state.items.subList(from, item),
-                        List.of()));
+                return encoder.write(new Items(0, 0, state.whole, state.items.subList(from, item), List.of()));
             }
         };
     }
@@ -188,16 +196,16 @@
     }
 
     void decided(Decided decided) {
-        write(codec.write(decided), safe -> { });
+        write(codec.write(decided), safe -> {});
     }
 
     /** Only a state says that it is whole, as only that has all. */
     void merged(List<Item> items) {
-        write(codec.write(new Items(0, 0, false, items, List.of())), safe -> { });
+        write(codec.write(new Items(0, 0, false, items, List.of())), safe -> {});
     }
 
     void marked(List<Mark> marks) {
-        write(codec.write(new Marks(marks)), safe -> { });
+        write(codec.write(new Marks(marks)), safe -> {});
     }
 
     private void write(byte[] record, Consumer<Boolean> done) {
--- a/src/main/java/reedmux/store/Store.java
+++ b/src/main/java/reedmux/store/Store.java
@@ -16,9 +16,9 @@
 import reedmux.boot.BootException;
 import reedmux.boot.Program;
 import reedmux.config.Addresses;
+import reedmux.item.Agreement;
 import reedmux.item.Ballot;
 import reedmux.item.Digests;
-import reedmux.item.Agreement;
 import reedmux.item.Item;
 import reedmux.item.Mark;
 import reedmux.item.Membership;
@@ -30,26 +30,26 @@
 import reedmux.link.Link;
 import reedmux.link.Messages;
 import reedmux.link.Messages.Adjust;
+import reedmux.link.Messages.Ask;
+import reedmux.link.Messages.Compare;
 import reedmux.link.Messages.Confirm;
 import reedmux.link.Messages.Confirmed;
-import reedmux.link.Messages.Current;
-import reedmux.link.Messages.Ask;
 import reedmux.link.Messages.CoreTold;
+import reedmux.link.Messages.Current;
 import reedmux.link.Messages.Decided;
+import reedmux.link.Messages.Differ;
 import reedmux.link.Messages.Fetch;
 import reedmux.link.Messages.Fetched;
 import reedmux.link.Messages.Hello;
 import reedmux.link.Messages.Items;
-import reedmux.link.Messages.Marks;
 import reedmux.link.Messages.Leave;
+import reedmux.link.Messages.Marks;
 import reedmux.link.Messages.Outcome;
-import reedmux.link.Messages.Compare;
-import reedmux.link.Messages.Differ;
 import reedmux.link.Messages.Piece;
-import reedmux.link.Messages.Resume;
 import reedmux.link.Messages.Propose;
 import reedmux.link.Messages.Pull;
 import reedmux.link.Messages.Read;
+import reedmux.link.Messages.Resume;
 import reedmux.link.Messages.Voted;
 import reedmux.net.Listener;
 import reedmux.net.Reactor;
@@ -64,9 +64,11 @@
     private static final long HANDED_ON = 2_000_000;
     /** About how many bytes a frame of items has, and how many items one of a repair. */
     private static final int PIECE = 64 * 1024;
+
     private static final int REPAIR = 256;
     /** Frames that are kept for all that ask. */
     private static final int FRAMES = 32;
+
     private static final long SHOW_PATIENCE = 500_000;
     private static final int GOOD = 200;
 
@@ -82,16 +84,20 @@
     private final Membership membership;
     /** Under which epoch the agreement counts. */
     private long epoch = -1;
+
     private final Set<Link> links = new LinkedHashSet<>();
     /** Orders that were handed on to the one on duty, by our ids. */
     private final Map<Long, BiConsumer<Integer, String>> handedOn = new HashMap<>();
+
     private long ids;
     private boolean ready;
     /** When links with a quorum stood last. */
     private long linkedAt = -1;
+
     private final Map<InetSocketAddress, Dialer> others = new HashMap<>();
     /** How far we have come with each of the others. */
     private final Map<String, long[]> vector = new HashMap<>();
+
     private final Set<Link> pulling = new LinkedHashSet<>();
     /** Over which link each of the others has asked last. */
     private final Map<String, Link> askedBy = new HashMap<>();
@@ -99,10 +105,12 @@
     private final Map<String, Link> confirmBy = new HashMap<>();
     /** Proxies that are to hear of a contact which begins after their first pull. */
     private final Set<Link> unproven = new LinkedHashSet<>();
+
     private boolean proving;
     private final Snapshot snapshot = new Snapshot();
     /** What was told since some changes, as of which change, and whether we counted ourselves then. */
     private final Map<Long, Frame> written = new HashMap<>();
+
     private long writtenAt;
     private boolean writtenWhole;
 
@@ -122,6 +130,7 @@
         private final Deque<long[]> confirms = new ArrayDeque<>();
         /** For a proxy: as of which change a quorum was in touch; below nought before it was. */
         private long provenAt = -1;
+
         private boolean current;
     }
 
@@ -132,8 +141,14 @@
         }
         this.boot = boot;
         core = new Core(boot, true);
-        self = new Hello(Messages.FORM, PROGRAM, boot.node(), boot.ip(), boot.zone(),
-                reactor.draw() ^ (long) boot.node().hashCode() << 32, core.machines());
+        self = new Hello(
+                Messages.FORM,
+                PROGRAM,
+                boot.node(),
+                boot.ip(),
+                boot.zone(),
+                reactor.draw() ^ (long) boot.node().hashCode() << 32,
+                core.machines());
         copies = (int) boot.figure("tolerance.machines", 0) + 1;
         storage = new ReplicaStorage(boot.dataDir(), reactor, codec, replica);
         boolean whole = storage.load(boot.coldStart(), core.first());
@@ -145,7 +160,9 @@
         core.found(membership.core());
         core.others(boot.storePort()).forEach(this::dial);
         adopted();
-        new Listener(reactor, Addresses.parse(boot.ip() + ':' + boot.storePort()),
+        new Listener(
+                reactor,
+                Addresses.parse(boot.ip() + ':' + boot.storePort()),
                 wire -> Link.of(reactor, codec, self, wire, this));
         reactor.every(LOOK, this::look);
     }
@@ -219,8 +236,9 @@
         }
         askedBy.remove(link.other().ip(), link);
         confirmBy.remove(link.other().ip(), link);
-        boolean another = others.values().stream().anyMatch(dialer -> dialer.link() != null
-                && dialer.link().other().ip().equals(link.other().ip()));
+        boolean another = others.values().stream()
+                .anyMatch(dialer -> dialer.link() != null
+                        && dialer.link().other().ip().equals(link.other().ip()));
         if (link.other().program().equals(PROGRAM) && !another) {
             agreement.lost(link.other().ip());
             membership.lost(reactor.now(), link.other().ip());
@@ -257,8 +275,7 @@
         } else if (message instanceof Decided decided) {
             agreement.decided(now, decided.call(), decided.ballot(), decided.inForce(), decided.items());
         } else if (message instanceof Adjust adjust) {
-            agreement.adjust(now, adjust.body(), (status, line) -> link.say(new Outcome(adjust.id(),
-                    status, line)));
+            agreement.adjust(now, adjust.body(), (status, line) -> link.say(new Outcome(adjust.id(), status, line)));
         } else if (message instanceof Read read) {
             agreement.read(now, (status, text) -> link.say(new Outcome(read.id(), status, text)));
         } else if (message instanceof Marks told) {
@@ -318,8 +335,7 @@
         pulling.add(link);
         answer(link);
         follow(link);
-        if (!puller.current && puller.provenAt < 0 && !link.other().program().equals(PROGRAM)
-                && unproven.add(link)) {
+        if (!puller.current && puller.provenAt < 0 && !link.other().program().equals(PROGRAM) && unproven.add(link)) {
             prove();
         }
     }
@@ -385,8 +401,12 @@
                 long since = fetch.life() == self.life() ? fetch.since() : 0;
                 link.say(new Marks(replica.marksSince(since)));
                 Items all = items(since);
-                link.say(new Fetched(fetch.epoch(), all, all.held().stream().map(proposal ->
-                        agreement.votedFor(proposal.call())).toList()));
+                link.say(new Fetched(
+                        fetch.epoch(),
+                        all,
+                        all.held().stream()
+                                .map(proposal -> agreement.votedFor(proposal.call()))
+                                .toList()));
             }
         } else if (message instanceof Fetched fetched) {
             Items told = fetched.items();
@@ -414,10 +434,15 @@
             if (!said[0]) {
                 said[0] = true;
                 Map<String, Long> heard = new TreeMap<>();
-                others.values().stream().map(Dialer::link).filter(up -> up != null)
+                others.values().stream()
+                        .map(Dialer::link)
+                        .filter(up -> up != null)
                         .forEach(up -> heard.put(up.other().ip(), up.heardAt()));
-                link.say(new Outcome(show.id(), GOOD, new StoreView(boot, self.life(), agreement, membership,
-                        replica, heard, linkedAt, reactor.now()).text(show, reached, begun)));
+                link.say(new Outcome(
+                        show.id(),
+                        GOOD,
+                        new StoreView(boot, self.life(), agreement, membership, replica, heard, linkedAt, reactor.now())
+                                .text(show, reached, begun)));
             }
         };
         reactor.after(SHOW_PATIENCE, () -> say.accept(false));
@@ -447,7 +472,11 @@
     }
 
     private Items items(long since) {
-        return new Items(self.life(), replica.changes(), agreement.whole(), replica.since(since),
+        return new Items(
+                self.life(),
+                replica.changes(),
+                agreement.whole(),
+                replica.since(since),
                 List.copyOf(replica.held().values()));
     }
 
@@ -457,7 +486,8 @@
         boolean store = link.other().program().equals(PROGRAM);
         // One that has come back is told even that there is nothing new: it counts nobody before it is told.
         boolean first = store && !puller.begun;
-        if (!puller.waits || !first && puller.since >= 0 && puller.merged && replica.changes() <= puller.since
+        if (!puller.waits
+                || !first && puller.since >= 0 && puller.merged && replica.changes() <= puller.since
                 || puller.since < 0 && !store && !agreement.whole()) {
             return;
         }
@@ -471,8 +501,7 @@
             link.send(frame.bytes);
             return;
         }
-        Replica.Piece piece = puller.repair != null ? puller.repair.first(REPAIR)
-                : replica.piece(since, PIECE);
+        Replica.Piece piece = puller.repair != null ? puller.repair.first(REPAIR) : replica.piece(since, PIECE);
         if (!piece.marks().isEmpty()) {
             link.say(new Marks(piece.marks()));
         }
@@ -483,13 +512,17 @@
             link.say(new Piece(self.life(), piece.upTo(), piece.items()));
         } else {
             puller.told = agreement.whole() ? replica.changes() : -1;
-            link.say(new Items(self.life(), piece.upTo(), agreement.whole(), piece.items(),
+            link.say(new Items(
+                    self.life(),
+                    piece.upTo(),
+                    agreement.whole(),
+                    piece.items(),
                     List.copyOf(replica.held().values())));
         }
     }
 
     /** What is told to programs that hold nothing, as it is written; {@code last}: there is no more. */
-    private record Frame(byte[] bytes, boolean last) { }
+    private record Frame(byte[] bytes, boolean last) {}
 
     /** What has come into force since a change; it is written once for all that ask from there. */
     private Frame news(long since) {
@@ -501,8 +534,11 @@
         Frame frame = written.get(since);
         if (frame == null) {
             Replica.Piece piece = replica.piece(since, PIECE);
-            frame = new Frame(codec.write(piece.last() ? new Items(self.life(), piece.upTo(), writtenWhole,
-                    piece.items(), List.of()) : new Piece(self.life(), piece.upTo(), piece.items())),
+            frame = new Frame(
+                    codec.write(
+                            piece.last()
+                                    ? new Items(self.life(), piece.upTo(), writtenWhole, piece.items(), List.of())
+                                    : new Piece(self.life(), piece.upTo(), piece.items())),
                     piece.last());
             written.put(since, frame);
         }
@@ -606,7 +642,8 @@
 
     // ---- What the agreement calls for ----------------------------------------------------------------
     private void toAll(Object message) {
-        others.values().stream().filter(other -> other.link() != null)
+        others.values().stream()
+                .filter(other -> other.link() != null)
                 .forEach(other -> other.link().say(message));
     }
 
@@ -645,9 +682,8 @@
 
     @Override
     public void keepHeld(Proposal proposal) {
-        storage.held(new Propose(proposal), safe -> agreement.kept(reactor.now(), proposal.call(),
-                proposal.ballot(),
-                safe));
+        storage.held(
+                new Propose(proposal), safe -> agreement.kept(reactor.now(), proposal.call(), proposal.ballot(), safe));
     }
 
     @Override
--- a/src/main/java/reedmux/store/StoreView.java
+++ b/src/main/java/reedmux/store/StoreView.java
@@ -20,6 +20,7 @@
     private static final long MILLI = 1000;
     /** So much of items' text goes into one answer. */
     private static final int MOST_TEXT = 1024 * 1024;
+
     private final Boot boot;
     private final long incarnation;
     private final Agreement agreement;
@@ -30,8 +31,15 @@
     private final long now;
 
     /** {@code heard}: when each of the others with which a link stands was heard last. */
-    StoreView(Boot boot, long incarnation, Agreement agreement, Membership membership, Replica replica,
-            Map<String, Long> heard, long linkedAt, long now) {
+    StoreView(
+            Boot boot,
+            long incarnation,
+            Agreement agreement,
+            Membership membership,
+            Replica replica,
+            Map<String, Long> heard,
+            long linkedAt,
+            long now) {
         this.boot = boot;
         this.incarnation = incarnation;
         this.agreement = agreement;
@@ -59,7 +67,7 @@
             case "Core" -> all.put("entries", core());
             case "Duties" -> all.put("entries", List.of(duty()));
             case "Items" -> items(all, show.after(), show.limit());
-            default -> { }
+            default -> {}
         }
         return Json.write(all);
     }
@@ -92,8 +100,9 @@
         Map<String, Object> entry = new LinkedHashMap<>();
         entry.put("duty", "core changes");
         entry.put("holder", duty.holder());
-        entry.put("node", membership.core() == null ? "" : membership.core().nodes()
-                .getOrDefault(duty.holder(), ""));
+        entry.put(
+                "node",
+                membership.core() == null ? "" : membership.core().nodes().getOrDefault(duty.holder(), ""));
         entry.put("epoch", duty.epoch());
         entry.put("sinceMs", ago(duty.since()));
         entry.put("here", membership.onDuty());
--- a/src/main/java/reedmux/wire/Drill.java
+++ b/src/main/java/reedmux/wire/Drill.java
@@ -31,7 +31,7 @@
     private static final int REPEAT_BIT = 2;
 
     /** An instance with what is needed to read its lines. */
-    private record Instance(Gateway gateway, Settings settings, Reply reply) { }
+    private record Instance(Gateway gateway, Settings settings, Reply reply) {}
 
     private final BiFunction<Settings, Long, Gateway> start;
     private final Map<Integer, Instance> instances = new HashMap<>();
@@ -94,8 +94,7 @@
         Options options = new Options(line);
         Settings settings = options.settings();
         Reply reply = new Reply(out, id);
-        protect(reply, () -> instances.put(id,
-                new Instance(start.apply(settings, seed), settings, reply)));
+        protect(reply, () -> instances.put(id, new Instance(start.apply(settings, seed), settings, reply)));
     }
 
     /** An exception in the module is the instance's fault and is told as such, never swallowed. */
@@ -108,16 +107,14 @@
         }
     }
 
-    private Event event(String name, Fields line, Instance instance, BufferedReader in)
-            throws IOException, Malformed {
+    private Event event(String name, Fields line, Instance instance, BufferedReader in) throws IOException, Malformed {
         return switch (name) {
             case "VIEW" -> serverList(line, in);
             case "KNOCK" -> request(line, instance.settings);
             case "ELAPSED" -> new TimerDue(line.whole());
             case "SETTLED" -> attemptEnded(line);
             case "INBOX" -> new PeerMessage(line.index(instance.settings.groupSize()), line.bytes());
-            case "FIRST_BYTE" -> new StreamStarted(line.requestId(), line.text(), line.integer(),
-                    line.whole());
+            case "FIRST_BYTE" -> new StreamStarted(line.requestId(), line.text(), line.integer(), line.whole());
             case "TALLY_BACK" -> new Counted(line.whole(), outcome(line), line.number(), line.whole());
             case "WITHDRAWN" -> new Withdrawn(line.requestId());
             case "CHECKED" -> new Probed(line.text(), outcome(line), line.whole());
@@ -137,8 +134,8 @@
         if (spread < 1 || spread > settings.groupSize() || first < 0 || first >= settings.groupSize()) {
             throw line.malformed("the customer's gateways do not lie within the group");
         }
-        return new Request(id, requestClass, plan, customer, deadline, units, spread, first,
-                (line.whole() & REPEAT_BIT) != 0);
+        return new Request(
+                id, requestClass, plan, customer, deadline, units, spread, first, (line.whole() & REPEAT_BIT) != 0);
     }
 
     private static AttemptEnded attemptEnded(Fields line) throws Malformed {
@@ -154,13 +151,14 @@
 
     private ServerList serverList(Fields line, BufferedReader in) throws IOException, Malformed {
         String word = line.text();
-        Scope scope = switch (word) {
-            case "delta" -> Scope.CHANGES;
-            case "full" -> Scope.FULL;
-            case "cached" -> Scope.CACHED;
-            case "failed" -> Scope.FAILED;
-            default -> throw line.malformed("unknown scope '" + word + "'");
-        };
+        Scope scope =
+                switch (word) {
+                    case "delta" -> Scope.CHANGES;
+                    case "full" -> Scope.FULL;
+                    case "cached" -> Scope.CACHED;
+                    case "failed" -> Scope.FAILED;
+                    default -> throw line.malformed("unknown scope '" + word + "'");
+                };
         line.whole();
         int entries = line.integer();
         List<Server> servers = new ArrayList<>();
@@ -169,8 +167,14 @@
             if (entry == null || !entry.text().equals("SERVER")) {
                 throw (entry == null ? line : entry).malformed("a SERVER line is missing");
             }
-            servers.add(new Server(entry.text(), entry.integer(), entry.integer(), entry.integer(),
-                    status(entry), entry.number(), entry.whole()));
+            servers.add(new Server(
+                    entry.text(),
+                    entry.integer(),
+                    entry.integer(),
+                    entry.integer(),
+                    status(entry),
+                    entry.number(),
+                    entry.whole()));
         }
         return new ServerList(scope, servers);
     }
--- a/src/main/java/reedmux/wire/Main.java
+++ b/src/main/java/reedmux/wire/Main.java
@@ -13,7 +13,7 @@
 /** The simulator's adapter on standard input and output. */
 public final class Main {
 
-    private Main() { }
+    private Main() {}
 
     /** Answers batches on standard input and output until they end; returns the exit code. */
     public static int host() {
--- a/src/main/java/reedmux/wire/Reply.java
+++ b/src/main/java/reedmux/wire/Reply.java
@@ -15,13 +15,24 @@
 
     @Override
     public void send(String request, String server, long timeout) {
-        begin("FORWARD").append('\t').append(request).append('\t').append(timeout).append('\t').append(server)
+        begin("FORWARD")
+                .append('\t')
+                .append(request)
+                .append('\t')
+                .append(timeout)
+                .append('\t')
+                .append(server)
                 .append('\n');
     }
 
     @Override
     public void refuse(String request, long retryAfter) {
-        begin("SHED").append('\t').append(request).append('\t').append(retryAfter).append('\n');
+        begin("SHED")
+                .append('\t')
+                .append(request)
+                .append('\t')
+                .append(retryAfter)
+                .append('\n');
     }
 
     @Override
@@ -31,7 +42,12 @@
 
     @Override
     public void cancel(String request, int attempt) {
-        begin("STOP_ATTEMPT").append('\t').append(request).append('\t').append(attempt).append('\n');
+        begin("STOP_ATTEMPT")
+                .append('\t')
+                .append(request)
+                .append('\t')
+                .append(attempt)
+                .append('\n');
     }
 
     @Override
@@ -46,13 +62,23 @@
 
     @Override
     public void tell(int peer, byte[] bytes) {
-        begin("MEMO_TO").append('\t').append(peer).append('\t')
-                .append(bytes.length == 0 ? "-" : HexFormat.of().formatHex(bytes)).append('\n');
+        begin("MEMO_TO")
+                .append('\t')
+                .append(peer)
+                .append('\t')
+                .append(bytes.length == 0 ? "-" : HexFormat.of().formatHex(bytes))
+                .append('\n');
     }
 
     @Override
     public void count(long name, double amount, long keep) {
-        begin("POST_AMOUNT").append('\t').append(keep).append('\t').append(name).append('\t').append(amount)
+        begin("POST_AMOUNT")
+                .append('\t')
+                .append(keep)
+                .append('\t')
+                .append(name)
+                .append('\t')
+                .append(amount)
                 .append('\n');
     }
 
--- a/src/test/java/reedmux/attempt/RequestsTest.java
+++ b/src/test/java/reedmux/attempt/RequestsTest.java
@@ -19,7 +19,7 @@
 public class RequestsTest {
     private static final long MILLI = 1000;
 
-    private record Later(long at, int number, Event event) { }
+    private record Later(long at, int number, Event event) {}
 
     private static final class World implements Requests.Effects {
         final Roster roster = new Roster("me", "here", 1);
@@ -28,8 +28,8 @@
         final List<Try> sent = new ArrayList<>();
         final List<Answer> answers = new ArrayList<>();
         final List<Exchange> answered = new ArrayList<>();
-        final PriorityQueue<Later> later = new PriorityQueue<>((one, other) -> one.at() != other.at()
-                ? Long.compare(one.at(), other.at()) : one.number() - other.number());
+        final PriorityQueue<Later> later = new PriorityQueue<>((one, other) ->
+                one.at() != other.at() ? Long.compare(one.at(), other.at()) : one.number() - other.number());
         int neverRan;
         boolean whole = true;
         int priority = 1;
@@ -38,10 +38,18 @@
         World(int checkers, double slack) {
             budget = new RetryBudget(0.2, slack, false);
             for (int i = 0; i < checkers; i++) {
-                roster.told(new Incarnation("c" + i, "desk", "10.0.0." + (i + 1) + ":80", "here", 3,
-                        Incarnation.READY,
-                        1, 0,
-                        false), now);
+                roster.told(
+                        new Incarnation(
+                                "c" + i,
+                                "desk",
+                                "10.0.0." + (i + 1) + ":80",
+                                "here",
+                                3,
+                                Incarnation.READY,
+                                1,
+                                0,
+                                false),
+                        now);
             }
             requests = new Requests(this, roster, budget, 1);
         }
@@ -51,24 +59,38 @@
         }
 
         Exchange take(boolean repeatable, int attempts, long millis) {
-            Route route = new Route("r", "h", "/", repeatable, 2000 * MILLI, 400 * MILLI, priority,
-                    List.of(new Route.Part("desk", 1)), attempts, true);
-            Exchange exchange = new Exchange(route, null, new Exchange.Source() {
-                @Override
-                public boolean sendable() {
-                    return true;
-                }
+            Route route = new Route(
+                    "r",
+                    "h",
+                    "/",
+                    repeatable,
+                    2000 * MILLI,
+                    400 * MILLI,
+                    priority,
+                    List.of(new Route.Part("desk", 1)),
+                    attempts,
+                    true);
+            Exchange exchange = new Exchange(
+                    route,
+                    null,
+                    new Exchange.Source() {
+                        @Override
+                        public boolean sendable() {
+                            return true;
+                        }
 
-                @Override
-                public boolean large() {
-                    return false;
-                }
+                        @Override
+                        public boolean large() {
+                            return false;
+                        }
 
-                @Override
-                public boolean whole() {
-                    return whole;
-                }
-            }, now, now + millis * MILLI);
+                        @Override
+                        public boolean whole() {
+                            return whole;
+                        }
+                    },
+                    now,
+                    now + millis * MILLI);
             requests.on(now, new Event.Taken(exchange));
             return exchange;
         }
@@ -78,20 +100,29 @@
             if (!how.equals("unreached")) {
                 what.connected();
             }
-            Verdict verdict = switch (how) {
-                case "unreached", "shed", "moved" -> Verdict.NOT_RUN;
-                case "half sent", "broken" -> Verdict.MAY_HAVE_RUN;
-                default -> Verdict.RAN;
-            };
-            int status = switch (how) {
-                case "shed" -> 503;
-                case "moved" -> 421;
-                case "failed" -> 500;
-                default -> 200;
-            };
+            Verdict verdict =
+                    switch (how) {
+                        case "unreached", "shed", "moved" -> Verdict.NOT_RUN;
+                        case "half sent", "broken" -> Verdict.MAY_HAVE_RUN;
+                        default -> Verdict.RAN;
+                    };
+            int status =
+                    switch (how) {
+                        case "shed" -> 503;
+                        case "moved" -> 421;
+                        case "failed" -> 500;
+                        default -> 200;
+                    };
             boolean none = how.equals("unreached") || how.equals("half sent") || how.equals("broken");
-            requests.on(now, new Event.Ended(what, verdict, none ? null
-                    : new Answer.OfChecker(Head.answer(status), new byte[0], verdict == Verdict.NOT_RUN)));
+            requests.on(
+                    now,
+                    new Event.Ended(
+                            what,
+                            verdict,
+                            none
+                                    ? null
+                                    : new Answer.OfChecker(
+                                            Head.answer(status), new byte[0], verdict == Verdict.NOT_RUN)));
         }
 
         void run(long until) {
@@ -110,9 +141,7 @@
 
         @Override
         public void giveUp(Try what) {
-            requests.on(now, new Event.Ended(what, what.up() && whole ? Verdict.MAY_HAVE_RUN
-                    : Verdict.NOT_RUN,
-                    null));
+            requests.on(now, new Event.Ended(what, what.up() && whole ? Verdict.MAY_HAVE_RUN : Verdict.NOT_RUN, null));
         }
 
         @Override
@@ -134,7 +163,9 @@
     }
 
     private static int status(Answer answer) {
-        return answer instanceof Answer.Own own ? own.status() : ((Answer.OfChecker) answer).head().status();
+        return answer instanceof Answer.Own own
+                ? own.status()
+                : ((Answer.OfChecker) answer).head().status();
     }
 
     /**
@@ -150,12 +181,12 @@
             {"moved", 2, 200, 2, 200},
             {"broken", 2, 200, 1, 502},
             {"failed", 2, 200, 1, 500},
-            {"served", 1, 200, 1, 200}};
+            {"served", 1, 200, 1, 200}
+        };
     }
 
     @Test(dataProvider = "stages")
-    public void eachStageOfAFirstSending(String how, int sendings, int status, int sendingsOnce,
-            int statusOnce) {
+    public void eachStageOfAFirstSending(String how, int sendings, int status, int sendingsOnce, int statusOnce) {
         for (boolean repeatable : new boolean[] {true, false}) {
             World world = new World(3, 100);
             world.take(repeatable, 2);
@@ -189,8 +220,7 @@
                     world.run(world.now + 3000 * MILLI);
                     assertEquals(world.answers.size(), 1, first + ", " + second);
                     int status = status(world.answers.get(0));
-                    assertFalse(may && (status == 503 || status == 429 || status == 421), first + ", "
-                            + second);
+                    assertFalse(may && (status == 503 || status == 429 || status == 421), first + ", " + second);
                     assertTrue(may || status == 503 && ((Answer.Own) world.answers.get(0)).retryAfter() > 0);
                     assertEquals(world.neverRan, may ? 0 : 1);
                 }
@@ -323,8 +353,12 @@
             World world = new World(1, 100);
             world.take(false, 2);
             world.sent.get(0).connected();
-            world.requests.on(world.now, new Event.Ended(world.sent.get(0), Verdict.RAN,
-                    new Answer.OfChecker(Head.answer(status), new byte[0], false)));
+            world.requests.on(
+                    world.now,
+                    new Event.Ended(
+                            world.sent.get(0),
+                            Verdict.RAN,
+                            new Answer.OfChecker(Head.answer(status), new byte[0], false)));
             assertEquals(status(world.answers.get(0)), status == 500 || status == 409 ? status : 502);
         }
     }
--- a/src/test/java/reedmux/boot/BootTest.java
+++ b/src/test/java/reedmux/boot/BootTest.java
@@ -46,7 +46,8 @@
             {"zone = \"hall-a\"", "zone = \"hall-a", "zone"},
             {"zone = \"hall-a\"", "zone = \"hall-a\"\nzone = \"b\"", "zone"},
             {"front = \"10.1.0.21:8689\"", "front = \"8689\"", "sockets.front"},
-            {"settleMs = 2000", "settleMs = -1", "envelope.settleMs"}};
+            {"settleMs = 2000", "settleMs = -1", "envelope.settleMs"}
+        };
     }
 
     @Test(dataProvider = "faults")
@@ -56,7 +57,7 @@
             boot.socket("front");
             boot.millis("envelope.settleMs", 1);
         });
-        assertTrue(bad.getMessage().startsWith("settings.toml") && bad.getMessage().contains(key),
-                bad.getMessage());
+        assertTrue(
+                bad.getMessage().startsWith("settings.toml") && bad.getMessage().contains(key), bad.getMessage());
     }
 }
--- a/src/test/java/reedmux/choice/RosterTest.java
+++ b/src/test/java/reedmux/choice/RosterTest.java
@@ -29,14 +29,22 @@
     /** Proxies, checkers, slots of each, what may be at one at the most, and its ceiling of connections. */
     @DataProvider
     public Object[][] fleets() {
-        return new Object[][] {{8, 22, 3, 15, 110}, {10, 27, 6, 30, 120}, {65, 179, 3, 15, 450},
-                {75, 244, 6, 30, 510}, {1, 4, 3, 15, 110}, {8, 22, 3, 10, 10}, {10, 27, 6, 4, 4},
-                {65, 179, 3, 2, 2}, {75, 244, 6, 1, 1}, {3, 1, 3, 5, 5}};
+        return new Object[][] {
+            {8, 22, 3, 15, 110},
+            {10, 27, 6, 30, 120},
+            {65, 179, 3, 15, 450},
+            {75, 244, 6, 30, 510},
+            {1, 4, 3, 15, 110},
+            {8, 22, 3, 10, 10},
+            {10, 27, 6, 4, 4},
+            {65, 179, 3, 2, 2},
+            {75, 244, 6, 1, 1},
+            {3, 1, 3, 5, 5}
+        };
     }
 
     @Test(dataProvider = "fleets")
-    public void allTogetherNeverFillACheckersQueue(int proxies, int checkers, int slots, int most,
-            int ceiling) {
+    public void allTogetherNeverFillACheckersQueue(int proxies, int checkers, int slots, int most, int ceiling) {
         List<Session> members = new ArrayList<>();
         for (int i = 0; i < proxies; i++) {
             members.add(new Session("edge-" + i, "10.1.0." + i, ZONES[i % 3], i));
@@ -59,8 +67,7 @@
             }
         }
         assertEquals(sums.size(), checkers);
-        sums.forEach((id, sum) -> assertTrue(sum <= most && sum >= Math.min(slots, most / 2),
-                id + " has " + sum));
+        sums.forEach((id, sum) -> assertTrue(sum <= most && sum >= Math.min(slots, most / 2), id + " has " + sum));
     }
 
     @Test
--- a/src/test/java/reedmux/ci/KnownRed.java
+++ b/src/test/java/reedmux/ci/KnownRed.java
@@ -23,25 +23,25 @@
  */
 public final class KnownRed {
     static final int MOST = 3;
-    private static final Pattern LINE = Pattern.compile(
-            "([\\w.$]+\\.\\w+)\\s*,\\s*(\\S.*?)\\s*,\\s*(#\\d+)");
-    private static final Pattern CLOSING = Pattern.compile(
-            "Tests run: (\\d+), Failures: (\\d+), Errors: (\\d+), Skipped: (\\d+)\\s*$");
+    private static final Pattern LINE = Pattern.compile("([\\w.$]+\\.\\w+)\\s*,\\s*(\\S.*?)\\s*,\\s*(#\\d+)");
+    private static final Pattern CLOSING =
+            Pattern.compile("Tests run: (\\d+), Failures: (\\d+), Errors: (\\d+), Skipped: (\\d+)\\s*$");
     /** What Surefire says where a process of the tests ended early: not all of them have a report then. */
-    private static final Pattern BROKEN = Pattern.compile(
-            "The forked VM terminated|error in the fork|Crashed tests:|Corrupted channel");
+    private static final Pattern BROKEN =
+            Pattern.compile("The forked VM terminated|error in the fork|Crashed tests:|Corrupted channel");
 
     private final List<String> told = new ArrayList<>();
     private boolean good = true;
 
-    private KnownRed() { }
+    private KnownRed() {}
 
     public static void main(String[] args) throws IOException {
         if (args.length != 1 && args.length != 3) {
             System.err.println("usage: KnownRed LIST [REPORTS LOG]");
             System.exit(2);
         }
-        KnownRed outcome = args.length == 1 ? form(Path.of(args[0]))
+        KnownRed outcome = args.length == 1
+                ? form(Path.of(args[0]))
                 : decide(Path.of(args[0]), Path.of(args[1]), Path.of(args[2]));
         outcome.told.forEach(System.out::println);
         System.exit(outcome.good ? 0 : 1);
@@ -77,16 +77,13 @@
             if (line.isBlank()) {
                 continue;
             } else if (!parts.matches()) {
-                wrong(list.getFileName() + ":" + number
-                        + ": not 'package.Class.method, cause, #issue': " + line);
+                wrong(list.getFileName() + ":" + number + ": not 'package.Class.method, cause, #issue': " + line);
             } else if (tests.put(parts.group(1), line.strip()) != null) {
-                wrong(list.getFileName() + ":" + number + ": listed twice: "
-                        + parts.group(1));
+                wrong(list.getFileName() + ":" + number + ": listed twice: " + parts.group(1));
             }
         }
         if (tests.size() > MOST) {
-            wrong(list.getFileName() + " lists " + tests.size() + " tests, " + MOST
-                    + " at most are let pass");
+            wrong(list.getFileName() + " lists " + tests.size() + " tests, " + MOST + " at most are let pass");
         }
         return tests;
     }
@@ -132,25 +129,30 @@
             }
         }
         if (closing != failures) {
-            wrong(closing < 0 ? "the log has no closing line of Surefire"
-                    : "the closing line counts " + closing + " failures and errors, the reports have "
-                    + failures);
+            wrong(
+                    closing < 0
+                            ? "the log has no closing line of Surefire"
+                            : "the closing line counts " + closing + " failures and errors, the reports have "
+                                    + failures);
         }
     }
 
-    private static int count(Path file, Map<String, Integer> ran, Map<String, Integer> failed)
-            throws IOException {
+    private static int count(Path file, Map<String, Integer> ran, Map<String, Integer> failed) throws IOException {
         int failures = 0;
         try {
-            NodeList cases = DocumentBuilderFactory.newInstance().newDocumentBuilder().parse(file.toFile())
+            NodeList cases = DocumentBuilderFactory.newInstance()
+                    .newDocumentBuilder()
+                    .parse(file.toFile())
                     .getElementsByTagName("testcase");
             for (int i = 0; i < cases.getLength(); i++) {
                 Element one = (Element) cases.item(i);
                 // A case of several is told with its parameters and number behind the method's name.
-                String test = one.getAttribute("classname") + '.'
+                String test = one.getAttribute("classname")
+                        + '.'
                         + one.getAttribute("name").replaceFirst("[^\\w].*", "");
                 boolean red = one.getElementsByTagName("failure").getLength()
-                        + one.getElementsByTagName("error").getLength() > 0;
+                                + one.getElementsByTagName("error").getLength()
+                        > 0;
                 boolean skipped = one.getElementsByTagName("skipped").getLength() > 0;
                 if (red) {
                     failures++;
--- a/src/test/java/reedmux/ci/KnownRedTest.java
+++ b/src/test/java/reedmux/ci/KnownRedTest.java
@@ -37,7 +37,9 @@
         StringBuilder text = new StringBuilder("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<testsuite>\n");
         for (String one : cases) {
             String[] parts = one.split(" ");
-            text.append("<testcase classname=\"a.BTest\" name=\"").append(parts[0]).append("\">")
+            text.append("<testcase classname=\"a.BTest\" name=\"")
+                    .append(parts[0])
+                    .append("\">")
                     .append(parts.length > 1 ? '<' + parts[1] + " message=\"no\"/>" : "")
                     .append("</testcase>\n");
         }
@@ -83,17 +85,21 @@
     @DataProvider
     public Object[][] broken() {
         return new Object[][] {
-            {FIRST + "\na.BTest.two, why, #1\na.BTest.three, why, #1\na.BTest.four, why, #1",
+            {
+                FIRST + "\na.BTest.two, why, #1\na.BTest.three, why, #1\na.BTest.four, why, #1",
                 closing(0, 0),
-                "lists 4 tests, 3 at most"},
-            {FIRST + "\na.BTest.other no cause", closing(0, 0),
-                "KNOWN-RED.txt:2: not 'package.Class.method, "},
+                "lists 4 tests, 3 at most"
+            },
+            {FIRST + "\na.BTest.other no cause", closing(0, 0), "KNOWN-RED.txt:2: not 'package.Class.method, "},
             {FIRST + '\n' + FIRST, closing(0, 0), "listed twice: a.BTest.cut"},
             {"a.BTest.gone, why, #1", closing(0, 0), "listed, but did not run: a.BTest.gone"},
             {FIRST, closing(1, 0), "the closing line counts 1 failures and errors, the reports have 0"},
             {FIRST, "", "the log has no closing line"},
-            {FIRST, closing(0, 0) + "[ERROR] The forked VM terminated without properly saying goodbye.\n",
-                "the tests did not all run"},
+            {
+                FIRST,
+                closing(0, 0) + "[ERROR] The forked VM terminated without properly saying goodbye.\n",
+                "the tests did not all run"
+            },
         };
     }
 
@@ -101,7 +107,9 @@
     public void whatCannotBeTrustedFails(String list, String log, String line) throws IOException {
         KnownRed outcome = decide(list, log, "cut", "other", "two", "three", "four");
         assertFalse(outcome.good());
-        assertTrue(outcome.told().stream().anyMatch(told -> told.contains(line)), outcome.told().toString());
+        assertTrue(
+                outcome.told().stream().anyMatch(told -> told.contains(line)),
+                outcome.told().toString());
     }
 
     /** Runs {@code .ci/run} itself before a stand-in for Maven; returns its code and what it printed. */
@@ -115,14 +123,16 @@
             Files.writeString(dir.resolve("KNOWN-RED.txt"), list);
         }
         Files.writeString(dir.resolve("report"), report(cases));
-        Files.writeString(dir.resolve("mvn"), "#!/bin/sh\necho \"mvn $*\"\nmkdir -p target/surefire-reports\n"
-                + "cp report target/surefire-reports/TEST-a.BTest.xml\n"
-                + "echo 'Tests run: 2, Failures: 1, Errors: 0, Skipped: 0'\nexit " + code + '\n');
+        Files.writeString(
+                dir.resolve("mvn"),
+                "#!/bin/sh\necho \"mvn $*\"\nmkdir -p target/surefire-reports\n"
+                        + "cp report target/surefire-reports/TEST-a.BTest.xml\n"
+                        + "echo 'Tests run: 2, Failures: 1, Errors: 0, Skipped: 0'\nexit " + code + '\n');
         dir.resolve("mvn").toFile().setExecutable(true);
-        ProcessBuilder builder = new ProcessBuilder("bash", dir.resolve(".ci/run").toString())
-                .redirectErrorStream(true);
-        builder.environment().put("PATH", dir + ":" + Path.of(System.getProperty("java.home"), "bin") + ":"
-                + System.getenv("PATH"));
+        ProcessBuilder builder =
+                new ProcessBuilder("bash", dir.resolve(".ci/run").toString()).redirectErrorStream(true);
+        builder.environment()
+                .put("PATH", dir + ":" + Path.of(System.getProperty("java.home"), "bin") + ":" + System.getenv("PATH"));
         Process process = builder.start();
         String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         return process.waitFor() + "\n" + out;
@@ -130,15 +140,16 @@
 
     @Test
     public void withoutAListMavenDecides() throws Exception {
-        assertEquals(run(null, 1, "cut failure"),
-                "1\nmvn -B verify\nTests run: 2, Failures: 1, Errors: 0, Skipped: 0\n");
+        assertEquals(
+                run(null, 1, "cut failure"), "1\nmvn -B verify\nTests run: 2, Failures: 1, Errors: 0, Skipped: 0\n");
     }
 
     @Test
     public void withAListAListedFailureIsPrintedAndPassed() throws Exception {
-        assertEquals(run(FIRST, 0, "cut failure", "other"),
+        assertEquals(
+                run(FIRST, 0, "cut failure", "other"),
                 "0\nmvn -B verify -Dmaven.test.failure.ignore=true\n"
-                + "Tests run: 2, Failures: 1, Errors: 0, Skipped: 0\nKNOWN-RED: let pass: " + FIRST + '\n');
+                        + "Tests run: 2, Failures: 1, Errors: 0, Skipped: 0\nKNOWN-RED: let pass: " + FIRST + '\n');
     }
 
     @Test
--- a/src/test/java/reedmux/cli/CommandLineTest.java
+++ b/src/test/java/reedmux/cli/CommandLineTest.java
@@ -19,8 +19,11 @@
 
     private String expect(int code, String... arguments) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
-                "-cp", System.getProperty("java.class.path"), "reedmux.cli.Main"));
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "reedmux.cli.Main"));
         command.addAll(List.of(arguments));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().remove("RELAY_CONFIG");
@@ -55,10 +58,14 @@
     void aBadSettingsFileEndsTheStartWithCode3() throws Exception {
         Path bad = folder.resolve("bad.star");
         Files.writeString(bad, "region(name = \"east\",\n       listn = \"127.0.0.1:1\")\n");
-        assertEquals("reedmux: configuration: " + bad + ":2:8: region has no key 'listn', did you mean "
-                + "'listen'?\n",
+        assertEquals(
+                "reedmux: configuration: " + bad + ":2:8: region has no key 'listn', did you mean " + "'listen'?\n",
                 expect(3, "check-config", "--settings", bad.toString()));
-        assertTrue(expect(3, "check-config", "--settings", folder.resolve("none.star").toString())
+        assertTrue(expect(
+                        3,
+                        "check-config",
+                        "--settings",
+                        folder.resolve("none.star").toString())
                 .contains("the file cannot be read"));
         assertTrue(expect(0, "check-config", "--settings", "deploy/east.star").contains("last resort west"));
     }
@@ -66,13 +73,21 @@
     @Test
     void aGatekeeperDoesNotStartWithAFileThatDoesNotFitIt() throws Exception {
         Path script = folder.resolve("small.star");
-        Files.writeString(script, "region(name = \"east\")\nlast_resort(region = \"west\", gateways ="
-                + " [\"127.0.0.1:1\"], budget = budget(share = 1, rate = 2, burst = 4))\n");
+        Files.writeString(
+                script,
+                "region(name = \"east\")\nlast_resort(region = \"west\", gateways ="
+                        + " [\"127.0.0.1:1\"], budget = budget(share = 1, rate = 2, burst = 4))\n");
         Path config = folder.resolve("config.json");
         Files.copy(Path.of("src/main/resources/sample-config.json"), config);
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java")
-                .toString(), "-cp", System.getProperty("java.class.path"), "reedmux.cli.Main", "serve",
-                "--settings", script.toString()).redirectErrorStream(true);
+        ProcessBuilder builder = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "reedmux.cli.Main",
+                        "serve",
+                        "--settings",
+                        script.toString())
+                .redirectErrorStream(true);
         builder.environment().put("RELAY_CONFIG", config.toString());
         Process process = builder.start();
         String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
--- a/src/test/java/reedmux/cli/ExchangeTest.java
+++ b/src/test/java/reedmux/cli/ExchangeTest.java
@@ -59,8 +59,10 @@
     @Parameterized.Parameters(name = "{0}")
     public static List<String> scripts() throws IOException {
         try (Stream<Path> files = Files.list(FOLDER)) {
-            return files.map(file -> file.getFileName().toString()).filter(name -> name.endsWith(".txt"))
-                    .sorted().toList();
+            return files.map(file -> file.getFileName().toString())
+                    .filter(name -> name.endsWith(".txt"))
+                    .sorted()
+                    .toList();
         }
     }
 
@@ -125,7 +127,8 @@
         String all = text.replace("$node", "127.0.0.1:" + peerListen.getPort())
                 .replace("$u1", "127.0.0.1:" + datagrams.get("u1").getLocalPort());
         for (Map.Entry<String, ServerSocket> party : listeners.entrySet()) {
-            all = all.replace("${" + party.getKey() + '}', "127.0.0.1:" + party.getValue().getLocalPort());
+            all = all.replace(
+                    "${" + party.getKey() + '}', "127.0.0.1:" + party.getValue().getLocalPort());
         }
         return all;
     }
@@ -152,8 +155,8 @@
 
     private static Loaded loaded(Config config, String script) throws ConfigException {
         try {
-            return Loaded.of(config, OperatorSettings.parse("own.star", script), FOLDER.resolve("own.star"),
-                    new Clock());
+            return Loaded.of(
+                    config, OperatorSettings.parse("own.star", script), FOLDER.resolve("own.star"), new Clock());
         } catch (ScriptException e) {
             throw new ConfigException(e.getMessage());
         }
@@ -186,7 +189,8 @@
 
     private void end() throws Exception {
         for (AutoCloseable socket : Stream.of(sockets, listeners, datagrams)
-                .flatMap(map -> map.values().stream()).toList()) {
+                .flatMap(map -> map.values().stream())
+                .toList()) {
             socket.close();
         }
         if (node != null) {
@@ -202,8 +206,7 @@
         String rest = parts.length > 2 ? parts[2] : "";
         if (parts[1].equals("crowd")) {
             for (int i = 0; i < Integer.parseInt(rest); i++) {
-                for (String step : List.of("> GET /healthz HTTP/1.1", "> ", "< HTTP/1.1 200 *", "skip",
-                        "<< ready")) {
+                for (String step : List.of("> GET /healthz HTTP/1.1", "> ", "< HTTP/1.1 200 *", "skip", "<< ready")) {
                     play(party + i + ' ' + step);
                 }
             }
@@ -242,17 +245,22 @@
                 }
                 case "fill" -> send(party, "x".repeat(Integer.parseInt(rest)));
                 case "<" -> expect(rest, readLine(socket(party)));
-                case "<<" -> expect(rest, new String(socket(party).getInputStream()
-                        .readNBytes(rest.length()), StandardCharsets.UTF_8));
-                case "take" -> assertEquals(Integer.parseInt(rest), socket(party).getInputStream()
-                        .readNBytes(Integer.parseInt(rest)).length);
+                case "<<" ->
+                    expect(
+                            rest,
+                            new String(
+                                    socket(party).getInputStream().readNBytes(rest.length()), StandardCharsets.UTF_8));
+                case "take" ->
+                    assertEquals(
+                            Integer.parseInt(rest),
+                            socket(party).getInputStream().readNBytes(Integer.parseInt(rest)).length);
                 case "cut" -> {
                     int most = Integer.parseInt(rest);
                     assertTrue("all of it came", untilCut(socket(party), most) < most);
                 }
                 case "counts" -> untilCounted(rest);
                 case "skip" -> {
-                    while (!readLine(socket(party)).isEmpty()) { }
+                    while (!readLine(socket(party)).isEmpty()) {}
                 }
                 case "accept" -> sockets.put(party, listeners.get(party).accept());
                 case "answers" -> {
@@ -277,8 +285,10 @@
         if (socket == null) {
             socket = listeners.containsKey(party) ? listeners.get(party).accept() : new Socket();
             if (!socket.isConnected()) {
-                socket.connect(party.startsWith("x") ? node.awaitRegions()
-                        : party.startsWith("o") ? node.operatorAddress() : node.awaitListening());
+                socket.connect(
+                        party.startsWith("x")
+                                ? node.awaitRegions()
+                                : party.startsWith("o") ? node.operatorAddress() : node.awaitListening());
             }
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(HANGS);
@@ -337,8 +347,8 @@
         if (step.equals("<")) {
             socket.receive(new DatagramPacket(new byte[512], 512));
         } else {
-            byte[] bytes = (step.equals("fill") ? "x".repeat(Integer.parseInt(rest)) : rest)
-                    .getBytes(StandardCharsets.UTF_8);
+            byte[] bytes =
+                    (step.equals("fill") ? "x".repeat(Integer.parseInt(rest)) : rest).getBytes(StandardCharsets.UTF_8);
             socket.send(new DatagramPacket(bytes, bytes.length, peerListen));
         }
     }
@@ -360,8 +370,10 @@
     }
 
     private static void expect(String pattern, String line) {
-        String regex = Stream.of(pattern.split("\\*", -1)).map(Pattern::quote)
-                .reduce((one, other) -> one + ".*" + other).orElse("");
+        String regex = Stream.of(pattern.split("\\*", -1))
+                .map(Pattern::quote)
+                .reduce((one, other) -> one + ".*" + other)
+                .orElse("");
         assertTrue("expected '" + pattern + "' but was '" + line + "'", line.matches(regex));
     }
 }
--- a/src/test/java/reedmux/cli/HandoverTest.java
+++ b/src/test/java/reedmux/cli/HandoverTest.java
@@ -42,10 +42,12 @@
 public final class HandoverTest {
     /** No verdict hangs on it: it only ends a test that would otherwise wait for ever. */
     private static final int HANGS = 10_000;
+
     private static final InetAddress HERE = InetAddress.getLoopbackAddress();
 
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
+
     private final List<Process> processes = new ArrayList<>();
     private ServerSocket provider;
     private ServerSocket discovery;
@@ -100,7 +102,8 @@
                 .replace("127.0.0.1:0\"", "127.0.0.1:" + port + "\",\"operator\":\"127.0.0.1:0\"")
                 .replace("${d}", "127.0.0.1:" + discovery.getLocalPort())
                 .replace("${p1}", "127.0.0.1:" + provider.getLocalPort())
-                .replace("$node", "127.0.0.1:9").replace("$u1", "127.0.0.1:10");
+                .replace("$node", "127.0.0.1:9")
+                .replace("$u1", "127.0.0.1:10");
         return Config.read(text.getBytes(StandardCharsets.UTF_8), Map.of(), new Clock());
     }
 
@@ -127,12 +130,13 @@
 
     private static void answer(Socket socket) {
         try (socket) {
-            BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
-                    StandardCharsets.US_ASCII));
+            BufferedReader in =
+                    new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 if (line.isEmpty()) {
-                    socket.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-                            .getBytes(StandardCharsets.US_ASCII));
+                    socket.getOutputStream()
+                            .write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+                                    .getBytes(StandardCharsets.US_ASCII));
                 }
             }
         } catch (IOException e) {
@@ -153,10 +157,11 @@
 
     private static void send(Socket socket, int number, int units) throws IOException {
         socket.setSoTimeout(HANGS);
-        socket.getOutputStream().write(("GET /check HTTP/1.1\r\nX-Trace-Id: " + String.format("%016x", number)
-                + "\r\nX-Plan: single-line\r\nX-Customer: 0000000000000007\r\nX-Expires-In-Ms: 3000\r\n"
-                + "X-Quota: units=" + units + ",spread=1,first=0\r\n\r\n")
-                .getBytes(StandardCharsets.US_ASCII));
+        socket.getOutputStream()
+                .write(("GET /check HTTP/1.1\r\nX-Trace-Id: " + String.format("%016x", number)
+                                + "\r\nX-Plan: single-line\r\nX-Customer: 0000000000000007\r\nX-Expires-In-Ms: 3000\r\n"
+                                + "X-Quota: units=" + units + ",spread=1,first=0\r\n\r\n")
+                        .getBytes(StandardCharsets.US_ASCII));
     }
 
     private static String status(Socket socket) throws IOException {
@@ -243,7 +248,8 @@
         talk(new byte[] {0, 0, 0, 3, 1, 2, 3});
         talk(new byte[] {-1, -1, -1, -1});
         long hangs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HANGS);
-        for (Frame other : List.of(new Frame.Hello(Frames.VERSION + 1, config().rules()),
+        for (Frame other : List.of(
+                new Frame.Hello(Frames.VERSION + 1, config().rules()),
                 new Frame.Hello(Frames.VERSION, "other plans"))) {
             old.log.clear();
             do { // it may still be seeing the one before off
--- a/src/test/java/reedmux/cli/ShowTest.java
+++ b/src/test/java/reedmux/cli/ShowTest.java
@@ -84,8 +84,9 @@
     public void whereNobodyAnswersTheLastFailureIsTold() {
         answers.add("503 too few of the core can be reached");
         IOException told = org.testng.Assert.expectThrows(IOException.class, () -> call(300, address));
-        assertEquals(told.getMessage(), "no answer within 300 ms; the last: " + address
-                + " answers 503: too few of the core can be reached");
+        assertEquals(
+                told.getMessage(),
+                "no answer within 300 ms; the last: " + address + " answers 503: too few of the core can be reached");
     }
 
     @Test
@@ -102,8 +103,11 @@
 
     private String run(int code, String... arguments) throws Exception {
         List<String> command = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
-                "-cp", System.getProperty("java.class.path"), "reedmux.cli.Main"));
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "reedmux.cli.Main"));
         command.addAll(List.of(arguments));
         Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
         String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -120,14 +124,12 @@
         assertEquals(asked.get(1), "GET /v1/Show.Checkers?service=a+b&limit=5");
         assertTrue(run(2, "show", "lives", "--control", address)
                 .contains("say one of members, core, checkers, items, duties"));
-        assertTrue(run(2, "show", "core", "--control", "here")
-                .contains("--control is not an address:port: here"));
+        assertTrue(run(2, "show", "core", "--control", "here").contains("--control is not an address:port: here"));
         assertTrue(run(1, "show", "core", "--wait", "100", "--control", "127.0.0.1:1")
                 .contains("no answer within"));
         assertTrue(run(0, "show", "--help").contains("told, also by a machine without a majority"));
         assertTrue(run(2, "core", "join", "core-2", "--control", address).contains("say: core leave NODE"));
-        assertEquals(run(0, "core", "leave", "core-2", "--control", address),
-                "core-2 is no member of the core\n");
+        assertEquals(run(0, "core", "leave", "core-2", "--control", address), "core-2 is no member of the core\n");
         assertEquals(asked.get(2), "POST /v1/Core.Leave/core-2");
     }
 }
--- a/src/test/java/reedmux/cli/WarmUpTest.java
+++ b/src/test/java/reedmux/cli/WarmUpTest.java
@@ -26,14 +26,16 @@
             sample = in.readAllBytes();
         }
         List<Long> waits = new ArrayList<>();
-        WarmUp warmUp = new WarmUp(Config.read(sample, Map.of(), clock), clock, line -> { }, () -> false);
-        assertThrows(InterruptedException.class, () -> warmUp.run(null, millis -> {
-            waits.add(millis);
-            if (millis > 0) {
-                throw new InterruptedException("all that needs no socket is done");
-            }
-            return null;
-        }));
+        WarmUp warmUp = new WarmUp(Config.read(sample, Map.of(), clock), clock, line -> {}, () -> false);
+        assertThrows(
+                InterruptedException.class,
+                () -> warmUp.run(null, millis -> {
+                    waits.add(millis);
+                    if (millis > 0) {
+                        throw new InterruptedException("all that needs no socket is done");
+                    }
+                    return null;
+                }));
         assertEquals(13, waits.size(), "twelve turns of decisions, then a wait: " + waits);
         assertEquals(0, waits.get(11));
     }
--- a/src/test/java/reedmux/config/ConfigTest.java
+++ b/src/test/java/reedmux/config/ConfigTest.java
@@ -49,8 +49,8 @@
     void aServicesDocumentIsNotCalledByAnotherFilesName() throws Exception {
         Config config = read(sample());
         for (String bad : new String[] {"{", "{} {}", "{\"seed\":\"1\",\"seed\":\"1\"}"}) {
-            ConfigException e = assertThrows(ConfigException.class,
-                    () -> config.service(bad.getBytes(), null, new Clock()));
+            ConfigException e =
+                    assertThrows(ConfigException.class, () -> config.service(bad.getBytes(), null, new Clock()));
             assertTrue(e.getMessage().startsWith("the document "), e.getMessage());
         }
     }
--- a/src/test/java/reedmux/core/FlowingReducerTest.java
+++ b/src/test/java/reedmux/core/FlowingReducerTest.java
@@ -17,8 +17,8 @@
 final class FlowingReducerTest {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000 * MS;
-    private static final CallResult.Answered BEGUN = new CallResult.Answered(200, false, null,
-            new byte[0], -1, -1, () -> 300_000, 0);
+    private static final CallResult.Answered BEGUN =
+            new CallResult.Answered(200, false, null, new byte[0], -1, -1, () -> 300_000, 0);
     private static final CallResult WHOLE = new CallResult.Answered(200, false, null, new byte[0]);
 
     /** A module that sends whatever comes, and sends it again whenever it may. */
@@ -67,8 +67,7 @@
     }
 
     private Invocation take(Invocation.Message of, long deadline) {
-        Invocation taken = new Invocation(new Request("a", 0, 0, 7, deadline, 1, 1, 0, false), false, of,
-                answer -> { });
+        Invocation taken = new Invocation(new Request("a", 0, 0, 7, deadline, 1, 1, 0, false), false, of, answer -> {});
         reducer.reduce(SECOND, new Event.InvocationTaken(taken));
         return taken;
     }
@@ -88,7 +87,7 @@
 
     @Test
     void anAnswerThatHasBegunIsFinalAndItsRestHasNoDeadline() {
-        take(new Invocation.Message() { }, 4 * SECOND);
+        take(new Invocation.Message() {}, 4 * SECOND);
         InvokerCall call = effects.calls.get(0);
         at(SECOND + 30 * MS, new Event.AnswerBegun(call, BEGUN));
         assertEquals(List.of(new Answer.Served(BEGUN)), effects.answers);
@@ -102,16 +101,19 @@
     /** The module used to take a provider that writes slowly for one that is full, and turned others away. */
     @Test
     void anAnswerThatCameInSlowlyIsJudgedByItsHead() {
-        take(new Invocation.Message() { }, 4 * SECOND);
-        at(2 * SECOND, new Event.CallEnded(effects.calls.get(0), new CallResult.Answered(200, false, null,
-                new byte[9], -1, -1, null, 970 * MS)));
+        take(new Invocation.Message() {}, 4 * SECOND);
+        at(
+                2 * SECOND,
+                new Event.CallEnded(
+                        effects.calls.get(0),
+                        new CallResult.Answered(200, false, null, new byte[9], -1, -1, null, 970 * MS)));
         assertEquals(List.of("OK 30"), module.heard);
         settled(1);
     }
 
     @Test
     void oneThatBreaksAfterItsBeginIsNotTriedAgain() {
-        take(new Invocation.Message() { }, 4 * SECOND);
+        take(new Invocation.Message() {}, 4 * SECOND);
         InvokerCall call = effects.calls.get(0);
         at(SECOND + 30 * MS, new Event.AnswerBegun(call, BEGUN));
         at(2 * SECOND, new Event.CallEnded(call, new CallResult.Broken(CallResult.Stage.ANSWERING, "test")));
@@ -122,7 +124,7 @@
 
     @Test
     void aConsumerWhoLeavesInTheMiddleEndsTheCallWithoutBlame() {
-        Invocation taken = take(new Invocation.Message() { }, 4 * SECOND);
+        Invocation taken = take(new Invocation.Message() {}, 4 * SECOND);
         InvokerCall call = effects.calls.get(0);
         at(SECOND + 30 * MS, new Event.AnswerBegun(call, BEGUN));
         at(2 * SECOND, new Event.ConsumerLeft(taken));
@@ -134,7 +136,7 @@
 
     @Test
     void anAnswerThatBeginsWhenNobodyWaitsIsStopped() {
-        Invocation taken = take(new Invocation.Message() { }, 4 * SECOND);
+        Invocation taken = take(new Invocation.Message() {}, 4 * SECOND);
         InvokerCall call = effects.calls.get(0);
         at(SECOND, new Event.ConsumerLeft(taken));
         at(SECOND + 30 * MS, new Event.AnswerBegun(call, BEGUN));
@@ -160,20 +162,23 @@
         reducer.reduceDue(22 * SECOND);
         assertEquals(effects.calls, effects.stopped);
         assertEquals(List.of(new Answer.Failed(true)), effects.answers);
-        at(22 * SECOND, new Event.CallEnded(effects.calls.get(0),
-                new CallResult.Broken(CallResult.Stage.ON_WIRE, "test")));
+        at(
+                22 * SECOND,
+                new Event.CallEnded(effects.calls.get(0), new CallResult.Broken(CallResult.Stage.ON_WIRE, "test")));
         settled(1);
     }
 
     @Test
     void whatWasPassedOnIsNotSentAgainAndWhatWasNotMayBe() {
         take(message, 600 * SECOND);
-        at(SECOND, new Event.CallEnded(effects.calls.get(0),
-                new CallResult.Broken(CallResult.Stage.CONNECTING, "test")));
+        at(
+                SECOND,
+                new Event.CallEnded(effects.calls.get(0), new CallResult.Broken(CallResult.Stage.CONNECTING, "test")));
         assertEquals(2, effects.calls.size(), "nothing of it was passed on");
         message.untouched = false;
-        at(2 * SECOND, new Event.CallEnded(effects.calls.get(1),
-                new CallResult.Broken(CallResult.Stage.WRITING, "test")));
+        at(
+                2 * SECOND,
+                new Event.CallEnded(effects.calls.get(1), new CallResult.Broken(CallResult.Stage.WRITING, "test")));
         assertEquals(2, effects.calls.size(), "it is gone");
         assertEquals(Outcome.MOOT + " 0", module.heard.get(2));
         assertTrue(((Answer.Rejection) effects.answers.get(0)).neverRan());
--- a/src/test/java/reedmux/core/ReducerTest.java
+++ b/src/test/java/reedmux/core/ReducerTest.java
@@ -22,10 +22,12 @@
 final class ReducerTest {
     private static final long SECOND = 1_000_000;
     private static final long DEADLINE = 4 * SECOND;
-    static final Event ONE_PROVIDER = new Event.ProvidersTold(new ProviderList(Scope.FULL, 1, List.of(
-            new ProviderList.Provider(new Server("p1", 0, 0, 0, Status.READY, 1, 0),
-                    InetSocketAddress.createUnresolved("p1", 1)))));
-    private static final Invocation.Message NOTHING = new Invocation.Message() { };
+    static final Event ONE_PROVIDER = new Event.ProvidersTold(new ProviderList(
+            Scope.FULL,
+            1,
+            List.of(new ProviderList.Provider(
+                    new Server("p1", 0, 0, 0, Status.READY, 1, 0), InetSocketAddress.createUnresolved("p1", 1)))));
+    private static final Invocation.Message NOTHING = new Invocation.Message() {};
 
     /** A module that sends what comes to the one provider, and fails when it is told to. */
     private static final class Faulty implements Gateway {
@@ -78,10 +80,10 @@
         }
 
         @Override
-        public void callAway(InvokerCall call, Departure departure) { }
+        public void callAway(InvokerCall call, Departure departure) {}
 
         @Override
-        public void stopConnecting(InvokerCall call) { }
+        public void stopConnecting(InvokerCall call) {}
 
         @Override
         public void stop(InvokerCall call) {
@@ -89,13 +91,13 @@
         }
 
         @Override
-        public void probe(String provider, InetSocketAddress address, long askedAt) { }
+        public void probe(String provider, InetSocketAddress address, long askedAt) {}
 
         @Override
-        public void closeIdle(String provider, InetSocketAddress address) { }
+        public void closeIdle(String provider, InetSocketAddress address) {}
 
         @Override
-        public void tell(int peer, byte[] bytes) { }
+        public void tell(int peer, byte[] bytes) {}
 
         @Override
         public void log(String line) {
@@ -118,8 +120,7 @@
     }
 
     private static Invocation invocation(String id, boolean repeatable) {
-        return new Invocation(new Request(id, 0, 0, 7, DEADLINE, 1, 1, 0, false), repeatable, NOTHING,
-                answer -> { });
+        return new Invocation(new Request(id, 0, 0, 7, DEADLINE, 1, 1, 0, false), repeatable, NOTHING, answer -> {});
     }
 
     private void ends(InvokerCall call, CallResult result) {
--- a/src/test/java/reedmux/discovery/WatchTest.java
+++ b/src/test/java/reedmux/discovery/WatchTest.java
@@ -31,7 +31,7 @@
         @Override
         public ScheduledFuture<?> schedule(Runnable task, long delay, TimeUnit unit) {
             limits.add(unit.toMillis(delay));
-            return super.schedule(() -> { }, 1, TimeUnit.HOURS);
+            return super.schedule(() -> {}, 1, TimeUnit.HOURS);
         }
     }
 
@@ -43,13 +43,20 @@
     void theFirstListIsWaitedForThoughManyAskAtOnce() {
         Clock clock = new Clock();
         Timers timers = new Timers();
-        Calls calls = new Calls((host, remote, local, timeout, attachment, callback) ->
-                new CompletableFuture<>(), clock, Calls.Room.of(4), 1_000_000);
+        Calls calls = new Calls(
+                (host, remote, local, timeout, attachment, callback) -> new CompletableFuture<>(),
+                clock,
+                Calls.Room.of(4),
+                1_000_000);
         List<String> log = new ArrayList<>();
-        try (Watch watch = new Watch(new ProviderClient(calls, event -> { }, () -> { }),
+        try (Watch watch = new Watch(
+                new ProviderClient(calls, event -> {}, () -> {}),
                 new InetSocketAddress("127.0.0.1", 9),
                 new ProviderListReader(List.of(), List.of(), clock),
-                new ProviderList(Scope.CACHED, 0, List.of()), event -> { }, log::add, timers)) {
+                new ProviderList(Scope.CACHED, 0, List.of()),
+                event -> {},
+                log::add,
+                timers)) {
             watch.ask();
         } finally {
             timers.shutdownNow();
--- a/src/test/java/reedmux/disk/CrashVolume.java
+++ b/src/test/java/reedmux/disk/CrashVolume.java
@@ -28,7 +28,7 @@
         private byte[] synced = {};
         private final List<Write> pending = new ArrayList<>();
 
-        private Content() { }
+        private Content() {}
 
         private Content(byte[] bytes) {
             this.bytes = bytes;
@@ -37,18 +37,19 @@
     }
 
     /** {@code bytes} is null for a cut of the file. */
-    private record Write(int at, byte[] bytes) { }
+    private record Write(int at, byte[] bytes) {}
 
     private final Map<String, Content> names = new TreeMap<>();
     private final Map<String, Content> lasting = new TreeMap<>();
     /** What a name has meant since the last sync of the folder. */
     private final Map<String, Set<Content>> meant = new LinkedHashMap<>();
+
     private boolean full;
     private boolean unreadable;
     /** Hears of each step that is over. */
-    private Runnable stepped = () -> { };
+    private Runnable stepped = () -> {};
 
-    public CrashVolume() { }
+    public CrashVolume() {}
 
     private CrashVolume(Map<String, Content> names) {
         this.names.putAll(names);
@@ -79,8 +80,7 @@
     public CrashVolume killed() {
         Map<Content, Content> copies = new HashMap<>();
         Map<String, Content> left = new TreeMap<>();
-        names.forEach((name, file) -> left.put(name,
-                copies.computeIfAbsent(file, f -> new Content(f.bytes.clone()))));
+        names.forEach((name, file) -> left.put(name, copies.computeIfAbsent(file, f -> new Content(f.bytes.clone()))));
         return new CrashVolume(left);
     }
 
@@ -110,8 +110,12 @@
         return many;
     }
 
-    private int contents(Map<String, Content> chosen, List<Content> files, int at,
-            Map<Content, Content> drawn, Consumer<CrashVolume> left) {
+    private int contents(
+            Map<String, Content> chosen,
+            List<Content> files,
+            int at,
+            Map<Content, Content> drawn,
+            Consumer<CrashVolume> left) {
         if (at == files.size()) {
             Map<String, Content> image = new TreeMap<>();
             chosen.forEach((name, file) -> image.put(name, drawn.get(file)));
--- a/src/test/java/reedmux/fleet/FleetTest.java
+++ b/src/test/java/reedmux/fleet/FleetTest.java
@@ -18,11 +18,11 @@
 
     @Test
     public void aPhaseNeverGoesBackInAnyOrder() {
-        List<Incarnation> told = List.of(life("a", "10.0.0.1:80", Incarnation.READY, 1), life("a",
-                "10.0.0.1:80",
-                Incarnation.READY, 2),
-                life("a", "10.0.0.1:80", Incarnation.DRAINING, 3), life("a", "10.0.0.1:80",
-                        Incarnation.GONE, 3));
+        List<Incarnation> told = List.of(
+                life("a", "10.0.0.1:80", Incarnation.READY, 1),
+                life("a", "10.0.0.1:80", Incarnation.READY, 2),
+                life("a", "10.0.0.1:80", Incarnation.DRAINING, 3),
+                life("a", "10.0.0.1:80", Incarnation.GONE, 3));
         int plays = Orders.all(1000, orders -> {
             Fleet fleet = new Fleet();
             List<Incarnation> left = new ArrayList<>(told);
@@ -41,9 +41,9 @@
     /** Two that tell each other end with the same, whoever heard what first. */
     @Test
     public void twoThatTellEachOtherAgree() {
-        List<Incarnation> told = List.of(life("a", "10.0.0.1:80", Incarnation.READY, 1), life("a",
-                "10.0.0.1:80",
-                Incarnation.DRAINING, 4),
+        List<Incarnation> told = List.of(
+                life("a", "10.0.0.1:80", Incarnation.READY, 1),
+                life("a", "10.0.0.1:80", Incarnation.DRAINING, 4),
                 life("b", "10.0.0.2:80", Incarnation.READY, 7));
         Orders.all(1000, orders -> {
             Fleet[] fleets = {new Fleet(), new Fleet()};
@@ -53,8 +53,10 @@
             fleets[0].since(0, NOW).forEach(life -> fleets[1].merge(life, NOW));
             fleets[1].since(0, NOW).forEach(life -> fleets[0].merge(life, NOW));
             for (String id : new String[] {"a", "b"}) {
-                assertEquals(fleets[0].get(id, NOW).phase(), fleets[1].get(id, NOW).phase());
-                assertEquals(fleets[0].get(id, NOW).seq(), fleets[1].get(id, NOW).seq());
+                assertEquals(
+                        fleets[0].get(id, NOW).phase(), fleets[1].get(id, NOW).phase());
+                assertEquals(
+                        fleets[0].get(id, NOW).seq(), fleets[1].get(id, NOW).seq());
             }
         });
     }
@@ -90,8 +92,8 @@
         Incarnation next = life("b", "10.0.0.1:80", Incarnation.READY, 4);
         int plays = Orders.all(1000, orders -> {
             Fleet fleet = new Fleet();
-            List<Incarnation> left = new ArrayList<>(List.of(old, next, life("b", "10.0.0.1:80",
-                    Incarnation.READY, 5)));
+            List<Incarnation> left =
+                    new ArrayList<>(List.of(old, next, life("b", "10.0.0.1:80", Incarnation.READY, 5)));
             long now = NOW;
             while (!left.isEmpty()) {
                 fleet.merge(left.remove(orders.pick(left.size())), now);
--- a/src/test/java/reedmux/handover/FramesTest.java
+++ b/src/test/java/reedmux/handover/FramesTest.java
@@ -15,11 +15,14 @@
 import reedmux.policy.Twin.Spent;
 
 public final class FramesTest {
-    private static final Kept KEPT = new Kept(77, 1, 2, 3, 4, 5.5, 0.25, 1, -2, 9_000_000,
-            new int[] {-1, 0, 7}, new double[] {0, 1.5, 2});
-    private static final List<Frame> ALL = List.of(new Frame.Hello(1, "0 of 4 plans"), new Frame.Take(),
+    private static final Kept KEPT =
+            new Kept(77, 1, 2, 3, 4, 5.5, 0.25, 1, -2, 9_000_000, new int[] {-1, 0, 7}, new double[] {0, 1.5, 2});
+    private static final List<Frame> ALL = List.of(
+            new Frame.Hello(1, "0 of 4 plans"),
+            new Frame.Take(),
             new Frame.Counted("default", List.of(KEPT, KEPT), true),
-            new Frame.Counted("invoices", List.of(), false), new Frame.Serving(),
+            new Frame.Counted("invoices", List.of(), false),
+            new Frame.Serving(),
             new Frame.SpentSince("default", List.of(new Spent(1L << 32, 0, 0, 1, 2.5))));
 
     private static byte[] body(Frame frame) {
@@ -36,11 +39,29 @@
                 Kept kept = ((Frame.Counted) back).kept().get(1);
                 assertArrayEquals(KEPT.near(), kept.near());
                 assertArrayEquals(KEPT.owed(), kept.owed(), 0);
-                assertEquals(List.of(KEPT.customer(), KEPT.plan(), KEPT.first(), KEPT.spread(),
-                        KEPT.sharers(), KEPT.count(), KEPT.margin(), KEPT.sight(), KEPT.ceiling(),
-                        KEPT.seenFor()),
-                        List.of(kept.customer(), kept.plan(), kept.first(), kept.spread(), kept.sharers(),
-                        kept.count(), kept.margin(), kept.sight(), kept.ceiling(), kept.seenFor()));
+                assertEquals(
+                        List.of(
+                                KEPT.customer(),
+                                KEPT.plan(),
+                                KEPT.first(),
+                                KEPT.spread(),
+                                KEPT.sharers(),
+                                KEPT.count(),
+                                KEPT.margin(),
+                                KEPT.sight(),
+                                KEPT.ceiling(),
+                                KEPT.seenFor()),
+                        List.of(
+                                kept.customer(),
+                                kept.plan(),
+                                kept.first(),
+                                kept.spread(),
+                                kept.sharers(),
+                                kept.count(),
+                                kept.margin(),
+                                kept.sight(),
+                                kept.ceiling(),
+                                kept.seenFor()));
                 assertTrue(((Frame.Counted) back).last());
             } else {
                 assertEquals(frame, back);
@@ -72,8 +93,8 @@
             }
             try {
                 if (Frames.read(noise) instanceof Frame.Counted counted) {
-                    counted.kept().forEach(kept -> assertTrue(Double.isFinite(kept.count() + kept.margin()
-                            - kept.margin())));
+                    counted.kept()
+                            .forEach(kept -> assertTrue(Double.isFinite(kept.count() + kept.margin() - kept.margin())));
                 }
             } catch (IOException e) {
                 errors++;
--- a/src/test/java/reedmux/http/CallsTest.java
+++ b/src/test/java/reedmux/http/CallsTest.java
@@ -1,8 +1,8 @@
 package reedmux.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -38,9 +38,13 @@
     /** As at the very end of leaving; the place goes back, or the next call would find none. */
     @Test
     void whenTheReactorTakesNoMore() {
-        Calls calls = new Calls((host, remote, local, timeout, attachment, callback) -> {
-            throw new IllegalStateException("shut down");
-        }, new Clock(), Calls.Room.of(1), 1);
+        Calls calls = new Calls(
+                (host, remote, local, timeout, attachment, callback) -> {
+                    throw new IllegalStateException("shut down");
+                },
+                new Clock(),
+                Calls.Room.of(1),
+                1);
         for (int i = 0; i < 3; i++) {
             assertEquals(List.of(new CallResult.Broken(Stage.CONNECTING, "shut down")), started(calls));
         }
@@ -50,13 +54,19 @@
     @Test
     void noNameIsLookedUpForAnAddress() throws Exception {
         InetAddress address = InetAddress.getByAddress(new byte[] {127, 0, 0, 1});
-        Calls calls = new Calls((host, remote, local, timeout, attachment, callback) -> {
-            assertEquals("127.0.0.1", host.getHostName());
-            throw new IllegalStateException("shut down");
-        }, new Clock(), Calls.Room.of(1), 1);
+        Calls calls = new Calls(
+                (host, remote, local, timeout, attachment, callback) -> {
+                    assertEquals("127.0.0.1", host.getHostName());
+                    throw new IllegalStateException("shut down");
+                },
+                new Clock(),
+                Calls.Room.of(1),
+                1);
         List<CallResult> ends = new ArrayList<>();
-        calls.start(new Connection.Origin("s-1", new InetSocketAddress(address, 9)),
-                OutgoingRequest.get("/", "127.0.0.1:9"), ends::add);
+        calls.start(
+                new Connection.Origin("s-1", new InetSocketAddress(address, 9)),
+                OutgoingRequest.get("/", "127.0.0.1:9"),
+                ends::add);
         assertEquals(1, ends.size());
         assertEquals("/127.0.0.1", address.toString(), "an address keeps the name that was found for it");
     }
@@ -67,8 +77,8 @@
         Clock clock = new Clock();
         Calls calls = new Calls(null, clock, Calls.Room.of(1), 1);
         List<CallResult.Answered> begun = new ArrayList<>();
-        CallExchange exchange = new CallExchange(calls, PROVIDER, OutgoingRequest.get("/", "127.0.0.1:9"),
-                () -> { }, begun::add, result -> { });
+        CallExchange exchange = new CallExchange(
+                calls, PROVIDER, OutgoingRequest.get("/", "127.0.0.1:9"), () -> {}, begun::add, result -> {});
         exchange.consumeResponse(new BasicHttpResponse(200), new BasicEntityDetails(300_000, null), null);
         long now = clock.now();
         exchange.stopIfHalted(now);
--- a/src/test/java/reedmux/http/FlowTest.java
+++ b/src/test/java/reedmux/http/FlowTest.java
@@ -182,12 +182,20 @@
     /** Each row: milliseconds since its first byte, bytes of its body, late or not; a head may take 2 s. */
     @Test
     public void theLineBetweenSlowAndBad() {
-        long[][] table = {{0, 0, 0}, {2_400, 0, 0}, {2_401, 0, 1}, {2_401, 1_000, 0}, {2_417, 1_000, 1},
-            {3_000, 64_000, 0}, {4_400, 128_000, 0}, {4_600, 128_000, 1}, {600_000, 32L << 20, 1},
-            {560_000, 32L << 20, 0}};
+        long[][] table = {
+            {0, 0, 0},
+            {2_400, 0, 0},
+            {2_401, 0, 1},
+            {2_401, 1_000, 0},
+            {2_417, 1_000, 1},
+            {3_000, 64_000, 0},
+            {4_400, 128_000, 0},
+            {4_600, 128_000, 1},
+            {600_000, 32L << 20, 1},
+            {560_000, 32L << 20, 0}
+        };
         for (long[] row : table) {
-            assertEquals(row[0] + " ms, " + row[1], row[2] == 1,
-                    Pace.late(row[0] * 1_000, 2_000_000, row[1]));
+            assertEquals(row[0] + " ms, " + row[1], row[2] == 1, Pace.late(row[0] * 1_000, 2_000_000, row[1]));
         }
         assertTrue(Pace.longest(-1) >= Pace.longest(MOST));
     }
--- a/src/test/java/reedmux/http/GrammarTest.java
+++ b/src/test/java/reedmux/http/GrammarTest.java
@@ -15,38 +15,45 @@
 /** The grammar of lines, against a second reading of the RFCs as regular expressions. */
 final class GrammarTest {
     private static final String TOKEN = "[!#$%&'*+.^_`|~0-9A-Za-z-]+";
-    private static final String QUOTED = "\"(?:[\\t \\x21\\x23-\\x5B\\x5D-\\x7E\\x80-\\xFF]"
-            + "|\\\\[\\t \\x21-\\x7E\\x80-\\xFF])*\"";
+    private static final String QUOTED =
+            "\"(?:[\\t \\x21\\x23-\\x5B\\x5D-\\x7E\\x80-\\xFF]" + "|\\\\[\\t \\x21-\\x7E\\x80-\\xFF])*\"";
     private static final Pattern REQUEST = Pattern.compile(TOKEN + " [\\x21-\\x7E]+ HTTP/[0-9]\\.[0-9]");
     private static final Pattern FIELD = Pattern.compile(TOKEN + ":[\\t \\x21-\\x7E\\x80-\\xFF]*");
-    private static final Pattern CHUNK = Pattern.compile("[0-9A-Fa-f]{1,8}(?:[ \\t]*;[ \\t]*" + TOKEN
-            + "(?:[ \\t]*=[ \\t]*(?:" + TOKEN + "|" + QUOTED + "))?)*");
+    private static final Pattern CHUNK = Pattern.compile(
+            "[0-9A-Fa-f]{1,8}(?:[ \\t]*;[ \\t]*" + TOKEN + "(?:[ \\t]*=[ \\t]*(?:" + TOKEN + "|" + QUOTED + "))?)*");
 
     private static void same(Pattern reading, String line, String problem) {
         assertEquals(reading.matcher(line).matches(), problem == null, () -> '<' + line + "> " + problem);
     }
 
     @Property(tries = 20_000, seed = "51")
-    void requestLines(@ForAll @Chars({'G', 'e', ' ', '/', 'H', 'T', 'P', '1', '.', '\t', '\r', '\0', '?',
-            '\u00e9',
-        '(', ':'}) @StringLength(max = 16) String line) {
+    void requestLines(
+            @ForAll
+                    @Chars({'G', 'e', ' ', '/', 'H', 'T', 'P', '1', '.', '\t', '\r', '\0', '?', '\u00e9', '(', ':'})
+                    @StringLength(max = 16)
+                    String line) {
         same(REQUEST, line, Grammar.requestLine(line));
         same(REQUEST, "GET /" + line + " HTTP/1.1", Grammar.requestLine("GET /" + line + " HTTP/1.1"));
         same(REQUEST, "GET / HTTP/1." + line, Grammar.requestLine("GET / HTTP/1." + line));
     }
 
     @Property(tries = 20_000, seed = "52")
-    void fieldLines(@ForAll @Chars({'X', '-', ':', ' ', '\t', '\r', '\0', '\u001b', '\u007f', '\u0080',
-            '\u00ff', '"',
-        ',', '1'}) @StringLength(min = 1, max = 12) String line) {
+    void fieldLines(
+            @ForAll
+                    @Chars({'X', '-', ':', ' ', '\t', '\r', '\0', '\u001b', '\u007f', '\u0080', '\u00ff', '"', ',', '1'
+                    })
+                    @StringLength(min = 1, max = 12)
+                    String line) {
         same(FIELD, line, Grammar.fieldLine(line));
         same(FIELD, "X-A: " + line, Grammar.fieldLine("X-A: " + line));
     }
 
     @Property(tries = 30_000, seed = "53")
-    void chunkLines(@ForAll @Chars({'0', 'a', 'F', ';', '=', '"', '\\', ' ', '\t', 'x', '+', '-', '\r',
-            '\u00e9',
-        ','}) @StringLength(max = 14) String line) {
+    void chunkLines(
+            @ForAll
+                    @Chars({'0', 'a', 'F', ';', '=', '"', '\\', ' ', '\t', 'x', '+', '-', '\r', '\u00e9', ','})
+                    @StringLength(max = 14)
+                    String line) {
         same(CHUNK, line, Grammar.chunkLine(line));
         same(CHUNK, "1f;a=" + line, Grammar.chunkLine("1f;a=" + line));
     }
@@ -59,8 +66,25 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "+5", "-1", "0x5", "5,5", "5 ", " 5", "5;", "5;;a", "5;a=", "5;a=\"b", "5 5",
-        "111111111", "5\r", "5;a=\"\u0001\"", "g"})
+    @ValueSource(
+            strings = {
+                "",
+                "+5",
+                "-1",
+                "0x5",
+                "5,5",
+                "5 ",
+                " 5",
+                "5;",
+                "5;;a",
+                "5;a=",
+                "5;a=\"b",
+                "5 5",
+                "111111111",
+                "5\r",
+                "5;a=\"\u0001\"",
+                "g"
+            })
     void badChunkLines(String line) {
         assertNotNull(Grammar.chunkLine(line));
     }
--- a/src/test/java/reedmux/item/AgreementTest.java
+++ b/src/test/java/reedmux/item/AgreementTest.java
@@ -15,8 +15,7 @@
 /** Three stores, and every order in which their messages may come in. */
 public class AgreementTest {
     private static final long SECOND = 1_000_000;
-    private static final String PLANT = item("plants", "desk", 1,
-            "{\"probe\":\"/health\",\"connCeiling\":9}");
+    private static final String PLANT = item("plants", "desk", 1, "{\"probe\":\"/health\",\"connCeiling\":9}");
 
     static String item(String kind, String name, int revision, String body) {
         return "{\"signalKind\":\"" + kind + "\",\"heading\":{\"name\":\"" + name + "\",\"revision\":"
@@ -73,7 +72,10 @@
                     for (int j = 0; j < 3; j++) {
                         if (i != j && !dead.contains(i) && !dead.contains(j)) {
                             replicas[i].mark(List.copyOf(replicas[j].marks()));
-                            agreements[i].met(now, "s" + j, agreements[j].whole(),
+                            agreements[i].met(
+                                    now,
+                                    "s" + j,
+                                    agreements[j].whole(),
                                     List.copyOf(replicas[j].inForce()),
                                     List.copyOf(replicas[j].held().values()));
                         }
@@ -114,8 +116,9 @@
 
         TreeMap<String, Long> inForce(int at) {
             TreeMap<String, Long> all = new TreeMap<>();
-            replicas[at].inForce().forEach(item -> all.put(item.key() + ' ' + item.body().hashCode(),
-                    item.revision()));
+            replicas[at]
+                    .inForce()
+                    .forEach(item -> all.put(item.key() + ' ' + item.body().hashCode(), item.revision()));
             return all;
         }
 
@@ -184,13 +187,13 @@
             }
 
             @Override
-            public void keepDecided(String call, Ballot ballot, boolean inForce, List<Item> items) { }
+            public void keepDecided(String call, Ballot ballot, boolean inForce, List<Item> items) {}
 
             @Override
-            public void changed() { }
+            public void changed() {}
 
             @Override
-            public void log(String line) { }
+            public void log(String line) {}
         }
     }
 
@@ -208,8 +211,8 @@
     }
 
     static boolean has(World world, int at, String key, long revision) {
-        return world.replicas[at].inForce().stream().anyMatch(item -> item.key().equals(key)
-                && item.revision() == revision);
+        return world.replicas[at].inForce().stream()
+                .anyMatch(item -> item.key().equals(key) && item.revision() == revision);
     }
 
     @Test
@@ -260,7 +263,7 @@
                         if (orders.pick(2) == 0) {
                             world.mail.clear();
                             world.mailTo.clear();
-                            world.mail.add(() -> { });
+                            world.mail.add(() -> {});
                             world.mailTo.add(0);
                             return 0;
                         }
@@ -320,11 +323,11 @@
             call(route("x", 3, "h.example").replace("/a/", "a/")),
             call(route("x", 3, "h.example").replace("\"desk\"", "\"nowhere\"")),
             call(route("x", 3, "h.example"), route("y", 3, "H.example")),
-            call(route("x", 3, "h.example").replace("\"plant\":\"desk\"",
-                    "\"split\":[{\"plant\":\"desk\",\"gain\":-1}]")),
-            call(item("tenants", "t", 3, "{\"keys\":[\"k\"]}"), item("tenants", "u", 3,
-                    "{\"keys\":[\"k\"]}")),
-            "{\"apply\":{},\"remove\":{\"plants\":[{\"name\":\"desk\",\"revision\":3}]},\"x\":" };
+            call(route("x", 3, "h.example")
+                    .replace("\"plant\":\"desk\"", "\"split\":[{\"plant\":\"desk\",\"gain\":-1}]")),
+            call(item("tenants", "t", 3, "{\"keys\":[\"k\"]}"), item("tenants", "u", 3, "{\"keys\":[\"k\"]}")),
+            "{\"apply\":{},\"remove\":{\"plants\":[{\"name\":\"desk\",\"revision\":3}]},\"x\":"
+        };
         for (String body : invalid) {
             World world = new World();
             TreeMap<String, Long> before = world.inForce(0);
@@ -368,7 +371,8 @@
         world.adjust(2, 2, call(route("one", 6, "h.example")));
         world.drain();
         StringBuilder read = new StringBuilder();
-        world.agreements[2].read(world.now, (status, text) -> read.append(status).append(text));
+        world.agreements[2].read(
+                world.now, (status, text) -> read.append(status).append(text));
         world.drain();
         assertTrue(read.toString().startsWith("200"));
         assertFalse(read.toString().contains("h.example"));
@@ -391,7 +395,7 @@
         }
 
         @Override
-        public void propose(Proposal proposal) { }
+        public void propose(Proposal proposal) {}
 
         @Override
         public void vote(String to, String call, Ballot ballot, Agreement.Vote vote) {
@@ -399,13 +403,13 @@
         }
 
         @Override
-        public void confirm(long id, boolean settled) { }
+        public void confirm(long id, boolean settled) {}
 
         @Override
-        public void confirmed(String to, long id) { }
+        public void confirmed(String to, long id) {}
 
         @Override
-        public void tell(String call, Ballot ballot, boolean inForce, List<Item> items) { }
+        public void tell(String call, Ballot ballot, boolean inForce, List<Item> items) {}
 
         @Override
         public void keepHeld(Proposal proposal) {
@@ -413,13 +417,13 @@
         }
 
         @Override
-        public void keepDecided(String call, Ballot ballot, boolean inForce, List<Item> items) { }
+        public void keepDecided(String call, Ballot ballot, boolean inForce, List<Item> items) {}
 
         @Override
-        public void changed() { }
+        public void changed() {}
 
         @Override
-        public void log(String line) { }
+        public void log(String line) {}
     }
 
     /** Another attempt may be counting our vote: what a lower one decides does not take it back. */
@@ -455,11 +459,15 @@
         Agreement wiped = new Agreement("s0", 2, store.replica, false, store);
         wiped.quorum(Quorum.of(List.of("s0", "s1", "s2"), 2));
         wiped.met(SECOND, "s1", true, List.copyOf(other.replica.inForce()), List.of());
-        wiped.met(SECOND, "s2", true, List.copyOf(other.replica.inForce()),
+        wiped.met(
+                SECOND,
+                "s2",
+                true,
+                List.copyOf(other.replica.inForce()),
                 List.copyOf(other.replica.held().values()));
         assertTrue(wiped.whole());
-        wiped.asked(SECOND, "s3", new Proposal("z", new Ballot(1, "s3"), Change.read(call(route("two", 2,
-                "h.example")))));
+        wiped.asked(
+                SECOND, "s3", new Proposal("z", new Ballot(1, "s3"), Change.read(call(route("two", 2, "h.example")))));
         assertEquals(store.votes, List.of("BUSY under 1 of s3"));
     }
 
@@ -482,12 +490,9 @@
     public void whatIsHandedOverIsHeldOrInDoubt() throws Invalid {
         Alone store = new Alone();
         store.asked("s1", 1, "x", route("one", 2, "h.example"));
-        Proposal beside = new Proposal("z", new Ballot(1, "s3"), Change.read(call(route("two", 2,
-                "h.example"))));
-        Proposal other = new Proposal("o", new Ballot(1, "s3"), Change.read(call(route("o", 2,
-                "o.example"))));
-        store.agreement.handed(SECOND, List.of(), List.of(beside, other), List.of(List.of("s3"),
-                List.of("s3")));
+        Proposal beside = new Proposal("z", new Ballot(1, "s3"), Change.read(call(route("two", 2, "h.example"))));
+        Proposal other = new Proposal("o", new Ballot(1, "s3"), Change.read(call(route("o", 2, "o.example"))));
+        store.agreement.handed(SECOND, List.of(), List.of(beside, other), List.of(List.of("s3"), List.of("s3")));
         assertTrue(store.replica.holds("o"));
         assertFalse(store.replica.holds("z"));
         assertFalse(store.agreement.settled(Set.of("s1", "s2")));
--- a/src/test/java/reedmux/item/ContactTest.java
+++ b/src/test/java/reedmux/item/ContactTest.java
@@ -24,11 +24,15 @@
     private static final String ONE = call(route("one", 5, "h.example"));
     private static final String OTHER = call(route("one", 5, "other.example"));
     private static final String NEEDS = call(route("two", 6, "g.example").replace("\"desk\"", "\"shelf\""));
-    private static final String SHELF = call(item("plants", "shelf", 5,
-            "{\"probe\":\"/health\",\"connCeiling\":9}"));
+    private static final String SHELF = call(item("plants", "shelf", 5, "{\"probe\":\"/health\",\"connCeiling\":9}"));
 
     /** What goes on besides the delivery of messages. */
-    private enum Trouble { NONE, LOSS, RESTART, WIPE }
+    private enum Trouble {
+        NONE,
+        LOSS,
+        RESTART,
+        WIPE
+    }
 
     private static void told(String what, int orders) {
         Reporter.log(what + ": " + orders + " orders", true);
@@ -42,7 +46,7 @@
                 left[0]--;
                 once.run();
                 if (world.mail.isEmpty()) {
-                    world.mail.add(() -> { });
+                    world.mail.add(() -> {});
                     world.mailTo.add(0);
                 }
             }
@@ -79,16 +83,20 @@
                 World world = new World();
                 world.adjust(0, 0, ONE);
                 world.adjust(1, 1, OTHER);
-                deliver(world, orders, switch (trouble) {
-                    case NONE -> null;
-                    case LOSS -> () -> {
-                        int lost = orders.pick(world.mail.size());
-                        world.mail.remove(lost);
-                        world.mailTo.remove(lost);
-                    };
-                    case RESTART -> () -> restart(world, orders.pick(3), false);
-                    case WIPE -> () -> restart(world, orders.pick(3), true);
-                });
+                deliver(
+                        world,
+                        orders,
+                        switch (trouble) {
+                            case NONE -> null;
+                            case LOSS ->
+                                () -> {
+                                    int lost = orders.pick(world.mail.size());
+                                    world.mail.remove(lost);
+                                    world.mailTo.remove(lost);
+                                };
+                            case RESTART -> () -> restart(world, orders.pick(3), false);
+                            case WIPE -> () -> restart(world, orders.pick(3), true);
+                        });
                 world.settle();
                 assertFalse(world.answers[0] == Agreement.GOOD && world.answers[1] == Agreement.GOOD);
                 refused[0] += world.answers[0] == Agreement.CONFLICT ? 1 : 0;
@@ -149,8 +157,9 @@
                 assertEquals(answer(world, 0, OTHER), other);
                 assertEquals(answer(world, 0, ONE), one);
                 assertAgreed(world);
-                assertFalse(newer == 2 && world.replicas[0].inForce().stream().anyMatch(
-                        item -> item.key().equals("routes/one") && !item.dropped()));
+                assertFalse(newer == 2
+                        && world.replicas[0].inForce().stream()
+                                .anyMatch(item -> item.key().equals("routes/one") && !item.dropped()));
             }));
         }
     }
@@ -187,7 +196,8 @@
                 world.agreements[1].lost("s0");
                 world.agreements[2].lost("s0");
                 world.settle();
-                assertTrue(world.answers[1] == Agreement.GOOD || world.answers[1] == Agreement.LATER,
+                assertTrue(
+                        world.answers[1] == Agreement.GOOD || world.answers[1] == Agreement.LATER,
                         "answered " + world.answers[1]);
                 good[0] += world.answers[1] == Agreement.GOOD ? 1 : 0;
                 world.dead.clear();
@@ -209,8 +219,7 @@
             world.deliver(many -> {
                 if (world.answers[0] == Agreement.GOOD && world.answers[1] == 0) {
                     world.answers[1] = -1;
-                    world.agreements[1 + orders.pick(2)].read(world.now,
-                            (status, text) -> told.add(status + text));
+                    world.agreements[1 + orders.pick(2)].read(world.now, (status, text) -> told.add(status + text));
                 }
                 return orders.pick(world.mail.size());
             });
@@ -235,10 +244,12 @@
             assertEquals(world.answers[0], Agreement.GOOD);
             world.dead.clear();
             List<Integer> told = new ArrayList<>();
-            List<String> asked = List.of(NEEDS, OTHER, "{\"apply\":{\"signals\":[]}}",
+            List<String> asked = List.of(
+                    NEEDS,
+                    OTHER,
+                    "{\"apply\":{\"signals\":[]}}",
                     call(route("x", 3, "h.example").replace("desk", "none")));
-            asked.forEach(body -> world.agreements[2].adjust(world.now, body,
-                    (status, line) -> told.add(status)));
+            asked.forEach(body -> world.agreements[2].adjust(world.now, body, (status, line) -> told.add(status)));
             world.agreements[2].read(world.now, (status, text) -> told.add(status));
             assertEquals(told, List.of());
             // Its questions reach the others, and it hears them in any order; or not.
@@ -311,7 +322,9 @@
         assertEquals(told, List.of());
         world.agreements[0].lost("s2");
         assertEquals(told, List.of(503));
-        world.agreements[0].adjust(world.now, call(route("x", 3, "h.example").replace("desk", "none")),
+        world.agreements[0].adjust(
+                world.now,
+                call(route("x", 3, "h.example").replace("desk", "none")),
                 (status, line) -> told.add(status));
         assertEquals(told, List.of(503, 503));
     }
--- a/src/test/java/reedmux/item/DoubtTest.java
+++ b/src/test/java/reedmux/item/DoubtTest.java
@@ -66,9 +66,14 @@
         }
 
         void met(int at, int other) {
-            by(at, () -> world.agreements[at].met(world.now, "s" + other, world.agreements[other].whole(),
-                    List.copyOf(world.replicas[other].inForce()),
-                    List.copyOf(world.replicas[other].held().values())));
+            by(
+                    at,
+                    () -> world.agreements[at].met(
+                            world.now,
+                            "s" + other,
+                            world.agreements[other].whole(),
+                            List.copyOf(world.replicas[other].inForce()),
+                            List.copyOf(world.replicas[other].held().values())));
         }
 
         /** It comes back without its disk and meets the others in any order. */
@@ -112,19 +117,22 @@
             good[0]++;
             play.die(0);
             boolean before = orders.pick(2) == 0; // what was on its way comes in before it is back, or after
-            while (before && play.next()) { }
+            while (before && play.next()) {}
             play.comesBackWiped(0);
             for (int i = 0; i < 2; i++) {
                 play.look();
-                while (play.next()) { }
+                while (play.next()) {}
             }
             world.settle();
             assertAgreed(world);
-            lost[0] += world.replicas[1].inForce().stream().anyMatch(item -> item.key().equals("routes/one")
-                    && item.body().contains("\"h.example\"")) ? 0 : 1;
+            lost[0] += world.replicas[1].inForce().stream()
+                            .anyMatch(item -> item.key().equals("routes/one")
+                                    && item.body().contains("\"h.example\""))
+                    ? 0
+                    : 1;
         });
-        Reporter.log(what + ": " + plays + " orders, " + good[0] + " acknowledged, of these " + lost[0]
-                + " lost", true);
+        Reporter.log(
+                what + ": " + plays + " orders, " + good[0] + " acknowledged, of these " + lost[0] + " lost", true);
         assertTrue(good[0] > 0);
         return lost[0];
     }
@@ -151,19 +159,21 @@
                 play.die(2);
                 play.by(0, () -> world.adjust(0, 0, call(route("one", 5, "h.example"))));
                 play.by(1, () -> world.adjust(1, 1, call(contending)));
-                while (play.next()) { }
+                while (play.next()) {}
                 for (int i = 0; i < 10; i++) {
                     world.now += SECOND / 8;
                     for (int at = 0; at < 2; at++) {
                         int store = at;
                         play.by(at, () -> world.agreements[store].look(world.now));
-                        while (play.next()) { }
+                        while (play.next()) {}
                     }
                 }
-                assertEquals((world.answers[0] == Agreement.GOOD ? 1 : 0)
-                        + (world.answers[1] == Agreement.GOOD ? 1 : 0), 1, world.answers[0] + " and "
-                        + world.answers[1]);
-                assertTrue(world.replicas[0].held().isEmpty() && world.replicas[1].held().isEmpty());
+                assertEquals(
+                        (world.answers[0] == Agreement.GOOD ? 1 : 0) + (world.answers[1] == Agreement.GOOD ? 1 : 0),
+                        1,
+                        world.answers[0] + " and " + world.answers[1]);
+                assertTrue(world.replicas[0].held().isEmpty()
+                        && world.replicas[1].held().isEmpty());
             });
             Reporter.log("two that contend, the third away: " + plays + " orders", true);
         }
--- a/src/test/java/reedmux/item/MembershipTest.java
+++ b/src/test/java/reedmux/item/MembershipTest.java
@@ -49,6 +49,7 @@
         final Map<String, Integer> answers = new HashMap<>();
         /** Which members each epoch had, wherever it was known. */
         final Map<Long, Set<String>> epochs = new TreeMap<>();
+
         IntUnaryOperator pick = many -> 0;
         long now = SECOND;
         int lives;
@@ -79,8 +80,7 @@
         }
 
         boolean linked(String one, String other) {
-            return nodes.get(one).up && nodes.get(other).up && !cut.contains(one + other)
-                    && !cut.contains(other + one);
+            return nodes.get(one).up && nodes.get(other).up && !cut.contains(one + other) && !cut.contains(other + one);
         }
 
         /** Links come up and down, and each store tells the others over them. */
@@ -104,7 +104,10 @@
             for (Node one : nodes.values()) {
                 for (Node other : nodes.values()) {
                     if (one != other && linked(one.ip, other.ip)) {
-                        one.agreement.met(now, other.ip, other.agreement.whole(),
+                        one.agreement.met(
+                                now,
+                                other.ip,
+                                other.agreement.whole(),
                                 List.copyOf(other.replica.inForce()),
                                 List.copyOf(other.replica.held().values()));
                         other.tellCore(one.ip);
@@ -114,14 +117,17 @@
         }
 
         void carry(String from, String to, Runnable message) {
-            if (nodes.containsKey(to) && linked(from, to) && nodes.get(from).links.contains(to)) {
+            if (nodes.containsKey(to)
+                    && linked(from, to)
+                    && nodes.get(from).links.contains(to)) {
                 Node receiver = nodes.get(to);
                 int life = receiver.life;
-                mail.computeIfAbsent(from + '>' + to, name -> new ArrayDeque<>()).add(() -> {
-                    if (receiver.up && receiver.life == life) {
-                        message.run();
-                    }
-                });
+                mail.computeIfAbsent(from + '>' + to, name -> new ArrayDeque<>())
+                        .add(() -> {
+                            if (receiver.up && receiver.life == life) {
+                                message.run();
+                            }
+                        });
             }
         }
 
@@ -162,7 +168,8 @@
         }
 
         boolean has(String at, String route) {
-            return nodes.get(at).replica.inForce().stream().anyMatch(item -> item.name().equals(route));
+            return nodes.get(at).replica.inForce().stream()
+                    .anyMatch(item -> item.name().equals(route));
         }
 
         Members core(String at) {
@@ -173,9 +180,10 @@
         void assertCore(String... members) {
             for (Node node : nodes.values()) {
                 if (node.up) {
-                    assertEquals(new TreeSet<>(node.membership.core().ips()), new TreeSet<>(List.of(members)),
-                            node.ip);
-                    assertEquals(node.membership.epoch(), nodes.get(members[0]).membership.epoch());
+                    assertEquals(new TreeSet<>(node.membership.core().ips()), new TreeSet<>(List.of(members)), node.ip);
+                    assertEquals(
+                            node.membership.epoch(),
+                            nodes.get(members[0]).membership.epoch());
                     assertFalse(node.membership.fenced());
                 }
             }
@@ -235,7 +243,8 @@
                 Members known = membership.core();
                 if (known != null) {
                     Set<String> before = epochs.putIfAbsent(known.epoch(), new TreeSet<>(known.ips()));
-                    assertTrue(before == null || before.equals(new TreeSet<>(known.ips())),
+                    assertTrue(
+                            before == null || before.equals(new TreeSet<>(known.ips())),
                             "two cores of epoch " + known.epoch() + ": " + before + " and " + known);
                 }
             }
@@ -293,13 +302,13 @@
             }
 
             @Override
-            public void keepDecided(String call, Ballot ballot, boolean inForce, List<Item> items) { }
+            public void keepDecided(String call, Ballot ballot, boolean inForce, List<Item> items) {}
 
             @Override
-            public void changed() { }
+            public void changed() {}
 
             @Override
-            public void log(String line) { }
+            public void log(String line) {}
 
             @Override
             public void say(String to, Membership.Step step) {
@@ -321,8 +330,9 @@
                     if (other.membership.handsOver(ip, epoch)) {
                         List<Item> items = List.copyOf(other.replica.inForce());
                         List<Proposal> held = List.copyOf(other.replica.held().values());
-                        List<List<String>> deciders = held.stream().map(proposal ->
-                                other.agreement.votedFor(proposal.call())).toList();
+                        List<List<String>> deciders = held.stream()
+                                .map(proposal -> other.agreement.votedFor(proposal.call()))
+                                .toList();
                         other.send(ip, () -> {
                             agreement.handed(now, items, held, deciders);
                             membership.handed(now, from, epoch);
@@ -375,7 +385,9 @@
     private static void assertAcknowledgedIsInForce(World world, String... routes) {
         for (String name : routes) {
             if (Integer.valueOf(200).equals(world.answers.get(route(name, name + ".example")))) {
-                for (String ip : world.nodes.get("s0").up ? world.core("s0").ips() : world.core("s1").ips()) {
+                for (String ip : world.nodes.get("s0").up
+                        ? world.core("s0").ips()
+                        : world.core("s1").ips()) {
                     assertTrue(!world.nodes.get(ip).up || world.has(ip, name), name + " is missing at " + ip);
                 }
             }
@@ -385,28 +397,30 @@
     /** Calls go on while one joins and one leaves; all end with one core and all that was acknowledged. */
     @Test
     public void membersJoinAndLeaveWhileCallsAreMade() {
-        int plays = play((world, orders) -> {
-            world.add("s3", "n3");
-            world.settle(1);
-            world.pick = orders;
-            for (int i = 0; i < 12; i++) {
-                world.look();
-                world.deliver(14);
-                if (i == 3) {
-                    world.adjust("s0", route("one", "one.example"));
-                    world.adjust("s1", route("two", "two.example"));
-                } else if (i == 8) {
-                    world.adjust("s2", route("three", "three.example"));
-                    world.nodes.get("s0").membership.leave(world.now, "n2", (status, line) -> { });
-                }
-            }
-            world.drain();
-            world.pick = many -> 0;
-            world.settle(6);
-            assertAcknowledgedIsInForce(world, "one", "two", "three");
-            assertTrue(world.core("s0").has("s3"));
-            assertTrue(world.core("s0").has("s2") == (world.epochs.size() < 3));
-        }, 3);
+        int plays = play(
+                (world, orders) -> {
+                    world.add("s3", "n3");
+                    world.settle(1);
+                    world.pick = orders;
+                    for (int i = 0; i < 12; i++) {
+                        world.look();
+                        world.deliver(14);
+                        if (i == 3) {
+                            world.adjust("s0", route("one", "one.example"));
+                            world.adjust("s1", route("two", "two.example"));
+                        } else if (i == 8) {
+                            world.adjust("s2", route("three", "three.example"));
+                            world.nodes.get("s0").membership.leave(world.now, "n2", (status, line) -> {});
+                        }
+                    }
+                    world.drain();
+                    world.pick = many -> 0;
+                    world.settle(6);
+                    assertAcknowledgedIsInForce(world, "one", "two", "three");
+                    assertTrue(world.core("s0").has("s3"));
+                    assertTrue(world.core("s0").has("s2") == (world.epochs.size() < 3));
+                },
+                3);
         System.out.println("join and leave: " + plays + " orders");
     }
 
@@ -417,50 +431,54 @@
     @Test
     public void aSecondLossRightAfterAReplacementLosesNothing() {
         int[] replaced = {0};
-        int plays = play((world, orders) -> {
-            world.cut.add("s0s1");
-            world.cut.add("s2s1");
-            world.meet();
-            world.adjust("s0", route("one", "one.example"));
-            world.drain();
-            assertEquals(world.answers.get(route("one", "one.example")), (Integer) 200);
-            assertFalse(world.has("s1", "one"));
-            world.nodes.get("s2").die();
-            world.cut.clear();
-            world.add("s3", "n2");
-            world.pick = orders;
-            for (int i = 0; i < 20 && world.core("s1").epoch() == 0; i++) {
-                world.now += SECOND / 5;
-                for (World.Node node : world.nodes.values()) {
-                    for (World.Node other : world.nodes.values()) {
-                        if (node != other && world.linked(node.ip, other.ip) && node.links.add(other.ip)) {
-                            node.membership.met(world.now, other.ip, other.name);
-                            other.tellCore(node.ip);
+        int plays = play(
+                (world, orders) -> {
+                    world.cut.add("s0s1");
+                    world.cut.add("s2s1");
+                    world.meet();
+                    world.adjust("s0", route("one", "one.example"));
+                    world.drain();
+                    assertEquals(world.answers.get(route("one", "one.example")), (Integer) 200);
+                    assertFalse(world.has("s1", "one"));
+                    world.nodes.get("s2").die();
+                    world.cut.clear();
+                    world.add("s3", "n2");
+                    world.pick = orders;
+                    for (int i = 0; i < 20 && world.core("s1").epoch() == 0; i++) {
+                        world.now += SECOND / 5;
+                        for (World.Node node : world.nodes.values()) {
+                            for (World.Node other : world.nodes.values()) {
+                                if (node != other && world.linked(node.ip, other.ip) && node.links.add(other.ip)) {
+                                    node.membership.met(world.now, other.ip, other.name);
+                                    other.tellCore(node.ip);
+                                }
+                            }
+                            if (node.up) { // the joiner learns by asking members alone; s1 has not been told yet
+                                if (node.ip.equals("s3")) {
+                                    world.nodes.values().stream()
+                                            .filter(other -> other != node && other.up)
+                                            .forEach(other -> node.agreement.met(
+                                                    world.now, other.ip, true, List.of(), List.of()));
+                                }
+                                world.nodes.values().stream()
+                                        .filter(other -> other != node && other.up)
+                                        .forEach(other -> node.tellCore(other.ip));
+                                node.membership.look(world.now);
+                            }
                         }
+                        world.deliver(10);
                     }
-                    if (node.up) { // the joiner learns by asking members alone; s1 has not been told yet
-                        if (node.ip.equals("s3")) {
-                            world.nodes.values().stream().filter(other -> other != node && other.up).forEach(
-                                    other -> node.agreement.met(world.now, other.ip, true, List.of(),
-                                            List.of()));
-                        }
-                        world.nodes.values().stream().filter(other -> other != node && other.up).forEach(
-                                other -> node.tellCore(other.ip));
-                        node.membership.look(world.now);
+                    if (!world.core("s1").has("s3")) {
+                        return;
                     }
-                }
-                world.deliver(10);
-            }
-            if (!world.core("s1").has("s3")) {
-                return;
-            }
-            replaced[0]++;
-            assertTrue(world.has("s1", "one") || world.has("s3", "one"));
-            world.nodes.get("s0").die();
-            world.pick = many -> 0;
-            world.settle(6);
-            assertTrue(world.has("s1", "one") && world.has("s3", "one"));
-        }, 3);
+                    replaced[0]++;
+                    assertTrue(world.has("s1", "one") || world.has("s3", "one"));
+                    world.nodes.get("s0").die();
+                    world.pick = many -> 0;
+                    world.settle(6);
+                    assertTrue(world.has("s1", "one") && world.has("s3", "one"));
+                },
+                3);
         assertTrue(replaced[0] > plays / 2, replaced[0] + " of " + plays);
         System.out.println("second loss: " + plays + " orders, replaced in " + replaced[0]);
     }
@@ -468,25 +486,27 @@
     /** Two stores take themselves for the first live one: of their changes one holds in each epoch. */
     @Test
     public void twoChangesAtOnceAreMadeOneByOne() {
-        int plays = play((world, orders) -> {
-            world.add("s4", "n4");
-            world.settle(2);
-            world.cut.add("s0s1");
-            world.meet();
-            world.pick = orders;
-            world.nodes.get("s0").membership.leave(world.now, "n3", (status, line) -> { });
-            world.nodes.get("s1").membership.leave(world.now, "n2", (status, line) -> { });
-            for (int i = 0; i < 6; i++) {
-                world.look();
-                world.deliver(9);
-            }
-            world.cut.clear();
-            world.drain();
-            world.pick = many -> 0;
-            world.settle(8);
-            assertEquals(world.core("s1").ips(), world.core("s0").ips());
-            assertEquals(world.core("s4").epoch(), world.core("s0").epoch());
-        }, 5);
+        int plays = play(
+                (world, orders) -> {
+                    world.add("s4", "n4");
+                    world.settle(2);
+                    world.cut.add("s0s1");
+                    world.meet();
+                    world.pick = orders;
+                    world.nodes.get("s0").membership.leave(world.now, "n3", (status, line) -> {});
+                    world.nodes.get("s1").membership.leave(world.now, "n2", (status, line) -> {});
+                    for (int i = 0; i < 6; i++) {
+                        world.look();
+                        world.deliver(9);
+                    }
+                    world.cut.clear();
+                    world.drain();
+                    world.pick = many -> 0;
+                    world.settle(8);
+                    assertEquals(world.core("s1").ips(), world.core("s0").ips());
+                    assertEquals(world.core("s4").epoch(), world.core("s0").epoch());
+                },
+                5);
         System.out.println("two changes: " + plays + " orders");
     }
 
@@ -497,30 +517,32 @@
     @Test
     public void aChangeThatIsHalfDoneWhenThePowerGoesIsCarriedThrough() {
         for (boolean wiped : new boolean[] {false, true}) {
-            int plays = play((world, orders) -> {
-                world.add("s3", "n3");
-                world.settle(1);
-                world.adjust("s1", route("one", "one.example"));
-                for (int i = 0; i < 3; i++) {
-                    world.look();
-                }
-                world.pick = orders;
-                world.deliver(4 + orders.applyAsInt(30));
-                for (World.Node node : world.nodes.values()) {
-                    node.die();
-                }
-                world.mail.clear();
-                if (wiped) {
-                    world.nodes.get("s2").wipe();
-                }
-                for (World.Node node : world.nodes.values()) {
-                    node.start(!(wiped && node.ip.equals("s2")) && !node.ip.equals("s3"));
-                }
-                world.pick = many -> 0;
-                world.settle(12);
-                assertAcknowledgedIsInForce(world, "one");
-                world.assertCore("s0", "s1", "s2", "s3");
-            }, 3);
+            int plays = play(
+                    (world, orders) -> {
+                        world.add("s3", "n3");
+                        world.settle(1);
+                        world.adjust("s1", route("one", "one.example"));
+                        for (int i = 0; i < 3; i++) {
+                            world.look();
+                        }
+                        world.pick = orders;
+                        world.deliver(4 + orders.applyAsInt(30));
+                        for (World.Node node : world.nodes.values()) {
+                            node.die();
+                        }
+                        world.mail.clear();
+                        if (wiped) {
+                            world.nodes.get("s2").wipe();
+                        }
+                        for (World.Node node : world.nodes.values()) {
+                            node.start(!(wiped && node.ip.equals("s2")) && !node.ip.equals("s3"));
+                        }
+                        world.pick = many -> 0;
+                        world.settle(12);
+                        assertAcknowledgedIsInForce(world, "one");
+                        world.assertCore("s0", "s1", "s2", "s3");
+                    },
+                    3);
             System.out.println("power" + (wiped ? ", a disk lost" : "") + ": " + plays + " orders");
         }
     }
@@ -528,43 +550,45 @@
     /** The one on duty is frozen in the middle of a change and wakes after others have made another. */
     @Test
     public void aHolderThatWakesUnderAnOlderEpochIsRefused() {
-        int plays = play((world, orders) -> {
-            world.add("s4", "n4");
-            world.settle(1);
-            world.pick = orders;
-            for (int i = 0; i < 4; i++) {
-                world.look();
-            }
-            world.deliver(orders.applyAsInt(25));
-            // What it has said is delivered long after; it hears nothing.
-            Map<String, Deque<Runnable>> late = new TreeMap<>();
-            for (String way : List.copyOf(world.mail.keySet())) {
-                if (way.startsWith("s0>")) {
-                    late.put(way, world.mail.remove(way));
-                }
-            }
-            for (String other : List.of("s1", "s2", "s3", "s4")) {
-                world.cut.add("s0" + other);
-            }
-            world.pick = many -> 0;
-            world.settle(4);
-            world.nodes.get("s1").membership.leave(world.now, "n3", (status, line) -> { });
-            world.settle(4);
-            long epoch = world.core("s1").epoch();
-            Membership.Duty duty = world.nodes.get("s1").membership.duty();
-            assertEquals(duty.holder(), "s1");
-            assertEquals(duty.epoch(), epoch);
-            world.cut.clear();
-            world.meet();
-            world.mail.putAll(late);
-            world.pick = orders;
-            world.nodes.get("s0").membership.look(world.now);
-            world.drain();
-            world.pick = many -> 0;
-            world.settle(4);
-            assertEquals(world.core("s0").ips(), world.core("s1").ips());
-            assertFalse(world.core("s0").has("s3"));
-        }, 4);
+        int plays = play(
+                (world, orders) -> {
+                    world.add("s4", "n4");
+                    world.settle(1);
+                    world.pick = orders;
+                    for (int i = 0; i < 4; i++) {
+                        world.look();
+                    }
+                    world.deliver(orders.applyAsInt(25));
+                    // What it has said is delivered long after; it hears nothing.
+                    Map<String, Deque<Runnable>> late = new TreeMap<>();
+                    for (String way : List.copyOf(world.mail.keySet())) {
+                        if (way.startsWith("s0>")) {
+                            late.put(way, world.mail.remove(way));
+                        }
+                    }
+                    for (String other : List.of("s1", "s2", "s3", "s4")) {
+                        world.cut.add("s0" + other);
+                    }
+                    world.pick = many -> 0;
+                    world.settle(4);
+                    world.nodes.get("s1").membership.leave(world.now, "n3", (status, line) -> {});
+                    world.settle(4);
+                    long epoch = world.core("s1").epoch();
+                    Membership.Duty duty = world.nodes.get("s1").membership.duty();
+                    assertEquals(duty.holder(), "s1");
+                    assertEquals(duty.epoch(), epoch);
+                    world.cut.clear();
+                    world.meet();
+                    world.mail.putAll(late);
+                    world.pick = orders;
+                    world.nodes.get("s0").membership.look(world.now);
+                    world.drain();
+                    world.pick = many -> 0;
+                    world.settle(4);
+                    assertEquals(world.core("s0").ips(), world.core("s1").ips());
+                    assertFalse(world.core("s0").has("s3"));
+                },
+                4);
         System.out.println("frozen holder: " + plays + " orders");
     }
 
@@ -602,8 +626,7 @@
                 world.cut.clear();
                 world.settle(3);
                 world.assertCore("s0", "s3", "s4");
-                assertFalse(world.nodes.get("s1").membership.applies(),
-                        "who was taken out does not come back");
+                assertFalse(world.nodes.get("s1").membership.applies(), "who was taken out does not come back");
             }
         }
     }
@@ -692,9 +715,8 @@
 
         Alone(Ballot accepted, Members value, boolean sound) {
             Members core = Members.first(List.of("s0", "s1", "s2"));
-            membership = new Membership("s0", 2, new Membership.State(core, accepted, accepted, value,
-                    false), sound,
-                    this);
+            membership =
+                    new Membership("s0", 2, new Membership.State(core, accepted, accepted, value, false), sound, this);
             membership.met(SECOND, "s1", "n1");
             membership.met(SECOND, "s2", "n2");
         }
@@ -705,7 +727,8 @@
 
         @Override
         public void say(String to, Membership.Step step) {
-            said.add(step.kind() + " to " + to + (step.value() == null ? "" : " " + step.value().ips()));
+            said.add(step.kind() + " to " + to
+                    + (step.value() == null ? "" : " " + step.value().ips()));
         }
 
         @Override
@@ -714,7 +737,7 @@
         }
 
         @Override
-        public void fetch(String from, long epoch) { }
+        public void fetch(String from, long epoch) {}
 
         @Override
         public boolean settled(Set<String> handed) {
@@ -727,10 +750,10 @@
         }
 
         @Override
-        public void adopted() { }
+        public void adopted() {}
 
         @Override
-        public void log(String line) { }
+        public void log(String line) {}
     }
 
     private static Members with(String... ips) {
@@ -751,8 +774,12 @@
         Ballot mine = new Ballot(2, "s0");
         store.said.clear();
         store.step("s2", Membership.Kind.PROMISE, mine, new Ballot(1, "s1"), with("s0", "s1", "s2", "s4"));
-        assertEquals(store.said, List.of("ACCEPT to s1 [s0, s1, s2, s4]", "ACCEPT to s2 [s0, s1, s2, s4]",
-                "ACCEPT to s4 [s0, s1, s2, s4]"));
+        assertEquals(
+                store.said,
+                List.of(
+                        "ACCEPT to s1 [s0, s1, s2, s4]",
+                        "ACCEPT to s2 [s0, s1, s2, s4]",
+                        "ACCEPT to s4 [s0, s1, s2, s4]"));
     }
 
     /** A core is decided on by a quorum of the members and one of those after it, whichever comes first. */
--- a/src/test/java/reedmux/item/Orders.java
+++ b/src/test/java/reedmux/item/Orders.java
@@ -11,7 +11,7 @@
     private int at;
     private Random random;
 
-    private Orders() { }
+    private Orders() {}
 
     /** Picks one of {@code many}, another one in each play. */
     public int pick(int many) {
--- a/src/test/java/reedmux/item/TableTest.java
+++ b/src/test/java/reedmux/item/TableTest.java
@@ -28,13 +28,24 @@
         }
         return switch (random.nextInt(8)) {
             case 0, 1, 2 -> new Item("plants", "n" + name, revision, "{}");
-            case 3, 4, 5 -> new Item("routes", "n" + name, revision, "{\"host\":\"h" + random.nextInt(2)
-                    + "\",\"prefix\":\"/" + "ab".repeat(random.nextInt(3))
-                    + "\",\"kind\":\"inflow\",\"plant\":\"n" + random.nextInt(5) + "\"}");
-            case 6 -> new Item("tenants", "n" + name, revision, "{\"keys\":[\"k" + random.nextInt(4)
-                    + "\",\"k" + random.nextInt(8) + "\"]}");
-            default -> random.nextInt(3) > 0 ? new Item("saturation", "", revision, "{\"idleMs\":1000}")
-                    : new Item("routes", "n" + name, revision, "{\"host\":\"h\"}");
+            case 3, 4, 5 ->
+                new Item(
+                        "routes",
+                        "n" + name,
+                        revision,
+                        "{\"host\":\"h" + random.nextInt(2)
+                                + "\",\"prefix\":\"/" + "ab".repeat(random.nextInt(3))
+                                + "\",\"kind\":\"inflow\",\"plant\":\"n" + random.nextInt(5) + "\"}");
+            case 6 ->
+                new Item(
+                        "tenants",
+                        "n" + name,
+                        revision,
+                        "{\"keys\":[\"k" + random.nextInt(4) + "\",\"k" + random.nextInt(8) + "\"]}");
+            default ->
+                random.nextInt(3) > 0
+                        ? new Item("saturation", "", revision, "{\"idleMs\":1000}")
+                        : new Item("routes", "n" + name, revision, "{\"host\":\"h\"}");
         };
     }
 
@@ -66,8 +77,9 @@
         } catch (Invalid e) {
             return false;
         }
-        return routes.stream().allMatch(route -> places.add(List.of(route.host(), route.prefix()))
-                && route.parts().stream().allMatch(part -> plants.contains(part.plant())));
+        return routes.stream()
+                .allMatch(route -> places.add(List.of(route.host(), route.prefix()))
+                        && route.parts().stream().allMatch(part -> plants.contains(part.plant())));
     }
 
     private static void same(Table table, Collection<Item> items) throws Invalid {
@@ -152,8 +164,8 @@
         Poll poll = new Poll();
         assertTrue(poll.take("a", 1, 1, List.of(new Item("plants", "p", 1, "{}"))));
         Table table = poll.table();
-        Item route = new Item("routes", "r", 1,
-                "{\"host\":\"h\",\"prefix\":\"/\",\"kind\":\"inflow\",\"plant\":\"q\"}");
+        Item route =
+                new Item("routes", "r", 1, "{\"host\":\"h\",\"prefix\":\"/\",\"kind\":\"inflow\",\"plant\":\"q\"}");
         assertFalse(poll.take("a", 1, 2, List.of(route)));
         assertEquals(poll.problem(), "route r names the service q, which is not known");
         assertEquals(poll.table().route("h", "/"), null);
--- a/src/test/java/reedmux/lab/CapacitySceneTest.java
+++ b/src/test/java/reedmux/lab/CapacitySceneTest.java
@@ -25,10 +25,11 @@
         List<Growth.Row> many = Growth.play(new Growth.Size(40, 3, 4));
         for (int i = 0; i < few.size(); i++) {
             if (!few.get(i).phase().equals("roll")) {
-                assertTrue(many.get(i).kilobytes() <= 4.6 * few.get(i).kilobytes(), few.get(i) + " "
-                        + many.get(i));
+                assertTrue(many.get(i).kilobytes() <= 4.6 * few.get(i).kilobytes(), few.get(i) + " " + many.get(i));
             }
         }
-        assertEquals(Growth.play(new Growth.Size(10, 3, 4)).get(1).kilobytes(), few.get(1).kilobytes());
+        assertEquals(
+                Growth.play(new Growth.Size(10, 3, 4)).get(1).kilobytes(),
+                few.get(1).kilobytes());
     }
 }
--- a/src/test/java/reedmux/lab/StandInTest.java
+++ b/src/test/java/reedmux/lab/StandInTest.java
@@ -23,15 +23,24 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"ANSWERS,200,1", "FULL,503,0", "ERRS,500,1", "SLOW,200,1", "RESETS_BEFORE,-1,0",
-        "RESETS_AFTER,-1,1", "HALF_ANSWERS,-1,1"})
+    @CsvSource({
+        "ANSWERS,200,1",
+        "FULL,503,0",
+        "ERRS,500,1",
+        "SLOW,200,1",
+        "RESETS_BEFORE,-1,0",
+        "RESETS_AFTER,-1,1",
+        "HALF_ANSWERS,-1,1"
+    })
     void aProviderDoesAsItIsTold(Does does, int status, int runs) throws Exception {
         try (ProviderStandIn provider = new ProviderStandIn(1, 1, 1)) {
             provider.script(id -> does);
             Told told = ask(provider.address(), "00000000000000aa");
             assertEquals(status, told.status());
             assertEquals(status == 200, told.whole());
-            assertEquals(runs, provider.runs().values().stream().mapToInt(Number::intValue).sum());
+            assertEquals(
+                    runs,
+                    provider.runs().values().stream().mapToInt(Number::intValue).sum());
         }
     }
 
@@ -56,7 +65,8 @@
             if (back) {
                 provider.comeBack();
             }
-            assertEquals(back ? 200 : 0, ask(provider.address(), "00000000000000ac").status());
+            assertEquals(
+                    back ? 200 : 0, ask(provider.address(), "00000000000000ac").status());
         }
     }
 }
--- a/src/test/java/reedmux/lab/rules/RuleCheckerTest.java
+++ b/src/test/java/reedmux/lab/rules/RuleCheckerTest.java
@@ -29,8 +29,8 @@
  */
 final class RuleCheckerTest {
     private static final Path FOLDER = Path.of("src/test/resources/histories");
-    private static final Figures FIGURES = new Figures(8_000, 250_000, 4, 1_000_000, 150_000, 4, true,
-            new Tolerance(1, 2_000_000));
+    private static final Figures FIGURES =
+            new Figures(8_000, 250_000, 4, 1_000_000, 150_000, 4, true, new Tolerance(1, 2_000_000));
 
     record Case(String title, String verdict, List<String> lines) {
         @Override
@@ -60,10 +60,10 @@
     @MethodSource("cases")
     void eachHistoryBreaksTheRuleThatItSays(Case one) {
         History history = History.check(FIGURES, one.lines);
-        Set<String> broken = history.faults().stream().map(fault -> fault.rule().name())
+        Set<String> broken = history.faults().stream()
+                .map(fault -> fault.rule().name())
                 .collect(Collectors.toCollection(TreeSet::new));
-        assertEquals(one.verdict.equals("none") ? Set.of() : Set.of(one.verdict), broken,
-                history.faults() + "");
+        assertEquals(one.verdict.equals("none") ? Set.of() : Set.of(one.verdict), broken, history.faults() + "");
         assertTrue(!history.checker().seen().isEmpty(), "nothing was looked at");
     }
 
@@ -84,8 +84,12 @@
 
     @Test
     void whatCannotBeReadIsNoHistory() {
-        for (List<String> lines : List.of(List.of("5 taken"), List.of("5 sneezes n0"), List.<String>of(),
-                List.of("5 answered nobody served", "end 9"), List.of("end 9", "end 10"),
+        for (List<String> lines : List.of(
+                List.of("5 taken"),
+                List.of("5 sneezes n0"),
+                List.<String>of(),
+                List.of("5 answered nobody served", "end 9"),
+                List.of("end 9", "end 10"),
                 List.of("5 told n0 s1 perhaps", "end 9"))) {
             assertThrows(IllegalArgumentException.class, () -> History.check(FIGURES, lines), lines + "");
         }
--- a/src/test/java/reedmux/lab/sim/QuickScenesTest.java
+++ b/src/test/java/reedmux/lab/sim/QuickScenesTest.java
@@ -12,7 +12,9 @@
     @CsvSource({"1,200,0.2", "1,1000,0.2", "2,200,0.2", "1,200,0.005", "2,50000,0.2"})
     void aPoolWithRoomRefusesNobody(int providers, long work, double pauses) {
         double share = LongStream.rangeClosed(1, 4)
-                .mapToDouble(seed -> QuickScenes.refused(seed, providers, work, pauses)).average().orElse(1);
+                .mapToDouble(seed -> QuickScenes.refused(seed, providers, work, pauses))
+                .average()
+                .orElse(1);
         assertTrue(share < 0.01, () -> "refused " + share);
     }
 }
--- a/src/test/java/reedmux/lab/sim/RegionScenesTest.java
+++ b/src/test/java/reedmux/lab/sim/RegionScenesTest.java
@@ -46,7 +46,9 @@
             Result result = RegionScenes.storm(seed, 20);
             assertEquals(List.of(), result.faults(), "seed " + seed);
             rejects += result.rejects();
-            crossed += result.services().values().stream().mapToLong(Service::crossed).sum();
+            crossed += result.services().values().stream()
+                    .mapToLong(Service::crossed)
+                    .sum();
         }
         assertTrue(rejects > 100_000, "rejects: " + rejects);
         assertTrue(crossed > 10_000, "crossed: " + crossed);
@@ -54,17 +56,25 @@
 
     /** The checkers are no better than what they find: each fault put in round the decisions is found. */
     @ParameterizedTest
-    @EnumSource(names = {"LINK_RESENDS", "CLAIMS_NEVER_RAN", "ANSWERS_TWICE", "FORGETS_ANSWERS",
-            "SENDS_VISITORS_ON", "WHOLE_BUDGET_EACH"})
+    @EnumSource(
+            names = {
+                "LINK_RESENDS",
+                "CLAIMS_NEVER_RAN",
+                "ANSWERS_TWICE",
+                "FORGETS_ANSWERS",
+                "SENDS_VISITORS_ON",
+                "WHOLE_BUDGET_EACH"
+            })
     void plantedFaultsAreFound(Planted planted) {
-        String expected = switch (planted) {
-            case LINK_RESENDS -> "runs a second time and must not";
-            case CLAIMS_NEVER_RAN -> "is rejected, but has run";
-            case ANSWERS_TWICE -> "is answered twice";
-            case FORGETS_ANSWERS -> "is never answered";
-            case SENDS_VISITORS_ON -> "travels twice";
-            default -> "units away in";
-        };
+        String expected =
+                switch (planted) {
+                    case LINK_RESENDS -> "runs a second time and must not";
+                    case CLAIMS_NEVER_RAN -> "is rejected, but has run";
+                    case ANSWERS_TWICE -> "is answered twice";
+                    case FORGETS_ANSWERS -> "is never answered";
+                    case SENDS_VISITORS_ON -> "travels twice";
+                    default -> "units away in";
+                };
         for (long seed = 0; seed < 30; seed++) {
             if (RegionScenes.storm(seed, 20, planted).faults().stream().anyMatch(f -> f.contains(expected))) {
                 return;
@@ -76,7 +86,8 @@
     @Test
     void theSameSeedGivesTheSameRun() {
         assertEquals(RegionScenes.storm(7, 10), RegionScenes.storm(7, 10));
-        assertNotEquals(RegionScenes.storm(7, 10).services(), RegionScenes.storm(8, 10).services());
+        assertNotEquals(
+                RegionScenes.storm(7, 10).services(), RegionScenes.storm(8, 10).services());
     }
 
     @Test
@@ -88,9 +99,13 @@
             assertEquals(List.of(), without.faults());
             Service east = with.services().get("east");
             assertTrue(east.share() >= without.services().get("east").share(), gone + " " + east);
-            assertTrue(gone < 0.9 || east.share() > without.services().get("east").share() + 0.3, gone + "");
+            assertTrue(
+                    gone < 0.9 || east.share() > without.services().get("east").share() + 0.3, gone + "");
             assertTrue(east.mostUnitsInASecond() <= 180, "rate and burst");
-            assertEquals(without.services().get("west").share(), with.services().get("west").share(), 0.01,
+            assertEquals(
+                    without.services().get("west").share(),
+                    with.services().get("west").share(),
+                    0.01,
                     "own consumers of the other region come first");
         }
     }
@@ -103,9 +118,12 @@
         world.time.run(World.BEGIN + 20 * World.SECOND);
         assertEquals(List.of(), world.ledger.faults(RegionScenes.budgets("east", "west")));
         for (String region : List.of("east", "west")) {
-            long admitted = world.regions.get(region).nodes.stream().mapToLong(n -> n.regions().admitted())
+            long admitted = world.regions.get(region).nodes.stream()
+                    .mapToLong(n -> n.regions().admitted())
+                    .sum();
+            long sent = world.regions.get(region).nodes.stream()
+                    .mapToLong(n -> n.regions().sent())
                     .sum();
-            long sent = world.regions.get(region).nodes.stream().mapToLong(n -> n.regions().sent()).sum();
             assertTrue(sent > 0, "it asks");
             assertTrue(admitted < 40, "and is not asked in: " + admitted);
         }
@@ -118,11 +136,24 @@
     @Test
     void aRingOfThreePassesNothingRound() {
         List<String> names = List.of("east", "west", "north");
-        World world = new World(5, names.stream().map(name -> {
-            int at = names.indexOf(name);
-            return new Setup(name, RegionScenes.rules(name, Set.of(names.get((at + 2) % 3)),
-                    names.get((at + 1) % 3), 2, RegionScenes.BUDGET), 2, 1, 20);
-        }).toList());
+        World world = new World(
+                5,
+                names.stream()
+                        .map(name -> {
+                            int at = names.indexOf(name);
+                            return new Setup(
+                                    name,
+                                    RegionScenes.rules(
+                                            name,
+                                            Set.of(names.get((at + 2) % 3)),
+                                            names.get((at + 1) % 3),
+                                            2,
+                                            RegionScenes.BUDGET),
+                                    2,
+                                    1,
+                                    20);
+                        })
+                        .toList());
         names.forEach(name -> world.providers(name, 1, SimProvider.Mood.GONE));
         world.time.run(World.BEGIN + 10 * World.SECOND);
         names.forEach(name -> world.regions.get(name).perSecond = 0);
@@ -148,7 +179,8 @@
             world.restart("east", i, 100 * World.MS);
         }
         world.time.run(World.BEGIN + 15 * World.SECOND);
-        assertEquals(0, world.ledger.service("east", World.BEGIN + 6 * World.SECOND).served());
+        assertEquals(
+                0, world.ledger.service("east", World.BEGIN + 6 * World.SECOND).served());
         assertEquals(List.of(), world.ledger.faults(RegionScenes.budgets("east", "west")));
     }
 
@@ -160,8 +192,8 @@
         world.providers("east", 10, SimProvider.Mood.GONE);
         for (int i = 0; i < 40; i++) {
             int number = i % 3;
-            world.time.at(World.BEGIN + (2 + i / 2) * World.SECOND,
-                    () -> world.restart("east", number, 200 * World.MS));
+            world.time.at(
+                    World.BEGIN + (2 + i / 2) * World.SECOND, () -> world.restart("east", number, 200 * World.MS));
         }
         world.time.run(World.BEGIN + 25 * World.SECOND);
         assertEquals(List.of(), world.ledger.faults(RegionScenes.budgets("east", "west")));
@@ -201,8 +233,8 @@
         if (dies) {
             for (int i = 0; i < 60; i++) {
                 int number = i % 3;
-                world.time.at(World.BEGIN + (1000 + 100 * i) * World.MS, () -> world.restart("west", number,
-                        60 * World.MS));
+                world.time.at(
+                        World.BEGIN + (1000 + 100 * i) * World.MS, () -> world.restart("west", number, 60 * World.MS));
             }
         }
         world.time.run(World.BEGIN + 10 * World.SECOND);
@@ -253,11 +285,21 @@
     @Test
     void theQuotaIsCountedOnceAndAtHome() {
         Visitors wide = new Visitors(1000, 100_000, 100_000, 0.05, World.SECOND);
-        Away away = new Away("west", World.gateways("west", 1), 1, 100_000, 100_000, 1000, 100 * World.MS,
-                20 * World.MS, 50 * World.MS);
-        World world = new World(4, List.of(
-                new Setup("east", new RegionRules("east", Set.of(), wide, away), 1, 2, 100),
-                new Setup("west", new RegionRules("west", Set.of("east"), wide, null), 1, 400, 0)));
+        Away away = new Away(
+                "west",
+                World.gateways("west", 1),
+                1,
+                100_000,
+                100_000,
+                1000,
+                100 * World.MS,
+                20 * World.MS,
+                50 * World.MS);
+        World world = new World(
+                4,
+                List.of(
+                        new Setup("east", new RegionRules("east", Set.of(), wide, away), 1, 2, 100),
+                        new Setup("west", new RegionRules("west", Set.of("east"), wide, null), 1, 400, 0)));
         world.customers = 2;
         world.providers("east", 2, SimProvider.Mood.GONE);
         world.time.run(World.BEGIN + 20 * World.SECOND);
--- a/src/test/java/reedmux/lab/sim/SizeScenesTest.java
+++ b/src/test/java/reedmux/lab/sim/SizeScenesTest.java
@@ -38,8 +38,7 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"SENDS_TO_NEWEST,JOIN,COLD", "TELLS_DRAINS_LATE,JOIN,DRAIN",
-            "WHOLE_CEILING_EACH,HERD,CEILING"})
+    @CsvSource({"SENDS_TO_NEWEST,JOIN,COLD", "TELLS_DRAINS_LATE,JOIN,DRAIN", "WHOLE_CEILING_EACH,HERD,CEILING"})
     void aFaultPutInIsSeenAtThatSize(Planted planted, Day day, Rule rule) {
         breaks(rule, SizeScenes.play(day, 14, 60, 3, planted));
         breaks(rule, SizeScenes.play(day, 100, 200, 3, planted));
@@ -52,7 +51,8 @@
     }
 
     private static void breaks(Rule rule, Result result) {
-        assertTrue(result.faults().stream().anyMatch(fault -> fault.rule() == rule),
+        assertTrue(
+                result.faults().stream().anyMatch(fault -> fault.rule() == rule),
                 rule + " is not among " + result.faults());
     }
 
