--- a/src/test/java/reedmux/lab/stage/SideBySide.java
+++ b/src/test/java/reedmux/lab/stage/SideBySide.java
@@ -31,7 +31,7 @@
     private static final int WARM = 300;
     private static final int REQUESTS = 700;
 
-    private SideBySide() { }
+    private SideBySide() {}
 
     public static void main(String[] args) throws Exception {
         if (args.length == 0) {
@@ -55,15 +55,19 @@
         }
         all.forEach((what, figures) -> {
             Collections.sort(figures);
-            System.out.printf("%-34s median %7.1f  from %7.1f to %7.1f  (%d)%n", what,
-                    figures.get(figures.size() / 2), figures.get(0), figures.get(figures.size() - 1),
+            System.out.printf(
+                    "%-34s median %7.1f  from %7.1f to %7.1f  (%d)%n",
+                    what,
+                    figures.get(figures.size() / 2),
+                    figures.get(0),
+                    figures.get(figures.size() - 1),
                     figures.size());
         });
     }
 
     private static List<String> command(Path dir, String program) throws IOException {
-        Matcher run = Pattern.compile("\\[roles\\." + program + "]\\s+run = \"([^\"]*)\"").matcher(
-                Files.readString(dir.resolve("deploy/system.toml")));
+        Matcher run = Pattern.compile("\\[roles\\." + program + "]\\s+run = \"([^\"]*)\"")
+                .matcher(Files.readString(dir.resolve("deploy/system.toml")));
         if (!run.find()) {
             throw new IOException(dir + "/deploy/system.toml does not run " + program);
         }
@@ -89,13 +93,14 @@
                 ready = "127.0.93.1:28382"
                 control = "127.0.93.1:28380"
                 """.formatted(folder));
-        ProcessBuilder builder = new ProcessBuilder(command(dir, program)).directory(dir.toFile())
+        ProcessBuilder builder = new ProcessBuilder(command(dir, program))
+                .directory(dir.toFile())
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD);
         builder.environment().put("REEDMUX_BOOT", file.toString());
         Process process = builder.start();
         double millis = -1;
-        try (BufferedReader lines = new BufferedReader(new InputStreamReader(process.getErrorStream(),
-                StandardCharsets.UTF_8))) {
+        try (BufferedReader lines =
+                new BufferedReader(new InputStreamReader(process.getErrorStream(), StandardCharsets.UTF_8))) {
             String line = lines.readLine();
             while (line != null && !line.contains("listens")) {
                 line = lines.readLine();
@@ -117,7 +122,8 @@
         double nanos = 0;
         try (Stream<Path> tasks = Files.list(Path.of("/proc/" + pid + "/task"))) {
             for (Path task : tasks.toList()) {
-                nanos += Double.parseDouble(Files.readString(task.resolve("schedstat")).split(" ")[0]);
+                nanos += Double.parseDouble(
+                        Files.readString(task.resolve("schedstat")).split(" ")[0]);
             }
         }
         return nanos / 1e6;
@@ -127,15 +133,20 @@
     private static double ofRequest(Path dir) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>();
         for (String word : command(dir, "proxy")) {
-            if (!word.startsWith("-Xm") && !word.startsWith("-Xss") && !word.startsWith("-XX:SharedArchive")
-                    && !word.startsWith("-XX:MaxMeta") && !word.startsWith("reedmux.")
+            if (!word.startsWith("-Xm")
+                    && !word.startsWith("-Xss")
+                    && !word.startsWith("-XX:SharedArchive")
+                    && !word.startsWith("-XX:MaxMeta")
+                    && !word.startsWith("reedmux.")
                     && !word.equals("proxy")) {
                 command.add(word);
             }
         }
         command.add(Path.of(SOURCE).toAbsolutePath().toString());
-        Process process = new ProcessBuilder(command).directory(dir.toFile())
-                .redirectError(ProcessBuilder.Redirect.DISCARD).start();
+        Process process = new ProcessBuilder(command)
+                .directory(dir.toFile())
+                .redirectError(ProcessBuilder.Redirect.DISCARD)
+                .start();
         String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
         if (process.waitFor() != 0) {
             throw new IOException(dir + ": the stage ended with " + process.exitValue() + ": " + out);
--- a/src/test/java/reedmux/lab/stage/StageTest.java
+++ b/src/test/java/reedmux/lab/stage/StageTest.java
@@ -31,7 +31,8 @@
     }
 
     private int raw(String text) throws IOException {
-        return stage.ask(stage.front(0), text.getBytes(StandardCharsets.ISO_8859_1)).status();
+        return stage.ask(stage.front(0), text.getBytes(StandardCharsets.ISO_8859_1))
+                .status();
     }
 
     private static String get(String path, String host, String more) {
@@ -41,7 +42,10 @@
     @Test
     public void eachRequestRunsOnce() throws IOException {
         for (int i = 0; i < 40; i++) {
-            assertEquals(stage.request(i % 2, "POST", "/order/x", "once-" + i, "body").status(), 200);
+            assertEquals(
+                    stage.request(i % 2, "POST", "/order/x", "once-" + i, "body")
+                            .status(),
+                    200);
         }
         for (int i = 0; i < 40; i++) {
             assertEquals(Collections.frequency(stage.ran(), "once-" + i), 1);
@@ -58,8 +62,7 @@
         assertEquals(raw(get("/look/", "desk.example", KEY)), 400);
         assertEquals(raw(get("/look/", "desk.example", ids + KEY + "Host: two.example\r\n")), 400);
         assertEquals(raw(get("/look/", "desk.example", ids + KEY + "Bad Name: x\r\n")), 400);
-        assertEquals(raw(get("/look/", "desk.example", ids + KEY + "Long: " + "x".repeat(20_000)
-                + "\r\n")), 431);
+        assertEquals(raw(get("/look/", "desk.example", ids + KEY + "Long: " + "x".repeat(20_000) + "\r\n")), 431);
         String post = "POST /order/ HTTP/1.1\r\nHost: desk.example\r\n" + ids + KEY;
         assertEquals(raw(post + "Content-Length: 99999999999\r\n\r\n"), 413);
         assertEquals(raw(post + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"), 400);
@@ -75,8 +78,7 @@
         Stage.Told told = stage.request(0, "POST", "/order/x", "large", "y".repeat(large));
         assertEquals(told.status(), 200);
         assertTrue(told.text().contains(large + " bytes"), told.text());
-        String chunked = "POST /order/ HTTP/1.1\r\nHost: desk.example\r\n" + String.format(IDS,
-                "chunks") + KEY
+        String chunked = "POST /order/ HTTP/1.1\r\nHost: desk.example\r\n" + String.format(IDS, "chunks") + KEY
                 + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n6;x=y\r\n world\r\n0\r\n\r\n";
         Stage.Told chunks = stage.ask(stage.front(0), chunked.getBytes(StandardCharsets.ISO_8859_1));
         assertTrue(chunks.text().contains("11 bytes"), chunks.text());
@@ -85,10 +87,19 @@
     /** How a checker misbehaves, and what the client of a request that may run once is told. */
     @DataProvider
     public Object[][] mischief() {
-        return new Object[][] {{"stray", 200}, {"behind", 200}, {"cut", 502}, {"endless", 502},
-                {"noseal", 502},
-            {"coded", 502}, {"other", 502}, {"noise", 502}, {"silent", 502}, {"unmarked", 502},
-                    {"limited", 502}};
+        return new Object[][] {
+            {"stray", 200},
+            {"behind", 200},
+            {"cut", 502},
+            {"endless", 502},
+            {"noseal", 502},
+            {"coded", 502},
+            {"other", 502},
+            {"noise", 502},
+            {"silent", 502},
+            {"unmarked", 502},
+            {"limited", 502}
+        };
     }
 
     @Test(dataProvider = "mischief")
--- a/src/test/java/reedmux/lab/world/ContactWorldTest.java
+++ b/src/test/java/reedmux/lab/world/ContactWorldTest.java
@@ -35,17 +35,27 @@
     @BeforeMethod
     public void start() {
         world = new World(6);
-        deployment = new Deployment(world, 2, 3, line -> { });
+        deployment = new Deployment(world, 2, 3, line -> {});
         deployment.start();
-        outside = new Host(world, new Machine(world, "10.9.0.1", "hall-a", false), "outside", 0, line -> { });
+        outside = new Host(world, new Machine(world, "10.9.0.1", "hall-a", false), "outside", 0, line -> {});
         InvariantChecker watch = new InvariantChecker();
         for (int i = 0; i < 4; i++) {
-            new CheckerActor(world, new Machine(world, "10.3.0." + (i + 1), "hall-a", false), "i-" + i,
-                    Settings.SERVICES[i % 2], deployment.control(), watch, () -> { }, ip -> { });
+            new CheckerActor(
+                    world,
+                    new Machine(world, "10.3.0." + (i + 1), "hall-a", false),
+                    "i-" + i,
+                    Settings.SERVICES[i % 2],
+                    deployment.control(),
+                    watch,
+                    () -> {},
+                    ip -> {});
         }
-        new Operator(world, "10.8.0.1", deployment.control(), watch).adjust(
-                new Settings(new Random(1)).first(), InvariantChecker.Proper.VALID, Settings::shows,
-                status -> { });
+        new Operator(world, "10.8.0.1", deployment.control(), watch)
+                .adjust(
+                        new Settings(new Random(1)).first(),
+                        InvariantChecker.Proper.VALID,
+                        Settings::shows,
+                        status -> {});
         world.run(5 * SECOND);
     }
 
@@ -54,8 +64,8 @@
         String[] told = {"0"};
         outside.reactor().execute(() -> {
             try {
-                new Asker(outside.reactor(), at, call, 3 * SECOND, (status, head, text) ->
-                        told[0] = status + " " + text);
+                new Asker(
+                        outside.reactor(), at, call, 3 * SECOND, (status, head, text) -> told[0] = status + " " + text);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -65,9 +75,16 @@
     }
 
     private int ask(InetSocketAddress at, String path) {
-        String told = ask(at, Asker.request("GET", path, "h.example", "",
-                "Reedmux-Attempt-Id: a" + world.now() + "\r\n", "Reedmux-Time-Left-Ms: 1500\r\n",
-                "Authorization: Bearer key-0-first.\r\n"));
+        String told = ask(
+                at,
+                Asker.request(
+                        "GET",
+                        path,
+                        "h.example",
+                        "",
+                        "Reedmux-Attempt-Id: a" + world.now() + "\r\n",
+                        "Reedmux-Time-Left-Ms: 1500\r\n",
+                        "Authorization: Bearer key-0-first.\r\n"));
         return Integer.parseInt(told.split(" ")[0]);
     }
 
@@ -82,7 +99,8 @@
     private void cut(boolean both) {
         List<Deployment.Node> cores = deployment.cores();
         List<Machine> far = List.of(cores.get(1).machine(), cores.get(2).machine());
-        for (Machine near : List.of(cores.get(0).machine(), deployment.edges().get(0).machine())) {
+        for (Machine near :
+                List.of(cores.get(0).machine(), deployment.edges().get(0).machine())) {
             for (Machine other : far) {
                 if (both) {
                     world.cut(near, other);
@@ -122,7 +140,9 @@
         cut(true);
         for (int i = 0; i < 5; i++) {
             assertTrue(control(1, Asker.post("/v1/Config.Adjust", NEWER)).startsWith(i == 0 ? "" : "200"));
-            for (byte[] call : List.of(read(), Asker.post("/v1/Config.Adjust", EMPTY),
+            for (byte[] call : List.of(
+                    read(),
+                    Asker.post("/v1/Config.Adjust", EMPTY),
                     Asker.post("/v1/Config.Adjust", NEWER.replace("connCeiling", "x")))) {
                 String told = control(0, call);
                 assertTrue(told.startsWith("503"), told);
@@ -155,15 +175,14 @@
      */
     @Test
     public void whatChangesWhileDigestsAreComparedIsToldBehindThem() throws IOException {
-        Host peer = new Host(world, new Machine(world, "10.7.0.5", "hall-a", false), "peer", 0, line -> { });
-        Messages.Hello hello = new Messages.Hello(Messages.FORM, "store", "peer", "10.7.0.5", "hall-a", 1,
-                List.of());
+        Host peer = new Host(world, new Machine(world, "10.7.0.5", "hall-a", false), "peer", 0, line -> {});
+        Messages.Hello hello = new Messages.Hello(Messages.FORM, "store", "peer", "10.7.0.5", "hall-a", 1, List.of());
         Replica known = new Replica();
         List<Integer> differ = new ArrayList<>();
         boolean[] over = {false};
         Link.Owner owner = new Link.Owner() {
             @Override
-            public void up(Link link) { }
+            public void up(Link link) {}
 
             @Override
             public void told(Link link, Object message) {
@@ -179,14 +198,15 @@
             }
 
             @Override
-            public void down(Link link) { }
+            public void down(Link link) {}
         };
-        InetSocketAddress store = Addresses.parse(deployment.cores().get(1).machine().ip() + ':'
-                + Deployment.STORE);
-        peer.enter(() -> { });
+        InetSocketAddress store =
+                Addresses.parse(deployment.cores().get(1).machine().ip() + ':' + Deployment.STORE);
+        peer.enter(() -> {});
         Link link = Link.open(peer.reactor(), new Codec(), hello, store, owner);
         world.run(SECOND / 2);
-        peer.enter(() -> link.say(new Messages.Compare(List.of(), known.digests().of(List.of()))));
+        peer.enter(
+                () -> link.say(new Messages.Compare(List.of(), known.digests().of(List.of()))));
         world.run(SECOND / 10);
         assertFalse(differ.isEmpty());
         List<String> later = new ArrayList<>();
@@ -209,18 +229,17 @@
     @Test
     public void whatWasSaidInAnotherTimeIsNotRead() throws IOException {
         for (boolean wakes : new boolean[] {false, true}) {
-            Host one = new Host(world, new Machine(world, "10.7.0." + (wakes ? 1 : 3), "hall-a", false),
-                    "one", 0, line -> { });
-            Host two = new Host(world, new Machine(world, "10.7.0." + (wakes ? 2 : 4), "hall-a", false),
-                    "two", 0, line -> { });
+            Host one = new Host(
+                    world, new Machine(world, "10.7.0." + (wakes ? 1 : 3), "hall-a", false), "one", 0, line -> {});
+            Host two = new Host(
+                    world, new Machine(world, "10.7.0." + (wakes ? 2 : 4), "hall-a", false), "two", 0, line -> {});
             List<Object> heard = new ArrayList<>();
             InetSocketAddress at = Addresses.parse(two.machine().ip() + ":7000");
-            Messages.Hello hello = new Messages.Hello(Messages.FORM, "store", "n", "10.7.0.9", "z", 1,
-                    List.of());
+            Messages.Hello hello = new Messages.Hello(Messages.FORM, "store", "n", "10.7.0.9", "z", 1, List.of());
             Link[] links = new Link[2];
             Link.Owner owner = new Link.Owner() {
                 @Override
-                public void up(Link link) { }
+                public void up(Link link) {}
 
                 @Override
                 public void told(Link link, Object message) {
@@ -232,10 +251,9 @@
                     heard.add("down");
                 }
             };
-            new Listener(two.reactor(), at,
-                    wire -> links[1] = Link.of(two.reactor(), new Codec(), hello, wire, owner));
-            one.enter(() -> { });
-            two.enter(() -> { });
+            new Listener(two.reactor(), at, wire -> links[1] = Link.of(two.reactor(), new Codec(), hello, wire, owner));
+            one.enter(() -> {});
+            two.enter(() -> {});
             links[0] = Link.open(one.reactor(), new Codec(), hello, at, owner);
             world.run(SECOND);
             assertNotEquals(links[1], null);
--- a/src/test/java/reedmux/lab/world/DaysTest.java
+++ b/src/test/java/reedmux/lab/world/DaysTest.java
@@ -14,8 +14,13 @@
     @Test
     public void drawnDaysBreakNoRule() throws InterruptedException {
         List<String> broken = new ArrayList<>();
-        Days.Sum sum = new Days(new Day.Shape(8, 3, 12, false)).play(1, 24, 4, line -> { },
-                day -> day.broken().forEach(line -> broken.add("seed " + day.seed() + ": " + line)));
+        Days.Sum sum = new Days(new Day.Shape(8, 3, 12, false))
+                .play(
+                        1,
+                        24,
+                        4,
+                        line -> {},
+                        day -> day.broken().forEach(line -> broken.add("seed " + day.seed() + ": " + line)));
         assertEquals(broken, List.of());
         assertTrue(sum.served() > 0.7 * sum.asked(), sum.served() + " of " + sum.asked());
     }
@@ -23,8 +28,13 @@
     @Test
     public void aCoreOfFiveBreaksNoRule() throws InterruptedException {
         List<String> broken = new ArrayList<>();
-        new Days(new Day.Shape(6, 5, 8, false)).play(101, 106, 4, line -> { },
-                day -> day.broken().forEach(line -> broken.add("seed " + day.seed() + ": " + line)));
+        new Days(new Day.Shape(6, 5, 8, false))
+                .play(
+                        101,
+                        106,
+                        4,
+                        line -> {},
+                        day -> day.broken().forEach(line -> broken.add("seed " + day.seed() + ": " + line)));
         assertEquals(broken, List.of());
     }
 
@@ -32,15 +42,24 @@
     @Test
     public void operatorsThatContendLeaveNothingInvalidInForce() throws InterruptedException {
         List<String> broken = new ArrayList<>();
-        new Days(new Day.Shape(4, 5, 1, true)).play(86, 115, 4, line -> { },
-                day -> day.broken().forEach(line -> broken.add("seed " + day.seed() + ": " + line)));
+        new Days(new Day.Shape(4, 5, 1, true))
+                .play(
+                        86,
+                        115,
+                        4,
+                        line -> {},
+                        day -> day.broken().forEach(line -> broken.add("seed " + day.seed() + ": " + line)));
         assertEquals(broken, List.of());
     }
 
     @Test
     public void aSeedPlayedAgainGivesTheSameDigest() throws InterruptedException {
-        long once = new Days(new Day.Shape(5, 3, 6, false)).play(7, 9, 1, line -> { }, day -> { }).digest();
-        long again = new Days(new Day.Shape(5, 3, 6, false)).play(7, 9, 3, line -> { }, day -> { }).digest();
+        long once = new Days(new Day.Shape(5, 3, 6, false))
+                .play(7, 9, 1, line -> {}, day -> {})
+                .digest();
+        long again = new Days(new Day.Shape(5, 3, 6, false))
+                .play(7, 9, 3, line -> {}, day -> {})
+                .digest();
         assertEquals(again, once);
     }
 
@@ -53,15 +72,20 @@
     @Test(dataProvider = "points")
     public void aStormBreaksNoRule(int point, int cores) throws InterruptedException {
         List<String> broken = new ArrayList<>();
-        new Days(new Day.Shape(6, cores, 1, false, point, true)).play(1, 3, 4, line -> { },
-                day -> day.broken().forEach(line -> broken.add("seed " + day.seed() + ": " + line)));
+        new Days(new Day.Shape(6, cores, 1, false, point, true))
+                .play(
+                        1,
+                        3,
+                        4,
+                        line -> {},
+                        day -> day.broken().forEach(line -> broken.add("seed " + day.seed() + ": " + line)));
         assertEquals(broken, List.of());
     }
 
     @Test
     public void aStormPlayedAgainGivesTheSameDigest() throws InterruptedException {
         Day.Shape shape = new Day.Shape(5, 5, 1, false, 2, true);
-        long once = new Days(shape).play(5, 6, 1, line -> { }, day -> { }).digest();
-        assertEquals(new Days(shape).play(5, 6, 2, line -> { }, day -> { }).digest(), once);
+        long once = new Days(shape).play(5, 6, 1, line -> {}, day -> {}).digest();
+        assertEquals(new Days(shape).play(5, 6, 2, line -> {}, day -> {}).digest(), once);
     }
 }
--- a/src/test/java/reedmux/lab/world/DrainsTest.java
+++ b/src/test/java/reedmux/lab/world/DrainsTest.java
@@ -13,20 +13,21 @@
     private static final long SECOND = 1_000_000;
     /** A caller waits for a second. */
     private static final long PATIENCE = SECOND;
+
     private World world;
     private Deployment deployment;
     private Host outside;
     private int seq;
 
     /** An answer, and when it came; status 0 where none came in time. */
-    private record Told(int status, long after, int bytes) { }
+    private record Told(int status, long after, int bytes) {}
 
     @BeforeMethod
     public void start() {
         world = new World(9);
-        deployment = new Deployment(world, 2, 3, line -> { });
+        deployment = new Deployment(world, 2, 3, line -> {});
         deployment.start();
-        outside = new Host(world, new Machine(world, "10.9.0.1", "hall-a", false), "outside", 0, line -> { });
+        outside = new Host(world, new Machine(world, "10.9.0.1", "hall-a", false), "outside", 0, line -> {});
         world.run(3 * SECOND);
     }
 
@@ -35,9 +36,12 @@
         long begun = world.now();
         outside.reactor().execute(() -> {
             try {
-                new Asker(outside.reactor(), deployment.control().get(core), Asker.post(path, body), PATIENCE,
-                        (status, head, text) -> told[0] = new Told(status, world.now() - begun,
-                                text.length()));
+                new Asker(
+                        outside.reactor(),
+                        deployment.control().get(core),
+                        Asker.post(path, body),
+                        PATIENCE,
+                        (status, head, text) -> told[0] = new Told(status, world.now() - begun, text.length()));
             } catch (IOException e) {
                 told[0] = new Told(0, 0, 0);
             }
@@ -47,9 +51,12 @@
     }
 
     private Told beat(int core, String id, String phase) {
-        return call(core, "/v1/Instances.Heartbeat/" + id, "{\"plant\":\"desk\","
-                + "\"address\":\"10.3.0.7:8080\",\"zone\":\"hall-a\",\"revision\":\"v1\",\"capacity\":3,"
-                + "\"phase\":\"" + phase + "\",\"coldLeftMs\":0,\"seq\":" + ++seq + '}');
+        return call(
+                core,
+                "/v1/Instances.Heartbeat/" + id,
+                "{\"plant\":\"desk\","
+                        + "\"address\":\"10.3.0.7:8080\",\"zone\":\"hall-a\",\"revision\":\"v1\",\"capacity\":3,"
+                        + "\"phase\":\"" + phase + "\",\"coldLeftMs\":0,\"seq\":" + ++seq + '}');
     }
 
     private static void good(Told told) {
--- a/src/test/java/reedmux/lab/world/InvariantCheckerTest.java
+++ b/src/test/java/reedmux/lab/world/InvariantCheckerTest.java
@@ -12,8 +12,7 @@
 public class InvariantCheckerTest {
     private static final long SECOND = 1_000_000;
     private static final String ROUTE = "routes/r";
-    private static final String PLANT =
-            "{\"probe\":\"/\",\"connCeiling\":9,\"protocol\":\"h1\",\"tls\":false}";
+    private static final String PLANT = "{\"probe\":\"/\",\"connCeiling\":9,\"protocol\":\"h1\",\"tls\":false}";
     private InvariantChecker watch;
 
     @BeforeMethod
@@ -24,8 +23,13 @@
     }
 
     private static Item item(long revision, String service) {
-        return new Item("routes", "r", revision, service.equals(InvariantChecker.NONE) ? ""
-                : "{\"host\":\"h\",\"prefix\":\"/r/\",\"kind\":\"effectful\",\"plant\":\"" + service + "\"}");
+        return new Item(
+                "routes",
+                "r",
+                revision,
+                service.equals(InvariantChecker.NONE)
+                        ? ""
+                        : "{\"host\":\"h\",\"prefix\":\"/r/\",\"kind\":\"effectful\",\"plant\":\"" + service + "\"}");
     }
 
     private void version(long revision, String service, long at) {
--- a/src/test/java/reedmux/lab/world/ProgramsTest.java
+++ b/src/test/java/reedmux/lab/world/ProgramsTest.java
@@ -24,15 +24,25 @@
         world = new World(5);
         deployment = new Deployment(world, 2, 3, log::add);
         deployment.start();
-        outside = new Host(world, new Machine(world, "10.9.0.1", "hall-a", false), "outside", 0, line -> { });
+        outside = new Host(world, new Machine(world, "10.9.0.1", "hall-a", false), "outside", 0, line -> {});
         InvariantChecker watch = new InvariantChecker();
         for (int i = 0; i < 4; i++) {
-            new CheckerActor(world, new Machine(world, "10.3.0." + (i + 1), "hall-a", false), "i-" + i,
-                    Settings.SERVICES[i % 2], deployment.control(), watch, () -> { }, ip -> { });
+            new CheckerActor(
+                    world,
+                    new Machine(world, "10.3.0." + (i + 1), "hall-a", false),
+                    "i-" + i,
+                    Settings.SERVICES[i % 2],
+                    deployment.control(),
+                    watch,
+                    () -> {},
+                    ip -> {});
         }
-        new Operator(world, "10.8.0.1", deployment.control(), watch).adjust(
-                new Settings(new java.util.Random(1)).first(), InvariantChecker.Proper.VALID, Settings::shows,
-                status -> { });
+        new Operator(world, "10.8.0.1", deployment.control(), watch)
+                .adjust(
+                        new Settings(new java.util.Random(1)).first(),
+                        InvariantChecker.Proper.VALID,
+                        Settings::shows,
+                        status -> {});
         world.run(5 * SECOND);
     }
 
@@ -41,10 +51,18 @@
         long begun = world.now();
         outside.reactor().execute(() -> {
             try {
-                new Asker(outside.reactor(), deployment.front(deployment.edges().get(0)),
-                        Asker.request("GET", path, "h.example", "", "Reedmux-Attempt-Id: a" + begun + "\r\n",
+                new Asker(
+                        outside.reactor(),
+                        deployment.front(deployment.edges().get(0)),
+                        Asker.request(
+                                "GET",
+                                path,
+                                "h.example",
+                                "",
+                                "Reedmux-Attempt-Id: a" + begun + "\r\n",
                                 "Reedmux-Time-Left-Ms: " + timeLeft + "\r\n",
-                                "Authorization: Bearer key-0-first.\r\n"), 3 * SECOND,
+                                "Authorization: Bearer key-0-first.\r\n"),
+                        3 * SECOND,
                         (status, head, text) -> {
                             told[0] = status;
                             told[1] = (int) (world.now() - begun);
@@ -122,7 +140,10 @@
     public void aProxyThatStartsTakesASnapshotInPieces() throws java.io.IOException {
         Operator operator = new Operator(world, "10.8.0.9", deployment.control(), new InvariantChecker());
         for (int from = 0; from < 6_000; from += 500) {
-            operator.adjust(CatchUp.tenants(from, 500, 1), InvariantChecker.Proper.VALID, Settings::shows,
+            operator.adjust(
+                    CatchUp.tenants(from, 500, 1),
+                    InvariantChecker.Proper.VALID,
+                    Settings::shows,
                     status -> assertEquals((int) status, 200));
             world.run(2 * SECOND);
         }
--- a/src/test/java/reedmux/lab/world/ShowWorldTest.java
+++ b/src/test/java/reedmux/lab/world/ShowWorldTest.java
@@ -28,17 +28,27 @@
     @BeforeMethod
     public void start() {
         world = new World(8);
-        deployment = new Deployment(world, 2, 3, line -> { });
+        deployment = new Deployment(world, 2, 3, line -> {});
         deployment.start();
-        outside = new Host(world, new Machine(world, "10.9.0.1", "hall-a", false), "outside", 0, line -> { });
+        outside = new Host(world, new Machine(world, "10.9.0.1", "hall-a", false), "outside", 0, line -> {});
         InvariantChecker watch = new InvariantChecker();
         for (int i = 0; i < 4; i++) {
-            new CheckerActor(world, new Machine(world, "10.3.0." + (i + 1), "hall-a", false), "i-" + i,
-                    Settings.SERVICES[i % 2], deployment.control(), watch, () -> { }, ip -> { });
+            new CheckerActor(
+                    world,
+                    new Machine(world, "10.3.0." + (i + 1), "hall-a", false),
+                    "i-" + i,
+                    Settings.SERVICES[i % 2],
+                    deployment.control(),
+                    watch,
+                    () -> {},
+                    ip -> {});
         }
-        new Operator(world, "10.8.0.1", deployment.control(), watch).adjust(
-                new Settings(new Random(1)).first(), InvariantChecker.Proper.VALID, Settings::shows,
-                status -> { });
+        new Operator(world, "10.8.0.1", deployment.control(), watch)
+                .adjust(
+                        new Settings(new Random(1)).first(),
+                        InvariantChecker.Proper.VALID,
+                        Settings::shows,
+                        status -> {});
         world.run(5 * SECOND);
     }
 
@@ -46,9 +56,12 @@
         String[] told = {"0"};
         outside.reactor().execute(() -> {
             try {
-                new Asker(outside.reactor(), deployment.control().get(core),
-                        Asker.request("GET", path, "c", ""), 3 * SECOND, (status, head, text) ->
-                                told[0] = status + " " + text);
+                new Asker(
+                        outside.reactor(),
+                        deployment.control().get(core),
+                        Asker.request("GET", path, "c", ""),
+                        3 * SECOND,
+                        (status, head, text) -> told[0] = status + " " + text);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -99,7 +112,9 @@
             for (Map<String, Object> member : members) {
                 assertEquals(member.get("linked"), true);
             }
-            assertEquals(entries(show(core, "Duties")).get(0).get("holder"), members.get(0).get("ip"));
+            assertEquals(
+                    entries(show(core, "Duties")).get(0).get("holder"),
+                    members.get(0).get("ip"));
         }
     }
 
@@ -111,7 +126,8 @@
         Map<String, Object> second = show(1, "Checkers?limit=3&after=" + first.get("next"));
         assertEquals(entries(second).size(), 1);
         assertEquals(second.get("next"), null);
-        assertEquals(entries(show(1, "Checkers?service=" + Settings.SERVICES[0])).size(), 2);
+        assertEquals(
+                entries(show(1, "Checkers?service=" + Settings.SERVICES[0])).size(), 2);
         TreeSet<String> keys = new TreeSet<>();
         Object after = "";
         int pages = 0;
@@ -165,8 +181,7 @@
     @Test
     public void whatCannotBeReadIsToldWithItsName() {
         assertEquals(ask(0, "/v1/Show.Items?limit=0"), "400 Show.Items: limit is no number from 1 to 1000\n");
-        assertEquals(ask(0, "/v1/Show.Items?limit=1001"),
-                "400 Show.Items: limit is no number from 1 to 1000\n");
+        assertEquals(ask(0, "/v1/Show.Items?limit=1001"), "400 Show.Items: limit is no number from 1 to 1000\n");
         assertEquals(ask(0, "/v1/Show.Items?service=a"), "400 Show.Items has no parameter service\n");
         assertEquals(ask(0, "/v1/Show.Items?after=%zz"), "400 Show.Items: after cannot be read\n");
         assertTrue(ask(0, "/v1/Show.Lives").startsWith("404 there is no Show.Lives, but Members"));
--- a/src/test/java/reedmux/link/LinkTest.java
+++ b/src/test/java/reedmux/link/LinkTest.java
@@ -16,8 +16,7 @@
 
 /** What comes from whoever opens a connection: messages, or bytes that are none. */
 public class LinkTest {
-    private static final Hello OTHER = new Hello(Messages.FORM, "proxy", "edge-1", "10.1.0.1", "a", 5,
-            List.of());
+    private static final Hello OTHER = new Hello(Messages.FORM, "proxy", "edge-1", "10.1.0.1", "a", 5, List.of());
 
     private static final class Owner implements Link.Owner {
         final List<Object> told = new ArrayList<>();
@@ -41,7 +40,11 @@
     }
 
     private static String frame(byte[] bytes) {
-        return new String(ByteBuffer.allocate(4 + bytes.length).putInt(bytes.length).put(bytes).array(),
+        return new String(
+                ByteBuffer.allocate(4 + bytes.length)
+                        .putInt(bytes.length)
+                        .put(bytes)
+                        .array(),
                 StandardCharsets.ISO_8859_1);
     }
 
@@ -57,12 +60,15 @@
             {frame(new byte[0]), "no frame"},
             {frame(Arrays.copyOf(hello, hello.length - 1)), "cannot be read"},
             {frame(new byte[] {99, 1}), "cannot be read"},
-            {frame(new Hello(Messages.FORM + 1, "store", "n", "10.0.0.9", "a", 1, List.of())), "speaks form "
-                    + (Messages.FORM + 1) + ", here " + Messages.FORM},
+            {
+                frame(new Hello(Messages.FORM + 1, "store", "n", "10.0.0.9", "a", 1, List.of())),
+                "speaks form " + (Messages.FORM + 1) + ", here " + Messages.FORM
+            },
             {frame(new Messages.Known(1)), "before it said who it is"},
             {frame(new byte[100_000]), "no frame"},
             {frame(OTHER) + frame(new byte[] {99, 1}), "proxy of edge-1"},
-            {frame(OTHER) + frame(OTHER), "proxy of edge-1"}};
+            {frame(OTHER) + frame(OTHER), "proxy of edge-1"}
+        };
     }
 
     /** A clear line, once, and an end; and the next link is heard. */
--- a/src/test/java/reedmux/log/RingTest.java
+++ b/src/test/java/reedmux/log/RingTest.java
@@ -19,7 +19,14 @@
         ring.tell("at once");
         ring.wrong("it broke");
         ring.wrong("again");
-        assertEquals(out, List.of("n 5ms at once", "n (1 earlier lines are gone)", "n 5ms two", "n 5ms three",
-                "n 5ms it broke", "n 5ms again"));
+        assertEquals(
+                out,
+                List.of(
+                        "n 5ms at once",
+                        "n (1 earlier lines are gone)",
+                        "n 5ms two",
+                        "n 5ms three",
+                        "n 5ms it broke",
+                        "n 5ms again"));
     }
 }
--- a/src/test/java/reedmux/member/DifferencesTest.java
+++ b/src/test/java/reedmux/member/DifferencesTest.java
@@ -59,8 +59,7 @@
         registry.end(session(500, 1));
         registry.begin(session(7, 2));
         registry.look(1);
-        assertEquals(registry.viewSince(since), new Differences(false, List.of(session(7, 2)),
-                List.of("edge-500")));
+        assertEquals(registry.viewSince(since), new Differences(false, List.of(session(7, 2)), List.of("edge-500")));
         assertEquals(registry.ownSince(since).ended(), List.of("edge-500"));
         assertTrue(registry.viewSince(counter.last()).none());
     }
--- a/src/test/java/reedmux/member/SessionsTest.java
+++ b/src/test/java/reedmux/member/SessionsTest.java
@@ -19,12 +19,13 @@
     private static int play(long first, long second) {
         return Orders.all(1000, orders -> {
             Sessions sessions = new Sessions(2_000_000);
-            List<Runnable> ofFirst = new ArrayList<>(List.of(() -> sessions.begin(session(first)),
-                    () -> sessions.end(session(first))));
+            List<Runnable> ofFirst =
+                    new ArrayList<>(List.of(() -> sessions.begin(session(first)), () -> sessions.end(session(first))));
             List<Runnable> ofSecond = new ArrayList<>(List.of(() -> sessions.begin(session(second))));
             while (ofFirst.size() + ofSecond.size() > 0) {
-                List<Runnable> next = ofFirst.isEmpty() ? ofSecond : ofSecond.isEmpty() ? ofFirst
-                        : orders.pick(2) == 0 ? ofFirst : ofSecond;
+                List<Runnable> next = ofFirst.isEmpty()
+                        ? ofSecond
+                        : ofSecond.isEmpty() ? ofFirst : orders.pick(2) == 0 ? ofFirst : ofSecond;
                 next.remove(0).run();
             }
             assertEquals(sessions.view(NOW).members(), List.of(session(second)));
--- a/src/test/java/reedmux/net/ScriptedSockets.java
+++ b/src/test/java/reedmux/net/ScriptedSockets.java
@@ -18,9 +18,11 @@
 public final class ScriptedSockets implements Environment {
     /** Connections that were opened or accepted, in their order. */
     public final List<Conn> opened = new ArrayList<>();
+
     public final List<String> lines = new ArrayList<>();
     /** How many bytes a new connection takes before it blocks. */
     public long room = Long.MAX_VALUE;
+
     private final Deque<Runnable> tasks = new ArrayDeque<>();
     private final Reactor reactor;
     private long now = 1_000_000;
@@ -168,7 +170,7 @@
         }
 
         @Override
-        public void endOutput() { }
+        public void endOutput() {}
 
         @Override
         public void close() {
@@ -183,7 +185,7 @@
 
     /** Time passes, with a turn each hundredth of a second. */
     public void pass(long micros) {
-        for (long until = now + micros; now < until;) {
+        for (long until = now + micros; now < until; ) {
             now = Math.min(until, now + 10_000);
             reactor.turn();
         }
@@ -246,8 +248,8 @@
     }
 
     @Override
-    public void await(long until) { }
+    public void await(long until) {}
 
     @Override
-    public void close() { }
+    public void close() {}
 }
--- a/src/test/java/reedmux/operator/DoorTest.java
+++ b/src/test/java/reedmux/operator/DoorTest.java
@@ -17,6 +17,7 @@
 public final class DoorTest {
     /** No verdict hangs on it: it only ends a test that would otherwise wait for ever. */
     private static final int HANGS = 10_000;
+
     private final List<String> log = new ArrayList<>();
     private final LifeCycle life = new LifeCycle();
     private final Figures figures = new Figures();
@@ -84,7 +85,8 @@
 
     @Test
     public void aLineWithoutEndIsToldAndAnEmptyConnectionIsClosed() throws IOException {
-        try (Socket half = connect(); Socket nothing = connect()) {
+        try (Socket half = connect();
+                Socket nothing = connect()) {
             half.getOutputStream().write("drain-on".getBytes(StandardCharsets.US_ASCII));
             half.shutdownOutput();
             assertEquals("-ERR the line has no end\n", rest(half));
--- a/src/test/java/reedmux/operator/FiguresTest.java
+++ b/src/test/java/reedmux/operator/FiguresTest.java
@@ -23,9 +23,10 @@
         check.cutOff();
         own.called();
         own.hosts(7, 2);
-        assertEquals("svc.success.check:2|c\nsvc.busy.check:2|c\nsvc.failure.check:6|c\n"
-                + "svc.success.reject:0|c\nsvc.busy.reject:0|c\nsvc.failure.reject:0|c\n"
-                + "svc.backend_calls:1|c\nsvc.inflight:1|g\nsvc.hosts_listed:7|g\nsvc.hosts_down:2|g\n",
+        assertEquals(
+                "svc.success.check:2|c\nsvc.busy.check:2|c\nsvc.failure.check:6|c\n"
+                        + "svc.success.reject:0|c\nsvc.busy.reject:0|c\nsvc.failure.reject:0|c\n"
+                        + "svc.backend_calls:1|c\nsvc.inflight:1|g\nsvc.hosts_listed:7|g\nsvc.hosts_down:2|g\n",
                 figures.text());
     }
 
@@ -37,13 +38,17 @@
         invoices.ofClass("check").answered(200);
         invoices.called();
         invoices.hosts(4, 0);
-        assertEquals("svc.success.invoices.check:1|c\nsvc.busy.invoices.check:0|c\n"
-                + "svc.failure.invoices.check:0|c\nsvc.backend_calls:2|c\nsvc.inflight:0|g\n"
-                + "svc.hosts_listed:7|g\nsvc.hosts_down:1|g\n", figures.text());
+        assertEquals(
+                "svc.success.invoices.check:1|c\nsvc.busy.invoices.check:0|c\n"
+                        + "svc.failure.invoices.check:0|c\nsvc.backend_calls:2|c\nsvc.inflight:0|g\n"
+                        + "svc.hosts_listed:7|g\nsvc.hosts_down:1|g\n",
+                figures.text());
         invoices.hosts(0, 0);
         figures.service("invoices").ofClass("check").answered(200); // it has come back
-        assertEquals("svc.success.invoices.check:2|c\nsvc.busy.invoices.check:0|c\n"
-                + "svc.failure.invoices.check:0|c\nsvc.backend_calls:2|c\nsvc.inflight:0|g\n"
-                + "svc.hosts_listed:3|g\nsvc.hosts_down:1|g\n", figures.text());
+        assertEquals(
+                "svc.success.invoices.check:2|c\nsvc.busy.invoices.check:0|c\n"
+                        + "svc.failure.invoices.check:0|c\nsvc.backend_calls:2|c\nsvc.inflight:0|g\n"
+                        + "svc.hosts_listed:3|g\nsvc.hosts_down:1|g\n",
+                figures.text());
     }
 }
--- a/src/test/java/reedmux/policy/Example.java
+++ b/src/test/java/reedmux/policy/Example.java
@@ -13,12 +13,12 @@
 /** The README's example. */
 final class Example {
 
-    private Example() { }
+    private Example() {}
 
     static int sentFor(Settings settings) {
         int[] sent = {0};
-        serve(settings, (Actions) Proxy.newProxyInstance(Actions.class.getClassLoader(),
-                new Class<?>[] {Actions.class}, (proxy, method, args) -> {
+        serve(settings, (Actions) Proxy.newProxyInstance(
+                Actions.class.getClassLoader(), new Class<?>[] {Actions.class}, (proxy, method, args) -> {
                     sent[0] += method.getName().equals("send") ? 1 : 0;
                     return null;
                 }));
--- a/src/test/java/reedmux/policy/Group.java
+++ b/src/test/java/reedmux/policy/Group.java
@@ -34,12 +34,12 @@
     static final int UNSAFE = 2;
 
     /** What a module has sent for a request. */
-    record Sent(int gateway, String request, String server, long timeout, long at) { }
+    record Sent(int gateway, String request, String server, long timeout, long at) {}
 
     /** A module's refusal. */
-    record Refused(int gateway, String request, long retryAfter) { }
+    record Refused(int gateway, String request, long retryAfter) {}
 
-    private record Due(long at, long order, int gateway, Brain life, Event event) { }
+    private record Due(long at, long order, int gateway, Brain life, Event event) {}
 
     final List<Sent> sent = new ArrayList<>();
     final List<Refused> refused = new ArrayList<>();
@@ -48,6 +48,7 @@
     final List<Integer> tellers = new ArrayList<>();
     /** Messages that reached each gateway. */
     final Map<Integer, Integer> heard = new HashMap<>();
+
     private final Map<Integer, Long> stalledUntil = new HashMap<>();
     final List<String> watches = new ArrayList<>();
     final Settings[] settings;
@@ -64,6 +65,7 @@
     Function<Sent, Outcome> ends = sent -> Outcome.OK;
     /** What answers take longer than usual. */
     long slow;
+
     long now = SECOND;
 
     Group(Settings... settings) {
@@ -92,8 +94,7 @@
     }
 
     static Settings settings(int self, int size, Plan plan) {
-        return settings(self, size, plan,
-                new Gateway.Limits(true, false, false, true, false, 3, SECOND, 60, 256, 0));
+        return settings(self, size, plan, new Gateway.Limits(true, false, false, true, false, 3, SECOND, 60, 256, 0));
     }
 
     static Settings settings(int self, int size, Plan plan, Gateway.Limits limits) {
@@ -101,12 +102,22 @@
                 requestClass("read", Repeat.SAFE, Gateway.Group.ALL, 500 * MS, 2 * SECOND, 1),
                 requestClass("keyed", Repeat.KEYED, Gateway.Group.CELL, SECOND, 4 * SECOND, 2),
                 requestClass("once", Repeat.UNSAFE, Gateway.Group.ALL, SECOND, 4 * SECOND, 5));
-        return new Settings(self, size, 0, false, false, 1, MS, classes, List.of(plan),
-                new Rules(16 * MS, 10 * SECOND, 0.25, 12 * SECOND, 250 * MS, 3, SECOND), limits);
+        return new Settings(
+                self,
+                size,
+                0,
+                false,
+                false,
+                1,
+                MS,
+                classes,
+                List.of(plan),
+                new Rules(16 * MS, 10 * SECOND, 0.25, 12 * SECOND, 250 * MS, 3, SECOND),
+                limits);
     }
 
-    private static RequestClass requestClass(String name, Repeat repeat, Gateway.Group group, long aim,
-                                             long deadline, double worth) {
+    private static RequestClass requestClass(
+            String name, Repeat repeat, Gateway.Group group, long aim, long deadline, double worth) {
         return new RequestClass(name, repeat, group, 8 * SECOND, aim, deadline, worth, 0, false);
     }
 
@@ -155,7 +166,7 @@
     /** Sends a request every {@code gap} for {@code length}; returns how many were sent on. */
     int traffic(int gateway, long customer, int spread, long gap, long length) {
         int before = sent.size();
-        for (long end = now + length; now < end;) {
+        for (long end = now + length; now < end; ) {
             request(gateway, SAFE, customer, 0, spread);
             run(gap);
         }
@@ -212,13 +223,17 @@
         @Override
         public void send(String request, String server, long timeout) {
             Sent one = new Sent(gateway, request, server, timeout, now);
-            int attempt = (int) sent.stream().filter(s -> s.request.equals(request)).count();
+            int attempt =
+                    (int) sent.stream().filter(s -> s.request.equals(request)).count();
             sent.add(one);
             Outcome outcome = ends.apply(one);
             boolean answered = outcome != null && outcome != Outcome.TIMEOUT;
             long took = answered ? 50 * MS + slow : timeout;
             Outcome end = answered ? outcome : Outcome.TIMEOUT;
-            later(now + took, gateway, life,
+            later(
+                    now + took,
+                    gateway,
+                    life,
                     new AttemptEnded(request, end == Outcome.OK, server, attempt, 0, took, end));
         }
 
@@ -233,13 +248,13 @@
         }
 
         @Override
-        public void cancel(String request, int attempt) { }
+        public void cancel(String request, int attempt) {}
 
         @Override
-        public void probe(String server) { }
+        public void probe(String server) {}
 
         @Override
-        public void closeIdle(String server) { }
+        public void closeIdle(String server) {}
 
         @Override
         public void tell(int peer, byte[] bytes) {
@@ -258,7 +273,7 @@
         }
 
         @Override
-        public void fetchServers() { }
+        public void fetchServers() {}
 
         @Override
         public void watchServers(boolean on) {
@@ -271,6 +286,6 @@
         }
 
         @Override
-        public void log(String line) { }
+        public void log(String line) {}
     }
 }
--- a/src/test/java/reedmux/policy/GuardTest.java
+++ b/src/test/java/reedmux/policy/GuardTest.java
@@ -11,6 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
 import reedmux.policy.Gateway.Limits;
 import reedmux.policy.Gateway.Outcome;
 import reedmux.policy.Gateway.Plan;
@@ -20,14 +21,16 @@
 import reedmux.policy.Gateway.Settings;
 import reedmux.policy.Gateway.Status;
 import reedmux.policy.Gateway.Withdrawn;
-import org.junit.jupiter.api.Test;
 
 /** The rules' guards, the caps and the care of servers. */
 class GuardTest {
     private static final Plan WIDE = Group.quota(1000, 1000);
 
     private static List<String> serversOf(Group group, String request) {
-        return group.sent.stream().filter(s -> s.request().equals(request)).map(Group.Sent::server).toList();
+        return group.sent.stream()
+                .filter(s -> s.request().equals(request))
+                .map(Group.Sent::server)
+                .toList();
     }
 
     @Test
@@ -99,10 +102,14 @@
     @Test
     void drainingAndGoneServersGetNothing() {
         Group group = Group.of(1, WIDE);
-        group.give(0, new ServerList(Scope.CHANGES, List.of(Group.server(0, Status.DRAINING, 0),
-                Group.server(1, Status.GONE, 0))));
-        group.give(0, new ServerList(Scope.FULL, List.of(Group.server(0, Status.DRAINING, 0),
-                Group.server(2, Status.READY, 0))));
+        group.give(
+                0,
+                new ServerList(
+                        Scope.CHANGES, List.of(Group.server(0, Status.DRAINING, 0), Group.server(1, Status.GONE, 0))));
+        group.give(
+                0,
+                new ServerList(
+                        Scope.FULL, List.of(Group.server(0, Status.DRAINING, 0), Group.server(2, Status.READY, 0))));
         for (int i = 0; i < 50; i++) {
             group.request(0, i % 3, i, 0, 1);
             group.run(10 * Group.MS);
@@ -166,8 +173,7 @@
             group.run(4 * Group.MS);
         }
         for (int gateway = 0; gateway < 60; gateway++) {
-            group.give(gateway, new ServerList(Scope.CHANGES,
-                    List.of(Group.server(4, Status.READY, group.now))));
+            group.give(gateway, new ServerList(Scope.CHANGES, List.of(Group.server(4, Status.READY, group.now))));
         }
         int before = group.sent.size();
         for (int i = 0; i < 250; i++) {
@@ -175,7 +181,8 @@
             group.run(4 * Group.MS);
         }
         long cold = group.sent.subList(before, group.sent.size()).stream()
-                .filter(s -> s.server().equals("10.0.0.4:80")).count();
+                .filter(s -> s.server().equals("10.0.0.4:80"))
+                .count();
         assertTrue(cold < 3 * 0.25 * 250 / 4, "first second: " + cold);
     }
 
@@ -185,8 +192,11 @@
      */
     @Test
     void newServersBearTheirPartWhereFewAreWarm() {
-        Group group = new Group(Group.servers(60), IntStream.range(0, 14)
-                .mapToObj(i -> Group.settings(i, 14, WIDE)).toArray(Settings[]::new));
+        Group group = new Group(
+                Group.servers(60),
+                IntStream.range(0, 14)
+                        .mapToObj(i -> Group.settings(i, 14, WIDE))
+                        .toArray(Settings[]::new));
         everyThreeMillis(group, 10);
         long started = group.now;
         List<Server> fresh = new ArrayList<>();
@@ -201,17 +211,21 @@
         int before = group.sent.size();
         everyThreeMillis(group, 8);
         Map<String, List<Long>> times = new HashMap<>();
-        group.sent.subList(before, group.sent.size())
-                .forEach(s -> times.computeIfAbsent(s.server(), id -> new ArrayList<>()).add(s.at()));
+        group.sent
+                .subList(before, group.sent.size())
+                .forEach(s -> times.computeIfAbsent(s.server(), id -> new ArrayList<>())
+                        .add(s.at()));
         double[] late = new double[2];
         for (int i = 0; i < 60; i++) {
             List<Long> at = times.getOrDefault(Group.server(i, Status.READY, 0).id(), List.of());
             boolean cold = i % 10 < 7;
-            late[cold ? 1 : 0] += at.stream().filter(t -> t > started + 4 * Group.SECOND).count()
-                    / (cold ? 42.0 : 18.0);
+            late[cold ? 1 : 0] +=
+                    at.stream().filter(t -> t > started + 4 * Group.SECOND).count() / (cold ? 42.0 : 18.0);
             for (long from : cold ? at : List.<Long>of()) { // each can do 12 requests a second when warm
                 double able = 12 * (0.25 + 0.75 * (from - started) / (12.0 * Group.SECOND));
-                long window = at.stream().filter(t -> t >= from && t < from + Group.SECOND).count();
+                long window = at.stream()
+                        .filter(t -> t >= from && t < from + Group.SECOND)
+                        .count();
                 assertTrue(window <= 3 * able, i + " fell over: " + window + " of " + able);
             }
         }
@@ -333,8 +347,18 @@
     @Test
     void askedDiscoveryIsWatchedAndAskedAgainAfterAFailure() {
         Gateway.Settings push = Group.settings(0, 1, WIDE);
-        Gateway.Settings ask = new Gateway.Settings(0, 1, 0, true, false, 1, Group.MS, push.classes(),
-                push.plans(), push.rules(), new Limits(false, false, false, false, false, 1, 0, 0, 256, 0));
+        Gateway.Settings ask = new Gateway.Settings(
+                0,
+                1,
+                0,
+                true,
+                false,
+                1,
+                Group.MS,
+                push.classes(),
+                push.plans(),
+                push.rules(),
+                new Limits(false, false, false, false, false, 1, 0, 0, 256, 0));
         Group group = new Group(ask);
         assertEquals(List.of("0 true"), group.watches);
         group.give(0, new ServerList(Scope.FAILED, List.of()));
@@ -364,10 +388,12 @@
     /** With servers by the dozen, and a request now and then, a gateway never learnt which of them hang. */
     @Test
     void gatewaysWithFewRequestsKeepToAFewServersEachAndToAllTogether() {
-        Settings[] settings = IntStream.range(0, 60).mapToObj(i -> Group.settings(i, 60, WIDE))
+        Settings[] settings = IntStream.range(0, 60)
+                .mapToObj(i -> Group.settings(i, 60, WIDE))
                 .toArray(Settings[]::new);
         List<Server> servers = IntStream.range(0, 30)
-                .mapToObj(i -> new Server("10.0.1." + i + ":80", 0, 0, 0, Status.READY, 1, 0)).toList();
+                .mapToObj(i -> new Server("10.0.1." + i + ":80", 0, 0, 0, Status.READY, 1, 0))
+                .toList();
         Group group = new Group(servers, settings);
         for (int i = 0; i < 60 * 40; i++) {
             group.request(i % 60, Group.SAFE, i, i % 60, 1);
@@ -380,7 +406,8 @@
             load.merge(sent.server(), 1, Integer::sum);
         }
         assertTrue(used.values().stream().allMatch(few -> few.size() <= 4), "servers of a gateway: " + used);
-        assertTrue(load.size() == 30 && load.values().stream().allMatch(l -> l > 20 && l < 240),
+        assertTrue(
+                load.size() == 30 && load.values().stream().allMatch(l -> l > 20 && l < 240),
                 "of 80 in the mean: " + load);
     }
 
@@ -389,7 +416,8 @@
         Limits alone = new Limits(true, false, false, false, false, 3, Group.SECOND, 60, 256, 0);
         Group group = new Group(Group.servers(30), Group.settings(0, 60, WIDE, alone));
         group.traffic(0, 1, 1, 300 * Group.MS, 5 * Group.SECOND);
-        List<String> own = group.sent.stream().map(Group.Sent::server).distinct().toList();
+        List<String> own =
+                group.sent.stream().map(Group.Sent::server).distinct().toList();
         group.ends = sent -> own.contains(sent.server()) ? Outcome.CONNECT_FAILED : Outcome.OK;
         group.traffic(0, 1, 1, 300 * Group.MS, 5 * Group.SECOND);
         int before = group.refused.size();
@@ -420,8 +448,10 @@
         group.run(900 * Group.MS);
         String other = group.request(0, Group.SAFE, 2, 0, 1);
         assertTrue(group.wasSent(other), "turned away for a body that still comes in");
-        group.give(0, new Gateway.AttemptEnded(other, true, group.sent.get(1).server(), 0, 0, 50 * Group.MS,
-                Gateway.Outcome.OK));
+        group.give(
+                0,
+                new Gateway.AttemptEnded(
+                        other, true, group.sent.get(1).server(), 0, 0, 50 * Group.MS, Gateway.Outcome.OK));
         group.give(0, new Gateway.Arriving(slow, true));
         group.run(900 * Group.MS);
         String late = group.request(0, Group.SAFE, 3, 0, 1);
--- a/src/test/java/reedmux/policy/LossTest.java
+++ b/src/test/java/reedmux/policy/LossTest.java
@@ -146,10 +146,22 @@
             group.run(Group.SECOND);
             PeerPacket last = PeerPacket.read(group.told.get(group.tellers.lastIndexOf(1)));
             List<PeerPacket.News> silentForEver = List.of(new PeerPacket.News(1, Integer.MAX_VALUE));
-            group.give(0, new Gateway.PeerMessage(1, new PeerPacket.Writer(new PeerPacket.Names(),
-                    last.incarnation() ^ (spoilt == 0 ? 5 : 0), 0, 0,
-                    spoilt == 0 ? 500 : spoilt == 1 ? 1L << 50 : last.number() + 1, 0, true, 40,
-                    spoilt == 2 ? silentForEver : List.of(), 256).finish()));
+            group.give(
+                    0,
+                    new Gateway.PeerMessage(
+                            1,
+                            new PeerPacket.Writer(
+                                            new PeerPacket.Names(),
+                                            last.incarnation() ^ (spoilt == 0 ? 5 : 0),
+                                            0,
+                                            0,
+                                            spoilt == 0 ? 500 : spoilt == 1 ? 1L << 50 : last.number() + 1,
+                                            0,
+                                            true,
+                                            40,
+                                            spoilt == 2 ? silentForEver : List.of(),
+                                            256)
+                                    .finish()));
             group.run(10 * Group.SECOND);
             for (int i = 0; i < 19; i++) {
                 group.request(1, Group.SAFE, CUSTOMER, 0, 2);
@@ -215,13 +227,23 @@
 
     private static Settings plans(int self, Plan... plans) {
         Settings one = Group.settings(self, 2, plans[0]);
-        return new Settings(self, 2, 0, false, false, 1, Group.MS, one.classes(), List.of(plans), one.rules(),
-                one.limits());
+        return new Settings(
+                self, 2, 0, false, false, 1, Group.MS, one.classes(), List.of(plans), one.rules(), one.limits());
     }
 
     private static void give(Group group, int gateway, int plan) {
-        group.give(gateway, new Request(String.format("%016x", 1000 + group.sent.size() + group.now), 0, plan,
-                CUSTOMER, group.now + Group.SECOND, 1, 2, 0, false));
+        group.give(
+                gateway,
+                new Request(
+                        String.format("%016x", 1000 + group.sent.size() + group.now),
+                        0,
+                        plan,
+                        CUSTOMER,
+                        group.now + Group.SECOND,
+                        1,
+                        2,
+                        0,
+                        false));
     }
 
     /** One gateway is told a smaller set than the other, and took a larger share of the ceiling for it. */
@@ -268,8 +290,10 @@
     @Test
     void aConsumerWhoLeavesBeforeItsCallIsUpTakesNoUnitsAndLeavesNothingOpen() {
         Settings told = Group.settings(0, 2, Group.quota(0.001, 10));
-        Group group = new Group(new Settings(0, 2, 0, false, true, 1, Group.MS, told.classes(), told.plans(),
-                told.rules(), told.limits()), Group.settings(1, 2, Group.quota(0.001, 10)));
+        Group group = new Group(
+                new Settings(
+                        0, 2, 0, false, true, 1, Group.MS, told.classes(), told.plans(), told.rules(), told.limits()),
+                Group.settings(1, 2, Group.quota(0.001, 10)));
         group.run(Group.SECOND);
         group.ends = sent -> Outcome.CONNECT_FAILED;
         for (int i = 0; i < 4; i++) {
@@ -282,14 +306,16 @@
         assertEquals(0, group.refused.size() + group.failed.size());
         assertEquals(0, group.brains[0].accounts.get(CUSTOMER).open);
         group.ends = sent -> Outcome.OK;
-        assertEquals(10, group.traffic(1, CUSTOMER, 2, 100 * Group.MS, 4 * Group.SECOND),
+        assertEquals(
+                10,
+                group.traffic(1, CUSTOMER, 2, 100 * Group.MS, 4 * Group.SECOND),
                 "the other gateway was told that they were not taken");
     }
 
     private static void keeps(boolean kept, boolean whenWhole, Outcome outcome) {
         Settings told = Group.settings(0, 1, Group.quota(0.001, 10));
-        Group group = new Group(new Settings(0, 1, 0, false, whenWhole, 1, Group.MS, told.classes(),
-                told.plans(), told.rules(), told.limits()));
+        Group group = new Group(new Settings(
+                0, 1, 0, false, whenWhole, 1, Group.MS, told.classes(), told.plans(), told.rules(), told.limits()));
         group.ends = sent -> outcome;
         for (int i = 0; i < 10; i++) {
             group.request(0, Group.UNSAFE, CUSTOMER, 0, 1);
@@ -300,7 +326,9 @@
         assertTrue(tries > 2, "sent on: " + tries);
         group.run(20 * Group.SECOND);
         group.ends = sent -> Outcome.OK;
-        assertEquals(kept ? 10 - tries : 10, group.traffic(0, CUSTOMER, 1, 100 * Group.MS,
-                4 * Group.SECOND), whenWhole + " " + outcome);
+        assertEquals(
+                kept ? 10 - tries : 10,
+                group.traffic(0, CUSTOMER, 1, 100 * Group.MS, 4 * Group.SECOND),
+                whenWhole + " " + outcome);
     }
 }
--- a/src/test/java/reedmux/policy/MemoryTest.java
+++ b/src/test/java/reedmux/policy/MemoryTest.java
@@ -67,7 +67,8 @@
         String away = "10.0.0.0:80";
         group.ends = sent -> sent.server().equals(away) ? Outcome.FULL : Outcome.OK;
         group.traffic(0, 1, 1, 10 * Group.MS, 10 * Group.SECOND);
-        long there = group.sent.stream().filter(sent -> sent.server().equals(away)).count();
+        long there =
+                group.sent.stream().filter(sent -> sent.server().equals(away)).count();
         assertTrue("of " + group.sent.size() + " there: " + there, there > 0 && there < 60);
     }
 
@@ -94,8 +95,7 @@
         PeerPacket.Names theirs = new PeerPacket.Names();
         int packets = 5 * PeerPacket.NAMED;
         for (int number = 1; number <= packets; number++) {
-            PeerPacket.Writer writer = new PeerPacket.Writer(ours, 1, 1, 0, number, 0, false, 40, List.of(),
-                    256);
+            PeerPacket.Writer writer = new PeerPacket.Writer(ours, 1, 1, 0, number, 0, false, 40, List.of(), 256);
             writer.add(new PeerPacket.Entry(number, 0, 0, 2, 1, null, null, 0)); // comes once
             writer.add(new PeerPacket.Entry(0, 0, 0, 2, 1, null, null, 0)); // comes always
             for (PeerPacket.Entry entry : PeerPacket.read(writer.finish()).entries()) {
--- a/src/test/java/reedmux/policy/ModuleTest.java
+++ b/src/test/java/reedmux/policy/ModuleTest.java
@@ -25,7 +25,8 @@
     @Test
     void linesHoldAtMost110Characters() throws IOException {
         try (Stream<Path> files = Files.walk(Path.of("src"))) {
-            for (Path file : files.filter(path -> path.toString().endsWith(".java")).toList()) {
+            for (Path file :
+                    files.filter(path -> path.toString().endsWith(".java")).toList()) {
                 int[] number = {0};
                 for (String line : Files.readAllLines(file)) {
                     number[0]++;
--- a/src/test/java/reedmux/policy/PeerPacketTest.java
+++ b/src/test/java/reedmux/policy/PeerPacketTest.java
@@ -16,27 +16,33 @@
     @Test
     void whatIsWrittenIsRead() {
         List<PeerPacket.News> news = List.of(new PeerPacket.News(300, 1200));
-        PeerPacket.Writer writer = new PeerPacket.Writer(new PeerPacket.Names(), 65000, 9, 0x8001, 1000, 77,
-                true, 200, news, 256);
+        PeerPacket.Writer writer =
+                new PeerPacket.Writer(new PeerPacket.Names(), 65000, 9, 0x8001, 1000, 77, true, 200, news, 256);
         List<PeerPacket.Entry> entries = new ArrayList<>();
         for (long customer = (1L << 33) - 1; writer.hasRoom(); customer--) {
             double delta = entries.isEmpty() ? -12.34 : 5.5;
-            PeerPacket.Entry entry = new PeerPacket.Entry(entries.size(), customer, 3, 500, 400, delta,
-                    customer % 2 == 0 ? 100.25 : null, customer % 3 == 0 ? Integer.valueOf(17) : null,
+            PeerPacket.Entry entry = new PeerPacket.Entry(
+                    entries.size(),
+                    customer,
+                    3,
+                    500,
+                    400,
+                    delta,
+                    customer % 2 == 0 ? 100.25 : null,
+                    customer % 3 == 0 ? Integer.valueOf(17) : null,
                     customer % 5 == 0 ? 0.5 : 0);
             writer.add(entry);
             entries.add(entry);
         }
         byte[] bytes = writer.finish();
         assertTrue(bytes.length <= 256 && entries.size() > 8);
-        assertEquals(new PeerPacket(65000, 9, 0x8001, 1000, 77, true, 200, news, entries),
-                PeerPacket.read(bytes));
+        assertEquals(new PeerPacket(65000, 9, 0x8001, 1000, 77, true, 200, news, entries), PeerPacket.read(bytes));
     }
 
     @Test
     void aCutOrChangedPacketIsNone() {
-        PeerPacket.Writer writer = new PeerPacket.Writer(new PeerPacket.Names(), 1, 2, 3, 4, 5,
-                false, 40, List.of(), 256);
+        PeerPacket.Writer writer =
+                new PeerPacket.Writer(new PeerPacket.Names(), 1, 2, 3, 4, 5, false, 40, List.of(), 256);
         writer.add(new PeerPacket.Entry(77, 0, 0, 2, 1, null, null, 0));
         byte[] bytes = writer.finish();
         for (int length = 0; length < bytes.length; length++) {
@@ -51,8 +57,8 @@
     @ExpectedToFail("the check has 16 bits, docs/audit-findings.md F18")
     @Test
     void noSpoiltPacketPassesItsCheck() {
-        PeerPacket.Writer writer = new PeerPacket.Writer(new PeerPacket.Names(), 3, 4, 1, 9, 8, true, 40,
-                List.of(), 256);
+        PeerPacket.Writer writer =
+                new PeerPacket.Writer(new PeerPacket.Names(), 3, 4, 1, 9, 8, true, 40, List.of(), 256);
         writer.add(new PeerPacket.Entry(7, 0, 0, 2, 5, null, null, 0));
         byte[] whole = writer.finish();
         SplittableRandom random = new SplittableRandom(18);
--- a/src/test/java/reedmux/policy/QuotaTest.java
+++ b/src/test/java/reedmux/policy/QuotaTest.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.IntStream;
-import reedmux.policy.Gateway.Plan;
 import org.junit.jupiter.api.Test;
+import reedmux.policy.Gateway.Plan;
 
 /** The quota over a heap of gateways, also through lost, doubled and garbled messages, cuts and restarts. */
 class QuotaTest {
@@ -29,8 +29,10 @@
         for (int i = 0; i < spread; i++) {
             int self = (first + i) % group;
             nearOf.put(self, near(self, group, first, spread));
-            Arrays.stream(nearOf.get(self)).filter(peer -> peer >= 0)
-                    .forEach(peer -> met.computeIfAbsent(self, m -> new HashSet<>()).add(peer));
+            Arrays.stream(nearOf.get(self))
+                    .filter(peer -> peer >= 0)
+                    .forEach(peer ->
+                            met.computeIfAbsent(self, m -> new HashSet<>()).add(peer));
         }
         int deepest = 0;
         for (int member : nearOf.keySet()) {
@@ -84,8 +86,9 @@
             group.ends = sent -> null;
             String id = group.request(0, Group.SAFE, CUSTOMER, 0, 1, 1);
             String server = group.sent.get(0).server();
-            group.give(0, new Gateway.AttemptEnded(id, true, server, 0, trueUnitsAndRoom[0], Group.MS,
-                    Gateway.Outcome.OK));
+            group.give(
+                    0,
+                    new Gateway.AttemptEnded(id, true, server, 0, trueUnitsAndRoom[0], Group.MS, Gateway.Outcome.OK));
             group.ends = sent -> Gateway.Outcome.OK;
             assertEquals(trueUnitsAndRoom[1], group.traffic(0, CUSTOMER, 1, 60 * Group.MS, Group.SECOND));
         }
@@ -105,8 +108,8 @@
         for (Plan plan : List.of(ceiling, Group.quota(0.5, 3))) { // the second: first sight, of three members
             Group group = Group.of(3, plan);
             group.run(10 * Group.SECOND);
-            List<String> ids = List.of(group.request(0, Group.SAFE, CUSTOMER, 0, 3),
-                    group.request(0, Group.SAFE, CUSTOMER, 0, 3));
+            List<String> ids =
+                    List.of(group.request(0, Group.SAFE, CUSTOMER, 0, 3), group.request(0, Group.SAFE, CUSTOMER, 0, 3));
             assertTrue(group.wasSent(ids.get(0)) && group.wasRefused(ids.get(1)), plan + ": at once");
             long wait = group.refused.get(0).retryAfter();
             if (plan == ceiling) { // without spare units of others; first sight ends sooner if packets do
@@ -262,8 +265,17 @@
         Group group = Group.of(3, Group.quota(1, 20));
         group.run(Group.SECOND);
         for (int version = 1; version < 4; version++) {
-            PeerPacket.Writer packet = new PeerPacket.Writer(new PeerPacket.Names(), 9, 0, 0, version, 0,
-                    true, 40, List.of(new PeerPacket.News(0, version), new PeerPacket.News(70, 1)), 256);
+            PeerPacket.Writer packet = new PeerPacket.Writer(
+                    new PeerPacket.Names(),
+                    9,
+                    0,
+                    0,
+                    version,
+                    0,
+                    true,
+                    40,
+                    List.of(new PeerPacket.News(0, version), new PeerPacket.News(70, 1)),
+                    256);
             group.give(0, new Gateway.PeerMessage(2, packet.finish()));
         }
         int before = group.told.size();
@@ -275,8 +287,8 @@
     @Test
     void senselessEntriesChangeNothing() {
         Group group = Group.of(2, Group.quota(0.001, 20));
-        PeerPacket.Writer packet = new PeerPacket.Writer(new PeerPacket.Names(), 9, 0, 0, 1, 0, true, 40,
-                List.of(), 256);
+        PeerPacket.Writer packet =
+                new PeerPacket.Writer(new PeerPacket.Names(), 9, 0, 0, 1, 0, true, 40, List.of(), 256);
         packet.add(new PeerPacket.Entry(1, 5, 0, 2, 1, null, null, 0));
         packet.add(new PeerPacket.Entry(2, 0, 0, 3, 1, null, null, 0));
         packet.add(new PeerPacket.Entry(3, 0, 2, 1, 1, null, null, 0));
@@ -301,7 +313,8 @@
             group.request(i * 7 % 60, Group.SAFE, i % 30, 0, 60);
             group.run(4 * Group.MS);
         }
-        int most = group.heard.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
+        int most =
+                group.heard.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
         assertTrue(most <= 4 * 60, "most in 4 s: " + most);
     }
 
@@ -342,8 +355,11 @@
     /** A count below nought let a customer's surge through that much longer. */
     @Test
     void afterAQuietTimeABurstGoesThroughAndNoMore() {
-        Group group = new Group(Group.servers(30), IntStream.range(0, 15)
-                .mapToObj(i -> Group.settings(i, 15, Group.quota(20, 10))).toArray(Gateway.Settings[]::new));
+        Group group = new Group(
+                Group.servers(30),
+                IntStream.range(0, 15)
+                        .mapToObj(i -> Group.settings(i, 15, Group.quota(20, 10)))
+                        .toArray(Gateway.Settings[]::new));
         group.request(3, Group.SAFE, CUSTOMER, 0, 15);
         group.run(5 * Group.SECOND);
         assertEquals(10, group.traffic(3, CUSTOMER, 15, 1, 100));
--- a/src/test/java/reedmux/policy/TwinTest.java
+++ b/src/test/java/reedmux/policy/TwinTest.java
@@ -116,9 +116,13 @@
     void whatDoesNotFitIsPassedOver() {
         Group group = processes(Group.quota(1, 20));
         Twin twin = group.brains[1].twin();
-        twin.hear(group.now, List.of(new Twin.Spent(CUSTOMER, 3, 0, 1, 9),
-                new Twin.Spent(CUSTOMER, 0, 5, 1, 9),
-                new Twin.Spent(CUSTOMER, 0, 0, 9, 9), new Twin.Spent(-4, 0, 0, 1, 9)));
+        twin.hear(
+                group.now,
+                List.of(
+                        new Twin.Spent(CUSTOMER, 3, 0, 1, 9),
+                        new Twin.Spent(CUSTOMER, 0, 5, 1, 9),
+                        new Twin.Spent(CUSTOMER, 0, 0, 9, 9),
+                        new Twin.Spent(-4, 0, 0, 1, 9)));
         assertEquals(0, group.brains[1].accounts.size());
     }
 }
--- a/src/test/java/reedmux/pool/AdmissionTest.java
+++ b/src/test/java/reedmux/pool/AdmissionTest.java
@@ -56,8 +56,7 @@
             }
             long bytes = random.nextInt(4_000);
             boolean own = admission.inFlight(pool) < (int) (all * weights[pool] / sum)
-                    && admission.bytes(pool) / 1024 + 1 + bytes / 1024 <= (int) (
-                    blocks * weights[pool] / sum);
+                    && admission.bytes(pool) / 1024 + 1 + bytes / 1024 <= (int) (blocks * weights[pool] / sum);
             Admission.Verdict verdict = admission.admit(pool, bytes);
             assertTrue(verdict.in() || !own, "its own part is there at once");
             if (verdict.in()) {
@@ -110,7 +109,7 @@
             admission.admit(0, 0);
             admission.ended(0, 0, 800_000);
         }
-        while (admission.admit(0, 0).in()) { }
+        while (admission.admit(0, 0).in()) {}
         assertEquals(800_000, admission.admit(0, 0).retryAfter(), 1_000);
         assertEquals(admission.full(0), admission.admit(0, 0));
     }
@@ -122,8 +121,7 @@
             assertTrue(admission.admit(1, 100).in());
         }
         admission.weights(List.of(1.0, 0.0), List.of(NONE, NONE));
-        assertFalse(admission.admit(1, 0).in(), "one that leaves takes nothing more while all are spoken"
-                + " for");
+        assertFalse(admission.admit(1, 0).in(), "one that leaves takes nothing more while all are spoken" + " for");
         for (int i = 0; i < 40; i++) {
             assertTrue(admission.admit(0, 0).in());
         }
--- a/src/test/java/reedmux/pool/FairQueuesTest.java
+++ b/src/test/java/reedmux/pool/FairQueuesTest.java
@@ -74,7 +74,8 @@
             had[next.pool()] += next.work();
             for (int i = 0; i < pools; i++) {
                 for (int j = 0; j < pools; j++) {
-                    assertTrue(Math.abs(had[i] / weight[i] - had[j] / weight[j]) <= 2 * DEAREST + 1e-9,
+                    assertTrue(
+                            Math.abs(had[i] / weight[i] - had[j] / weight[j]) <= 2 * DEAREST + 1e-9,
                             "rounds apart: " + had[i] / weight[i] + " and " + had[j] / weight[j]);
                 }
             }
--- a/src/test/java/reedmux/proxy/CheckerWireTest.java
+++ b/src/test/java/reedmux/proxy/CheckerWireTest.java
@@ -49,21 +49,44 @@
 
         World(int checkers) {
             for (int i = 0; i < checkers; i++) {
-                roster.told(new Incarnation("c" + i, "desk", "10.0.0." + (i + 1) + ":80", "here", 3,
-                        Incarnation.READY, 1, 0, false), sockets.now());
+                roster.told(
+                        new Incarnation(
+                                "c" + i,
+                                "desk",
+                                "10.0.0." + (i + 1) + ":80",
+                                "here",
+                                3,
+                                Incarnation.READY,
+                                1,
+                                0,
+                                false),
+                        sockets.now());
             }
         }
 
         void take(String attempt, boolean repeatable, String body) {
-            Route route = new Route("r", "h", "/", repeatable, 500 * MILLI, 100 * MILLI, 1,
-                    List.of(new Route.Part("desk", 1)), 2, true);
+            Route route = new Route(
+                    "r",
+                    "h",
+                    "/",
+                    repeatable,
+                    500 * MILLI,
+                    100 * MILLI,
+                    1,
+                    List.of(new Route.Part("desk", 1)),
+                    2,
+                    true);
             Upload upload = body == null ? null : new Upload(body.length());
             if (upload != null) {
                 upload.take(body.getBytes(StandardCharsets.ISO_8859_1));
                 upload.end();
             }
-            ClientRequest request = new ClientRequest(null, Head.request(body == null ? "GET" : "POST", "/x")
-                    .add("Reedmux-Attempt-Id", attempt), attempt, null, upload);
+            ClientRequest request = new ClientRequest(
+                    null,
+                    Head.request(body == null ? "GET" : "POST", "/x").add("Reedmux-Attempt-Id", attempt),
+                    attempt,
+                    null,
+                    upload);
             request.exchange(new Exchange(route, null, request, sockets.now(), sockets.now() + 400 * MILLI));
             requests.on(sockets.now(), new Event.Taken(request.exchange()));
             sockets.turn();
@@ -157,16 +180,16 @@
                 case 2 -> conn.give(late + good(attempt) + good(attempt)); // and once more, at once
                 case 3 -> {
                     runs = false;
-                    conn.give(late + "HTTP/1.1 503 Busy\r\nReedmux-Not-Executed: 1\r\n"
-                            + "Content-Length: 0\r\n\r\n");
+                    conn.give(late + "HTTP/1.1 503 Busy\r\nReedmux-Not-Executed: 1\r\n" + "Content-Length: 0\r\n\r\n");
                 }
                 case 4 -> {
                     runs = false; // the address is another's
                     conn.give(late + "HTTP/1.1 421 Other\r\nReedmux-Instance-Id: other\r\n"
                             + "Content-Length: 0\r\n\r\n");
                 }
-                case 5 -> conn.give(late + "HTTP/1.1 429 Many\r\nReedmux-Attempt-Id: " + attempt
-                        + "\r\nContent-Length: 0\r\n\r\n"); // without the mark: it may have run
+                case 5 ->
+                    conn.give(late + "HTTP/1.1 429 Many\r\nReedmux-Attempt-Id: " + attempt
+                            + "\r\nContent-Length: 0\r\n\r\n"); // without the mark: it may have run
                 case 6 -> conn.give(late + good("another")); // and nothing of ours
                 case 7 -> conn.give(late + good(attempt).replace("Reedmux-Attempt-Id", "X-None"));
                 case 8 -> {
@@ -174,8 +197,7 @@
                     conn.reset();
                 }
                 case 10 -> { // a failure of its own without id, and once more, later
-                    String failure = "HTTP/1.1 500 Bad\r\nX-For: " + attempt
-                            + "\r\nContent-Length: 0\r\n\r\n";
+                    String failure = "HTTP/1.1 500 Bad\r\nX-For: " + attempt + "\r\nContent-Length: 0\r\n\r\n";
                     extra.put(conn, failure);
                     conn.give(late + failure);
                 }
@@ -191,7 +213,8 @@
         void check(String attempt, boolean repeatable) {
             for (ScriptedSockets.Conn conn : sockets.opened) { // what no checker has ended may have run, too
                 List<String> all = asked(conn);
-                if (all.size() > answered.getOrDefault(conn, 0) && all.get(all.size() - 1).equals(attempt)) {
+                if (all.size() > answered.getOrDefault(conn, 0)
+                        && all.get(all.size() - 1).equals(attempt)) {
                     ran.merge(attempt, 1, Integer::sum);
                 }
             }
@@ -199,17 +222,18 @@
             assertTrue(repeatable || times <= 1, "TWICE: " + times);
             Answer answer = answers.get(attempt);
             assertTrue(answer != null, "no answer");
-            int status = answer instanceof Answer.Own own ? own.status()
+            int status = answer instanceof Answer.Own own
+                    ? own.status()
                     : ((Answer.OfChecker) answer).head().status();
-            assertFalse(times > 0 && (status == 503 || status == 429 || status == 408 || status == 421),
+            assertFalse(
+                    times > 0 && (status == 503 || status == 429 || status == 408 || status == 421),
                     "REFUSED: " + status);
             assertFalse(times > 0 && neverRan.contains(attempt), "given back");
             if (answer instanceof Answer.OfChecker told && status == 500) {
                 assertEquals(told.head().get("X-For"), attempt, "MIXED");
             }
             if (answer instanceof Answer.OfChecker told && status == 200) {
-                assertEquals(new String(told.body(), StandardCharsets.ISO_8859_1), "body of " + attempt,
-                        "MIXED");
+                assertEquals(new String(told.body(), StandardCharsets.ISO_8859_1), "body of " + attempt, "MIXED");
                 assertEquals(told.head().get("Reedmux-Attempt-Id"), attempt, "MIXED");
             }
         }
@@ -268,8 +292,7 @@
                 }
                 world.sockets.pass(900 * MILLI);
                 Answer answer = world.answers.get("one");
-                assertEquals(((Answer.Own) answer).status(), silent ? 504 : sent == 0 ? 503 : 502,
-                        sent + " bytes");
+                assertEquals(((Answer.Own) answer).status(), silent ? 504 : sent == 0 ? 503 : 502, sent + " bytes");
                 assertEquals(world.neverRan.size(), !silent && sent == 0 ? 1 : 0);
             }
         }
--- a/src/test/java/reedmux/proxy/ClientWireTest.java
+++ b/src/test/java/reedmux/proxy/ClientWireTest.java
@@ -177,8 +177,8 @@
     @Test
     public void aBodyThatWeHeldUpIsNotLate() throws IOException {
         Front front = new Front();
-        front.conn.give("POST /x HTTP/1.1\r\nHost: h\r\nReedmux-Attempt-Id: a\r\n"
-                + "Content-Length: 1000000\r\n\r\n" + "y".repeat(600_000));
+        front.conn.give("POST /x HTTP/1.1\r\nHost: h\r\nReedmux-Attempt-Id: a\r\n" + "Content-Length: 1000000\r\n\r\n"
+                + "y".repeat(600_000));
         front.pass(20 * SECOND);
         Upload upload = front.launched.get(0).upload();
         for (int i = 0; upload.piece(i) != null; i++) {
--- a/src/test/java/reedmux/quota/QuotasTest.java
+++ b/src/test/java/reedmux/quota/QuotasTest.java
@@ -19,7 +19,7 @@
     private static final long SECOND = 1_000_000;
     private static final Tenant TENANT = new Tenant("t", List.of("k"), 0, 65, 65);
 
-    private record Mail(long at, long number, int to, Quotas.Packet packet) { }
+    private record Mail(long at, long number, int to, Quotas.Packet packet) {}
 
     /** Some members, a network that delays and loses, and one tenant. */
     private static final class World {
@@ -27,7 +27,8 @@
         final List<Quotas> members = new ArrayList<>();
         final List<Session> sessions = new ArrayList<>();
         final PriorityQueue<Mail> mail = new PriorityQueue<>((one, other) -> one.at() != other.at()
-                ? Long.compare(one.at(), other.at()) : Long.compare(one.number(), other.number()));
+                ? Long.compare(one.at(), other.at())
+                : Long.compare(one.number(), other.number()));
         final long[] next;
         final Random random;
         final double loss;
@@ -35,14 +36,17 @@
         final boolean[] cut;
         /** Members that are cut off from the others, or dead, without anybody having been told. */
         final Set<Integer> silent = new HashSet<>();
+
         final Set<Integer> dead = new HashSet<>();
         /** How long each member's link is full in every second, so that what it sends and gets waits. */
         long full;
         /** How late each datagram is, beyond the usual. */
         long late;
+
         View view;
         /** What each member has as its view. */
         final View[] views;
+
         long now = SECOND;
         long number;
 
@@ -116,10 +120,14 @@
                 if (silent.contains(from)) {
                     continue;
                 }
-                int to = Integer.parseInt(views[from].member(letter.place()).node().substring(1));
+                int to = Integer.parseInt(
+                        views[from].member(letter.place()).node().substring(1));
                 if (random.nextDouble() >= loss) {
-                    mail.add(new Mail(waits(to, waits(from, now + late + 1_400 + random.nextInt(3_000))),
-                            number++, to, letter.packet()));
+                    mail.add(new Mail(
+                            waits(to, waits(from, now + late + 1_400 + random.nextInt(3_000))),
+                            number++,
+                            to,
+                            letter.packet()));
                 }
             }
         }
@@ -154,8 +162,7 @@
                 world.run(8, 276);
                 world.run(3, 40);
                 assertTrue(world.most() <= ALLOWED, "loss " + loss + ", seed " + seed + ": " + world.most());
-                assertTrue(world.most() >= 0.9 * (65 * 5 + 65), "too little was let through: "
-                        + world.most());
+                assertTrue(world.most() >= 0.9 * (65 * 5 + 65), "too little was let through: " + world.most());
             }
         }
     }
@@ -238,8 +245,9 @@
                     world.members.get(gone).alone(true);
                     world.agree(View.of(rest));
                     world.run(4, 276);
-                    assertTrue(world.most() <= ALLOWED, "member " + gone + ", after " + before
-                            + (dies ? ", dead: " : ": ") + world.most());
+                    assertTrue(
+                            world.most() <= ALLOWED,
+                            "member " + gone + ", after " + before + (dies ? ", dead: " : ": ") + world.most());
                 }
             }
         }
@@ -274,8 +282,9 @@
                     world.full = full;
                     world.run(4, 40);
                     world.run(8, 276);
-                    assertTrue(world.most() <= ALLOWED, count + " members, full for " + full + ", seed "
-                            + seed + ": " + world.most());
+                    assertTrue(
+                            world.most() <= ALLOWED,
+                            count + " members, full for " + full + ", seed " + seed + ": " + world.most());
                 }
             }
         }
@@ -291,8 +300,8 @@
                 world.late = late;
                 world.run(4, 130);
                 world.run(7, rate);
-                assertTrue(world.most() <= (222 * 5 + 222) * 1.1 + 20, late + " late, rate " + rate + ": "
-                        + world.most());
+                assertTrue(
+                        world.most() <= (222 * 5 + 222) * 1.1 + 20, late + " late, rate " + rate + ": " + world.most());
             }
         }
     }
@@ -306,8 +315,8 @@
             world.run(1, 276);
             int before = world.admitted.size();
             world.run(8, 276);
-            assertTrue(world.admitted.size() - before > 8 * 65 * 0.93, "let through: "
-                    + (world.admitted.size() - before));
+            assertTrue(
+                    world.admitted.size() - before > 8 * 65 * 0.93, "let through: " + (world.admitted.size() - before));
         }
     }
 
@@ -319,17 +328,16 @@
             World world = new World(3, 0, 0);
             Quotas parent = world.members.get(0);
             for (int i : order) {
-                ArrayList<Quotas.Entry> entries = new ArrayList<>(List.of(new Quotas.Entry("t",
-                        totals[i], -1)));
-                parent.take(new Quotas.Packet("n1", 2, 1, world.view.tag(), 1, entries), name -> TENANT,
-                        world.now);
+                ArrayList<Quotas.Entry> entries = new ArrayList<>(List.of(new Quotas.Entry("t", totals[i], -1)));
+                parent.take(new Quotas.Packet("n1", 2, 1, world.view.tag(), 1, entries), name -> TENANT, world.now);
             }
             assertEquals(parent.counted(TENANT, world.now), 5.0);
             // It goes on to the other child, and not back.
             List<Quotas.Letter> letters = parent.send(world.now);
             assertEquals(letters.stream().filter(letter -> letter.place() == 2).count(), 1);
-            assertTrue(letters.stream().noneMatch(letter -> letter.place() == 1
-                    && letter.packet().entries().stream().anyMatch(entry -> entry.total() != 0)));
+            assertTrue(letters.stream()
+                    .noneMatch(letter -> letter.place() == 1
+                            && letter.packet().entries().stream().anyMatch(entry -> entry.total() != 0)));
         }
     }
 
@@ -338,12 +346,13 @@
     public void underAnotherViewUnitsGoNoFurther() {
         World world = new World(3, 0, 0);
         Quotas parent = world.members.get(0);
-        parent.take(new Quotas.Packet("n1", 2, 1, 12345, 1, new ArrayList<>(List.of(new Quotas.Entry("t", 4,
-                -1)))),
-                name -> TENANT, world.now);
+        parent.take(
+                new Quotas.Packet("n1", 2, 1, 12345, 1, new ArrayList<>(List.of(new Quotas.Entry("t", 4, -1)))),
+                name -> TENANT,
+                world.now);
         assertEquals(parent.counted(TENANT, world.now), 4.0);
-        assertTrue(parent.send(world.now).stream().allMatch(letter -> letter.packet().entries().stream()
-                .allMatch(entry -> entry.total() == 0)));
+        assertTrue(parent.send(world.now).stream()
+                .allMatch(letter -> letter.packet().entries().stream().allMatch(entry -> entry.total() == 0)));
     }
 
     /**
@@ -370,8 +379,9 @@
             world.agree(all);
             int before = world.admitted.size();
             world.run(5, 40);
-            assertTrue(world.admitted.size() - before > 5 * 40 * 0.8, "seed " + seed + ": "
-                    + (world.admitted.size() - before));
+            assertTrue(
+                    world.admitted.size() - before > 5 * 40 * 0.8,
+                    "seed " + seed + ": " + (world.admitted.size() - before));
         }
     }
 }
--- a/src/test/java/reedmux/region/RegionsTest.java
+++ b/src/test/java/reedmux/region/RegionsTest.java
@@ -26,9 +26,11 @@
     private static final long SECOND = 1000 * MS;
 
     private static RegionRules rules(double share, double rate, double burst, int mostAtOnce) {
-        return new RegionRules("east", Set.of("west"), new Visitors(4, 50, 20, 0.1, SECOND),
-                new Away("west", List.of("w1", "w2", "w3"), share, rate, burst, mostAtOnce, 50 * MS, 10 * MS,
-                        20 * MS));
+        return new RegionRules(
+                "east",
+                Set.of("west"),
+                new Visitors(4, 50, 20, 0.1, SECOND),
+                new Away("west", List.of("w1", "w2", "w3"), share, rate, burst, mostAtOnce, 50 * MS, 10 * MS, 20 * MS));
     }
 
     private static Wish wish(long deadline) {
@@ -36,7 +38,7 @@
     }
 
     /** One that went away, and when. */
-    private record Sent(long at, double units) { }
+    private record Sent(long at, double units) {}
 
     /**
      * Any order of requests, returns, restarts and reloads keeps the budget: over any stretch of time all
@@ -44,8 +46,7 @@
      * than the share of those taken.
      */
     @Property(tries = 10_000, seed = "21")
-    void theBudgetHoldsOverAllGatekeepers(@ForAll long seed, @ForAll @IntRange(min = 1,
-            max = 5) int members) {
+    void theBudgetHoldsOverAllGatekeepers(@ForAll long seed, @ForAll @IntRange(min = 1, max = 5) int members) {
         SplittableRandom random = new SplittableRandom(seed);
         double share = random.nextInt(11) / 10.0;
         double rate = random.nextInt(40);
@@ -68,20 +69,32 @@
                 all[i].taken();
                 taken++;
                 double units = 1 + random.nextInt(3);
-                Decision decision = all[i].depart(now, new Wish(now + random.nextLong(SECOND), units,
-                        random.nextBoolean(), random.nextInt(4) > 0, random.nextInt(5) == 0,
+                Decision decision = all[i].depart(
+                        now,
+                        new Wish(
+                                now + random.nextLong(SECOND),
+                                units,
+                                random.nextBoolean(),
+                                random.nextInt(4) > 0,
+                                random.nextInt(5) == 0,
                                 random.nextInt(4)));
                 if (decision.departure() != null) {
                     sent.add(new Sent(now, units));
                     away.get(i).add(decision.departure());
                     assertTrue(away.get(i).size() <= 3, "at once");
                     assertTrue(decision.departure().told() >= 50 * MS, "least time");
-                    assertTrue(decision.departure().told() <= decision.departure().patience(), "shrinks");
+                    assertTrue(
+                            decision.departure().told() <= decision.departure().patience(), "shrinks");
                 }
             } else if (what < 18 && !away.get(i).isEmpty()) {
                 long took = random.nextLong(SECOND);
-                all[i].returned(now, away.get(i).poll(), Return.values()[random.nextInt(4)], took,
-                        random.nextLong(took + 1) - 1, random.nextLong(SECOND));
+                all[i].returned(
+                        now,
+                        away.get(i).poll(),
+                        Return.values()[random.nextInt(4)],
+                        took,
+                        random.nextLong(took + 1) - 1,
+                        random.nextLong(SECOND));
             } else if (what == 18) {
                 all[i] = new Regions(rules, members, now, seed + step); // restarted: what was away is lost
                 away.get(i).clear();
@@ -107,8 +120,13 @@
         Regions regions = new Regions(rules(1, 1000, 1000, 100), 1, 0, seed);
         for (int i = 0; i < 20; i++) {
             regions.taken();
-            Wish wish = new Wish(SECOND + random.nextLong(2 * SECOND), 1, random.nextBoolean(),
-                    random.nextBoolean(), random.nextBoolean(), random.nextInt(2));
+            Wish wish = new Wish(
+                    SECOND + random.nextLong(2 * SECOND),
+                    1,
+                    random.nextBoolean(),
+                    random.nextBoolean(),
+                    random.nextBoolean(),
+                    random.nextInt(2));
             Decision decision = regions.depart(SECOND, wish);
             boolean may = !wish.visitor() && (wish.repeatable() || wish.neverRan()) && wish.callsLeft() > 0;
             assertTrue(may || decision.departure() == null, wish + " " + decision);
@@ -178,8 +196,11 @@
     void aRestartedGatekeeperHasNothingToSend() {
         Regions regions = new Regions(rules(1, 10, 100, 10), 1, 5 * SECOND, 1);
         regions.taken();
-        assertEquals(Decision.Why.RATE, regions.depart(5 * SECOND, wish(9 * SECOND)).why());
-        assertEquals(Decision.Why.SENT, regions.depart(5 * SECOND + 100 * MS, wish(9 * SECOND)).why());
+        assertEquals(
+                Decision.Why.RATE, regions.depart(5 * SECOND, wish(9 * SECOND)).why());
+        assertEquals(
+                Decision.Why.SENT,
+                regions.depart(5 * SECOND + 100 * MS, wish(9 * SECOND)).why());
     }
 
     @Example
@@ -213,7 +234,8 @@
         assertEquals(3, failures.get("w1"));
         assertTrue(failures.get("w2") > 60 && failures.get("w3") > 60, failures.toString());
         regions.taken();
-        Departure trial = regions.depart(now, new Wish(now + SECOND, 1, true, true, false, 4)).departure();
+        Departure trial = regions.depart(now, new Wish(now + SECOND, 1, true, true, false, 4))
+                .departure();
         assertEquals("w1", trial.gateway(), "its time is over, and this one may be repeated");
         regions.returned(now, trial, Return.ANSWERED, MS, 0, -1);
         boolean back = false;
@@ -226,14 +248,25 @@
 
     @Example
     void aRefusalIsHonoured() {
-        Regions regions = new Regions(new RegionRules("east", Set.of(), rules(1, 1, 1, 1).visitors(),
-                new Away("west", List.of("w1"), 1, 100, 100, 9, MS, 0, 0)), 1, 0, 1);
+        Regions regions = new Regions(
+                new RegionRules(
+                        "east",
+                        Set.of(),
+                        rules(1, 1, 1, 1).visitors(),
+                        new Away("west", List.of("w1"), 1, 100, 100, 9, MS, 0, 0)),
+                1,
+                0,
+                1);
         regions.taken();
         regions.taken();
         Departure sent = regions.depart(SECOND, wish(9 * SECOND)).departure();
         regions.returned(SECOND, sent, Return.REFUSED, MS, 0, 700 * MS);
-        assertEquals(Decision.Why.NO_GATEWAY, regions.depart(SECOND + 699 * MS, wish(9 * SECOND)).why());
-        assertEquals(Decision.Why.SENT, regions.depart(SECOND + 700 * MS, wish(9 * SECOND)).why());
+        assertEquals(
+                Decision.Why.NO_GATEWAY,
+                regions.depart(SECOND + 699 * MS, wish(9 * SECOND)).why());
+        assertEquals(
+                Decision.Why.SENT,
+                regions.depart(SECOND + 700 * MS, wish(9 * SECOND)).why());
     }
 
     @Example
@@ -250,8 +283,7 @@
         Departure sent = regions.depart(SECOND, wish(SECOND + 500 * MS)).departure();
         assertEquals(490 * MS, sent.patience());
         assertEquals(450 * MS, sent.told(), 2 * MS);
-        assertNull(regions.depart(SECOND, wish(SECOND + 99 * MS)).departure(),
-                "10 and 40 ms off leave under 50");
+        assertNull(regions.depart(SECOND, wish(SECOND + 99 * MS)).departure(), "10 and 40 ms off leave under 50");
     }
 
     @Example
--- a/src/test/java/reedmux/registry/ControlCallTest.java
+++ b/src/test/java/reedmux/registry/ControlCallTest.java
@@ -27,8 +27,10 @@
 
     @Test
     public void aHeartbeatIsRead() throws BadMessage {
-        assertEquals(beat("i-1", bytes(BEAT)), new ControlCall.Heartbeat(new Incarnation("i-1", "desk",
-                "10.1.0.9:8080", "hall", 6, Incarnation.READY, 4, 0, false)));
+        assertEquals(
+                beat("i-1", bytes(BEAT)),
+                new ControlCall.Heartbeat(
+                        new Incarnation("i-1", "desk", "10.1.0.9:8080", "hall", 6, Incarnation.READY, 4, 0, false)));
     }
 
     @DataProvider
@@ -46,7 +48,8 @@
             {BEAT.replace("\"coldLeftMs\":0", "\"coldLeftMs\":1e12"), "coldLeftMs is over"},
             {BEAT.replace("v1", "v".repeat(20_000)), "the body is longer"},
             {"[]", "the body is not an object"},
-            {BEAT + BEAT, "more follows"}};
+            {BEAT + BEAT, "more follows"}
+        };
     }
 
     @Test(dataProvider = "bad")
@@ -55,8 +58,10 @@
             beat("i-1", bytes(body));
         } catch (BadMessage e) {
             assertEquals(e.status(), 400);
-            assertTrue(e.getMessage().startsWith("Instances.Heartbeat of i-1: ")
-                    && e.getMessage().contains(problem), e.getMessage());
+            assertTrue(
+                    e.getMessage().startsWith("Instances.Heartbeat of i-1: ")
+                            && e.getMessage().contains(problem),
+                    e.getMessage());
             return;
         }
         throw new AssertionError("taken: " + body);
@@ -86,8 +91,13 @@
     @Test
     public void anIdThatIsMissingOrTooLongAndOrdersThatAreNotUtf8AreRefused() {
         byte[] none = {};
-        for (String path : new String[] {"/v1/Instances.Leave/", "/v1/Instances.Heartbeat/",
-            "/v1/Instances.Leave/" + "i".repeat(300), "/v1/Instances.Leave", "/v2/none"}) {
+        for (String path : new String[] {
+            "/v1/Instances.Leave/",
+            "/v1/Instances.Heartbeat/",
+            "/v1/Instances.Leave/" + "i".repeat(300),
+            "/v1/Instances.Leave",
+            "/v2/none"
+        }) {
             try {
                 throw new AssertionError(ControlCall.of(Head.request("POST", path), none));
             } catch (BadMessage e) {
@@ -95,8 +105,8 @@
             }
         }
         try {
-            throw new AssertionError(ControlCall.of(Head.request("POST", "/v1/Config.Adjust"),
-                    new byte[] {'{', '"', (byte) 0xc3, '"', '}'}));
+            throw new AssertionError(ControlCall.of(
+                    Head.request("POST", "/v1/Config.Adjust"), new byte[] {'{', '"', (byte) 0xc3, '"', '}'}));
         } catch (BadMessage e) {
             assertEquals(e.getMessage(), "Config.Adjust: byte 2 of the body is not UTF-8");
         }
--- a/src/test/java/reedmux/routing/RouteTableTest.java
+++ b/src/test/java/reedmux/routing/RouteTableTest.java
@@ -28,48 +28,114 @@
     private static final int ARCHIVE = 2;
 
     private static RouteTable table() throws RouteException {
-        return RouteTable.of(List.of(new Route("inspect.example.org", "/", INSPECT, 1),
-                new Route("print.example.org", "/", PRINT, 2), new Route("*.example.org", "/", ARCHIVE, 3),
-                new Route("*.print.example.org", "/labels", PRINT, 4), new Route("*", "/print", PRINT, 5),
-                new Route("*", "/print/old", ARCHIVE, 6), new Route("[::1]", "/", INSPECT, 7)));
+        return RouteTable.of(List.of(
+                new Route("inspect.example.org", "/", INSPECT, 1),
+                new Route("print.example.org", "/", PRINT, 2),
+                new Route("*.example.org", "/", ARCHIVE, 3),
+                new Route("*.print.example.org", "/labels", PRINT, 4),
+                new Route("*", "/print", PRINT, 5),
+                new Route("*", "/print/old", ARCHIVE, 6),
+                new Route("[::1]", "/", INSPECT, 7)));
     }
 
     @ParameterizedTest
     @CsvSource({
-        "inspect.example.org,/check,0", "INSPECT.Example.ORG,/check,0", "inspect.example.org.,/check,0",
-        "inspect.example.org:8080,/check,0", "inspect.example.org.:80,/check,0",
+        "inspect.example.org,/check,0",
+        "INSPECT.Example.ORG,/check,0",
+        "inspect.example.org.,/check,0",
+        "inspect.example.org:8080,/check,0",
+        "inspect.example.org.:80,/check,0",
         "print.example.org,/x?a=/b;c,1",
-        "a.b.example.org,/check,2", "example.org,/check,-1", "xexample.org,/check,-1",
+        "a.b.example.org,/check,2",
+        "example.org,/check,-1",
+        "xexample.org,/check,-1",
         "x.print.example.org,/labels,1",
-        "x.print.example.org,/labels/7?q,1", "x.print.example.org,/labelsx,-1", "x.print.example.org,/,-1",
-        "other.org,/print,1", "other.org,/print/,1", "other.org,/printer,-1", "other.org,/print/old/1,2",
-        "other.org,/print/older,1", "[::1]:80,/x,0", ",/print,1", "127.0.0.1,/print,1"})
+        "x.print.example.org,/labels/7?q,1",
+        "x.print.example.org,/labelsx,-1",
+        "x.print.example.org,/,-1",
+        "other.org,/print,1",
+        "other.org,/print/,1",
+        "other.org,/printer,-1",
+        "other.org,/print/old/1,2",
+        "other.org,/print/older,1",
+        "[::1]:80,/x,0",
+        ",/print,1",
+        "127.0.0.1,/print,1"
+    })
     void longestMatchWins(String host, String target, int service) throws RouteException {
         assertEquals(service, table().find(host, target));
     }
 
     /** A request for one host is never led to another's providers by a host that is told in some odd way. */
     @ParameterizedTest
-    @ValueSource(strings = {"", ".", "..", "inspect..example.org", ".inspect.example.org",
-            "a@print.example.org",
-        "print.example.org@x", "print.example.org:", "print.example.org:0", "print.example.org:99999",
-        "print.example.org:80:80", "print.example.org:+80", "print.example.org,inspect.example.org",
-        "print.example.org inspect.example.org", "print%2eexample.org", "pr\u0131nt.example.org",
-        "print\uff0eexample.org", "print.example.org/", "http://print.example.org", "[::1", "::1", "[1]",
-        "[::1]x",
-        "[fe80::1%25eth0]", "print.example.org\t", " print.example.org", "print.example.org..",
-        "*.example.org"})
+    @ValueSource(
+            strings = {
+                "",
+                ".",
+                "..",
+                "inspect..example.org",
+                ".inspect.example.org",
+                "a@print.example.org",
+                "print.example.org@x",
+                "print.example.org:",
+                "print.example.org:0",
+                "print.example.org:99999",
+                "print.example.org:80:80",
+                "print.example.org:+80",
+                "print.example.org,inspect.example.org",
+                "print.example.org inspect.example.org",
+                "print%2eexample.org",
+                "pr\u0131nt.example.org",
+                "print\uff0eexample.org",
+                "print.example.org/",
+                "http://print.example.org",
+                "[::1",
+                "::1",
+                "[1]",
+                "[::1]x",
+                "[fe80::1%25eth0]",
+                "print.example.org\t",
+                " print.example.org",
+                "print.example.org..",
+                "*.example.org"
+            })
     void anOddHostIsAmbiguous(String host) throws RouteException {
         assertEquals(RouteTable.AMBIGUOUS, table().find(host, "/check"));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "*", "check", "//print", "/print//x", "/./print", "/x/../print", "/print/..",
-        "/print/.", "/%2e%2e/print", "/x/%2E%2e/print", "/pr%69nt", "/print%2fold", "/print%5cold",
-        "/print\\old",
-        "/print;x=1", "/print;", "/print%3bx", "/print%", "/print%2", "/print%zz", "/print#x", "/pr int",
-        "/print%00", "/print%0a", "/print%7f", "/pr\u00efnt", "http://print.example.org/x",
-        "/print/%\uff11\uff11"})
+    @ValueSource(
+            strings = {
+                "",
+                "*",
+                "check",
+                "//print",
+                "/print//x",
+                "/./print",
+                "/x/../print",
+                "/print/..",
+                "/print/.",
+                "/%2e%2e/print",
+                "/x/%2E%2e/print",
+                "/pr%69nt",
+                "/print%2fold",
+                "/print%5cold",
+                "/print\\old",
+                "/print;x=1",
+                "/print;",
+                "/print%3bx",
+                "/print%",
+                "/print%2",
+                "/print%zz",
+                "/print#x",
+                "/pr int",
+                "/print%00",
+                "/print%0a",
+                "/print%7f",
+                "/pr\u00efnt",
+                "http://print.example.org/x",
+                "/print/%\uff11\uff11"
+            })
     void anOddPathIsAmbiguous(String target) throws RouteException {
         assertEquals(RouteTable.AMBIGUOUS, table().find("other.org", target));
     }
@@ -87,24 +153,27 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "print.example.org|/|PRINT.example.org|/|the route in line 2 can never be reached: line 1 says the "
-                + "same of"
-                + " PRINT.example.org/",
-        "*|/print|*|/print/|the route in line 2 can never be reached: line 1 says the same of */print/",
-        "*.a.org|/x|*.A.org|/x|the route in line 2 can never be reached: line 1 says the same of *.A.org/x",
-        "a.org|/|a.org:80|/|the route's host is no name without a port: a.org:80",
-        "a.org|/|b.org.|/|the route's host is no name without a port: b.org.",
-        "a.org|/|a.*.org|/|the route's host is no name without a port: a.*.org",
-        "a.org|/|*.[::1]|/|nothing lies below an address: *.[::1]",
-        "a.org|/|b.org|x|the route's path can be read in two ways, or is none: x",
-        "a.org|/|b.org|/a/../b|the route's path can be read in two ways, or is none: /a/../b",
-        "a.org|/|b.org|/a//b|the route's path can be read in two ways, or is none: /a//b",
-        "a.org|/|b.org|/a?b|the route's path can be read in two ways, or is none: /a?b"})
-    void badRoutesAreToldByTheirLines(String host1, String path1, String host2, String path2,
-            String message) {
-        RouteException e = assertThrows(RouteException.class, () -> RouteTable.of(List.of(
-                new Route(host1, path1, 0, 1), new Route(host2, path2, 1, 2))));
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "print.example.org|/|PRINT.example.org|/|the route in line 2 can never be reached: line 1 says the "
+                        + "same of"
+                        + " PRINT.example.org/",
+                "*|/print|*|/print/|the route in line 2 can never be reached: line 1 says the same of */print/",
+                "*.a.org|/x|*.A.org|/x|the route in line 2 can never be reached: line 1 says the same of *.A.org/x",
+                "a.org|/|a.org:80|/|the route's host is no name without a port: a.org:80",
+                "a.org|/|b.org.|/|the route's host is no name without a port: b.org.",
+                "a.org|/|a.*.org|/|the route's host is no name without a port: a.*.org",
+                "a.org|/|*.[::1]|/|nothing lies below an address: *.[::1]",
+                "a.org|/|b.org|x|the route's path can be read in two ways, or is none: x",
+                "a.org|/|b.org|/a/../b|the route's path can be read in two ways, or is none: /a/../b",
+                "a.org|/|b.org|/a//b|the route's path can be read in two ways, or is none: /a//b",
+                "a.org|/|b.org|/a?b|the route's path can be read in two ways, or is none: /a?b"
+            })
+    void badRoutesAreToldByTheirLines(String host1, String path1, String host2, String path2, String message) {
+        RouteException e = assertThrows(
+                RouteException.class,
+                () -> RouteTable.of(List.of(new Route(host1, path1, 0, 1), new Route(host2, path2, 1, 2))));
         assertEquals(message, e.getMessage());
         assertEquals(2, e.line());
     }
@@ -149,13 +218,21 @@
 
     private static int plainly(List<Route> routes, String host, String target) {
         String name = host.toLowerCase(Locale.ROOT);
-        String of = routes.stream().map(route -> route.host().toLowerCase(Locale.ROOT)).distinct()
-                .filter(pattern -> pattern.equals(name)).findAny().orElse(null);
+        String of = routes.stream()
+                .map(route -> route.host().toLowerCase(Locale.ROOT))
+                .distinct()
+                .filter(pattern -> pattern.equals(name))
+                .findAny()
+                .orElse(null);
         if (of == null) {
-            of = routes.stream().map(route -> route.host().toLowerCase(Locale.ROOT)).distinct()
-                    .filter(pattern -> pattern.startsWith("*.") && name.endsWith(pattern.substring(1))
+            of = routes.stream()
+                    .map(route -> route.host().toLowerCase(Locale.ROOT))
+                    .distinct()
+                    .filter(pattern -> pattern.startsWith("*.")
+                            && name.endsWith(pattern.substring(1))
                             && name.length() > pattern.length() - 1)
-                    .max((one, other) -> one.length() - other.length()).orElse("*");
+                    .max((one, other) -> one.length() - other.length())
+                    .orElse("*");
         }
         String path = target.split("\\?", 2)[0];
         int best = RouteTable.NONE;
@@ -173,12 +250,16 @@
 
     /** Whatever is put into a host, the answer is that of its plain form or none, never another's. */
     @Property(tries = 10_000, seed = "42")
-    void noHostIsTakenForAnother(@ForAll @AlphaChars @Chars({'.', '-', ':', '@', '%', '[', ']', ' ', '\t',
-            '\u00e9',
-        '1', '8', '/'}) @StringLength(max = 12) String odd) throws RouteException {
+    void noHostIsTakenForAnother(
+            @ForAll
+                    @AlphaChars
+                    @Chars({'.', '-', ':', '@', '%', '[', ']', ' ', '\t', '\u00e9', '1', '8', '/'})
+                    @StringLength(max = 12)
+                    String odd)
+            throws RouteException {
         RouteTable table = RouteTable.of(List.of(new Route("print.example.org", "/", PRINT, 1)));
-        for (String host : List.of(odd + "print.example.org", "print.example.org" + odd,
-                "print." + odd + "example.org")) {
+        for (String host :
+                List.of(odd + "print.example.org", "print.example.org" + odd, "print." + odd + "example.org")) {
             String plain = host.toLowerCase(Locale.ROOT).replaceFirst("\\.?(:[0-9]+)?$", "");
             if (!plain.equals("print.example.org")) {
                 assertNotEquals(PRINT, table.find(host, "/"), host);
--- a/src/test/java/reedmux/settings/ScriptTest.java
+++ b/src/test/java/reedmux/settings/ScriptTest.java
@@ -41,19 +41,38 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "1 + 2 * 3|[7]", "(1 + 2) * 3|[9]", "7 // 2 - 7 % 4|[0]", "-7 // 2|[-4]", "7 / 2|[3.5]", "-7 % 4|[1]",
-        "1 if [] else 2|[2]", "not 1 == 2 and 3 < 4|[True]", "'a' in 'cat'|[True]", "3 not in [1, 2]|[True]",
-        "0 or 5|[5]", "\"a\" 'b' * 2|[\"abab\"]", "'%s-%d' % ['x', 3]|[\"x-3\"]",
-        "'{}!'.format(1.5)|[\"1.5!\"]",
-        "[x * x for x in range(4) if x % 2 == 1]|[[1, 9]]", "{k: len(k) for k in ['a', 'bb']}|[{\"a\": 1, "
-                + "\"bb\": 2}]",
-        "[a + b for a, b in zip([1, 2], [3, 4])]|[[4, 6]]", "sorted([3, 1, 2])[1:]|[[2, 3]]",
-        "'a,b'.split(',')[-1]|[\"b\"]",
-        "max([1, 5, 3]) + min(4, 2)|[7]", "{'a': 1}.get('b', 9)|[9]", "0x1F + 1_000|[1031]",
-        "[1, [2, 'x']] == [1.0, [2, 'x']]|[True]",
-        "','.join([str(i) for i in reversed(range(3))])|[\"2,1,0\"]", "type({}.get(1))|[\"NoneType\"]",
-        "[p for p in enumerate('ab'.upper().split('B'))]|[[[0, \"A\"], [1, \"\"]]]", "1 - 2 - 3|[-4]"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "1 + 2 * 3|[7]",
+                "(1 + 2) * 3|[9]",
+                "7 // 2 - 7 % 4|[0]",
+                "-7 // 2|[-4]",
+                "7 / 2|[3.5]",
+                "-7 % 4|[1]",
+                "1 if [] else 2|[2]",
+                "not 1 == 2 and 3 < 4|[True]",
+                "'a' in 'cat'|[True]",
+                "3 not in [1, 2]|[True]",
+                "0 or 5|[5]",
+                "\"a\" 'b' * 2|[\"abab\"]",
+                "'%s-%d' % ['x', 3]|[\"x-3\"]",
+                "'{}!'.format(1.5)|[\"1.5!\"]",
+                "[x * x for x in range(4) if x % 2 == 1]|[[1, 9]]",
+                "{k: len(k) for k in ['a', 'bb']}|[{\"a\": 1, " + "\"bb\": 2}]",
+                "[a + b for a, b in zip([1, 2], [3, 4])]|[[4, 6]]",
+                "sorted([3, 1, 2])[1:]|[[2, 3]]",
+                "'a,b'.split(',')[-1]|[\"b\"]",
+                "max([1, 5, 3]) + min(4, 2)|[7]",
+                "{'a': 1}.get('b', 9)|[9]",
+                "0x1F + 1_000|[1031]",
+                "[1, [2, 'x']] == [1.0, [2, 'x']]|[True]",
+                "','.join([str(i) for i in reversed(range(3))])|[\"2,1,0\"]",
+                "type({}.get(1))|[\"NoneType\"]",
+                "[p for p in enumerate('ab'.upper().split('B'))]|[[[0, \"A\"], [1, \"\"]]]",
+                "1 - 2 - 3|[-4]"
+            })
     void computes(String expression, String expected) throws ScriptException {
         assertEquals(expected, value("told(value = " + expression + ")"));
     }
@@ -79,36 +98,42 @@
                 told(
                   value = all,
                 )"""));
-        assertEquals("[6]", value("a, (b, c) = 1, [2, 3]\nd = {}\nd['x'] = [a + b]\nd['x'][0] += "
-                + "c\ntold(value = d['x'][0])"));
+        assertEquals(
+                "[6]",
+                value("a, (b, c) = 1, [2, 3]\nd = {}\nd['x'] = [a + b]\nd['x'][0] += " + "c\ntold(value = d['x'][0])"));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "told(valeu = 1)|x.star:1:6: told has no key 'valeu', did you mean 'value'?",
-        "tolld(value = 1)|x.star:1:1: unknown name 'tolld', did you mean 'told'?",
-        "told(value = 1, value = 2)|x.star:1:17: 'value' is told twice",
-        "told(1)|x.star:1:1: told takes its values by name, as in value = ...",
-        "x = 1 +|x.star:1:8: the end of the line makes no sense here",
-        "x = (1, 2|x.star:1:10: the end of the file makes no sense here",
-        "while True: pass|x.star:1:1: 'while' is not part of the settings script",
-        "import os|x.star:1:1: 'import' is not part of the settings script",
-        "x = 'abc|x.star:1:5: a string that does not end on its line",
-        "x = 1 ? 2|x.star:1:7: a character that has no place here: '?'",
-        "x = 1 // 0|x.star:1:7: division by nought",
-        "x = 9223372036854775807 + 1|x.star:1:25: the result of '+' does not fit 64 bits",
-        "x = 99999999999999999999|x.star:1:5: not a whole number of 64 bits: 99999999999999999999",
-        "x = 'a' + 1|x.star:1:9: '+' between a string and a int",
-        "x = [1][2]|x.star:1:5: the index 2 lies outside of 1 elements",
-        "x = {'rate': 1}['rat']|x.star:1:5: the dict has no key [\"rat\"], did you mean 'rate'?",
-        "x = 'a'.uper()|x.star:1:9: a string has no 'uper', did you mean 'upper'?",
-        "told = 3|x.star:1:1: 'told' is a function of ours and keeps its meaning",
-        "a, b = [1]|x.star:1:1: 2 names for 1 values",
-        "return 1|x.star:1:1: 'return' outside of a function",
-        "x = 1(2)|x.star:1:5: a int cannot be called",
-        "x = {[1]: 2}|x.star:1:6: a list cannot be the key of a dict",
-        "fail('no', 3)|x.star:1:1: no 3", "x = '\\q'|x.star:1:5: unknown escape '\\q' in a string",
-        "x = 1e999|x.star:1:5: the number is too large: 1e999"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "told(valeu = 1)|x.star:1:6: told has no key 'valeu', did you mean 'value'?",
+                "tolld(value = 1)|x.star:1:1: unknown name 'tolld', did you mean 'told'?",
+                "told(value = 1, value = 2)|x.star:1:17: 'value' is told twice",
+                "told(1)|x.star:1:1: told takes its values by name, as in value = ...",
+                "x = 1 +|x.star:1:8: the end of the line makes no sense here",
+                "x = (1, 2|x.star:1:10: the end of the file makes no sense here",
+                "while True: pass|x.star:1:1: 'while' is not part of the settings script",
+                "import os|x.star:1:1: 'import' is not part of the settings script",
+                "x = 'abc|x.star:1:5: a string that does not end on its line",
+                "x = 1 ? 2|x.star:1:7: a character that has no place here: '?'",
+                "x = 1 // 0|x.star:1:7: division by nought",
+                "x = 9223372036854775807 + 1|x.star:1:25: the result of '+' does not fit 64 bits",
+                "x = 99999999999999999999|x.star:1:5: not a whole number of 64 bits: 99999999999999999999",
+                "x = 'a' + 1|x.star:1:9: '+' between a string and a int",
+                "x = [1][2]|x.star:1:5: the index 2 lies outside of 1 elements",
+                "x = {'rate': 1}['rat']|x.star:1:5: the dict has no key [\"rat\"], did you mean 'rate'?",
+                "x = 'a'.uper()|x.star:1:9: a string has no 'uper', did you mean 'upper'?",
+                "told = 3|x.star:1:1: 'told' is a function of ours and keeps its meaning",
+                "a, b = [1]|x.star:1:1: 2 names for 1 values",
+                "return 1|x.star:1:1: 'return' outside of a function",
+                "x = 1(2)|x.star:1:5: a int cannot be called",
+                "x = {[1]: 2}|x.star:1:6: a list cannot be the key of a dict",
+                "fail('no', 3)|x.star:1:1: no 3",
+                "x = '\\q'|x.star:1:5: unknown escape '\\q' in a string",
+                "x = 1e999|x.star:1:5: the number is too large: 1e999"
+            })
     void saysWhereAndWhat(String script, String expected) {
         assertEquals(expected, error(script));
     }
@@ -118,64 +143,83 @@
         assertEquals("x.star:3:3: the indent fits no line above", error("if 1:\n    x = 1\n  y = 2"));
         assertEquals("x.star:2:1: a tab: indents and gaps are made of spaces", error("if 1:\n\tx = 1"));
         assertTrue(error("x = 1\n  y = 2").startsWith("x.star:2:3: an indent"), error("x = 1\n  y = 2"));
-        assertEquals("x.star:2:12: 'f' calls itself: recursion is not allowed",
+        assertEquals(
+                "x.star:2:12: 'f' calls itself: recursion is not allowed",
                 error("def f(n):\n    return f(n - 1)\nx = f(3)"));
-        assertEquals("x.star:4:12: 'f' calls itself: recursion is not allowed",
+        assertEquals(
+                "x.star:4:12: 'f' calls itself: recursion is not allowed",
                 error("def f(g):\n    return g(f)\ndef h(g):\n    return g(h)\nx = f(h)"));
     }
 
     /** Each of these would never end, or take all memory, without a bound. */
     @ParameterizedTest
-    @ValueSource(strings = {
-        "x = [i for i in range(9223372036854775807)]", "x = 'a' * 9000000000", "x = [0] * 9000000000",
-        "x = 'a'\nfor i in range(99):\n    x = x + x", "x = ['a']\nfor i in range(99):\n    x = [x, x]\ny = "
-                + "str(x)",
-        "x = [1]\nfor i in range(99):\n    x = [x, x]\ny = x == [x[0], x[1]] and x == [list(x[0]), x[1]]",
-        "x = []\nx.append(x)\ny = str(x)", "x = []\nfor i in range(99999):\n    x.extend(range(9999))",
-        "x = [1 for a in range(9999) for b in range(9999)]",
-        "x = 'ab'.replace('a', 'x' * 1000000).replace('x', 'y' * 1000000)",
-        "x = 0\nfor a in range(9999):\n    for b in range(9999):\n        x += 1"})
+    @ValueSource(
+            strings = {
+                "x = [i for i in range(9223372036854775807)]",
+                "x = 'a' * 9000000000",
+                "x = [0] * 9000000000",
+                "x = 'a'\nfor i in range(99):\n    x = x + x",
+                "x = ['a']\nfor i in range(99):\n    x = [x, x]\ny = " + "str(x)",
+                "x = [1]\nfor i in range(99):\n    x = [x, x]\ny = x == [x[0], x[1]] and x == [list(x[0]), x[1]]",
+                "x = []\nx.append(x)\ny = str(x)",
+                "x = []\nfor i in range(99999):\n    x.extend(range(9999))",
+                "x = [1 for a in range(9999) for b in range(9999)]",
+                "x = 'ab'.replace('a', 'x' * 1000000).replace('x', 'y' * 1000000)",
+                "x = 0\nfor a in range(9999):\n    for b in range(9999):\n        x += 1"
+            })
     void alwaysEnds(String script) {
         String told = error(script);
-        assertTrue(told.matches("x.star:\\d+:\\d+: (the script takes more than .*|the script is nested .*)"),
-                told);
+        assertTrue(told.matches("x.star:\\d+:\\d+: (the script takes more than .*|the script is nested .*)"), told);
     }
 
     @Test
     void deepNestingIsRefused() {
-        for (String deep : List.of("(".repeat(9_000) + "1" + ")".repeat(9_000), "[".repeat(60)
-                + "]".repeat(60),
-                "not ".repeat(9_000) + "1", "-".repeat(9_000) + "1", "1" + " + 1".repeat(9_000),
-                "x".repeat(1) + ".y".repeat(9_000), "1 if 1 else ".repeat(9_000) + "1", "1"
-                + " * 1".repeat(9_000))) {
+        for (String deep : List.of(
+                "(".repeat(9_000) + "1" + ")".repeat(9_000),
+                "[".repeat(60) + "]".repeat(60),
+                "not ".repeat(9_000) + "1",
+                "-".repeat(9_000) + "1",
+                "1" + " + 1".repeat(9_000),
+                "x".repeat(1) + ".y".repeat(9_000),
+                "1 if 1 else ".repeat(9_000) + "1",
+                "1" + " * 1".repeat(9_000))) {
             assertTrue(error("x = 1\ny = " + deep).startsWith("x.star:"), deep.substring(0, 9));
         }
         StringBuilder blocks = new StringBuilder();
         for (int i = 0; i < 500; i++) {
             blocks.append(" ".repeat(i)).append("if 1:\n");
         }
-        assertEquals("x.star:22:22: indented more than 20 times", error(blocks + " ".repeat(500)
-                + "x = 1\n"));
+        assertEquals("x.star:22:22: indented more than 20 times", error(blocks + " ".repeat(500) + "x = 1\n"));
     }
 
     @Test
     void anEndlessFileIsRefusedUnread(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("huge.star");
         Files.writeString(file, "x = 1\n".repeat(10_000_000 / 6));
-        assertTrue(assertThrows(ScriptException.class, () -> OperatorSettings.read(file)).getMessage()
+        assertTrue(assertThrows(ScriptException.class, () -> OperatorSettings.read(file))
+                .getMessage()
                 .endsWith("huge.star:1:1: the file is longer than 1048576 bytes: 9999996"));
         assertTrue(error(" ".repeat(300_000)).startsWith("x.star:1:1: the script is longer than 262144"));
     }
 
     /** Whatever is written, it is understood or refused with a place; nothing else comes out. */
     @Property(tries = 2_000, seed = "11")
-    void anyTextEndsWithAPlace(@ForAll @Chars({'a', 'x', '1', '0', '.', ' ', '\n', '(', ')', '[', ']', '{',
-            '}', ':',
-        ',', '=', '+', '-', '\'', '"', '\\', '#', '\t'}) @AlphaChars @StringLength(max = 60) String script) {
+    void anyTextEndsWithAPlace(
+            @ForAll
+                    @Chars({
+                        'a', 'x', '1', '0', '.', ' ', '\n', '(', ')', '[', ']', '{', '}', ':', ',', '=', '+', '-', '\'',
+                        '"', '\\', '#', '\t'
+                    })
+                    @AlphaChars
+                    @StringLength(max = 60)
+                    String script) {
         try {
             Interpreter.run("x.star", script, KINDS);
         } catch (ScriptException e) {
-            assertTrue(e.getMessage().startsWith("x.star:" + e.place().line() + ':' + e.place().column()),
+            assertTrue(
+                    e.getMessage()
+                            .startsWith("x.star:" + e.place().line() + ':'
+                                    + e.place().column()),
                     script);
         }
     }
--- a/src/test/java/reedmux/store/ReplicaStorageTest.java
+++ b/src/test/java/reedmux/store/ReplicaStorageTest.java
@@ -74,8 +74,9 @@
     private static void check(CrashVolume left, Set<String> safe) {
         Life next = new Life(left, false);
         assertTrue(next.whole, "the disk was here all the time");
-        assertTrue(next.replica.held().keySet().containsAll(safe), safe + " was safe, and there is "
-                + next.replica.held().keySet());
+        assertTrue(
+                next.replica.held().keySet().containsAll(safe),
+                safe + " was safe, and there is " + next.replica.held().keySet());
     }
 
     /** Calls, compactions, a full disk in all orders with the disk's own tasks; a crash after every step. */
@@ -83,7 +84,8 @@
     public void whatIsReportedSafeOutlivesACrashAtAnyStepOfACompaction() {
         int[] images = {0};
         int orders = 0;
-        for (List<String> script : List.of(List.of("one", "compact", "two", "three", "compact", "four"),
+        for (List<String> script : List.of(
+                List.of("one", "compact", "two", "three", "compact", "four"),
                 List.of("one", "full", "two", "compact", "three", "room", "compact", "four"))) {
             orders += Orders.all(10_000, order -> play(script, order, images));
         }
@@ -214,8 +216,7 @@
         Life life = new Life(volume.killed(), false);
         assertFalse(life.whole);
         assertEquals(life.replica.held().keySet(), Set.of("one", "two"));
-        assertTrue(life.environment.log.toString().contains("items-2 at 16: the checksum"),
-                "" + life.environment.log);
+        assertTrue(life.environment.log.toString().contains("items-2 at 16: the checksum"), "" + life.environment.log);
         volume.unreadable(true);
         assertFalse(new Life(volume, true).whole);
     }
@@ -231,8 +232,8 @@
         storage.load(true, Members.first(List.of("10.0.0.1")));
         long most = 0;
         for (int i = 1; i <= 10_000; i++) {
-            List<Item> items = List.of(new Item("plants", "p" + i % 10, i, "{\"probe\":\"/"
-                    + "x".repeat(1_000) + "\"}"));
+            List<Item> items =
+                    List.of(new Item("plants", "p" + i % 10, i, "{\"probe\":\"/" + "x".repeat(1_000) + "\"}"));
             replica.merge(items);
             storage.merged(items);
             if (i % 100 == 0) {
@@ -247,8 +248,7 @@
         }
         assertTrue(most < 10 * 1024 * 1024, most + " bytes");
         Replica next = new Replica();
-        new ReplicaStorage(dir, new DiskEnvironment(new reedmux.disk.Folder(dir)).reactor(), new Codec(),
-                next)
+        new ReplicaStorage(dir, new DiskEnvironment(new reedmux.disk.Folder(dir)).reactor(), new Codec(), next)
                 .load(false, Members.first(List.of("10.0.0.1")));
         assertEquals(List.copyOf(next.inForce()), List.copyOf(replica.inForce()));
         assertEquals(Set.copyOf(next.marks()), Set.copyOf(replica.marks()));
--- a/src/test/java/reedmux/wire/DrillTest.java
+++ b/src/test/java/reedmux/wire/DrillTest.java
@@ -11,10 +11,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import org.junit.jupiter.api.Test;
 import reedmux.policy.Gateway;
 import reedmux.policy.Gateway.Event;
 import reedmux.policy.Gateway.Outcome;
-import org.junit.jupiter.api.Test;
 
 class DrillTest {
     private static final String CONFIGURE = "CONFIGURE\t3\t99\tgroupSize=2\tposition=1\tlanes.count=1"
@@ -34,7 +34,9 @@
             text.append("CLOCK\t").append(1_000_000 + i * 1000).append('\n');
             text.append(batches[i]).append("YOUR_TURN\n");
         }
-        return Main.drill(new BufferedReader(new StringReader(text.toString())), out,
+        return Main.drill(
+                new BufferedReader(new StringReader(text.toString())),
+                out,
                 new PrintStream(err, true, StandardCharsets.UTF_8));
     }
 
@@ -50,10 +52,14 @@
 
     @Test
     void aRequestIsSentOnAndItsEndTakenIn() {
-        assertEquals(0, drill(CONFIGURE + VIEW, KNOCK,
-                "SETTLED\t3\t00000000000000aa\t1\t10.0.0.1:80\t0\t0\t0\t900\tdone\t5,6,0.5\n"
-                        + "WITHDRAWN\t3\t00000000000000aa\n",
-                "DOWN\t3\n" + CONFIGURE + VIEW));
+        assertEquals(
+                0,
+                drill(
+                        CONFIGURE + VIEW,
+                        KNOCK,
+                        "SETTLED\t3\t00000000000000aa\t1\t10.0.0.1:80\t0\t0\t0\t900\tdone\t5,6,0.5\n"
+                                + "WITHDRAWN\t3\t00000000000000aa\n",
+                        "DOWN\t3\n" + CONFIGURE + VIEW));
         String sent = "FORWARD\t3\t00000000000000aa\t1997000\t10.0.0.1:80\nFINISHED\n";
         assertTrue(output().contains(sent), output());
         assertEquals("", err.toString(StandardCharsets.UTF_8));
@@ -61,17 +67,23 @@
 
     @Test
     void malformedInputIsOnePlainLineAndANonZeroExit() {
-        List<String> bad = List.of(KNOCK, "NOISE\t3\n", CONFIGURE + "NOISE\t3\n",
+        List<String> bad = List.of(
+                KNOCK,
+                "NOISE\t3\n",
+                CONFIGURE + "NOISE\t3\n",
                 CONFIGURE + "KNOCK\t3\tzz\n",
                 CONFIGURE + KNOCK.replace("\t77\t", "\t-77\t"),
                 CONFIGURE + KNOCK.replace("\t77\t", "\t9999999999\t"),
                 CONFIGURE + KNOCK.replace("\t3000000\t1\t", "\t3000000\tNaN\t"),
-                CONFIGURE + KNOCK.replace("aa\t0\t0", "aa\t7\t0"), CONFIGURE + "ELAPSED\t3\n",
+                CONFIGURE + KNOCK.replace("aa\t0\t0", "aa\t7\t0"),
+                CONFIGURE + "ELAPSED\t3\n",
                 CONFIGURE + "VIEW\t3\tfull\t1\t2\nSERVER\tx\t0\t0\t0\tReady\t1\t-\n",
-                CONFIGURE + "INBOX\t3\t0\tabc\n", CONFIGURE.replace("position=1", "position=2"),
+                CONFIGURE + "INBOX\t3\t0\tabc\n",
+                CONFIGURE.replace("position=1", "position=2"),
                 CONFIGURE.replace("groupSize=2", "x=2"),
                 CONFIGURE.replace("targetUs=500000", "targetUs=5000000"),
-                CONFIGURE.replace("mostAtOnce=10", "mostAtOnce=0"), "CONFIGURE\t3\t1\tnonsense\n");
+                CONFIGURE.replace("mostAtOnce=10", "mostAtOnce=0"),
+                "CONFIGURE\t3\t1\tnonsense\n");
         for (String batch : bad) {
             err.reset();
             assertEquals(1, drill(batch), batch);
@@ -88,8 +100,12 @@
 
     @Test
     void inputThatEndsWithinABatchIsMalformed() {
-        assertEquals(1, Main.drill(new BufferedReader(new StringReader("CLOCK\t5\n")), out,
-                new PrintStream(err, true, StandardCharsets.UTF_8)));
+        assertEquals(
+                1,
+                Main.drill(
+                        new BufferedReader(new StringReader("CLOCK\t5\n")),
+                        out,
+                        new PrintStream(err, true, StandardCharsets.UTF_8)));
     }
 
     @Test
