--- /dev/null
+++ b/src/test/java/reedmux/handover/HandoverFixtures.java
@@ -0,0 +1,50 @@
+package reedmux.handover;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import reedmux.policy.Twin.Kept;
+import reedmux.policy.Twin.Spent;
+
+/** One frame of every kind that two processes of one gatekeeper exchange. */
+public final class HandoverFixtures {
+    static final Kept FIRST_COUNT = new Kept(
+            77L << 32,
+            300,
+            70_001,
+            70_002,
+            4,
+            5.5,
+            0.25,
+            1.125,
+            -2,
+            9_000_000_000L,
+            new int[] {-1, 70_003, 7},
+            new double[] {0.5, 1.5, 2});
+    static final Kept SECOND_COUNT =
+            new Kept(-78, 1, 2, 3, 5, 6.5, -0.75, 100.1, 3.25, 8, new int[] {1, 2, -1}, new double[] {3, 4, 5});
+
+    private HandoverFixtures() {}
+
+    static Map<String, Frame> frames() {
+        Map<String, Frame> all = new LinkedHashMap<>();
+        all.put("hello", new Frame.Hello(1, "0 of 4 plans \u20ac"));
+        all.put("take", new Frame.Take());
+        all.put("counted-last", new Frame.Counted("default", List.of(FIRST_COUNT, SECOND_COUNT), true));
+        all.put("counted", new Frame.Counted("invoices", List.of(), false));
+        all.put("serving", new Frame.Serving());
+        all.put(
+                "spent",
+                new Frame.SpentSince(
+                        "default",
+                        List.of(new Spent(1L << 32, 300, 70_001, 70_002, 2.5), new Spent(-3, 1, 2, 3, -4.1))));
+        return all;
+    }
+
+    /** Returns the bytes of each frame with its length in front. */
+    public static Map<String, byte[]> encoded() {
+        Map<String, byte[]> all = new LinkedHashMap<>();
+        frames().forEach((name, frame) -> all.put(name, Frames.bytes(frame)));
+        return all;
+    }
+}
--- /dev/null
+++ b/src/test/java/reedmux/link/RpcCompatibilityTest.java
@@ -0,0 +1,88 @@
+package reedmux.link;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.testng.annotations.Test;
+import reedmux.compatibility.FixtureFiles;
+import reedmux.net.ScriptedSockets;
+
+/** Frames that an earlier version sent are understood, and this version sends the same bytes. */
+public class RpcCompatibilityTest {
+    private static final int LENGTH_BYTES = 4;
+
+    private static byte[] payload(byte[] frame) {
+        return Arrays.copyOfRange(frame, LENGTH_BYTES, frame.length);
+    }
+
+    @Test
+    public void decodesAndEncodesEveryFrameOfTheFixture() throws IOException {
+        Codec codec = new Codec();
+        Map<String, byte[]> frames = FixtureFiles.frames("rpc-frames.txt");
+        Map<String, Object> expected = RpcFixtures.messages();
+        assertEquals(List.copyOf(frames.keySet()), List.copyOf(expected.keySet()));
+        for (Map.Entry<String, byte[]> frame : frames.entrySet()) {
+            String name = frame.getKey();
+            assertEquals(codec.read(payload(frame.getValue())), expected.get(name), name);
+            assertEquals(RpcFixtures.framed(codec.write(expected.get(name))), frame.getValue(), name);
+        }
+    }
+
+    @Test
+    public void decodesFormsThatAreNoLongerWritten() throws IOException {
+        Map<String, byte[]> frames = FixtureFiles.frames("rpc-frames-read-only.txt");
+        Map<String, Object> expected = RpcFixtures.readOnlyMessages();
+        assertEquals(frames.keySet(), expected.keySet());
+        for (Map.Entry<String, byte[]> frame : frames.entrySet()) {
+            assertEquals(new Codec().read(frame.getValue()), expected.get(frame.getKey()), frame.getKey());
+        }
+    }
+
+    /** A message type that is added later needs a frame in the fixture. */
+    @Test
+    public void theFixtureHasEveryTypeOfMessage() {
+        Set<Class<?>> covered = new HashSet<>();
+        RpcFixtures.messages().values().forEach(message -> covered.add(message.getClass()));
+        for (Class<?> type : Messages.class.getDeclaredClasses()) {
+            assertTrue(!type.isRecord() || covered.contains(type), type + " is in no fixture");
+        }
+    }
+
+    @Test
+    public void aConnectionUnderstandsTheFramesOfTheFixture() throws IOException {
+        ScriptedSockets sockets = new ScriptedSockets();
+        List<Object> told = new ArrayList<>();
+        Link.Owner owner = new Link.Owner() {
+            @Override
+            public void up(Link link) {
+                told.add(link.other());
+            }
+
+            @Override
+            public void told(Link link, Object message) {
+                told.add(message);
+            }
+
+            @Override
+            public void down(Link link) {
+                throw new AssertionError("refused behind " + told);
+            }
+        };
+        Messages.Hello self = new Messages.Hello(Messages.FORM, "proxy", "edge-1", "10.1.0.1", "a", 5, List.of());
+        Link.of(sockets.reactor(), new Codec(), self, sockets.accepted(), owner);
+        for (byte[] frame : FixtureFiles.frames("rpc-frames.txt").values()) {
+            sockets.opened.get(0).give(new String(frame, StandardCharsets.ISO_8859_1));
+        }
+        List<Object> expected = new ArrayList<>(RpcFixtures.messages().values());
+        expected.remove(new Messages.Ping()); // answered by the connection itself
+        assertEquals(told, expected);
+    }
+}
--- /dev/null
+++ b/src/test/java/reedmux/link/RpcFixtures.java
@@ -0,0 +1,192 @@
+package reedmux.link;
+
+import com.esotericsoftware.kryo.io.Output;
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import reedmux.fleet.Fleet;
+import reedmux.fleet.Incarnation;
+import reedmux.item.Agreement.Vote;
+import reedmux.item.Ballot;
+import reedmux.item.Item;
+import reedmux.item.Mark;
+import reedmux.item.Members;
+import reedmux.item.Membership;
+import reedmux.item.Proposal;
+import reedmux.member.Differences;
+import reedmux.member.Session;
+import reedmux.quota.Quotas;
+
+/** One message of every type that the system's programs exchange, with no field at its default value. */
+public final class RpcFixtures {
+    /** Longer than the texts that Kryo writes in its short form, with characters of two and three bytes. */
+    private static final String LONG_TEXT =
+            "{\"host\":\"h\u00fcgel.example\",\"note\":\"" + "\u20ac" + "0123456789".repeat(20) + "\"}";
+
+    private static final Item ROUTE = new Item("routes", "shop", 7, "{\"host\":\"shop.example\"}");
+    private static final Item POOL = new Item("plants", "p", 1L << 40, LONG_TEXT);
+    private static final Item DROPPED = new Item("tenants", "gone", 300, "");
+    private static final List<Item> ITEMS = List.of(ROUTE, POOL, DROPPED);
+    private static final Ballot BALLOT = new Ballot(300, "core-1");
+    private static final Ballot LATER_BALLOT = new Ballot(301, "core-2");
+    private static final Proposal HELD = new Proposal("call-1", BALLOT, ITEMS, false);
+    private static final Proposal PRECOMMITTED = new Proposal("call-2", LATER_BALLOT, List.of(ROUTE), true);
+    private static final Members CORE =
+            new Members(4, Map.of("10.0.0.1", "core-1", "10.0.0.2", "", "10.0.0.3", "core-3"));
+    private static final Members NEXT_CORE = new Members(5, Map.of("10.0.0.1", "core-1", "10.0.0.4", "core-4"));
+    private static final Incarnation DRAINING =
+            new Incarnation("i-1", "desk", "10.0.0.1:80", "zone-a", 300, Incarnation.DRAINING, 1L << 35, 100_000, true);
+    private static final Incarnation READY =
+            new Incarnation("i-2", "desk", "10.0.0.2:80", "zone-b", 2, Incarnation.READY, 3, 1, false);
+    private static final Incarnation GONE =
+            new Incarnation("i-3", "office", "10.0.0.3:80", "zone-c", 1, Incarnation.GONE, 9, 7, true);
+    private static final Session SESSION = new Session("edge-1", "10.1.0.1", "zone-a", -5);
+
+    private RpcFixtures() {}
+
+    /** Returns every message under a name that stays the same whatever the types are called. */
+    static Map<String, Object> messages() {
+        Map<String, Object> all = new LinkedHashMap<>();
+        all.put(
+                "hello",
+                new Messages.Hello(4, "store", "core-1", "10.0.0.1", "zone-a", -77, List.of("10.0.0.1", "10.0.0.2")));
+        all.put("ping", new Messages.Ping());
+        all.put("pull", new Messages.Pull(-3, 4));
+        all.put("configuration-update", new Messages.Items(-11, 12, true, ITEMS, List.of(HELD, PRECOMMITTED)));
+        all.put(
+                "membership-update",
+                new Messages.News(
+                        -13,
+                        14,
+                        List.of(DRAINING, READY, GONE),
+                        List.of(new Fleet.Owned("i-1", 900, -7)),
+                        new Differences(true, List.of(SESSION), List.of("edge-2", "edge-3"))));
+        all.put("change-request", new Messages.Adjust(5, LONG_TEXT));
+        all.put("read-request", new Messages.Read(6));
+        all.put("show-request", new Messages.Show(-15, "items", "routes/shop", 70_000));
+        all.put("outcome", new Messages.Outcome(7, 409, LONG_TEXT));
+        all.put("propose", new Messages.Propose(HELD));
+        all.put("propose-precommitted", new Messages.Propose(PRECOMMITTED));
+        all.put("vote-held", new Messages.Voted("call-1", BALLOT, Vote.HELD));
+        all.put("vote-invalid", new Messages.Voted("call-1", BALLOT, Vote.INVALID));
+        all.put("vote-busy", new Messages.Voted("call-1", BALLOT, Vote.BUSY));
+        all.put("vote-unable", new Messages.Voted("call-1", BALLOT, Vote.UNABLE));
+        all.put("vote-passed", new Messages.Voted("call-1", BALLOT, Vote.PASSED));
+        all.put("vote-conflict", new Messages.Voted("call-1", BALLOT, Vote.CONFLICT));
+        all.put("vote-precommitted", new Messages.Voted("call-1", BALLOT, Vote.PRECOMMITTED));
+        all.put("decided-in-force", new Messages.Decided("call-1", BALLOT, true, ITEMS));
+        all.put("decided-dropped", new Messages.Decided("call-2", LATER_BALLOT, false, List.of(ROUTE)));
+        all.put("ask", new Messages.Ask(3, PRECOMMITTED));
+        all.put("core", new Messages.CoreTold(CORE, true, false));
+        all.put("core-fenced", new Messages.CoreTold(CORE, false, true));
+        all.put("core-unknown", new Messages.CoreTold(null, true, true));
+        all.put("core-state", new Messages.CoreKept(new Membership.State(CORE, LATER_BALLOT, BALLOT, NEXT_CORE, true)));
+        all.put("core-state-first", new Messages.CoreKept(new Membership.State(CORE, null, null, null, false)));
+        all.put("step-prepare", new Membership.Step(Membership.Kind.PREPARE, 4, BALLOT, null, null));
+        all.put("step-promise", new Membership.Step(Membership.Kind.PROMISE, 4, LATER_BALLOT, BALLOT, NEXT_CORE));
+        all.put("step-accept", new Membership.Step(Membership.Kind.ACCEPT, 4, BALLOT, null, NEXT_CORE));
+        all.put("step-accepted", new Membership.Step(Membership.Kind.ACCEPTED, 4, BALLOT, null, null));
+        all.put("step-passed", new Membership.Step(Membership.Kind.PASSED, 4, BALLOT, null, null));
+        all.put("fetch", new Messages.Fetch(4, -5, 6));
+        all.put(
+                "fetched",
+                new Messages.Fetched(
+                        4,
+                        new Messages.Items(-1, 2, true, ITEMS, List.of(HELD, PRECOMMITTED)),
+                        List.of(List.of("10.0.0.1", "10.0.0.2"), List.of("10.0.0.3"))));
+        all.put("leave", new Messages.Leave(8, "core-1"));
+        all.put("incarnations", new Messages.Tell(9, List.of(DRAINING, GONE)));
+        all.put("incarnations-known", new Messages.Known(10));
+        all.put("contacts", new Messages.Contacts(List.of(new Fleet.Contact(-3, 4_000_000), new Fleet.Contact(5, 6))));
+        all.put(
+                "watermarks",
+                new Messages.Marks(
+                        List.of(new Mark("routes/shop", 7, -9), new Mark("plants/p", 1L << 33, Mark.FLOOR))));
+        all.put("confirm", new Messages.Confirm(2, -4, true));
+        all.put("confirmed", new Messages.Confirmed(-4));
+        all.put("current", new Messages.Current());
+        all.put("piece", new Messages.Piece(-17, -1, ITEMS));
+        all.put("resume", new Messages.Resume(-18, 19));
+        all.put("compare", new Messages.Compare(List.of(1, 300), List.of(-5L, 1L << 50)));
+        all.put("differ", new Messages.Differ(List.of(2, 63)));
+        all.put(
+                "quota-packet",
+                new Quotas.Packet(
+                        "edge-1",
+                        -21,
+                        22,
+                        -23,
+                        24,
+                        new ArrayList<>(List.of(
+                                new Quotas.Entry("tenant-1", 1234.5, -1), new Quotas.Entry("tenant-2", 0.1, 0.25)))));
+        return all;
+    }
+
+    /** Returns the bytes of each message as a connection carries them: the length and then the message. */
+    public static Map<String, byte[]> encoded() {
+        Codec codec = new Codec();
+        Map<String, byte[]> all = new LinkedHashMap<>();
+        messages().forEach((name, message) -> all.put(name, framed(codec.write(message))));
+        return all;
+    }
+
+    static byte[] framed(byte[] message) {
+        return ByteBuffer.allocate(Integer.BYTES + message.length)
+                .putInt(message.length)
+                .put(message)
+                .array();
+    }
+
+    /** Returns what earlier versions left on disks, in forms that are read and no longer written. */
+    static Map<String, Object> readOnlyMessages() {
+        Ballot none = new Ballot(1, "");
+        Map<String, Object> all = new LinkedHashMap<>();
+        all.put("items-without-held", new Messages.Items(-31, 32, true, ITEMS, List.of()));
+        all.put("propose-without-ballot", new Messages.Propose(new Proposal("call-3", none, ITEMS, false)));
+        all.put("decided-without-ballot", new Messages.Decided("call-3", none, true, ITEMS));
+        all.put("propose-of-one-phase", new Messages.Propose(HELD));
+        return all;
+    }
+
+    /** Returns the bytes of those, written out here as no code of the programs writes them. */
+    public static Map<String, byte[]> readOnlyEncoded() {
+        Map<String, byte[]> all = new LinkedHashMap<>();
+        Output out = start(3);
+        out.writeLong(-31);
+        out.writeLong(32);
+        out.writeBoolean(true);
+        all.put("items-without-held", end(out));
+        out = start(8);
+        out.writeString("call-3");
+        all.put("propose-without-ballot", end(out));
+        out = start(10);
+        out.writeString("call-3");
+        out.writeBoolean(true);
+        all.put("decided-without-ballot", end(out));
+        out = start(15);
+        out.writeString("call-1");
+        out.writeVarLong(300, true);
+        out.writeString("core-1");
+        all.put("propose-of-one-phase", end(out));
+        return all;
+    }
+
+    private static Output start(int type) {
+        Output out = new Output(64, -1);
+        out.writeByte(type);
+        return out;
+    }
+
+    private static byte[] end(Output out) {
+        out.writeVarInt(ITEMS.size(), true);
+        for (Item item : ITEMS) {
+            out.writeString(item.kind());
+            out.writeString(item.name());
+            out.writeVarLong(item.revision(), true);
+            out.writeString(item.body());
+        }
+        return out.toBytes();
+    }
+}
--- /dev/null
+++ b/src/test/java/reedmux/policy/PeerPacketCompatibilityTest.java
@@ -0,0 +1,26 @@
+package reedmux.policy;
+
+import static org.testng.Assert.assertEquals;
+
+import java.io.IOException;
+import java.util.List;
+import java.util.Map;
+import org.testng.annotations.Test;
+import reedmux.compatibility.FixtureFiles;
+
+/** Datagrams of an earlier version are understood, and this version writes the same bytes. */
+public class PeerPacketCompatibilityTest {
+
+    @Test
+    public void decodesAndEncodesEveryDatagramOfTheFixture() throws IOException {
+        Map<String, byte[]> datagrams = FixtureFiles.frames("peer-packets.txt");
+        Map<String, PeerPacket> expected = PeerPacketFixtures.packets();
+        Map<String, byte[]> written = PeerPacketFixtures.encoded();
+        assertEquals(List.copyOf(datagrams.keySet()), List.copyOf(expected.keySet()));
+        for (Map.Entry<String, byte[]> datagram : datagrams.entrySet()) {
+            String name = datagram.getKey();
+            assertEquals(PeerPacket.read(datagram.getValue()), expected.get(name), name);
+            assertEquals(written.get(name), datagram.getValue(), name);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/reedmux/policy/PeerPacketFixtures.java
@@ -0,0 +1,94 @@
+package reedmux.policy;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Datagrams between gatekeepers: with all that one can carry, and with names that were acknowledged. */
+public final class PeerPacketFixtures {
+    private static final int LENGTH = 256;
+
+    private PeerPacketFixtures() {}
+
+    private static List<PeerPacket.News> news() {
+        return List.of(new PeerPacket.News(300, 1200), new PeerPacket.News(7, 3));
+    }
+
+    private static PeerPacket.Entry entry(int alias, int plan, double delta, Double count, Integer open, double grant) {
+        return new PeerPacket.Entry(
+                alias,
+                (1L << 33) - alias - 1,
+                plan,
+                plan < 0 ? 0 : 500 + alias,
+                plan < 0 ? 0 : 400,
+                delta,
+                count,
+                open,
+                grant);
+    }
+
+    /** Returns each datagram as it is read; a customer that is known by its alias has no plan. */
+    static Map<String, PeerPacket> packets() {
+        Map<String, PeerPacket> all = new LinkedHashMap<>();
+        all.put("full", new PeerPacket(65_000, 9, 0x8001, 1000, 77, true, 200, news(), entries(3)));
+        all.put(
+                "by-alias",
+                new PeerPacket(
+                        9,
+                        65_000,
+                        0x7fff,
+                        1L << 40,
+                        1L << 39,
+                        false,
+                        40,
+                        List.of(),
+                        List.of(
+                                new PeerPacket.Entry(0, 0, -1, 0, 0, 300, 10.5, 300, 2.25),
+                                new PeerPacket.Entry(1, 0, -1, 0, 0, -0.01, null, null, 0))));
+        return all;
+    }
+
+    private static List<PeerPacket.Entry> entries(int plan) {
+        return List.of(
+                entry(0, plan, -12.34, 100.25, 17, 0.5),
+                entry(1, plan, 5, null, null, 0),
+                entry(2, plan, 700, -3.5, null, 1000.75),
+                entry(3, plan, 0.07, null, 300, 0));
+    }
+
+    /** Returns the bytes of those, written in this order with the aliases of one edge. */
+    public static Map<String, byte[]> encoded() {
+        PeerPacket.Names names = new PeerPacket.Names();
+        Map<String, byte[]> all = new LinkedHashMap<>();
+        packets().forEach((name, packet) -> {
+            PeerPacket.Writer writer = new PeerPacket.Writer(
+                    names,
+                    packet.incarnation(),
+                    packet.forIncarnation(),
+                    packet.accepted(),
+                    packet.number(),
+                    packet.highest(),
+                    packet.asks(),
+                    packet.pace(),
+                    packet.news(),
+                    LENGTH);
+            for (PeerPacket.Entry entry : packet.entries()) {
+                writer.add(
+                        entry.plan() >= 0
+                                ? entry
+                                : new PeerPacket.Entry(
+                                        (1L << 33) - entry.alias() - 1,
+                                        3,
+                                        0,
+                                        0,
+                                        entry.delta(),
+                                        entry.count(),
+                                        entry.open(),
+                                        entry.grant()));
+            }
+            all.put(name, writer.finish());
+            names.acknowledged(packet.number());
+        });
+        return all;
+    }
+}
--- /dev/null
+++ b/src/test/java/reedmux/registry/RegistryCompatibilityTest.java
@@ -0,0 +1,46 @@
+package reedmux.registry;
+
+import static org.testng.Assert.assertEquals;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import org.testng.annotations.Test;
+import reedmux.compatibility.FixtureFiles;
+import reedmux.fleet.Incarnation;
+
+/** The files of a registry of an earlier version are read, and this version writes the same bytes. */
+public class RegistryCompatibilityTest {
+    private static final String FOLDER = "registry";
+
+    @Test
+    public void readsEachGenerationOfTheFixture() throws IOException {
+        check(RegistryFixtures.FIRST_GENERATION, "items-1");
+        check(RegistryFixtures.SECOND_GENERATION, "items-1", "items-2");
+        check(RegistryFixtures.SECOND_GENERATION, "items-2");
+    }
+
+    private static void check(List<Incarnation> expected, String... files) throws IOException {
+        Path folder = Files.createTempDirectory("reedmux-registry");
+        FixtureFiles.copy(FOLDER, folder, files);
+        RegistryFixtures.Life life = new RegistryFixtures.Life(folder);
+        assertEquals(life.environment.log, List.of());
+        assertEquals(List.copyOf(life.fleet.all(0)), expected);
+        for (String file : files) {
+            Files.delete(folder.resolve(file));
+        }
+        Files.delete(folder);
+    }
+
+    @Test
+    public void writesTheBytesOfTheFixture() throws IOException {
+        Path folder = Files.createTempDirectory("reedmux-registry");
+        RegistryFixtures.writeDataFolder(folder);
+        for (String file : List.of("items-1", "items-2")) {
+            assertEquals(Files.readAllBytes(folder.resolve(file)), FixtureFiles.bytes(FOLDER + '/' + file), file);
+            Files.delete(folder.resolve(file));
+        }
+        Files.delete(folder);
+    }
+}
--- a/src/test/java/reedmux/store/DiskEnvironment.java
+++ b/src/test/java/reedmux/store/DiskEnvironment.java
@@ -13,18 +13,18 @@
 import reedmux.net.Reactor;
 
 /** A process that has a disk and a clock and nothing else; its disk's tasks run when the test says so. */
-final class DiskEnvironment implements Environment {
+public final class DiskEnvironment implements Environment {
     private final Volume volume;
     private final Deque<Runnable> posted = new ArrayDeque<>();
-    final Deque<Runnable> disk = new ArrayDeque<>();
-    final List<String> log = new ArrayList<>();
-    long now;
+    public final Deque<Runnable> disk = new ArrayDeque<>();
+    public final List<String> log = new ArrayList<>();
+    public long now;
 
-    DiskEnvironment(Volume volume) {
+    public DiskEnvironment(Volume volume) {
         this.volume = volume;
     }
 
-    Reactor reactor() {
+    public Reactor reactor() {
         return new Reactor(new Ring("store", 10, log::add, () -> now * 1000), this);
     }
 
--- /dev/null
+++ b/src/test/java/reedmux/store/StoreCompatibilityTest.java
@@ -0,0 +1,91 @@
+package reedmux.store;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.DirectoryStream;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.Test;
+import reedmux.compatibility.FixtureFiles;
+
+/** The data folder of a store of an earlier version is read, and this version writes the same bytes. */
+public class StoreCompatibilityTest {
+    private Path folder;
+
+    @BeforeMethod
+    public void createFolder() throws IOException {
+        folder = Files.createTempDirectory("reedmux-store");
+    }
+
+    @AfterMethod
+    public void deleteFolder() throws IOException {
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
+            for (Path file : files) {
+                Files.delete(file);
+            }
+        }
+        Files.delete(folder);
+    }
+
+    private StoreFixtures.Life start(String resources, String... files) throws IOException {
+        FixtureFiles.copy(resources, folder, files);
+        return new StoreFixtures.Life(folder, false);
+    }
+
+    @Test
+    public void readsTheFirstGenerationAndItsRecords() throws IOException {
+        check(start("store", "items-1"), StoreFixtures.FIRST_GENERATION, List.of());
+    }
+
+    @Test
+    public void readsTheSecondGenerationAndItsRecords() throws IOException {
+        check(start("store", "items-1", "items-2"), StoreFixtures.SECOND_GENERATION, List.of());
+    }
+
+    @Test
+    public void readsTheSecondGenerationAlone() throws IOException {
+        check(start("store", "items-2"), StoreFixtures.SECOND_GENERATION, List.of());
+    }
+
+    @Test
+    public void readsWhatIsBeforeARecordThatIsCut() throws IOException {
+        StoreFixtures.Life life = start("store-torn", "items-2");
+        assertEquals(life.environment.log.size(), 1, life.environment.log.toString());
+        String line = life.environment.log.get(0);
+        assertTrue(line.contains("disk: items-2 at "), line);
+        check(life, StoreFixtures.TORN, life.environment.log);
+    }
+
+    private static void check(StoreFixtures.Life life, StoreFixtures.Contents expected, List<String> log) {
+        StoreFixtures.Contents contents = life.contents();
+        assertEquals(contents.core(), expected.core());
+        assertEquals(contents.items(), expected.items());
+        assertEquals(contents.marks(), expected.marks());
+        assertEquals(contents.held(), expected.held());
+        assertTrue(life.complete, "nothing that was safe is missing");
+        assertEquals(life.environment.log, log);
+    }
+
+    @Test
+    public void writesTheBytesOfTheFixture() throws IOException {
+        StoreFixtures.writeDataFolder(folder);
+        for (String file : List.of("items-1", "items-2")) {
+            assertEquals(Files.readAllBytes(folder.resolve(file)), FixtureFiles.bytes("store/" + file), file);
+        }
+    }
+
+    /** Stores compare these to find what one of them lacks, whatever their versions. */
+    @Test
+    public void theDigestsOfTheContentsStayTheSame() throws IOException {
+        Map<String, byte[]> digests = start("store", "items-2").digests();
+        Map<String, byte[]> expected = FixtureFiles.frames("store-digests.txt");
+        assertEquals(digests.keySet(), expected.keySet());
+        digests.forEach((name, bytes) -> assertEquals(bytes, expected.get(name), name));
+    }
+}
