--- a/src/main/java/reedmux/attempt/Event.java
+++ b/src/main/java/reedmux/attempt/Event.java
@@ -21,6 +21,7 @@
     /** A sending has had no end long after its request's. */
     record TryOverdue(Try what) implements Event {}
 
+    /** The time that a request may take is over. */
     record DeadlinePassed(Exchange exchange) implements Event {}
 
     /** Nobody waits for the answer any more. */
--- a/src/main/java/reedmux/http/Grammar.java
+++ b/src/main/java/reedmux/http/Grammar.java
@@ -10,7 +10,7 @@
     private static final int LONGEST_SIZE = 8;
 
     /** The characters of a token, looked up, as each of a head's names is made of them. */
-    private static final boolean[] TOKEN = new boolean[0x7f];
+    private static final boolean[] TOKEN = new boolean[0x7F];
 
     static {
         for (char c = ' ' + 1; c < TOKEN.length; c++) {
@@ -30,7 +30,7 @@
             return "the request line has no target, or no version";
         }
         for (int i = first + 1; i < second; i++) {
-            if (line.charAt(i) <= ' ' || line.charAt(i) >= 0x7f) {
+            if (line.charAt(i) <= ' ' || line.charAt(i) >= 0x7F) {
                 return "the target holds a character that has no place there";
             }
         }
@@ -59,7 +59,7 @@
         }
         for (int i = colon + 1; i < line.length(); i++) {
             char c = line.charAt(i);
-            if (c < ' ' && c != '\t' || c == 0x7f) {
+            if (c < ' ' && c != '\t' || c == 0x7F) {
                 return "a header's value holds a control character";
             }
         }
@@ -118,7 +118,7 @@
                 i++;
                 c = i < line.length() ? line.charAt(i) : 0;
             }
-            if (c < ' ' && c != '\t' || c == 0x7f) {
+            if (c < ' ' && c != '\t' || c == 0x7F) {
                 return -1;
             }
         }
--- a/src/main/java/reedmux/http/RequestReader.java
+++ b/src/main/java/reedmux/http/RequestReader.java
@@ -169,7 +169,7 @@
 
     /** What is not plain would reach the provider as something else. */
     static boolean plain(String path) {
-        return path.startsWith("/") && path.chars().allMatch(c -> c > ' ' && c < 0x7f && c != '#');
+        return path.startsWith("/") && path.chars().allMatch(c -> c > ' ' && c < 0x7F && c != '#');
     }
 
     static String className(String path) {
--- a/src/main/java/reedmux/item/Digests.java
+++ b/src/main/java/reedmux/item/Digests.java
@@ -23,7 +23,7 @@
         int range = range(mark.key());
         long digest = mix(mix(mark.revision()) ^ mark.digest());
         for (int i = 0; i < mark.key().length(); i++) {
-            digest = (digest ^ mark.key().charAt(i)) * 0x100000001b3L;
+            digest = (digest ^ mark.key().charAt(i)) * 0x100000001B3L;
         }
         digest = mix(digest);
         fine[range] ^= digest;
@@ -31,8 +31,8 @@
     }
 
     private static long mix(long bits) {
-        long mixed = (bits ^ bits >>> 30) * 0xbf58476d1ce4e5b9L;
-        mixed = (mixed ^ mixed >>> 27) * 0x94d049bb133111ebL;
+        long mixed = (bits ^ bits >>> 30) * 0xBF58476D1CE4E5B9L;
+        mixed = (mixed ^ mixed >>> 27) * 0x94D049BB133111EBL;
         return mixed ^ mixed >>> 31;
     }
 
--- a/src/main/java/reedmux/item/Mark.java
+++ b/src/main/java/reedmux/item/Mark.java
@@ -7,7 +7,7 @@
  */
 public record Mark(String key, long revision, long digest) {
     public static final long FLOOR = 0;
-    private static final long FNV = 0x100000001b3L;
+    private static final long FNV = 0x100000001B3L;
 
     // Written out, as what a record brings is linked at run time, in the middle of a start.
     @Override
@@ -21,7 +21,7 @@
     }
 
     public static Mark of(Item item) {
-        long digest = 0xcbf29ce484222325L;
+        long digest = 0xCBF29CE484222325L;
         String body = item.body();
         for (int i = 0; i < body.length(); i++) {
             digest = (digest ^ body.charAt(i)) * FNV;
--- a/src/main/java/reedmux/lab/RegionScene.java
+++ b/src/main/java/reedmux/lab/RegionScene.java
@@ -215,7 +215,7 @@
 
     private void ask(Region region) {
         boolean repeatable = random.nextBoolean();
-        long id = (region == east ? 0xe000_0000_0000L : 0x3000_0000_0000L) + ++ids;
+        long id = (region == east ? 0xE000_0000_0000L : 0x3000_0000_0000L) + ++ids;
         region.consumers
                 .get(random.nextInt(GATEKEEPERS))
                 .ask(new Asked(
@@ -240,7 +240,7 @@
 
         LinkStandIn.Does[] breaks = LinkStandIn.Does.values();
         for (LinkStandIn line : west.lines) {
-            line.script(() -> breaks[(int) (System.nanoTime() >>> 10 & 0xff) % breaks.length]);
+            line.script(() -> breaks[(int) (System.nanoTime() >>> 10 & 0xFF) % breaks.length]);
         }
         load("and the line breaks in every way", 3, PER_SECOND, PER_SECOND);
         west.lines.forEach(line -> line.script(() -> LinkStandIn.Does.PASSES));
--- a/src/main/java/reedmux/lab/world/Clients.java
+++ b/src/main/java/reedmux/lab/world/Clients.java
@@ -29,8 +29,9 @@
     /**
      * A request that may be made.
      *
-     * @param keys   items by which it is judged what a probe shows, the route's and the key's
-     * @param tenant whose key it has
+     * @param tenant    whose key it has
+     * @param routeItem the item by which it is judged what a probe of its route shows
+     * @param keyItem   the item by which it is judged what a probe of its key shows
      */
     record Wish(
             String path,
--- a/src/main/java/reedmux/lab/world/SimLine.java
+++ b/src/main/java/reedmux/lab/world/SimLine.java
@@ -65,7 +65,8 @@
                 back(target, () -> fail(new ConnectException("Connection refused")));
             } else {
                 SimLine made = new SimLine(other, false);
-                made.up = made.upTold = true;
+                made.up = true;
+                made.upTold = true;
                 made.peer = this;
                 if (!other.port(port).take(made)) {
                     other.closed(made);
--- a/src/main/java/reedmux/lab/world/World.java
+++ b/src/main/java/reedmux/lab/world/World.java
@@ -10,7 +10,7 @@
 /** Virtual time, machines and the links between them. All chance comes from one seed. */
 final class World {
     private static final long BEGIN = 3_600_000_000L;
-    private static final long FNV = 0x100000001b3L;
+    private static final long FNV = 0x100000001B3L;
     private static final double LOSS = 0.003;
     private final PriorityQueue<Due> due = new PriorityQueue<>();
     private final Map<String, Machine> machines = new HashMap<>();
@@ -18,7 +18,7 @@
     private final Random random;
     private long now = BEGIN;
     private long numbers;
-    private long digest = 0xcbf29ce484222325L;
+    private long digest = 0xCBF29CE484222325L;
     private long events;
     private boolean measures;
 
--- a/src/main/java/reedmux/link/Link.java
+++ b/src/main/java/reedmux/link/Link.java
@@ -159,10 +159,10 @@
         }
         heardAt = reactor.now();
         while (!over && wire.available() >= LENGTH) {
-            int length = (wire.peek(0) & 0xff) << 24
-                    | (wire.peek(1) & 0xff) << 16
-                    | (wire.peek(2) & 0xff) << 8
-                    | wire.peek(3) & 0xff;
+            int length = (wire.peek(0) & 0xFF) << 24
+                    | (wire.peek(1) & 0xFF) << 16
+                    | (wire.peek(2) & 0xFF) << 8
+                    | wire.peek(3) & 0xFF;
             if (length <= 0 || length > MOST || other == null && length > MOST_HELLO) {
                 refuse("a length of " + length + " is no frame's");
                 return;
--- a/src/main/java/reedmux/link/Messages.java
+++ b/src/main/java/reedmux/link/Messages.java
@@ -116,6 +116,7 @@
         }
     }
 
+    /** Acknowledges the incarnations of one {@link Tell}. */
     public record Known(long id) {}
 
     /** How far registries have been heard to count, each second while it lives; proxies pass it on. */
--- a/src/main/java/reedmux/net/Wire.java
+++ b/src/main/java/reedmux/net/Wire.java
@@ -166,7 +166,8 @@
 
     private void trim() {
         if (from == to) {
-            from = to = 0;
+            from = 0;
+            to = 0;
             if (in.length > 4 * LEAST) {
                 in = EMPTY;
             }
@@ -269,7 +270,8 @@
             closed = true;
             out.clear();
             in = EMPTY;
-            from = to = 0;
+            from = 0;
+            to = 0;
             try {
                 line.close();
             } catch (IOException e) {
--- a/src/main/java/reedmux/policy/PeerPacket.java
+++ b/src/main/java/reedmux/policy/PeerPacket.java
@@ -35,7 +35,7 @@
     private static final int ENTRY = 30, NEWS = 6;
     private static final int CHECK = 2;
     private static final int HEAD = CHECK + 3 * Short.BYTES;
-    private static final int MASK = 0xffff;
+    private static final int MASK = 0xFFFF;
     private static final int FLAGS = 5;
     /** Customers of one edge with a short name at a time. */
     static final int NAMED = 1024;
@@ -221,7 +221,7 @@
 
         private void put(long value) {
             long rest = value;
-            for (; rest > 0x7f || rest < 0; rest >>>= 7) {
+            for (; rest > 0x7F || rest < 0; rest >>>= 7) {
                 bytes.put((byte) (rest | 0x80));
             }
             bytes.put((byte) rest);
@@ -279,7 +279,7 @@
         long value = 0;
         for (int shift = 0; ; shift += 7) {
             byte part = bytes.get();
-            value |= (long) (part & 0x7f) << shift;
+            value |= (long) (part & 0x7F) << shift;
             if (part >= 0) {
                 return value;
             }
--- a/src/main/java/reedmux/proxy/ClientWire.java
+++ b/src/main/java/reedmux/proxy/ClientWire.java
@@ -70,7 +70,8 @@
     ClientWire(Front proxy, Wire wire) {
         this.proxy = proxy;
         this.wire = wire;
-        since = movedAt = proxy.now();
+        since = proxy.now();
+        movedAt = since;
         rest = proxy.bounds().idleTime();
         wire.owner(this);
     }
@@ -279,7 +280,8 @@
     private void next() {
         request = null;
         upload = null;
-        since = movedAt = proxy.now();
+        since = proxy.now();
+        movedAt = since;
         wire.pause(false);
         if (wire.available() > 0) {
             proxy.soon(() -> {
--- a/src/main/java/reedmux/proxy/Proxy.java
+++ b/src/main/java/reedmux/proxy/Proxy.java
@@ -135,7 +135,8 @@
         // First of all, so that after a restart clients wait for us and are not turned away.
         new Listener(reactor, boot.socket("front"), this::client);
         new Listener(reactor, boot.socket("ready"), wire -> new Calls(reactor, wire, this::readiness));
-        bornAt = lookedAt = reactor.now();
+        bornAt = reactor.now();
+        lookedAt = bornAt;
         long life = reactor.draw() ^ (long) boot.node().hashCode() << 32;
         core = new Core(boot, false);
         self = new Hello(Messages.FORM, PROGRAM, boot.node(), boot.ip(), boot.zone(), life, core.machines());
--- a/src/main/java/reedmux/quota/Quotas.java
+++ b/src/main/java/reedmux/quota/Quotas.java
@@ -249,7 +249,8 @@
         Count count = counts.get(tenant.name());
         if (count == null) {
             count = new Count();
-            count.drainedAt = count.seenAt = now;
+            count.drainedAt = now;
+            count.seenAt = now;
             if (restarted && now - bornAt < AWAY) {
                 count.add(FORGOTTEN * tenant.burst(), HeapCount.NOBODY);
                 count.forget();
--- a/src/main/java/reedmux/region/Outbound.java
+++ b/src/main/java/reedmux/region/Outbound.java
@@ -82,6 +82,7 @@
             case REFUSED -> gateways.refused(gateway, now, retryAfter);
             case FAILED -> gateways.failed(gateway, now);
             case GIVEN_UP -> gateways.givenUp(gateway);
+            default -> throw new IllegalStateException("no such result: " + how);
         }
         if (tookThere >= 0 && tookThere <= took) {
             link.learn(took - tookThere);
--- a/src/main/java/reedmux/registry/RegistryView.java
+++ b/src/main/java/reedmux/registry/RegistryView.java
@@ -42,11 +42,12 @@
         all.put("ip", self.ip());
         all.put("incarnation", Long.toHexString(self.life()));
         Map<String, Object> told;
+        String cause = why;
         try {
             told = store == null ? Map.of() : new LinkedHashMap<>(Json.map(Json.read(store), "its answer"));
         } catch (Invalid e) {
             told = Map.of();
-            why = "the store's answer cannot be read: " + e.getMessage();
+            cause = "the store's answer cannot be read: " + e.getMessage();
         }
         // Whatever is known here: contact with a majority is what a store has proved.
         all.put("majority", Boolean.TRUE.equals(told.get("majority")));
@@ -64,7 +65,7 @@
             all.put("ageMs", told.get("ageMs"));
         }
         if (told.isEmpty()) {
-            all.put("why", why);
+            all.put("why", cause);
         } else {
             told.keySet().removeAll(entries.keySet());
             all.put("store", told);
--- a/src/main/java/reedmux/routing/PathForm.java
+++ b/src/main/java/reedmux/routing/PathForm.java
@@ -31,7 +31,7 @@
                     return BAD;
                 }
                 at += 2;
-            } else if (c <= ' ' || c >= 0x7f || c == '\\' || c == ';' || c == '#') {
+            } else if (c <= ' ' || c >= 0x7F || c == '\\' || c == ';' || c == '#') {
                 return BAD;
             }
         }
@@ -61,6 +61,6 @@
                 || value == '.'
                 || value == '_'
                 || value == '~';
-        return !unreserved && value != '/' && value != '\\' && value != ';' && value > ' ' - 1 && value != 0x7f;
+        return !unreserved && value != '/' && value != '\\' && value != ';' && value > ' ' - 1 && value != 0x7F;
     }
 }
--- a/src/main/java/reedmux/routing/RouteTable.java
+++ b/src/main/java/reedmux/routing/RouteTable.java
@@ -23,7 +23,7 @@
     public static final int AMBIGUOUS = -2;
 
     private static final int MULTIPLIER = 0x01000193;
-    private static final int BASIS = 0x811c9dc5;
+    private static final int BASIS = 0x811C9DC5;
     private static final int ANY_HOST = 0;
 
     /** Host patterns, lower case; a wildcard's without its {@code *}, so that it begins with the dot. */
--- a/src/main/java/reedmux/settings/OperatorSettings.java
+++ b/src/main/java/reedmux/settings/OperatorSettings.java
@@ -246,9 +246,8 @@
             Visitors visitors = rules.visitors();
             lines.add(String.format(
                     Locale.ROOT,
-                    "visitors from %s: at most %d at once, %s units/s with "
-                            + "bursts of"
-                            + " %s, none while over %s of our own are served badly and %s ms after",
+                    "visitors from %s: at most %d at once, %s units/s with bursts of %s,"
+                            + " none while over %s of our own are served badly and %s ms after",
                     rules.takesFrom(),
                     visitors.mostAtOnce(),
                     visitors.rate(),
@@ -262,9 +261,8 @@
                         ? "no last resort"
                         : String.format(
                                 Locale.ROOT,
-                                "last resort %s at %s: at most %s"
-                                        + " of the requests, %s units/s with bursts of %s, %d at once; %s ms must be left, %s ms are "
-                                        + "kept",
+                                "last resort %s at %s: at most %s of the requests, %s units/s with bursts of %s,"
+                                        + " %d at once; %s ms must be left, %s ms are kept",
                                 away.region(),
                                 away.gateways(),
                                 away.share(),
--- a/src/test/java/reedmux/cli/ExchangeTest.java
+++ b/src/test/java/reedmux/cli/ExchangeTest.java
@@ -260,7 +260,9 @@
                 }
                 case "counts" -> untilCounted(rest);
                 case "skip" -> {
-                    while (!readLine(socket(party)).isEmpty()) {}
+                    while (!readLine(socket(party)).isEmpty()) {
+                        // up to the end of the header
+                    }
                 }
                 case "accept" -> sockets.put(party, listeners.get(party).accept());
                 case "answers" -> {
--- a/src/test/java/reedmux/handover/FramesTest.java
+++ b/src/test/java/reedmux/handover/FramesTest.java
@@ -14,6 +14,7 @@
 import reedmux.policy.Twin.Kept;
 import reedmux.policy.Twin.Spent;
 
+/** Frames come back as they were, and bytes that are none are an error. */
 public final class FramesTest {
     private static final Kept KEPT =
             new Kept(77, 1, 2, 3, 4, 5.5, 0.25, 1, -2, 9_000_000, new int[] {-1, 0, 7}, new double[] {0, 1.5, 2});
--- a/src/test/java/reedmux/handover/HandoverFixtures.java
+++ b/src/test/java/reedmux/handover/HandoverFixtures.java
@@ -28,7 +28,7 @@
 
     static Map<String, Frame> frames() {
         Map<String, Frame> all = new LinkedHashMap<>();
-        all.put("hello", new Frame.Hello(1, "0 of 4 plans \u20ac"));
+        all.put("hello", new Frame.Hello(1, "0 of 4 plans €"));
         all.put("take", new Frame.Take());
         all.put("counted-last", new Frame.Counted("default", List.of(FIRST_COUNT, SECOND_COUNT), true));
         all.put("counted", new Frame.Counted("invoices", List.of(), false));
--- a/src/test/java/reedmux/http/FlowTest.java
+++ b/src/test/java/reedmux/http/FlowTest.java
@@ -14,6 +14,7 @@
 import org.apache.hc.core5.http.nio.DataStreamChannel;
 import org.junit.Test;
 
+/** A body that is passed on while it arrives: back-pressure, bounds and ends. */
 public final class FlowTest {
     private static final long MOST = Transport.MOST_FLOWING;
     /** What one read of the library may bring beyond what was asked for. */
--- a/src/test/java/reedmux/item/DoubtTest.java
+++ b/src/test/java/reedmux/item/DoubtTest.java
@@ -117,11 +117,15 @@
             good[0]++;
             play.die(0);
             boolean before = orders.pick(2) == 0; // what was on its way comes in before it is back, or after
-            while (before && play.next()) {}
+            while (before && play.next()) {
+                // all that is due before
+            }
             play.comesBackWiped(0);
             for (int i = 0; i < 2; i++) {
                 play.look();
-                while (play.next()) {}
+                while (play.next()) {
+                    // until nothing is left to do
+                }
             }
             world.settle();
             assertAgreed(world);
@@ -159,13 +163,17 @@
                 play.die(2);
                 play.by(0, () -> world.adjust(0, 0, call(route("one", 5, "h.example"))));
                 play.by(1, () -> world.adjust(1, 1, call(contending)));
-                while (play.next()) {}
+                while (play.next()) {
+                    // until nothing is left to do
+                }
                 for (int i = 0; i < 10; i++) {
                     world.now += SECOND / 8;
                     for (int at = 0; at < 2; at++) {
                         int store = at;
                         play.by(at, () -> world.agreements[store].look(world.now));
-                        while (play.next()) {}
+                        while (play.next()) {
+                            // until nothing is left to do
+                        }
                     }
                 }
                 assertEquals(
--- a/src/test/java/reedmux/link/RpcFixtures.java
+++ b/src/test/java/reedmux/link/RpcFixtures.java
@@ -23,7 +23,7 @@
 public final class RpcFixtures {
     /** Longer than the texts that Kryo writes in its short form, with characters of two and three bytes. */
     private static final String LONG_TEXT =
-            "{\"host\":\"h\u00fcgel.example\",\"note\":\"" + "\u20ac" + "0123456789".repeat(20) + "\"}";
+            "{\"host\":\"hügel.example\",\"note\":\"" + "€" + "0123456789".repeat(20) + "\"}";
 
     private static final Item ROUTE = new Item("routes", "shop", 7, "{\"host\":\"shop.example\"}");
     private static final Item POOL = new Item("plants", "p", 1L << 40, LONG_TEXT);
--- a/src/test/java/reedmux/log/RingTest.java
+++ b/src/test/java/reedmux/log/RingTest.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
+/** What of the lines in memory is written out, and when. */
 public class RingTest {
     @Test
     public void whatLedToItIsWrittenOnceAndBounded() {
--- a/src/test/java/reedmux/operator/DoorTest.java
+++ b/src/test/java/reedmux/operator/DoorTest.java
@@ -14,6 +14,7 @@
 import org.junit.Before;
 import org.junit.Test;
 
+/** The admin server over a real socket: its answers, and callers that are slow or talk nonsense. */
 public final class DoorTest {
     /** No verdict hangs on it: it only ends a test that would otherwise wait for ever. */
     private static final int HANGS = 10_000;
--- a/src/test/java/reedmux/operator/FiguresTest.java
+++ b/src/test/java/reedmux/operator/FiguresTest.java
@@ -4,6 +4,7 @@
 
 import org.junit.Test;
 
+/** The counts that the admin server tells. */
 public final class FiguresTest {
     private final Figures figures = new Figures();
 
--- a/src/test/java/reedmux/operator/LifeCycleTest.java
+++ b/src/test/java/reedmux/operator/LifeCycleTest.java
@@ -10,6 +10,7 @@
 import org.junit.Test;
 import reedmux.operator.LifeCycle.Phase;
 
+/** The phases of a process, from each order of events. */
 public final class LifeCycleTest {
     private static final long AT = 5_000_000;
     private static final long MILLI = 1_000;
--- a/src/test/java/reedmux/policy/PeerPacketFixtures.java
+++ b/src/test/java/reedmux/policy/PeerPacketFixtures.java
@@ -36,7 +36,7 @@
                 new PeerPacket(
                         9,
                         65_000,
-                        0x7fff,
+                        0x7FFF,
                         1L << 40,
                         1L << 39,
                         false,
--- a/src/test/java/reedmux/pool/AdmissionTest.java
+++ b/src/test/java/reedmux/pool/AdmissionTest.java
@@ -109,7 +109,9 @@
             admission.admit(0, 0);
             admission.ended(0, 0, 800_000);
         }
-        while (admission.admit(0, 0).in()) {}
+        while (admission.admit(0, 0).in()) {
+            // until it is full
+        }
         assertEquals(800_000, admission.admit(0, 0).retryAfter(), 1_000);
         assertEquals(admission.full(0), admission.admit(0, 0));
     }
--- a/src/test/java/reedmux/registry/ControlCallTest.java
+++ b/src/test/java/reedmux/registry/ControlCallTest.java
@@ -106,7 +106,7 @@
         }
         try {
             throw new AssertionError(ControlCall.of(
-                    Head.request("POST", "/v1/Config.Adjust"), new byte[] {'{', '"', (byte) 0xc3, '"', '}'}));
+                    Head.request("POST", "/v1/Config.Adjust"), new byte[] {'{', '"', (byte) 0xC3, '"', '}'}));
         } catch (BadMessage e) {
             assertEquals(e.getMessage(), "Config.Adjust: byte 2 of the body is not UTF-8");
         }
--- a/src/test/java/reedmux/store/StoreFixtures.java
+++ b/src/test/java/reedmux/store/StoreFixtures.java
@@ -26,8 +26,8 @@
     private static final Members CORE =
             new Members(4, Map.of("10.0.0.1", "core-1", "10.0.0.2", "", "10.0.0.3", "core-3"));
     private static final Members NEXT_CORE = new Members(5, Map.of("10.0.0.1", "core-1", "10.0.0.4", "core-4"));
-    private static final Item ROUTE = new Item("routes", "shop", 7, "{\"host\":\"h\u00fcgel.example\"}");
-    private static final Item NEW_ROUTE = new Item("routes", "shop", 8, "{\"host\":\"\u20ac.example\"}");
+    private static final Item ROUTE = new Item("routes", "shop", 7, "{\"host\":\"hügel.example\"}");
+    private static final Item NEW_ROUTE = new Item("routes", "shop", 8, "{\"host\":\"€.example\"}");
     private static final Item POOL =
             new Item("plants", "desk", 1L << 40, "{\"probe\":\"/" + "0123456789".repeat(20) + "\"}");
     private static final Item DROPPED = new Item("tenants", "gone", 300, "");
--- a/src/test/java/reedmux/wire/DrillTest.java
+++ b/src/test/java/reedmux/wire/DrillTest.java
@@ -119,7 +119,7 @@
             act.cancel("r", 1);
             act.probe("s");
             act.closeIdle("s");
-            act.tell(0, new byte[] {1, (byte) 0xab});
+            act.tell(0, new byte[] {1, (byte) 0xAB});
             act.count(9, 2.5, 7);
             act.fetchServers();
             act.watchServers(true);
