--- a/src/jmh/java/reedmux/routing/LookUp.java
+++ b/src/jmh/java/reedmux/gatekeeper/routing/RouteTableBenchmark.java
@@ -1,4 +1,4 @@
-package reedmux.routing;
+package reedmux.gatekeeper.routing;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -16,28 +16,28 @@
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
-public class LookUp {
-    private static final int ASKED = 1024;
+public class RouteTableBenchmark {
+    private static final int LOOKUP_COUNT = 1024;
 
     /** Routes in the table. */
     @Param({"10", "1000", "100000"})
     public int routes;
 
     private RouteTable table;
-    private final String[] hosts = new String[ASKED];
-    private final String[] targets = new String[ASKED];
+    private final String[] hosts = new String[LOOKUP_COUNT];
+    private final String[] targets = new String[LOOKUP_COUNT];
     private int at;
 
     /** Half of the requests meet a route; the others have a host or a path that none has. */
     @Setup
-    public void compile() throws RouteException {
-        List<Route> all = new ArrayList<>();
+    public void compile() throws InvalidRouteException {
+        List<ServiceRoute> all = new ArrayList<>();
         for (int i = 0; i < routes; i++) {
             String host = i % 10 == 0 ? "*.w" + i / 10 + ".example.org" : "h" + i / 10 + ".example.org";
-            all.add(new Route(host, "/part" + i % 10, i, i + 1));
+            all.add(new ServiceRoute(host, "/part" + i % 10, i, i + 1));
         }
         table = RouteTable.of(all);
-        for (int i = 0; i < ASKED; i++) {
+        for (int i = 0; i < LOOKUP_COUNT; i++) {
             int meant = (int) (i * 7919L % (2 * routes));
             hosts[i] = "h" + meant / 10 + ".example.org";
             targets[i] = "/part" + meant % 10 + "/line-4/photo?part=9";
@@ -46,7 +46,7 @@
 
     @Benchmark
     public int find() {
-        at = at + 1 & ASKED - 1;
+        at = at + 1 & LOOKUP_COUNT - 1;
         return table.find(hosts[at], targets[at]);
     }
 }
--- a/src/main/java/reedmux/cli/ControlClient.java
+++ b/src/main/java/reedmux/cli/ControlClient.java
@@ -12,46 +12,46 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import reedmux.boot.Boot;
-import reedmux.boot.BootException;
-import reedmux.config.Addresses;
+import reedmux.common.net.SocketAddresses;
+import reedmux.common.settings.ProcessSettings;
+import reedmux.common.settings.ProcessSettingsException;
 
 /** An operator's call to any control address: to the next one, with a pause that grows, until one answers. */
-final class ControlClient {
-    private static final int MOST_PAUSE = 800;
-    private static final int REDIRECTS = 2;
+public final class ControlClient {
+    private static final int MAX_BACKOFF_MILLIS = 800;
+    private static final int MAX_REDIRECTS = 2;
     private final List<String> addresses;
-    private final long patienceMs;
+    private final long timeoutMillis;
     private final HttpClient http = HttpClient.newBuilder()
             .followRedirects(HttpClient.Redirect.NEVER)
             .connectTimeout(Duration.ofSeconds(1))
             .proxy(HttpClient.Builder.NO_PROXY)
             .build();
 
-    /** {@code patienceMs}: after so long the last failure is told. */
+    /** {@code timeoutMillis}: after so long the last failure is told. */
     ControlClient(List<String> addresses, long patienceMs) {
         this.addresses = addresses;
-        this.patienceMs = patienceMs;
+        this.timeoutMillis = patienceMs;
     }
 
     /** What somebody answered; {@code at}: who. */
-    record Told(String at, int status, String text) {}
+    public record ControlResponse(String address, int status, String body) {}
 
     /** The addresses that were given, and those of a settings file. */
-    static List<String> addresses(List<String> given, String file) throws BootException {
+    static List<String> addresses(List<String> given, String file) throws ProcessSettingsException {
         Set<String> all = new LinkedHashSet<>();
         for (String one : given) {
-            if (Addresses.parse(one) == null) {
-                throw new BootException("--control is not an address:port: " + one);
+            if (SocketAddresses.parse(one) == null) {
+                throw new ProcessSettingsException("--control is not an address:port: " + one);
             }
             all.add(one);
         }
         if (file != null) {
-            Boot boot = Boot.of(Path.of(file));
-            if (boot.all().containsKey("sockets.control")) {
-                all.add(boot.socket("control").getAddress().getHostAddress()
+            ProcessSettings boot = ProcessSettings.load(Path.of(file));
+            if (boot.values().containsKey("sockets.control")) {
+                all.add(boot.socketAddress("control").getAddress().getHostAddress()
                         + ':'
-                        + boot.socket("control").getPort());
+                        + boot.socketAddress("control").getPort());
             }
             boot.seeds().forEach(seed -> all.add(seed.getAddress().getHostAddress() + ':' + seed.getPort()));
         }
@@ -59,28 +59,28 @@
     }
 
     /** Calls until somebody answers with something other than 5xx, 408 or 429. */
-    Told call(String method, String target) throws IOException, InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(patienceMs);
+    ControlResponse call(String method, String target) throws IOException, InterruptedException {
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         long pause = 50;
         String failure = "";
         for (int i = 0; ; i++) {
             String at = addresses.get(i % addresses.size());
             try {
-                HttpResponse<String> answer = send(method, URI.create("http://" + at + target), REDIRECTS);
+                HttpResponse<String> answer = send(method, URI.create("http://" + at + target), MAX_REDIRECTS);
                 int status = answer.statusCode();
                 if (status < 500 && status != 408 && status != 429) {
-                    return new Told(at, status, answer.body());
+                    return new ControlResponse(at, status, answer.body());
                 }
                 failure = at + " answers " + status + ": " + answer.body().strip();
             } catch (IOException e) {
                 failure = at + ": " + (e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage());
             }
             if (System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(pause) > until) {
-                throw new IOException("no answer within " + patienceMs + " ms; the last: " + failure);
+                throw new IOException("no answer within " + timeoutMillis + " ms; the last: " + failure);
             }
             if (i % addresses.size() == addresses.size() - 1) {
                 TimeUnit.MILLISECONDS.sleep(pause);
-                pause = Math.min(MOST_PAUSE, 2 * pause);
+                pause = Math.min(MAX_BACKOFF_MILLIS, 2 * pause);
             }
         }
     }
--- a/src/main/java/reedmux/cli/CoreCommand.java
+++ b/src/main/java/reedmux/cli/CoreCommand.java
@@ -12,7 +12,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import reedmux.boot.BootException;
+import reedmux.common.settings.ProcessSettingsException;
 
 /** Orders a machine out of the core. */
 @Command(
@@ -30,7 +30,7 @@
     private HelpOption<CoreCommand> help;
 
     @Arguments(title = "leave NODE", description = "the machine, by its node's name or its ip")
-    private List<String> words = new ArrayList<>();
+    private List<String> arguments = new ArrayList<>();
 
     @Option(name = "--control", title = "ADDRESS", description = "a control address; may be repeated")
     private List<String> control = new ArrayList<>();
@@ -39,22 +39,22 @@
     private String boot;
 
     @Option(name = "--wait", title = "MS", description = "how long to try; 30000 where none is given")
-    private long patience = 30_000;
+    private long timeoutMillis = 30_000;
 
     @Override
     public Integer call() throws InterruptedException {
         if (help != null && help.showHelpIfRequested()) {
             return 0;
         }
-        String line = words.size() == 2
-                        && words.get(0).equals("leave")
-                        && !words.get(1).isEmpty()
+        String line = arguments.size() == 2
+                        && arguments.get(0).equals("leave")
+                        && !arguments.get(1).isEmpty()
                 ? null
                 : "say: core leave NODE";
         List<String> addresses = List.of();
         try {
             addresses = ControlClient.addresses(control, boot);
-        } catch (BootException e) {
+        } catch (ProcessSettingsException e) {
             line = e.getMessage();
         }
         if (line == null && addresses.isEmpty()) {
@@ -65,14 +65,14 @@
             return BAD_USAGE;
         }
         try {
-            ControlClient.Told told = new ControlClient(addresses, patience)
-                    .call("POST", "/v1/Core.Leave/" + URLEncoder.encode(words.get(1), StandardCharsets.UTF_8));
+            ControlClient.ControlResponse told = new ControlClient(addresses, timeoutMillis)
+                    .call("POST", "/v1/Core.Leave/" + URLEncoder.encode(arguments.get(1), StandardCharsets.UTF_8));
             if (told.status() == 200) {
-                System.out.println(words.get(1) + " is no member of the core");
+                System.out.println(arguments.get(1) + " is no member of the core");
                 return 0;
             }
-            System.err.println("reedmux: core: " + told.at() + " answers " + told.status() + ": "
-                    + told.text().strip());
+            System.err.println("reedmux: core: " + told.address() + " answers " + told.status() + ": "
+                    + told.body().strip());
         } catch (IOException e) {
             System.err.println("reedmux: core: " + e.getMessage());
         }
--- a/src/main/java/reedmux/cli/Lab.java
+++ b/src/main/java/reedmux/cli/LabCommand.java
@@ -6,16 +6,16 @@
 import java.util.regex.Pattern;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
-import reedmux.lab.Scenes;
+import reedmux.simulation.scenario.Scenarios;
 
 /** {@code lab list} and {@code lab run SCENE}. */
-public final class Lab extends Main.Command {
+public final class LabCommand extends Main.GatekeeperCommand {
     private static final Pattern SEEDS = Pattern.compile("([0-9]{1,9})(?:\\.\\.([0-9]{1,9}))?");
     private static final int FAILED = 1;
     private static final int BAD_USAGE = 2;
 
     @Argument(index = 0, metaVar = "run|list", usage = "run a scene, or list what there is", required = true)
-    private String what;
+    private String action;
 
     @Argument(index = 1, metaVar = "SCENE", usage = "the scene to run")
     private String scene;
@@ -30,33 +30,33 @@
     private Path jar;
 
     @Option(name = "--vs", metaVar = "JAR", usage = "for cost: the build to compare with, else this one")
-    private Path other;
+    private Path comparedJar;
 
     @Option(name = "--most", metaVar = "N", usage = "for capacity: the largest size to play")
-    private int most = 300;
+    private int largestSize = 300;
 
     @Override
     int run() throws IOException, InterruptedException {
         Matcher range = SEEDS.matcher(seeds);
-        if (what.equals("list")) {
-            Scenes.known().forEach((name, shows) -> System.out.printf("%-16s %s%n", name, shows));
+        if (action.equals("list")) {
+            Scenarios.descriptions().forEach((name, shows) -> System.out.printf("%-16s %s%n", name, shows));
             return 0;
-        } else if (!what.equals("run")) {
-            return bad("lab does not know '" + what + "': run or list");
-        } else if (scene == null || !Scenes.known().containsKey(scene)) {
-            return bad((scene == null ? "which scene?" : "no scene '" + scene + "';") + " there are "
-                    + String.join(", ", Scenes.known().keySet()));
+        } else if (!action.equals("run")) {
+            return usageError("lab does not know '" + action + "': run or list");
+        } else if (scene == null || !Scenarios.descriptions().containsKey(scene)) {
+            return usageError((scene == null ? "which scene?" : "no scene '" + scene + "';") + " there are "
+                    + String.join(", ", Scenarios.descriptions().keySet()));
         } else if (!range.matches()) {
-            return bad("--seeds is not A..B: " + seeds);
+            return usageError("--seeds is not A..B: " + seeds);
         }
         long first = Long.parseLong(range.group(1));
         long last = range.group(2) == null ? first : Long.parseLong(range.group(2));
         if (last < first) {
-            return bad("--seeds ends before it begins: " + seeds);
+            return usageError("--seeds ends before it begins: " + seeds);
         }
-        return Scenes.run(
+        return Scenarios.run(
                         scene,
-                        new Scenes.Asked(first, last, jar, other, most, out),
+                        new Scenarios.ScenarioOptions(first, last, jar, comparedJar, largestSize, out),
                         out,
                         System.out,
                         line -> System.err.println("lab: " + line))
@@ -64,7 +64,7 @@
                 : FAILED;
     }
 
-    private static int bad(String problem) {
+    private static int usageError(String problem) {
         System.err.println("reedmux: " + problem);
         System.err.println("try: reedmux lab --help");
         return BAD_USAGE;
--- a/src/main/java/reedmux/cli/Main.java
+++ b/src/main/java/reedmux/cli/Main.java
@@ -13,13 +13,13 @@
 import org.kohsuke.args4j.spi.SubCommand;
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
-import reedmux.boot.Signals;
-import reedmux.config.Config;
-import reedmux.config.ConfigException;
-import reedmux.core.Clock;
-import reedmux.handover.Link;
-import reedmux.settings.OperatorSettings;
-import reedmux.settings.ScriptException;
+import reedmux.common.settings.Signals;
+import reedmux.common.time.MonotonicClock;
+import reedmux.gatekeeper.config.ConfigException;
+import reedmux.gatekeeper.config.GatekeeperConfig;
+import reedmux.gatekeeper.handover.HandoverConnection;
+import reedmux.gatekeeper.script.ScriptException;
+import reedmux.gatekeeper.settings.OperatorSettings;
 
 /** The command line. */
 public final class Main {
@@ -27,7 +27,7 @@
     private static final int BAD_CONFIG = 3;
 
     /** What one sub-command does; its own options are read by args4j. */
-    abstract static class Command {
+    abstract static class GatekeeperCommand {
         @Option(name = "--help", aliases = "-h", help = true, usage = "print this")
         private boolean help;
 
@@ -49,14 +49,14 @@
 
     @Argument(index = 0, metaVar = "COMMAND", handler = SubCommandHandler.class, usage = "what to do")
     @SubCommands({
-        @SubCommand(name = "serve", impl = Serve.class),
-        @SubCommand(name = "wirehost", impl = WireHost.class),
-        @SubCommand(name = "check-config", impl = CheckConfig.class),
-        @SubCommand(name = "self-check", impl = SelfCheck.class),
-        @SubCommand(name = "lab", impl = Lab.class),
-        @SubCommand(name = "version", impl = Version.class)
+        @SubCommand(name = "serve", impl = ServeCommand.class),
+        @SubCommand(name = "wirehost", impl = WireHostCommand.class),
+        @SubCommand(name = "check-config", impl = CheckConfigCommand.class),
+        @SubCommand(name = "self-check", impl = SelfCheckCommand.class),
+        @SubCommand(name = "lab", impl = LabCommand.class),
+        @SubCommand(name = "version", impl = VersionCommand.class)
     })
-    private Command command;
+    private GatekeeperCommand command;
 
     @Option(name = "--help", aliases = "-h", help = true, usage = "print this")
     private boolean help;
@@ -64,8 +64,8 @@
     private Main() {}
 
     public static void main(String[] args) throws IOException, InterruptedException {
-        if (args.length > 0 && Programs.has(args[0])) {
-            System.exit(Programs.run(args));
+        if (args.length > 0 && SystemCommands.isCommand(args[0])) {
+            System.exit(SystemCommands.run(args));
         }
         Main main = new Main();
         CmdLineParser parser = new CmdLineParser(main);
@@ -105,7 +105,7 @@
         return text.append("reedmux COMMAND --help tells a command's options").toString();
     }
 
-    private static String usage(String name, Command command) {
+    private static String usage(String name, GatekeeperCommand command) {
         StringWriter options = new StringWriter();
         CmdLineParser parser = new CmdLineParser(command);
         parser.printUsage(options, null);
@@ -114,9 +114,9 @@
     }
 
     /** Reads all settings, or ends with one line that names the key at fault. */
-    static Loaded loaded(Map<String, String> environment, Path settings, Clock clock) {
+    static LoadedConfiguration loadOrExit(Map<String, String> environment, Path settings, MonotonicClock clock) {
         try {
-            return Loaded.atStart(environment, settings, clock);
+            return LoadedConfiguration.load(environment, settings, clock);
         } catch (ConfigException e) {
             System.err.println("reedmux: configuration: " + e.getMessage());
             System.exit(BAD_CONFIG);
@@ -125,13 +125,13 @@
     }
 
     /** Runs a real gatekeeper until it is told to leave. */
-    public static final class Serve extends Command {
-        private static final long LONGEST_LEAVE_MILLIS = 8_000;
+    public static final class ServeCommand extends GatekeeperCommand {
+        private static final long MAX_SHUTDOWN_MILLIS = 8_000;
         /**
          * Discovery's first list came within 0.28 to 0.43 s on a third of a core (171 starts of one mass
          * restart); a silent discovery must not keep us away for longer than the warm-up does at a restart.
          */
-        private static final long FIRST_LIST_MILLIS = 2_000;
+        private static final long FIRST_ENDPOINT_LIST_MILLIS = 2_000;
         /** Where discovery is asked nothing counts as told before its answer: an old list is only worse. */
         private static final long FIRST_ANSWER_MILLIS = 1_000;
 
@@ -143,27 +143,28 @@
 
         @Override
         int run() throws IOException, InterruptedException {
-            Clock clock = new Clock();
-            Loaded loaded = loaded(System.getenv(), settings, clock);
-            Node node = new Node(
+            MonotonicClock clock = new MonotonicClock();
+            LoadedConfiguration loaded = loadOrExit(System.getenv(), settings, clock);
+            GatekeeperProcess node = new GatekeeperProcess(
                     loaded,
                     clock,
                     line -> System.err.println("reedmux: " + line),
-                    meeting(System.getenv(), loaded.config()));
+                    handoverSocket(System.getenv(), loaded.config()));
             // Set before anything is ready: without a handler SIGHUP ends the program.
-            onHangUp(() -> node.reload(() -> Loaded.again(System.getenv(), settings, clock)));
+            onHangUp(() -> node.reload(() -> LoadedConfiguration.reload(System.getenv(), settings, clock)));
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(
                             () -> {
-                                node.leave();
+                                node.beginShutdown();
                                 try {
-                                    node.awaitEnd(LONGEST_LEAVE_MILLIS);
+                                    node.awaitEnd(MAX_SHUTDOWN_MILLIS);
                                 } catch (InterruptedException e) {
                                     Thread.currentThread().interrupt();
                                 }
                             },
                             "reedmux-leave"));
-            node.listenAfterList(loaded.config().settings().askDiscovery() ? FIRST_ANSWER_MILLIS : FIRST_LIST_MILLIS);
+            node.setFirstEndpointListTimeout(
+                    loaded.config().settings().pollsDiscovery() ? FIRST_ANSWER_MILLIS : FIRST_ENDPOINT_LIST_MILLIS);
             node.warmUpAfter(() -> {});
             try {
                 node.run();
@@ -176,11 +177,11 @@
     }
 
     /** Where processes of this gatekeeper meet; null without a door, at which an upgrade says its yes. */
-    private static Path meeting(Map<String, String> environment, Config config) {
+    private static Path handoverSocket(Map<String, String> environment, GatekeeperConfig config) {
         String folder = environment.get("TMPDIR");
-        return folder == null || folder.isBlank() || config.operator() == null
+        return folder == null || folder.isBlank() || config.adminListen() == null
                 ? null
-                : Link.place(
+                : HandoverConnection.socketPath(
                         Path.of(folder),
                         config.name(),
                         config.listen().getAddress().getHostAddress()
@@ -194,15 +195,15 @@
     }
 
     /** Speaks the simulator's wire on standard input and output. */
-    public static final class WireHost extends Command {
+    public static final class WireHostCommand extends GatekeeperCommand {
         @Override
         int run() {
-            return reedmux.wire.Main.host();
+            return reedmux.gatekeeper.simulator.SimulatorMain.serveStandardStreams();
         }
     }
 
     /** Reads the settings and says whether they can be used. */
-    public static final class CheckConfig extends Command {
+    public static final class CheckConfigCommand extends GatekeeperCommand {
         @Option(
                 name = "--settings",
                 metaVar = "FILE",
@@ -213,7 +214,7 @@
         int run() {
             if (settings != null && !System.getenv().containsKey("RELAY_CONFIG")) {
                 try {
-                    OperatorSettings.read(settings).described().forEach(System.out::println);
+                    OperatorSettings.read(settings).describe().forEach(System.out::println);
                     System.out.println("ok: " + settings + " by itself; its fit to a platform was not " + "checked");
                     return 0;
                 } catch (ScriptException e) {
@@ -221,19 +222,19 @@
                     return BAD_CONFIG;
                 }
             }
-            Loaded loaded = loaded(System.getenv(), settings, new Clock());
-            Config config = loaded.config();
+            LoadedConfiguration loaded = loadOrExit(System.getenv(), settings, new MonotonicClock());
+            GatekeeperConfig config = loaded.config();
             System.out.println("ok: " + config.name() + " listens on " + config.listen() + ", number "
                     + config.settings().self() + " of " + config.settings().groupSize());
             if (settings != null) {
-                loaded.settings().described().forEach(System.out::println);
+                loaded.settings().describe().forEach(System.out::println);
             }
             return 0;
         }
     }
 
     /** Prints the version. */
-    public static final class Version extends Command {
+    public static final class VersionCommand extends GatekeeperCommand {
         @Override
         int run() {
             String version = Main.class.getPackage().getImplementationVersion();
--- a/src/main/java/reedmux/cli/SelfCheck.java
+++ b/src/main/java/reedmux/cli/SelfCheckCommand.java
@@ -11,42 +11,43 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import reedmux.config.Config;
-import reedmux.config.ConfigException;
-import reedmux.core.Clock;
+import reedmux.common.time.MonotonicClock;
+import reedmux.gatekeeper.config.ConfigException;
+import reedmux.gatekeeper.config.GatekeeperConfig;
 
 /**
  * Starts a gatekeeper from the sample configuration on a free loopback port, sends it one request for which
  * there is no provider, and ends it: shows that the program works on this machine. The build runs it to
  * record the classes that a start needs.
  */
-public final class SelfCheck extends Main.Command {
+public final class SelfCheckCommand extends Main.GatekeeperCommand {
 
     @Override
     int run() throws IOException, InterruptedException {
-        Clock clock = new Clock();
-        Config config;
-        try (InputStream sample = SelfCheck.class.getResourceAsStream("/sample-config.json")) {
-            config = Config.read(sample.readAllBytes(), Map.of("RELAY_OPERATOR", "127.0.0.1:0"), clock);
+        MonotonicClock clock = new MonotonicClock();
+        GatekeeperConfig config;
+        try (InputStream sample = SelfCheckCommand.class.getResourceAsStream("/sample-config.json")) {
+            config = GatekeeperConfig.read(sample.readAllBytes(), Map.of("RELAY_OPERATOR", "127.0.0.1:0"), clock);
         } catch (ConfigException e) {
             throw new IllegalStateException("the sample configuration is at fault: " + e.getMessage(), e);
         }
         Path folder = Files.createTempDirectory("reedmux");
-        try (Node node = new Node(Loaded.alone(config), clock, line -> {}, folder.resolve("s"))) {
+        try (GatekeeperProcess node = new GatekeeperProcess(
+                LoadedConfiguration.platformOnly(config), clock, line -> {}, folder.resolve("s"))) {
             node.warmUpAfter(() -> {});
-            Thread asking = new Thread(() -> ask(node), "reedmux-self-check");
+            Thread asking = new Thread(() -> sendRequest(node), "reedmux-self-check");
             asking.start();
             node.run();
             asking.join();
         }
         Files.deleteIfExists(folder);
-        return (answered == 429 || answered == 503) && told > 0 ? 0 : 1;
+        return (responseStatus == 429 || responseStatus == 503) && adminResponseBytes > 0 ? 0 : 1;
     }
 
-    private volatile int answered;
-    private volatile int told;
+    private volatile int responseStatus;
+    private volatile int adminResponseBytes;
 
-    private void ask(Node node) {
+    private void sendRequest(GatekeeperProcess node) {
         try {
             InetSocketAddress address = (InetSocketAddress) node.awaitListening();
             HttpURLConnection request = (HttpURLConnection)
@@ -56,20 +57,20 @@
             request.setRequestProperty("X-Plan", "single-line");
             request.setRequestProperty("X-Expires-In-Ms", "1000");
             request.setRequestProperty("X-Quota", "units=1,spread=1,first=0");
-            answered = request.getResponseCode();
+            responseStatus = request.getResponseCode();
             for (String call : List.of("check", "vars")) {
                 try (Socket door = new Socket(
-                        node.operatorAddress().getAddress(),
-                        node.operatorAddress().getPort())) {
+                        node.adminAddress().getAddress(), node.adminAddress().getPort())) {
                     door.getOutputStream().write((call + '\n').getBytes(StandardCharsets.US_ASCII));
-                    told += door.getInputStream().readAllBytes().length;
+                    adminResponseBytes += door.getInputStream().readAllBytes().length;
                 }
             }
-            System.out.println("answered " + answered + " with Retry-After " + request.getHeaderField("Retry-After"));
+            System.out.println(
+                    "answered " + responseStatus + " with Retry-After " + request.getHeaderField("Retry-After"));
         } catch (IOException | InterruptedException e) {
             System.out.println("not answered: " + e.getMessage());
         } finally {
-            node.leave();
+            node.beginShutdown();
         }
     }
 }
--- a/src/main/java/reedmux/cli/Show.java
+++ b/src/main/java/reedmux/cli/ShowCommand.java
@@ -14,9 +14,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import reedmux.boot.BootException;
-import reedmux.item.Invalid;
-import reedmux.item.Json;
+import reedmux.common.settings.ProcessSettingsException;
+import reedmux.control.configuration.InvalidConfigurationException;
+import reedmux.control.configuration.ItemJson;
 
 /** Shows what a control machine knows, also one that is cut off, with its age and contact. */
 @Command(
@@ -30,23 +30,23 @@
             "nobody answered, or the answer was a refusal",
             "bad usage"
         })
-public final class Show implements Callable<Integer> {
+public final class ShowCommand implements Callable<Integer> {
     private static final int FAILED = 1;
     private static final int BAD_USAGE = 2;
-    private static final int WIDEST = 48;
-    private static final Map<String, String> THINGS = new LinkedHashMap<>();
+    private static final int MAX_CELL_WIDTH = 48;
+    private static final Map<String, String> SUBJECTS = new LinkedHashMap<>();
 
     static {
         for (String thing : new String[] {"Members", "Core", "Checkers", "Items", "Duties"}) {
-            THINGS.put(thing.toLowerCase(java.util.Locale.ROOT), thing);
+            SUBJECTS.put(thing.toLowerCase(java.util.Locale.ROOT), thing);
         }
     }
 
     @AirlineModule
-    private HelpOption<Show> help;
+    private HelpOption<ShowCommand> help;
 
     @Arguments(title = "WHAT", description = "members, core, checkers, items or duties")
-    private List<String> what = new ArrayList<>();
+    private List<String> subjects = new ArrayList<>();
 
     @Option(name = "--json", description = "print the answer as it came")
     private boolean json;
@@ -67,7 +67,7 @@
     private String after;
 
     @Option(name = "--wait", title = "MS", description = "how long to try; 10000 where none is given")
-    private long patience = 10_000;
+    private long timeoutMillis = 10_000;
 
     @Override
     public Integer call() throws InterruptedException {
@@ -77,39 +77,39 @@
         List<String> addresses;
         try {
             addresses = ControlClient.addresses(control, boot);
-        } catch (BootException e) {
-            return bad(e.getMessage());
+        } catch (ProcessSettingsException e) {
+            return usageError(e.getMessage());
         }
-        if (what.size() != 1 || !THINGS.containsKey(what.get(0))) {
-            return bad("say one of " + String.join(", ", THINGS.keySet()));
+        if (subjects.size() != 1 || !SUBJECTS.containsKey(subjects.get(0))) {
+            return usageError("say one of " + String.join(", ", SUBJECTS.keySet()));
         } else if (addresses.isEmpty()) {
-            return bad("say whom to ask: --control ADDRESS or --boot FILE");
+            return usageError("say whom to ask: --control ADDRESS or --boot FILE");
         }
         try {
-            ControlClient.Told told = new ControlClient(addresses, patience).call("GET", target());
+            ControlClient.ControlResponse told = new ControlClient(addresses, timeoutMillis).call("GET", target());
             if (told.status() == 400) {
-                return bad(told.text().strip());
+                return usageError(told.body().strip());
             } else if (told.status() != 200) {
-                System.err.println("reedmux: show: " + told.at() + " answers " + told.status() + ": "
-                        + told.text().strip());
+                System.err.println("reedmux: show: " + told.address() + " answers " + told.status() + ": "
+                        + told.body().strip());
                 return FAILED;
             }
-            System.out.println(json ? told.text() : table(told.at(), told.text()));
+            System.out.println(json ? told.body() : table(told.address(), told.body()));
             return 0;
-        } catch (IOException | Invalid e) {
+        } catch (IOException | InvalidConfigurationException e) {
             System.err.println("reedmux: show: " + e.getMessage());
             return FAILED;
         }
     }
 
-    private static int bad(String line) {
+    private static int usageError(String line) {
         System.err.println("reedmux: show: " + line);
         System.err.println("try: reedmux show --help");
         return BAD_USAGE;
     }
 
     private String target() {
-        StringBuilder target = new StringBuilder("/v1/Show.").append(THINGS.get(what.get(0)));
+        StringBuilder target = new StringBuilder("/v1/Show.").append(SUBJECTS.get(subjects.get(0)));
         char before = '?';
         String[][] parameters = {{"service", service}, {"limit", limit}, {"after", after}};
         for (String[] parameter : parameters) {
@@ -125,8 +125,8 @@
     }
 
     /** The answer as lines for a person: from whom, how old, how far to be relied on; then its entries. */
-    static String table(String at, String text) throws Invalid {
-        Map<String, Object> all = Json.map(Json.read(text), "the answer");
+    static String table(String at, String text) throws InvalidConfigurationException {
+        Map<String, Object> all = ItemJson.requireObject(ItemJson.parse(text), "the answer");
         boolean majority = Boolean.TRUE.equals(all.get("majority"));
         StringBuilder out = new StringBuilder();
         out.append(majority ? "in contact with a majority" : "NO CONTACT WITH A MAJORITY: may be out of date");
@@ -143,8 +143,8 @@
             out.append("no store has answered: ").append(all.get("why")).append('\n');
         }
         List<Map<String, Object>> rows = new ArrayList<>();
-        for (Object entry : Json.list(all.get("entries"), "entries")) {
-            rows.add(Json.map(entry, "an entry"));
+        for (Object entry : ItemJson.listOrEmpty(all.get("entries"), "entries")) {
+            rows.add(ItemJson.requireObject(entry, "an entry"));
         }
         if (!rows.isEmpty()) {
             List<String> names = new ArrayList<>(rows.get(0).keySet());
@@ -158,7 +158,7 @@
         if (all.get("next") != null) {
             out.append("; the next: --after ").append(all.get("next"));
         }
-        List<?> held = Json.list(all.get("held"), "held");
+        List<?> held = ItemJson.listOrEmpty(all.get("held"), "held");
         return out.append(held.isEmpty() ? "" : "; " + held.size() + " calls not decided on")
                 .toString();
     }
@@ -169,7 +169,8 @@
             width[i] = names.get(i).length();
             for (Map<String, Object> row : rows) {
                 width[i] = Math.max(
-                        width[i], Math.min(WIDEST, cell(row, names.get(i)).length()));
+                        width[i],
+                        Math.min(MAX_CELL_WIDTH, cell(row, names.get(i)).length()));
             }
         }
         for (int row = -1; row < rows.size(); row++) {
--- a/src/main/java/reedmux/cli/PlayWorld.java
+++ b/src/main/java/reedmux/cli/WorldCommand.java
@@ -7,19 +7,19 @@
 import java.util.concurrent.Callable;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import reedmux.lab.world.Day;
-import reedmux.lab.world.Days;
+import reedmux.simulation.cluster.DayRunner;
+import reedmux.simulation.cluster.SimulatedDay;
 
 /** Plays drawn days of a whole deployment in virtual time, against the rules. */
 @Command(name = "world", description = "plays drawn days of a whole deployment in virtual time, against the rules")
-public final class PlayWorld implements Callable<Integer> {
+public final class WorldCommand implements Callable<Integer> {
     private static final Pattern SEEDS = Pattern.compile("([0-9]{1,9})(?:\\.\\.([0-9]{1,9}))?");
-    private static final int BROKEN = 1;
+    private static final int INVARIANTS_VIOLATED = 1;
     private static final int BAD_USAGE = 2;
-    private static final int POINTS = 5;
+    private static final int LAST_POINT = 5;
 
     @AirlineModule
-    private HelpOption<PlayWorld> help;
+    private HelpOption<WorldCommand> help;
 
     @Option(name = "--seeds", title = "A..B", description = "the days to play, each drawn from its seed")
     private String seeds = "1..20";
@@ -57,15 +57,22 @@
             return 0;
         }
         Matcher range = SEEDS.matcher(seeds);
-        if (!range.matches() || proxies < 1 || cores < 1 || jobs < 1 || !(pace > 0) || point < 0 || point > POINTS) {
+        if (!range.matches()
+                || proxies < 1
+                || cores < 1
+                || jobs < 1
+                || !(pace > 0)
+                || point < 0
+                || point > LAST_POINT) {
             System.err.println("reedmux: world: --seeds is A..B, --point 1 to 5, the others are numbers" + " above 0");
             return BAD_USAGE;
         }
         long first = Long.parseLong(range.group(1));
         long last = range.group(2) == null ? first : Long.parseLong(range.group(2));
         long begin = System.nanoTime();
-        Days days = new Days(new Day.Shape(proxies, cores, pace, storm, point, !sameAddresses));
-        Days.Sum sum = days.play(first, last, log ? 1 : jobs, log ? System.out::println : line -> {}, PlayWorld::tell);
+        DayRunner days = new DayRunner(new SimulatedDay.DayOptions(proxies, cores, pace, storm, point, !sameAddresses));
+        DayRunner.DayTotals sum = days.play(
+                first, last, log ? 1 : jobs, log ? System.out::println : line -> {}, WorldCommand::printViolations);
         double wall = (System.nanoTime() - begin) / 1e9;
         System.out.printf(
                 "%d days with %d proxies and %d core machines, %d broken; %.0f simulated seconds, "
@@ -73,20 +80,20 @@
                 sum.days(),
                 proxies,
                 cores,
-                sum.broken(),
-                sum.simulated() / 1e6,
-                sum.simulated() / 1e6 / wall,
+                sum.violatedDays(),
+                sum.simulatedMicros() / 1e6,
+                sum.simulatedMicros() / 1e6 / wall,
                 sum.served(),
-                sum.asked(),
+                sum.requests(),
                 sum.digest());
-        return sum.broken() == 0 ? 0 : BROKEN;
+        return sum.violatedDays() == 0 ? 0 : INVARIANTS_VIOLATED;
     }
 
-    private static void tell(Day.Outcome day) {
-        if (!day.broken().isEmpty()) {
+    private static void printViolations(SimulatedDay.DayOutcome day) {
+        if (!day.violations().isEmpty()) {
             System.out.printf("seed %d breaks rules (digest %016x)%n", day.seed(), day.digest());
-            day.broken().stream().limit(6).forEach(line -> System.out.println("    " + line));
-            day.story().forEach(line -> System.out.println("        " + line));
+            day.violations().stream().limit(6).forEach(line -> System.out.println("    " + line));
+            day.faults().forEach(line -> System.out.println("        " + line));
         }
     }
 }
--- a/src/main/java/reedmux/disk/Folder.java
+++ b/src/main/java/reedmux/common/disk/FileSystemVolume.java
@@ -1,4 +1,4 @@
-package reedmux.disk;
+package reedmux.common.disk;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -12,20 +12,20 @@
 import java.util.List;
 
 /** A folder of the machine's own disk. */
-public final class Folder implements Volume {
-    private final Path dir;
+public final class FileSystemVolume implements Volume {
+    private final Path directory;
 
-    public Folder(Path dir) {
-        this.dir = dir;
+    public FileSystemVolume(Path dir) {
+        this.directory = dir;
     }
 
     @Override
-    public List<String> names() throws IOException {
+    public List<String> fileNames() throws IOException {
         List<String> names = new ArrayList<>();
-        if (Files.notExists(dir)) {
+        if (Files.notExists(directory)) {
             return names;
         }
-        try (DirectoryStream<Path> all = Files.newDirectoryStream(dir)) {
+        try (DirectoryStream<Path> all = Files.newDirectoryStream(directory)) {
             for (Path path : all) { // no lambda: where the folder is new, none is rehearsed for the archive
                 names.add(path.getFileName().toString());
             }
@@ -35,14 +35,14 @@
 
     @Override
     public byte[] read(String name) throws IOException {
-        return Files.readAllBytes(dir.resolve(name));
+        return Files.readAllBytes(directory.resolve(name));
     }
 
     @Override
-    public File create(String name) throws IOException {
-        Files.createDirectories(dir);
-        return new Open(FileChannel.open(
-                dir.resolve(name),
+    public WritableFile create(String name) throws IOException {
+        Files.createDirectories(directory);
+        return new ChannelFile(FileChannel.open(
+                directory.resolve(name),
                 StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE,
                 StandardOpenOption.TRUNCATE_EXISTING));
@@ -50,22 +50,22 @@
 
     @Override
     public void rename(String from, String to) throws IOException {
-        Files.move(dir.resolve(from), dir.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(directory.resolve(from), directory.resolve(to), StandardCopyOption.ATOMIC_MOVE);
     }
 
     @Override
-    public void forceNames() throws IOException {
-        try (FileChannel folder = FileChannel.open(dir, StandardOpenOption.READ)) {
+    public void syncDirectory() throws IOException {
+        try (FileChannel folder = FileChannel.open(directory, StandardOpenOption.READ)) {
             folder.force(true);
         }
     }
 
     @Override
     public void delete(String name) throws IOException {
-        Files.deleteIfExists(dir.resolve(name));
+        Files.deleteIfExists(directory.resolve(name));
     }
 
-    private record Open(FileChannel channel) implements File {
+    private record ChannelFile(FileChannel channel) implements WritableFile {
         @Override
         public void write(ByteBuffer bytes) throws IOException {
             while (bytes.hasRemaining()) {
@@ -74,7 +74,7 @@
         }
 
         @Override
-        public void force() throws IOException {
+        public void sync() throws IOException {
             channel.force(true);
         }
 
--- a/src/main/java/reedmux/disk/Volume.java
+++ b/src/main/java/reedmux/common/disk/Volume.java
@@ -1,4 +1,4 @@
-package reedmux.disk;
+package reedmux.common.disk;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -8,11 +8,11 @@
 public interface Volume {
 
     /** A file that is open for writing. */
-    interface File extends AutoCloseable {
+    interface WritableFile extends AutoCloseable {
         void write(ByteBuffer bytes) throws IOException;
 
         /** When it returns, all that was written survives a loss of power. */
-        void force() throws IOException;
+        void sync() throws IOException;
 
         void truncate(long length) throws IOException;
 
@@ -21,18 +21,18 @@
     }
 
     /** The names of all files; none where there is no folder, which {@link #create} makes. */
-    List<String> names() throws IOException;
+    List<String> fileNames() throws IOException;
 
     byte[] read(String name) throws IOException;
 
     /** Opens a file that is empty then. */
-    File create(String name) throws IOException;
+    WritableFile create(String name) throws IOException;
 
     /** In place of another of that name, as a whole or not at all. */
     void rename(String from, String to) throws IOException;
 
     /** Names that were renamed or removed survive a loss of power. */
-    void forceNames() throws IOException;
+    void syncDirectory() throws IOException;
 
     void delete(String name) throws IOException;
 }
--- a/src/main/java/reedmux/disk/package-info.java
+++ b/src/main/java/reedmux/common/disk/package-info.java
@@ -2,4 +2,4 @@
  * Records on disk with checksums, found again after any loss of power. For one thread, which waits for the
  * disk.
  */
-package reedmux.disk;
+package reedmux.common.disk;
--- a/src/main/java/reedmux/net/Kernel.java
+++ b/src/main/java/reedmux/common/eventloop/NioEnvironment.java
@@ -1,4 +1,4 @@
-package reedmux.net;
+package reedmux.common.eventloop;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -18,20 +18,20 @@
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import jdk.net.ExtendedSocketOptions;
-import reedmux.core.Clock;
-import reedmux.disk.Folder;
-import reedmux.disk.Volume;
+import reedmux.common.disk.FileSystemVolume;
+import reedmux.common.disk.Volume;
+import reedmux.common.time.MonotonicClock;
 
 /** The machine's own sockets, files and clock. */
-public final class Kernel implements Environment {
-    private static final int KEEP_IDLE = 2;
-    private static final int KEEP_INTERVAL = 1;
-    private static final int KEEP_COUNT = 3;
-    private final Clock clock = new Clock();
+public final class NioEnvironment implements Environment {
+    private static final int KEEPALIVE_IDLE_SECONDS = 2;
+    private static final int KEEPALIVE_INTERVAL_SECONDS = 1;
+    private static final int KEEPALIVE_PROBES = 3;
+    private final MonotonicClock clock = new MonotonicClock();
     private final Selector selector;
-    private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
+    private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
 
-    public Kernel() throws IOException {
+    public NioEnvironment() throws IOException {
         selector = Selector.open();
     }
 
@@ -41,40 +41,40 @@
     }
 
     @Override
-    public long draw() {
+    public long newIncarnationId() {
         return System.nanoTime();
     }
 
     @Override
     public void execute(Runnable task) {
-        posted.add(task);
+        tasks.add(task);
         selector.wakeup();
     }
 
     @Override
-    public Runnable next() {
-        return posted.poll();
+    public Runnable pollTask() {
+        return tasks.poll();
     }
 
     @Override
-    public void await(long until) throws IOException {
+    public void awaitReadiness(long until) throws IOException {
         long wait = until - clock.now();
-        if (!posted.isEmpty() || wait <= 0) {
-            selector.selectNow(Kernel::ready);
+        if (!tasks.isEmpty() || wait <= 0) {
+            selector.selectNow(NioEnvironment::dispatch);
         } else if (until == Long.MAX_VALUE) {
-            selector.select(Kernel::ready);
+            selector.select(NioEnvironment::dispatch);
         } else {
-            selector.select(Kernel::ready, (wait + 999) / 1000);
+            selector.select(NioEnvironment::dispatch, (wait + 999) / 1000);
         }
     }
 
-    private static void ready(SelectionKey key) {
+    private static void dispatch(SelectionKey key) {
         if (key.isValid()) {
-            Handler handler = (Handler) key.attachment();
+            ReadinessHandler handler = (ReadinessHandler) key.attachment();
             try {
-                handler.ready((key.readyOps() & ~SelectionKey.OP_WRITE) != 0, key.isWritable());
+                handler.onReady((key.readyOps() & ~SelectionKey.OP_WRITE) != 0, key.isWritable());
             } catch (IOException e) {
-                handler.failed(e);
+                handler.onFailure(e);
             }
         }
     }
@@ -89,11 +89,11 @@
 
     @Override
     public Volume volume(Path folder) {
-        return new Folder(folder);
+        return new FileSystemVolume(folder);
     }
 
     @Override
-    public Executor worker(String name, int most) {
+    public Executor newWorker(String name, int most) {
         return new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new LinkedBlockingQueue<>(most), task -> {
             Thread thread = new Thread(task, name);
             thread.setDaemon(true);
@@ -101,25 +101,26 @@
         });
     }
 
-    private SelectionKey register(SelectableChannel channel, int interest, Handler handler) throws IOException {
+    private SelectionKey register(SelectableChannel channel, int interest, ReadinessHandler handler)
+            throws IOException {
         channel.configureBlocking(false);
         return channel.register(selector, interest, handler);
     }
 
     @Override
-    public Line open(InetSocketAddress to, InetSocketAddress local) throws IOException {
+    public TcpSocket connect(InetSocketAddress to, InetSocketAddress local) throws IOException {
         SocketChannel channel = SocketChannel.open();
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             channel.setOption(StandardSocketOptions.SO_KEEPALIVE, true);
-            channel.setOption(ExtendedSocketOptions.TCP_KEEPIDLE, KEEP_IDLE);
-            channel.setOption(ExtendedSocketOptions.TCP_KEEPINTERVAL, KEEP_INTERVAL);
-            channel.setOption(ExtendedSocketOptions.TCP_KEEPCOUNT, KEEP_COUNT);
+            channel.setOption(ExtendedSocketOptions.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS);
+            channel.setOption(ExtendedSocketOptions.TCP_KEEPINTERVAL, KEEPALIVE_INTERVAL_SECONDS);
+            channel.setOption(ExtendedSocketOptions.TCP_KEEPCOUNT, KEEPALIVE_PROBES);
             if (local != null) {
                 channel.bind(local);
             }
             channel.configureBlocking(false);
-            return new Socket(channel, channel.connect(to));
+            return new NioTcpSocket(channel, channel.connect(to));
         } catch (IOException | RuntimeException e) {
             channel.close();
             throw e instanceof IOException io ? io : new IOException(e);
@@ -127,44 +128,44 @@
     }
 
     @Override
-    public Port listen(InetSocketAddress at, int backlog) throws IOException {
+    public TcpServerSocket listen(InetSocketAddress at, int backlog) throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         channel.bind(at, backlog);
-        return new Server(channel);
+        return new NioTcpServerSocket(channel);
     }
 
     @Override
-    public Post post(InetSocketAddress at) throws IOException {
+    public UdpSocket bindDatagram(InetSocketAddress at) throws IOException {
         DatagramChannel channel = DatagramChannel.open();
         channel.bind(at);
-        return new Box(channel);
+        return new NioUdpSocket(channel);
     }
 
-    private final class Socket implements Line {
+    private final class NioTcpSocket implements TcpSocket {
         private final SocketChannel channel;
-        private boolean up;
+        private boolean connected;
         private SelectionKey key;
 
-        private Socket(SocketChannel channel, boolean up) {
+        private NioTcpSocket(SocketChannel channel, boolean up) {
             this.channel = channel;
-            this.up = up;
+            this.connected = up;
         }
 
         @Override
-        public void handle(Handler handler) throws IOException {
-            key = register(channel, up ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, handler);
+        public void setHandler(ReadinessHandler handler) throws IOException {
+            key = register(channel, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, handler);
         }
 
         @Override
-        public boolean upAtOnce() {
-            return up;
+        public boolean isConnectedAtOnce() {
+            return connected;
         }
 
         @Override
-        public boolean finish() throws IOException {
-            up |= channel.finishConnect();
-            return up;
+        public boolean finishConnect() throws IOException {
+            connected |= channel.finishConnect();
+            return connected;
         }
 
         @Override
@@ -178,7 +179,7 @@
         }
 
         @Override
-        public void interest(boolean reads, boolean writes) {
+        public void setInterest(boolean reads, boolean writes) {
             int wanted = (reads ? SelectionKey.OP_READ : 0) | (writes ? SelectionKey.OP_WRITE : 0);
             if (key != null && key.isValid() && key.interestOps() != wanted) {
                 key.interestOps(wanted);
@@ -186,12 +187,12 @@
         }
 
         @Override
-        public void endOutput() throws IOException {
+        public void shutdownOutput() throws IOException {
             channel.shutdownOutput();
         }
 
         @Override
-        public String remote() {
+        public String remoteAddress() {
             return String.valueOf(channel.socket().getRemoteSocketAddress()).replace("/", "");
         }
 
@@ -201,26 +202,26 @@
         }
     }
 
-    private final class Server implements Port {
+    private final class NioTcpServerSocket implements TcpServerSocket {
         private final ServerSocketChannel channel;
         private SelectionKey key;
 
-        private Server(ServerSocketChannel channel) {
+        private NioTcpServerSocket(ServerSocketChannel channel) {
             this.channel = channel;
         }
 
         @Override
-        public InetSocketAddress address() throws IOException {
+        public InetSocketAddress localAddress() throws IOException {
             return (InetSocketAddress) channel.getLocalAddress();
         }
 
         @Override
-        public void handle(Handler handler) throws IOException {
+        public void setHandler(ReadinessHandler handler) throws IOException {
             key = register(channel, SelectionKey.OP_ACCEPT, handler);
         }
 
         @Override
-        public Line accept() throws IOException {
+        public TcpSocket accept() throws IOException {
             SocketChannel accepted = channel.accept();
             if (accepted == null) {
                 return null;
@@ -230,11 +231,11 @@
             } catch (IOException e) {
                 // gone before its turn, which its first read tells
             }
-            return new Socket(accepted, true);
+            return new NioTcpSocket(accepted, true);
         }
 
         @Override
-        public void interest(boolean accepts) {
+        public void setAcceptEnabled(boolean accepts) {
             if (key.isValid()) {
                 key.interestOps(accepts ? SelectionKey.OP_ACCEPT : 0);
             }
@@ -246,15 +247,15 @@
         }
     }
 
-    private final class Box implements Post {
+    private final class NioUdpSocket implements UdpSocket {
         private final DatagramChannel channel;
 
-        private Box(DatagramChannel channel) {
+        private NioUdpSocket(DatagramChannel channel) {
             this.channel = channel;
         }
 
         @Override
-        public void handle(Handler handler) throws IOException {
+        public void setHandler(ReadinessHandler handler) throws IOException {
             register(channel, SelectionKey.OP_READ, handler);
         }
 
--- a/src/main/java/reedmux/net/package-info.java
+++ b/src/main/java/reedmux/common/eventloop/package-info.java
@@ -2,4 +2,4 @@
  * One thread's sockets, timers and datagrams. Owns no protocol and decides nothing; times are microseconds
  * of the monotonic clock.
  */
-package reedmux.net;
+package reedmux.common.eventloop;
--- a/src/main/java/reedmux/routing/HostName.java
+++ b/src/main/java/reedmux/common/http1/HostName.java
@@ -1,4 +1,4 @@
-package reedmux.routing;
+package reedmux.common.http1;
 
 /**
  * Reads an authority as RFC 9110, section 7.2, and RFC 3986, section 3.2.2, have it, and more strictly where
@@ -8,37 +8,37 @@
  */
 public final class HostName {
     /** The result for what is no host, or might be read as two. */
-    public static final int BAD = -1;
+    public static final int INVALID = -1;
 
-    private static final int LONGEST = 255;
-    private static final int LONGEST_LABEL = 63;
-    private static final int LONGEST_PORT = 5;
-    private static final int MOST_PORT = 65_535;
+    private static final int MAX_NAME_LENGTH = 255;
+    private static final int MAX_LABEL_LENGTH = 63;
+    private static final int MAX_PORT_DIGITS = 5;
+    private static final int MAX_PORT = 65_535;
 
     private HostName() {}
 
     /**
      * Where the host ends in {@code authority}, without port and without the dot of a name's root, or
-     * {@link #BAD}. The host begins at {@code from} and is compared without regard to case.
+     * {@link #INVALID}. The host begins at {@code from} and is compared without regard to case.
      *
      * @param from where the authority begins
      * @param to   where it ends
      */
-    public static int end(String authority, int from, int to) {
-        if (from >= to || to - from > LONGEST + 1 + LONGEST_PORT) {
-            return BAD;
+    public static int hostEnd(String authority, int from, int to) {
+        if (from >= to || to - from > MAX_NAME_LENGTH + 1 + MAX_PORT_DIGITS) {
+            return INVALID;
         }
-        int end = authority.charAt(from) == '[' ? literalEnd(authority, from, to) : nameEnd(authority, from, to);
-        if (end == BAD || !portFollows(authority, end, to)) {
-            return BAD;
+        int end = authority.charAt(from) == '[' ? ipv6LiteralEnd(authority, from, to) : nameEnd(authority, from, to);
+        if (end == INVALID || !isOptionalPort(authority, end, to)) {
+            return INVALID;
         }
         boolean root = authority.charAt(end - 1) == '.';
         return root ? end - 1 : end;
     }
 
-    /** As {@link #end(String, int, int)} for a whole string. */
-    public static int end(String authority) {
-        return end(authority, 0, authority.length());
+    /** As {@link #hostEnd(String, int, int)} for a whole string. */
+    public static int hostEnd(String authority) {
+        return hostEnd(authority, 0, authority.length());
     }
 
     private static int nameEnd(String text, int from, int to) {
@@ -48,40 +48,40 @@
             char c = text.charAt(at);
             if (c == '.') {
                 if (label == 0) {
-                    return BAD; // an empty label, or a dot alone
+                    return INVALID; // an empty label, or a dot alone
                 }
                 label = 0;
             } else if (isLetterOrDigit(c) || c == '-' || c == '_') {
-                if (++label > LONGEST_LABEL) {
-                    return BAD;
+                if (++label > MAX_LABEL_LENGTH) {
+                    return INVALID;
                 }
             } else {
-                return BAD;
+                return INVALID;
             }
         }
-        return at == from || at - from > LONGEST ? BAD : at;
+        return at == from || at - from > MAX_NAME_LENGTH ? INVALID : at;
     }
 
-    private static int literalEnd(String text, int from, int to) {
+    private static int ipv6LiteralEnd(String text, int from, int to) {
         int colons = 0;
         for (int at = from + 1; at < to; at++) {
             char c = text.charAt(at);
             if (c == ']') {
-                return colons >= 2 ? at + 1 : BAD;
+                return colons >= 2 ? at + 1 : INVALID;
             }
             colons += c == ':' ? 1 : 0;
             if (c != ':' && c != '.' && !isHex(c)) {
-                return BAD; // zones and future forms have no place here
+                return INVALID; // zones and future forms have no place here
             }
         }
-        return BAD;
+        return INVALID;
     }
 
-    private static boolean portFollows(String text, int at, int to) {
+    private static boolean isOptionalPort(String text, int at, int to) {
         if (at == to) {
             return true;
         }
-        if (text.charAt(at) != ':' || at + 1 == to || to - at - 1 > LONGEST_PORT) {
+        if (text.charAt(at) != ':' || at + 1 == to || to - at - 1 > MAX_PORT_DIGITS) {
             return false;
         }
         int port = 0;
@@ -92,7 +92,7 @@
             }
             port = port * 10 + c - '0';
         }
-        return port > 0 && port <= MOST_PORT;
+        return port > 0 && port <= MAX_PORT;
     }
 
     private static boolean isLetterOrDigit(char c) {
@@ -104,7 +104,7 @@
     }
 
     /** A character in the case in which hosts are compared. */
-    static char lower(char c) {
+    public static char toLowerCase(char c) {
         return c >= 'A' && c <= 'Z' ? (char) (c + ('a' - 'A')) : c;
     }
 }
--- a/src/main/java/reedmux/http/Grammar.java
+++ b/src/main/java/reedmux/common/http1/Http1Grammar.java
@@ -1,27 +1,27 @@
-package reedmux.http;
+package reedmux.common.http1;
 
 /**
  * The lines of a request's head and of a chunked body, to the letter of RFC 9110, section 5, and RFC 9112,
  * sections 2 to 5 and 7.1: whatever else a lenient reader lets through, the next one may read otherwise.
  * Each function returns what is wrong, or null. A line comes without its end, one character a byte.
  */
-public final class Grammar {
+public final class Http1Grammar {
     /** More digits than any body that is taken has in its length. */
-    private static final int LONGEST_SIZE = 8;
+    private static final int MAX_CHUNK_SIZE_DIGITS = 8;
 
     /** The characters of a token, looked up, as each of a head's names is made of them. */
-    private static final boolean[] TOKEN = new boolean[0x7F];
+    private static final boolean[] TOKEN_CHARS = new boolean[0x7F];
 
     static {
-        for (char c = ' ' + 1; c < TOKEN.length; c++) {
-            TOKEN[c] = "\"(),/:;<=>?@[\\]{}".indexOf(c) < 0;
+        for (char c = ' ' + 1; c < TOKEN_CHARS.length; c++) {
+            TOKEN_CHARS[c] = "\"(),/:;<=>?@[\\]{}".indexOf(c) < 0;
         }
     }
 
-    private Grammar() {}
+    private Http1Grammar() {}
 
     /** {@code method SP request-target SP HTTP-version}, with single spaces and nothing round them. */
-    public static String requestLine(CharSequence line) {
+    public static String checkRequestLine(CharSequence line) {
         int first = indexOf(line, ' ', 0);
         int second = first < 0 ? -1 : indexOf(line, ' ', first + 1);
         if (first <= 0 || !isToken(line, 0, first)) {
@@ -50,7 +50,7 @@
     }
 
     /** {@code field-name ":" OWS field-value OWS}, no space before the colon, no line that goes on. */
-    public static String fieldLine(CharSequence line) {
+    public static String checkFieldLine(CharSequence line) {
         int colon = indexOf(line, ':', 0);
         if (line.length() > 0 && (line.charAt(0) == ' ' || line.charAt(0) == '\t')) {
             return "a header goes on in the next line, which is obsolete";
@@ -67,12 +67,12 @@
     }
 
     /** {@code 1*HEXDIG *( BWS ";" BWS token [ BWS "=" BWS ( token / quoted-string ) ] )}. */
-    public static String chunkLine(CharSequence line) {
+    public static String checkChunkLine(CharSequence line) {
         int at = 0;
         while (at < line.length() && isHex(line.charAt(at))) {
             at++;
         }
-        if (at == 0 || at > LONGEST_SIZE) {
+        if (at == 0 || at > MAX_CHUNK_SIZE_DIGITS) {
             return "a chunk's size cannot be read";
         }
         while (at < line.length()) {
@@ -100,7 +100,7 @@
     }
 
     /** The size that a chunk's line, found good, tells. */
-    public static long chunkSize(CharSequence line) {
+    public static long parseChunkSize(CharSequence line) {
         long size = 0;
         for (int i = 0; i < line.length() && isHex(line.charAt(i)); i++) {
             size = size << 4 | Character.digit(line.charAt(i), 16);
@@ -151,7 +151,7 @@
     }
 
     /** Whether a part of a line is a token, RFC 9110, section 5.6.2. */
-    static boolean isToken(CharSequence line, int from, int to) {
+    public static boolean isToken(CharSequence line, int from, int to) {
         for (int i = from; i < to; i++) {
             if (!isTokenChar(line.charAt(i))) {
                 return false;
@@ -161,7 +161,7 @@
     }
 
     private static boolean isTokenChar(char c) {
-        return c < TOKEN.length && TOKEN[c];
+        return c < TOKEN_CHARS.length && TOKEN_CHARS[c];
     }
 
     private static boolean isDigit(char c) {
--- a/src/main/java/reedmux/message/Head.java
+++ b/src/main/java/reedmux/common/http1/Http1Head.java
@@ -1,4 +1,4 @@
-package reedmux.message;
+package reedmux.common.http1;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -6,7 +6,7 @@
 import java.util.Locale;
 
 /** The head of a request or of an answer, its header lines in their order. */
-public final class Head {
+public final class Http1Head {
     /** Of a request; null in an answer. */
     private String method;
 
@@ -16,24 +16,24 @@
     private final List<String> names = new ArrayList<>();
     private final List<String> values = new ArrayList<>();
 
-    private Head() {}
+    private Http1Head() {}
 
-    public static Head request(String method, String target) {
-        Head head = new Head();
+    public static Http1Head request(String method, String target) {
+        Http1Head head = new Http1Head();
         head.method = method;
         head.target = target;
         head.version = "HTTP/1.1";
         return head;
     }
 
-    public static Head answer(int status) {
-        Head head = new Head();
+    public static Http1Head response(int status) {
+        Http1Head head = new Http1Head();
         head.status = status;
         head.version = "HTTP/1.1";
         return head;
     }
 
-    Head version(String told) {
+    Http1Head version(String told) {
         version = told;
         return this;
     }
@@ -56,11 +56,11 @@
         return status;
     }
 
-    public boolean old() {
+    public boolean isHttp10() {
         return version.equals("HTTP/1.0");
     }
 
-    public Head add(String name, String value) {
+    public Http1Head add(String name, String value) {
         names.add(name);
         values.add(value);
         return this;
@@ -97,7 +97,7 @@
     }
 
     /** Whether a header that is a list holds a word, without regard to case. */
-    public boolean lists(String name, String word) {
+    public boolean hasListToken(String name, String word) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
                 for (String told : values.get(i).split(",")) {
@@ -111,12 +111,12 @@
     }
 
     /** Whether the connection ends behind this message. */
-    public boolean closes() {
-        return lists("Connection", "close") || old() && !lists("Connection", "keep-alive");
+    public boolean closesConnection() {
+        return hasListToken("Connection", "close") || isHttp10() && !hasListToken("Connection", "keep-alive");
     }
 
     /** Whether a header of this message concerns one connection only, RFC 9110, section 7.6.1. */
-    public boolean ofConnection(String name) {
+    public boolean isHopByHop(String name) {
         return switch (name.toLowerCase(Locale.ROOT)) {
             case "connection",
                     "keep-alive",
@@ -129,12 +129,12 @@
                     "upgrade",
                     "content-length",
                     "expect" -> true;
-            default -> lists("Connection", name);
+            default -> hasListToken("Connection", name);
         };
     }
 
     /** As it goes over the wire. */
-    public byte[] bytes() {
+    public byte[] encode() {
         StringBuilder out = new StringBuilder(512);
         if (method != null) {
             out.append(method).append(' ').append(target).append(" HTTP/1.1\r\n");
@@ -142,7 +142,7 @@
             out.append("HTTP/1.1 ")
                     .append(status)
                     .append(' ')
-                    .append(reason(status))
+                    .append(reasonPhrase(status))
                     .append("\r\n");
         }
         for (int i = 0; i < names.size(); i++) {
@@ -151,7 +151,7 @@
         return out.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static String reason(int status) {
+    private static String reasonPhrase(int status) {
         return switch (status) {
             case 200 -> "OK";
             case 201 -> "Created";
--- a/src/main/java/reedmux/config/Addresses.java
+++ b/src/main/java/reedmux/common/net/SocketAddresses.java
@@ -1,14 +1,14 @@
-package reedmux.config;
+package reedmux.common.net;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
 /** Numeric addresses: there is no DNS, so a name is never looked up. */
-public final class Addresses {
-    private static final int MOST_PORTS = 65_535;
+public final class SocketAddresses {
+    private static final int MAX_PORT = 65_535;
 
-    private Addresses() {}
+    private SocketAddresses() {}
 
     /** The address in {@code a.b.c.d:port}, or null if it is none; port 0 stands for any free one. */
     public static InetSocketAddress parse(String text) {
@@ -27,7 +27,7 @@
                 bytes[i] = (byte) part;
             }
             int port = Integer.parseInt(text.substring(colon + 1));
-            return port < 0 || port > MOST_PORTS ? null : new InetSocketAddress(InetAddress.getByAddress(bytes), port);
+            return port < 0 || port > MAX_PORT ? null : new InetSocketAddress(InetAddress.getByAddress(bytes), port);
         } catch (NumberFormatException | UnknownHostException e) {
             return null;
         }
--- a/src/main/java/reedmux/policy/HeapCount.java
+++ b/src/main/java/reedmux/common/quota/HeapCounter.java
@@ -1,35 +1,35 @@
-package reedmux.policy;
+package reedmux.common.quota;
 
 /**
  * One customer's counters at one member of DESIGN's heap: one for each neighbour, of what that has still to
  * be told, and {@code localCount}, of what is used over all members. What one neighbour tells enters all
  * counters but the one facing it. Shared by the gatekeeper and the proxy; pure.
  */
-public class HeapCount {
+public class HeapCounter {
     /** In place of a neighbour: what comes from ourselves. */
-    public static final int NOBODY = -2;
+    public static final int LOCAL = -2;
     /** A number beyond all members, for one that is none any more. */
-    private static final int LEFT = 1_000_000;
+    private static final int DEPARTED_INDEX = 1_000_000;
 
-    private static final int LINKS = 3;
+    private static final int NEIGHBOUR_COUNT = 3;
 
     /** The numbers of parent, left and right, each below nought where there is none. */
-    int[] near = {-1, -1, -1};
+    public int[] neighbours = {-1, -1, -1};
     /** What each of them has still to be told. */
-    double[] to = new double[LINKS];
+    public double[] pending = new double[NEIGHBOUR_COUNT];
 
-    double localCount;
+    public double localCount;
 
     /** Adds to all counters but the one facing {@code from}. */
     public void add(double units, int from) {
         localCount += units;
-        for (int i = 0; i < LINKS; i++) {
-            to[i] += near[i] >= 0 && near[i] != from ? units : 0;
+        for (int i = 0; i < NEIGHBOUR_COUNT; i++) {
+            pending[i] += neighbours[i] >= 0 && neighbours[i] != from ? units : 0;
         }
     }
 
     /** Counts what goes no further. */
-    public void hear(double units) {
+    public void addWithoutForwarding(double units) {
         localCount += units;
     }
 
@@ -39,12 +39,12 @@
     }
 
     /** Somebody who knows more counts so much. */
-    public void atLeast(double count) {
+    public void raiseTo(double count) {
         localCount = Math.max(localCount, count);
     }
 
     /** No more is counted than that. */
-    public void atMost(double count) {
+    public void capAt(double count) {
         localCount = Math.min(localCount, count);
     }
 
@@ -53,30 +53,30 @@
     }
 
     /** Takes all that a neighbour has still to be told. */
-    public double take(int slot) {
-        double units = to[slot];
-        to[slot] = 0;
+    public double takePending(int slot) {
+        double units = pending[slot];
+        pending[slot] = 0;
         return units;
     }
 
     /** Nobody is told what waits. */
-    public void forget() {
-        to = new double[LINKS];
+    public void clearPending() {
+        pending = new double[NEIGHBOUR_COUNT];
     }
 
     public int neighbour(int slot) {
-        return near[slot];
+        return neighbours[slot];
     }
 
     /** The link that leads to a member, or -1. */
-    public int slot(int peer) {
-        return near[0] == peer ? 0 : near[1] == peer ? 1 : near[2] == peer ? 2 : -1;
+    public int slotOf(int peer) {
+        return neighbours[0] == peer ? 0 : neighbours[1] == peer ? 1 : neighbours[2] == peer ? 2 : -1;
     }
 
     /** The members are numbered anew: {@code next} has the new number of each neighbour, -1 if it left. */
     public void renumber(int[] next) {
-        for (int i = 0; i < LINKS; i++) {
-            near[i] = near[i] < 0 ? -1 : next[i] < 0 ? LEFT + i : next[i];
+        for (int i = 0; i < NEIGHBOUR_COUNT; i++) {
+            neighbours[i] = neighbours[i] < 0 ? -1 : next[i] < 0 ? DEPARTED_INDEX + i : next[i];
         }
     }
 
@@ -85,24 +85,24 @@
      * waited for two that went at once most is the same units, and counts once.
      */
     public void rewire(int[] next) {
-        int[] old = near;
-        double[] oldTo = to;
-        near = next.clone();
-        to = new double[LINKS];
+        int[] old = neighbours;
+        double[] oldTo = pending;
+        neighbours = next.clone();
+        pending = new double[NEIGHBOUR_COUNT];
         double stranded = 0;
-        for (int i = 0; i < LINKS; i++) {
-            if (old[i] >= 0 && slot(old[i]) < 0 && Math.abs(oldTo[i]) > Math.abs(stranded)) {
+        for (int i = 0; i < NEIGHBOUR_COUNT; i++) {
+            if (old[i] >= 0 && slotOf(old[i]) < 0 && Math.abs(oldTo[i]) > Math.abs(stranded)) {
                 stranded = oldTo[i];
             }
         }
-        for (int i = 0; i < LINKS; i++) {
-            int before = before(old, near[i]);
-            to[i] = near[i] < 0 ? 0 : before >= 0 ? oldTo[before] : stranded;
+        for (int i = 0; i < NEIGHBOUR_COUNT; i++) {
+            int before = slotIn(old, neighbours[i]);
+            pending[i] = neighbours[i] < 0 ? 0 : before >= 0 ? oldTo[before] : stranded;
         }
     }
 
     /** The link that led to a member before, or -1. */
-    static int before(int[] old, int peer) {
+    public static int slotIn(int[] old, int peer) {
         return peer < 0 ? -1 : peer == old[0] ? 0 : peer == old[1] ? 1 : peer == old[2] ? 2 : -1;
     }
 }
--- a/src/main/java/reedmux/boot/BootException.java
+++ b/src/main/java/reedmux/common/settings/ProcessSettingsException.java
@@ -1,10 +1,10 @@
-package reedmux.boot;
+package reedmux.common.settings;
 
 /** A settings file that cannot be used; the message names the file and the key. */
-public final class BootException extends Exception {
+public final class ProcessSettingsException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public BootException(String message) {
+    public ProcessSettingsException(String message) {
         super(message);
     }
 }
--- a/src/main/java/reedmux/boot/Program.java
+++ b/src/main/java/reedmux/common/settings/Program.java
@@ -1,11 +1,11 @@
-package reedmux.boot;
+package reedmux.common.settings;
 
 /** One of the system's programs, as the platform sees it. Called on its reactor's thread. */
 public interface Program {
 
     /** The platform wants it to end. */
-    void leave();
+    void beginShutdown();
 
     /** The settings file has changed; what it says now can be used. */
-    void reload(Boot next) throws BootException;
+    void reload(ProcessSettings next) throws ProcessSettingsException;
 }
--- a/src/main/java/reedmux/boot/Signals.java
+++ b/src/main/java/reedmux/common/settings/Signals.java
@@ -1,4 +1,4 @@
-package reedmux.boot;
+package reedmux.common.settings;
 
 import java.lang.reflect.Proxy;
 import java.util.function.Consumer;
--- a/src/main/java/reedmux/boot/package-info.java
+++ b/src/main/java/reedmux/common/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
  * The settings file of one process, read and checked by hand, and the signals that the platform sends.
- * Depends on nothing but reedmux.config's addresses.
+ * Depends on nothing but reedmux.gatekeeper.config's addresses.
  */
-package reedmux.boot;
+package reedmux.common.settings;
--- a/src/main/java/reedmux/fleet/Counter.java
+++ b/src/main/java/reedmux/control/changes/ChangeCounter.java
@@ -1,7 +1,7 @@
-package reedmux.fleet;
+package reedmux.control.changes;
 
 /** Numbers the changes of all that one process tells to those that pull, in one row. */
-public final class Counter {
+public final class ChangeCounter {
     private long last;
 
     public long next() {
--- a/src/main/java/reedmux/item/Item.java
+++ b/src/main/java/reedmux/control/configuration/ConfigurationItem.java
@@ -1,4 +1,4 @@
-package reedmux.item;
+package reedmux.control.configuration;
 
 /**
  * One named part of the configuration, or the mark that it was dropped. For one name the highest revision
@@ -7,12 +7,13 @@
  * @param kind {@code routes}, {@code plants}, {@code tenants} or {@code saturation}
  * @param body what the operator sent, as JSON; empty where it was dropped
  */
-public record Item(String kind, String name, long revision, String body) implements Comparable<Item> {
+public record ConfigurationItem(String kind, String name, long revision, String body)
+        implements Comparable<ConfigurationItem> {
 
     // Written out, as what a record brings is linked at run time, in the middle of a start.
     @Override
     public boolean equals(Object other) {
-        return other instanceof Item item
+        return other instanceof ConfigurationItem item
                 && revision == item.revision
                 && key().equals(item.key())
                 && body.equals(item.body);
@@ -23,7 +24,7 @@
         return 31 * key().hashCode() + Long.hashCode(revision);
     }
 
-    public boolean dropped() {
+    public boolean isDeleted() {
         return body.isEmpty();
     }
 
@@ -33,12 +34,12 @@
 
     /** Which of two of one name holds. */
     @Override
-    public int compareTo(Item other) {
+    public int compareTo(ConfigurationItem other) {
         return revision != other.revision ? Long.compare(revision, other.revision) : body.compareTo(other.body);
     }
 
     /** Whether this one would take the place of another of its name, or of none. */
-    public boolean over(Item other) {
+    public boolean supersedes(ConfigurationItem other) {
         return other == null || revision > other.revision;
     }
 }
--- a/src/main/java/reedmux/item/Invalid.java
+++ b/src/main/java/reedmux/control/configuration/InvalidConfigurationException.java
@@ -1,10 +1,10 @@
-package reedmux.item;
+package reedmux.control.configuration;
 
 /** Items that may not come into force; the message says which and why. */
-public final class Invalid extends Exception {
+public final class InvalidConfigurationException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public Invalid(String message) {
+    public InvalidConfigurationException(String message) {
         super(message, null, false, false);
     }
 }
--- a/src/main/java/reedmux/item/Json.java
+++ b/src/main/java/reedmux/control/configuration/ItemJson.java
@@ -1,4 +1,4 @@
-package reedmux.item;
+package reedmux.control.configuration;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -14,32 +14,32 @@
 import java.util.Map;
 
 /** JSON as texts, {@link BigDecimal}s, flags, lists and maps, each number as exact as it was told. */
-public final class Json {
-    private static final int DEEPEST = 32;
+public final class ItemJson {
+    private static final int MAX_DEPTH = 32;
     private static final JsonFactory FACTORY = JsonFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
 
-    private Json() {}
+    private ItemJson() {}
 
     /** Reads one whole document. */
-    public static Object read(String text) throws Invalid {
+    public static Object parse(String text) throws InvalidConfigurationException {
         try (JsonParser json = FACTORY.createParser(text)) {
             json.nextToken();
-            Object value = value(json, 0);
+            Object value = parseValue(json, 0);
             if (json.nextToken() != null) {
-                throw new Invalid("more follows behind the document");
+                throw new InvalidConfigurationException("more follows behind the document");
             }
             return value;
         } catch (IOException e) {
-            throw new Invalid("the document cannot be read in full");
+            throw new InvalidConfigurationException("the document cannot be read in full");
         }
     }
 
-    private static Object value(JsonParser json, int depth) throws IOException, Invalid {
+    private static Object parseValue(JsonParser json, int depth) throws IOException, InvalidConfigurationException {
         JsonToken token = json.currentToken();
-        if (token == null || depth > DEEPEST) {
-            throw new Invalid("the document cannot be read in full");
+        if (token == null || depth > MAX_DEPTH) {
+            throw new InvalidConfigurationException("the document cannot be read in full");
         }
         switch (token) {
             case START_OBJECT -> {
@@ -47,14 +47,14 @@
                 while (json.nextToken() != JsonToken.END_OBJECT) {
                     String name = json.currentName();
                     json.nextToken();
-                    map.put(name, value(json, depth + 1));
+                    map.put(name, parseValue(json, depth + 1));
                 }
                 return map;
             }
             case START_ARRAY -> {
                 List<Object> list = new ArrayList<>();
                 while (json.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(value(json, depth + 1));
+                    list.add(parseValue(json, depth + 1));
                 }
                 return list;
             }
@@ -70,7 +70,7 @@
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> {
                 return json.getDecimalValue();
             }
-            default -> throw new Invalid("the document cannot be read in full");
+            default -> throw new InvalidConfigurationException("the document cannot be read in full");
         }
     }
 
@@ -113,54 +113,56 @@
 
     // ---- What is expected of a place ----------------------------------------------------------------
     @SuppressWarnings("unchecked")
-    public static Map<String, Object> map(Object value, String place) throws Invalid {
+    public static Map<String, Object> requireObject(Object value, String place) throws InvalidConfigurationException {
         if (!(value instanceof Map<?, ?>)) {
-            throw new Invalid(place + (value == null ? " is missing" : " is not an object"));
+            throw new InvalidConfigurationException(place + (value == null ? " is missing" : " is not an object"));
         }
         return (Map<String, Object>) value;
     }
 
-    public static List<?> list(Object value, String place) throws Invalid {
+    public static List<?> listOrEmpty(Object value, String place) throws InvalidConfigurationException {
         if (value == null) {
             return List.of();
         } else if (!(value instanceof List<?> list)) {
-            throw new Invalid(place + " is not a list");
+            throw new InvalidConfigurationException(place + " is not a list");
         } else {
             return list;
         }
     }
 
-    public static String text(Object value, String place) throws Invalid {
+    public static String requireString(Object value, String place) throws InvalidConfigurationException {
         if (!(value instanceof String text)) {
-            throw new Invalid(place + (value == null ? " is missing" : " is not a text"));
+            throw new InvalidConfigurationException(place + (value == null ? " is missing" : " is not a text"));
         }
         return text;
     }
 
     /** A number of nought or more. */
-    public static double number(Object value, double otherwise, String place) throws Invalid {
+    public static double numberOrDefault(Object value, double otherwise, String place)
+            throws InvalidConfigurationException {
         if (value == null) {
             return otherwise;
         } else if (!(value instanceof BigDecimal number)) {
-            throw new Invalid(place + " is not a number");
+            throw new InvalidConfigurationException(place + " is not a number");
         } else if (number.signum() < 0) {
-            throw new Invalid(place + " is below 0");
+            throw new InvalidConfigurationException(place + " is below 0");
         } else {
             return number.doubleValue();
         }
     }
 
-    public static long whole(Object value, String place) throws Invalid {
-        double number = number(value, -1, place);
+    public static long requireInteger(Object value, String place) throws InvalidConfigurationException {
+        double number = numberOrDefault(value, -1, place);
         if (number < 0 || number != Math.rint(number) || number > 1L << 53) {
-            throw new Invalid(place + (value == null ? " is missing" : " is not a whole number"));
+            throw new InvalidConfigurationException(place + (value == null ? " is missing" : " is not a whole number"));
         }
         return (long) number;
     }
 
-    public static boolean flag(Object value, boolean otherwise, String place) throws Invalid {
+    public static boolean booleanOrDefault(Object value, boolean otherwise, String place)
+            throws InvalidConfigurationException {
         if (value != null && !(value instanceof Boolean)) {
-            throw new Invalid(place + " is neither true nor false");
+            throw new InvalidConfigurationException(place + " is neither true nor false");
         }
         return value == null ? otherwise : (Boolean) value;
     }
--- a/src/main/java/reedmux/item/Proposal.java
+++ b/src/main/java/reedmux/control/consensus/Proposal.java
@@ -1,7 +1,8 @@
-package reedmux.item;
+package reedmux.control.consensus;
 
 import java.util.ArrayList;
 import java.util.List;
+import reedmux.control.configuration.ConfigurationItem;
 
 /**
  * A call of the operator that is held until it is known whether it comes into force.
@@ -9,12 +10,12 @@
  * @param ballot of the last attempt to decide on it that its holder has taken part in
  * @param precommitted whether a quorum was found to hold it: it comes into force once a quorum holds it so
  */
-public record Proposal(String call, Ballot ballot, List<Item> items, boolean precommitted) {
+public record Proposal(String id, Ballot ballot, List<ConfigurationItem> items, boolean precommitted) {
     public Proposal {
         items = new ArrayList<>(items);
     }
 
-    public Proposal(String call, Ballot ballot, List<Item> items) {
+    public Proposal(String call, Ballot ballot, List<ConfigurationItem> items) {
         this(call, ballot, items, false);
     }
 
@@ -22,7 +23,7 @@
     @Override
     public boolean equals(Object other) {
         return other instanceof Proposal proposal
-                && call.equals(proposal.call)
+                && id.equals(proposal.id)
                 && ballot.equals(proposal.ballot)
                 && items.equals(proposal.items)
                 && precommitted == proposal.precommitted;
@@ -30,15 +31,15 @@
 
     @Override
     public int hashCode() {
-        return call.hashCode();
+        return id.hashCode();
     }
 
     /** The same under a further ballot. */
-    Proposal under(Ballot next) {
-        return new Proposal(call, next, items, precommitted);
+    Proposal withBallot(Ballot next) {
+        return new Proposal(id, next, items, precommitted);
     }
 
-    Proposal precommit() {
-        return new Proposal(call, ballot, items, true);
+    Proposal asPrecommitted() {
+        return new Proposal(id, ballot, items, true);
     }
 }
--- a/src/main/java/reedmux/item/Quorum.java
+++ b/src/main/java/reedmux/control/consensus/Quorum.java
@@ -1,4 +1,4 @@
-package reedmux.item;
+package reedmux.control.consensus;
 
 import java.util.Collection;
 import java.util.List;
@@ -12,20 +12,20 @@
  */
 public final class Quorum {
     private final Set<String> members;
-    private final Set<String> next;
-    private final int copies;
+    private final Set<String> nextMembers;
+    private final int minimumSize;
 
     private Quorum(Set<String> members, Set<String> next, int copies) {
         this.members = members;
-        this.next = next;
-        this.copies = copies;
+        this.nextMembers = next;
+        this.minimumSize = copies;
     }
 
     public static Quorum of(Collection<String> members, int copies) {
         return new Quorum(new TreeSet<>(members), Set.of(), copies);
     }
 
-    /** While {@code members} are being changed to {@code next}. */
+    /** While {@code members} are being changed to {@code nextMembers}. */
     public static Quorum joint(Collection<String> members, Collection<String> next, int copies) {
         return new Quorum(new TreeSet<>(members), new TreeSet<>(next), copies);
     }
@@ -33,30 +33,30 @@
     /** All that have a vote, in the order of their turns. */
     public List<String> members() {
         Set<String> all = new TreeSet<>(members);
-        all.addAll(next);
+        all.addAll(nextMembers);
         return List.copyOf(all);
     }
 
-    public boolean has(String store) {
-        return members.contains(store) || next.contains(store);
+    public boolean contains(String store) {
+        return members.contains(store) || nextMembers.contains(store);
     }
 
     /** Whether these decide. */
-    public boolean reached(Collection<String> stores) {
-        return enough(members, stores) && (next.isEmpty() || enough(next, stores));
+    public boolean isReachedBy(Collection<String> stores) {
+        return hasEnough(members, stores) && (nextMembers.isEmpty() || hasEnough(nextMembers, stores));
     }
 
     /** Whether no set that decides is without one of these. */
-    public boolean blocked(Collection<String> stores) {
-        return !members.isEmpty() && rest(members, stores) < need(members)
-                || !next.isEmpty() && rest(next, stores) < need(next);
+    public boolean isBlockedBy(Collection<String> stores) {
+        return !members.isEmpty() && countWithout(members, stores) < requiredSize(members)
+                || !nextMembers.isEmpty() && countWithout(nextMembers, stores) < requiredSize(nextMembers);
     }
 
-    private boolean enough(Set<String> of, Collection<String> stores) {
-        return of.size() - rest(of, stores) >= need(of);
+    private boolean hasEnough(Set<String> of, Collection<String> stores) {
+        return of.size() - countWithout(of, stores) >= requiredSize(of);
     }
 
-    private static int rest(Set<String> of, Collection<String> without) {
+    private static int countWithout(Set<String> of, Collection<String> without) {
         int rest = 0;
         for (String store : of) {
             rest += without.contains(store) ? 0 : 1;
@@ -64,7 +64,7 @@
         return rest;
     }
 
-    private int need(Set<String> of) {
-        return Math.max(of.size() / 2 + 1, copies);
+    private int requiredSize(Set<String> of) {
+        return Math.max(of.size() / 2 + 1, minimumSize);
     }
 }
--- a/src/main/java/reedmux/link/Frame.java
+++ b/src/main/java/reedmux/control/rpc/RpcFrame.java
@@ -1,4 +1,4 @@
-package reedmux.link;
+package reedmux.control.rpc;
 
 import com.esotericsoftware.kryo.KryoException;
 import com.esotericsoftware.kryo.io.Input;
@@ -8,9 +8,9 @@
  * that it is none, is refused before there is room made for it. Kryo makes that room first, and a process
  * that runs out of memory by it ends.
  */
-final class Frame extends Input {
+final class RpcFrame extends Input {
 
-    Frame(byte[] bytes) {
+    RpcFrame(byte[] bytes) {
         super(bytes);
     }
 
@@ -28,7 +28,7 @@
     }
 
     /** A number that has to lie within bounds. */
-    static long within(long least, long number, long most) {
+    static long requireInRange(long least, long number, long most) {
         if (number < least || number > most) {
             throw new KryoException(number + " is not from " + least + " to " + most);
         }
@@ -36,7 +36,7 @@
     }
 
     /** A number that is one, and no larger than any that is ever told. */
-    static double finite(double number) {
+    static double requireFinite(double number) {
         if (!(Math.abs(number) <= 1e15)) {
             throw new KryoException(number + " is no number that is told");
         }
--- a/src/main/java/reedmux/member/Session.java
+++ b/src/main/java/reedmux/control/session/ProxySession.java
@@ -1,17 +1,17 @@
-package reedmux.member;
+package reedmux.control.session;
 
 /**
  * A proxy that holds a session with a registry.
  *
  * @param life drawn anew at each start of its process
  */
-public record Session(String node, String ip, String zone, long life) implements Comparable<Session> {
+public record ProxySession(String node, String ip, String zone, long incarnation) implements Comparable<ProxySession> {
 
     // Written out, as what a record brings is linked at run time, in the middle of a start.
     @Override
     public boolean equals(Object other) {
-        return other instanceof Session session
-                && life == session.life
+        return other instanceof ProxySession session
+                && incarnation == session.incarnation
                 && node.equals(session.node)
                 && ip.equals(session.ip)
                 && zone.equals(session.zone);
@@ -19,12 +19,12 @@
 
     @Override
     public int hashCode() {
-        return 31 * node.hashCode() + Long.hashCode(life);
+        return 31 * node.hashCode() + Long.hashCode(incarnation);
     }
 
     @Override
-    public int compareTo(Session other) {
+    public int compareTo(ProxySession other) {
         int byNode = node.compareTo(other.node);
-        return byNode != 0 ? byNode : Long.compare(life, other.life);
+        return byNode != 0 ? byNode : Long.compare(incarnation, other.incarnation);
     }
 }
--- a/src/main/java/reedmux/operator/Door.java
+++ b/src/main/java/reedmux/gatekeeper/admin/AdminServer.java
@@ -1,4 +1,4 @@
-package reedmux.operator;
+package reedmux.gatekeeper.admin;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -18,34 +18,34 @@
 /**
  * The operators' listener: each connection brings one line and takes one answer. It has a thread of its own
  * that does nothing else, so that no work of the gatekeeper's can hold an answer up. Descriptors and memory
- * are bounded: of more connections than {@link #MOST} the one that has been silent the longest gives way.
+ * are bounded: of more connections than {@link #MAX_CONNECTIONS} the one that has been silent the longest gives way.
  */
-public final class Door implements AutoCloseable {
+public final class AdminServer implements AutoCloseable {
     /** Connections open at once. */
-    public static final int MOST = 24;
+    public static final int MAX_CONNECTIONS = 24;
     /** Bytes of a line, its end included; no call is nearly as long. */
-    static final int LONGEST = 128;
+    static final int MAX_LINE_BYTES = 128;
 
-    private static final long PATIENCE = TimeUnit.SECONDS.toNanos(10);
-    private static final long LOOK_MILLIS = 1_000;
-    private static final int QUEUE = 64;
+    private static final long CONNECTION_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
+    private static final long TIMEOUT_CHECK_MILLIS = 1_000;
+    private static final int ACCEPT_BACKLOG = 64;
 
     private final ServerSocketChannel server;
     private final Selector selector;
-    private final UnaryOperator<String> calls;
+    private final UnaryOperator<String> commands;
     private final Consumer<String> log;
     /** Those that came first in front; the thread's own. */
-    private final Deque<Caller> callers = new ArrayDeque<>();
+    private final Deque<AdminConnection> connections = new ArrayDeque<>();
 
-    /** Listens at once; {@code calls} gives the answer to a line, or to null for a line that is none. */
-    public Door(InetSocketAddress at, UnaryOperator<String> calls, Consumer<String> log) throws IOException {
-        this.calls = calls;
+    /** Listens at once; {@code commands} gives the answer to a line, or to null for a line that is none. */
+    public AdminServer(InetSocketAddress at, UnaryOperator<String> calls, Consumer<String> log) throws IOException {
+        this.commands = calls;
         this.log = log;
         selector = Selector.open();
         server = ServerSocketChannel.open();
         try {
             server.socket().setReuseAddress(true);
-            server.bind(at, QUEUE);
+            server.bind(at, ACCEPT_BACKLOG);
             server.configureBlocking(false);
             server.register(selector, SelectionKey.OP_ACCEPT);
         } catch (IOException e) {
@@ -64,7 +64,7 @@
     private void run() {
         try {
             while (server.isOpen()) {
-                selector.select(callers.isEmpty() ? 0 : LOOK_MILLIS);
+                selector.select(connections.isEmpty() ? 0 : TIMEOUT_CHECK_MILLIS);
                 if (!server.isOpen()) {
                     break;
                 }
@@ -72,13 +72,13 @@
                     if (key.isValid() && key.isAcceptable()) {
                         accept();
                     } else if (key.isValid()) {
-                        ((Caller) key.attachment()).goOn();
+                        ((AdminConnection) key.attachment()).onReady();
                     }
                 }
                 selector.selectedKeys().clear();
                 long now = System.nanoTime();
-                for (Caller caller : new ArrayList<>(callers)) {
-                    if (now - caller.since > PATIENCE) {
+                for (AdminConnection caller : new ArrayList<>(connections)) {
+                    if (now - caller.openedAtNanos > CONNECTION_TIMEOUT_NANOS) {
                         caller.close();
                     }
                 }
@@ -88,7 +88,7 @@
                 log.accept("operator: the door has ended: " + e);
             }
         } finally {
-            new ArrayList<>(callers).forEach(Caller::close);
+            new ArrayList<>(connections).forEach(AdminConnection::close);
         }
     }
 
@@ -98,19 +98,19 @@
             channel = server.accept();
         } catch (IOException e) { // no descriptor is left just now, or it has gone again
             log.accept("operator: cannot accept: " + e.getMessage());
-            if (!callers.isEmpty()) {
-                callers.peek().close();
+            if (!connections.isEmpty()) {
+                connections.peek().close();
             }
             return;
         }
         if (channel == null) {
             return;
         }
-        if (callers.size() >= MOST) {
-            callers.peek().close();
+        if (connections.size() >= MAX_CONNECTIONS) {
+            connections.peek().close();
         }
-        Caller caller = new Caller(channel);
-        callers.add(caller);
+        AdminConnection caller = new AdminConnection(channel);
+        connections.add(caller);
         try {
             channel.configureBlocking(false);
             caller.key = channel.register(selector, SelectionKey.OP_READ, caller);
@@ -120,28 +120,28 @@
     }
 
     /** One connection: its line, then its answer, then a look for the other side's end. */
-    private final class Caller {
+    private final class AdminConnection {
         private final SocketChannel channel;
-        private final ByteBuffer in = ByteBuffer.allocate(LONGEST);
-        private final long since = System.nanoTime();
+        private final ByteBuffer input = ByteBuffer.allocate(MAX_LINE_BYTES);
+        private final long openedAtNanos = System.nanoTime();
         private SelectionKey key;
-        private ByteBuffer answer;
-        private boolean said;
+        private ByteBuffer reply;
+        private boolean replied;
 
-        Caller(SocketChannel channel) {
+        AdminConnection(SocketChannel channel) {
             this.channel = channel;
         }
 
         /** Whatever goes wrong here is this caller's alone. */
-        void goOn() {
+        void onReady() {
             try {
-                if (answer == null) {
-                    listen();
+                if (reply == null) {
+                    readCommand();
                 }
-                if (answer != null && !said) {
-                    speak();
-                } else if (said) {
-                    if (channel.read(in.clear()) < 0) {
+                if (reply != null && !replied) {
+                    writeReply();
+                } else if (replied) {
+                    if (channel.read(input.clear()) < 0) {
                         close();
                     }
                 }
@@ -150,41 +150,41 @@
             }
         }
 
-        private void listen() throws IOException {
-            boolean over = channel.read(in) < 0;
+        private void readCommand() throws IOException {
+            boolean over = channel.read(input) < 0;
             int end = 0;
-            while (end < in.position() && in.get(end) != '\n') {
+            while (end < input.position() && input.get(end) != '\n') {
                 end++;
             }
-            if (end < in.position()) {
-                int length = end > 0 && in.get(end - 1) == '\r' ? end - 1 : end;
-                answer = bytes(calls.apply(new String(in.array(), 0, length, StandardCharsets.ISO_8859_1)));
-            } else if (!in.hasRemaining()) {
-                answer = bytes(OperatorCalls.refusal("the line is over " + LONGEST + " bytes"));
-            } else if (over && in.position() > 0) {
-                answer = bytes(OperatorCalls.refusal("the line has no end"));
+            if (end < input.position()) {
+                int length = end > 0 && input.get(end - 1) == '\r' ? end - 1 : end;
+                reply = encode(commands.apply(new String(input.array(), 0, length, StandardCharsets.ISO_8859_1)));
+            } else if (!input.hasRemaining()) {
+                reply = encode(AdminCommands.error("the line is over " + MAX_LINE_BYTES + " bytes"));
+            } else if (over && input.position() > 0) {
+                reply = encode(AdminCommands.error("the line has no end"));
             } else if (over) {
                 close();
             }
         }
 
-        private ByteBuffer bytes(String text) {
+        private ByteBuffer encode(String text) {
             return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
         }
 
-        private void speak() throws IOException {
-            channel.write(answer);
-            if (answer.hasRemaining()) {
+        private void writeReply() throws IOException {
+            channel.write(reply);
+            if (reply.hasRemaining()) {
                 key.interestOps(SelectionKey.OP_WRITE);
                 return;
             }
-            said = true;
+            replied = true;
             channel.shutdownOutput();
             key.interestOps(SelectionKey.OP_READ); // closed with bytes unread, the answer could be lost
         }
 
         void close() {
-            callers.remove(this);
+            connections.remove(this);
             try {
                 channel.close();
             } catch (IOException e) {
--- a/src/main/java/reedmux/config/ConfigException.java
+++ b/src/main/java/reedmux/gatekeeper/config/ConfigException.java
@@ -1,4 +1,4 @@
-package reedmux.config;
+package reedmux.gatekeeper.config;
 
 /** Configuration that cannot be used; the message is one line and names the key. */
 public final class ConfigException extends Exception {
--- a/src/main/java/reedmux/config/Json.java
+++ b/src/main/java/reedmux/gatekeeper/config/ConfigJson.java
@@ -1,32 +1,33 @@
-package reedmux.config;
+package reedmux.gatekeeper.config;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
 import java.net.InetSocketAddress;
+import reedmux.common.net.SocketAddresses;
 
 /** What the streaming parser needs to read our documents; each message names the place in the document. */
-final class Json {
+final class ConfigJson {
 
     /** Reads the value of one field, whose name it is given; the parser stands at the value. */
-    interface Field {
+    interface JsonFieldReader {
         void read(String name) throws IOException, ConfigException;
     }
 
     /** Reads one element of an array, at which the parser stands. */
-    interface Element {
+    interface JsonElementReader {
         void read() throws IOException, ConfigException;
     }
 
-    private Json() {}
+    private ConfigJson() {}
 
-    static ConfigException bad(JsonParser json, String what) {
+    static ConfigException error(JsonParser json, String what) {
         String path = json.getParsingContext().pathAsPointer().toString();
         return new ConfigException(
                 (path.isEmpty() ? "the document" : path.substring(1).replace('/', '.')) + ' ' + what);
     }
 
-    static void object(JsonParser json, Field field) throws IOException, ConfigException {
+    static void readObject(JsonParser json, JsonFieldReader field) throws IOException, ConfigException {
         expect(json, JsonToken.START_OBJECT, "is not an object");
         while (json.nextToken() != JsonToken.END_OBJECT) {
             String name = json.currentName();
@@ -35,7 +36,7 @@
         }
     }
 
-    static void array(JsonParser json, Element element) throws IOException, ConfigException {
+    static void readArray(JsonParser json, JsonElementReader element) throws IOException, ConfigException {
         expect(json, JsonToken.START_ARRAY, "is not an array");
         while (json.nextToken() != JsonToken.END_ARRAY) {
             element.read();
@@ -44,7 +45,7 @@
 
     static void expect(JsonParser json, JsonToken token, String message) throws ConfigException {
         if (json.currentToken() != token) {
-            throw bad(json, message);
+            throw error(json, message);
         }
     }
 
@@ -53,32 +54,32 @@
         return json.getText();
     }
 
-    static long whole(JsonParser json) throws IOException, ConfigException {
+    static long integer(JsonParser json) throws IOException, ConfigException {
         double value = number(json);
         if (value < 0 || value != Math.rint(value) || value > 1L << 53) {
-            throw bad(json, "is not a whole number of nought or more");
+            throw error(json, "is not a whole number of nought or more");
         }
         return (long) value;
     }
 
     static double number(JsonParser json) throws IOException, ConfigException {
         if (json.currentToken() == null || !json.currentToken().isNumeric()) {
-            throw bad(json, "is not a number");
+            throw error(json, "is not a number");
         }
         return json.getDoubleValue();
     }
 
     static boolean flag(JsonParser json) throws IOException, ConfigException {
         if (json.currentToken() == null || !json.currentToken().isBoolean()) {
-            throw bad(json, "is neither true nor false");
+            throw error(json, "is neither true nor false");
         }
         return json.getBooleanValue();
     }
 
     static InetSocketAddress address(JsonParser json) throws IOException, ConfigException {
-        InetSocketAddress address = Addresses.parse(text(json));
+        InetSocketAddress address = SocketAddresses.parse(text(json));
         if (address == null) {
-            throw bad(json, "is not an address:port");
+            throw error(json, "is not an address:port");
         }
         return address;
     }
--- a/src/main/java/reedmux/config/Config.java
+++ b/src/main/java/reedmux/gatekeeper/config/GatekeeperConfig.java
@@ -1,4 +1,4 @@
-package reedmux.config;
+package reedmux.gatekeeper.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -16,45 +16,46 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Objects;
-import reedmux.core.Clock;
-import reedmux.core.ProviderList;
-import reedmux.policy.Gateway.Plan;
-import reedmux.policy.Gateway.Scope;
-import reedmux.policy.Gateway.Settings;
+import reedmux.common.net.SocketAddresses;
+import reedmux.common.time.MonotonicClock;
+import reedmux.gatekeeper.policy.TrafficPolicy.CustomerPlan;
+import reedmux.gatekeeper.policy.TrafficPolicy.PolicySettings;
+import reedmux.gatekeeper.policy.TrafficPolicy.ServerListScope;
+import reedmux.gatekeeper.reducer.ProviderList;
 
 /**
  * All that the gatekeeper is told at its start, read once and checked here, with the defaults that hold where
- * a key is missing. A {@link ConfigException} names the key that is at fault. {@code operator} is null where
+ * a key is missing. A {@link ConfigException} names the key that is at fault. {@code adminListen} is null where
  * no place for operators is named.
  */
-public record Config(
+public record GatekeeperConfig(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
         long seed,
-        int sockets,
+        int maxDescriptors,
         InetSocketAddress peerListen,
         List<InetSocketAddress> peers,
-        InetSocketAddress everyPeer,
-        Settings settings,
-        long connectTimeout,
-        long connIdle,
-        ProviderList known,
-        ProviderListReader lists,
-        InetSocketAddress operator) {
+        InetSocketAddress peerBroadcast,
+        PolicySettings settings,
+        long connectTimeoutMicros,
+        long connectionIdleMicros,
+        ProviderList knownProviders,
+        ProviderListReader providerListReader,
+        InetSocketAddress adminListen) {
     /** A key told twice has one value that nobody meant. */
     private static final JsonFactory JSON = JsonFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
 
-    private static final int DEFAULT_SOCKETS = 1024;
-    private static final int LEAST_SOCKETS = 256;
-    private static final ProviderList NOBODY = new ProviderList(Scope.CACHED, 0, List.of());
-    private static final long DEFAULT_CONNECT_TIMEOUT = 250_000;
-    private static final long DEFAULT_CONN_IDLE = 30_000_000;
+    private static final int DEFAULT_DESCRIPTORS = 1024;
+    private static final int MIN_DESCRIPTORS = 256;
+    private static final ProviderList NO_PROVIDERS = new ProviderList(ServerListScope.CACHED, 0, List.of());
+    private static final long DEFAULT_CONNECT_TIMEOUT_MICROS = 250_000;
+    private static final long DEFAULT_CONNECTION_IDLE_MICROS = 30_000_000;
 
     /** Reads the file that the environment names; the environment's own values come before the file's. */
-    public static Config load(Map<String, String> environment, Clock clock) throws ConfigException {
+    public static GatekeeperConfig load(Map<String, String> environment, MonotonicClock clock) throws ConfigException {
         String file = environment.get("RELAY_CONFIG");
         if (file == null || file.isBlank()) {
             throw new ConfigException("RELAY_CONFIG is not set");
@@ -69,15 +70,23 @@
     }
 
     /** Reads the file anew: what it says of discovery now is news, and comes before the environment. */
-    public static Config reload(Map<String, String> environment, Clock clock) throws ConfigException {
+    public static GatekeeperConfig reload(Map<String, String> environment, MonotonicClock clock)
+            throws ConfigException {
         Map<String, String> rest = new HashMap<>(environment);
         rest.remove("RELAY_DISCOVERY");
         return load(rest, clock);
     }
 
     /** The one service that the platform's configuration tells of. */
-    public Service service() {
-        return new Service(settings, discovery, known, lists, connectTimeout, connIdle, "");
+    public ServiceConfig service() {
+        return new ServiceConfig(
+                settings,
+                discovery,
+                knownProviders,
+                providerListReader,
+                connectTimeoutMicros,
+                connectionIdleMicros,
+                "");
     }
 
     /**
@@ -87,123 +96,136 @@
      *
      * @param told comes before the document's {@code discovery}; may be null
      */
-    public Service service(byte[] bytes, InetSocketAddress told, Clock clock) throws ConfigException {
-        Draft draft = new Draft();
+    public ServiceConfig service(byte[] bytes, InetSocketAddress told, MonotonicClock clock) throws ConfigException {
+        ConfigDraft draft = new ConfigDraft();
         parse(bytes, "the document", draft);
         InetSocketAddress where = told == null ? draft.discovery : told;
         if (where == null) {
             throw new ConfigException("discovery is missing");
         }
         if (draft.settings.isEmpty()) {
-            return new Service(settings, where, known(draft, lists), lists, connectTimeout, connIdle, "");
+            return new ServiceConfig(
+                    settings,
+                    where,
+                    known(draft, providerListReader),
+                    providerListReader,
+                    connectTimeoutMicros,
+                    connectionIdleMicros,
+                    "");
         }
-        onSockets(draft.settings);
+        applySocketDefaults(draft.settings);
         draft.settings.put("position", Integer.toString(settings.self()));
         draft.settings.put("groupSize", Integer.toString(settings.groupSize()));
         draft.settings.put("az", Integer.toString(settings.zone()));
         draft.settings.put(
-                "limits.peerMessages", Boolean.toString(settings.limits().peers()));
-        draft.settings.put("extra.mailPerS", Double.toString(settings.limits().peerMessagesPerS()));
+                "limits.peerMessages", Boolean.toString(settings.limits().peerMessages()));
+        draft.settings.put("extra.mailPerS", Double.toString(settings.limits().peerMessagesPerSecond()));
         SettingsReader reader = new SettingsReader("settings.", draft.settings);
         ProviderListReader own = new ProviderListReader(reader.names("dcs"), reader.names("kinds"), clock);
-        return new Service(
+        return new ServiceConfig(
                 reader.settings(),
                 where,
                 known(draft, own),
                 own,
-                reader.time("limits.connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT),
-                reader.time("limits.connIdleUs", DEFAULT_CONN_IDLE),
+                reader.micros("limits.connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_MICROS),
+                reader.micros("limits.connIdleUs", DEFAULT_CONNECTION_IDLE_MICROS),
                 reader.names("dcs") + " " + reader.names("kinds"));
     }
 
     /** As {@link #service(byte[], InetSocketAddress, Clock)} without a document. */
-    public Service service(InetSocketAddress told) {
-        return new Service(settings, told, NOBODY, lists, connectTimeout, connIdle, "");
+    public ServiceConfig service(InetSocketAddress told) {
+        return new ServiceConfig(
+                settings, told, NO_PROVIDERS, providerListReader, connectTimeoutMicros, connectionIdleMicros, "");
     }
 
-    private static ProviderList known(Draft draft, ProviderListReader lists) throws ConfigException {
-        return draft.known == null ? NOBODY : lists.resolve(draft.known, Scope.CACHED);
+    private static ProviderList known(ConfigDraft draft, ProviderListReader lists) throws ConfigException {
+        return draft.knownProviders == null
+                ? NO_PROVIDERS
+                : lists.resolve(draft.knownProviders, ServerListScope.CACHED);
     }
 
     /** All that must be the same in two processes of this gatekeeper for their counts to mean the same. */
-    public String rules() {
+    public String countingRules() {
         // Put together here: a record's own text is linked at run time, which costs a start 20 ms of CPU.
         StringBuilder rules =
                 new StringBuilder().append(settings.self()).append(" of ").append(settings.groupSize());
-        for (Plan plan : settings.plans()) {
+        for (CustomerPlan plan : settings.plans()) {
             rules.append("; ")
                     .append(plan.name())
                     .append(' ')
-                    .append(plan.rate())
+                    .append(plan.quotaRate())
                     .append(' ')
-                    .append(plan.burst())
+                    .append(plan.quotaBurst())
                     .append(' ')
-                    .append(plan.maxOpen())
+                    .append(plan.maxConcurrency())
                     .append(' ')
-                    .append(plan.ceilingRate())
+                    .append(plan.rateLimit())
                     .append(' ')
-                    .append(plan.ceilingBurst());
+                    .append(plan.rateLimitBurst());
         }
         return rules.toString();
     }
 
     /** What differs from another configuration but is only read at the start, by its keys. */
-    public List<String> fixedAtStart(Config other) {
+    public List<String> fixedAtStart(GatekeeperConfig other) {
         List<String> keys = new ArrayList<>();
         if (!listen.equals(other.listen)) {
             keys.add("listen");
         }
-        if (!Objects.equals(operator, other.operator)) {
+        if (!Objects.equals(adminListen, other.adminListen)) {
             keys.add("operator");
         }
-        if (sockets != other.sockets) {
+        if (maxDescriptors != other.maxDescriptors) {
             keys.add("limits.sockets");
         }
         if (!Objects.equals(peerListen, other.peerListen)
                 || !peers.equals(other.peers)
-                || !Objects.equals(everyPeer, other.everyPeer)) {
+                || !Objects.equals(peerBroadcast, other.peerBroadcast)) {
             keys.add("peers");
         }
-        if (!settings.equals(other.settings) || connectTimeout != other.connectTimeout || connIdle != other.connIdle) {
+        if (!settings.equals(other.settings)
+                || connectTimeoutMicros != other.connectTimeoutMicros
+                || connectionIdleMicros != other.connectionIdleMicros) {
             keys.add("settings");
         }
         return keys;
     }
 
     /** Reads a configuration from its bytes. */
-    public static Config read(byte[] bytes, Map<String, String> environment, Clock clock) throws ConfigException {
-        Draft draft = new Draft();
+    public static GatekeeperConfig read(byte[] bytes, Map<String, String> environment, MonotonicClock clock)
+            throws ConfigException {
+        ConfigDraft draft = new ConfigDraft();
         parse(bytes, "RELAY_CONFIG", draft);
         if (draft.settings.isEmpty()) {
             throw new ConfigException("settings is missing");
         }
-        onSockets(draft.settings);
+        applySocketDefaults(draft.settings);
         SettingsReader reader = new SettingsReader("settings.", draft.settings);
-        Settings settings = reader.settings();
+        PolicySettings settings = reader.settings();
         ProviderListReader lists = new ProviderListReader(reader.names("dcs"), reader.names("kinds"), clock);
         ProviderList known = known(draft, lists);
-        if (settings.limits().peers()) {
+        if (settings.limits().peerMessages()) {
             checkPeers(draft, settings.groupSize());
         }
-        return new Config(
+        return new GatekeeperConfig(
                 environment.getOrDefault("RELAY_NAME", draft.name),
                 address("listen", environment, draft.listen),
                 address("discovery", environment, draft.discovery),
                 draft.seed,
-                draft.sockets,
-                settings.limits().peers() ? draft.peerListen : null,
+                draft.maxDescriptors,
+                settings.limits().peerMessages() ? draft.peerListen : null,
                 List.copyOf(draft.peers),
-                draft.everyPeer,
+                draft.peerBroadcast,
                 settings,
-                reader.time("limits.connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT),
-                reader.time("limits.connIdleUs", DEFAULT_CONN_IDLE),
+                reader.micros("limits.connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_MICROS),
+                reader.micros("limits.connIdleUs", DEFAULT_CONNECTION_IDLE_MICROS),
                 known,
                 lists,
-                optional("operator", environment, draft.operator));
+                optionalAddress("operator", environment, draft.adminListen));
     }
 
     /** The heap spans the group by number: a peer too few, too many or twice would mix up the counts. */
-    private static void checkPeers(Draft draft, int groupSize) throws ConfigException {
+    private static void checkPeers(ConfigDraft draft, int groupSize) throws ConfigException {
         if (groupSize > 1 && draft.peerListen == null) {
             throw new ConfigException("peer_listen is missing, and settings.limits.peerMessages is true");
         }
@@ -220,25 +242,25 @@
     }
 
     /** On sockets the advice always reaches the consumer, and units are taken later than in the simulator. */
-    private static void onSockets(Map<String, String> settings) {
+    private static void applySocketDefaults(Map<String, String> settings) {
         settings.put("limits.retryAfter", "true");
-        settings.put(SettingsReader.UNITS_WHEN_WHOLE, "true");
+        settings.put(SettingsReader.UNITS_AFTER_BODY, "true");
     }
 
     private static InetSocketAddress address(String key, Map<String, String> environment, InetSocketAddress inFile)
             throws ConfigException {
-        InetSocketAddress address = optional(key, environment, inFile);
+        InetSocketAddress address = optionalAddress(key, environment, inFile);
         if (address == null) {
             throw new ConfigException(key + " is missing");
         }
         return address;
     }
 
-    private static InetSocketAddress optional(String key, Map<String, String> environment, InetSocketAddress inFile)
-            throws ConfigException {
+    private static InetSocketAddress optionalAddress(
+            String key, Map<String, String> environment, InetSocketAddress inFile) throws ConfigException {
         String variable = "RELAY_" + key.toUpperCase(Locale.ROOT);
         String told = environment.get(variable);
-        InetSocketAddress address = told == null ? inFile : Addresses.parse(told);
+        InetSocketAddress address = told == null ? inFile : SocketAddresses.parse(told);
         if (address == null && told != null) {
             throw new ConfigException(variable + " is not an address:port: " + told);
         }
@@ -246,10 +268,10 @@
     }
 
     /** {@code what} stands for the document in messages; whoever knows its file puts that in front. */
-    private static void parse(byte[] bytes, String what, Draft draft) throws ConfigException {
+    private static void parse(byte[] bytes, String what, ConfigDraft draft) throws ConfigException {
         try (JsonParser json = JSON.createParser(bytes)) {
             json.nextToken();
-            Json.object(json, name -> draft.field(json, name));
+            ConfigJson.readObject(json, name -> draft.readField(json, name));
             if (json.nextToken() != null) {
                 throw new ConfigException(what + " goes on behind its end at line "
                         + json.currentLocation().getLineNr());
@@ -263,60 +285,60 @@
     }
 
     /** What the one pass over the document finds. */
-    private static final class Draft {
+    private static final class ConfigDraft {
         String name = "reedmux";
         InetSocketAddress listen;
         InetSocketAddress discovery;
-        InetSocketAddress operator;
+        InetSocketAddress adminListen;
         long seed;
-        int sockets = DEFAULT_SOCKETS;
+        int maxDescriptors = DEFAULT_DESCRIPTORS;
         InetSocketAddress peerListen;
         final List<InetSocketAddress> peers = new ArrayList<>();
-        InetSocketAddress everyPeer;
-        ProviderListReader.Listing known;
+        InetSocketAddress peerBroadcast;
+        ProviderListReader.ProviderListing knownProviders;
         final Map<String, String> settings = new HashMap<>();
 
-        void field(JsonParser json, String name) throws IOException, ConfigException {
+        void readField(JsonParser json, String name) throws IOException, ConfigException {
             if (json.currentToken() == JsonToken.VALUE_NULL) {
                 return;
             }
             switch (name) {
-                case "name" -> this.name = Json.text(json);
-                case "listen" -> listen = Json.address(json);
-                case "discovery" -> discovery = Json.address(json);
-                case "operator" -> operator = Json.address(json);
-                case "seed" -> seed = seed(json);
-                case "limits" -> Json.object(json, key -> limit(json, key));
-                case "peer_listen" -> peerListen = Json.address(json);
-                case "peers_all" -> everyPeer = Json.address(json);
-                case "peers" -> Json.array(json, () -> peers.add(Json.address(json)));
-                case "known" -> known = ProviderListReader.read(json);
+                case "name" -> this.name = ConfigJson.text(json);
+                case "listen" -> listen = ConfigJson.address(json);
+                case "discovery" -> discovery = ConfigJson.address(json);
+                case "operator" -> adminListen = ConfigJson.address(json);
+                case "seed" -> seed = readSeed(json);
+                case "limits" -> ConfigJson.readObject(json, key -> readLimit(json, key));
+                case "peer_listen" -> peerListen = ConfigJson.address(json);
+                case "peers_all" -> peerBroadcast = ConfigJson.address(json);
+                case "peers" -> ConfigJson.readArray(json, () -> peers.add(ConfigJson.address(json)));
+                case "known" -> knownProviders = ProviderListReader.read(json);
                 case "settings" -> {
-                    Json.expect(json, JsonToken.START_OBJECT, "is not an object");
+                    ConfigJson.expect(json, JsonToken.START_OBJECT, "is not an object");
                     flatten(json, "");
                 }
                 default -> json.skipChildren();
             }
         }
 
-        private static long seed(JsonParser json) throws IOException, ConfigException {
+        private static long readSeed(JsonParser json) throws IOException, ConfigException {
             try {
-                return Long.parseUnsignedLong(Json.text(json), 16);
+                return Long.parseUnsignedLong(ConfigJson.text(json), 16);
             } catch (NumberFormatException e) {
-                throw Json.bad(json, "is not 16 hex digits");
+                throw ConfigJson.error(json, "is not 16 hex digits");
             }
         }
 
-        private void limit(JsonParser json, String key) throws IOException, ConfigException {
+        private void readLimit(JsonParser json, String key) throws IOException, ConfigException {
             if (!key.equals("sockets")) {
                 json.skipChildren();
                 return;
             }
-            long told = Json.whole(json);
-            if (told < LEAST_SOCKETS) {
-                throw Json.bad(json, "is under " + LEAST_SOCKETS);
+            long told = ConfigJson.integer(json);
+            if (told < MIN_DESCRIPTORS) {
+                throw ConfigJson.error(json, "is under " + MIN_DESCRIPTORS);
             }
-            sockets = (int) Math.min(Integer.MAX_VALUE, told);
+            maxDescriptors = (int) Math.min(Integer.MAX_VALUE, told);
         }
 
         /** The values below one place, under names as on the simulator's wire. */
--- a/src/main/java/reedmux/config/SettingsReader.java
+++ b/src/main/java/reedmux/gatekeeper/config/SettingsReader.java
@@ -1,16 +1,16 @@
-package reedmux.config;
+package reedmux.gatekeeper.config;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import reedmux.policy.Gateway.Group;
-import reedmux.policy.Gateway.Limits;
-import reedmux.policy.Gateway.Plan;
-import reedmux.policy.Gateway.Repeat;
-import reedmux.policy.Gateway.RequestClass;
-import reedmux.policy.Gateway.Rules;
-import reedmux.policy.Gateway.Settings;
+import reedmux.gatekeeper.policy.TrafficPolicy.CustomerPlan;
+import reedmux.gatekeeper.policy.TrafficPolicy.DeduplicationScope;
+import reedmux.gatekeeper.policy.TrafficPolicy.DeploymentLimits;
+import reedmux.gatekeeper.policy.TrafficPolicy.Idempotency;
+import reedmux.gatekeeper.policy.TrafficPolicy.PlatformRules;
+import reedmux.gatekeeper.policy.TrafficPolicy.PolicySettings;
+import reedmux.gatekeeper.policy.TrafficPolicy.RequestClass;
 
 /**
  * The settings of an instance from their flat form, {@code lanes.0.name} and the like; keys nobody asks for
@@ -18,57 +18,57 @@
  */
 public final class SettingsReader {
     /** For units of one request, where no bound is told. */
-    private static final double NO_BOUND = 1e9;
-    /** Told by nobody but {@link Config}, as only on sockets a request takes its units that late. */
-    static final String UNITS_WHEN_WHOLE = "reedmux.unitsWhenWhole";
+    private static final double UNBOUNDED_UNITS = 1e9;
+    /** Told by nobody but {@link GatekeeperConfig}, as only on sockets a request takes its units that late. */
+    static final String UNITS_AFTER_BODY = "reedmux.unitsWhenWhole";
     /** The longest advice to stay away, in microseconds, where no bound is told. */
-    private static final long MOST_ADVICE = 1_000_000;
+    private static final long DEFAULT_MAX_RETRY_AFTER_MICROS = 1_000_000;
     /** Most bytes of a message between gatekeepers, by the platform's protocol. */
-    private static final int PEER_BYTES = 256;
+    private static final int MAX_PEER_MESSAGE_BYTES = 256;
 
     private final Map<String, String> values;
 
-    private final String place;
+    private final String keyPrefix;
 
-    /** {@code place} stands before the key in every message. */
+    /** {@code keyPrefix} stands before the key in every message. */
     public SettingsReader(String place, Map<String, String> values) {
-        this.place = place;
+        this.keyPrefix = place;
         this.values = values;
     }
 
-    private ConfigException bad(String message) {
-        return new ConfigException(place + message);
+    private ConfigException error(String message) {
+        return new ConfigException(keyPrefix + message);
     }
 
-    public Settings settings() throws ConfigException {
+    public PolicySettings settings() throws ConfigException {
         int groupSize = count("groupSize");
         int self = count("position");
         if (groupSize < 1 || self >= groupSize) {
-            throw bad("position does not lie within groupSize");
+            throw error("position does not lie within groupSize");
         }
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < count("lanes.count"); i++) {
             classes.add(requestClass("lanes." + i + "."));
         }
-        double mostUnits = number("extra.unitsTop", NO_BOUND);
-        List<Plan> plans = new ArrayList<>();
+        double mostUnits = number("extra.unitsTop", UNBOUNDED_UNITS);
+        List<CustomerPlan> plans = new ArrayList<>();
         for (int i = 0; i < count("packages.count"); i++) {
             plans.add(plan("packages." + i + ".", mostUnits));
         }
         if (classes.isEmpty() || plans.isEmpty()) {
-            throw bad((classes.isEmpty() ? "lanes" : "packages") + ".count must be above nought");
+            throw error((classes.isEmpty() ? "lanes" : "packages") + ".count must be above nought");
         }
         for (String list : List.of("lanes", "packages")) {
-            checkNames(list);
+            checkUniqueNames(list);
         }
-        return new Settings(
+        return new PolicySettings(
                 self,
                 groupSize,
                 (int) number("az", 0),
                 text("discovery", "push").equals("ask"),
-                flag(UNITS_WHEN_WHOLE),
+                flag(UNITS_AFTER_BODY),
                 mostUnits,
-                time("tickUs", 1000),
+                micros("tickUs", 1000),
                 List.copyOf(classes),
                 List.copyOf(plans),
                 rules(),
@@ -81,30 +81,30 @@
     }
 
     private RequestClass requestClass(String at) throws ConfigException {
-        Repeat repeat =
+        Idempotency repeat =
                 switch (text(at + "effect", "non_idempotent")) {
-                    case "read_like" -> Repeat.SAFE;
-                    case "idempotency_key" -> Repeat.KEYED;
-                    case "non_idempotent" -> Repeat.UNSAFE;
-                    default -> throw bad(at + "effect is not known");
+                    case "read_like" -> Idempotency.SAFE;
+                    case "idempotency_key" -> Idempotency.KEYED;
+                    case "non_idempotent" -> Idempotency.UNSAFE;
+                    default -> throw error(at + "effect is not known");
                 };
-        Group group =
+        DeduplicationScope group =
                 switch (text(at + "group", "cell")) {
-                    case "all" -> Group.ALL;
-                    case "zone" -> Group.ZONE;
-                    case "cell" -> Group.CELL;
-                    default -> throw bad(at + "group is not known");
+                    case "all" -> DeduplicationScope.ALL;
+                    case "zone" -> DeduplicationScope.ZONE;
+                    case "cell" -> DeduplicationScope.CELL;
+                    default -> throw error(at + "group is not known");
                 };
-        long deadline = needed(at + "deadlineUs");
-        long aim = needed(at + "targetUs");
+        long deadline = requiredMicros(at + "deadlineUs");
+        long aim = requiredMicros(at + "targetUs");
         if (aim > deadline) {
-            throw bad(at + "targetUs lies past its deadlineUs");
+            throw error(at + "targetUs lies past its deadlineUs");
         }
         return new RequestClass(
                 text(at + "name", "class"),
                 repeat,
                 group,
-                time(at + "windowUs", 0),
+                micros(at + "windowUs", 0),
                 aim,
                 deadline,
                 number(at + "worth", 1),
@@ -113,43 +113,43 @@
     }
 
     /** A request names its class and plan, so that of two with one name the second is never meant. */
-    private void checkNames(String list) throws ConfigException {
+    private void checkUniqueNames(String list) throws ConfigException {
         Map<String, Integer> seen = new HashMap<>();
         for (int i = 0; i < count(list + ".count"); i++) {
             String name = values.get(list + "." + i + ".name");
             Integer before = name == null ? null : seen.putIfAbsent(name, i);
             if (before != null) {
-                throw bad(list + "." + i + ".name is that of " + list + "." + before + ": '" + name + "'");
+                throw error(list + "." + i + ".name is that of " + list + "." + before + ": '" + name + "'");
             }
         }
     }
 
-    private Plan plan(String at, double mostUnits) throws ConfigException {
-        Plan plan = new Plan(
+    private CustomerPlan plan(String at, double mostUnits) throws ConfigException {
+        CustomerPlan plan = new CustomerPlan(
                 text(at + "name", "plan"),
                 number(at + "refill", 0),
                 number(at + "mostAtOnce", 0),
-                whole(at + "concurrency", 0),
+                integer(at + "concurrency", 0),
                 number(at + "hardRate", 0),
                 number(at + "capDepth", 0),
                 number(at + "capSlack", 0),
                 number(at + "pays", 1),
                 number(at + "beyondEarns", 0),
                 number(at + "beyondCosts", 0));
-        if (plan.rate() > 0 && plan.burst() <= 0) {
-            throw bad(at + "mostAtOnce must be above nought where refill is");
+        if (plan.quotaRate() > 0 && plan.quotaBurst() <= 0) {
+            throw error(at + "mostAtOnce must be above nought where refill is");
         }
-        if (plan.ceilingRate() > 0 && plan.ceilingBurst() <= 0) {
-            throw bad(at + "capDepth must be above nought where hardRate is");
+        if (plan.rateLimit() > 0 && plan.rateLimitBurst() <= 0) {
+            throw error(at + "capDepth must be above nought where hardRate is");
         }
-        if (plan.rate() > 0 && mostUnits < NO_BOUND && plan.burst() < mostUnits) {
-            throw bad(at + "mostAtOnce is under extra.unitsTop: the largest request would never be let in");
+        if (plan.quotaRate() > 0 && mostUnits < UNBOUNDED_UNITS && plan.quotaBurst() < mostUnits) {
+            throw error(at + "mostAtOnce is under extra.unitsTop: the largest request would never be let in");
         }
-        if (plan.rate() > 0
-                && plan.ceilingRate() > 0
-                && (plan.ceilingRate() < plan.rate() || plan.ceilingBurst() < plan.burst())) {
-            throw bad(at
-                    + (plan.ceilingRate() < plan.rate()
+        if (plan.quotaRate() > 0
+                && plan.rateLimit() > 0
+                && (plan.rateLimit() < plan.quotaRate() || plan.rateLimitBurst() < plan.quotaBurst())) {
+            throw error(at
+                    + (plan.rateLimit() < plan.quotaRate()
                             ? "hardRate is under its refill"
                             : "capDepth is under its mostAtOnce")
                     + ": the ceiling would cut into the quota");
@@ -157,29 +157,29 @@
         return plan;
     }
 
-    private Rules rules() throws ConfigException {
-        return new Rules(
-                time("rules.answerSlackUs", 0),
-                time("rules.askWithinUs", 0),
+    private PlatformRules rules() throws ConfigException {
+        return new PlatformRules(
+                micros("rules.answerSlackUs", 0),
+                micros("rules.askWithinUs", 0),
                 number("rules.coldFrom", 0),
-                time("rules.coldUs", 0),
-                time("rules.drainGraceUs", 0),
+                micros("rules.coldUs", 0),
+                micros("rules.drainGraceUs", 0),
                 number("rules.fallMultiple", 1),
-                time("rules.fallUs", 0));
+                micros("rules.fallUs", 0));
     }
 
-    private Limits limits() throws ConfigException {
-        return new Limits(
+    private DeploymentLimits limits() throws ConfigException {
+        return new DeploymentLimits(
                 flag("limits.cancelling"),
                 flag("limits.secondCopies"),
                 flag("limits.probes"),
                 flag("limits.peerMessages"),
                 flag("extra.mayCount"),
-                Math.max(1, whole("limits.sendCap", 1)),
-                flag("limits.retryAfter") ? time("limits.maxRetryAfterUs", MOST_ADVICE) : 0,
+                Math.max(1, integer("limits.sendCap", 1)),
+                flag("limits.retryAfter") ? micros("limits.maxRetryAfterUs", DEFAULT_MAX_RETRY_AFTER_MICROS) : 0,
                 number("extra.mailPerS", 0),
-                PEER_BYTES,
-                time("extra.countLimitUs", 0));
+                MAX_PEER_MESSAGE_BYTES,
+                micros("extra.countLimitUs", 0));
     }
 
     private String text(String key, String missing) {
@@ -189,7 +189,7 @@
     private boolean flag(String key) throws ConfigException {
         String value = values.getOrDefault(key, "false");
         if (!value.equals("true") && !value.equals("false") && !value.equals("-")) {
-            throw bad(key + " is neither true nor false: '" + value + "'");
+            throw error(key + " is neither true nor false: '" + value + "'");
         }
         return value.equals("true");
     }
@@ -207,33 +207,33 @@
         } catch (NumberFormatException e) {
             // told below, like a number that makes no sense
         }
-        throw bad(key + " is not a number of nought or more: '" + value + "'");
+        throw error(key + " is not a number of nought or more: '" + value + "'");
     }
 
     /** A time in microseconds. */
-    public long time(String key, long missing) throws ConfigException {
+    public long micros(String key, long missing) throws ConfigException {
         return (long) number(key, missing);
     }
 
-    private long needed(String key) throws ConfigException {
-        long value = time(key, 0);
+    private long requiredMicros(String key) throws ConfigException {
+        long value = micros(key, 0);
         if (value <= 0) {
-            throw bad(key + " is missing or nought");
+            throw error(key + " is missing or nought");
         }
         return value;
     }
 
     private int count(String key) throws ConfigException {
         if (!values.containsKey(key)) {
-            throw bad(key + " is missing");
+            throw error(key + " is missing");
         }
-        return Math.min(1_000_000, whole(key, 0));
+        return Math.min(1_000_000, integer(key, 0));
     }
 
-    private int whole(String key, int missing) throws ConfigException {
+    private int integer(String key, int missing) throws ConfigException {
         double value = number(key, missing);
         if (value != Math.rint(value)) {
-            throw bad(key + " is not a whole number: '" + values.get(key) + "'");
+            throw error(key + " is not a whole number: '" + values.get(key) + "'");
         }
         return (int) Math.min(Integer.MAX_VALUE, value);
     }
--- a/src/main/java/reedmux/region/RegionRules.java
+++ b/src/main/java/reedmux/gatekeeper/failover/FailoverRules.java
@@ -1,4 +1,4 @@
-package reedmux.region;
+package reedmux.gatekeeper.failover;
 
 import java.util.List;
 import java.util.Set;
@@ -12,7 +12,8 @@
  * @param visitors  the bounds on what we take in
  * @param away      our last resort, or null for none
  */
-public record RegionRules(String name, Set<String> takesFrom, Visitors visitors, Away away) {
+public record FailoverRules(
+        String name, Set<String> acceptsFrom, RemoteRequestLimits remoteLimits, FailoverTarget target) {
 
     /**
      * Bounds on what another region may have done here.
@@ -23,7 +24,8 @@
      * @param suffersAt  share of our own consumers' requests served badly from which no visitor is taken in
      * @param hold       microseconds for which we stay closed after that
      */
-    public record Visitors(int mostAtOnce, double rate, double burst, double suffersAt, long hold) {}
+    public record RemoteRequestLimits(
+            int maxConcurrent, double unitsPerSecond, double burstUnits, double closeAtFailureRate, long holdMicros) {}
 
     /**
      * Where we send what our own providers cannot take.
@@ -38,14 +40,14 @@
      * @param margin     microseconds kept for the answer's way on, beyond what the link takes
      * @param firstGuess microseconds that the link is taken to need until it has been measured
      */
-    public record Away(
+    public record FailoverTarget(
             String region,
             List<String> gateways,
-            double share,
-            double rate,
-            double burst,
-            int mostAtOnce,
-            long leastTime,
-            long margin,
-            long firstGuess) {}
+            double maxShare,
+            double unitsPerSecond,
+            double burstUnits,
+            int maxConcurrent,
+            long minRemainingMicros,
+            long marginMicros,
+            long initialLatencyMicros) {}
 }
--- a/src/main/java/reedmux/region/Decision.java
+++ b/src/main/java/reedmux/gatekeeper/failover/ForwardDecision.java
@@ -1,10 +1,10 @@
-package reedmux.region;
+package reedmux.gatekeeper.failover;
 
-/** What was decided of a request that our own providers cannot take; {@code departure} is null for no. */
-public record Decision(Departure departure, Why why) {
+/** What was decided of a request that our own providers cannot take; {@code forwarded} is null for no. */
+public record ForwardDecision(ForwardedRequest forwarded, ForwardReason reason) {
 
     /** Why it goes or stays. */
-    public enum Why {
+    public enum ForwardReason {
         /** It goes. */
         SENT,
         /** There is no last resort. */
@@ -27,7 +27,7 @@
         NO_GATEWAY
     }
 
-    static Decision no(Why why) {
-        return new Decision(null, why);
+    static ForwardDecision no(ForwardReason why) {
+        return new ForwardDecision(null, why);
     }
 }
--- a/src/main/java/reedmux/region/LinkTime.java
+++ b/src/main/java/reedmux/gatekeeper/failover/LinkLatencyEstimator.java
@@ -1,4 +1,4 @@
-package reedmux.region;
+package reedmux.gatekeeper.failover;
 
 /**
  * The time that a call spends on the link to another region, both ways: what passed here less what passed
@@ -6,21 +6,21 @@
  * deviations. It rises at once with a slow sample and falls slowly, since too low a guess costs an answer
  * and too high a one only some time of the other region.
  */
-final class LinkTime {
+final class LinkLatencyEstimator {
     private static final double MEAN_WEIGHT = 1.0 / 8;
     private static final double DEVIATION_WEIGHT = 1.0 / 4;
     private static final int DEVIATIONS = 4;
 
-    private final long firstGuess;
+    private final long initialEstimate;
     private double mean = -1;
     private double deviation;
 
-    LinkTime(long firstGuess) {
-        this.firstGuess = firstGuess;
+    LinkLatencyEstimator(long firstGuess) {
+        this.initialEstimate = firstGuess;
     }
 
     /** Takes in a sample, in microseconds; one below nought, as of clocks that step, says nothing. */
-    void learn(long sample) {
+    void addSample(long sample) {
         if (sample < 0) {
             return;
         }
@@ -34,7 +34,7 @@
     }
 
     /** Microseconds for a call's way there and back. */
-    long estimate() {
-        return mean < 0 ? firstGuess : (long) (mean + DEVIATIONS * deviation);
+    long estimateMicros() {
+        return mean < 0 ? initialEstimate : (long) (mean + DEVIATIONS * deviation);
     }
 }
--- a/src/main/java/reedmux/region/Wish.java
+++ b/src/main/java/reedmux/gatekeeper/failover/OverflowRequest.java
@@ -1,4 +1,4 @@
-package reedmux.region;
+package reedmux.gatekeeper.failover;
 
 /**
  * A request that our own providers cannot take.
@@ -10,4 +10,5 @@
  * @param visitor    whether another region sent it
  * @param callsLeft  calls that it may still be given
  */
-public record Wish(long deadline, double units, boolean repeatable, boolean neverRan, boolean visitor, int callsLeft) {}
+public record OverflowRequest(
+        long deadline, double units, boolean idempotent, boolean neverRan, boolean remote, int attemptsLeft) {}
--- a/src/main/java/reedmux/region/Refusal.java
+++ b/src/main/java/reedmux/gatekeeper/failover/RemoteRejection.java
@@ -1,10 +1,10 @@
-package reedmux.region;
+package reedmux.gatekeeper.failover;
 
 /** A visitor that is not taken in: why, and in how many microseconds to come again. */
-public record Refusal(Why why, long retryAfter) {
+public record RemoteRejection(RemoteRejectionReason reason, long retryAfterMicros) {
 
     /** Why a visitor is not taken in. */
-    public enum Why {
+    public enum RemoteRejectionReason {
         /** It has been here, or was sent on, which no request ever is. */
         TRAVELLED,
         /** It comes from a region that we take nothing from. */
--- a/src/main/java/reedmux/region/Bucket.java
+++ b/src/main/java/reedmux/gatekeeper/failover/TokenBucket.java
@@ -1,25 +1,25 @@
-package reedmux.region;
+package reedmux.gatekeeper.failover;
 
 /**
  * A store of units that fills at a rate up to a burst. It starts empty: a gatekeeper that restarts must not
  * bring a full burst along, or a rolling restart would multiply the budget.
  */
-final class Bucket {
-    private static final double SECOND = 1e6;
+final class TokenBucket {
+    private static final double MICROS_PER_SECOND = 1e6;
     private double rate;
     private double burst;
     private double level;
-    private long at;
+    private long filledAt;
 
     /** {@code rate} in units a second, {@code burst} in units, {@code now} in microseconds. */
-    Bucket(double rate, double burst, long now) {
+    TokenBucket(double rate, double burst, long now) {
         this.rate = rate;
         this.burst = burst;
-        at = now;
+        filledAt = now;
     }
 
     /** Takes over other bounds; what is in it stays, up to the new burst. */
-    void bounds(double newRate, double newBurst, long now) {
+    void setLimits(double newRate, double newBurst, long now) {
         fill(now);
         rate = newRate;
         burst = newBurst;
@@ -27,8 +27,8 @@
     }
 
     private void fill(long now) {
-        level = Math.min(burst, level + rate * Math.max(0, now - at) / SECOND);
-        at = Math.max(at, now);
+        level = Math.min(burst, level + rate * Math.max(0, now - filledAt) / MICROS_PER_SECOND);
+        filledAt = Math.max(filledAt, now);
     }
 
     /** Whether it holds so many units. */
@@ -42,16 +42,16 @@
     }
 
     /** Puts in units that something else earned. */
-    void earn(double units) {
+    void deposit(double units) {
         level = Math.min(burst, level + units);
     }
 
     /** Microseconds until it holds so many units; a second where it never will. */
-    long until(double units, long now) {
+    long microsUntil(double units, long now) {
         fill(now);
         return rate <= 0 || units > burst
-                ? (long) SECOND
-                : (long) Math.ceil(Math.max(0, units - level) / rate * SECOND);
+                ? (long) MICROS_PER_SECOND
+                : (long) Math.ceil(Math.max(0, units - level) / rate * MICROS_PER_SECOND);
     }
 
     double level() {
--- a/src/main/java/reedmux/region/package-info.java
+++ b/src/main/java/reedmux/gatekeeper/failover/package-info.java
@@ -6,4 +6,4 @@
  * logger. Owned by the thread that owns the reducer. What it promises stands in {@code docs/regions.md}, and
  * each promise there is one property test here.
  */
-package reedmux.region;
+package reedmux.gatekeeper.failover;
--- a/src/main/java/reedmux/handover/Link.java
+++ b/src/main/java/reedmux/gatekeeper/handover/HandoverConnection.java
@@ -1,4 +1,4 @@
-package reedmux.handover;
+package reedmux.gatekeeper.handover;
 
 import java.io.EOFException;
 import java.io.IOException;
@@ -21,48 +21,48 @@
  * of its own and written by another, so that neither process ever waits for the other. The end, however it
  * comes about, is told once.
  */
-public final class Link implements AutoCloseable {
+public final class HandoverConnection implements AutoCloseable {
     /** Frames that may wait to be written; a process that takes none for so long is as good as gone. */
-    private static final int MOST_WAITING = 256;
+    private static final int MAX_QUEUED_FRAMES = 256;
 
-    private static final byte[] NO_MORE = {};
+    private static final byte[] END_OF_FRAMES = {};
 
     /** Hears frames and the end, on threads of the link. */
-    public interface Ear {
-        void heard(Link from, Frame frame);
+    public interface HandoverFrameHandler {
+        void onFrame(HandoverConnection from, HandoverFrame frame);
 
-        void ended(Link link, String why);
+        void onClosed(HandoverConnection link, String why);
     }
 
     private final SocketChannel channel;
-    private final Ear ear;
-    private final BlockingQueue<byte[]> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
-    private boolean ended;
+    private final HandoverFrameHandler handler;
+    private final BlockingQueue<byte[]> outgoing = new ArrayBlockingQueue<>(MAX_QUEUED_FRAMES);
+    private boolean closed;
 
-    private Link(SocketChannel channel, Ear ear) {
+    private HandoverConnection(SocketChannel channel, HandoverFrameHandler ear) {
         this.channel = channel;
-        this.ear = ear;
+        this.handler = ear;
     }
 
-    private Link start() {
-        thread("reedmux-handover-in", this::readAll);
-        thread("reedmux-handover-out", this::writeAll);
+    private HandoverConnection start() {
+        startThread("reedmux-handover-in", this::readAll);
+        startThread("reedmux-handover-out", this::writeAll);
         return this;
     }
 
-    private static void thread(String name, Runnable task) {
+    private static void startThread(String name, Runnable task) {
         Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         thread.start();
     }
 
     /** Connects to a process that listens there, or returns null where none does. */
-    public static Link to(Path place, Ear ear) {
+    public static HandoverConnection connect(Path place, HandoverFrameHandler ear) {
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open(StandardProtocolFamily.UNIX);
             channel.connect(UnixDomainSocketAddress.of(place));
-            return new Link(channel, ear).start();
+            return new HandoverConnection(channel, ear).start();
         } catch (IOException | RuntimeException e) { // no such file, a stale one, or a path that is too long
             closeQuietly(channel);
             return null;
@@ -70,28 +70,29 @@
     }
 
     /** Waits for others to connect, until closed; each gets a link. */
-    public static final class Listener implements AutoCloseable {
+    public static final class HandoverServer implements AutoCloseable {
         private final ServerSocketChannel server;
-        private final Path place;
-        private final Object file;
+        private final Path socketPath;
+        private final Object fileKey;
 
         /** Takes the place of whatever lies there. */
-        public Listener(Path place, Ear ear, BiConsumer<Link, Listener> met) throws IOException {
-            this.place = place;
+        public HandoverServer(Path place, HandoverFrameHandler ear, BiConsumer<HandoverConnection, HandoverServer> met)
+                throws IOException {
+            this.socketPath = place;
             server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
             try {
                 Files.deleteIfExists(place);
                 server.bind(UnixDomainSocketAddress.of(place), 2);
-                file = key(place);
+                fileKey = fileKeyOf(place);
             } catch (IOException | RuntimeException e) {
                 server.close();
                 throw new IOException(place + ": " + e.getMessage(), e);
             }
-            thread("reedmux-handover", () -> {
+            startThread("reedmux-handover", () -> {
                 try {
                     while (true) {
                         SocketChannel accepted = server.accept();
-                        Link link = new Link(accepted, ear);
+                        HandoverConnection link = new HandoverConnection(accepted, ear);
                         met.accept(link, this);
                         link.start();
                     }
@@ -105,15 +106,15 @@
         public void closeAndRemove() {
             close();
             try {
-                if (Objects.equals(file, key(place))) {
-                    Files.deleteIfExists(place);
+                if (Objects.equals(fileKey, fileKeyOf(socketPath))) {
+                    Files.deleteIfExists(socketPath);
                 }
             } catch (IOException e) {
                 // it is stale then, and whoever finds it can tell
             }
         }
 
-        private static Object key(Path of) throws IOException {
+        private static Object fileKeyOf(Path of) throws IOException {
             return Files.readAttributes(of, BasicFileAttributes.class).fileKey();
         }
 
@@ -124,20 +125,20 @@
     }
 
     /** Sends a frame, some time soon; false where the link has ended or nothing is taken there. */
-    public boolean send(Frame frame) {
-        if (!waiting.offer(Frames.bytes(frame))) {
-            end("the other process takes nothing");
+    public boolean send(HandoverFrame frame) {
+        if (!outgoing.offer(HandoverFrameCodec.encode(frame))) {
+            closeBecause("the other process takes nothing");
             return false;
         }
-        return !ended();
+        return !isClosed();
     }
 
     private void writeAll() {
         try {
             while (true) {
-                byte[] next = waiting.poll(1, TimeUnit.MINUTES);
-                if (next == NO_MORE || ended()) {
-                    end("closed here");
+                byte[] next = outgoing.poll(1, TimeUnit.MINUTES);
+                if (next == END_OF_FRAMES || isClosed()) {
+                    closeBecause("closed here");
                     return;
                 }
                 for (ByteBuffer bytes = next == null ? null : ByteBuffer.wrap(next);
@@ -146,7 +147,7 @@
                 }
             }
         } catch (IOException e) {
-            end(e.toString());
+            closeBecause(e.toString());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -155,20 +156,23 @@
     private void readAll() {
         try {
             while (true) {
-                int length = fill(ByteBuffer.allocate(Integer.BYTES)).getInt();
-                if (length <= 0 || length > Frames.LONGEST) {
+                int length = readFully(ByteBuffer.allocate(Integer.BYTES)).getInt();
+                if (length <= 0 || length > HandoverFrameCodec.MAX_BODY_BYTES) {
                     throw new IOException("a frame of " + length + " bytes");
                 }
-                ear.heard(this, Frames.read(fill(ByteBuffer.allocate(length)).array()));
+                handler.onFrame(
+                        this,
+                        HandoverFrameCodec.decode(
+                                readFully(ByteBuffer.allocate(length)).array()));
             }
         } catch (EOFException e) {
-            end("the other process has gone");
+            closeBecause("the other process has gone");
         } catch (IOException | RuntimeException e) {
-            end(String.valueOf(e.getMessage()));
+            closeBecause(String.valueOf(e.getMessage()));
         }
     }
 
-    private ByteBuffer fill(ByteBuffer bytes) throws IOException {
+    private ByteBuffer readFully(ByteBuffer bytes) throws IOException {
         while (bytes.hasRemaining()) {
             if (channel.read(bytes) < 0) {
                 throw new EOFException();
@@ -177,26 +181,26 @@
         return bytes.flip();
     }
 
-    private synchronized boolean ended() {
-        return ended;
+    private synchronized boolean isClosed() {
+        return closed;
     }
 
-    private void end(String why) {
+    private void closeBecause(String why) {
         synchronized (this) {
-            if (ended) {
+            if (closed) {
                 return;
             }
-            ended = true;
+            closed = true;
         }
         closeQuietly(channel);
-        waiting.clear();
-        waiting.offer(NO_MORE);
-        ear.ended(this, why);
+        outgoing.clear();
+        outgoing.offer(END_OF_FRAMES);
+        handler.onClosed(this, why);
     }
 
     /** Ends it once all that was sent is written. */
-    public void finish() {
-        if (!waiting.offer(NO_MORE)) {
+    public void closeAfterWriting() {
+        if (!outgoing.offer(END_OF_FRAMES)) {
             close();
         }
     }
@@ -204,7 +208,7 @@
     /** Ends it; the ear hears of that too. */
     @Override
     public void close() {
-        end("closed here");
+        closeBecause("closed here");
     }
 
     private static void closeQuietly(AutoCloseable what) {
@@ -218,7 +222,7 @@
     }
 
     /** Where processes of the gatekeeper of this name and address meet. */
-    public static Path place(Path folder, String name, String listen) {
+    public static Path socketPath(Path folder, String name, String listen) {
         return folder.resolve("reedmux-" + (name + '-' + listen).replaceAll("[^A-Za-z0-9.-]", "_") + ".sock");
     }
 }
--- a/src/main/java/reedmux/http/Flow.java
+++ b/src/main/java/reedmux/gatekeeper/http/BodyStream.java
@@ -1,4 +1,4 @@
-package reedmux.http;
+package reedmux.gatekeeper.http;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -7,39 +7,39 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.apache.hc.core5.http.nio.CapacityChannel;
 import org.apache.hc.core5.http.nio.DataStreamChannel;
-import reedmux.core.CallResult;
+import reedmux.gatekeeper.reducer.CallResult;
 
 /**
  * A long body on its way from one connection, its source, to another, its sink. It holds what the sink has
- * not taken yet, and has the source bring no more than {@link #AHEAD} of that. Either side may end it. For
+ * not taken yet, and has the source bring no more than {@link #MAX_BUFFERED_BYTES} of that. Either side may end it. For
  * all threads; neither connection is called with the flow locked but to be written to.
  */
-final class Flow implements CallResult.Rest {
+public final class BodyStream implements CallResult.RemainingBody {
     /** Bytes that one flow may hold, and one beside too many others; a read may bring a little more. */
-    static final int AHEAD = 64 * 1024;
+    static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
-    static final int AHEAD_SCARCE = 8 * 1024;
+    static final int MAX_BUFFERED_BYTES_UNDER_PRESSURE = 8 * 1024;
     /** Bytes in all flows from which on each holds less. */
-    private static final long MOST_HELD = 8L * 1024 * 1024;
+    private static final long PRESSURE_THRESHOLD_BYTES = 8L * 1024 * 1024;
 
-    private static final int CHUNK = 8 * 1024;
+    private static final int CHUNK_BYTES = 8 * 1024;
     /** Less than this is not worth asking for. */
-    private static final int LEAST = 4 * 1024;
+    private static final int MIN_GRANT_BYTES = 4 * 1024;
 
-    private static final AtomicLong HELD = new AtomicLong();
+    private static final AtomicLong TOTAL_BUFFERED = new AtomicLong();
 
     private final long length;
-    private final long most;
+    private final long maxBytes;
     private final Deque<ByteBuffer> chunks = new ArrayDeque<>();
-    private long in;
-    private long out;
-    private long granted;
+    private long receivedBytes;
+    private long sentBytes;
+    private long grantedBytes;
     private CapacityChannel source;
     private DataStreamChannel sink;
-    private Runnable broken = () -> {};
-    private boolean finished;
+    private Runnable failureListener = () -> {};
+    private boolean complete;
     private boolean failed;
-    private boolean over;
+    private boolean closed;
 
     /**
      * A flow.
@@ -48,10 +48,10 @@
      * @param most    bytes that it may have
      * @param granted bytes that the source has been asked for so far
      */
-    Flow(long length, long most, long granted) {
+    BodyStream(long length, long most, long granted) {
         this.length = length;
-        this.most = most;
-        this.granted = granted;
+        this.maxBytes = most;
+        this.grantedBytes = granted;
     }
 
     @Override
@@ -61,21 +61,21 @@
 
     // ---- The source --------------------------------------------------------------------------------
     /** Takes what has come in; false where it is more than may be, and the flow has failed. */
-    boolean put(ByteBuffer bytes) {
+    boolean receive(ByteBuffer bytes) {
         DataStreamChannel wake;
         synchronized (this) {
-            if (over) {
+            if (closed) {
                 bytes.position(bytes.limit());
                 return true;
             }
-            in += bytes.remaining();
-            if (in <= most) {
-                HELD.addAndGet(bytes.remaining());
-                store(bytes);
+            receivedBytes += bytes.remaining();
+            if (receivedBytes <= maxBytes) {
+                TOTAL_BUFFERED.addAndGet(bytes.remaining());
+                buffer(bytes);
             }
             wake = sink;
         }
-        if (in > most) {
+        if (receivedBytes > maxBytes) {
             fail();
             return false;
         }
@@ -85,11 +85,11 @@
         return true;
     }
 
-    private void store(ByteBuffer bytes) {
+    private void buffer(ByteBuffer bytes) {
         while (bytes.hasRemaining()) {
             ByteBuffer last = chunks.peekLast();
             if (last == null || last.limit() == last.capacity()) {
-                last = ByteBuffer.allocate(CHUNK);
+                last = ByteBuffer.allocate(CHUNK_BYTES);
                 last.limit(0);
                 chunks.add(last);
             }
@@ -102,25 +102,27 @@
     }
 
     /** The source will bring nothing until it is asked for more. */
-    void source(CapacityChannel channel) throws IOException {
+    void attachSource(CapacityChannel channel) throws IOException {
         synchronized (this) {
             source = channel;
         }
-        ask();
+        grantCapacity();
     }
 
-    private void ask() throws IOException {
+    private void grantCapacity() throws IOException {
         CapacityChannel channel;
         long more;
         synchronized (this) {
-            long ahead = HELD.get() > MOST_HELD ? AHEAD_SCARCE : AHEAD;
-            more = over ? Integer.MAX_VALUE : out + ahead - granted;
+            long ahead = TOTAL_BUFFERED.get() > PRESSURE_THRESHOLD_BYTES
+                    ? MAX_BUFFERED_BYTES_UNDER_PRESSURE
+                    : MAX_BUFFERED_BYTES;
+            more = closed ? Integer.MAX_VALUE : sentBytes + ahead - grantedBytes;
             channel = source;
-            if (channel == null || more < LEAST) {
+            if (channel == null || more < MIN_GRANT_BYTES) {
                 return;
             }
-            granted += more;
-            if (over) {
+            grantedBytes += more;
+            if (closed) {
                 source = null; // all of the rest has been asked for, and is thrown away
             }
         }
@@ -128,10 +130,10 @@
     }
 
     /** All has come in. */
-    void finish() {
+    void complete() {
         DataStreamChannel wake;
         synchronized (this) {
-            finished = true;
+            complete = true;
             wake = sink;
         }
         if (wake != null) {
@@ -143,13 +145,13 @@
     void fail() {
         Runnable tell;
         synchronized (this) {
-            if (over || failed) {
+            if (closed || failed) {
                 return;
             }
             failed = true;
-            tell = broken;
+            tell = failureListener;
         }
-        end();
+        discardRest();
         tell.run();
     }
 
@@ -158,7 +160,7 @@
     void onFailure(Runnable told) {
         boolean already;
         synchronized (this) {
-            broken = told;
+            failureListener = told;
             already = failed;
         }
         if (already) {
@@ -168,7 +170,7 @@
 
     /** Bytes that wait for the sink, or one where it has to be told of the end. */
     synchronized int available() {
-        return over ? 0 : held() > 0 ? (int) held() : finished ? 1 : 0;
+        return closed ? 0 : bufferedBytes() > 0 ? (int) bufferedBytes() : complete ? 1 : 0;
     }
 
     /** Writes what the sink takes; returns whether that was the last of it. */
@@ -176,88 +178,88 @@
         boolean last = false;
         synchronized (this) {
             sink = channel;
-            while (!over && !chunks.isEmpty()) {
+            while (!closed && !chunks.isEmpty()) {
                 ByteBuffer chunk = chunks.peek();
                 int before = chunk.position();
                 channel.write(chunk);
                 int some = chunk.position() - before;
-                out += some;
-                HELD.addAndGet(-some);
+                sentBytes += some;
+                TOTAL_BUFFERED.addAndGet(-some);
                 if (chunk.hasRemaining()) {
                     break;
                 }
-                if (chunk.limit() == chunk.capacity() || chunks.size() > 1 || finished) {
+                if (chunk.limit() == chunk.capacity() || chunks.size() > 1 || complete) {
                     chunks.poll();
                 } else {
                     chunk.limit(0); // it is filled anew
                     break;
                 }
             }
-            if (!over && finished && held() == 0) {
-                over = true;
+            if (!closed && complete && bufferedBytes() == 0) {
+                closed = true;
                 last = true;
             }
         }
         if (last) {
             channel.endStream();
         }
-        ask();
+        grantCapacity();
         return last;
     }
 
     /** The sink takes no more: what comes yet is thrown away. */
-    void end() {
+    void discardRest() {
         synchronized (this) {
-            if (over) {
+            if (closed) {
                 return;
             }
-            over = true;
-            HELD.addAndGet(-held());
+            closed = true;
+            TOTAL_BUFFERED.addAndGet(-bufferedBytes());
             chunks.clear();
         }
         try {
-            ask();
+            grantCapacity();
         } catch (IOException e) {
             // the source has gone too
         }
     }
 
     // ---- What can be seen --------------------------------------------------------------------------
-    private long held() {
-        return Math.min(in, most) - out;
+    private long bufferedBytes() {
+        return Math.min(receivedBytes, maxBytes) - sentBytes;
     }
 
     /** Whether no sink has had a byte of it, so that another one could have it all. */
-    synchronized boolean untouched() {
-        return out == 0 && !over;
+    synchronized boolean isUnread() {
+        return sentBytes == 0 && !closed;
     }
 
     /** Whether all of it has come in. */
-    synchronized boolean whole() {
-        return finished;
+    synchronized boolean isComplete() {
+        return complete;
     }
 
     /** Whether more is waited for from the source. */
-    synchronized boolean wants() {
-        return !over && !finished && granted - in >= LEAST;
+    synchronized boolean awaitsSource() {
+        return !closed && !complete && grantedBytes - receivedBytes >= MIN_GRANT_BYTES;
     }
 
     /** Whether something waits for the sink. */
-    synchronized boolean waits() {
-        return !over && held() > 0;
+    synchronized boolean awaitsSink() {
+        return !closed && bufferedBytes() > 0;
     }
 
     /** Bytes that have come in and gone out, together: as long as it grows, something moves. */
-    synchronized long moved() {
-        return in + out;
+    synchronized long bytesMoved() {
+        return receivedBytes + sentBytes;
     }
 
-    synchronized long taken() {
-        return in;
+    synchronized long bytesReceived() {
+        return receivedBytes;
     }
 
     /** Bytes that all flows hold now. */
-    static long heldByAll() {
-        return HELD.get();
+    static long totalBufferedBytes() {
+        return TOTAL_BUFFERED.get();
     }
 }
--- a/src/main/java/reedmux/http/Body.java
+++ b/src/main/java/reedmux/gatekeeper/http/BufferedBody.java
@@ -1,4 +1,4 @@
-package reedmux.http;
+package reedmux.gatekeeper.http;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -7,21 +7,21 @@
 import org.apache.hc.core5.http.nio.DataStreamChannel;
 
 /** The body of one message: gathered from a connection up to the bound, or written to one. */
-final class Body {
-    static final byte[] NONE = {};
+final class BufferedBody {
+    static final byte[] EMPTY = {};
 
     /** Gathers a body; past the bound it is thrown away, as there is no use for a part. */
-    static final class In {
+    static final class InboundBody {
         private final ByteArrayOutputStream bytes;
         private boolean tooLong;
 
-        In(EntityDetails details) {
+        InboundBody(EntityDetails details) {
             long told = Math.max(0, details.getContentLength());
-            bytes = new ByteArrayOutputStream((int) Math.min(Transport.MOST_BODY, told));
+            bytes = new ByteArrayOutputStream((int) Math.min(HttpTransport.MAX_BUFFERED_BODY_BYTES, told));
         }
 
-        void take(ByteBuffer source) {
-            tooLong |= bytes.size() + source.remaining() > Transport.MOST_BODY;
+        void append(ByteBuffer source) {
+            tooLong |= bytes.size() + source.remaining() > HttpTransport.MAX_BUFFERED_BODY_BYTES;
             byte[] chunk = new byte[source.remaining()];
             source.get(chunk);
             if (!tooLong) {
@@ -29,7 +29,7 @@
             }
         }
 
-        boolean tooLong() {
+        boolean isTooLong() {
             return tooLong;
         }
 
@@ -43,10 +43,10 @@
     }
 
     /** Writes a body as far as the connection takes it. */
-    static final class Out {
+    static final class OutboundBody {
         private final ByteBuffer bytes;
 
-        Out(byte[] bytes) {
+        OutboundBody(byte[] bytes) {
             this.bytes = ByteBuffer.wrap(bytes);
         }
 
@@ -54,7 +54,7 @@
             return bytes.remaining();
         }
 
-        void write(DataStreamChannel channel) throws IOException {
+        void writeTo(DataStreamChannel channel) throws IOException {
             channel.write(bytes);
             if (!bytes.hasRemaining()) {
                 channel.endStream();
@@ -62,5 +62,5 @@
         }
     }
 
-    private Body() {}
+    private BufferedBody() {}
 }
--- a/src/main/java/reedmux/http/Acceptor.java
+++ b/src/main/java/reedmux/gatekeeper/http/ConnectionAcceptor.java
@@ -1,4 +1,4 @@
-package reedmux.http;
+package reedmux.gatekeeper.http;
 
 import java.io.IOException;
 import java.net.SocketAddress;
@@ -18,18 +18,18 @@
  * where they cost no descriptor, until others have been closed. At the end it first accepts what waits there:
  * a socket that is closed with connections in its queue resets them.
  */
-public final class Acceptor implements AutoCloseable {
+public final class ConnectionAcceptor implements AutoCloseable {
     /** Connections that may wait to be accepted. */
-    private static final int QUEUE = 512;
+    private static final int ACCEPT_BACKLOG = 512;
 
-    private static final long PAUSE_MILLIS = 50;
+    private static final long RETRY_DELAY_MILLIS = 50;
 
     private final ServerSocketChannel server;
     private final Selector selector;
     private final DefaultListeningIOReactor reactor;
-    private final Semaphore room;
+    private final Semaphore connectionPermits;
     private final Consumer<String> log;
-    private volatile boolean ending;
+    private volatile boolean closing;
 
     /**
      * Listens at once.
@@ -37,7 +37,7 @@
      * @param shared whether another process may listen there too, as one that takes our place does
      * @param room   has a permit for each connection that there is still room for
      */
-    public Acceptor(
+    public ConnectionAcceptor(
             SocketAddress listen,
             boolean shared,
             DefaultListeningIOReactor reactor,
@@ -45,7 +45,7 @@
             Consumer<String> log)
             throws IOException {
         this.reactor = reactor;
-        this.room = room;
+        this.connectionPermits = room;
         this.log = log;
         selector = Selector.open();
         server = ServerSocketChannel.open();
@@ -54,7 +54,7 @@
             if (shared && server.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
                 server.setOption(StandardSocketOptions.SO_REUSEPORT, true);
             }
-            server.bind(listen, QUEUE);
+            server.bind(listen, ACCEPT_BACKLOG);
             server.configureBlocking(false);
             server.register(selector, SelectionKey.OP_ACCEPT);
         } catch (IOException e) {
@@ -62,7 +62,7 @@
             selector.close();
             throw e;
         }
-        Thread thread = new Thread(this::run, "reedmux-accept");
+        Thread thread = new Thread(this::acceptUntilClosed, "reedmux-accept");
         thread.setDaemon(true);
         thread.start();
     }
@@ -71,10 +71,10 @@
         return server.getLocalAddress();
     }
 
-    private void run() {
+    private void acceptUntilClosed() {
         try (selector;
                 server) {
-            while (!ending) {
+            while (!closing) {
                 selector.select();
                 selector.selectedKeys().clear();
                 acceptAll();
@@ -89,8 +89,8 @@
 
     private void acceptAll() throws InterruptedException {
         while (true) {
-            if (!room.tryAcquire(PAUSE_MILLIS, TimeUnit.MILLISECONDS)) {
-                if (ending) {
+            if (!connectionPermits.tryAcquire(RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS)) {
+                if (closing) {
                     return;
                 }
                 continue;
@@ -105,13 +105,13 @@
                 used = true;
             } catch (IOException | RuntimeException e) { // no descriptor left, or gone before its turn
                 log.accept("cannot accept: " + e.getMessage());
-                TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
-                if (ending) {
+                TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MILLIS);
+                if (closing) {
                     return;
                 }
             } finally {
                 if (!used) {
-                    room.release();
+                    connectionPermits.release();
                 }
             }
         }
@@ -120,7 +120,7 @@
     /** Has the thread that accepts take what waits, and then close; returns at once. */
     @Override
     public void close() {
-        ending = true;
+        closing = true;
         selector.wakeup();
     }
 }
--- a/src/main/java/reedmux/http/Intake.java
+++ b/src/main/java/reedmux/gatekeeper/http/IntakeLimiter.java
@@ -1,4 +1,4 @@
-package reedmux.http;
+package reedmux.gatekeeper.http;
 
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
@@ -12,54 +12,54 @@
  * nothing that is slow by itself: a request that is decided on, whatever becomes of it, lets the next one in.
  * For all threads.
  */
-public final class Intake {
-    private final int most;
+public final class IntakeLimiter {
+    private final int maxUndecided;
     private final AtomicInteger undecided = new AtomicInteger();
-    private final Queue<BooleanSupplier> waiting = new ConcurrentLinkedQueue<>();
+    private final Queue<BooleanSupplier> waitingConnections = new ConcurrentLinkedQueue<>();
 
-    public Intake(int most) {
-        this.most = most;
+    public IntakeLimiter(int most) {
+        this.maxUndecided = most;
     }
 
     /** Whether a connection with a further request has to wait. */
-    boolean full() {
-        return undecided.get() >= most;
+    boolean isFull() {
+        return undecided.get() >= maxUndecided;
     }
 
     /** A request has been read. */
-    public void entered() {
+    public void onRequestRead() {
         undecided.incrementAndGet();
     }
 
     /** A request has been decided on: let in, turned away, or given up. */
-    public void decided() {
+    public void onRequestDecided() {
         // The last one lets in as many as there is room for: those let in before may have had nothing to say.
-        let(undecided.decrementAndGet() == 0 ? most : 1);
+        resume(undecided.decrementAndGet() == 0 ? maxUndecided : 1);
     }
 
     /** Has a connection wait; {@code goOn} has it read, and returns false where it has closed meanwhile. */
-    void await(BooleanSupplier goOn) {
-        waiting.add(goOn);
+    void enqueue(BooleanSupplier goOn) {
+        waitingConnections.add(goOn);
         if (undecided.get() == 0) {
-            let(most); // all have been decided on since it was found full
+            resume(maxUndecided); // all have been decided on since it was found full
         }
     }
 
     /** Lets in whoever waits while nothing is on its way; to be called now and then. */
     public void sweep() {
         if (undecided.get() == 0) {
-            let(most);
+            resume(maxUndecided);
         }
     }
 
     /** Lets all in. */
-    public void end() {
-        let(Integer.MAX_VALUE);
+    public void resumeAll() {
+        resume(Integer.MAX_VALUE);
     }
 
-    private void let(int many) {
+    private void resume(int many) {
         for (int left = many; left > 0; left--) {
-            BooleanSupplier next = waiting.poll();
+            BooleanSupplier next = waitingConnections.poll();
             if (next == null) {
                 return;
             }
--- a/src/main/java/reedmux/http/StrictInput.java
+++ b/src/main/java/reedmux/gatekeeper/http/LineCheckingBuffer.java
@@ -1,4 +1,4 @@
-package reedmux.http;
+package reedmux.gatekeeper.http;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -6,125 +6,126 @@
 import java.nio.channels.WritableByteChannel;
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
 import org.apache.hc.core5.util.CharArrayBuffer;
+import reedmux.common.http1.Http1Grammar;
 
 /**
  * A connection's input as the library's parsers see it, with a look at each line before they do. The library
  * reads the lines, bounds them and makes messages of them; what it would let through is stopped here.
  */
-abstract class StrictInput implements SessionInputBuffer {
-    private SessionInputBuffer in;
+abstract class LineCheckingBuffer implements SessionInputBuffer {
+    private SessionInputBuffer delegate;
 
-    final StrictInput of(SessionInputBuffer input) {
-        in = input;
+    final LineCheckingBuffer wrap(SessionInputBuffer input) {
+        delegate = input;
         return this;
     }
 
     /** Looks at a whole line; where it is at fault, whatever this throws ends the parsing. */
-    abstract void look(CharArrayBuffer line) throws IOException;
+    abstract void checkLine(CharArrayBuffer line) throws IOException;
 
     @Override
     public boolean readLine(CharArrayBuffer line, boolean endOfStream) throws IOException {
-        boolean whole = in.readLine(line, endOfStream);
+        boolean whole = delegate.readLine(line, endOfStream);
         if (whole) {
-            look(line);
+            checkLine(line);
         }
         return whole;
     }
 
     @Override
     public final boolean hasData() {
-        return in.hasData();
+        return delegate.hasData();
     }
 
     @Override
     public final int length() {
-        return in.length();
+        return delegate.length();
     }
 
     @Override
     public final int fill(ReadableByteChannel channel) throws IOException {
-        return in.fill(channel);
+        return delegate.fill(channel);
     }
 
     @Override
     public final int read() {
-        return in.read();
+        return delegate.read();
     }
 
     @Override
     public final int read(ByteBuffer to, int most) {
-        return in.read(to, most);
+        return delegate.read(to, most);
     }
 
     @Override
     public final int read(ByteBuffer to) {
-        return in.read(to);
+        return delegate.read(to);
     }
 
     @Override
     public final int read(WritableByteChannel to, int most) throws IOException {
-        return in.read(to, most);
+        return delegate.read(to, most);
     }
 
     @Override
     public final int read(WritableByteChannel to) throws IOException {
-        return in.read(to);
+        return delegate.read(to);
     }
 
     /** The lines of a request's head. */
-    static final class Head extends StrictInput {
+    static final class HeadLineChecker extends LineCheckingBuffer {
         /** A line that is at fault. */
-        static final class BadLine extends IOException {
+        static final class MalformedLineException extends IOException {
             private static final long serialVersionUID = 1;
 
-            BadLine(String problem) {
+            MalformedLineException(String problem) {
                 super(problem);
             }
         }
 
-        private boolean first = true;
+        private boolean firstLine = true;
 
-        void begin() {
-            first = true;
+        void reset() {
+            firstLine = true;
         }
 
         @Override
-        void look(CharArrayBuffer line) throws BadLine {
+        void checkLine(CharArrayBuffer line) throws MalformedLineException {
             if (line.isEmpty()) {
                 return; // the head's end, or one of the few that may come before it
             }
-            String problem = first ? Grammar.requestLine(line) : Grammar.fieldLine(line);
-            first = false;
+            String problem = firstLine ? Http1Grammar.checkRequestLine(line) : Http1Grammar.checkFieldLine(line);
+            firstLine = false;
             if (problem != null) {
-                throw new BadLine(problem);
+                throw new MalformedLineException(problem);
             }
         }
     }
 
     /** The lines of a chunked body. One at fault ends the reading; nothing behind it is read as anything. */
-    static final class Chunks extends StrictInput {
-        private enum Next {
+    static final class ChunkLineChecker extends LineCheckingBuffer {
+        private enum ChunkState {
             SIZE,
             END_OF_CHUNK,
             TRAILER,
-            NOTHING
+            FAILED
         }
 
         /** Hears what is wrong, once. */
-        interface Fault {
-            void found(String problem);
+        interface ChunkErrorListener {
+            void onChunkError(String problem);
         }
 
-        private final Fault fault;
-        private Next next = Next.SIZE;
+        private final ChunkErrorListener errorListener;
+        private ChunkState state = ChunkState.SIZE;
 
-        Chunks(Fault fault) {
-            this.fault = fault;
+        ChunkLineChecker(ChunkErrorListener fault) {
+            this.errorListener = fault;
         }
 
         @Override
         public boolean readLine(CharArrayBuffer line, boolean endOfStream) throws IOException {
-            if (next == Next.NOTHING) {
+            if (state == ChunkState.FAILED) {
                 discard();
                 return false;
             }
@@ -132,9 +133,9 @@
             try {
                 whole = super.readLine(line, endOfStream);
             } catch (IOException e) { // it is longer than any line may be
-                fail("a line between chunks is too long");
+                reportError("a line between chunks is too long");
             }
-            if (next == Next.NOTHING) {
+            if (state == ChunkState.FAILED) {
                 line.clear();
                 discard();
                 return false;
@@ -143,35 +144,35 @@
         }
 
         @Override
-        void look(CharArrayBuffer line) {
-            switch (next) {
+        void checkLine(CharArrayBuffer line) {
+            switch (state) {
                 case SIZE -> {
-                    String problem = Grammar.chunkLine(line);
+                    String problem = Http1Grammar.checkChunkLine(line);
                     if (problem != null) {
-                        fail(problem);
+                        reportError(problem);
                     } else {
-                        next = Grammar.chunkSize(line) == 0 ? Next.TRAILER : Next.END_OF_CHUNK;
+                        state = Http1Grammar.parseChunkSize(line) == 0 ? ChunkState.TRAILER : ChunkState.END_OF_CHUNK;
                     }
                 }
                 case END_OF_CHUNK -> {
                     if (line.isEmpty()) {
-                        next = Next.SIZE;
+                        state = ChunkState.SIZE;
                     } else {
-                        fail("a chunk is longer than its size");
+                        reportError("a chunk is longer than its size");
                     }
                 }
                 default -> {
-                    String problem = line.isEmpty() ? null : Grammar.fieldLine(line);
+                    String problem = line.isEmpty() ? null : Http1Grammar.checkFieldLine(line);
                     if (problem != null) {
-                        fail(problem);
+                        reportError(problem);
                     }
                 }
             }
         }
 
-        private void fail(String problem) {
-            next = Next.NOTHING;
-            fault.found(problem);
+        private void reportError(String problem) {
+            state = ChunkState.FAILED;
+            errorListener.onChunkError(problem);
         }
 
         private void discard() {
--- /dev/null
+++ b/src/main/java/reedmux/gatekeeper/http/ProviderClient.java
@@ -0,0 +1,102 @@
+package reedmux.gatekeeper.http;
+
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.util.function.Consumer;
+import reedmux.gatekeeper.http.UpstreamConnection.UpstreamEndpoint;
+import reedmux.gatekeeper.reducer.CallResult;
+import reedmux.gatekeeper.reducer.ReducerEvent;
+import reedmux.gatekeeper.reducer.UpstreamCall;
+
+/** Invoker calls and probes, in HTTP. */
+public final class ProviderClient {
+    /** In place of a provider's id where it is discovery that is called, or ourselves. */
+    private static final String NO_PROVIDER_ID = "";
+
+    private final UpstreamConnectionPool pool;
+    private final Consumer<ReducerEvent> eventSink;
+    private final Runnable writtenListener;
+
+    /** {@code writtenListener} hears of each invoker call that has been written whole. */
+    public ProviderClient(UpstreamConnectionPool calls, Consumer<ReducerEvent> events, Runnable written) {
+        this.writtenListener = written;
+        this.pool = calls;
+        this.eventSink = events;
+    }
+
+    /** Starts a call; the provider is told that we wait for {@code timeout} microseconds. */
+    public void call(UpstreamCall call, long timeout) {
+        ConsumerRequest message = (ConsumerRequest) call.invocation().message();
+        long told = message.stream() == null ? timeout : message.timeoutMicros(); // it begins with the last byte
+        call.transport(pool.execute(
+                new UpstreamEndpoint(call.provider(), call.address()),
+                new UpstreamRequest(
+                        message.method(),
+                        message.target(),
+                        authority(call.address()),
+                        message.traceId(),
+                        told / 1000,
+                        message.contentType(),
+                        message.body(),
+                        message.stream(),
+                        null),
+                writtenListener,
+                head -> eventSink.accept(new ReducerEvent.ResponseStarted(call, head)),
+                result -> eventSink.accept(new ReducerEvent.CallEnded(call, result))));
+    }
+
+    public void abort(UpstreamCall call) {
+        ((UpstreamExchange) call.transport()).abort();
+    }
+
+    public void abortConnect(UpstreamCall call) {
+        ((UpstreamExchange) call.transport()).abortConnect();
+    }
+
+    public void checkHealth(String provider, InetSocketAddress address, long askedAt) {
+        pool.execute(
+                new UpstreamEndpoint(provider, address),
+                UpstreamRequest.get("/healthz", authority(address)),
+                result -> eventSink.accept(new ReducerEvent.HealthCheckCompleted(provider, askedAt, result)));
+    }
+
+    /** Fetches a document; the handle given back ends the call when run. */
+    public Runnable fetch(InetSocketAddress from, String target, Consumer<CallResult> done) {
+        return pool.execute(
+                new UpstreamEndpoint(NO_PROVIDER_ID, from), UpstreamRequest.get(target, authority(from)), done)::abort;
+    }
+
+    /** Sends a body, or none, and hears of the end. */
+    public void send(InetSocketAddress from, String target, byte[] body, Consumer<CallResult> done) {
+        String method = body.length > 0 ? "POST" : "GET";
+        pool.execute(
+                new UpstreamEndpoint(NO_PROVIDER_ID, from),
+                new UpstreamRequest(method, target, authority(from), null, -1, null, body),
+                done);
+    }
+
+    /** Sends a long body, as it would be passed on, and hears of the end. */
+    public void sendStreamed(InetSocketAddress from, String target, byte[] body, Consumer<CallResult> done) {
+        BodyStream flow = new BodyStream(body.length, body.length, body.length);
+        flow.receive(ByteBuffer.wrap(body));
+        flow.complete();
+        pool.execute(
+                new UpstreamEndpoint(NO_PROVIDER_ID, from),
+                new UpstreamRequest("POST", target, authority(from), null, -1, null, BufferedBody.EMPTY, flow, null),
+                done);
+    }
+
+    /** Closes the idle connections to a provider. */
+    public void closeIdle(String provider, InetSocketAddress address) {
+        pool.closeIdle(new UpstreamEndpoint(provider, address));
+    }
+
+    /** Closes the idle connections to whoever is no provider. */
+    public void closeIdle(InetSocketAddress address) {
+        closeIdle(NO_PROVIDER_ID, address);
+    }
+
+    static String authority(InetSocketAddress address) {
+        return address.getAddress().getHostAddress() + ':' + address.getPort();
+    }
+}
--- a/src/main/java/reedmux/http/Target.java
+++ b/src/main/java/reedmux/gatekeeper/http/RequestTarget.java
@@ -1,14 +1,14 @@
-package reedmux.http;
+package reedmux.gatekeeper.http;
 
 import org.apache.hc.core5.http.Header;
 import org.apache.hc.core5.http.HttpRequest;
-import reedmux.routing.HostName;
+import reedmux.common.http1.HostName;
 
 /** A request's target, RFC 9112, section 3.2. */
-final class Target {
+final class RequestTarget {
     private static final String SCHEME = "http://";
 
-    private Target() {}
+    private RequestTarget() {}
 
     /**
      * Puts a target in absolute form into origin form, which is all that is read from then on. False where it
@@ -29,7 +29,9 @@
         }
         String authority = target.substring(begin, end);
         Header host = request.getFirstHeader("Host");
-        if (HostName.end(authority) == HostName.BAD || host == null || !same(authority, host.getValue())) {
+        if (HostName.hostEnd(authority) == HostName.INVALID
+                || host == null
+                || !isSameAuthority(authority, host.getValue())) {
             return false;
         }
         String rest = target.substring(end);
@@ -40,9 +42,9 @@
         return true;
     }
 
-    private static boolean same(String one, String other) {
-        int end = HostName.end(one);
-        return end == HostName.end(other)
+    private static boolean isSameAuthority(String one, String other) {
+        int end = HostName.hostEnd(one);
+        return end == HostName.hostEnd(other)
                 && one.regionMatches(true, 0, other, 0, end)
                 && port(one).equals(port(other));
     }
