--- a/src/main/java/reedmux/http/Heads.java
+++ b/src/main/java/reedmux/gatekeeper/http/StrictHeadParsers.java
@@ -1,4 +1,4 @@
-package reedmux.http;
+package reedmux.gatekeeper.http;
 
 import java.io.IOException;
 import java.net.URI;
@@ -20,57 +20,58 @@
 import org.apache.hc.core5.http.message.BasicHttpRequest;
 import org.apache.hc.core5.http.nio.NHttpMessageParser;
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
-import reedmux.routing.HostName;
+import reedmux.common.http1.HostName;
+import reedmux.common.http1.Http1Grammar;
 
 /**
  * The library's parsers of heads, made strict. On its own the library takes a head that was cut off by the
  * end of the connection for a whole one, prefers one of two contradicting lengths, and reads what it could
  * not frame as the next message; each of these would let one message pass for another.
  */
-final class Heads {
-    private static final DefaultHttpRequestParserFactory REQUESTS =
-            new DefaultHttpRequestParserFactory(Transport.HTTP, new Unparsed(), null);
-    private static final DefaultHttpResponseParserFactory RESPONSES =
-            new DefaultHttpResponseParserFactory(Transport.HTTP);
-    private static final int LONGEST_LENGTH = 18;
-    private static final int UNREADABLE = 400;
-    private static final int TOO_LARGE = 431;
+final class StrictHeadParsers {
+    private static final DefaultHttpRequestParserFactory REQUEST_PARSERS =
+            new DefaultHttpRequestParserFactory(HttpTransport.HTTP1_CONFIG, new RawTargetRequestFactory(), null);
+    private static final DefaultHttpResponseParserFactory RESPONSE_PARSERS =
+            new DefaultHttpResponseParserFactory(HttpTransport.HTTP1_CONFIG);
+    private static final int MAX_CONTENT_LENGTH_DIGITS = 18;
+    private static final int STATUS_BAD_REQUEST = 400;
+    private static final int STATUS_HEADERS_TOO_LARGE = 431;
 
-    private Heads() {}
+    private StrictHeadParsers() {}
 
     /**
      * A request whose path is the target as it came. The library's own would take {@code //a/b} for the path
      * {@code /b} of a host a, drop fragments, and read a path where there is none.
      */
-    static HttpRequest unparsed(String method, String target) {
+    static HttpRequest requestWithRawTarget(String method, String target) {
         return new BasicHttpRequest(method, (HttpHost) null, target);
     }
 
-    private static final class Unparsed implements HttpRequestFactory<HttpRequest> {
+    private static final class RawTargetRequestFactory implements HttpRequestFactory<HttpRequest> {
         @Override
         public HttpRequest newHttpRequest(String method, String target) {
-            return unparsed(method, target);
+            return requestWithRawTarget(method, target);
         }
 
         @Override
         public HttpRequest newHttpRequest(String method, URI target) {
-            return unparsed(method, target.toString());
+            return requestWithRawTarget(method, target.toString());
         }
     }
 
     /** What is wrong with how the end of the message's body is told, or with its headers' names, or null. */
-    private static String problem(HttpMessage message) {
+    private static String findFramingError(HttpMessage message) {
         int lengths = 0;
         int codings = 0;
         for (Iterator<Header> headers = message.headerIterator(); headers.hasNext(); ) {
             Header header = headers.next();
             String name = header.getName();
-            if (!Grammar.isToken(name, 0, name.length())) {
+            if (!Http1Grammar.isToken(name, 0, name.length())) {
                 return "a header's name holds a character that has no place there";
             }
             if (name.equalsIgnoreCase("Content-Length")) {
                 lengths++;
-                if (!isLength(header.getValue())) {
+                if (!isContentLength(header.getValue())) {
                     return "Content-Length is not a whole number";
                 }
             } else if (name.equalsIgnoreCase("Transfer-Encoding")) {
@@ -90,18 +91,18 @@
      * RFC 9112, section 3.2: one host, and one that can be read in one way only. A missing or empty one is
      * let pass, as the platform's own consumers are served without.
      */
-    private static String hostProblem(HttpRequest request) {
+    private static String findHostError(HttpRequest request) {
         int hosts = request.countHeaders("Host");
         Header host = hosts == 0 ? null : request.getFirstHeader("Host");
         return hosts > 1
                 ? "the host is told more than once"
-                : host != null && !host.getValue().isEmpty() && HostName.end(host.getValue()) == HostName.BAD
+                : host != null && !host.getValue().isEmpty() && HostName.hostEnd(host.getValue()) == HostName.INVALID
                         ? "the host cannot be read"
                         : null;
     }
 
-    private static boolean isLength(String value) {
-        boolean good = !value.isEmpty() && value.length() <= LONGEST_LENGTH;
+    private static boolean isContentLength(String value) {
+        boolean good = !value.isEmpty() && value.length() <= MAX_CONTENT_LENGTH_DIGITS;
         for (int i = 0; good && i < value.length(); i++) {
             good = value.charAt(i) >= '0' && value.charAt(i) <= '9';
         }
@@ -118,65 +119,65 @@
      * Reads a consumer's heads. The first that cannot be read is handed on as a request that says so, to be
      * told; nothing behind it is read, as nobody can tell where the next request would begin.
      */
-    static final class Requests implements NHttpMessageParser<HttpRequest> {
-        private final NHttpMessageParser<HttpRequest> parser = REQUESTS.create();
-        private final StrictInput.Head strict = new StrictInput.Head();
-        private boolean deaf;
-        private int status = UNREADABLE;
-        private String problem;
+    static final class StrictRequestParser implements NHttpMessageParser<HttpRequest> {
+        private final NHttpMessageParser<HttpRequest> parser = REQUEST_PARSERS.create();
+        private final LineCheckingBuffer.HeadLineChecker lineChecker = new LineCheckingBuffer.HeadLineChecker();
+        private boolean stopped;
+        private int errorStatus = STATUS_BAD_REQUEST;
+        private String error;
 
         /** From now on whatever comes in is thrown away. */
-        void deafen() {
-            deaf = true;
+        void stop() {
+            stopped = true;
         }
 
-        boolean deaf() {
-            return deaf;
+        boolean isStopped() {
+            return stopped;
         }
 
         /** What was wrong with the head that could not be read, or null. */
-        String problem() {
-            return problem;
+        String error() {
+            return error;
         }
 
-        int status() {
-            return status;
+        int errorStatus() {
+            return errorStatus;
         }
 
         @Override
         public void reset() {
             parser.reset();
-            strict.begin();
+            lineChecker.reset();
         }
 
         @Override
         public HttpRequest parse(SessionInputBuffer in, boolean endOfStream) {
-            if (deaf) {
+            if (stopped) {
                 discard(in);
                 return null;
             }
             HttpRequest request = null;
             try {
-                request = parser.parse(strict.of(in), false);
-                problem = request == null ? null : Heads.problem(request);
-                if (problem == null && request != null) {
-                    problem = hostProblem(request);
+                request = parser.parse(lineChecker.wrap(in), false);
+                error = request == null ? null : StrictHeadParsers.findFramingError(request);
+                if (error == null && request != null) {
+                    error = findHostError(request);
                 }
-            } catch (StrictInput.Head.BadLine e) {
-                problem = e.getMessage();
+            } catch (LineCheckingBuffer.HeadLineChecker.MalformedLineException e) {
+                error = e.getMessage();
             } catch (HttpException e) {
-                status = ServerSupport.toStatusCode(e);
-                problem = status == TOO_LARGE ? "the head is too large" : "the head cannot be read";
+                errorStatus = ServerSupport.toStatusCode(e);
+                error = errorStatus == STATUS_HEADERS_TOO_LARGE ? "the head is too large" : "the head cannot be read";
             } catch (IOException e) {
-                problem = "the head cannot be read";
+                error = "the head cannot be read";
             }
-            if (problem == null) {
+            if (error == null) {
                 if (endOfStream && request == null) {
                     discard(in); // half a request is none, and would keep the connection from ending
                 }
                 return request;
             }
-            deaf = true;
+            stopped = true;
             discard(in);
             return new BasicHttpRequest("GET", "/");
         }
@@ -195,20 +196,20 @@
     }
 
     /** Reads a provider's heads; those that cannot be read, or that nobody asked for, end the connection. */
-    static final class Responses implements NHttpMessageParser<HttpResponse> {
-        private static final int MOST_STATUS = 599;
-        private final NHttpMessageParser<HttpResponse> parser = RESPONSES.create();
-        private final BooleanSupplier expected;
-        private boolean ended;
+    static final class StrictResponseParser implements NHttpMessageParser<HttpResponse> {
+        private static final int MAX_STATUS = 599;
+        private final NHttpMessageParser<HttpResponse> parser = RESPONSE_PARSERS.create();
+        private final BooleanSupplier responseExpected;
+        private boolean inputEnded;
 
         /** {@code expected}: whether an answer is due on the connection. */
-        Responses(BooleanSupplier expected) {
-            this.expected = expected;
+        StrictResponseParser(BooleanSupplier expected) {
+            this.responseExpected = expected;
         }
 
         /** Whether the provider has ended the connection. */
-        boolean ended() {
-            return ended;
+        boolean hasInputEnded() {
+            return inputEnded;
         }
 
         @Override
@@ -218,8 +219,8 @@
 
         @Override
         public HttpResponse parse(SessionInputBuffer in, boolean endOfStream) throws IOException, HttpException {
-            ended |= endOfStream;
-            if (!expected.getAsBoolean()) {
+            inputEnded |= endOfStream;
+            if (!responseExpected.getAsBoolean()) {
                 if (in.hasData()) {
                     throw new ProtocolException("bytes that belong to no answer");
                 }
@@ -229,8 +230,8 @@
             if (response == null) {
                 return null;
             }
-            String problem = problem(response);
-            if (problem == null && response.getCode() > MOST_STATUS) {
+            String problem = findFramingError(response);
+            if (problem == null && response.getCode() > MAX_STATUS) {
                 problem = "there is no such status";
             }
             // Without a length only the connection's end would tell where the body ends, and a break looks
--- a/src/main/java/reedmux/http/Connection.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamConnection.java
@@ -1,4 +1,4 @@
-package reedmux.http;
+package reedmux.gatekeeper.http;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -18,55 +18,59 @@
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
 /** A connection of ours to a provider or to discovery; it carries one call at a time. */
-final class Connection {
-    private static final DefaultHttpRequestWriterFactory WRITERS = new DefaultHttpRequestWriterFactory(Transport.HTTP);
+public final class UpstreamConnection {
+    private static final DefaultHttpRequestWriterFactory REQUEST_WRITERS =
+            new DefaultHttpRequestWriterFactory(HttpTransport.HTTP1_CONFIG);
 
     /** Whom it leads to: at one address a provider may follow another, which knows nothing of its calls. */
-    record Origin(String provider, InetSocketAddress address) {
+    public record UpstreamEndpoint(String providerId, InetSocketAddress address) {
 
         // Written out, as what a record brings is linked at run time, in the middle of a start.
         @Override
         public boolean equals(Object other) {
-            return other instanceof Origin origin && provider.equals(origin.provider) && address.equals(origin.address);
+            return other instanceof UpstreamEndpoint origin
+                    && providerId.equals(origin.providerId)
+                    && address.equals(origin.address);
         }
 
         @Override
         public int hashCode() {
-            return 31 * provider.hashCode() + address.hashCode();
+            return 31 * providerId.hashCode() + address.hashCode();
         }
     }
 
-    final Origin origin;
-    private final Calls calls;
-    private final Heads.Responses heads = new Heads.Responses(this::awaitsAnswer);
-    private final ByteBuffer unasked = ByteBuffer.allocate(1);
+    final UpstreamEndpoint endpoint;
+    private final UpstreamConnectionPool pool;
+    private final StrictHeadParsers.StrictResponseParser responseParser =
+            new StrictHeadParsers.StrictResponseParser(this::isResponseExpected);
+    private final ByteBuffer unsolicited = ByteBuffer.allocate(1);
     /** A call that is to be written next. */
-    private final AtomicReference<CallExchange> waiting = new AtomicReference<>();
+    private final AtomicReference<UpstreamExchange> pendingExchange = new AtomicReference<>();
 
     private volatile ClientHttp1StreamDuplexer duplexer;
     private volatile ProtocolIOSession session;
-    private volatile boolean awaitsAnswer;
+    private volatile boolean responseExpected;
     private boolean abandoned;
-    private boolean counted = true;
+    private boolean holdsPermit = true;
     /** The call that has it, since when it waits for one, in microseconds; guarded by the pool. */
-    CallExchange user;
+    UpstreamExchange currentExchange;
 
-    long idleSince;
+    long idleSinceMicros;
 
-    Connection(Origin origin, Calls calls) {
-        this.origin = origin;
-        this.calls = calls;
+    UpstreamConnection(UpstreamEndpoint origin, UpstreamConnectionPool calls) {
+        this.endpoint = origin;
+        this.pool = calls;
     }
 
-    synchronized IOEventHandler handler(ProtocolIOSession made) {
+    synchronized IOEventHandler createEventHandler(ProtocolIOSession made) {
         ClientHttp1StreamDuplexer client = new ClientHttp1StreamDuplexer(
                 made,
-                ConsumerServer.NOTHING_ADDED,
-                Transport.HTTP,
+                ConsumerServer.NO_ADDED_HEADERS,
+                HttpTransport.HTTP1_CONFIG,
                 null,
                 null,
-                heads,
-                WRITERS.create(),
+                responseParser,
+                REQUEST_WRITERS.create(),
                 null,
                 null,
                 null);
@@ -75,23 +79,23 @@
         if (abandoned) { // given up just while it came up
             made.close(CloseMode.IMMEDIATE);
         }
-        return new Events(client);
+        return new UpstreamEventHandler(client);
     }
 
     /** Gives it up while it is coming up. */
-    synchronized void abandon() {
+    synchronized void abortConnect() {
         abandoned = true;
         if (session == null) {
-            uncount();
+            releasePermit();
         } else {
             close();
         }
     }
 
-    private void uncount() {
-        if (counted) {
-            counted = false;
-            calls.closed();
+    private void releasePermit() {
+        if (holdsPermit) {
+            holdsPermit = false;
+            pool.onConnectionClosed();
         }
     }
 
@@ -101,9 +105,9 @@
     }
 
     /** Closes it, and counts it no more from now on, not only when the I/O thread has seen to it. */
-    void closeAndLeave() {
+    void closeAndReleasePermit() {
         synchronized (this) {
-            uncount();
+            releasePermit();
         }
         close();
     }
@@ -115,40 +119,40 @@
         }
     }
 
-    private boolean awaitsAnswer() {
-        return awaitsAnswer;
+    private boolean isResponseExpected() {
+        return responseExpected;
     }
 
     /** A call's request is being written, so that bytes that come in belong to its answer. */
-    void asked() {
-        awaitsAnswer = true;
+    void onRequestStarted() {
+        responseExpected = true;
     }
 
     /** The answer is whole: whatever follows belongs to nobody. */
-    void answered() {
-        awaitsAnswer = false;
+    void onResponseComplete() {
+        responseExpected = false;
     }
 
     /** Carries a call over a connection that has just come up. */
-    void carryFirst(CallExchange exchange) {
+    void execute(UpstreamExchange exchange) {
         session.enqueue(
                 new RequestExecutionCommand(exchange, null, null, HttpCoreContext.create()),
                 Command.Priority.IMMEDIATE);
     }
 
     /** Carries a call over a kept connection, if on the I/O thread it still proves good. */
-    void carry(CallExchange exchange) {
-        waiting.set(exchange);
+    void executeIfStillUsable(UpstreamExchange exchange) {
+        pendingExchange.set(exchange);
         session.setEvent(SelectionKey.OP_WRITE);
         if (!session.isOpen()) {
-            elsewhere(); // it has closed, and nobody may ever call us again
+            moveToAnotherConnection(); // it has closed, and nobody may ever call us again
         }
     }
 
-    private void elsewhere() {
-        CallExchange exchange = waiting.getAndSet(null);
+    private void moveToAnotherConnection() {
+        UpstreamExchange exchange = pendingExchange.getAndSet(null);
         if (exchange != null) {
-            calls.go(exchange);
+            pool.assignConnection(exchange);
         }
     }
 
@@ -157,19 +161,19 @@
      * to what we write now; and what is written to a connection that has ended is lost. Nothing has been
      * written yet, so the call goes elsewhere, which is no second copy.
      */
-    private boolean spoilt() {
+    private boolean isStale() {
         try {
-            return session.read(unasked.clear()) != 0;
+            return session.read(unsolicited.clear()) != 0;
         } catch (IOException e) {
             return true;
         }
     }
 
     /** The library's handler, round which we look for what it would let pass. */
-    private final class Events extends ClientHttp1IOEventHandler {
+    private final class UpstreamEventHandler extends ClientHttp1IOEventHandler {
         private final ClientHttp1StreamDuplexer client;
 
-        Events(ClientHttp1StreamDuplexer client) {
+        UpstreamEventHandler(ClientHttp1StreamDuplexer client) {
             super(client);
             this.client = client;
         }
@@ -178,36 +182,36 @@
         public void inputReady(IOSession ioSession, ByteBuffer source) throws IOException {
             try {
                 super.inputReady(ioSession, source);
-                if (heads.ended() && client.isOpen()) {
+                if (responseParser.hasInputEnded() && client.isOpen()) {
                     client.onException(new ConnectionClosedException()); // in the middle of a head
                 }
             } finally {
-                CallExchange exchange = calls.userOf(Connection.this);
+                UpstreamExchange exchange = pool.exchangeOn(UpstreamConnection.this);
                 if (exchange != null) {
-                    exchange.settle(client.isOpen() && ioSession.isOpen());
+                    exchange.finishIfAnswered(client.isOpen() && ioSession.isOpen());
                 }
             }
         }
 
         @Override
         public void outputReady(IOSession ioSession) throws IOException {
-            if (waiting.get() != null) {
-                if (spoilt()) {
-                    Connection.this.close();
-                    elsewhere();
+            if (pendingExchange.get() != null) {
+                if (isStale()) {
+                    UpstreamConnection.this.close();
+                    moveToAnotherConnection();
                     return;
                 }
-                CallExchange exchange = waiting.getAndSet(null);
+                UpstreamExchange exchange = pendingExchange.getAndSet(null);
                 if (exchange != null) {
-                    carryFirst(exchange);
+                    execute(exchange);
                 }
             }
             super.outputReady(ioSession);
-            CallExchange user = calls.userOf(Connection.this);
+            UpstreamExchange user = pool.exchangeOn(UpstreamConnection.this);
             if (user != null) {
-                user.countWritten();
+                user.reportIfWritten();
             }
-            if (waiting.get() != null) {
+            if (pendingExchange.get() != null) {
                 ioSession.setEvent(SelectionKey.OP_WRITE); // one that came while the library cleared it
             }
         }
@@ -215,10 +219,10 @@
         @Override
         public void disconnected(IOSession ended) {
             super.disconnected(ended);
-            synchronized (Connection.this) {
-                uncount();
+            synchronized (UpstreamConnection.this) {
+                releasePermit();
             }
-            elsewhere();
+            moveToAnotherConnection();
         }
     }
 }
--- /dev/null
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamExchange.java
@@ -0,0 +1,340 @@
+package reedmux.gatekeeper.http;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.util.List;
+import java.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.function.Consumer;
+import org.apache.hc.core5.http.EndpointDetails;
+import org.apache.hc.core5.http.EntityDetails;
+import org.apache.hc.core5.http.Header;
+import org.apache.hc.core5.http.HttpException;
+import org.apache.hc.core5.http.HttpRequest;
+import org.apache.hc.core5.http.HttpResponse;
+import org.apache.hc.core5.http.impl.BasicEntityDetails;
+import org.apache.hc.core5.http.nio.AsyncClientExchangeHandler;
+import org.apache.hc.core5.http.nio.CapacityChannel;
+import org.apache.hc.core5.http.nio.DataStreamChannel;
+import org.apache.hc.core5.http.nio.RequestChannel;
+import org.apache.hc.core5.http.protocol.HttpContext;
+import org.apache.hc.core5.http.protocol.HttpCoreContext;
+import reedmux.gatekeeper.reducer.CallResult;
+import reedmux.gatekeeper.reducer.CallResult.CallStage;
+
+/** One request of ours and what came of it. */
+final class UpstreamExchange implements AsyncClientExchangeHandler {
+    private static final int STATUS_OK = 200;
+    /**
+     * An answer that does not tell its length is passed on once it has so many bytes and is so slow, in
+     * microseconds: it may be a long one, and its consumer waits for the first of it.
+     */
+    private static final int STREAMING_THRESHOLD_BYTES = 4 * 1024;
+
+    private static final long STREAMING_THRESHOLD_MICROS = TimeUnit.MILLISECONDS.toMicros(20);
+    /** How long a provider may neither take nor bring a byte in the middle of a long body. */
+    private static final long STALL_TIMEOUT_MICROS = TimeUnit.SECONDS.toMicros(15);
+
+    private static final double MICROS_PER_SECOND = 1e6;
+    /** Of times that another region tells, in microseconds. */
+    private static final double MAX_REPORTED_MICROS = 3.6e9;
+
+    private final UpstreamConnectionPool pool;
+    private final UpstreamConnection.UpstreamEndpoint upstream;
+    private final UpstreamRequest request;
+    private final Runnable writtenListener;
+    private final Consumer<CallResult> completionListener;
+    private final Consumer<CallResult.ResponseReceived> streamingListener;
+    private final AtomicBoolean writtenReported = new AtomicBoolean();
+    private final AtomicBoolean finished = new AtomicBoolean();
+    private volatile boolean aborted;
+    private volatile Future<?> connectFuture;
+    /** The connection that carries it; set by the pool. */
+    volatile UpstreamConnection connection;
+
+    private volatile EndpointDetails connectionDetails;
+    private long bytesSentBefore;
+    private long requestLength;
+    private BufferedBody.OutboundBody requestBody;
+    private HttpRequest requestHead;
+    private HttpResponse response;
+    private long responseHeadAt;
+    /** Whether the answer does not tell its length. */
+    private boolean responseLengthUnknown;
+
+    private BufferedBody.InboundBody responseBody;
+    /** The rest of an answer that is passed on as it comes, or null. */
+    private volatile BodyStream responseStream;
+
+    private volatile boolean requestStreamed;
+    private long grantedBytes = HttpTransport.INITIAL_WINDOW_BYTES;
+    /** What had moved when that was looked at last, and when; below nought before the first look. */
+    private long lastBytesMoved = -1;
+
+    private long lastProgressAt;
+    private CallResult pendingResult;
+
+    UpstreamExchange(
+            UpstreamConnectionPool calls,
+            UpstreamConnection.UpstreamEndpoint origin,
+            UpstreamRequest request,
+            Runnable written,
+            Consumer<CallResult.ResponseReceived> begun,
+            Consumer<CallResult> done) {
+        this.streamingListener = begun;
+        this.pool = calls;
+        this.writtenListener = written;
+        this.upstream = origin;
+        this.request = request;
+        this.completionListener = done;
+    }
+
+    void setConnectFuture(Future<?> future) {
+        connectFuture = future;
+    }
+
+    UpstreamConnection.UpstreamEndpoint upstream() {
+        return upstream;
+    }
+
+    boolean isAborted() {
+        return aborted;
+    }
+
+    /**
+     * Gives the call up. Only once the connection is closed is it certain how far the call had come, so its
+     * end is told from there, not from here.
+     */
+    void abort() {
+        aborted = true;
+        pool.abort(this);
+    }
+
+    void abortConnect() {
+        Future<?> future = connectFuture;
+        if (connection == null && future != null) {
+            future.cancel(true);
+        }
+    }
+
+    void finish(CallResult result) {
+        if (finished.compareAndSet(false, true)) {
+            pool.removeStreaming(this);
+            reportIfWritten();
+            completionListener.accept(result);
+        }
+    }
+
+    // ---- The request -------------------------------------------------------------------------------
+    @Override
+    public void produceRequest(RequestChannel channel, HttpContext context) throws HttpException, IOException {
+        connection.onRequestStarted();
+        requestHead = request.toHttpRequest();
+        requestLength = request.lengthOnWire(requestHead);
+        EndpointDetails details = HttpCoreContext.cast(context).getEndpointDetails();
+        bytesSentBefore = details.getSentBytesCount();
+        connectionDetails = details;
+        int bytes = request.body().length;
+        if (request.stream() != null) {
+            request.stream().onFailure(this::abort); // what was sent of it is no request, and never runs
+            channel.sendRequest(
+                    requestHead, new BasicEntityDetails(request.stream().length(), null), context);
+            return;
+        }
+        requestBody = new BufferedBody.OutboundBody(request.body());
+        channel.sendRequest(requestHead, bytes == 0 ? null : new BasicEntityDetails(bytes, null), context);
+    }
+
+    @Override
+    public int available() {
+        return request.stream() != null
+                ? request.stream().available()
+                : requestBody == null ? 0 : requestBody.available();
+    }
+
+    @Override
+    public void produce(DataStreamChannel channel) throws IOException {
+        if (request.stream() == null) {
+            requestBody.writeTo(channel);
+        } else if (request.stream().writeTo(channel)) {
+            requestStreamed = true;
+        }
+    }
+
+    // ---- The response ------------------------------------------------------------------------------
+    @Override
+    public void consumeInformation(HttpResponse information, HttpContext context) {}
+
+    @Override
+    public void consumeResponse(HttpResponse received, EntityDetails entity, HttpContext context)
+            throws HttpException, IOException {
+        response = received;
+        responseHeadAt = pool.now();
+        if (entity == null) {
+            onResponseComplete(BufferedBody.EMPTY);
+        } else if (entity.getContentLength()
+                > (mayStream() ? HttpTransport.MAX_STREAMED_BODY_BYTES : HttpTransport.MAX_BUFFERED_BODY_BYTES)) {
+            throw new IOException("the answer is too long"); // it may go on for 3 GB
+        } else {
+            responseBody = new BufferedBody.InboundBody(entity);
+            responseLengthUnknown = entity.getContentLength() < 0;
+            if (entity.getContentLength() > HttpTransport.MAX_BUFFERED_BODY_BYTES) {
+                startStreaming(entity.getContentLength(), HttpTransport.INITIAL_WINDOW_BYTES);
+            }
+        }
+    }
+
+    @Override
+    public void updateCapacity(CapacityChannel capacity) throws IOException {
+        if (responseStream != null) {
+            responseStream.attachSource(capacity);
+        } else {
+            grantedBytes += HttpTransport.MAX_BUFFERED_BODY_BYTES;
+            capacity.update(HttpTransport.MAX_BUFFERED_BODY_BYTES);
+        }
+    }
+
+    @Override
+    public void consume(ByteBuffer source) throws IOException {
+        if (responseStream != null) {
+            if (!responseStream.receive(source)) {
+                throw new IOException("the answer is too long");
+            }
+            return;
+        }
+        ByteBuffer same = source.duplicate();
+        responseBody.append(source);
+        if (mayStream()
+                && (responseBody.isTooLong()
+                        || responseLengthUnknown
+                                && responseBody.size() > STREAMING_THRESHOLD_BYTES
+                                && pool.now() - responseHeadAt > STREAMING_THRESHOLD_MICROS)) {
+            boolean kept = !responseBody.isTooLong();
+            startStreaming(-1, grantedBytes);
+            if (!kept) {
+                responseStream.receive(same);
+            }
+        } else if (responseBody.isTooLong()) {
+            throw new IOException("the answer is too long");
+        }
+    }
+
+    @Override
+    public void streamEnd(List<? extends Header> trailers) {
+        if (responseStream != null) {
+            responseStream.complete();
+            onResponseComplete(BufferedBody.EMPTY);
+        } else {
+            onResponseComplete(responseBody.bytes());
+        }
+    }
+
+    /** Whether an answer may be passed on before it is whole. */
+    private boolean mayStream() {
+        return streamingListener != null && response.getCode() == STATUS_OK;
+    }
+
+    /** Passes the answer on from here on, as it comes. */
+    private void startStreaming(long told, long granted) {
+        responseStream = new BodyStream(told, HttpTransport.MAX_STREAMED_BODY_BYTES, granted);
+        responseStream.receive(ByteBuffer.wrap(responseBody.bytes()));
+        pool.addStreaming(this);
+        Header type = response.getFirstHeader("Content-Type");
+        streamingListener.accept(new CallResult.ResponseReceived(
+                STATUS_OK,
+                false,
+                type == null ? null : type.getValue(),
+                BufferedBody.EMPTY,
+                -1,
+                -1,
+                responseStream,
+                0));
+    }
+
+    /** Gives it up where the provider neither takes nor brings anything, though it is waited for. */
+    void abortIfStalled(long now) {
+        BodyStream up = request.stream();
+        BodyStream down = responseStream;
+        long sum = (up == null ? 0 : up.bytesMoved()) + (down == null ? 0 : down.bytesMoved());
+        boolean waits = down == null ? up != null && !requestStreamed && up.awaitsSink() : down.awaitsSource();
+        if (sum != lastBytesMoved || !waits) {
+            lastBytesMoved = sum;
+            lastProgressAt = now;
+        } else if (now - lastProgressAt > STALL_TIMEOUT_MICROS) {
+            abort();
+        }
+    }
+
+    private void onResponseComplete(byte[] bytes) {
+        Header neverRan = response.getFirstHeader(RegionFrontend.NEVER_RAN_HEADER);
+        Header type = response.getFirstHeader("Content-Type");
+        boolean region = request.hop() != null;
+        pendingResult = new CallResult.ResponseReceived(
+                response.getCode(),
+                neverRan != null && "1".equals(neverRan.getValue()),
+                type == null ? null : type.getValue(),
+                bytes,
+                region ? numericHeader(RegionFrontend.REGION_TOOK_HEADER, 1) : -1,
+                region ? numericHeader("Retry-After", MICROS_PER_SECOND) : -1,
+                null,
+                Math.max(0, pool.now() - responseHeadAt));
+        connection.onResponseComplete();
+    }
+
+    /**
+     * Told by the connection when it has read what there was. Only now is it known whether more has come
+     * than the answer; then the answer still counts, but the connection must never carry another call.
+     */
+    void finishIfAnswered(boolean good) {
+        CallResult whole = pendingResult;
+        if (whole != null) {
+            pendingResult = null;
+            pool.release(connection, good && !aborted && isFullySent());
+            finish(whole);
+        }
+    }
+
+    /** A header's number in microseconds, -1 where there is none that makes sense. */
+    private long numericHeader(String name, double unit) {
+        Header header = response.getFirstHeader(name);
+        double value =
+                header == null || header.getValue() == null ? 0 : ServiceFrontend.parseDecimal(header.getValue());
+        return header == null || value < 0 ? -1 : (long) Math.min(value * unit, MAX_REPORTED_MICROS);
+    }
+
+    /** Counts it if it has gone out whole; to be asked whenever some of it may have. */
+    void reportIfWritten() {
+        if (!writtenReported.get() && isFullySent() && writtenReported.compareAndSet(false, true)) {
+            writtenListener.run();
+        }
+    }
+
+    private boolean isFullySent() {
+        EndpointDetails details = connectionDetails;
+        boolean last = request.stream() == null || requestStreamed;
+        return last && details != null && details.getSentBytesCount() - bytesSentBefore >= requestLength;
+    }
+
+    // ---- The end without an answer -----------------------------------------------------------------
+    @Override
+    public void failed(Exception cause) {
+        BodyStream broken = responseStream;
+        if (broken != null) {
+            broken.fail();
+        }
+        CallStage stage =
+                response != null ? CallStage.ANSWERING : isFullySent() ? CallStage.ON_WIRE : CallStage.WRITING;
+        finish(new CallResult.ConnectionBroken(stage, String.valueOf(cause.getMessage())));
+    }
+
+    @Override
+    public void cancel() {
+        finish(new CallResult.ConnectionBroken(CallStage.WRITING, "the connection closed before the call was written"));
+    }
+
+    @Override
+    public void releaseResources() {
+        responseBody = null;
+    }
+}
--- a/src/main/java/reedmux/http/OutgoingRequest.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamRequest.java
@@ -1,27 +1,27 @@
-package reedmux.http;
+package reedmux.gatekeeper.http;
 
 import org.apache.hc.core5.http.Header;
 import org.apache.hc.core5.http.HttpRequest;
 
 /**
- * A request of ours; {@code traceId} may be null, and {@code expiresMs} below nought, to be left out.
+ * A request of ours; {@code traceId} may be null, and {@code expiresInMillis} below nought, to be left out.
  * {@code hop} is what another region is told beside, or null where it is no region that is called.
  */
-record OutgoingRequest(
+public record UpstreamRequest(
         String method,
         String target,
         String host,
         String traceId,
-        long expiresMs,
+        long expiresInMillis,
         String contentType,
         byte[] body,
-        Flow flow,
-        Hop hop) {
+        BodyStream stream,
+        RegionHop hop) {
 
     /** The regions passed, what a repeat does, and the units that were counted at home. */
-    record Hop(String path, String repeat, String units) {}
+    public record RegionHop(String regionPath, String repeat, String units) {}
 
-    OutgoingRequest(
+    UpstreamRequest(
             String method,
             String target,
             String host,
@@ -32,35 +32,35 @@
         this(method, target, host, traceId, expiresMs, contentType, body, null, null);
     }
 
-    private static final int REQUEST_LINE = "  HTTP/1.1\r\n".length();
-    private static final int HEADER_LINE = ": \r\n".length();
-    private static final int END_OF_HEAD = "\r\n".length();
+    private static final int REQUEST_LINE_OVERHEAD_BYTES = "  HTTP/1.1\r\n".length();
+    private static final int HEADER_LINE_OVERHEAD_BYTES = ": \r\n".length();
+    private static final int END_OF_HEAD_BYTES = "\r\n".length();
 
-    static OutgoingRequest get(String target, String host) {
-        return new OutgoingRequest("GET", target, host, null, -1, null, Body.NONE);
+    static UpstreamRequest get(String target, String host) {
+        return new UpstreamRequest("GET", target, host, null, -1, null, BufferedBody.EMPTY);
     }
 
-    HttpRequest head() {
-        HttpRequest head = Heads.unparsed(method, target);
+    HttpRequest toHttpRequest() {
+        HttpRequest head = StrictHeadParsers.requestWithRawTarget(method, target);
         head.addHeader("Host", host);
         if (traceId != null) {
             head.addHeader("X-Trace-Id", traceId);
         }
-        if (expiresMs >= 0) {
-            head.addHeader("X-Expires-In-Ms", Long.toString(expiresMs));
+        if (expiresInMillis >= 0) {
+            head.addHeader("X-Expires-In-Ms", Long.toString(expiresInMillis));
         }
         if (hop != null) {
-            head.addHeader(RegionFront.PATH, hop.path());
-            head.addHeader(RegionFront.REPEAT, hop.repeat());
-            head.addHeader(RegionFront.UNITS, hop.units());
+            head.addHeader(RegionFrontend.REGION_PATH_HEADER, hop.regionPath());
+            head.addHeader(RegionFrontend.REGION_REPEAT_HEADER, hop.repeat());
+            head.addHeader(RegionFrontend.REGION_UNITS_HEADER, hop.units());
         }
         if (contentType != null) {
             head.addHeader("Content-Type", contentType);
         }
-        if (flow != null && flow.length() < 0) {
+        if (stream != null && stream.length() < 0) {
             head.addHeader("Transfer-Encoding", "chunked");
-        } else if (flow != null) {
-            head.addHeader("Content-Length", Long.toString(flow.length()));
+        } else if (stream != null) {
+            head.addHeader("Content-Length", Long.toString(stream.length()));
         } else if (body.length > 0 || method.equals("POST")) {
             head.addHeader("Content-Length", Integer.toString(body.length));
         }
@@ -71,15 +71,15 @@
      * Bytes of it on the wire, by which we know whether a broken call can have run; of a chunked body those
      * of its head alone.
      */
-    long length(HttpRequest head) {
-        long length = REQUEST_LINE
+    long lengthOnWire(HttpRequest head) {
+        long length = REQUEST_LINE_OVERHEAD_BYTES
                 + method.length()
                 + target.length()
-                + END_OF_HEAD
+                + END_OF_HEAD_BYTES
                 + body.length
-                + (flow == null ? 0 : Math.max(0, flow.length()));
+                + (stream == null ? 0 : Math.max(0, stream.length()));
         for (Header header : head.getHeaders()) {
-            length += header.getName().length() + header.getValue().length() + HEADER_LINE;
+            length += header.getName().length() + header.getValue().length() + HEADER_LINE_OVERHEAD_BYTES;
         }
         return length;
     }
--- a/src/main/java/reedmux/peer/PeerLink.java
+++ b/src/main/java/reedmux/gatekeeper/peer/PeerSocket.java
@@ -1,4 +1,4 @@
-package reedmux.peer;
+package reedmux.gatekeeper.peer;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -10,35 +10,35 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import reedmux.core.Loop;
+import reedmux.gatekeeper.reducer.GatekeeperLoop;
 
 /** Datagrams from and to the other gatekeepers; the core's loop waits here. */
-public final class PeerLink implements Loop.Waiter, AutoCloseable {
-    public static final int MOST_BYTES = 256;
-    private static final int MOST_A_TURN = 64;
+public final class PeerSocket implements GatekeeperLoop.LoopWaiter, AutoCloseable {
+    public static final int MAX_DATAGRAM_BYTES = 256;
+    private static final int MAX_DATAGRAMS_PER_RECEIVE = 64;
 
     private final Selector selector;
     private final InetSocketAddress listen;
     private DatagramChannel channel;
     private final List<InetSocketAddress> peers;
-    private final InetSocketAddress everyone;
-    private final Map<SocketAddress, Integer> numbers = new HashMap<>();
-    private final ByteBuffer in = ByteBuffer.allocateDirect(MOST_BYTES + 1);
-    private final ByteBuffer out = ByteBuffer.allocateDirect(MOST_BYTES);
-    private long dropped;
-    private long unsent;
+    private final InetSocketAddress broadcastAddress;
+    private final Map<SocketAddress, Integer> peerNumbers = new HashMap<>();
+    private final ByteBuffer in = ByteBuffer.allocateDirect(MAX_DATAGRAM_BYTES + 1);
+    private final ByteBuffer out = ByteBuffer.allocateDirect(MAX_DATAGRAM_BYTES);
+    private long droppedCount;
+    private long unsentCount;
 
     /**
      * Hears peers at an address, once told to {@link #open}, or only waits where that is null. All but
      * {@link #wake} is for the thread that runs the turns.
      */
-    public PeerLink(InetSocketAddress listen, List<InetSocketAddress> peers, InetSocketAddress everyone)
+    public PeerSocket(InetSocketAddress listen, List<InetSocketAddress> peers, InetSocketAddress everyone)
             throws IOException {
         this.listen = listen;
         this.peers = peers;
-        this.everyone = everyone;
+        this.broadcastAddress = everyone;
         for (int i = 0; i < peers.size(); i++) {
-            numbers.put(peers.get(i), i);
+            peerNumbers.put(peers.get(i), i);
         }
         selector = Selector.open();
     }
@@ -88,36 +88,36 @@
 
     /** Takes in what has arrived; from strangers, too long or broken means dropped and counted. */
     @Override
-    public void drain(Loop.Datagrams sink) {
-        for (int i = 0; channel != null && i < MOST_A_TURN; i++) {
+    public void receive(GatekeeperLoop.PeerDatagramHandler sink) {
+        for (int i = 0; channel != null && i < MAX_DATAGRAMS_PER_RECEIVE; i++) {
             in.clear();
             SocketAddress from;
             try {
                 from = channel.receive(in);
             } catch (IOException e) {
-                dropped++; // an ICMP error of an earlier send comes up here and says nothing of the next
+                droppedCount++; // an ICMP error of an earlier send comes up here and says nothing of the next
                 continue;
             }
             if (from == null) {
                 return;
             }
-            Integer number = numbers.get(from);
-            if (number == null || in.position() > MOST_BYTES) {
-                dropped++;
+            Integer number = peerNumbers.get(from);
+            if (number == null || in.position() > MAX_DATAGRAM_BYTES) {
+                droppedCount++;
                 continue;
             }
             byte[] bytes = new byte[in.position()];
             in.flip().get(bytes);
             int tag = PoolTag.of(bytes);
-            sink.told(tag, number, tag == PoolTag.NONE ? bytes : PoolTag.untagged(bytes));
+            sink.onDatagram(tag, number, tag == PoolTag.NONE ? bytes : PoolTag.untagged(bytes));
         }
     }
 
     /** Sends to one peer, or to all at -1. What cannot be sent is lost, as on any such link. */
-    public void tell(int peer, byte[] bytes) {
-        InetSocketAddress to = peer < 0 ? everyone : peer < peers.size() ? peers.get(peer) : null;
-        if (channel == null || to == null || bytes.length > MOST_BYTES) {
-            unsent++;
+    public void send(int peer, byte[] bytes) {
+        InetSocketAddress to = peer < 0 ? broadcastAddress : peer < peers.size() ? peers.get(peer) : null;
+        if (channel == null || to == null || bytes.length > MAX_DATAGRAM_BYTES) {
+            unsentCount++;
             return;
         }
         out.clear();
@@ -125,18 +125,18 @@
         try {
             channel.send(out, to);
         } catch (IOException e) {
-            unsent++;
+            unsentCount++;
         }
     }
 
     /** Datagrams that came in and were of no use. */
-    public long dropped() {
-        return dropped;
+    public long droppedCount() {
+        return droppedCount;
     }
 
     /** Datagrams that could not be sent. */
-    public long unsent() {
-        return unsent;
+    public long unsentCount() {
+        return unsentCount;
     }
 
     @Override
--- a/src/main/java/reedmux/peer/PoolTag.java
+++ b/src/main/java/reedmux/gatekeeper/peer/PoolTag.java
@@ -1,4 +1,4 @@
-package reedmux.peer;
+package reedmux.gatekeeper.peer;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -15,9 +15,9 @@
     /** No mark: the default pool's. */
     public static final int NONE = 0;
     /** Bytes that a mark takes. */
-    public static final int LENGTH = Short.BYTES + Integer.BYTES;
+    public static final int LENGTH_BYTES = Short.BYTES + Integer.BYTES;
 
-    private static final int TURNED = 0xA5C3;
+    private static final int CHECKSUM_MASK = 0xA5C3;
 
     private PoolTag() {}
 
@@ -29,33 +29,33 @@
 
     /** The mark that a datagram bears, or {@link #NONE}. */
     public static int of(byte[] datagram) {
-        if (datagram.length < LENGTH) {
+        if (datagram.length < LENGTH_BYTES) {
             return NONE;
         }
         ByteBuffer bytes = ByteBuffer.wrap(datagram);
-        return bytes.getShort() == check(datagram) ? bytes.getInt() : NONE;
+        return bytes.getShort() == checksum(datagram) ? bytes.getInt() : NONE;
     }
 
     /** The datagram with a mark. */
     public static byte[] tagged(int tag, byte[] own) {
-        byte[] all = ByteBuffer.allocate(LENGTH + own.length)
+        byte[] all = ByteBuffer.allocate(LENGTH_BYTES + own.length)
                 .putShort((short) 0)
                 .putInt(tag)
                 .put(own)
                 .array();
-        return ByteBuffer.wrap(all).putShort(check(all)).array();
+        return ByteBuffer.wrap(all).putShort(checksum(all)).array();
     }
 
     /** The module's own bytes of a datagram with a mark. */
     static byte[] untagged(byte[] datagram) {
-        byte[] own = new byte[datagram.length - LENGTH];
-        System.arraycopy(datagram, LENGTH, own, 0, own.length);
+        byte[] own = new byte[datagram.length - LENGTH_BYTES];
+        System.arraycopy(datagram, LENGTH_BYTES, own, 0, own.length);
         return own;
     }
 
-    private static short check(byte[] bytes) {
+    private static short checksum(byte[] bytes) {
         CRC32 sum = new CRC32();
         sum.update(bytes, Short.BYTES, bytes.length - Short.BYTES);
-        return (short) (sum.getValue() ^ TURNED);
+        return (short) (sum.getValue() ^ CHECKSUM_MASK);
     }
 }
--- a/src/main/java/reedmux/policy/Brain.java
+++ b/src/main/java/reedmux/gatekeeper/policy/GatekeeperPolicy.java
@@ -1,14 +1,14 @@
-// Interface: Gateway.java, beside this file, holds the settings, events and actions that are used here.
-package reedmux.policy;
+// Interface: TrafficPolicy.java, beside this file, holds the settings, events and actions that are used here.
+package reedmux.gatekeeper.policy;
 
 import java.util.*;
-import reedmux.policy.State.*;
+import reedmux.gatekeeper.policy.PolicyState.*;
 
 /**
  * All decisions of one gateway. The quota part follows the paper "Distributed rate-limiting POC" as told in
  * docs/design.md: deltas of each customer go along a heap over its gateways and sum up in {@code localCount}.
  */
-public final class Brain implements Gateway {
+public final class GatekeeperPolicy implements TrafficPolicy {
     // ---- Constants: times in microseconds ----------------------------------------------------------
     private static final double SECOND = 1e6;
     private static final long MILLI = 1000, SYNC_TIMER = 1, ASK_TIMER = 2;
@@ -109,22 +109,22 @@
     private static final double VISITOR_WORTH = 0.5, VISITOR_SLOW = 2;
 
     // ---- State -------------------------------------------------------------------------------------
-    final Settings settings;
+    final PolicySettings settings;
     private final SplittableRandom random;
     private final int incarnation;
     private final int[] status;
-    private final Edge[] edgeTo;
+    private final PeerState[] edgeTo;
     private final double firstTime;
-    final List<Edge> edges = new ArrayList<>();
-    final Map<Long, Account> accounts = new LinkedHashMap<>();
-    final Part part = new Part();
-    private final Account visitors;
-    private final Fleet fleet = new Fleet();
-    private final List<Box> ready = fleet.ready;
-    private final Map<String, Live> live = new LinkedHashMap<>();
-    private final List<ClassTimes> classes = new ArrayList<>();
+    final List<PeerState> edges = new ArrayList<>();
+    final Map<Long, CustomerAccount> accounts = new LinkedHashMap<>();
+    final QuotaShare part = new QuotaShare();
+    private final CustomerAccount visitors;
+    private final ServerPool fleet = new ServerPool();
+    private final List<ServerState> ready = fleet.ready;
+    private final Map<String, ActiveRequest> live = new LinkedHashMap<>();
+    private final List<ClassLatency> classes = new ArrayList<>();
     private volatile boolean restarted;
-    private Actions act;
+    private PolicyActions act;
     long now;
     private long startedAt = -1, handledAt, sweptAt, sync, paceAt, warmRateAt, goodAt;
     private int view, mail;
@@ -132,32 +132,31 @@
     private double attemptTime, meanPace, meanDensity, timeouts, warmRate, sentRate, wanted, good, young;
 
     /** A module for one gateway; {@code seed} is its only source of chance. */
-    public Brain(Settings settings, long seed) {
+    public GatekeeperPolicy(PolicySettings settings, long seed) {
         this.settings = settings;
         random = new SplittableRandom(seed);
-        incarnation = random.nextInt(1, PeerPacket.INCARNATIONS);
+        incarnation = random.nextInt(1, PeerPacket.INCARNATION_BOUND);
         status = new int[settings.groupSize()];
-        edgeTo = new Edge[settings.groupSize()];
-        settings.classes().forEach(kind -> classes.add(new ClassTimes(kind.aim() * FIRST_GUESS)));
-        firstTime =
-                classes.stream().mapToDouble(times -> times.latency).average().orElse(0);
+        edgeTo = new PeerState[settings.groupSize()];
+        settings.classes().forEach(kind -> classes.add(new ClassLatency(kind.latencyTarget() * FIRST_GUESS)));
+        firstTime = classes.stream().mapToDouble(times -> times.mean).average().orElse(0);
         attemptTime = firstTime;
         double cheapest =
-                settings.plans().stream().mapToDouble(Plan::price).min().orElse(1);
-        Plan free = new Plan("visitors", 0, 0, 0, 0, 0, 0, cheapest * VISITOR_WORTH, 0, 0);
-        visitors = new Account(VISITOR, free, VISITOR, settings.self(), 1, part, 0);
-        mail(settings.limits().peerMessagesPerS());
+                settings.plans().stream().mapToDouble(CustomerPlan::price).min().orElse(1);
+        CustomerPlan free = new CustomerPlan("visitors", 0, 0, 0, 0, 0, 0, cheapest * VISITOR_WORTH, 0, 0);
+        visitors = new CustomerAccount(REMOTE_REQUEST_PLAN, free, REMOTE_REQUEST_PLAN, settings.self(), 1, part, 0);
+        setPeerMessageLimit(settings.limits().peerMessagesPerSecond());
         sync = bounded((2 + (32 - Integer.numberOfLeadingZeros(status.length)) / 2) / mailPlanned * SECOND);
         meanPace = sync;
     }
 
     /** Sets the messages a second that may come in; called by the thread that handles events. */
-    public void mail(double perSecond) {
+    public void setPeerMessageLimit(double perSecond) {
         mailPlanned = Math.max(1, perSecond * MAIL_SHARE);
     }
 
     @Override
-    public void handle(long now, Event event, Actions actions) {
+    public void handle(long now, PolicyEvent event, PolicyActions actions) {
         this.now = now;
         act = actions;
         if (startedAt < 0) {
@@ -168,53 +167,53 @@
             sweptAt = now;
             accounts.values().removeIf(this::forgettable);
         }
-        if (event instanceof Request e) {
+        if (event instanceof IncomingRequest e) {
             onRequest(e);
         } else if (event instanceof AttemptEnded e) {
             onAttemptEnded(e);
         } else if (event instanceof PeerMessage e) {
             onPacket(e.from(), e.bytes());
-        } else if (event instanceof TimerDue e && e.token() == SYNC_TIMER) {
+        } else if (event instanceof TimerExpired e && e.token() == SYNC_TIMER) {
             synchronise();
-        } else if (event instanceof TimerDue) {
+        } else if (event instanceof TimerExpired) {
             act.watchServers(true);
         } else if (event instanceof ServerList e) {
             onServers(e);
-        } else if (event instanceof Arriving e && live.get(e.request()) != null) {
-            live.get(e.request()).arriving(e.whole(), now);
-        } else if (event instanceof StreamStarted e) {
+        } else if (event instanceof RequestBodyProgress e && live.get(e.request()) != null) {
+            live.get(e.request()).onBodyProgress(e.complete(), now);
+        } else if (event instanceof ResponseStreamStarted e) {
             onStream(e);
-        } else if (event instanceof Withdrawn e && live.get(e.request()) != null) {
+        } else if (event instanceof RequestWithdrawn e && live.get(e.request()) != null) {
             close(live.get(e.request()));
-        } else if (event instanceof Returned e && live.get(e.request()) != null) {
+        } else if (event instanceof ForwardedRequestEnded e && live.get(e.request()) != null) {
             onReturned(live.get(e.request()));
         }
     }
 
     /** Whether a peer has shown that we had a life before this one; may be asked from any thread. */
-    public boolean restarted() {
+    public boolean restartDetected() {
         return restarted;
     }
 
     /** Listed servers that are avoided for their health; none where too many are for that to be believed. */
-    public int avoided() {
-        return fleet.ignoresOut(KEEP_IN) ? 0 : fleet.out();
+    public int ejectedServers() {
+        return fleet.ignoresEjections(KEEP_IN) ? 0 : fleet.ejectedCount();
     }
 
     /** What another process that takes our place is told, and tells. */
-    public Twin twin() {
-        return new Twin(this);
+    public HandoverCounts handoverCounts() {
+        return new HandoverCounts(this);
     }
 
     private void begin() {
         startedAt = now;
-        if (settings.limits().peers() && settings.groupSize() > 1) {
-            act.timer(now + sync, SYNC_TIMER);
+        if (settings.limits().peerMessages() && settings.groupSize() > 1) {
+            act.setTimer(now + sync, SYNC_TIMER);
             Arrays.stream(neighbours(0, status.length))
                     .filter(peer -> peer >= 0)
-                    .forEach(peer -> edge(peer).news.add(settings.self())); // a new life asks for counts
+                    .forEach(peer -> edge(peer).pendingMembers.add(settings.self())); // a new life asks for counts
         }
-        if (settings.askDiscovery()) {
+        if (settings.pollsDiscovery()) {
             act.watchServers(true);
         }
     }
@@ -224,19 +223,19 @@
         long gap = now - handledAt;
         handledAt = now;
         if (gap > STALL_SYNCS * sync) {
-            for (Edge edge : edges) {
-                edge.askedSince = edge.askedSince < 0 ? -1 : edge.askedSince + gap;
+            for (PeerState edge : edges) {
+                edge.awaitingReplySince = edge.awaitingReplySince < 0 ? -1 : edge.awaitingReplySince + gap;
             }
         }
     }
 
     // ---- Requests: quota first, then worth, then a server ------------------------------------------
-    private void onRequest(Request request) {
+    private void onRequest(IncomingRequest request) {
         RequestClass kind = settings.classes().get(request.requestClass());
-        Account account = request.plan() == VISITOR ? visitors : account(request);
-        ClassTimes times = classes.get(request.requestClass());
-        times.units += CLASS_SAMPLE * (request.units() - times.units);
-        Live taken = new Live(request, kind, times, account, now);
+        CustomerAccount account = request.plan() == REMOTE_REQUEST_PLAN ? visitors : account(request);
+        ClassLatency times = classes.get(request.requestClass());
+        times.meanUnits += CLASS_SAMPLE * (request.units() - times.meanUnits);
+        ActiveRequest taken = new ActiveRequest(request, kind, times, account, now);
         live.put(request.id(), taken);
         refresh(account);
         drain(account);
@@ -244,7 +243,7 @@
             refuse(taken, roomIn(account, request.units()));
             return;
         }
-        Box box = choose(taken);
+        ServerState box = choose(taken);
         if (box == null || overloaded(taken, box)) {
             refuseUnlessAway(taken, OVERLOAD_ADVICE / 2 + random.nextLong(OVERLOAD_ADVICE));
             return;
@@ -256,17 +255,19 @@
     }
 
     /** Overload: a request goes only while expected in time; little worth for its work means little room. */
-    private boolean overloaded(Live taken, Box box) {
-        double worth = taken.kind.worth() * taken.account.plan.price() * taken.request.units();
+    private boolean overloaded(ActiveRequest taken, ServerState box) {
+        double worth = taken.requestClass.value() * taken.account.plan.price() * taken.request.units();
         double density = worth / work(taken);
         meanDensity = meanDensity == 0 ? density : meanDensity + DENSITY_SAMPLE * (density - meanDensity);
         double share = Math.min(WAIT_MOST, WAIT_LEAST + WAIT_SLOPE * density / meanDensity);
         double fill = Math.min(FILL_MOST, FILL_LEAST + FILL_SLOPE * density / meanDensity);
-        double most = share * taken.kind.aim();
+        double most = share * taken.requestClass.latencyTarget();
         if (taken.account == visitors) {
-            most = Math.min(most, VISITOR_SLOW * taken.times.best * size(taken));
+            most = Math.min(most, VISITOR_SLOW * taken.classLatency.bestMean * size(taken));
         }
-        return throttled(density / meanDensity) || fleet.open() > fill * fleet.limit() || expected(taken, box) > most;
+        return throttled(density / meanDensity)
+                || fleet.inFlight() > fill * fleet.concurrencyLimit()
+                || expected(taken, box) > most;
     }
 
     /**
@@ -297,52 +298,53 @@
      * Usual time of this request on a usual server. Without answers it fades to the best mean: a class that
      * is refused for its estimate would never be measured again, whatever drove the estimate up.
      */
-    private double work(Live taken) {
-        ClassTimes times = taken.times;
-        double fade = Math.exp(-(now - times.learntAt) / CLASS_MEMORY);
-        return (times.best + (times.latency - times.best) * fade) * size(taken);
+    private double work(ActiveRequest taken) {
+        ClassLatency times = taken.classLatency;
+        double fade = Math.exp(-(now - times.sampledAt) / CLASS_MEMORY);
+        return (times.bestMean + (times.mean - times.bestMean) * fade) * size(taken);
     }
 
     /** What its units say of its time, against a usual request of its class. */
-    private static double size(Live taken) {
-        return Math.max(SIZE_LEAST, Math.min(SIZE_MOST, taken.request.units() / taken.times.units));
+    private static double size(ActiveRequest taken) {
+        return Math.max(SIZE_LEAST, Math.min(SIZE_MOST, taken.request.units() / taken.classLatency.meanUnits));
     }
 
-    private void spend(Live taken, double units) {
+    private void spend(ActiveRequest taken, double units) {
         taken.account.spend(units, now);
         count(taken.account, units, -1);
     }
 
     /** The fleet has no room, so another region may; what goes there counts here, once, and as open. */
-    private void refuseUnlessAway(Live taken, long retryAfter) {
-        if (!act.sendAway(taken.request.id(), Math.min(settings.limits().maxRetryAfter(), retryAfter))) {
+    private void refuseUnlessAway(ActiveRequest taken, long retryAfter) {
+        if (!act.forwardToRegion(taken.request.id(), Math.min(settings.limits().maxRetryAfter(), retryAfter))) {
             refuse(taken, retryAfter);
             return;
         }
         if (taken.attempts.isEmpty()) {
             spend(taken, taken.request.units());
         }
-        taken.away = true;
-        taken.reached = true;
+        taken.forwarded = true;
+        taken.delivered = true;
         changeOpen(taken.account, 1);
     }
 
-    private void onReturned(Live taken) {
-        taken.away = false;
+    private void onReturned(ActiveRequest taken) {
+        taken.forwarded = false;
         refresh(taken.account);
         changeOpen(taken.account, -1);
         close(taken);
     }
 
-    private void refuse(Live taken, long retryAfter) {
-        act.refuse(taken.request.id(), Math.min(settings.limits().maxRetryAfter(), retryAfter));
+    private void refuse(ActiveRequest taken, long retryAfter) {
+        act.reject(taken.request.id(), Math.min(settings.limits().maxRetryAfter(), retryAfter));
         close(taken);
     }
 
     /** Final answer where nothing more can be tried: a refusal where the effect rules let it promise that. */
-    private void giveUp(Live taken) {
-        boolean harmless = taken.kind.repeat() == Repeat.SAFE
-                || taken.kind.repeat() == Repeat.KEYED && taken.kind.group() == Group.ALL;
+    private void giveUp(ActiveRequest taken) {
+        boolean harmless = taken.requestClass.idempotency() == Idempotency.SAFE
+                || taken.requestClass.idempotency() == Idempotency.KEYED
+                        && taken.requestClass.deduplicationScope() == DeduplicationScope.ALL;
         if (harmless || !taken.mayHaveRun()) {
             refuseUnlessAway(taken, OVERLOAD_ADVICE / 2);
         } else {
@@ -351,11 +353,11 @@
         }
     }
 
-    private void close(Live taken) {
-        taken.over = true;
+    private void close(ActiveRequest taken) {
+        taken.closed = true;
         if (taken.allEnded()) {
             live.remove(taken.request.id());
-            if (settings.unitsWhenWhole() && !taken.reached && !taken.attempts.isEmpty()) {
+            if (settings.chargeOnDelivery() && !taken.delivered && !taken.attempts.isEmpty()) {
                 drain(taken.account); // its units were counted when it was sent, and were not taken
                 spend(taken, -taken.request.units());
             }
@@ -363,75 +365,76 @@
     }
 
     // ---- Plans: the quota, the cap on open attempts, the ceiling -----------------------------------
-    Account account(long customer, int plan, int first, int spread) {
-        Account account = accounts.get(customer);
+    CustomerAccount account(long customer, int plan, int first, int spread) {
+        CustomerAccount account = accounts.get(customer);
         if (account == null) {
-            account = new Account(customer, settings.plans().get(plan), plan, first, spread, part, now);
+            account = new CustomerAccount(customer, settings.plans().get(plan), plan, first, spread, part, now);
             account.member = inSet(first, spread);
-            account.ceiling = Math.min(
-                    account.share(account.plan.ceilingBurst()),
-                    account.share(account.plan.ceilingRate()) * (now - startedAt) / SECOND);
+            account.rateLimitTokens = Math.min(
+                    account.share(account.plan.rateLimitBurst()),
+                    account.share(account.plan.rateLimit()) * (now - startedAt) / SECOND);
             accounts.put(customer, account);
         }
-        account.sharers = Math.max(account.sharers, spread);
+        account.maxMemberCount = Math.max(account.maxMemberCount, spread);
         return account;
     }
 
     /** The plan and set that a request tells hold; a peer's word of them may come from older settings. */
-    private Account account(Request request) {
-        Account account = account(request.customer(), request.plan(), request.first(), request.spread());
+    private CustomerAccount account(IncomingRequest request) {
+        CustomerAccount account =
+                account(request.customer(), request.plan(), request.firstMember(), request.memberCount());
         if (account.planIndex != request.plan()
-                || account.first != request.first()
-                || account.spread != request.spread()) {
-            account.move(settings.plans().get(request.plan()), request);
-            account.member = inSet(account.first, account.spread);
+                || account.firstMember != request.firstMember()
+                || account.memberCount != request.memberCount()) {
+            account.changePlan(settings.plans().get(request.plan()), request);
+            account.member = inSet(account.firstMember, account.memberCount);
         }
         return account;
     }
 
     /** Whether one that comes back later finds what a new one would: idle for long, and nothing used. */
-    private boolean forgettable(Account account) {
+    private boolean forgettable(CustomerAccount account) {
         drain(account);
-        Plan plan = account.plan;
-        return account.open == 0
+        CustomerPlan plan = account.plan;
+        return account.inFlight == 0
                 && now - account.usedAt > ACCOUNT_IDLE
-                && (plan.rate() == 0 || account.localCount == 0)
-                && (plan.ceilingRate() == 0 || account.ceiling >= account.share(plan.ceilingBurst()));
+                && (plan.quotaRate() == 0 || account.localCount == 0)
+                && (plan.rateLimit() == 0 || account.rateLimitTokens >= account.share(plan.rateLimitBurst()));
     }
 
-    private boolean withinPlan(Account account, double units) {
-        Plan plan = account.plan;
-        double room = plan.burst() - account.localCount;
-        boolean quota = plan.rate() == 0
+    private boolean withinPlan(CustomerAccount account, double units) {
+        CustomerPlan plan = account.plan;
+        double room = plan.quotaBurst() - account.localCount;
+        boolean quota = plan.quotaRate() == 0
                 || units <= room
                         && !firstSight(account, units)
-                        && (room >= account.margin || random.nextDouble() * account.margin <= room);
+                        && (room >= account.raceMargin || random.nextDouble() * account.raceMargin <= room);
         return quota
-                && (plan.maxOpen() == 0 || openEverywhere(account) + OPEN_CHANCE < plan.maxOpen())
-                && (plan.ceilingRate() == 0 || account.ceiling >= units);
+                && (plan.maxConcurrency() == 0 || openEverywhere(account) + OPEN_CHANCE < plan.maxConcurrency())
+                && (plan.rateLimit() == 0 || account.rateLimitTokens >= units);
     }
 
     /** Time until drain, ceiling and first sight make room; where only others' use can, a guess. */
-    private long roomIn(Account account, double units) {
-        Plan plan = account.plan;
-        double over = account.localCount + units - plan.burst();
-        double wait = plan.rate() > 0 ? over / plan.rate() : 0;
-        if (plan.ceilingRate() > 0) {
-            wait = Math.max(wait, (units - account.ceiling) / account.share(plan.ceilingRate()));
+    private long roomIn(CustomerAccount account, double units) {
+        CustomerPlan plan = account.plan;
+        double over = account.localCount + units - plan.quotaBurst();
+        double wait = plan.quotaRate() > 0 ? over / plan.quotaRate() : 0;
+        if (plan.rateLimit() > 0) {
+            wait = Math.max(wait, (units - account.rateLimitTokens) / account.share(plan.rateLimit()));
         }
         if (firstSight(account, units)) {
-            wait = Math.max(wait, (account.seenAt + crossing(account.spread) - now) / SECOND);
+            wait = Math.max(wait, (account.firstSeenAt + crossing(account.memberCount) - now) / SECOND);
         }
         return wait > 0 ? (long) Math.ceil(wait * SECOND) : OVERLOAD_ADVICE / 2;
     }
 
-    private boolean firstSight(Account account, double units) {
-        return account.sightUnits > 0
-                && now < account.seenAt + crossing(account.spread)
-                && account.sightUnits + units > account.share(account.plan.burst());
+    private boolean firstSight(CustomerAccount account, double units) {
+        return account.unitsSinceFirstSeen > 0
+                && now < account.firstSeenAt + crossing(account.memberCount)
+                && account.unitsSinceFirstSeen + units > account.share(account.plan.quotaBurst());
     }
 
-    void count(Account account, double units, int from) {
+    void count(CustomerAccount account, double units, int from) {
         account.add(units, from);
         markDirty(account, from);
     }
@@ -441,11 +444,11 @@
      * While remembered, the last of the room goes by lot, or hundreds of gateways would all take it. It meets
      * surges, slow crossings and cuts; just after a surge a customer within its quota loses some requests.
      */
-    private void noteRace(Account account, double units) {
-        double burst = account.plan.burst();
+    private void noteRace(CustomerAccount account, double units) {
+        double burst = account.plan.quotaBurst();
         double over = Math.min(units, account.localCount - burst);
-        if (over > 0 && account.plan.rate() > 0) {
-            account.margin = Math.min(MARGIN_MOST * burst, account.margin + over);
+        if (over > 0 && account.plan.quotaRate() > 0) {
+            account.raceMargin = Math.min(MARGIN_MOST * burst, account.raceMargin + over);
         }
         account.localCount = Math.min(account.localCount, (1 + OVERSHOOT) * burst);
     }
@@ -454,17 +457,19 @@
      * Drains {@code localCount} at the quota's rate, less the part of members that are cut off, but not below
      * nought, as if nothing unheard of were under way: surges would go through that much longer.
      */
-    void drain(Account account) {
+    void drain(CustomerAccount account) {
         double passed = (now - account.drainedAt) / SECOND;
         account.drainedAt = now;
-        Plan plan = account.plan;
-        double drained = plan.rate() * (1 - account.silentShare) * passed;
+        CustomerPlan plan = account.plan;
+        double drained = plan.quotaRate() * (1 - account.unreachableShare) * passed;
         account.drain(drained);
-        account.ceiling = Math.min(
-                account.share(plan.ceilingBurst()), account.ceiling + account.share(plan.ceilingRate()) * passed);
-        account.fadeBranches(Math.exp(-passed * SECOND / BRANCH_MEMORY));
-        account.margin *= Math.exp(
-                -passed * SECOND / (account.localCount < QUIET_COUNT * plan.burst() ? QUIET_MEMORY : MARGIN_MEMORY));
+        account.rateLimitTokens = Math.min(
+                account.share(plan.rateLimitBurst()),
+                account.rateLimitTokens + account.share(plan.rateLimit()) * passed);
+        account.decayBranches(Math.exp(-passed * SECOND / BRANCH_MEMORY));
+        account.raceMargin *= Math.exp(-passed
+                * SECOND
+                / (account.localCount < QUIET_COUNT * plan.quotaBurst() ? QUIET_MEMORY : MARGIN_MEMORY));
     }
 
     /** Worst time for a count to cross the heap: 2(log2(N+1)-1)(Δs+Δt), with whole levels. */
@@ -473,18 +478,20 @@
         return 2L * (depth - 1) * ((long) meanPace + MAIL_TIME);
     }
 
-    private boolean sharesOpen(Account account) {
-        return account.plan.maxOpen() > 0 && crossing(account.spread) < OPEN_CROSSING * firstTime;
+    private boolean sharesOpen(CustomerAccount account) {
+        return account.plan.maxConcurrency() > 0 && crossing(account.memberCount) < OPEN_CROSSING * firstTime;
     }
 
     /** Attempts open at all members: as told where that is in time, else by what their rate keeps out. */
-    private double openEverywhere(Account account) {
-        double heard = account.branch[0] + account.branch[1] + account.branch[2];
-        return sharesOpen(account) ? account.openBut(-1) : account.open + heard / BRANCH_MEMORY * attemptTime;
+    private double openEverywhere(CustomerAccount account) {
+        double heard = account.branchUnits[0] + account.branchUnits[1] + account.branchUnits[2];
+        return sharesOpen(account)
+                ? account.inFlightExcept(-1)
+                : account.inFlight + heard / BRANCH_MEMORY * attemptTime;
     }
 
-    private void changeOpen(Account account, int by) {
-        account.open += by;
+    private void changeOpen(CustomerAccount account, int by) {
+        account.inFlight += by;
         if (sharesOpen(account)) {
             markDirty(account, -1);
         }
@@ -492,24 +499,24 @@
 
     // ---- The heap: who is whose neighbour ----------------------------------------------------------
     /** Brings an account's neighbours up to the present view of who is heard. */
-    void refresh(Account account) {
-        if (account.view == view) {
+    void refresh(CustomerAccount account) {
+        if (account.membershipView == view) {
             return;
         }
-        account.view = view;
-        account.silentShare = account.silentShare(status);
-        int[] near = neighbours(account.first, account.spread);
-        if (Arrays.equals(account.near, near)) {
+        account.membershipView = view;
+        account.unreachableShare = account.silentShare(status);
+        int[] near = neighbours(account.firstMember, account.memberCount);
+        if (Arrays.equals(account.neighbours, near)) {
             return;
         }
         account.rewire(near);
         markDirty(account, -1);
     }
 
-    void markDirty(Account account, int butFor) {
-        for (int peer : account.near) {
+    void markDirty(CustomerAccount account, int butFor) {
+        for (int peer : account.neighbours) {
             if (peer >= 0 && peer != butFor) {
-                edge(peer).dirty.add(account);
+                edge(peer).pendingAccounts.add(account);
             }
         }
     }
@@ -551,9 +558,9 @@
         return rank > otherRank || rank == otherRank && one < other;
     }
 
-    private Edge edge(int peer) {
+    private PeerState edge(int peer) {
         if (edgeTo[peer] == null) {
-            edgeTo[peer] = new Edge(peer, sync, now);
+            edgeTo[peer] = new PeerState(peer, sync, now);
             edges.add(edgeTo[peer]);
         }
         return edgeTo[peer];
@@ -567,20 +574,20 @@
         }
         boolean changed = (version & 1) != (status[member] & 1);
         status[member] = version;
-        for (Edge edge : edges) {
+        for (PeerState edge : edges) {
             if (edge.peer != from && edge.peer != member && (status[edge.peer] & 1) == 0) {
-                edge.news.add(member);
+                edge.pendingMembers.add(member);
             }
         }
         if (member == settings.self()) {
             learn(member, version + (version & 1), -1); // we are not silent
         } else if (changed) {
             view++;
-            Edge edge = edgeTo[member];
+            PeerState edge = edgeTo[member];
             if (edge != null && (version & 1) == 1) {
-                edge.askedSince = -1; // what it may yet have taken in counts twice if it goes another way
-                List<Account> moving = new ArrayList<>(edge.dirty);
-                edge.dirty.clear();
+                edge.awaitingReplySince = -1; // what it may yet have taken in counts twice if it goes another way
+                List<CustomerAccount> moving = new ArrayList<>(edge.pendingAccounts);
+                edge.pendingAccounts.clear();
                 moving.forEach(this::refresh); // what waits goes to those who take its place
             }
         }
@@ -590,19 +597,20 @@
     /** Every Δs, which the mail limit sets: send each neighbour its counters, judge who is silent. */
     private void synchronise() {
         adaptPace();
-        act.timer(now + sync, SYNC_TIMER); // before all that might fail: without it nobody is told again
+        act.setTimer(now + sync, SYNC_TIMER); // before all that might fail: without it nobody is told again
         patience = Math.max(SILENT_LEAST, patience * SILENT_FADE);
         double paces = 0;
         int heard = 0;
         List<Integer> unheard = new ArrayList<>();
         for (int i = 0; i < edges.size(); i++) { // packing may bring up further edges
-            Edge edge = edges.get(i);
+            PeerState edge = edges.get(i);
             boolean out = (status[edge.peer] & 1) == 1;
-            long pace = out ? PROBE_PACE : Math.max(sync, edge.pace);
+            long pace = out ? PROBE_PACE : Math.max(sync, edge.syncInterval);
             if (!out) {
                 heard++;
                 paces += pace;
-                if (edge.askedSince >= 0 && now - edge.askedSince > Math.max(patience, SILENT_SYNCS * pace)) {
+                if (edge.awaitingReplySince >= 0
+                        && now - edge.awaitingReplySince > Math.max(patience, SILENT_SYNCS * pace)) {
                     unheard.add(edge.peer);
                 }
             }
@@ -628,70 +636,74 @@
         return (long) Math.max(SYNC_MIN, Math.min(SYNC_MAX, pace));
     }
 
-    private boolean due(Edge edge, long pace, boolean out) {
+    private boolean due(PeerState edge, long pace, boolean out) {
         return out
-                || !edge.dirty.isEmpty()
-                || !edge.news.isEmpty()
-                || edge.owesSince >= 0 && now - edge.owesSince >= ANSWER_SYNCS * pace
-                || edge.askedSince >= 0 && now - edge.sentAt >= ASK_SYNCS * pace;
-    }
-
-    private void pack(Edge edge) {
-        List<Integer> told = edge.takeNews(PeerPacket.Writer.newsRoom());
-        List<PeerPacket.News> news =
-                told.stream().map(m -> new PeerPacket.News(m, status[m])).toList();
-        boolean asks = edge.askedSince >= 0 || !told.isEmpty() || !edge.dirty.isEmpty() || (status[edge.peer] & 1) == 1;
-        PeerPacket.Writer packet = new PeerPacket.Writer(
-                edge.names,
+                || !edge.pendingAccounts.isEmpty()
+                || !edge.pendingMembers.isEmpty()
+                || edge.replyOwedSince >= 0 && now - edge.replyOwedSince >= ANSWER_SYNCS * pace
+                || edge.awaitingReplySince >= 0 && now - edge.sentAt >= ASK_SYNCS * pace;
+    }
+
+    private void pack(PeerState edge) {
+        List<Integer> told = edge.takePendingMembers(PeerPacket.PeerPacketWriter.maxMembers());
+        List<PeerPacket.MemberVersion> news = told.stream()
+                .map(m -> new PeerPacket.MemberVersion(m, status[m]))
+                .toList();
+        boolean asks = edge.awaitingReplySince >= 0
+                || !told.isEmpty()
+                || !edge.pendingAccounts.isEmpty()
+                || (status[edge.peer] & 1) == 1;
+        PeerPacket.PeerPacketWriter packet = new PeerPacket.PeerPacketWriter(
+                edge.aliases,
                 incarnation,
                 edge.peerIncarnation,
-                edge.accepted,
-                ++edge.sent,
-                edge.received,
+                edge.acceptedBits,
+                ++edge.lastSentNumber,
+                edge.lastReceivedNumber,
                 asks,
                 (int) (sync / MILLI),
                 news,
-                settings.limits().peerBytes());
-        List<Carried> carried = new ArrayList<>();
-        List<Account> due = new ArrayList<>(edge.dirty);
+                settings.limits().peerMessageBytes());
+        List<CarriedUnits> carried = new ArrayList<>();
+        List<CustomerAccount> due = new ArrayList<>(edge.pendingAccounts);
         for (int i = 0; i < due.size() && packet.hasRoom(); i++) {
-            Account account = due.get(i);
+            CustomerAccount account = due.get(i);
             refresh(account);
-            int slot = account.slot(edge.peer);
-            if (slot >= 0 && account.hasNews(slot, sharesOpen(account))) {
+            int slot = account.slotOf(edge.peer);
+            if (slot >= 0 && account.hasUnreported(slot, sharesOpen(account))) {
                 carried.add(carry(packet, account, slot));
             }
-            edge.dirty.remove(account);
+            edge.pendingAccounts.remove(account);
         }
         if (!carried.isEmpty() || !told.isEmpty()) {
-            edge.unacknowledged.add(new Packet(edge.sent, carried, told));
+            edge.unacknowledged.add(new UnacknowledgedPacket(edge.lastSentNumber, carried, told));
         }
-        if (asks && edge.askedSince < 0) {
-            edge.askedSince = now;
+        if (asks && edge.awaitingReplySince < 0) {
+            edge.awaitingReplySince = now;
         }
-        edge.owesSince = -1;
+        edge.replyOwedSince = -1;
         edge.sentAt = now;
-        act.tell(edge.peer, packet.finish());
+        act.sendToPeer(edge.peer, packet.finish());
     }
 
-    private Carried carry(PeerPacket.Writer packet, Account account, int slot) {
+    private CarriedUnits carry(PeerPacket.PeerPacketWriter packet, CustomerAccount account, int slot) {
         drain(account);
-        double delta = PeerPacket.grained(account.to[slot]);
-        boolean count = account.tellCount[slot];
-        account.to[slot] -= delta;
-        account.tellCount[slot] = false;
-        account.toldOpen[slot] = account.openBut(slot);
-        packet.add(new PeerPacket.Entry(
+        double delta = PeerPacket.roundToWire(account.pending[slot]);
+        boolean count = account.countRequested[slot];
+        account.pending[slot] -= delta;
+        account.countRequested[slot] = false;
+        account.reportedConcurrency[slot] = account.inFlightExcept(slot);
+        packet.add(new PeerPacket.AccountEntry(
                 account.customer,
                 account.planIndex,
-                account.first,
-                account.spread,
+                account.firstMember,
+                account.memberCount,
                 delta,
                 count ? Double.valueOf(account.localCount - delta) : null,
-                sharesOpen(account) ? Integer.valueOf(account.toldOpen[slot]) : null,
-                account.grant[slot]));
-        account.grant[slot] = 0;
-        return new Carried(account, delta, count);
+                sharesOpen(account) ? Integer.valueOf(account.reportedConcurrency[slot]) : null,
+                account.pendingGrant[slot]));
+        account.pendingGrant[slot] = 0;
+        return new CarriedUnits(account, delta, count);
     }
 
     /** Takes in a packet whole or not at all: garbled, repeated, overtaken or older ones change nothing. */
@@ -701,10 +713,12 @@
             return;
         }
         mail++;
-        Edge edge = edge(from);
+        PeerState edge = edge(from);
         boolean newLife = edge.peerIncarnation != packet.incarnation();
-        if (!newLife && (packet.number() <= edge.received || packet.number() > edge.received + MOST_AHEAD)
-                || packet.incarnation() == edge.formerIncarnation) {
+        if (!newLife
+                        && (packet.number() <= edge.lastReceivedNumber
+                                || packet.number() > edge.lastReceivedNumber + MOST_AHEAD)
+                || packet.incarnation() == edge.previousIncarnation) {
             return;
         }
         // A new life counts from one. Else a second packet has to say the same: one spoilt one that passes
@@ -712,66 +726,69 @@
         if (newLife
                 && edge.peerIncarnation != 0
                 && packet.number() > FIRST_PACKETS
-                && edge.unconfirmed != packet.incarnation()) {
-            edge.unconfirmed = packet.incarnation();
+                && edge.unconfirmedIncarnation != packet.incarnation()) {
+            edge.unconfirmedIncarnation = packet.incarnation();
             return;
         }
         boolean back = (status[from] & 1) == 1;
         if (back) { // a false alarm, or it is back, and has missed all news
             patience = Math.min(SILENT_MOST, 2 * patience);
             learn(from, status[from] + 1, -1);
-            edge.tellAll(status);
+            edge.queueAllMembers(status);
         }
         if (newLife) {
             meet(edge, packet.incarnation());
         }
-        if (back || edge.formerIncarnation != 0 && newLife) {
+        if (back || edge.previousIncarnation != 0 && newLife) {
             tellCounts(edge);
         }
-        edge.pace = Math.min(SYNC_MAX, packet.pace() * MILLI);
-        if (packet.asks() && edge.owesSince < 0) {
-            edge.owesSince = now;
+        edge.syncInterval = Math.min(SYNC_MAX, packet.syncIntervalMillis() * MILLI);
+        if (packet.replyRequested() && edge.replyOwedSince < 0) {
+            edge.replyOwedSince = now;
         }
         edge.receive(packet.number());
-        if (packet.forIncarnation() == incarnation) {
-            takeBack(edge, edge.acknowledge(packet.highest(), packet.accepted()));
-            edge.askedSince = edge.unacknowledged.isEmpty() ? -1 : now;
-        } else if (packet.forIncarnation() != 0) {
+        if (packet.receiverIncarnation() == incarnation) {
+            takeBack(edge, edge.acknowledge(packet.acknowledgedNumber(), packet.acceptedBits()));
+            edge.awaitingReplySince = edge.unacknowledged.isEmpty() ? -1 : now;
+        } else if (packet.receiverIncarnation() != 0) {
             restarted = true;
             return; // meant for our former life; our answer tells of the new one
         }
-        edge.accepted |= 1;
-        packet.news().forEach(news -> learn(news.member(), news.version(), from));
-        packet.entries().stream().map(edge.names::full).filter(Objects::nonNull).forEach(entry -> takeIn(entry, from));
+        edge.acceptedBits |= 1;
+        packet.members().forEach(news -> learn(news.member(), news.version(), from));
+        packet.entries().stream()
+                .map(edge.aliases::resolve)
+                .filter(Objects::nonNull)
+                .forEach(entry -> takeIn(entry, from));
     }
 
     /** A neighbour's new life knows nothing: what it had not acknowledged goes again. */
-    private void meet(Edge edge, int peerIncarnation) {
+    private void meet(PeerState edge, int peerIncarnation) {
         if (edge.peerIncarnation != 0) {
             takeBack(edge, edge.takeUnacknowledged());
         }
-        edge.begin(peerIncarnation);
-        edge.tellAll(status);
+        edge.beginIncarnation(peerIncarnation);
+        edge.queueAllMembers(status);
     }
 
     /** To a neighbour that has started anew, or was out of the heap and missed what went round it. */
-    private void tellCounts(Edge edge) {
-        for (Account account : accounts.values()) {
+    private void tellCounts(PeerState edge) {
+        for (CustomerAccount account : accounts.values()) {
             refresh(account);
-            int slot = account.slot(edge.peer);
-            if (slot >= 0 && account.localCount > TELL_COUNT * account.plan.burst()) {
-                account.tellCount[slot] = true;
-                edge.dirty.add(account);
+            int slot = account.slotOf(edge.peer);
+            if (slot >= 0 && account.localCount > TELL_COUNT * account.plan.quotaBurst()) {
+                account.countRequested[slot] = true;
+                edge.pendingAccounts.add(account);
             }
         }
     }
 
-    void takeBack(Edge edge, List<Packet> lost) {
-        for (Packet packet : lost) {
-            edge.news.addAll(packet.news());
+    void takeBack(PeerState edge, List<UnacknowledgedPacket> lost) {
+        for (UnacknowledgedPacket packet : lost) {
+            edge.pendingMembers.addAll(packet.members());
             packet.carried().stream()
-                    .filter(c -> c.account().takeBack(edge.peer, c))
-                    .forEach(c -> edge.dirty.add(c.account()));
+                    .filter(c -> c.account().restoreUnits(edge.peer, c))
+                    .forEach(c -> edge.pendingAccounts.add(c.account()));
         }
     }
 
@@ -779,35 +796,35 @@
      * The paper's receipt of an update: into every counter but the one facing its sender. Where the sender
      * is no neighbour in our view, its units are counted here and go no further: nothing can go round.
      */
-    private void takeIn(PeerPacket.Entry entry, int from) {
+    private void takeIn(PeerPacket.AccountEntry entry, int from) {
         if (entry.plan() < 0
                 || entry.plan() >= settings.plans().size()
-                || entry.spread() < 1
-                || entry.spread() > status.length
-                || entry.first() < 0
-                || entry.first() >= status.length
+                || entry.memberCount() < 1
+                || entry.memberCount() > status.length
+                || entry.firstMember() < 0
+                || entry.firstMember() >= status.length
                 || entry.customer() >>> CUSTOMER_BITS != 0
-                || entry.open() != null && entry.open() < 0) {
+                || entry.inFlight() != null && entry.inFlight() < 0) {
             return; // what we would pass on has to fit into a packet
         }
-        Account account = account(entry.customer(), entry.plan(), entry.first(), entry.spread());
+        CustomerAccount account = account(entry.customer(), entry.plan(), entry.firstMember(), entry.memberCount());
         refresh(account);
         drain(account);
-        int slot = account.slot(from);
+        int slot = account.slotOf(from);
         account.usedAt = now;
         if (slot < 0) {
             account.localCount += entry.delta();
             noteRace(account, entry.delta());
             return;
         } else if (entry.count() != null) {
-            account.localCount = Math.max(account.localCount, entry.count() + account.to[slot]);
+            account.localCount = Math.max(account.localCount, entry.count() + account.pending[slot]);
         }
         count(account, entry.delta(), from);
         noteRace(account, entry.delta());
-        account.branch[slot] += Math.max(0, entry.delta());
+        account.branchUnits[slot] += Math.max(0, entry.delta());
         passCeiling(account, slot, entry);
-        if (entry.open() != null && account.plan.maxOpen() > 0) {
-            account.branchOpen[slot] = entry.open();
+        if (entry.inFlight() != null && account.plan.maxConcurrency() > 0) {
+            account.branchConcurrency[slot] = entry.inFlight();
             changeOpen(account, 0);
         }
     }
@@ -816,25 +833,25 @@
      * Spare units of the ceiling follow the use: they leave our store before they are told, are never sent
      * again and lift no store past its share, so a loss or a restart can only lower the sum.
      */
-    private void passCeiling(Account account, int slot, PeerPacket.Entry entry) {
-        double share = account.share(account.plan.ceilingBurst());
-        account.ceiling = Math.min(share, account.ceiling + Math.max(0, entry.grant()));
-        double spare = PeerPacket.grained(Math.min(entry.delta(), account.ceiling - CEILING_SPARE * share));
-        if (account.plan.ceilingRate() > 0 && spare > 0) {
-            account.ceiling -= spare;
-            account.grant[slot] += spare;
-            edge(account.near[slot]).dirty.add(account);
+    private void passCeiling(CustomerAccount account, int slot, PeerPacket.AccountEntry entry) {
+        double share = account.share(account.plan.rateLimitBurst());
+        account.rateLimitTokens = Math.min(share, account.rateLimitTokens + Math.max(0, entry.grant()));
+        double spare = PeerPacket.roundToWire(Math.min(entry.delta(), account.rateLimitTokens - CEILING_SPARE * share));
+        if (account.plan.rateLimit() > 0 && spare > 0) {
+            account.rateLimitTokens -= spare;
+            account.pendingGrant[slot] += spare;
+            edge(account.neighbours[slot]).pendingAccounts.add(account);
         }
     }
 
     // ---- Servers: the list, the choice, cold starts, health ----------------------------------------
     private void onServers(ServerList list) {
-        if (list.scope() == Scope.FAILED && settings.askDiscovery()) {
-            act.timer(now + ASK_AGAIN, ASK_TIMER);
+        if (list.scope() == ServerListScope.FAILED && settings.pollsDiscovery()) {
+            act.setTimer(now + ASK_AGAIN, ASK_TIMER);
         }
-        for (Box fresh : fleet.apply(list, Math.max(LIMIT_LEAST, LIMIT_START / status.length))) {
-            fresh.credit = -random.nextDouble() * attemptTime;
-            fresh.creditAt = now;
+        for (ServerState fresh : fleet.apply(list, Math.max(LIMIT_LEAST, LIMIT_START / status.length))) {
+            fresh.warmUpCredit = -random.nextDouble() * attemptTime;
+            fresh.warmUpCreditAt = now;
         }
     }
 
@@ -849,24 +866,24 @@
      * list from its own place; all windows load all alike. Beyond it looks while none in it may be used, but
      * never at cold servers, whose budgets add up over windows. It harms while several of the few are slow.
      */
-    private Box choose(Live taken) {
-        boolean ignoreOut = fleet.ignoresOut(KEEP_IN);
-        Box best = null;
+    private ServerState choose(ActiveRequest taken) {
+        boolean ignoreOut = fleet.ignoresEjections(KEEP_IN);
+        ServerState best = null;
         double least = Double.MAX_VALUE;
         int window = window();
         int place = (int) ((long) settings.self() * ready.size() / status.length);
         int turn = window == 0 ? 0 : random.nextInt(window);
         int looks = 0;
         for (int i = 0; i < ready.size() && looks < SAMPLED && (i < window || looks == 0); i++) {
-            Box box = ready.get((place + (i < window ? (turn + i) % window : i)) % ready.size());
+            ServerState box = ready.get((place + (i < window ? (turn + i) % window : i)) % ready.size());
             if (i >= window && coldShare(box) < 1
-                    || box.open > 0 && box.open + 1 > box.limit
-                    || taken.tried(box)
+                    || box.inFlight > 0 && box.inFlight + 1 > box.concurrencyLimit
+                    || taken.wasSentTo(box)
                     || !maySend(taken, box)) {
                 continue;
             }
-            if (box.out() && !ignoreOut) {
-                if (now < box.outUntil || box.open > 0 || !taken.mayTrial()) {
+            if (box.isEjected() && !ignoreOut) {
+                if (now < box.ejectedUntil || box.inFlight > 0 || !taken.mayTryEjected()) {
                     continue;
                 }
                 return box;
@@ -881,30 +898,30 @@
         return best;
     }
 
-    private double cost(Live taken, Box box) {
-        return Math.max(work(taken) * slowness(box) * (box.open + 1), expected(taken, box))
-                * (1 + ERROR_COST * box.errors)
-                * (box.listed.zone() == settings.zone() ? 1 : OTHER_ZONE)
+    private double cost(ActiveRequest taken, ServerState box) {
+        return Math.max(work(taken) * slowness(box) * (box.inFlight + 1), expected(taken, box))
+                * (1 + ERROR_COST * box.errorRate)
+                * (box.listing.zone() == settings.zone() ? 1 : OTHER_ZONE)
                 * (1 + JITTER * random.nextDouble());
     }
 
     /** Expected time there: observed latency, by what is out there now against what usually was. */
-    private double expected(Live taken, Box box) {
-        double usual = work(taken) * slowness(box) * (box.open + 1) / (box.usualOpen + 1);
-        return box.open == 0 ? usual : Math.max(usual, now - box.quietSince);
+    private double expected(ActiveRequest taken, ServerState box) {
+        double usual = work(taken) * slowness(box) * (box.inFlight + 1) / (box.meanInFlight + 1);
+        return box.inFlight == 0 ? usual : Math.max(usual, now - box.noProgressSince);
     }
 
     /** Latency there against the usual; an old figure fades, so that a server once slow is tried again. */
-    private double slowness(Box box) {
-        return 1 + (box.slowness - 1) * Math.exp(-(now - box.learntAt) / SLOWNESS_MEMORY);
+    private double slowness(ServerState box) {
+        return 1 + (box.latencyRatio - 1) * Math.exp(-(now - box.sampledAt) / SLOWNESS_MEMORY);
     }
 
     /** The least share of its capacity that a started server may count on; 1 when it is warm. */
-    private double coldShare(Box box) {
-        double from = Math.max(COLD_LEAST, settings.rules().coldFrom());
-        double age = (double) Math.max(0, now - box.listed.started())
-                / settings.rules().coldTime();
-        return box.listed.started() > 0 && age < 1 ? from + (1 - from) * age : 1;
+    private double coldShare(ServerState box) {
+        double from = Math.max(COLD_LEAST, settings.rules().coldCapacityShare());
+        double age = (double) Math.max(0, now - box.listing.startedAt())
+                / settings.rules().warmUpTime();
+        return box.listing.startedAt() > 0 && age < 1 ? from + (1 - from) * age : 1;
     }
 
     /**
@@ -913,64 +930,67 @@
      * servers idle while the few warm ones were jammed. After a start the mean is over the time since.
      * Nothing is saved up, and a random start keeps hundreds from sending their first at once.
      */
-    private boolean withinFall(Box box) {
+    private boolean withinFall(ServerState box) {
         double share = coldShare(box);
         if (share == 1) {
             return true;
         }
-        double multiple = FALL_USED * settings.rules().fallMultiple() * share;
+        double multiple = FALL_USED * settings.rules().coldOverloadMultiple() * share;
         double rate = warmRate / (1 - Math.exp(-Math.max(SECOND, now - startedAt) / RATE_MEMORY));
-        box.credit = Math.min(0, box.credit + multiple * rate * (now - box.creditAt) / SECOND);
-        box.creditAt = now;
-        return box.credit >= 0;
+        box.warmUpCredit = Math.min(0, box.warmUpCredit + multiple * rate * (now - box.warmUpCreditAt) / SECOND);
+        box.warmUpCreditAt = now;
+        return box.warmUpCredit >= 0;
     }
 
-    private void noteSent(Box box, double work) {
+    private void noteSent(ServerState box, double work) {
         double fade = Math.exp(-(now - warmRateAt) / RATE_MEMORY);
         warmRateAt = now;
         warmRate *= fade;
         sentRate = sentRate * fade + SECOND / RATE_MEMORY;
         if (coldShare(box) < 1) {
-            box.credit -= work;
+            box.warmUpCredit -= work;
         } else {
             double warm = ready.stream().filter(other -> coldShare(other) == 1).count();
             warmRate += work / (RATE_MEMORY / SECOND) / Math.max(1, window() * warm / ready.size());
         }
     }
 
-    private void judge(Box box, Outcome outcome) {
+    private void judge(ServerState box, AttemptOutcome outcome) {
         // Being turned away says nothing of health where its line may be full of our own; where nothing of
         // ours is out it is of no use to us now, though it answers faster than any and so looks free.
-        if (outcome == Outcome.CANCELLED || outcome == Outcome.MOOT || outcome == Outcome.FULL && box.open > 0) {
+        if (outcome == AttemptOutcome.CANCELLED
+                || outcome == AttemptOutcome.NOT_SENT
+                || outcome == AttemptOutcome.OVERLOADED && box.inFlight > 0) {
             return;
         }
-        boolean good = outcome == Outcome.OK;
-        box.errors += SAMPLE * ((good ? 0 : 1) - box.errors);
-        box.failures = good ? 0 : box.failures + 1;
-        box.goods = good ? box.goods + 1 : 0;
-        if (box.out() && good && box.goods >= GOOD_BACK) {
-            box.outUntil = -1;
-            box.errors = Math.min(box.errors, ERRORS_OUT / 2);
-            box.timesOut = Math.max(0, box.timesOut - 1);
-        } else if (!good && (box.out() || box.failures >= FAILURES_OUT || box.errors > ERRORS_OUT)) {
-            box.outUntil = now + Math.min(OUT_MOST, OUT_FIRST << Math.min(OUT_DOUBLED, box.timesOut));
-            box.timesOut++;
+        boolean good = outcome == AttemptOutcome.OK;
+        box.errorRate += SAMPLE * ((good ? 0 : 1) - box.errorRate);
+        box.consecutiveFailures = good ? 0 : box.consecutiveFailures + 1;
+        box.consecutiveSuccesses = good ? box.consecutiveSuccesses + 1 : 0;
+        if (box.isEjected() && good && box.consecutiveSuccesses >= GOOD_BACK) {
+            box.ejectedUntil = -1;
+            box.errorRate = Math.min(box.errorRate, ERRORS_OUT / 2);
+            box.ejectionCount = Math.max(0, box.ejectionCount - 1);
+        } else if (!good
+                && (box.isEjected() || box.consecutiveFailures >= FAILURES_OUT || box.errorRate > ERRORS_OUT)) {
+            box.ejectedUntil = now + Math.min(OUT_MOST, OUT_FIRST << Math.min(OUT_DOUBLED, box.ejectionCount));
+            box.ejectionCount++;
         }
     }
 
     // ---- Attempts: one guard for every choice, time-outs, what follows an outcome --------------------
     /** The effect rules, drains, attempt limits and the fall budget; no server is chosen without this. */
-    private boolean maySend(Live taken, Box box) {
-        if (taken.over
+    private boolean maySend(ActiveRequest taken, ServerState box) {
+        if (taken.closed
                 || taken.streaming
-                || box.listed.status() != Status.READY
+                || box.listing.status() != ServerStatus.READY
                 || taken.attempts.size() >= settings.limits().maxAttempts()
                 || timeLeft(taken) <= 0
                 || !withinFall(box)) {
             return false;
         }
-        for (Attempt attempt : taken.attempts) {
-            if (!attempt.ended && !settings.limits().secondCopies()) {
+        for (PolicyAttempt attempt : taken.attempts) {
+            if (!attempt.ended && !settings.limits().hedging()) {
                 return false;
             }
             if ((attempt.mayHaveRun || !attempt.ended) && !mayRepeat(taken, attempt, box)) {
@@ -980,126 +1000,133 @@
         return true;
     }
 
-    private boolean mayRepeat(Live taken, Attempt attempt, Box box) {
-        Server before = attempt.box.listed;
+    private boolean mayRepeat(ActiveRequest taken, PolicyAttempt attempt, ServerState box) {
+        ListedServer before = attempt.server.listing;
         boolean sameGroup =
-                switch (taken.kind.group()) {
+                switch (taken.requestClass.deduplicationScope()) {
                     case ALL -> true;
-                    case ZONE -> before.zone() == box.listed.zone();
-                    case CELL -> before.cell() == box.listed.cell() && before.zone() == box.listed.zone();
+                    case ZONE -> before.zone() == box.listing.zone();
+                    case CELL -> before.cell() == box.listing.cell() && before.zone() == box.listing.zone();
                 };
-        return switch (taken.kind.repeat()) {
+        return switch (taken.requestClass.idempotency()) {
             case SAFE -> true;
             case UNSAFE -> false;
-            case KEYED -> sameGroup && now - attempt.sentAt + settings.tick() < taken.kind.window();
+            case KEYED ->
+                sameGroup && now - attempt.sentAt + settings.clockTick() < taken.requestClass.deduplicationWindow();
         };
     }
 
-    private long timeLeft(Live taken) {
-        return taken.request.deadline() - now - 2 * settings.tick();
+    private long timeLeft(ActiveRequest taken) {
+        return taken.request.deadline() - now - 2 * settings.clockTick();
     }
 
     /** To a server that {@link #choose} has just offered, and so one that {@link #maySend} allows. */
-    private void send(Live taken, Box box) {
+    private void send(ActiveRequest taken, ServerState box) {
         long timeout = timeLeft(taken);
-        if (taken.kind.repeat() != Repeat.UNSAFE
+        if (taken.requestClass.idempotency() != Idempotency.UNSAFE
                 && taken.attempts.size() + 1 < settings.limits().maxAttempts()) {
-            double patience =
-                    (1 + TIMEOUT_WEIGHT * timeouts) * Math.max(PATIENCE * work(taken), PATIENCE_AIM * taken.kind.aim());
-            if (now + patience + work(taken) < taken.arrivedAt + taken.kind.aim()) {
+            double patience = (1 + TIMEOUT_WEIGHT * timeouts)
+                    * Math.max(PATIENCE * work(taken), PATIENCE_AIM * taken.requestClass.latencyTarget());
+            if (now + patience + work(taken) < taken.arrivedAt + taken.requestClass.latencyTarget()) {
                 timeout = Math.min(timeout, (long) patience);
             }
         }
-        act.send(taken.request.id(), box.listed.id(), timeout);
-        taken.attempts.add(new Attempt(box, now));
+        act.send(taken.request.id(), box.listing.id(), timeout);
+        taken.attempts.add(new PolicyAttempt(box, now));
         noteSent(box, work(taken));
-        box.usualOpen += SAMPLE * (box.open - box.usualOpen);
-        if (box.open == 0) {
-            box.quietSince = now;
+        box.meanInFlight += SAMPLE * (box.inFlight - box.meanInFlight);
+        if (box.inFlight == 0) {
+            box.noProgressSince = now;
         }
-        box.open++;
+        box.inFlight++;
         changeOpen(taken.account, 1);
     }
 
     private void onAttemptEnded(AttemptEnded ended) {
-        Live taken = live.get(ended.request());
+        ActiveRequest taken = live.get(ended.request());
         if (taken == null || ended.attempt() >= taken.attempts.size()) {
             return;
         }
-        Attempt attempt = taken.attempts.get(ended.attempt());
+        PolicyAttempt attempt = taken.attempts.get(ended.attempt());
         attempt.ended = true;
         attempt.mayHaveRun = !ended.outcome().neverRan();
-        taken.reached |= ended.outcome() != Outcome.CONNECT_FAILED && ended.outcome() != Outcome.MOOT;
-        attempt.box.open -= attempt.light ? 0 : 1;
-        attemptTime += CLASS_SAMPLE * (ended.took() - attemptTime);
+        taken.delivered |=
+                ended.outcome() != AttemptOutcome.CONNECT_FAILED && ended.outcome() != AttemptOutcome.NOT_SENT;
+        attempt.server.inFlight -= attempt.excludedFromLoad ? 0 : 1;
+        attemptTime += CLASS_SAMPLE * (ended.elapsed() - attemptTime);
         refresh(taken.account);
         changeOpen(taken.account, -1);
-        judge(attempt.box, ended.outcome());
-        bound(attempt, ended.outcome(), ended.took() > slow(taken));
-        timeouts += CLASS_SAMPLE * ((ended.outcome() == Outcome.TIMEOUT ? 1 : 0) - timeouts);
-        if (ended.outcome() == Outcome.OK || ended.outcome() == Outcome.ERROR) {
-            attempt.box.quietSince = now;
+        judge(attempt.server, ended.outcome());
+        bound(attempt, ended.outcome(), ended.elapsed() > slow(taken));
+        timeouts += CLASS_SAMPLE * ((ended.outcome() == AttemptOutcome.TIMEOUT ? 1 : 0) - timeouts);
+        if (ended.outcome() == AttemptOutcome.OK || ended.outcome() == AttemptOutcome.ERROR) {
+            attempt.server.noProgressSince = now;
         }
         if (ended.attempt() == 0
-                && (ended.outcome() == Outcome.ERROR
-                        || ended.outcome() == Outcome.OK && ended.took() <= SLOW * taken.kind.aim())) {
+                && (ended.outcome() == AttemptOutcome.ERROR
+                        || ended.outcome() == AttemptOutcome.OK
+                                && ended.elapsed() <= SLOW * taken.requestClass.latencyTarget())) {
             fadeGood();
             good++; // an error in time speaks of the server, not of the load
         }
-        if (ended.outcome() == Outcome.OK && !taken.streaming) {
-            learn(taken, attempt.box, ended.took());
-        } else if (ended.outcome() == Outcome.TIMEOUT) {
-            learnBox(attempt.box, CENSORED * ended.took() / work(taken)); // says nothing of the class
+        if (ended.outcome() == AttemptOutcome.OK && !taken.streaming) {
+            learn(taken, attempt.server, ended.elapsed());
+        } else if (ended.outcome() == AttemptOutcome.TIMEOUT) {
+            learnBox(attempt.server, CENSORED * ended.elapsed() / work(taken)); // says nothing of the class
         }
-        if (ended.units() > 0 && !taken.settled) {
-            taken.settled = true;
+        if (ended.actualUnits() > 0 && !taken.unitsSettled) {
+            taken.unitsSettled = true;
             drain(taken.account);
-            count(taken.account, ended.units() - taken.request.units(), -1);
+            count(taken.account, ended.actualUnits() - taken.request.units(), -1);
         }
-        if (ended.over() || taken.over) {
+        if (ended.requestOver() || taken.closed) {
             close(taken);
         } else if (taken.allEnded()) {
             tryAgain(taken);
         }
     }
 
-    private double slow(Live taken) {
-        double best = taken.times.best * Math.max(1, taken.request.units() / taken.times.units);
-        return Math.min(SLOW * taken.kind.aim(), Math.max(SLOW_LEAST * taken.kind.aim(), SLOW_BEST * best));
+    private double slow(ActiveRequest taken) {
+        double best = taken.classLatency.bestMean * Math.max(1, taken.request.units() / taken.classLatency.meanUnits);
+        return Math.min(
+                SLOW * taken.requestClass.latencyTarget(),
+                Math.max(SLOW_LEAST * taken.requestClass.latencyTarget(), SLOW_BEST * best));
     }
 
     /**
      * The in-flight bound: answers that come late or not at all, from whatever cause, mean too much is out.
      * It should also catch noisy neighbours and lost capacity; it could starve a server slow by nature.
      */
-    private void bound(Attempt attempt, Outcome outcome, boolean slow) {
-        Box box = attempt.box;
-        if (outcome == Outcome.OK && !slow) {
-            if (box.open + 1 > box.limit / 2) {
-                box.limit += LIMIT_UP / box.limit;
+    private void bound(PolicyAttempt attempt, AttemptOutcome outcome, boolean slow) {
+        ServerState box = attempt.server;
+        if (outcome == AttemptOutcome.OK && !slow) {
+            if (box.inFlight + 1 > box.concurrencyLimit / 2) {
+                box.concurrencyLimit += LIMIT_UP / box.concurrencyLimit;
             }
-        } else if (attempt.sentAt >= box.cutAt && outcome != Outcome.CANCELLED && outcome != Outcome.MOOT) {
-            box.cutAt = now;
-            double left = outcome == Outcome.FULL ? LIMIT_FULL : LIMIT_SLOW;
-            box.limit = Math.max(1, box.limit * left);
+        } else if (attempt.sentAt >= box.limitReducedAt
+                && outcome != AttemptOutcome.CANCELLED
+                && outcome != AttemptOutcome.NOT_SENT) {
+            box.limitReducedAt = now;
+            double left = outcome == AttemptOutcome.OVERLOADED ? LIMIT_FULL : LIMIT_SLOW;
+            box.concurrencyLimit = Math.max(1, box.concurrencyLimit * left);
         }
     }
 
-    private void learn(Live taken, Box box, double took) {
+    private void learn(ActiveRequest taken, ServerState box, double took) {
         double work = work(taken);
         learnBox(box, took / work);
-        ClassTimes times = taken.times;
+        ClassLatency times = taken.classLatency;
         double ratio = Math.min(RATIO_CLASS, took / work);
-        times.latency += weight(CLASS_SAMPLE, times.learntAt, CLASS_MEMORY) * (ratio - 1) * times.latency;
-        times.learntAt = now;
-        times.best = Math.min(times.latency, times.best + BEST_FADE * (times.latency - times.best));
+        times.mean += weight(CLASS_SAMPLE, times.sampledAt, CLASS_MEMORY) * (ratio - 1) * times.mean;
+        times.sampledAt = now;
+        times.bestMean = Math.min(times.mean, times.bestMean + BEST_FADE * (times.mean - times.bestMean));
     }
 
-    private void learnBox(Box box, double ratio) {
+    private void learnBox(ServerState box, double ratio) {
         double heard = Math.min(RATIO_BOX, ratio);
-        double weight = weight(SAMPLE, box.learntAt, SLOWNESS_MEMORY);
-        box.slowness = slowness(box) + weight * (heard - slowness(box));
-        box.learntAt = now;
+        double weight = weight(SAMPLE, box.sampledAt, SLOWNESS_MEMORY);
+        box.latencyRatio = slowness(box) + weight * (heard - slowness(box));
+        box.sampledAt = now;
     }
 
     /** A rare answer says more of now than what was learnt long before: after a jam that takes seconds. */
@@ -1107,8 +1134,8 @@
         return STALE_SAMPLE + (usual - STALE_SAMPLE) * Math.exp(-(now - learntAt) / memory);
     }
 
-    private void tryAgain(Live taken) {
-        Box box = retries >= 1 ? choose(taken) : null;
+    private void tryAgain(ActiveRequest taken) {
+        ServerState box = retries >= 1 ? choose(taken) : null;
         if (box != null) {
             send(taken, box);
             retries--;
@@ -1117,15 +1144,15 @@
         }
     }
 
-    private void onStream(StreamStarted started) {
-        Live taken = live.get(started.request());
+    private void onStream(ResponseStreamStarted started) {
+        ActiveRequest taken = live.get(started.request());
         if (taken != null && started.attempt() < taken.attempts.size()) {
-            Attempt attempt = taken.attempts.get(started.attempt());
-            Box box = attempt.box;
-            box.open -= attempt.light ? 0 : 1; // what still comes is no work there
-            attempt.light = true;
-            box.quietSince = now;
-            learn(taken, box, started.took());
+            PolicyAttempt attempt = taken.attempts.get(started.attempt());
+            ServerState box = attempt.server;
+            box.inFlight -= attempt.excludedFromLoad ? 0 : 1; // what still comes is no work there
+            attempt.excludedFromLoad = true;
+            box.noProgressSince = now;
+            learn(taken, box, started.elapsed());
             taken.streaming = true;
         }
     }
--- a/src/main/java/reedmux/core/CallResult.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/CallResult.java
@@ -1,12 +1,12 @@
-package reedmux.core;
+package reedmux.gatekeeper.reducer;
 
-import reedmux.policy.Gateway.Outcome;
+import reedmux.gatekeeper.policy.TrafficPolicy.AttemptOutcome;
 
 /** How an invoker call ended: a value, with how far the call had come. */
 public sealed interface CallResult {
 
     /** How far a call had come when it ended. */
-    enum Stage {
+    enum CallStage {
         CONNECTING,
         WRITING,
         ON_WIRE,
@@ -14,7 +14,7 @@
     }
 
     /** The body of an answer that is still coming in; only the protocol that made it looks inside. */
-    interface Rest {
+    interface RemainingBody {
 
         /** Bytes of the whole body, -1 where that is not told. */
         long length();
@@ -26,41 +26,44 @@
      * come again, both in microseconds, -1 where not told. {@code bodyTook} is how long after its head the
      * last byte came, in microseconds: a peer that writes slowly is not one that has much to do.
      */
-    record Answered(
+    record ResponseReceived(
             int status,
             boolean neverRan,
             String contentType,
             byte[] body,
-            long took,
+            long remoteElapsed,
             long retryAfter,
-            Rest rest,
-            long bodyTook)
+            RemainingBody remainingBody,
+            long bodyElapsed)
             implements CallResult {
 
         /** A whole answer. */
-        public Answered(int status, boolean neverRan, String contentType, byte[] body, long took, long retryAfter) {
+        public ResponseReceived(
+                int status, boolean neverRan, String contentType, byte[] body, long took, long retryAfter) {
             this(status, neverRan, contentType, body, took, retryAfter, null, 0);
         }
 
         /** A provider's answer. */
-        public Answered(int status, boolean neverRan, String contentType, byte[] body) {
+        public ResponseReceived(int status, boolean neverRan, String contentType, byte[] body) {
             this(status, neverRan, contentType, body, -1, -1);
         }
     }
 
     /** No whole answer: the connection broke, was refused or was closed by us. */
-    record Broken(Stage stage, String reason) implements CallResult {}
+    record ConnectionBroken(CallStage stage, String reason) implements CallResult {}
 
     /** The outcome in the module's terms; nothing but a whole answer or an unfinished write proves much. */
-    default Outcome outcome() {
-        if (this instanceof Answered answered) {
+    default AttemptOutcome outcome() {
+        if (this instanceof ResponseReceived answered) {
             return answered.status() == 200
-                    ? Outcome.OK
+                    ? AttemptOutcome.OK
                     : (answered.status() == 503 || answered.status() == 504) && answered.neverRan()
-                            ? Outcome.FULL
-                            : Outcome.ERROR;
+                            ? AttemptOutcome.OVERLOADED
+                            : AttemptOutcome.ERROR;
         }
-        Stage stage = ((Broken) this).stage();
-        return stage == Stage.CONNECTING || stage == Stage.WRITING ? Outcome.CONNECT_FAILED : Outcome.RESET;
+        CallStage stage = ((ConnectionBroken) this).stage();
+        return stage == CallStage.CONNECTING || stage == CallStage.WRITING
+                ? AttemptOutcome.CONNECT_FAILED
+                : AttemptOutcome.RESET;
     }
 }
--- a/src/main/java/reedmux/core/Invocation.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/Invocation.java
@@ -1,8 +1,8 @@
-package reedmux.core;
+package reedmux.gatekeeper.reducer;
 
 import java.util.ArrayList;
 import java.util.List;
-import reedmux.policy.Gateway.Request;
+import reedmux.gatekeeper.policy.TrafficPolicy.IncomingRequest;
 
 /**
  * A consumer's request as the core knows it: what the decisions need, and two things that it only carries,
@@ -11,57 +11,57 @@
 public final class Invocation {
 
     /** A message that goes to a provider as it came; only the protocol that made it looks inside. */
-    public interface Message {
+    public interface RequestMessage {
 
         /** Bytes that it keeps in memory, as far as they differ from one message to the next. */
-        default int size() {
+        default int sizeBytes() {
             return 0;
         }
 
         /** Whether all of it could be sent now, to another provider than before too. */
-        default boolean sendable() {
+        default boolean isSendable() {
             return true;
         }
 
         /** Whether it may still be coming in. */
-        default boolean flows() {
+        default boolean isStreaming() {
             return false;
         }
     }
 
     /** Where the one final answer goes. */
-    public interface Reply {
-        void send(Answer answer);
+    public interface AnswerSink {
+        void send(FinalAnswer answer);
     }
 
-    final Request request;
+    final IncomingRequest request;
     final boolean repeatable;
-    final Message message;
-    final Reply reply;
-    final List<InvokerCall> calls = new ArrayList<>(2);
-    boolean over;
+    final RequestMessage message;
+    final AnswerSink answerSink;
+    final List<UpstreamCall> calls = new ArrayList<>(2);
+    boolean closed;
     /** Whether a decision on it has thrown. */
-    boolean faulty;
+    boolean policyFailed;
 
-    Timer deadline;
+    ReducerTimer deadlineTimer;
     /** When its consumer gives up, and when its body was whole if it came in behind it, else nought. */
     long deadlineAt;
 
-    long wholeAt;
+    long bodyCompletedAt;
     /** When it was taken, in microseconds; whether another region sent it; whether its service is noted. */
-    long takenAt;
+    long acceptedAt;
 
-    boolean visitor;
-    boolean judged;
+    boolean remote;
+    boolean serviceRecorded;
     /** When its pool let it in, in microseconds; -1 where nobody counts it. */
     private long admittedAt = -1;
 
-    public Invocation(Request request, boolean repeatable, Message message, Reply reply) {
+    public Invocation(IncomingRequest request, boolean repeatable, RequestMessage message, AnswerSink reply) {
         this.request = request;
         this.repeatable = repeatable;
         deadlineAt = request.deadline();
         this.message = message;
-        this.reply = reply;
+        this.answerSink = reply;
     }
 
     /** When its pool let it in, in microseconds; -1 where nobody counts it. */
@@ -88,23 +88,23 @@
     }
 
     /** Whether another region sent it. */
-    public boolean visitor() {
-        return visitor;
+    public boolean remote() {
+        return remote;
     }
 
-    public Message message() {
+    public RequestMessage message() {
         return message;
     }
 
-    public Reply reply() {
-        return reply;
+    public AnswerSink answerSink() {
+        return answerSink;
     }
 
-    boolean settled() {
-        return over && callsEnded();
+    boolean isSettled() {
+        return closed && allCallsEnded();
     }
 
-    boolean callsEnded() {
+    boolean allCallsEnded() {
         return calls.stream().allMatch(call -> call.ended);
     }
 
--- a/src/main/java/reedmux/core/InvokerCall.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/UpstreamCall.java
@@ -1,13 +1,13 @@
-package reedmux.core;
+package reedmux.gatekeeper.reducer;
 
 import java.net.InetSocketAddress;
-import reedmux.region.Departure;
+import reedmux.gatekeeper.failover.ForwardedRequest;
 
 /** One attempt of an invocation at a provider. */
-public final class InvokerCall {
+public final class UpstreamCall {
 
     /** Why we stopped waiting for it, if we did. */
-    enum Stop {
+    enum StopReason {
         NONE,
         TIMED_OUT,
         CANCELLED
@@ -19,33 +19,33 @@
     final InetSocketAddress address;
     final long sentAt;
     /** How it goes to another region, or null for a provider's call; and our own advice if that refuses. */
-    final Departure departure;
+    final ForwardedRequest forwardedRequest;
 
-    final long advice;
-    Stop stop = Stop.NONE;
+    final long rejectionRetryAfter;
+    StopReason stopReason = StopReason.NONE;
     boolean ended;
-    Timer overdue;
-    Timer connectOverdue;
+    ReducerTimer timeoutTimer;
+    ReducerTimer connectTimer;
     boolean neverRan;
     /** When its answer began to be passed on, in microseconds; nought before that. */
-    long begunAt;
+    long responseStartedAt;
     /** What the carrier of calls remembers of it; the core never looks at it. */
     private Object transport;
 
-    InvokerCall(Invocation invocation, int number, String provider, InetSocketAddress address, long sentAt) {
+    UpstreamCall(Invocation invocation, int number, String provider, InetSocketAddress address, long sentAt) {
         this(invocation, number, provider, address, sentAt, null, 0);
     }
 
-    InvokerCall(
+    UpstreamCall(
             Invocation invocation,
             int number,
             String provider,
             InetSocketAddress address,
             long sentAt,
-            Departure departure,
+            ForwardedRequest departure,
             long advice) {
-        this.departure = departure;
-        this.advice = advice;
+        this.forwardedRequest = departure;
+        this.rejectionRetryAfter = advice;
         this.invocation = invocation;
         this.number = number;
         this.provider = provider;
@@ -54,10 +54,10 @@
     }
 
     /** It has ended, and needs no time limits any more. */
-    void end() {
+    void markEnded() {
         ended = true;
-        overdue.callOff();
-        connectOverdue.callOff();
+        timeoutTimer.cancel();
+        connectTimer.cancel();
     }
 
     public Invocation invocation() {
@@ -70,8 +70,8 @@
     }
 
     /** How it goes to another region, or null for a provider's call. */
-    public Departure departure() {
-        return departure;
+    public ForwardedRequest forwardedRequest() {
+        return forwardedRequest;
     }
 
     public String provider() {
--- a/src/main/java/reedmux/routing/RouteException.java
+++ b/src/main/java/reedmux/gatekeeper/routing/InvalidRouteException.java
@@ -1,11 +1,11 @@
-package reedmux.routing;
+package reedmux.gatekeeper.routing;
 
 /** Routes that cannot be compiled; the message names the lines, and {@link #line} is the later one. */
-public final class RouteException extends Exception {
+public final class InvalidRouteException extends Exception {
     private static final long serialVersionUID = 1;
     private final int line;
 
-    RouteException(int line, String message) {
+    InvalidRouteException(int line, String message) {
         super(message, null, false, false);
         this.line = line;
     }
--- a/src/main/java/reedmux/routing/RouteTable.java
+++ b/src/main/java/reedmux/gatekeeper/routing/RouteTable.java
@@ -1,4 +1,4 @@
-package reedmux.routing;
+package reedmux.gatekeeper.routing;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,6 +6,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import reedmux.common.http1.HostName;
 
 /**
  * Leads a host and a path to a service. Of hosts an exact one comes before {@code *.} ones, of these the
@@ -22,8 +23,8 @@
     /** The host or the path can be read in two ways, or not at all. */
     public static final int AMBIGUOUS = -2;
 
-    private static final int MULTIPLIER = 0x01000193;
-    private static final int BASIS = 0x811C9DC5;
+    private static final int FNV_PRIME = 0x01000193;
+    private static final int FNV_OFFSET_BASIS = 0x811C9DC5;
     private static final int ANY_HOST = 0;
 
     /** Host patterns, lower case; a wildcard's without its {@code *}, so that it begins with the dot. */
@@ -35,11 +36,11 @@
 
     private final int[] pathHosts;
     private final int[] services;
-    private final boolean anyPath;
-    private final int longestPath;
+    private final boolean hasPathRoutes;
+    private final int maxPathLength;
 
-    private RouteTable(Map<String, Integer> numbers, List<Route> routes) {
-        hosts = new String[slots(numbers.size())];
+    private RouteTable(Map<String, Integer> numbers, List<ServiceRoute> routes) {
+        hosts = new String[tableSize(numbers.size())];
         hostNumbers = new int[hosts.length];
         numbers.forEach((host, number) -> {
             int slot = slot(hash(host, 0, host.length()), hosts.length);
@@ -49,14 +50,14 @@
             hosts[slot] = host;
             hostNumbers[slot] = number;
         });
-        paths = new String[slots(routes.size())];
+        paths = new String[tableSize(routes.size())];
         pathHosts = new int[paths.length];
         services = new int[paths.length];
         int longest = 0;
         boolean any = false;
-        for (Route route : routes) {
-            String path = trimmed(route.path());
-            int number = numbers.get(pattern(route.host()));
+        for (ServiceRoute route : routes) {
+            String path = withoutTrailingSlash(route.path());
+            int number = numbers.get(hostPattern(route.host()));
             int slot = slot(hash(path, number), paths.length);
             while (paths[slot] != null) {
                 slot = slot + 1 & paths.length - 1;
@@ -67,8 +68,8 @@
             longest = Math.max(longest, path.length());
             any |= !path.isEmpty();
         }
-        longestPath = longest;
-        anyPath = any;
+        maxPathLength = longest;
+        hasPathRoutes = any;
     }
 
     /**
@@ -76,18 +77,18 @@
      *
      * @throws RouteException where one is malformed, or two say the same of the same requests
      */
-    public static RouteTable of(List<Route> routes) throws RouteException {
+    public static RouteTable of(List<ServiceRoute> routes) throws InvalidRouteException {
         Map<String, Integer> numbers = new LinkedHashMap<>();
         numbers.put("*", ANY_HOST);
-        Map<String, Route> seen = new HashMap<>();
-        List<Route> all = new ArrayList<>();
-        for (Route route : routes) {
-            check(route);
-            String pattern = pattern(route.host());
+        Map<String, ServiceRoute> seen = new HashMap<>();
+        List<ServiceRoute> all = new ArrayList<>();
+        for (ServiceRoute route : routes) {
+            validate(route);
+            String pattern = hostPattern(route.host());
             numbers.putIfAbsent(pattern, numbers.size());
-            Route before = seen.putIfAbsent(pattern + ' ' + trimmed(route.path()), route);
+            ServiceRoute before = seen.putIfAbsent(pattern + ' ' + withoutTrailingSlash(route.path()), route);
             if (before != null) {
-                throw new RouteException(
+                throw new InvalidRouteException(
                         route.line(),
                         "the route in line " + route.line()
                                 + " can never be reached: line " + before.line() + " says the same of "
@@ -98,31 +99,31 @@
         return new RouteTable(numbers, all);
     }
 
-    private static void check(Route route) throws RouteException {
+    private static void validate(ServiceRoute route) throws InvalidRouteException {
         String host = route.host();
         String name = host.startsWith("*.") ? host.substring(2) : host;
-        if (!host.equals("*") && HostName.end(name) != name.length()) {
-            throw new RouteException(route.line(), "the route's host is no name without a port: " + host);
+        if (!host.equals("*") && HostName.hostEnd(name) != name.length()) {
+            throw new InvalidRouteException(route.line(), "the route's host is no name without a port: " + host);
         } else if (host.startsWith("*.") && name.startsWith("[")) {
-            throw new RouteException(route.line(), "nothing lies below an address: " + host);
+            throw new InvalidRouteException(route.line(), "nothing lies below an address: " + host);
         }
-        String path = trimmed(route.path());
-        if (!route.path().startsWith("/") || !path.isEmpty() && PathForm.end(path) != path.length()) {
-            throw new RouteException(
+        String path = withoutTrailingSlash(route.path());
+        if (!route.path().startsWith("/") || !path.isEmpty() && UnambiguousPath.end(path) != path.length()) {
+            throw new InvalidRouteException(
                     route.line(), "the route's path can be read in two ways, or is none: " + route.path());
         }
     }
 
-    private static String pattern(String host) {
+    private static String hostPattern(String host) {
         String lower = host.toLowerCase(Locale.ROOT);
         return lower.startsWith("*.") ? lower.substring(1) : lower;
     }
 
-    private static String trimmed(String path) {
+    private static String withoutTrailingSlash(String path) {
         return path.endsWith("/") ? path.substring(0, path.length() - 1) : path;
     }
 
-    private static int slots(int entries) {
+    private static int tableSize(int entries) {
         return Math.max(4, Integer.highestOneBit(Math.max(1, entries)) << 2);
     }
 
@@ -140,16 +141,16 @@
     public int find(String authority, String target) {
         int host = ANY_HOST;
         if (authority != null) {
-            int end = HostName.end(authority);
-            if (end == HostName.BAD) {
+            int end = HostName.hostEnd(authority);
+            if (end == HostName.INVALID) {
                 return AMBIGUOUS;
             }
             host = findHost(authority, end);
         }
         int end = 0;
-        if (anyPath) {
-            end = PathForm.end(target);
-            if (end == PathForm.BAD) {
+        if (hasPathRoutes) {
+            end = UnambiguousPath.end(target);
+            if (end == UnambiguousPath.AMBIGUOUS) {
                 return AMBIGUOUS;
             }
         }
@@ -158,20 +159,20 @@
 
     // ---- Hosts -------------------------------------------------------------------------------------
     private int findHost(String text, int end) {
-        int hash = BASIS;
+        int hash = FNV_OFFSET_BASIS;
         int found = ANY_HOST;
         for (int at = end - 1; at >= 0; at--) {
-            char c = HostName.lower(text.charAt(at));
-            hash = (hash ^ c) * MULTIPLIER;
+            char c = HostName.toLowerCase(text.charAt(at));
+            hash = (hash ^ c) * FNV_PRIME;
             if (c == '.' || at == 0) {
-                int number = host(hash, text, at, end);
+                int number = lookUpHost(hash, text, at, end);
                 found = number == NONE ? found : number;
             }
         }
         return found;
     }
 
-    private int host(int hash, String text, int from, int to) {
+    private int lookUpHost(int hash, String text, int from, int to) {
         for (int slot = slot(hash, hosts.length); hosts[slot] != null; slot = slot + 1 & hosts.length - 1) {
             if (sameHost(hosts[slot], text, from, to)) {
                 return hostNumbers[slot];
@@ -185,7 +186,7 @@
             return false;
         }
         for (int i = 0; i < host.length(); i++) {
-            if (host.charAt(i) != HostName.lower(text.charAt(from + i))) {
+            if (host.charAt(i) != HostName.toLowerCase(text.charAt(from + i))) {
                 return false;
             }
         }
@@ -193,29 +194,29 @@
     }
 
     private static int hash(String host, int from, int to) {
-        int hash = BASIS;
+        int hash = FNV_OFFSET_BASIS;
         for (int at = to - 1; at >= from; at--) {
-            hash = (hash ^ host.charAt(at)) * MULTIPLIER;
+            hash = (hash ^ host.charAt(at)) * FNV_PRIME;
         }
         return hash;
     }
 
     // ---- Paths -------------------------------------------------------------------------------------
     private int findPath(int host, String target, int end) {
-        int hash = begin(host);
-        int found = path(hash, host, target, 0);
-        int last = Math.min(end, longestPath);
+        int hash = pathHashSeed(host);
+        int found = lookUpPath(hash, host, target, 0);
+        int last = Math.min(end, maxPathLength);
         for (int at = 0; at < last; at++) {
-            hash = (hash ^ target.charAt(at)) * MULTIPLIER;
+            hash = (hash ^ target.charAt(at)) * FNV_PRIME;
             if (at + 1 == end || target.charAt(at + 1) == '/') {
-                int service = path(hash, host, target, at + 1);
+                int service = lookUpPath(hash, host, target, at + 1);
                 found = service == NONE ? found : service;
             }
         }
         return found;
     }
 
-    private int path(int hash, int host, String target, int length) {
+    private int lookUpPath(int hash, int host, String target, int length) {
         for (int slot = slot(hash, paths.length); paths[slot] != null; slot = slot + 1 & paths.length - 1) {
             if (pathHosts[slot] == host && paths[slot].length() == length && target.startsWith(paths[slot])) {
                 return services[slot];
@@ -224,14 +225,14 @@
         return NONE;
     }
 
-    private static int begin(int host) {
-        return (BASIS ^ host) * MULTIPLIER;
+    private static int pathHashSeed(int host) {
+        return (FNV_OFFSET_BASIS ^ host) * FNV_PRIME;
     }
 
     private static int hash(String path, int host) {
-        int hash = begin(host);
+        int hash = pathHashSeed(host);
         for (int at = 0; at < path.length(); at++) {
-            hash = (hash ^ path.charAt(at)) * MULTIPLIER;
+            hash = (hash ^ path.charAt(at)) * FNV_PRIME;
         }
         return hash;
     }
--- a/src/main/java/reedmux/routing/Route.java
+++ b/src/main/java/reedmux/gatekeeper/routing/ServiceRoute.java
@@ -1,4 +1,4 @@
-package reedmux.routing;
+package reedmux.gatekeeper.routing;
 
 /**
  * One route of the operators.
@@ -8,4 +8,4 @@
  * @param service the number of the service that it leads to
  * @param line    where it is told, for messages
  */
-public record Route(String host, String path, int service, int line) {}
+public record ServiceRoute(String host, String path, int service, int line) {}
--- a/src/main/java/reedmux/routing/PathForm.java
+++ b/src/main/java/reedmux/gatekeeper/routing/UnambiguousPath.java
@@ -1,4 +1,4 @@
-package reedmux.routing;
+package reedmux.gatekeeper.routing;
 
 /**
  * Looks whether a path can be read in one way only. Where routes go by path, one that another reader might
@@ -6,45 +6,45 @@
  * encoded slashes and backslashes, parameters of segments, backslashes, fragments, half escapes, and escapes
  * of what needs none.
  */
-public final class PathForm {
+public final class UnambiguousPath {
     /** The result for a path that might be read in two ways. */
-    public static final int BAD = -1;
+    public static final int AMBIGUOUS = -1;
 
-    private PathForm() {}
+    private UnambiguousPath() {}
 
-    /** Where the path ends in an origin-form target, at its query or its own end, or {@link #BAD}. */
+    /** Where the path ends in an origin-form target, at its query or its own end, or {@link #AMBIGUOUS}. */
     public static int end(String target) {
         if (target.isEmpty() || target.charAt(0) != '/') {
-            return BAD;
+            return AMBIGUOUS;
         }
         int segment = 1;
         int at = 1;
         for (; at < target.length() && target.charAt(at) != '?'; at++) {
             char c = target.charAt(at);
             if (c == '/') {
-                if (at == segment || isDots(target, segment, at)) {
-                    return BAD;
+                if (at == segment || isDotSegment(target, segment, at)) {
+                    return AMBIGUOUS;
                 }
                 segment = at + 1;
             } else if (c == '%') {
-                if (!isPlainEscape(target, at)) {
-                    return BAD;
+                if (!isNecessaryEscape(target, at)) {
+                    return AMBIGUOUS;
                 }
                 at += 2;
             } else if (c <= ' ' || c >= 0x7F || c == '\\' || c == ';' || c == '#') {
-                return BAD;
+                return AMBIGUOUS;
             }
         }
-        return isDots(target, segment, at) ? BAD : at;
+        return isDotSegment(target, segment, at) ? AMBIGUOUS : at;
     }
 
-    private static boolean isDots(String target, int from, int to) {
+    private static boolean isDotSegment(String target, int from, int to) {
         return to - from == 1 && target.charAt(from) == '.'
                 || to - from == 2 && target.charAt(from) == '.' && target.charAt(from + 1) == '.';
     }
 
     /** Whether an escape stands for something that must be escaped and separates nothing. */
-    private static boolean isPlainEscape(String target, int at) {
+    private static boolean isNecessaryEscape(String target, int at) {
         if (at + 2 >= target.length()) {
             return false;
         }
--- a/src/main/java/reedmux/routing/package-info.java
+++ b/src/main/java/reedmux/gatekeeper/routing/package-info.java
@@ -5,4 +5,4 @@
  * thread. What could be read in two ways is no match but an error, and never a guess (RFC 9112, sections 3.2
  * and 11.2). Knows no socket, file, clock or logger.
  */
-package reedmux.routing;
+package reedmux.gatekeeper.routing;
--- a/src/main/java/reedmux/settings/Layout.java
+++ b/src/main/java/reedmux/gatekeeper/script/IndentationTokenSource.java
@@ -1,4 +1,4 @@
-package reedmux.settings;
+package reedmux.gatekeeper.script;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -14,57 +14,57 @@
  * brackets, blank lines and comments count nowhere. Bounds how deep brackets, indents and signs may nest,
  * so that the parser's own recursion stays small.
  */
-final class Layout implements TokenSource {
-    private static final int DEEPEST_BRACKETS = 50;
-    private static final int DEEPEST_INDENTS = 20;
-    private static final int MOST_SIGNS = 50;
+final class IndentationTokenSource implements TokenSource {
+    private static final int MAX_BRACKET_DEPTH = 50;
+    private static final int MAX_INDENT_DEPTH = 20;
+    private static final int MAX_PREFIX_OPERATORS = 50;
 
     private final ScriptLexer lexer;
-    private final Deque<Token> ready = new ArrayDeque<>();
+    private final Deque<Token> pendingTokens = new ArrayDeque<>();
     private final Deque<Integer> indents = new ArrayDeque<>();
-    private int brackets;
-    private int signs;
-    private boolean lineBegins = true;
-    private boolean anyInLine;
+    private int bracketDepth;
+    private int prefixOperators;
+    private boolean atLineStart = true;
+    private boolean lineHasTokens;
 
-    Layout(ScriptLexer lexer) {
+    IndentationTokenSource(ScriptLexer lexer) {
         this.lexer = lexer;
         indents.push(0);
     }
 
     @Override
     public Token nextToken() {
-        while (ready.isEmpty()) {
+        while (pendingTokens.isEmpty()) {
             read(lexer.nextToken());
         }
-        return ready.poll();
+        return pendingTokens.poll();
     }
 
     private void read(Token token) {
         int type = token.getType();
         if (type == Token.EOF) {
-            if (anyInLine && brackets == 0) {
-                ready.add(made(token, ScriptParser.NEWLINE, "the end"));
+            if (lineHasTokens && bracketDepth == 0) {
+                pendingTokens.add(synthesize(token, ScriptParser.NEWLINE, "the end"));
             }
             for (; indents.peek() > 0; indents.pop()) {
-                ready.add(made(token, ScriptParser.DEDENT, "the end"));
+                pendingTokens.add(synthesize(token, ScriptParser.DEDENT, "the end"));
             }
-            ready.add(token);
+            pendingTokens.add(token);
             return;
         }
         if (type == ScriptParser.NEWLINE) {
-            if (brackets == 0) {
-                if (anyInLine) {
-                    ready.add(token);
+            if (bracketDepth == 0) {
+                if (lineHasTokens) {
+                    pendingTokens.add(token);
                 }
-                lineBegins = true;
-                anyInLine = false;
+                atLineStart = true;
+                lineHasTokens = false;
             }
             return;
         }
         if (type == ScriptParser.STRAY) {
-            throw new Fault(
-                    Fault.at(token),
+            throw new ScriptFaultException(
+                    ScriptFaultException.positionOf(token),
                     token.getText().equals("\t")
                             ? "a tab: indents and gaps are made of spaces"
                             : token.getText().matches("[\"']")
@@ -72,58 +72,65 @@
                                     : "a character that has no place here: '" + token.getText() + "'");
         }
         if (type == ScriptParser.UNSUPPORTED) {
-            throw new Fault(Fault.at(token), "'" + token.getText() + "' is not part of the settings script");
+            throw new ScriptFaultException(
+                    ScriptFaultException.positionOf(token),
+                    "'" + token.getText() + "' is not part of the settings script");
         }
-        if (lineBegins) {
-            lineBegins = false;
-            signs = 0;
-            indent(token);
+        if (atLineStart) {
+            atLineStart = false;
+            prefixOperators = 0;
+            emitIndentation(token);
         }
-        anyInLine = true;
-        count(token);
-        ready.add(token);
+        lineHasTokens = true;
+        trackNesting(token);
+        pendingTokens.add(token);
     }
 
-    private void indent(Token token) {
+    private void emitIndentation(Token token) {
         int column = token.getCharPositionInLine();
         if (column > indents.peek()) {
-            if (indents.size() > DEEPEST_INDENTS) {
-                throw new Fault(Fault.at(token), "indented more than " + DEEPEST_INDENTS + " times");
+            if (indents.size() > MAX_INDENT_DEPTH) {
+                throw new ScriptFaultException(
+                        ScriptFaultException.positionOf(token), "indented more than " + MAX_INDENT_DEPTH + " times");
             }
             indents.push(column);
-            ready.add(made(token, ScriptParser.INDENT, "an indent"));
+            pendingTokens.add(synthesize(token, ScriptParser.INDENT, "an indent"));
         }
         while (column < indents.peek()) {
             indents.pop();
-            ready.add(made(token, ScriptParser.DEDENT, "the end of an indent"));
+            pendingTokens.add(synthesize(token, ScriptParser.DEDENT, "the end of an indent"));
         }
         if (column != indents.peek()) {
-            throw new Fault(Fault.at(token), "the indent fits no line above");
+            throw new ScriptFaultException(ScriptFaultException.positionOf(token), "the indent fits no line above");
         }
     }
 
-    private void count(Token token) {
+    private void trackNesting(Token token) {
         switch (token.getText()) {
             case "(", "[", "{" -> {
-                if (++brackets > DEEPEST_BRACKETS) {
-                    throw new Fault(Fault.at(token), "more than " + DEEPEST_BRACKETS + " brackets within each other");
+                if (++bracketDepth > MAX_BRACKET_DEPTH) {
+                    throw new ScriptFaultException(
+                            ScriptFaultException.positionOf(token),
+                            "more than " + MAX_BRACKET_DEPTH + " brackets within each other");
                 }
             }
-            case ")", "]", "}" -> brackets = Math.max(0, brackets - 1);
+            case ")", "]", "}" -> bracketDepth = Math.max(0, bracketDepth - 1);
             default -> {}
         }
         // Only what the parser descends for without a bracket: signs, 'not' and the rest of a choice.
-        signs = switch (token.getText()) {
-            case "-", "+", "not", "else" -> signs + 1;
+        prefixOperators = switch (token.getText()) {
+            case "-", "+", "not", "else" -> prefixOperators + 1;
             case "=", ":", "," -> 0;
-            default -> signs;
+            default -> prefixOperators;
         };
-        if (signs > MOST_SIGNS) {
-            throw new Fault(Fault.at(token), "more than " + MOST_SIGNS + " operators in one expression");
+        if (prefixOperators > MAX_PREFIX_OPERATORS) {
+            throw new ScriptFaultException(
+                    ScriptFaultException.positionOf(token),
+                    "more than " + MAX_PREFIX_OPERATORS + " operators in one expression");
         }
     }
 
-    private static Token made(Token at, int type, String text) {
+    private static Token synthesize(Token at, int type, String text) {
         CommonToken token = new CommonToken(at);
         token.setType(type);
         token.setText(text);
--- a/src/main/java/reedmux/settings/Operations.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptOperations.java
@@ -1,4 +1,4 @@
-package reedmux.settings;
+package reedmux.gatekeeper.script;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -8,65 +8,66 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 import org.antlr.v4.runtime.Token;
-import reedmux.settings.ScriptException.Place;
+import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
 
 /** Operators, elements, and the functions that a script finds there. All that grows is metered. */
-final class Operations {
+public final class ScriptOperations {
 
     /** A function that every script knows, by the number of values it takes. */
-    record Builtin(String name, int least, int most) implements Values.Function {}
-
-    static final List<Builtin> BUILTINS = List.of(
-            new Builtin("len", 1, 1),
-            new Builtin("range", 1, 3),
-            new Builtin("str", 1, 1),
-            new Builtin("int", 1, 1),
-            new Builtin("float", 1, 1),
-            new Builtin("bool", 1, 1),
-            new Builtin("list", 0, 1),
-            new Builtin("min", 1, 99),
-            new Builtin("max", 1, 99),
-            new Builtin("abs", 1, 1),
-            new Builtin("sorted", 1, 1),
-            new Builtin("reversed", 1, 1),
-            new Builtin("enumerate", 1, 1),
-            new Builtin("zip", 1, 9),
-            new Builtin("any", 1, 1),
-            new Builtin("all", 1, 1),
-            new Builtin("type", 1, 1),
-            new Builtin("fail", 1, 9));
-
-    private static final List<String> OF_STRINGS =
+    public record BuiltinFunction(String name, int minArguments, int maxArguments)
+            implements ScriptValues.ScriptCallable {}
+
+    static final List<BuiltinFunction> BUILTINS = List.of(
+            new BuiltinFunction("len", 1, 1),
+            new BuiltinFunction("range", 1, 3),
+            new BuiltinFunction("str", 1, 1),
+            new BuiltinFunction("int", 1, 1),
+            new BuiltinFunction("float", 1, 1),
+            new BuiltinFunction("bool", 1, 1),
+            new BuiltinFunction("list", 0, 1),
+            new BuiltinFunction("min", 1, 99),
+            new BuiltinFunction("max", 1, 99),
+            new BuiltinFunction("abs", 1, 1),
+            new BuiltinFunction("sorted", 1, 1),
+            new BuiltinFunction("reversed", 1, 1),
+            new BuiltinFunction("enumerate", 1, 1),
+            new BuiltinFunction("zip", 1, 9),
+            new BuiltinFunction("any", 1, 1),
+            new BuiltinFunction("all", 1, 1),
+            new BuiltinFunction("type", 1, 1),
+            new BuiltinFunction("fail", 1, 9));
+
+    private static final List<String> STRING_METHODS =
             List.of("upper", "lower", "strip", "split", "join", "format", "replace", "startswith", "endswith");
-    private static final List<String> OF_LISTS = List.of("append", "extend", "index");
-    private static final List<String> OF_DICTS = List.of("get", "keys", "values", "items", "update");
+    private static final List<String> LIST_METHODS = List.of("append", "extend", "index");
+    private static final List<String> DICT_METHODS = List.of("get", "keys", "values", "items", "update");
 
-    private final Meter meter;
+    private final ScriptMeter meter;
 
-    Operations(Meter meter) {
+    ScriptOperations(ScriptMeter meter) {
         this.meter = meter;
     }
 
     // ---- Literals ----------------------------------------------------------------------------------
-    static Long whole(Place place, String text) {
+    static Long parseInteger(ScriptPosition place, String text) {
         try {
             return text.startsWith("0x")
                     ? Long.parseLong(text.substring(2), 16)
                     : Long.parseLong(text.replace("_", ""));
         } catch (NumberFormatException e) {
-            throw new Fault(place, "not a whole number of 64 bits: " + text);
+            throw new ScriptFaultException(place, "not a whole number of 64 bits: " + text);
         }
     }
 
-    static Double decimal(Place place, String text) {
+    static Double parseDecimal(ScriptPosition place, String text) {
         double value = Double.parseDouble(text);
         if (Double.isInfinite(value)) {
-            throw new Fault(place, "the number is too large: " + text);
+            throw new ScriptFaultException(place, "the number is too large: " + text);
         }
         return value;
     }
 
-    static String unquoted(Token token) {
+    static String unquote(Token token) {
         String text = token.getText();
         int quotes = text.startsWith("\"\"\"") ? 3 : 1;
         StringBuilder out = new StringBuilder();
@@ -81,55 +82,59 @@
                 case 'n' -> out.append('\n');
                 case 't' -> out.append('\t');
                 case '\\', '"', '\'' -> out.append(escaped);
-                default -> throw new Fault(Fault.at(token), "unknown escape '\\" + escaped + "' in a string");
+                default ->
+                    throw new ScriptFaultException(
+                            ScriptFaultException.positionOf(token), "unknown escape '\\" + escaped + "' in a string");
             }
         }
         return out.toString();
     }
 
     // ---- Operators ---------------------------------------------------------------------------------
-    Object sign(Place place, String op, Object value) {
-        if (!Values.isNumber(value)) {
-            throw new Fault(place, "'" + op + "' of a " + Values.type(value));
+    Object sign(ScriptPosition place, String op, Object value) {
+        if (!ScriptValues.isNumber(value)) {
+            throw new ScriptFaultException(place, "'" + op + "' of a " + ScriptValues.typeName(value));
         }
         return op.equals("+") ? value : binary(place, "-", 0L, value);
     }
 
-    Object binary(Place place, String op, Object one, Object other) {
-        if (Values.isNumber(one) && Values.isNumber(other)) {
+    Object binary(ScriptPosition place, String op, Object one, Object other) {
+        if (ScriptValues.isNumber(one) && ScriptValues.isNumber(other)) {
             return number(place, op, (Number) one, (Number) other);
         } else if (op.equals("+") && one instanceof String a && other instanceof String b) {
-            meter.characters(place, (long) a.length() + b.length());
+            meter.countCharacters(place, (long) a.length() + b.length());
             return a + b;
         } else if (op.equals("+") && one instanceof List<?> a && other instanceof List<?> b) {
-            meter.elements(place, (long) a.size() + b.size());
+            meter.countElements(place, (long) a.size() + b.size());
             List<Object> both = new ArrayList<>(a);
             both.addAll(b);
             return both;
         } else if (op.equals("*") && one instanceof List<?> a && other instanceof Long times) {
             List<Object> all = new ArrayList<>();
             for (long i = 0; i < times; i++) {
-                meter.elements(place, a.size() + 1L);
+                meter.countElements(place, a.size() + 1L);
                 all.addAll(a);
             }
             return all;
         } else if (op.equals("*") && one instanceof String a && other instanceof Long times) {
             StringBuilder all = new StringBuilder();
             for (long i = 0; i < times; i++) {
-                meter.characters(place, a.length() + 1L);
+                meter.countCharacters(place, a.length() + 1L);
                 all.append(a);
             }
             return all.toString();
         } else if (op.equals("%") && one instanceof String a) {
-            return percent(place, a, other instanceof List<?> values ? values : List.of(other));
+            return formatPercent(place, a, other instanceof List<?> values ? values : List.of(other));
         }
-        throw new Fault(place, "'" + op + "' between a " + Values.type(one) + " and a " + Values.type(other));
+        throw new ScriptFaultException(
+                place,
+                "'" + op + "' between a " + ScriptValues.typeName(one) + " and a " + ScriptValues.typeName(other));
     }
 
-    private static Object number(Place place, String op, Number one, Number other) {
+    private static Object number(ScriptPosition place, String op, Number one, Number other) {
         boolean whole = one instanceof Long && other instanceof Long;
         if (!op.equals("+") && !op.equals("-") && !op.equals("*") && other.doubleValue() == 0) {
-            throw new Fault(place, "division by nought");
+            throw new ScriptFaultException(place, "division by nought");
         }
         try {
             Object result =
@@ -159,15 +164,15 @@
                                                     * Math.floor(one.doubleValue() / other.doubleValue()));
                     };
             if (result instanceof Double value && !Double.isFinite(value)) {
-                throw new Fault(place, "the result of '" + op + "' is no number");
+                throw new ScriptFaultException(place, "the result of '" + op + "' is no number");
             }
             return result;
         } catch (ArithmeticException e) {
-            throw new Fault(place, "the result of '" + op + "' does not fit 64 bits");
+            throw new ScriptFaultException(place, "the result of '" + op + "' does not fit 64 bits");
         }
     }
 
-    private String percent(Place place, String pattern, List<?> values) {
+    private String formatPercent(ScriptPosition place, String pattern, List<?> values) {
         StringBuilder out = new StringBuilder();
         int next = 0;
         for (int i = 0; i < pattern.length(); i++) {
@@ -180,24 +185,24 @@
             if (kind == '%') {
                 out.append('%');
             } else if ((kind == 's' || kind == 'd') && next < values.size()) {
-                out.append(Values.text(meter, place, values.get(next++)));
+                out.append(ScriptValues.toText(meter, place, values.get(next++)));
             } else {
-                throw new Fault(
+                throw new ScriptFaultException(
                         place,
                         kind == 's' || kind == 'd' ? "too few values for the text" : "only %s, %d and %% are known");
             }
         }
         if (next < values.size()) {
-            throw new Fault(place, "too many values for the text");
+            throw new ScriptFaultException(place, "too many values for the text");
         }
-        meter.characters(place, out.length());
+        meter.countCharacters(place, out.length());
         return out.toString();
     }
 
-    boolean compare(Place place, String op, Object one, Object other) {
+    boolean compare(ScriptPosition place, String op, Object one, Object other) {
         return switch (op) {
-            case "==" -> Values.same(meter, place, one, other);
-            case "!=" -> !Values.same(meter, place, one, other);
+            case "==" -> ScriptValues.areEqual(meter, place, one, other);
+            case "!=" -> !ScriptValues.areEqual(meter, place, one, other);
             case "in" -> contains(place, other, one);
             case "<" -> order(place, one, other) < 0;
             case ">" -> order(place, one, other) > 0;
@@ -206,50 +211,51 @@
         };
     }
 
-    private boolean contains(Place place, Object in, Object value) {
+    private boolean contains(ScriptPosition place, Object in, Object value) {
         if (in instanceof String all && value instanceof String part) {
             return all.contains(part);
         } else if (in instanceof Map<?, ?> map) {
             return map.containsKey(value);
         } else if (in instanceof List<?> list) {
-            return list.stream().anyMatch(element -> Values.same(meter, place, element, value));
+            return list.stream().anyMatch(element -> ScriptValues.areEqual(meter, place, element, value));
         }
-        throw new Fault(place, "'in' of a " + Values.type(in));
+        throw new ScriptFaultException(place, "'in' of a " + ScriptValues.typeName(in));
     }
 
-    private int order(Place place, Object one, Object other) {
-        meter.step(place);
+    private int order(ScriptPosition place, Object one, Object other) {
+        meter.countStep(place);
         if (one instanceof Long a && other instanceof Long b) {
             return a.compareTo(b);
-        } else if (Values.isNumber(one) && Values.isNumber(other)) {
+        } else if (ScriptValues.isNumber(one) && ScriptValues.isNumber(other)) {
             return Double.compare(((Number) one).doubleValue(), ((Number) other).doubleValue());
         } else if (one instanceof String a && other instanceof String b) {
             return a.compareTo(b);
         }
-        throw new Fault(place, "a " + Values.type(one) + " and a " + Values.type(other) + " have no order");
+        throw new ScriptFaultException(
+                place, "a " + ScriptValues.typeName(one) + " and a " + ScriptValues.typeName(other) + " have no order");
     }
 
     // ---- Elements ----------------------------------------------------------------------------------
     /** The elements of a list or the keys of a dict, as they are now. */
-    List<Object> each(Place place, Object value) {
+    List<Object> elements(ScriptPosition place, Object value) {
         if (value instanceof List<?> list) {
-            meter.elements(place, list.size());
+            meter.countElements(place, list.size());
             return new ArrayList<>(list);
         } else if (value instanceof Map<?, ?> map) {
-            meter.elements(place, map.size());
+            meter.countElements(place, map.size());
             return new ArrayList<>(map.keySet());
         }
-        throw new Fault(place, "a " + Values.type(value) + " has no elements to go through");
+        throw new ScriptFaultException(place, "a " + ScriptValues.typeName(value) + " has no elements to go through");
     }
 
-    Object element(Place place, Object of, Object at) {
+    Object element(ScriptPosition place, Object of, Object at) {
         if (of instanceof Map<?, ?> map) {
             Object found = map.get(at);
             if (found == null) {
-                throw new Fault(
+                throw new ScriptFaultException(
                         place,
-                        "the dict has no key " + Values.text(meter, place, List.of(at))
-                                + Names.hint(
+                        "the dict has no key " + ScriptValues.toText(meter, place, List.of(at))
+                                + NameSuggestions.suggest(
                                         String.valueOf(at),
                                         map.keySet().stream()
                                                 .map(String::valueOf)
@@ -262,25 +268,26 @@
             int i = index(place, index, text.length());
             return text.substring(i, i + 1);
         }
-        throw new Fault(place, "a " + Values.type(of) + " has no element by a " + Values.type(at));
+        throw new ScriptFaultException(
+                place, "a " + ScriptValues.typeName(of) + " has no element by a " + ScriptValues.typeName(at));
     }
 
-    private static int index(Place place, long told, int size) {
+    private static int index(ScriptPosition place, long told, int size) {
         long index = told < 0 ? told + size : told;
         if (index < 0 || index >= size) {
-            throw new Fault(place, "the index " + told + " lies outside of " + size + " elements");
+            throw new ScriptFaultException(place, "the index " + told + " lies outside of " + size + " elements");
         }
         return (int) index;
     }
 
-    Object slice(Place place, Object of, Object low, Object high) {
+    Object slice(ScriptPosition place, Object of, Object low, Object high) {
         int size = of instanceof List<?> list ? list.size() : of instanceof String text ? text.length() : -1;
         if (size < 0 || low != null && !(low instanceof Long) || high != null && !(high instanceof Long)) {
-            throw new Fault(place, "a part is taken of a list or string, between whole numbers");
+            throw new ScriptFaultException(place, "a part is taken of a list or string, between whole numbers");
         }
         int from = bound(low, 0, size);
         int to = Math.max(from, bound(high, size, size));
-        meter.elements(place, to - from);
+        meter.countElements(place, to - from);
         return of instanceof String text ? text.substring(from, to) : new ArrayList<>(((List<?>) of).subList(from, to));
     }
 
@@ -290,69 +297,70 @@
     }
 
     @SuppressWarnings("unchecked")
-    void put(Place place, Object into, Object at, Object value) {
+    void setElement(ScriptPosition place, Object into, Object at, Object value) {
         if (into instanceof Map<?, ?> map) {
             if (!(at instanceof String || at instanceof Long || at instanceof Boolean)) {
-                throw new Fault(place, "a " + Values.type(at) + " cannot be the key of a dict");
+                throw new ScriptFaultException(
+                        place, "a " + ScriptValues.typeName(at) + " cannot be the key of a dict");
             }
-            meter.elements(place, 2);
+            meter.countElements(place, 2);
             ((Map<Object, Object>) map).put(at, value);
         } else if (into instanceof List<?> list && at instanceof Long index) {
             ((List<Object>) list).set(index(place, index, list.size()), value);
         } else {
-            throw new Fault(place, "nothing can be put into a " + Values.type(into));
+            throw new ScriptFaultException(place, "nothing can be put into a " + ScriptValues.typeName(into));
         }
     }
 
     // ---- Functions of values -----------------------------------------------------------------------
     static List<String> methods(Object value) {
         return value instanceof String
-                ? OF_STRINGS
-                : value instanceof List ? OF_LISTS : value instanceof Map ? OF_DICTS : List.of();
+                ? STRING_METHODS
+                : value instanceof List ? LIST_METHODS : value instanceof Map ? DICT_METHODS : List.of();
     }
 
     @SuppressWarnings("unchecked")
-    Object method(Place place, Object of, String name, List<Object> values) {
+    Object callMethod(ScriptPosition place, Object of, String name, List<Object> values) {
         if (of instanceof String text) {
-            return ofString(place, text, name, values);
+            return callStringMethod(place, text, name, values);
         } else if (of instanceof List<?> list) {
-            take(place, name, values, 1, 1);
+            checkArgumentCount(place, name, values, 1, 1);
             Object value = values.get(0);
             switch (name) {
                 case "append" -> {
-                    meter.elements(place, 1);
+                    meter.countElements(place, 1);
                     ((List<Object>) list).add(value);
                 }
-                case "extend" -> ((List<Object>) list).addAll(each(place, value));
+                case "extend" -> ((List<Object>) list).addAll(elements(place, value));
                 default -> {
                     for (int i = 0; i < list.size(); i++) {
-                        if (Values.same(meter, place, list.get(i), value)) {
+                        if (ScriptValues.areEqual(meter, place, list.get(i), value)) {
                             return (long) i;
                         }
                     }
-                    throw new Fault(place, "the list has no such element");
+                    throw new ScriptFaultException(place, "the list has no such element");
                 }
             }
-            return Values.NONE;
+            return ScriptValues.NONE;
         }
         Map<Object, Object> map = (Map<Object, Object>) of;
-        meter.elements(place, map.size());
+        meter.countElements(place, map.size());
         switch (name) {
             case "get" -> {
-                take(place, name, values, 1, 2);
+                checkArgumentCount(place, name, values, 1, 2);
                 Object found = map.get(values.get(0));
-                return found != null ? found : values.size() > 1 ? values.get(1) : Values.NONE;
+                return found != null ? found : values.size() > 1 ? values.get(1) : ScriptValues.NONE;
             }
             case "update" -> {
-                take(place, name, values, 1, 1);
+                checkArgumentCount(place, name, values, 1, 1);
                 if (!(values.get(0) instanceof Map<?, ?> more)) {
-                    throw new Fault(place, "update takes a dict");
+                    throw new ScriptFaultException(place, "update takes a dict");
                 }
-                new ArrayList<>(more.entrySet()).forEach(e -> put(place, map, e.getKey(), e.getValue()));
-                return Values.NONE;
+                new ArrayList<>(more.entrySet()).forEach(e -> setElement(place, map, e.getKey(), e.getValue()));
+                return ScriptValues.NONE;
             }
             default -> {
-                take(place, name, values, 0, 0);
+                checkArgumentCount(place, name, values, 0, 0);
                 return name.equals("keys")
                         ? new ArrayList<>(map.keySet())
                         : name.equals("values")
@@ -364,43 +372,43 @@
         }
     }
 
-    private Object ofString(Place place, String text, String name, List<Object> values) {
-        meter.characters(place, text.length());
+    private Object callStringMethod(ScriptPosition place, String text, String name, List<Object> values) {
+        meter.countCharacters(place, text.length());
         switch (name) {
             case "upper", "lower", "strip" -> {
-                take(place, name, values, 0, 0);
+                checkArgumentCount(place, name, values, 0, 0);
                 return name.equals("upper")
                         ? text.toUpperCase(Locale.ROOT)
                         : name.equals("lower") ? text.toLowerCase(Locale.ROOT) : text.strip();
             }
             case "split", "startswith", "endswith" -> {
-                take(place, name, values, 1, 1);
+                checkArgumentCount(place, name, values, 1, 1);
                 String part = string(place, values.get(0));
                 if (!name.equals("split")) {
                     return name.equals("startswith") ? text.startsWith(part) : text.endsWith(part);
                 } else if (part.isEmpty()) {
-                    throw new Fault(place, "split needs a separator");
+                    throw new ScriptFaultException(place, "split needs a separator");
                 }
-                meter.elements(place, text.length());
+                meter.countElements(place, text.length());
                 return new ArrayList<Object>(Arrays.asList(text.split(java.util.regex.Pattern.quote(part), -1)));
             }
             case "join" -> {
-                take(place, name, values, 1, 1);
-                List<Object> parts = each(place, values.get(0));
+                checkArgumentCount(place, name, values, 1, 1);
+                List<Object> parts = elements(place, values.get(0));
                 for (Object part : parts) {
-                    meter.characters(
+                    meter.countCharacters(
                             place, (long) text.length() + string(place, part).length());
                 }
                 return parts.stream().map(String.class::cast).collect(Collectors.joining(text));
             }
             case "replace" -> {
-                take(place, name, values, 2, 2);
+                checkArgumentCount(place, name, values, 2, 2);
                 String part = string(place, values.get(0));
                 String by = string(place, values.get(1));
                 if (part.isEmpty()) {
-                    throw new Fault(place, "replace needs something to replace");
+                    throw new ScriptFaultException(place, "replace needs something to replace");
                 }
-                meter.characters(place, (long) (text.length() / part.length() + 1) * by.length());
+                meter.countCharacters(place, (long) (text.length() / part.length() + 1) * by.length());
                 return text.replace(part, by);
             }
             default -> {
@@ -409,30 +417,31 @@
                 for (int i = 0; i < text.length(); i++) {
                     if (text.startsWith("{}", i)) {
                         if (next >= values.size()) {
-                            throw new Fault(place, "too few values for the text");
+                            throw new ScriptFaultException(place, "too few values for the text");
                         }
-                        out.append(Values.text(meter, place, values.get(next++)));
+                        out.append(ScriptValues.toText(meter, place, values.get(next++)));
                         i++;
                     } else {
                         out.append(text.charAt(i));
                     }
                 }
-                meter.characters(place, out.length());
+                meter.countCharacters(place, out.length());
                 return out.toString();
             }
         }
     }
 
-    private static String string(Place place, Object value) {
+    private static String string(ScriptPosition place, Object value) {
         if (value instanceof String text) {
             return text;
         }
-        throw new Fault(place, "a string is needed, not a " + Values.type(value));
+        throw new ScriptFaultException(place, "a string is needed, not a " + ScriptValues.typeName(value));
     }
 
-    private static void take(Place place, String function, List<Object> values, int least, int most) {
+    private static void checkArgumentCount(
+            ScriptPosition place, String function, List<Object> values, int least, int most) {
         if (values.size() < least || values.size() > most) {
-            throw new Fault(
+            throw new ScriptFaultException(
                     place,
                     function + " takes " + (least == most ? "" + least : least + " to " + most) + " values, not "
                             + values.size());
@@ -440,29 +449,29 @@
     }
 
     // ---- Functions of all scripts ------------------------------------------------------------------
-    Object builtin(Place place, Builtin builtin, List<Object> values) {
-        take(place, builtin.name(), values, builtin.least(), builtin.most());
-        Object first = values.isEmpty() ? Values.NONE : values.get(0);
+    Object callBuiltin(ScriptPosition place, BuiltinFunction builtin, List<Object> values) {
+        checkArgumentCount(place, builtin.name(), values, builtin.minArguments(), builtin.maxArguments());
+        Object first = values.isEmpty() ? ScriptValues.NONE : values.get(0);
         switch (builtin.name()) {
             case "len" -> {
                 return first instanceof String text
                         ? (long) text.length()
                         : first instanceof Map<?, ?> map
                                 ? (long) map.size()
-                                : (long) each(place, first).size();
+                                : (long) elements(place, first).size();
             }
             case "range" -> {
                 return range(place, values);
             }
             case "str" -> {
-                return Values.text(meter, place, first);
+                return ScriptValues.toText(meter, place, first);
             }
             case "type" -> {
-                return Values.type(first);
+                return ScriptValues.typeName(first);
             }
             case "int" -> {
                 return first instanceof String text
-                        ? whole(place, text.strip())
+                        ? parseInteger(place, text.strip())
                         : first instanceof Boolean flag
                                 ? (Long) (flag ? 1L : 0L)
                                 : (Long) (long) number(place, first).doubleValue();
@@ -470,96 +479,97 @@
             case "float" -> {
                 try {
                     return first instanceof String text
-                            ? decimal(place, text)
+                            ? parseDecimal(place, text)
                             : (Double) number(place, first).doubleValue();
                 } catch (NumberFormatException e) {
-                    throw new Fault(place, "not a number: " + first);
+                    throw new ScriptFaultException(place, "not a number: " + first);
                 }
             }
             case "bool" -> {
-                return Values.truth(first);
+                return ScriptValues.isTruthy(first);
             }
             case "list" -> {
-                return values.isEmpty() ? new ArrayList<>() : each(place, first);
+                return values.isEmpty() ? new ArrayList<>() : elements(place, first);
             }
             case "abs" -> {
                 return number(place, first).doubleValue() < 0 ? sign(place, "-", first) : first;
             }
             case "min", "max" -> {
-                List<Object> all = values.size() > 1 ? values : each(place, first);
+                List<Object> all = values.size() > 1 ? values : elements(place, first);
                 return all.stream()
                         .min((a, b) -> builtin.name().equals("min") ? order(place, a, b) : order(place, b, a))
-                        .orElseThrow(() -> new Fault(place, builtin.name() + " of nothing"));
+                        .orElseThrow(() -> new ScriptFaultException(place, builtin.name() + " of nothing"));
             }
             case "sorted" -> {
-                List<Object> all = each(place, first);
+                List<Object> all = elements(place, first);
                 all.sort((Comparator<Object>) (a, b) -> order(place, a, b));
                 return all;
             }
             case "reversed" -> {
-                List<Object> all = each(place, first);
+                List<Object> all = elements(place, first);
                 java.util.Collections.reverse(all);
                 return all;
             }
             case "enumerate", "zip" -> {
-                return together(
+                return zip(
                         place,
                         builtin.name().equals("zip")
                                 ? values
                                 : List.of(
                                         range(place, List.of((long)
-                                                each(place, first).size())),
+                                                elements(place, first).size())),
                                         first));
             }
             case "any" -> {
-                return each(place, first).stream().anyMatch(Values::truth);
+                return elements(place, first).stream().anyMatch(ScriptValues::isTruthy);
             }
             case "all" -> {
-                return each(place, first).stream().allMatch(Values::truth);
+                return elements(place, first).stream().allMatch(ScriptValues::isTruthy);
             }
             default ->
-                throw new Fault(
+                throw new ScriptFaultException(
                         place,
                         values.stream()
-                                .map(value -> Values.text(meter, place, value))
+                                .map(value -> ScriptValues.toText(meter, place, value))
                                 .collect(Collectors.joining(" ")));
         }
     }
 
-    private static Number number(Place place, Object value) {
+    private static Number number(ScriptPosition place, Object value) {
         if (value instanceof Number number) {
             return number;
         }
-        throw new Fault(place, "a number is needed, not a " + Values.type(value));
+        throw new ScriptFaultException(place, "a number is needed, not a " + ScriptValues.typeName(value));
     }
 
-    private List<Object> range(Place place, List<?> values) {
+    private List<Object> range(ScriptPosition place, List<?> values) {
         for (Object value : values) {
             if (!(value instanceof Long)) {
-                throw new Fault(place, "range takes whole numbers, not a " + Values.type(value));
+                throw new ScriptFaultException(
+                        place, "range takes whole numbers, not a " + ScriptValues.typeName(value));
             }
         }
         long from = values.size() > 1 ? (Long) values.get(0) : 0;
         long to = (Long) values.get(values.size() > 1 ? 1 : 0);
         long step = values.size() > 2 ? (Long) values.get(2) : 1;
         if (step == 0) {
-            throw new Fault(place, "range with a step of nought");
+            throw new ScriptFaultException(place, "range with a step of nought");
         }
         List<Object> all = new ArrayList<>();
         for (long at = from; step > 0 ? at < to : at > to; at += step) {
-            meter.elements(place, 1);
+            meter.countElements(place, 1);
             all.add(at);
         }
         return all;
     }
 
-    private List<Object> together(Place place, List<?> lists) {
+    private List<Object> zip(ScriptPosition place, List<?> lists) {
         List<List<Object>> all = new ArrayList<>();
-        lists.forEach(list -> all.add(each(place, list)));
+        lists.forEach(list -> all.add(elements(place, list)));
         int least = all.stream().mapToInt(List::size).min().orElse(0);
         List<Object> rows = new ArrayList<>();
         for (int i = 0; i < least; i++) {
-            meter.elements(place, all.size());
+            meter.countElements(place, all.size());
             int at = i;
             rows.add(all.stream().map(list -> list.get(at)).collect(Collectors.toCollection(ArrayList::new)));
         }
--- a/src/main/java/reedmux/settings/Values.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptValues.java
@@ -1,17 +1,17 @@
-package reedmux.settings;
+package reedmux.gatekeeper.script;
 
 import java.util.List;
 import java.util.Map;
-import reedmux.settings.ScriptException.Place;
+import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
 
 /**
  * What a script computes with, as plain Java values: {@link Boolean}, {@link Long}, {@link Double},
- * {@link String}, {@link List}, {@link Map}, {@link Function} and {@link #NONE}. Unlike in Starlark a tuple
+ * {@link String}, {@link List}, {@link Map}, {@link ScriptCallable} and {@link #NONE}. Unlike in Starlark a tuple
  * is a list.
  */
-final class Values {
+public final class ScriptValues {
     /** The one value of {@code None}. */
-    static final Object NONE = new Object() {
+    public static final Object NONE = new Object() {
         @Override
         public String toString() {
             return "None";
@@ -19,14 +19,14 @@
     };
 
     /** What can be called. */
-    interface Function {
+    interface ScriptCallable {
         String name();
     }
 
-    private Values() {}
+    private ScriptValues() {}
 
     /** A value's type under its name in scripts. */
-    static String type(Object value) {
+    static String typeName(Object value) {
         return value instanceof Boolean
                 ? "bool"
                 : value instanceof Long
@@ -39,14 +39,14 @@
                                                 ? "list"
                                                 : value instanceof Map
                                                         ? "dict"
-                                                        : value instanceof Function
+                                                        : value instanceof ScriptCallable
                                                                 ? "function"
                                                                 : value instanceof Declaration declared
                                                                         ? declared.kind()
                                                                         : "NoneType";
     }
 
-    static boolean truth(Object value) {
+    static boolean isTruthy(Object value) {
         return value instanceof Boolean flag
                 ? flag
                 : value instanceof Long whole
@@ -65,8 +65,8 @@
     }
 
     /** Equality as scripts have it: 1 equals 1.0. Counts each comparison, as lists may share their parts. */
-    static boolean same(Meter meter, Place place, Object one, Object other) {
-        meter.step(place);
+    static boolean areEqual(ScriptMeter meter, ScriptPosition place, Object one, Object other) {
+        meter.countStep(place);
         if (isNumber(one) && isNumber(other)) {
             return one instanceof Long a && other instanceof Long b
                     ? a.longValue() == b
@@ -75,7 +75,7 @@
         if (one instanceof List<?> a && other instanceof List<?> b) {
             boolean same = a.size() == b.size();
             for (int i = 0; same && i < a.size(); i++) {
-                same = same(meter, place, a.get(i), b.get(i));
+                same = areEqual(meter, place, a.get(i), b.get(i));
             }
             return same;
         }
@@ -83,13 +83,13 @@
             return a.size() == b.size()
                     && a.entrySet().stream()
                             .allMatch(entry -> b.containsKey(entry.getKey())
-                                    && same(meter, place, entry.getValue(), b.get(entry.getKey())));
+                                    && areEqual(meter, place, entry.getValue(), b.get(entry.getKey())));
         }
         return one.equals(other);
     }
 
     /** A value as {@code str} gives it: strings bare, others as a script would write them. */
-    static String text(Meter meter, Place place, Object value) {
+    public static String toText(ScriptMeter meter, ScriptPosition place, Object value) {
         if (value instanceof String text) {
             return text;
         }
@@ -98,7 +98,7 @@
         return out.toString();
     }
 
-    private static void write(Meter meter, Place place, Object value, StringBuilder out) {
+    private static void write(ScriptMeter meter, ScriptPosition place, Object value, StringBuilder out) {
         int before = out.length();
         if (value instanceof String text) {
             out.append('"')
@@ -121,11 +121,11 @@
                 gap = ", ";
             }
             out.append(map.isEmpty() ? "{}" : "}");
-        } else if (value instanceof Function function) {
+        } else if (value instanceof ScriptCallable function) {
             out.append("<function ").append(function.name()).append('>');
         } else {
             out.append(value);
         }
-        meter.characters(place, 1 + out.length() - before);
+        meter.countCharacters(place, 1 + out.length() - before);
     }
 }
--- a/src/main/java/reedmux/pool/FairQueues.java
+++ b/src/main/java/reedmux/gatekeeper/service/DeficitRoundRobinQueue.java
@@ -1,4 +1,4 @@
-package reedmux.pool;
+package reedmux.gatekeeper.service;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -17,29 +17,29 @@
  *
  * @param <E> a piece of work
  */
-public final class FairQueues<E> {
+public final class DeficitRoundRobinQueue<E> {
     /** A piece of work and the pool that it is for. */
-    public record Turn<E>(int pool, E work) {}
+    public record ScheduledWork<E>(int queue, E work) {}
 
-    private record Piece<E>(E work, long cost) {}
+    private record QueuedWork<E>(E work, long cost) {}
 
     /** One pool's queue. */
-    private static final class Queue<E> {
-        final Deque<Piece<E>> pieces = new ArrayDeque<>();
+    private static final class WeightedQueue<E> {
+        final Deque<QueuedWork<E>> items = new ArrayDeque<>();
         long quantum;
-        int most;
+        int maxItems;
         long deficit;
         boolean active;
 
-        Queue(long quantum, int most) {
+        WeightedQueue(long quantum, int most) {
             this.quantum = quantum;
-            this.most = most;
+            this.maxItems = most;
         }
     }
 
-    private final List<Queue<E>> queues = new ArrayList<>();
+    private final List<WeightedQueue<E>> queues = new ArrayList<>();
     /** Pools that have work, the one whose turn it is in front. */
-    private final Deque<Integer> round = new ArrayDeque<>();
+    private final Deque<Integer> activeQueues = new ArrayDeque<>();
 
     private int size;
 
@@ -47,25 +47,25 @@
      * Adds a pool.
      *
      * @param quantum what it may spend in its turn, in the unit of the costs; at least the dearest piece
-     *                makes for a constant cost of {@link #next}
+     *                makes for a constant cost of {@link #poll}
      * @param most    pieces that may wait
      * @return the pool's number
      */
-    public int add(long quantum, int most) {
+    public int addQueue(long quantum, int most) {
         if (quantum <= 0 || most <= 0) {
             throw new IllegalArgumentException("a pool needs a quantum and room: " + quantum + ", " + most);
         }
-        queues.add(new Queue<>(quantum, most));
+        queues.add(new WeightedQueue<>(quantum, most));
         return queues.size() - 1;
     }
 
     /** Sets a pool's quantum and room anew. */
-    public void set(int pool, long quantum, int most) {
+    public void configure(int pool, long quantum, int most) {
         if (quantum <= 0 || most <= 0) {
             throw new IllegalArgumentException("a pool needs a quantum and room: " + quantum + ", " + most);
         }
         queues.get(pool).quantum = quantum;
-        queues.get(pool).most = most;
+        queues.get(pool).maxItems = most;
     }
 
     /** Adds work, of a cost above nought; false where the pool's queue is full. */
@@ -73,60 +73,60 @@
         if (cost <= 0) {
             throw new IllegalArgumentException("work has a cost above nought: " + cost);
         }
-        if (queues.get(pool).pieces.size() >= queues.get(pool).most) {
+        if (queues.get(pool).items.size() >= queues.get(pool).maxItems) {
             return false;
         }
-        push(pool, work, cost);
+        offerUnbounded(pool, work, cost);
         return true;
     }
 
     /** Adds work that may not be turned away, such as the end of what was let in. */
-    public void push(int pool, E work, long cost) {
-        Queue<E> queue = queues.get(pool);
-        queue.pieces.add(new Piece<>(work, cost));
+    public void offerUnbounded(int pool, E work, long cost) {
+        WeightedQueue<E> queue = queues.get(pool);
+        queue.items.add(new QueuedWork<>(work, cost));
         size++;
         if (!queue.active) {
             queue.active = true;
             queue.deficit = 0; // one that had nothing to do has saved up nothing
-            round.add(pool);
+            activeQueues.add(pool);
         }
     }
 
     /** The next piece of work, or null where there is none. */
-    public Turn<E> next() {
-        while (!round.isEmpty()) {
-            int pool = round.peek();
-            Queue<E> queue = queues.get(pool);
-            Piece<E> piece = queue.pieces.peek();
+    public ScheduledWork<E> poll() {
+        while (!activeQueues.isEmpty()) {
+            int pool = activeQueues.peek();
+            WeightedQueue<E> queue = queues.get(pool);
+            QueuedWork<E> piece = queue.items.peek();
             if (queue.deficit < piece.cost) {
                 queue.deficit += queue.quantum;
                 if (queue.deficit < piece.cost) {
-                    round.add(round.poll());
+                    activeQueues.add(activeQueues.poll());
                     continue;
                 }
             }
-            queue.pieces.poll();
+            queue.items.poll();
             queue.deficit -= piece.cost;
             size--;
-            if (queue.pieces.isEmpty()) {
+            if (queue.items.isEmpty()) {
                 queue.active = false;
-                round.poll();
-            } else if (queue.deficit < queue.pieces.peek().cost) {
-                round.add(round.poll()); // its turn is over
+                activeQueues.poll();
+            } else if (queue.deficit < queue.items.peek().cost) {
+                activeQueues.add(activeQueues.poll()); // its turn is over
             }
-            return new Turn<>(pool, piece.work);
+            return new ScheduledWork<>(pool, piece.work);
         }
         return null;
     }
 
     /** Pools that have been added. */
-    public int pools() {
+    public int queueCount() {
         return queues.size();
     }
 
     /** Pieces that wait for a pool. */
-    public int waiting(int pool) {
-        return queues.get(pool).pieces.size();
+    public int sizeOf(int pool) {
+        return queues.get(pool).items.size();
     }
 
     /** Pieces that wait in all. */
