--- a/src/main/java/reedmux/settings/Keys.java
+++ b/src/main/java/reedmux/gatekeeper/settings/DeclarationReader.java
@@ -1,4 +1,4 @@
-package reedmux.settings;
+package reedmux.gatekeeper.settings;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -8,39 +8,44 @@
 import java.util.function.BiFunction;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import reedmux.config.Addresses;
-import reedmux.region.Path;
-import reedmux.settings.Declaration.Told;
-import reedmux.settings.ScriptException.Place;
+import reedmux.common.net.SocketAddresses;
+import reedmux.gatekeeper.failover.RegionPath;
+import reedmux.gatekeeper.script.Declaration;
+import reedmux.gatekeeper.script.Declaration.DeclaredValue;
+import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
+import reedmux.gatekeeper.script.ScriptFaultException;
+import reedmux.gatekeeper.script.ScriptMeter;
+import reedmux.gatekeeper.script.ScriptValues;
 
 /** Reads the keys of one declaration, with their bounds; what is wrong is told by key and place. */
-final class Keys {
+final class DeclarationReader {
     private static final Pattern TIME = Pattern.compile("([0-9]{1,9}(?:\\.[0-9]{1,6})?) ?(us|ms|s|m|h)");
 
-    private final Declaration of;
+    private final Declaration declaration;
 
-    Keys(Declaration of) {
-        this.of = of;
+    DeclarationReader(Declaration of) {
+        this.declaration = of;
     }
 
-    Place place(String key) {
-        Told told = of.keys().get(key);
-        return told == null ? of.place() : told.place();
+    ScriptPosition position(String key) {
+        DeclaredValue told = declaration.keys().get(key);
+        return told == null ? declaration.position() : told.position();
     }
 
-    Fault bad(String key, String problem) {
-        return new Fault(place(key), of.kind() + '.' + key + ' ' + problem);
+    ScriptFaultException error(String key, String problem) {
+        return new ScriptFaultException(position(key), declaration.kind() + '.' + key + ' ' + problem);
     }
 
     boolean has(String key) {
-        return of.keys().containsKey(key) && of.keys().get(key).value() != Values.NONE;
+        return declaration.keys().containsKey(key)
+                && declaration.keys().get(key).value() != ScriptValues.NONE;
     }
 
     private Object value(String key) {
         if (!has(key)) {
-            throw bad(key, "is missing");
+            throw error(key, "is missing");
         }
-        return of.keys().get(key).value();
+        return declaration.keys().get(key).value();
     }
 
     /** A region's name. */
@@ -49,10 +54,10 @@
     }
 
     private String name(String key, Object value) {
-        if (value instanceof String text && Path.NAME.matcher(text).matches()) {
+        if (value instanceof String text && RegionPath.REGION_NAME.matcher(text).matches()) {
             return text;
         }
-        throw bad(key, "is not a name of small letters, digits and '-': " + plain(value));
+        throw error(key, "is not a name of small letters, digits and '-': " + abbreviated(value));
     }
 
     Set<String> names(String key) {
@@ -61,13 +66,13 @@
 
     private <T> List<T> list(String key, BiFunction<String, Object, T> each) {
         if (!(value(key) instanceof List<?> list)) {
-            throw bad(key, "is not a list: " + plain(value(key)));
+            throw error(key, "is not a list: " + abbreviated(value(key)));
         }
         List<T> read = new ArrayList<>();
         for (Object element : list) {
             T value = each.apply(key, element);
             if (read.contains(value)) {
-                throw bad(key, "names " + plain(element) + " twice");
+                throw error(key, "names " + abbreviated(element) + " twice");
             }
             read.add(value);
         }
@@ -79,9 +84,9 @@
     }
 
     private InetSocketAddress address(String key, Object value) {
-        InetSocketAddress address = value instanceof String text ? Addresses.parse(text) : null;
+        InetSocketAddress address = value instanceof String text ? SocketAddresses.parse(text) : null;
         if (address == null) {
-            throw bad(key, "is not an address:port: " + plain(value));
+            throw error(key, "is not an address:port: " + abbreviated(value));
         }
         return address;
     }
@@ -89,14 +94,14 @@
     List<InetSocketAddress> addresses(String key) {
         List<InetSocketAddress> all = list(key, this::address);
         if (all.isEmpty()) {
-            throw bad(key, "is empty");
+            throw error(key, "is empty");
         }
         return all;
     }
 
     /** Whether a key is told, if only as {@code None}. */
-    boolean tells(String key) {
-        return of.keys().containsKey(key);
+    boolean isDeclared(String key) {
+        return declaration.keys().containsKey(key);
     }
 
     String text(String key, String otherwise) {
@@ -105,7 +110,7 @@
         } else if (value(key) instanceof String text && !text.isEmpty()) {
             return text;
         }
-        throw bad(key, "is not a text: " + plain(value(key)));
+        throw error(key, "is not a text: " + abbreviated(value(key)));
     }
 
     Set<String> texts(String key) {
@@ -115,7 +120,7 @@
                     if (value instanceof String text && !text.isEmpty()) {
                         return text;
                     }
-                    throw bad(name, "is not a text: " + plain(value));
+                    throw error(name, "is not a text: " + abbreviated(value));
                 }));
     }
 
@@ -125,18 +130,18 @@
         } else if (value(key) instanceof Boolean flag) {
             return flag;
         }
-        throw bad(key, "is neither True nor False: " + plain(value(key)));
+        throw error(key, "is neither True nor False: " + abbreviated(value(key)));
     }
 
     /** A number from {@code least} to {@code most}. */
     double number(String key, double least, double most) {
         Object value = value(key);
         if (!(value instanceof Number number)) {
-            throw bad(key, "is not a number: " + plain(value));
+            throw error(key, "is not a number: " + abbreviated(value));
         } else if (number.doubleValue() < least) {
-            throw bad(key, "is under " + bound(least) + ": " + plain(value));
+            throw error(key, "is under " + formatBound(least) + ": " + abbreviated(value));
         } else if (number.doubleValue() > most) {
-            throw bad(key, "is over " + bound(most) + ": " + plain(value));
+            throw error(key, "is over " + formatBound(most) + ": " + abbreviated(value));
         }
         return number.doubleValue();
     }
@@ -145,24 +150,24 @@
         return has(key) ? number(key, least, most) : otherwise;
     }
 
-    int whole(String key, int least, int most, int otherwise) {
+    int integer(String key, int least, int most, int otherwise) {
         if (!has(key)) {
             return otherwise;
         } else if (!(value(key) instanceof Long)) {
-            throw bad(key, "is not a whole number: " + plain(value(key)));
+            throw error(key, "is not a whole number: " + abbreviated(value(key)));
         }
         return (int) number(key, least, most);
     }
 
     /** A time in microseconds, told as text with its unit. */
-    long time(String key, long least, long most, long otherwise) {
+    long micros(String key, long least, long most, long otherwise) {
         if (!has(key)) {
             return otherwise;
         }
         Object value = value(key);
         Matcher matcher = value instanceof String text ? TIME.matcher(text) : null;
         if (matcher == null || !matcher.matches()) {
-            throw bad(key, "is not a time with a unit, as in \"250ms\" or \"2s\": " + plain(value));
+            throw error(key, "is not a time with a unit, as in \"250ms\" or \"2s\": " + abbreviated(value));
         }
         double unit =
                 switch (matcher.group(2)) {
@@ -174,27 +179,29 @@
                 };
         long micros = Math.round(Double.parseDouble(matcher.group(1)) * unit);
         if (micros < least || micros > most) {
-            throw bad(key, "lies outside of " + least / 1000.0 + " to " + most / 1000.0 + " ms: " + plain(value));
+            throw error(
+                    key, "lies outside of " + least / 1000.0 + " to " + most / 1000.0 + " ms: " + abbreviated(value));
         }
         return micros;
     }
 
     /** A declaration within this one. */
-    Keys of(String key, String kind) {
+    DeclarationReader nested(String key, String kind) {
         Object value = value(key);
         if (value instanceof Declaration inner && inner.kind().equals(kind)) {
-            return new Keys(inner);
+            return new DeclarationReader(inner);
         }
-        throw bad(key, "is not " + kind + "(...): " + plain(value));
+        throw error(key, "is not " + kind + "(...): " + abbreviated(value));
     }
 
     /** A value on one line, cut short. */
-    private String plain(Object value) {
-        String text = Values.text(new Meter(), of.place(), value).replace('\n', ' ');
+    private String abbreviated(Object value) {
+        String text = ScriptValues.toText(new ScriptMeter(), declaration.position(), value)
+                .replace('\n', ' ');
         return text.length() > 60 ? text.substring(0, 60) + "..." : text;
     }
 
-    private static String bound(double value) {
+    private static String formatBound(double value) {
         return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
     }
 }
--- a/src/main/java/reedmux/wire/Malformed.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/MalformedFrameException.java
@@ -1,10 +1,10 @@
-package reedmux.wire;
+package reedmux.gatekeeper.simulator;
 
 /** Input that the wire does not allow; the message names the line. */
-final class Malformed extends Exception {
+final class MalformedFrameException extends Exception {
     private static final long serialVersionUID = 1;
 
-    Malformed(String message) {
+    MalformedFrameException(String message) {
         super(message);
     }
 }
--- a/src/main/java/reedmux/wire/Fields.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/SimulatorLine.java
@@ -1,21 +1,21 @@
-package reedmux.wire;
+package reedmux.gatekeeper.simulator;
 
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
 
 /** The tab-separated parts of one line, read from left to right. */
-final class Fields {
+final class SimulatorLine {
     private static final String ABSENT = "-";
-    private static final long MOST_CUSTOMERS = 1L << 33;
+    private static final long CUSTOMER_BOUND = 1L << 33;
 
-    private final long number;
+    private final long lineNumber;
     private final String line;
     private final List<String> parts = new ArrayList<>(16);
     private int next;
 
-    Fields(long number, String line) {
-        this.number = number;
+    SimulatorLine(long number, String line) {
+        this.lineNumber = number;
         this.line = line;
         int start = 0;
         for (int tab = line.indexOf('\t'); tab >= 0; tab = line.indexOf('\t', start)) {
@@ -25,12 +25,12 @@
         parts.add(line.substring(start));
     }
 
-    Malformed malformed(String what) {
+    MalformedFrameException malformed(String what) {
         String shown = line.length() > 120 ? line.substring(0, 120) + "..." : line;
-        return new Malformed("line " + number + ": " + what + ": " + shown.replace('\t', ' '));
+        return new MalformedFrameException("line " + lineNumber + ": " + what + ": " + shown.replace('\t', ' '));
     }
 
-    String text() throws Malformed {
+    String text() throws MalformedFrameException {
         if (next >= parts.size() || parts.get(next).isEmpty()) {
             throw malformed("too few values");
         }
@@ -38,12 +38,12 @@
     }
 
     /** All that is left of the line, as separate parts. */
-    List<String> rest() {
+    List<String> remaining() {
         return parts.subList(next, parts.size());
     }
 
     /** A whole number of nought or more; nought when absent. */
-    long whole() throws Malformed {
+    long nonNegativeLong() throws MalformedFrameException {
         String part = text();
         if (part.equals(ABSENT)) {
             return 0;
@@ -60,28 +60,28 @@
     }
 
     /** A whole number below {@code bound}. */
-    int index(int bound) throws Malformed {
-        long value = whole();
+    int intBelow(int bound) throws MalformedFrameException {
+        long value = nonNegativeLong();
         if (value >= bound) {
             throw malformed("out of range: " + value);
         }
         return (int) value;
     }
 
-    int integer() throws Malformed {
-        return index(Integer.MAX_VALUE);
+    int nonNegativeInt() throws MalformedFrameException {
+        return intBelow(Integer.MAX_VALUE);
     }
 
-    long customer() throws Malformed {
-        long value = whole();
-        if (value >= MOST_CUSTOMERS) {
+    long customerNumber() throws MalformedFrameException {
+        long value = nonNegativeLong();
+        if (value >= CUSTOMER_BOUND) {
             throw malformed("out of range: " + value);
         }
         return value;
     }
 
     /** A finite number; nought when absent. */
-    double number() throws Malformed {
+    double finiteDouble() throws MalformedFrameException {
         String part = text();
         if (part.equals(ABSENT)) {
             return 0;
@@ -97,15 +97,15 @@
         throw malformed("not a number: '" + part + "'");
     }
 
-    double positive() throws Malformed {
-        double value = number();
+    double positiveDouble() throws MalformedFrameException {
+        double value = finiteDouble();
         if (value <= 0) {
             throw malformed("not above nought: " + value);
         }
         return value;
     }
 
-    boolean bool() throws Malformed {
+    boolean flag() throws MalformedFrameException {
         String part = text();
         return switch (part) {
             case "1" -> true;
@@ -114,7 +114,7 @@
         };
     }
 
-    String requestId() throws Malformed {
+    String requestId() throws MalformedFrameException {
         String part = text();
         boolean good = part.length() == 16;
         for (int i = 0; good && i < 16; i++) {
@@ -126,7 +126,7 @@
         return part;
     }
 
-    byte[] bytes() throws Malformed {
+    byte[] hexBytes() throws MalformedFrameException {
         String part = text();
         try {
             return part.equals(ABSENT) ? new byte[0] : HexFormat.of().parseHex(part);
--- a/src/main/java/reedmux/wire/Main.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/SimulatorMain.java
@@ -1,4 +1,4 @@
-package reedmux.wire;
+package reedmux.gatekeeper.simulator;
 
 import java.io.BufferedReader;
 import java.io.FileDescriptor;
@@ -8,27 +8,27 @@
 import java.io.OutputStream;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
-import reedmux.policy.Brain;
+import reedmux.gatekeeper.policy.GatekeeperPolicy;
 
 /** The simulator's adapter on standard input and output. */
-public final class Main {
+public final class SimulatorMain {
 
-    private Main() {}
+    private SimulatorMain() {}
 
     /** Answers batches on standard input and output until they end; returns the exit code. */
-    public static int host() {
+    public static int serveStandardStreams() {
         InputStreamReader in = new InputStreamReader(System.in, StandardCharsets.UTF_8);
         FileOutputStream out = new FileOutputStream(FileDescriptor.out);
-        return drill(new BufferedReader(in, 1 << 16), out, System.err);
+        return serve(new BufferedReader(in, 1 << 16), out, System.err);
     }
 
     /** Answers batches until the input ends; returns the exit code. */
-    static int drill(BufferedReader in, OutputStream out, PrintStream err) {
-        Drill drill = new Drill(Brain::new);
+    static int serve(BufferedReader in, OutputStream out, PrintStream err) {
+        SimulatorSession drill = new SimulatorSession(GatekeeperPolicy::new);
         try {
             drill.run(in, out);
             return 0;
-        } catch (Malformed | IOException e) {
+        } catch (MalformedFrameException | IOException e) {
             err.println("reedmux: " + e.getMessage());
             return 1;
         }
--- a/src/main/java/reedmux/wire/Options.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/SimulatorOptions.java
@@ -1,20 +1,20 @@
-package reedmux.wire;
+package reedmux.gatekeeper.simulator;
 
 import java.util.HashMap;
 import java.util.Map;
-import reedmux.config.ConfigException;
-import reedmux.config.SettingsReader;
-import reedmux.policy.Gateway.Settings;
+import reedmux.gatekeeper.config.ConfigException;
+import reedmux.gatekeeper.config.SettingsReader;
+import reedmux.gatekeeper.policy.TrafficPolicy.PolicySettings;
 
 /** The settings of a {@code CONFIGURE} line, taken apart here and read where all configuration is. */
-final class Options {
-    private final Fields line;
+final class SimulatorOptions {
+    private final SimulatorLine line;
     private final SettingsReader reader;
 
-    Options(Fields line) throws Malformed {
+    SimulatorOptions(SimulatorLine line) throws MalformedFrameException {
         this.line = line;
         Map<String, String> values = new HashMap<>();
-        for (String pair : line.rest()) {
+        for (String pair : line.remaining()) {
             int equals = pair.indexOf('=');
             if (equals < 1) {
                 throw line.malformed("not a setting: '" + pair + "'");
@@ -24,7 +24,7 @@
         reader = new SettingsReader("", values);
     }
 
-    Settings settings() throws Malformed {
+    PolicySettings settings() throws MalformedFrameException {
         try {
             return reader.settings();
         } catch (ConfigException e) {
--- a/src/main/java/reedmux/wire/Reply.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/SimulatorReplyWriter.java
@@ -1,21 +1,21 @@
-package reedmux.wire;
+package reedmux.gatekeeper.simulator;
 
 import java.util.HexFormat;
-import reedmux.policy.Gateway.Actions;
+import reedmux.gatekeeper.policy.TrafficPolicy.PolicyActions;
 
 /** Writes one instance's actions as lines of the reply. */
-final class Reply implements Actions {
+public final class SimulatorReplyWriter implements PolicyActions {
     private final StringBuilder out;
     private final int instance;
 
-    Reply(StringBuilder out, int instance) {
+    SimulatorReplyWriter(StringBuilder out, int instance) {
         this.out = out;
         this.instance = instance;
     }
 
     @Override
     public void send(String request, String server, long timeout) {
-        begin("FORWARD")
+        beginLine("FORWARD")
                 .append('\t')
                 .append(request)
                 .append('\t')
@@ -26,8 +26,8 @@
     }
 
     @Override
-    public void refuse(String request, long retryAfter) {
-        begin("SHED")
+    public void reject(String request, long retryAfter) {
+        beginLine("SHED")
                 .append('\t')
                 .append(request)
                 .append('\t')
@@ -37,12 +37,12 @@
 
     @Override
     public void fail(String request) {
-        begin("DROP_REQUEST").append('\t').append(request).append('\n');
+        beginLine("DROP_REQUEST").append('\t').append(request).append('\n');
     }
 
     @Override
-    public void cancel(String request, int attempt) {
-        begin("STOP_ATTEMPT")
+    public void cancelAttempt(String request, int attempt) {
+        beginLine("STOP_ATTEMPT")
                 .append('\t')
                 .append(request)
                 .append('\t')
@@ -51,18 +51,18 @@
     }
 
     @Override
-    public void probe(String server) {
-        begin("TEST").append('\t').append(server).append('\n');
+    public void checkHealth(String server) {
+        beginLine("TEST").append('\t').append(server).append('\n');
     }
 
     @Override
-    public void closeIdle(String server) {
-        begin("CLOSE").append('\t').append(server).append('\n');
+    public void closeIdleConnections(String server) {
+        beginLine("CLOSE").append('\t').append(server).append('\n');
     }
 
     @Override
-    public void tell(int peer, byte[] bytes) {
-        begin("MEMO_TO")
+    public void sendToPeer(int peer, byte[] bytes) {
+        beginLine("MEMO_TO")
                 .append('\t')
                 .append(peer)
                 .append('\t')
@@ -71,8 +71,8 @@
     }
 
     @Override
-    public void count(long name, double amount, long keep) {
-        begin("POST_AMOUNT")
+    public void addToCounter(long name, double amount, long keep) {
+        beginLine("POST_AMOUNT")
                 .append('\t')
                 .append(keep)
                 .append('\t')
@@ -84,34 +84,34 @@
 
     @Override
     public void fetchServers() {
-        begin("RESOLVE").append('\n');
+        beginLine("RESOLVE").append('\n');
     }
 
     @Override
     public void watchServers(boolean on) {
-        begin("WATCH").append('\t').append(on ? 1 : 0).append('\n');
+        beginLine("WATCH").append('\t').append(on ? 1 : 0).append('\n');
     }
 
     @Override
-    public void timer(long at, long token) {
-        begin("TIMER").append('\t').append(at).append('\t').append(token).append('\n');
+    public void setTimer(long at, long token) {
+        beginLine("TIMER").append('\t').append(at).append('\t').append(token).append('\n');
     }
 
     @Override
     public void log(String line) {
-        begin("DEBUG").append('\t').append(oneLine(line)).append('\n');
+        beginLine("DEBUG").append('\t').append(oneLine(line)).append('\n');
     }
 
     /** Tells that the module itself has failed. */
-    void giveIn(String reason) {
-        begin("GIVE_IN").append('\t').append(oneLine(reason)).append('\n');
+    void reportPolicyFailure(String reason) {
+        beginLine("GIVE_IN").append('\t').append(oneLine(reason)).append('\n');
     }
 
     private static String oneLine(String text) {
         return text.replaceAll("[\\t\\r\\n]+", " ");
     }
 
-    private StringBuilder begin(String name) {
+    private StringBuilder beginLine(String name) {
         return out.append(name).append('\t').append(instance);
     }
 }
--- a/src/main/java/reedmux/proxy/ClientRequest.java
+++ b/src/main/java/reedmux/proxy/ClientRequest.java
@@ -1,40 +1,40 @@
 package reedmux.proxy;
 
-import reedmux.attempt.Exchange;
-import reedmux.attempt.Try;
-import reedmux.message.Head;
+import reedmux.common.http1.Http1Head;
+import reedmux.proxy.request.ProxyRequest;
+import reedmux.proxy.request.RequestAttempt;
 
 /** A client's request, as it goes on to checkers. */
-final class ClientRequest implements Exchange.Source {
+public final class ClientRequest implements ProxyRequest.RequestSource {
     /** What the checker is told to have is a little less, for the way back. */
-    private static final long WAY_BACK = 2_000;
+    private static final long RETURN_PATH_MICROS = 2_000;
 
-    private static final int LARGE = 20_000;
-    private final Head head;
-    private final String attempt;
+    private static final int LARGE_BODY_BYTES = 20_000;
+    private final Http1Head head;
+    private final String attemptId;
     private final String tenant;
-    private final Upload upload;
-    private final ClientWire client;
-    private Exchange exchange;
+    private final ClientRequestBody body;
+    private final ClientConnection client;
+    private ProxyRequest proxyRequest;
 
-    /** {@code tenant} is null for a request without key, {@code upload} for one without body. */
-    ClientRequest(ClientWire client, Head head, String attempt, String tenant, Upload upload) {
+    /** {@code tenant} is null for a request without key, {@code body} for one without body. */
+    ClientRequest(ClientConnection client, Http1Head head, String attempt, String tenant, ClientRequestBody upload) {
         this.client = client;
         this.head = head;
-        this.attempt = attempt;
+        this.attemptId = attempt;
         this.tenant = tenant;
-        this.upload = upload;
+        this.body = upload;
     }
 
-    void exchange(Exchange told) {
-        exchange = told;
+    void proxyRequest(ProxyRequest told) {
+        proxyRequest = told;
     }
 
-    Exchange exchange() {
-        return exchange;
+    ProxyRequest proxyRequest() {
+        return proxyRequest;
     }
 
-    ClientWire client() {
+    ClientConnection client() {
         return client;
     }
 
@@ -42,53 +42,53 @@
         return head.method();
     }
 
-    String attempt() {
-        return attempt;
+    String attemptId() {
+        return attemptId;
     }
 
-    Upload upload() {
-        return upload;
+    ClientRequestBody body() {
+        return body;
     }
 
     @Override
-    public boolean sendable() {
-        return upload == null || upload.fromStart();
+    public boolean isReplayable() {
+        return body == null || body.isReplayable();
     }
 
     @Override
-    public boolean whole() {
-        return upload == null || upload.whole();
+    public boolean isFullyReceived() {
+        return body == null || body.isComplete();
     }
 
     @Override
-    public boolean large() {
-        return upload != null && (upload.length() < 0 || upload.length() > LARGE);
+    public boolean isLarge() {
+        return body != null && (body.length() < 0 || body.length() > LARGE_BODY_BYTES);
     }
 
     /** The head for one checker. */
-    byte[] headFor(Try what, long now) {
-        Head out = Head.request(head.method(), head.target());
+    byte[] headFor(RequestAttempt what, long now) {
+        Http1Head out = Http1Head.request(head.method(), head.target());
         for (int i = 0; i < head.size(); i++) {
             String name = head.name(i);
-            if (!head.ofConnection(name) && !ours(name)) {
+            if (!head.isHopByHop(name) && !isReplacedHeader(name)) {
                 out.add(name, head.value(i));
             }
         }
-        long left = Math.max(1, (what.exchange().deadline() - now - WAY_BACK) / 1000);
+        long left = Math.max(1, (what.request().deadline() - now - RETURN_PATH_MICROS) / 1000);
         out.add("Reedmux-Time-Left-Ms", Long.toString(left));
         out.add("Reedmux-Target-Instance", what.checker().id());
         if (tenant != null) {
             out.add("Reedmux-Tenant", tenant);
         }
-        if (upload != null && upload.length() < 0) {
+        if (body != null && body.length() < 0) {
             out.add("Transfer-Encoding", "chunked");
-        } else if (upload != null) {
-            out.add("Content-Length", Long.toString(upload.length()));
+        } else if (body != null) {
+            out.add("Content-Length", Long.toString(body.length()));
         }
-        return out.bytes();
+        return out.encode();
     }
 
-    private boolean ours(String name) {
+    private boolean isReplacedHeader(String name) {
         return name.equalsIgnoreCase("Reedmux-Time-Left-Ms")
                 || name.equalsIgnoreCase("Reedmux-Tenant")
                 || name.equalsIgnoreCase("Reedmux-Target-Instance")
--- a/src/main/java/reedmux/quota/package-info.java
+++ b/src/main/java/reedmux/proxy/quota/package-info.java
@@ -1,4 +1,4 @@
 /**
  * The tenants' counts at one proxy, on DESIGN's heap over a membership that changes. Pure.
  */
-package reedmux.quota;
+package reedmux.proxy.quota;
--- a/src/main/java/reedmux/attempt/Verdict.java
+++ b/src/main/java/reedmux/proxy/request/ExecutionStatus.java
@@ -1,16 +1,16 @@
-package reedmux.attempt;
+package reedmux.proxy.request;
 
 /** What is known of whether a request has run at a checker that it was sent to. */
-public enum Verdict {
+public enum ExecutionStatus {
     /** It has not run there and never will: it never came up, was never whole, or the checker says so. */
-    NOT_RUN,
+    NOT_EXECUTED,
     /** It went out, and nothing clear came back. */
-    MAY_HAVE_RUN,
+    MAY_HAVE_EXECUTED,
     /** Its answer has come. */
-    RAN;
+    EXECUTED;
 
     /** Whether the request may go to another checker without any risk that it runs twice. */
-    public boolean safe() {
-        return this == NOT_RUN;
+    public boolean isSafeToRetry() {
+        return this == NOT_EXECUTED;
     }
 }
--- a/src/main/java/reedmux/attempt/package-info.java
+++ b/src/main/java/reedmux/proxy/request/package-info.java
@@ -2,4 +2,4 @@
  * One request's state: where it waits, where it was sent, what is known of whether it ran, its one answer.
  * Pure.
  */
-package reedmux.attempt;
+package reedmux.proxy.request;
--- a/src/main/java/reedmux/budget/RetryBudget.java
+++ b/src/main/java/reedmux/proxy/retry/RetryBudget.java
@@ -1,4 +1,4 @@
-package reedmux.budget;
+package reedmux.proxy.retry;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -10,13 +10,13 @@
  */
 public final class RetryBudget {
     /** Of what is allowed; the rest is for what is counted differently elsewhere. */
-    private static final double USED = 0.8;
+    private static final double USABLE_FRACTION = 0.8;
 
     private double ratio;
     private double slack;
     private final boolean restarted;
     private final Map<String, Double> tokens = new HashMap<>();
-    private int members = 1;
+    private int memberCount = 1;
 
     public RetryBudget(double ratio, double slack, boolean restarted) {
         this.ratio = ratio;
@@ -25,33 +25,33 @@
     }
 
     /** What all proxies together may do from now on. */
-    public void limits(double nextRatio, double nextSlack) {
+    public void setLimits(double nextRatio, double nextSlack) {
         ratio = nextRatio;
         slack = nextSlack;
-        members(members);
+        setMemberCount(memberCount);
     }
 
-    public void members(int count) {
-        members = Math.max(1, count);
-        tokens.replaceAll((service, held) -> Math.min(held, most()));
+    public void setMemberCount(int count) {
+        memberCount = Math.max(1, count);
+        tokens.replaceAll((service, held) -> Math.min(held, maxTokens()));
     }
 
-    private double most() {
-        return Math.max(1, USED * slack / members);
+    private double maxTokens() {
+        return Math.max(1, USABLE_FRACTION * slack / memberCount);
     }
 
-    private double held(String service) {
-        return tokens.computeIfAbsent(service, name -> restarted ? 0.0 : most() / 2);
+    private double tokensOf(String service) {
+        return tokens.computeIfAbsent(service, name -> restarted ? 0.0 : maxTokens() / 2);
     }
 
     /** A request goes to a service for the first time. */
-    public void first(String service) {
-        tokens.put(service, Math.min(most(), held(service) + USED * ratio));
+    public void onFirstAttempt(String service) {
+        tokens.put(service, Math.min(maxTokens(), tokensOf(service) + USABLE_FRACTION * ratio));
     }
 
     /** Takes leave for one further try. */
-    public boolean take(String service) {
-        double held = held(service);
+    public boolean tryAcquire(String service) {
+        double held = tokensOf(service);
         if (held < 1) {
             return false;
         }
@@ -60,7 +60,7 @@
     }
 
     /** Whether there is leave for one, with so much to spare. */
-    public boolean has(String service, double spare) {
-        return held(service) >= 1 + spare;
+    public boolean canAcquire(String service, double spare) {
+        return tokensOf(service) >= 1 + spare;
     }
 }
--- /dev/null
+++ b/src/main/java/reedmux/simulation/cluster/CatchUpExperiment.java
@@ -0,0 +1,156 @@
+package reedmux.simulation.cluster;
+
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import java.util.function.Consumer;
+import reedmux.common.disk.Journal;
+import reedmux.control.replication.Replica;
+import reedmux.control.rpc.MessageCodec;
+import reedmux.control.rpc.Messages.ConfigurationUpdate;
+import reedmux.control.rpc.Messages.DecisionNotice;
+import reedmux.simulation.scenario.ScenarioChecks;
+
+/** A core of three of which one machine misses changes, is started again or loses its disk. */
+public final class CatchUpExperiment {
+    static final long SECOND_MICROS = 1_000_000;
+    private static final int ITEMS_PER_CALL = 500;
+    private static final int[] SIZES = {10, 100, 1_000, 10_000, 100_000};
+    private static final long TIMEOUT_MICROS = 300 * SECOND_MICROS;
+    private final ClusterSimulation world;
+    private final Deployment deployment;
+    private final SimulatedOperator operator;
+    private final List<String> log = new ArrayList<>();
+    private final Deployment.DeployedNode laggard;
+    private long revision;
+
+    /** What a disk has. */
+    public record DiskContent(int items, boolean complete) {}
+
+    CatchUpExperiment(long seed) {
+        world = new ClusterSimulation(seed);
+        deployment = new Deployment(world, 1, 3, log::add);
+        deployment.start();
+        operator = new SimulatedOperator(
+                world, "10.8.0.1", deployment.controlAddresses().subList(0, 2), new ClusterInvariantChecker());
+        laggard = deployment.cores().get(2);
+        world.runFor(5 * SECOND_MICROS);
+    }
+
+    ClusterSimulation simulation() {
+        return world;
+    }
+
+    Deployment.DeployedNode laggard() {
+        return laggard;
+    }
+
+    /** Changes items from one on, so many, in calls of some hundred. */
+    void changeItems(int first, int many) {
+        revision++;
+        for (int from = first; from < first + many; from += ITEMS_PER_CALL) {
+            String body = tenantsChange(from, Math.min(ITEMS_PER_CALL, first + many - from), revision);
+            boolean[] done = {false};
+            operator.changeConfiguration(
+                    body,
+                    ClusterInvariantChecker.ExpectedDecision.ACCEPT,
+                    ConfigurationGenerator::visibleEffect,
+                    status -> done[0] = status == 200);
+            for (long end = world.now() + TIMEOUT_MICROS; !done[0]; ) {
+                world.runFor(SECOND_MICROS / 20);
+                if (world.now() > end) {
+                    throw new IllegalStateException("no answer to a change: " + log);
+                }
+            }
+        }
+    }
+
+    /** A call that changes so many tenants. */
+    static String tenantsChange(int first, int many, long revision) {
+        StringBuilder body = new StringBuilder("{\"apply\":{\"signals\":[");
+        for (int i = first; i < first + many; i++) {
+            body.append(i == first ? "" : ",")
+                    .append("{\"signalKind\":\"tenants\",\"heading\":{\"name\":\"t")
+                    .append(i)
+                    .append("\",\"revision\":")
+                    .append(revision)
+                    .append("},\"reference\":{\"keys\":[\"key-of-tenant-")
+                    .append(i)
+                    .append("\"],\"priority\":1,\"flowPerS\":20,\"burst\":40}}");
+        }
+        return body.append("]}}").toString();
+    }
+
+    /** Bytes that the late one's store has got. */
+    long receivedBytes() {
+        return laggard.machine().load(laggard.name() + "/store").receivedBytes;
+    }
+
+    boolean hasLogged(String line) {
+        return log.stream().anyMatch(each -> each.startsWith(laggard.name() + "/store") && each.contains(line));
+    }
+
+    DiskContent readDisk() {
+        Replica replica = new Replica();
+        boolean whole = false;
+        MessageCodec codec = new MessageCodec();
+        for (byte[] record : new Journal(laggard.machine().disk().volume(Path.of("/data"))).recover()) {
+            Object told = codec.decodeOrNull(record);
+            if (told instanceof ConfigurationUpdate items) {
+                replica.merge(items.items());
+                whole |= items.complete();
+            } else if (told instanceof DecisionNotice decided) {
+                replica.resolvePending(decided.callId(), decided.committed(), decided.items());
+            }
+        }
+        return new DiskContent(replica.committed().size(), whole);
+    }
+
+    /** The bytes it takes, and the time in ms until it counts itself, by the number of items. */
+    public static ScenarioChecks run(Consumer<String> progress) {
+        ScenarioChecks claims = new ScenarioChecks();
+        for (int size : SIZES) {
+            progress.accept(size + " items");
+            CatchUpExperiment day = new CatchUpExperiment(3);
+            day.changeItems(0, size);
+            day.world.runFor(5 * SECOND_MICROS);
+            claims.record(size + " items, started again, nothing missed: kB", day.catchUpKilobytes(false, 0));
+            int missed = Math.max(1, size / 100);
+            claims.record(size + " items, " + missed + " of them missed: kB", day.catchUpKilobytes(false, missed));
+            claims.record(size + " items, an empty disk: kB", day.catchUpKilobytes(true, 0));
+            long lost = day.world.now();
+            day.laggard.losePower(SECOND_MICROS, true);
+            day.log.clear();
+            while (!day.hasLogged("whole again") && day.world.now() < lost + TIMEOUT_MICROS) {
+                day.world.runFor(SECOND_MICROS / 200);
+            }
+            claims.check(
+                    size + " items, an empty disk: ms until it counts itself",
+                    (day.world.now() - lost - SECOND_MICROS) / 1000,
+                    "< " + TIMEOUT_MICROS / 1000,
+                    day.hasLogged("whole again"));
+            day.world.runFor(5 * SECOND_MICROS);
+            DiskContent left = day.readDisk();
+            claims.check(
+                    size + " items, an empty disk: items on it then",
+                    left.items,
+                    size,
+                    left.items == size && left.complete);
+        }
+        return claims;
+    }
+
+    private String catchUpKilobytes(boolean wiped, int missed) {
+        long idle = receivedBytes();
+        world.runFor(10 * SECOND_MICROS);
+        idle = receivedBytes() - idle;
+        long before = receivedBytes();
+        laggard.losePower(2 * SECOND_MICROS, wiped);
+        if (missed > 0) {
+            changeItems(0, missed);
+        }
+        world.runFor(12 * SECOND_MICROS);
+        return String.format(Locale.ROOT, "%.1f", Math.max(0, receivedBytes() - before - idle) / 1e3);
+    }
+}
--- /dev/null
+++ b/src/main/java/reedmux/simulation/cluster/ConfigurationGenerator.java
@@ -0,0 +1,333 @@
+package reedmux.simulation.cluster;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import reedmux.control.configuration.ConfigurationItem;
+import reedmux.control.configuration.ItemJson;
+
+/** What the operators of a day want: calls with their items, valid and not. */
+final class ConfigurationGenerator {
+    static final String[] SERVICES = {"desk", "intake"};
+    private static final int ROUTES = 6;
+    private static final int TENANTS = 3;
+    private static final int LARGE_KEY_COUNT = 400;
+    static final double QUOTA_RATE = 60;
+    static final double QUOTA_BURST = 60;
+    private final Random random;
+    private long revision = 7;
+    private int addedNames;
+    private int addedKeys;
+    private final List<String> extraRoutes = new ArrayList<>();
+    private final Set<String> replacedRoutes = new HashSet<>();
+    private final Map<String, List<String>> keysOf = new LinkedHashMap<>();
+    private final Map<String, Integer> serviceOf = new LinkedHashMap<>();
+
+    ConfigurationGenerator(Random random) {
+        this.random = random;
+    }
+
+    private long nextRevision() {
+        revision += 1 + random.nextInt(3);
+        return revision;
+    }
+
+    private static String itemJson(String kind, String name, long at, String reference) {
+        return "{\"signalKind\":\"" + kind + "\",\"heading\":{" + (name.isEmpty() ? "" : "\"name\":\"" + name + "\",")
+                + "\"revision\":" + at + "},\"reference\":{" + reference + "}}";
+    }
+
+    private static String callJson(List<String> signals, String removed) {
+        return "{\"apply\":{\"signals\":[" + String.join(",", signals) + "]},\"remove\":{" + removed + "}}";
+    }
+
+    private static String routeJson(String name, String prefix, String service, boolean repeatable, long at) {
+        return itemJson(
+                "routes",
+                name,
+                at,
+                "\"host\":\"h.example\",\"prefix\":\"" + prefix + "\",\"kind\":\""
+                        + (repeatable ? "idempotent" : "effectful") + "\",\"cutoffMs\":3000,\"setpointMs\":400,"
+                        + "\"priority\":1,\"plant\":\"" + service + "\",\"attempts\":2,\"unkeyed\":false");
+    }
+
+    private String tenantJson(String name, long at) {
+        return itemJson(
+                "tenants",
+                name,
+                at,
+                "\"keys\":[\"" + String.join("\",\"", keysOf.get(name)) + "\"],\"priority\":1,\"flowPerS\":"
+                        + QUOTA_RATE + ",\"burst\":" + QUOTA_BURST);
+    }
+
+    /** What requests under an item come to. */
+    static String visibleEffect(ConfigurationItem item) {
+        try {
+            if (item.isDeleted()) {
+                return ClusterInvariantChecker.NO_EFFECT;
+            }
+            Map<String, Object> map = ItemJson.requireObject(ItemJson.parse(item.body()), "item");
+            return item.kind().equals("routes")
+                    ? String.valueOf(map.get("plant"))
+                    : item.kind().equals("tenants") ? String.valueOf(map.get("keys")) : "";
+        } catch (reedmux.control.configuration.InvalidConfigurationException e) {
+            return "";
+        }
+    }
+
+    /** The first call. */
+    String initialChange() {
+        List<String> all = new ArrayList<>();
+        long at = nextRevision();
+        for (String service : SERVICES) {
+            all.add(itemJson(
+                    "plants",
+                    service,
+                    at,
+                    "\"probe\":\"/health\",\"connCeiling\":110,\"protocol\":\"h1\",\"tls\":false"));
+        }
+        for (int i = 0; i < ROUTES; i++) {
+            serviceOf.put("r" + i, i % 2);
+            all.add(routeJson("r" + i, "/r" + i + "/", SERVICES[i % 2], i % 3 != 0, at));
+        }
+        for (int i = 0; i < TENANTS; i++) {
+            keysOf.put("t" + i, new ArrayList<>(List.of("key-" + i + "-first.")));
+            all.add(tenantJson("t" + i, at));
+        }
+        all.add(itemJson(
+                "saturation",
+                "",
+                at,
+                "\"headerBytes\":16384,\"bodyBytes\":1048576,\"headerMs\":3000,\"idleMs\":15000"));
+        return callJson(all, "");
+    }
+
+    private String movedRouteJson(String name) {
+        int to = serviceOf.merge(name, 1, (had, one) -> 1 - had);
+        int number = Integer.parseInt(name.substring(1));
+        return routeJson(name, "/" + name + "/", SERVICES[to], number % 3 != 0, nextRevision());
+    }
+
+    /** A valid change. */
+    String validChange() {
+        String any = "r" + random.nextInt(ROUTES);
+        switch (random.nextInt(6)) {
+            case 0 -> {
+                String name = "a" + addedNames++;
+                extraRoutes.add(name);
+                return callJson(
+                        List.of(routeJson(name, "/" + name + "/", SERVICES[random.nextInt(2)], true, nextRevision())),
+                        "");
+            }
+            case 1 -> {
+                if (!extraRoutes.isEmpty()) {
+                    String name = extraRoutes.remove(random.nextInt(extraRoutes.size()));
+                    return callJson(
+                            List.of(), "\"routes\":[{\"name\":\"" + name + "\",\"revision\":" + nextRevision() + "}]");
+                }
+            }
+            case 2 -> {
+                if (!extraRoutes.isEmpty()) { // another takes its place, in one call
+                    String name = extraRoutes.remove(random.nextInt(extraRoutes.size()));
+                    replacedRoutes.add("routes/" + name);
+                    long at = nextRevision();
+                    return callJson(
+                            List.of(routeJson(name + 'n', "/" + name + "/", SERVICES[0], true, at)),
+                            "\"routes\":[{\"name\":\"" + name + "\",\"revision\":" + at + "}]");
+                }
+            }
+            case 3 -> {
+                String name = "t" + random.nextInt(TENANTS);
+                List<String> has = keysOf.get(name);
+                if (has.size() > 1) {
+                    has.remove(1);
+                } else {
+                    has.add("key-" + name + "-" + addedKeys++ + '.');
+                }
+                return callJson(List.of(tenantJson(name, nextRevision())), "");
+            }
+            case 4 -> {
+                String other = "r" + (Integer.parseInt(any.substring(1)) + 1) % ROUTES;
+                return callJson(List.of(movedRouteJson(any), movedRouteJson(other)), "");
+            }
+            default -> {}
+        }
+        return callJson(List.of(movedRouteJson(any)), "");
+    }
+
+    /** Two calls, each valid alone; {@code true}: together, too. */
+    Map.Entry<Boolean, List<String>> concurrentPair() {
+        switch (random.nextInt(3)) {
+            case 0 -> {
+                String prefix = "/w" + addedNames++ + "/";
+                String name = "w" + addedNames++;
+                return Map.entry(
+                        false,
+                        List.of(
+                                callJson(List.of(routeJson(name + 'x', prefix, SERVICES[0], true, nextRevision())), ""),
+                                callJson(
+                                        List.of(routeJson(name + 'y', prefix, SERVICES[1], true, nextRevision())),
+                                        "")));
+            }
+            case 1 -> {
+                String key = "\"key-both-" + addedKeys++ + ".\"";
+                String body = "\"priority\":1,\"flowPerS\":" + QUOTA_RATE + ",\"burst\":" + QUOTA_BURST + ",\"keys\":[";
+                return Map.entry(
+                        false,
+                        List.of(
+                                callJson(
+                                        List.of(itemJson("tenants", "x" + addedKeys, nextRevision(), body + key + ']')),
+                                        ""),
+                                callJson(
+                                        List.of(itemJson("tenants", "y" + addedKeys, nextRevision(), body + key + ']')),
+                                        "")));
+            }
+            default -> {
+                String any = "r" + random.nextInt(ROUTES);
+                return Map.entry(
+                        true,
+                        List.of(
+                                callJson(List.of(movedRouteJson(any)), ""),
+                                callJson(List.of(movedRouteJson(any)), "")));
+            }
+        }
+    }
+
+    /** Two calls with other contents under one number: one of them at most may be confirmed. */
+    List<String> conflictingPair() {
+        String any = "r" + random.nextInt(ROUTES);
+        long at = nextRevision();
+        boolean repeats = Integer.parseInt(any.substring(1)) % 3 != 0;
+        if (random.nextInt(3) == 0) {
+            String name = "t" + random.nextInt(TENANTS);
+            String one = tenantJson(name, at);
+            keysOf.get(name).add("key-" + name + "-" + addedKeys++ + '.');
+            return List.of(callJson(List.of(one), ""), callJson(List.of(tenantJson(name, at)), ""));
+        }
+        return List.of(
+                callJson(List.of(routeJson(any, "/" + any + "/", SERVICES[0], repeats, at)), ""),
+                callJson(List.of(routeJson(any, "/" + any + "/", SERVICES[1], repeats, at)), ""));
+    }
+
+    /** Two valid calls, of which the second is valid only once the first is in force. */
+    List<String> dependentChain() {
+        int number = addedNames++;
+        long at = nextRevision();
+        if (random.nextBoolean()) {
+            return List.of(
+                    callJson(
+                            List.of(itemJson(
+                                    "plants",
+                                    "p" + number,
+                                    at,
+                                    "\"probe\":\"/health\",\"connCeiling\":110,\"protocol\":\"h1\",\"tls\":false")),
+                            ""),
+                    callJson(
+                            List.of(routeJson("c" + number, "/c" + number + "/", "p" + number, true, nextRevision())),
+                            ""));
+        }
+        String key = "\"key-handed-" + addedKeys++ + ".\"";
+        String body = "\"priority\":1,\"flowPerS\":" + QUOTA_RATE + ",\"burst\":" + QUOTA_BURST + ",\"keys\":[";
+        String giver = "g" + number;
+        return List.of(
+                callJson(List.of(itemJson("tenants", giver, at, body + key + ']')), ""),
+                callJson(
+                        List.of(
+                                itemJson("tenants", giver, nextRevision(), body + ']'),
+                                itemJson("tenants", "h" + number, nextRevision(), body + key + ']')),
+                        ""),
+                callJson(
+                        List.of(
+                                itemJson("tenants", "h" + number, nextRevision(), body + ']'),
+                                itemJson("tenants", giver, nextRevision(), body + key + ']')),
+                        ""));
+    }
+
+    /** A valid call of many bytes. */
+    String largeChange() {
+        String name = "big" + random.nextInt(4);
+        long at = nextRevision();
+        StringBuilder many = new StringBuilder();
+        for (int i = 0; i < LARGE_KEY_COUNT; i++) {
+            many.append(i == 0 ? "\"" : ",\"")
+                    .append("key-of-")
+                    .append(name)
+                    .append("-with-a-long-name-")
+                    .append(at)
+                    .append('-')
+                    .append(i)
+                    .append('"');
+        }
+        return callJson(
+                List.of(itemJson(
+                        "tenants",
+                        name,
+                        at,
+                        "\"priority\":1,\"flowPerS\":" + QUOTA_RATE + ",\"burst\":" + QUOTA_BURST + ",\"keys\":[" + many
+                                + ']')),
+                "");
+    }
+
+    /** A call that is invalid. */
+    String invalidChange() {
+        String name = "bad" + addedNames++;
+        return switch (random.nextInt(6)) {
+            case 0 -> callJson(List.of(routeJson(name, "/" + name + "/", "nobody", true, nextRevision())), "");
+            case 1 -> callJson(List.of(routeJson(name, "/r1/", SERVICES[0], true, nextRevision())), "");
+            case 2 -> callJson(List.of(routeJson(name, name + "/", SERVICES[0], true, nextRevision())), "");
+            case 3 -> callJson(List.of(movedRouteJson("r0")), "").replace("h.example", "");
+            case 4 -> {
+                String whole = validChange();
+                yield whole.substring(0, whole.length() / 2);
+            }
+            default ->
+                callJson(
+                        List.of(itemJson(
+                                "tenants", name, nextRevision(), "\"priority\":1,\"keys\":[\"key-0-first.\"]")),
+                        "");
+        };
+    }
+
+    /** Whether the place of a route has gone to another, so that what it shows says nothing of the first. */
+    boolean isReplaced(String routeItem) {
+        return replacedRoutes.contains(routeItem);
+    }
+
+    /** A request on a route that stays. */
+    SimulatedClients.PlannedRequest planRequest() {
+        return planRequest("t" + random.nextInt(TENANTS));
+    }
+
+    /** One of a tenant. */
+    SimulatedClients.PlannedRequest planRequest(String name) {
+        int number = random.nextInt(ROUTES);
+        int tenant = Integer.parseInt(name.substring(1));
+        return new SimulatedClients.PlannedRequest(
+                "/r" + number + "/x",
+                number % 3 != 0,
+                "key-" + tenant + "-first.",
+                name,
+                SERVICES[serviceOf.get("r" + number)],
+                "routes/r" + number,
+                "tenants/t" + tenant);
+    }
+
+    /** A request that shows what is in force of a route or a key that may have changed. */
+    SimulatedClients.PlannedRequest planProbe() {
+        int tenant = random.nextInt(TENANTS);
+        List<String> has = keysOf.get("t" + tenant);
+        String route = addedNames > 0 && random.nextInt(3) == 0
+                ? "a" + random.nextInt(addedNames)
+                : "r" + random.nextInt(ROUTES);
+        boolean known = route.startsWith("r");
+        String key = known && random.nextInt(3) == 0 && addedKeys > 0
+                ? "key-t" + tenant + '-' + random.nextInt(addedKeys) + '.'
+                : has.get(0);
+        return new SimulatedClients.PlannedRequest(
+                "/" + route + "/x", true, key, null, null, "routes/" + route, "tenants/t" + tenant);
+    }
+}
--- a/src/main/java/reedmux/lab/world/Days.java
+++ b/src/main/java/reedmux/simulation/cluster/DayRunner.java
@@ -1,4 +1,4 @@
-package reedmux.lab.world;
+package reedmux.simulation.cluster;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -9,41 +9,42 @@
 import java.util.function.Consumer;
 
 /** Many days, played side by side and told in their order. */
-public final class Days {
-    private final Day.Shape shape;
+public final class DayRunner {
+    private final SimulatedDay.DayOptions options;
 
     /** What many days come to. */
-    public record Sum(int days, int broken, long asked, long served, long simulated, long digest) {}
+    public record DayTotals(
+            int days, int violatedDays, long requests, long served, long simulatedMicros, long digest) {}
 
-    public Days(Day.Shape shape) {
-        this.shape = shape;
+    public DayRunner(SimulatedDay.DayOptions shape) {
+        this.options = shape;
     }
 
     /** Plays the days of these seeds; {@code log} hears processes, {@code told} each day once it is over. */
-    public Sum play(long first, long last, int jobs, Consumer<String> log, Consumer<Day.Outcome> told)
+    public DayTotals play(long first, long last, int jobs, Consumer<String> log, Consumer<SimulatedDay.DayOutcome> told)
             throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(jobs);
         try {
-            List<Future<Day.Outcome>> days = new ArrayList<>();
+            List<Future<SimulatedDay.DayOutcome>> days = new ArrayList<>();
             for (long seed = first; seed <= last; seed++) {
                 long drawn = seed;
-                days.add(pool.submit(() -> Day.play(drawn, shape, log)));
+                days.add(pool.submit(() -> SimulatedDay.play(drawn, options, log)));
             }
             int broken = 0;
             long asked = 0;
             long served = 0;
             long simulated = 0;
             long digest = 0;
-            for (Future<Day.Outcome> each : days) {
-                Day.Outcome day = each.get();
+            for (Future<SimulatedDay.DayOutcome> each : days) {
+                SimulatedDay.DayOutcome day = each.get();
                 told.accept(day);
-                broken += day.broken().isEmpty() ? 0 : 1;
-                asked += day.asked();
+                broken += day.violations().isEmpty() ? 0 : 1;
+                asked += day.requests();
                 served += day.served();
-                simulated += day.simulated();
+                simulated += day.simulatedMicros();
                 digest = digest * 31 + day.digest();
             }
-            return new Sum(days.size(), broken, asked, served, simulated, digest);
+            return new DayTotals(days.size(), broken, asked, served, simulated, digest);
         } catch (ExecutionException e) {
             throw new IllegalStateException(e.getCause());
         } finally {
--- /dev/null
+++ b/src/main/java/reedmux/simulation/cluster/Deployment.java
@@ -0,0 +1,269 @@
+package reedmux.simulation.cluster;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import reedmux.common.net.SocketAddresses;
+import reedmux.common.settings.ProcessSettings;
+import reedmux.common.settings.ProcessSettingsException;
+import reedmux.common.settings.Program;
+import reedmux.control.registry.Registry;
+import reedmux.control.store.StoreServer;
+import reedmux.proxy.Proxy;
+
+/** The machines of a deployment and the programs on them, started and ended as the platform does. */
+final class Deployment {
+    static final String[] ZONES = {"hall-a", "hall-b", "hall-c"};
+    static final int STORE_PORT = 7360;
+    private static final int CONTROL_PORT = 8683;
+    private static final int FRONT_PORT = 8689;
+    private static final int READINESS_PORT = 8687;
+    private static final long EVENT_COST_MICROS = 25;
+    private static final long RESTART_DELAY_MICROS = 500_000;
+    private static final long SHUTDOWN_GRACE_MICROS = 6_000_000;
+    private static final long ADDRESS_LIST_LAG_MICROS = 3_000_000;
+    private static final int SEEDS = 3;
+    private final ClusterSimulation world;
+    private final Consumer<String> log;
+    private final List<DeployedNode> edges = new ArrayList<>();
+    private final List<DeployedNode> cores = new ArrayList<>();
+    private final List<InetSocketAddress> controlAddresses = new ArrayList<>();
+    private final List<String> initialSeeds = new ArrayList<>();
+    private Consumer<String> unexpectedExitListener = process -> {};
+
+    /** A machine with its programs. */
+    final class DeployedNode {
+        private final String name;
+        private SimulatedMachine machine;
+        private List<String> seeds;
+        private long startedAt;
+        private final boolean core;
+        private final Map<String, SimulatedProcess> processes = new LinkedHashMap<>();
+        private final Map<String, Program> programs = new LinkedHashMap<>();
+        private boolean firstStart = true;
+        private boolean down;
+        private boolean shuttingDown;
+        private long incarnations;
+        private int stops;
+
+        private DeployedNode(String name, SimulatedMachine machine, boolean core) {
+            this.name = name;
+            this.machine = machine;
+            this.core = core;
+        }
+
+        String name() {
+            return name;
+        }
+
+        SimulatedMachine machine() {
+            return machine;
+        }
+
+        /** Tells one life of its proxy from another. */
+        String incarnation() {
+            return name + '#' + incarnations;
+        }
+
+        /** When its processes were started last. */
+        long startedAt() {
+            return startedAt;
+        }
+
+        /** What its settings file says from the next start on; addresses without ports. */
+        void setSeeds(List<String> ips) {
+            seeds = ips;
+        }
+
+        boolean isShuttingDown() {
+            return shuttingDown;
+        }
+
+        /** Starts what it runs. */
+        void start() {
+            down = false;
+            shuttingDown = false;
+            incarnations++;
+            startedAt = world.now();
+            for (String role : core ? List.of("store", "registry") : List.of("proxy")) {
+                start(role);
+            }
+            firstStart = false;
+        }
+
+        private void start(String role) {
+            try {
+                ProcessSettings boot = settings(this, role);
+                SimulatedProcess host = new SimulatedProcess(world, machine, name + '/' + role, EVENT_COST_MICROS, log);
+                Program program =
+                        switch (role) {
+                            case "store" -> new StoreServer(boot, host.reactor());
+                            case "registry" -> new Registry(boot, host.reactor());
+                            default -> new Proxy(boot, host.reactor());
+                        };
+                processes.put(role, host);
+                programs.put(role, program);
+                host.onExit(() -> world.scheduleAfter(RESTART_DELAY_MICROS, () -> {
+                    if (processes.get(role) == host && !down) {
+                        if (!shuttingDown) {
+                            unexpectedExitListener.accept(name + '/' + role);
+                        }
+                        shuttingDown = false;
+                        incarnations++;
+                        startedAt = world.now();
+                        start(role);
+                    }
+                }));
+                host.submit(() -> {});
+            } catch (ProcessSettingsException e) {
+                throw new IllegalStateException(name + ": " + e.getMessage(), e);
+            } catch (IOException e) { // as when the disk refuses: it is tried again
+                log.accept(name + '/' + role + " does not start: " + e.getMessage());
+                unexpectedExitListener.accept(name + '/' + role);
+                world.scheduleAfter(RESTART_DELAY_MICROS, () -> {
+                    if (!down) {
+                        start(role);
+                    }
+                });
+            }
+        }
+
+        /** Its processes are killed, and started again after a while. */
+        void kill(long downFor) {
+            processes.values().forEach(SimulatedProcess::kill);
+            startAfter(downFor);
+        }
+
+        /** Whatever has ended it, what came last says when it is back. */
+        private void startAfter(long downFor) {
+            down = true;
+            int fall = ++stops;
+            world.scheduleAfter(downFor, () -> {
+                if (fall == stops) {
+                    machine.restorePower();
+                    start();
+                }
+            });
+        }
+
+        /** It loses power, and with {@code wiped} its disk. */
+        void losePower(long downFor, boolean wiped) {
+            machine.losePower();
+            if (wiped) {
+                machine.disk().wipe();
+            }
+            startAfter(downFor);
+        }
+
+        /** Another machine takes its place and its name, at another address, perhaps with its disk. */
+        void replace(String ip, boolean withDisk, long downFor) {
+            machine.losePower();
+            down = true;
+            int fall = ++stops;
+            int place = cores.indexOf(this);
+            world.scheduleAfter(downFor, () -> {
+                machine = new SimulatedMachine(
+                        world, ip, machine.zone(), withDisk ? machine.disk() : new SimulatedDisk(world));
+                if (fall == stops) {
+                    start();
+                }
+            });
+            world.scheduleAfter(
+                    downFor + ADDRESS_LIST_LAG_MICROS,
+                    () -> controlAddresses.set(place, SocketAddresses.parse(ip + ':' + CONTROL_PORT)));
+        }
+
+        /** It is told to end, and started again. */
+        void terminate(long downFor) {
+            shuttingDown = true;
+            int of = (int) incarnations;
+            processes.forEach((role, host) ->
+                    host.reactor().execute(() -> programs.get(role).beginShutdown()));
+            world.scheduleAfter(SHUTDOWN_GRACE_MICROS, () -> {
+                if (incarnations == of && !down) {
+                    kill(downFor);
+                }
+            });
+        }
+
+        void freeze(long length) {
+            processes.values().forEach(SimulatedProcess::freeze);
+            List<SimulatedProcess> frozen = new ArrayList<>(processes.values());
+            world.scheduleAfter(length, () -> frozen.forEach(SimulatedProcess::thaw));
+        }
+    }
+
+    Deployment(ClusterSimulation world, int proxies, int coreCount, Consumer<String> log) {
+        this.world = world;
+        this.log = log;
+        for (int i = 0; i < coreCount; i++) {
+            String zone = ZONES[i % ZONES.length];
+            cores.add(new DeployedNode(
+                    "core-" + zone + '-' + i, new SimulatedMachine(world, "10.1." + i + ".10", zone, true), true));
+            controlAddresses.add(SocketAddresses.parse("10.1." + i + ".10:" + CONTROL_PORT));
+            if (i < SEEDS) {
+                initialSeeds.add("10.1." + i + ".10");
+            }
+        }
+        for (int i = 0; i < proxies; i++) {
+            String zone = ZONES[i % ZONES.length];
+            edges.add(new DeployedNode(
+                    "edge-" + zone + '-' + i,
+                    new SimulatedMachine(world, "10.2." + i / 200 + '.' + (10 + i % 200), zone, false),
+                    false));
+        }
+    }
+
+    /** Hears which process has ended, or does not start, though nobody has told it to end. */
+    void onUnexpectedExit(Consumer<String> hears) {
+        unexpectedExitListener = hears;
+    }
+
+    void start() {
+        cores.forEach(DeployedNode::start);
+        edges.forEach(DeployedNode::start);
+    }
+
+    List<DeployedNode> proxies() {
+        return edges;
+    }
+
+    List<DeployedNode> cores() {
+        return cores;
+    }
+
+    /** Where the operator and checkers call, as a list that lags says; it changes with time. */
+    List<InetSocketAddress> controlAddresses() {
+        return controlAddresses;
+    }
+
+    InetSocketAddress frontAddress(DeployedNode edge) {
+        return SocketAddresses.parse(edge.machine.ip() + ':' + FRONT_PORT);
+    }
+
+    InetSocketAddress readinessAddress(DeployedNode edge) {
+        return SocketAddresses.parse(edge.machine.ip() + ':' + READINESS_PORT);
+    }
+
+    private ProcessSettings settings(DeployedNode node, String role) throws ProcessSettingsException {
+        List<String> seeds = new ArrayList<>();
+        for (String seed : node.seeds == null ? initialSeeds : node.seeds) {
+            seeds.add('"' + seed + ':' + CONTROL_PORT + '"');
+        }
+        String ip = node.machine.ip();
+        return ProcessSettings.parse(
+                node.name + '/' + role,
+                "node = \"" + node.name + "\"\nip = \"" + ip
+                        + "\"\nzone = \"" + node.machine.zone() + "\"\nportRange = [" + STORE_PORT + ", "
+                        + (STORE_PORT + 15)
+                        + "]\nseeds = [" + String.join(", ", seeds) + "]\ncoldStart = " + node.firstStart
+                        + "\nperiodMs = 1500\n" + (node.core ? "dataDir = \"/data\"\n" : "")
+                        + "[sockets]\nfront = \"" + ip + ':' + FRONT_PORT + "\"\nready = \"" + ip + ':' + READINESS_PORT
+                        + "\"\ncontrol = \"" + ip + ':' + CONTROL_PORT + "\"\n[tolerance]\nmachines = 1\n[envelope]\n"
+                        + "graceS = 6\nretryRatio = 0.2\nretrySlack = 56\n[saturation]\nfdLimit = 4100\n");
+    }
+}
--- /dev/null
+++ b/src/main/java/reedmux/simulation/cluster/GrowthExperiment.java
@@ -0,0 +1,133 @@
+package reedmux.simulation.cluster;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Random;
+import java.util.function.ToDoubleFunction;
+
+/**
+ * What the control side costs at a size, in virtual time: the production programs without traffic, at rest,
+ * while one proxy is restarted, and while each proxy is. Bytes and messages are those between the system's
+ * own programs; time on the processor is that of the programs' code, without the kernel's sockets.
+ */
+public final class GrowthExperiment {
+    public static final List<String> PHASES = List.of("rest", "one", "roll");
+    public static final List<String> ROLES = List.of("proxy", "registry", "store");
+    private static final long SECOND = 1_000_000;
+    private static final long SETTLE_MICROS = 12 * SECOND;
+    private static final long REST_MICROS = 8 * SECOND;
+    private static final long SINGLE_RESTART_MICROS = 6 * SECOND;
+    private static final long ROLLING_RESTART_MICROS = 20 * SECOND;
+    private static final long ROLLING_RESTART_TAIL_MICROS = 6 * SECOND;
+    private static final long DOWNTIME_MICROS = 300_000;
+    /** Beyond so many proxies they are not all restarted: it would take minutes. */
+    private static final int MAX_ROLLED_PROXIES = 300;
+
+    private final ClusterSimulation world;
+    private final Deployment deployment;
+
+    /** How many of each there are. */
+    public record ClusterSize(int proxies, int cores, int checkers) {}
+
+    /** One role's median machine in one phase; bytes both ways, all by the second. */
+    public record GrowthRow(
+            ClusterSize size,
+            String phase,
+            String role,
+            double seconds,
+            double kilobytes,
+            double messages,
+            double events,
+            double cpuMillis) {}
+
+    private GrowthExperiment(ClusterSize size) {
+        world = new ClusterSimulation(size.proxies() * 31L + size.cores());
+        world.enableCpuMeasurement();
+        deployment = new Deployment(world, size.proxies(), size.cores(), line -> {});
+    }
+
+    /** Plays one size. */
+    public static List<GrowthRow> run(ClusterSize size) {
+        return new GrowthExperiment(size).runPhases(size);
+    }
+
+    private List<GrowthRow> runPhases(ClusterSize size) {
+        ClusterInvariantChecker unheard = new ClusterInvariantChecker();
+        deployment.start();
+        for (int i = 0; i < size.checkers(); i++) {
+            SimulatedMachine machine = new SimulatedMachine(
+                    world,
+                    "10.3." + i / 200 + '.' + (1 + i % 200),
+                    Deployment.ZONES[i % Deployment.ZONES.length],
+                    false);
+            new SimulatedChecker(
+                    world,
+                    machine,
+                    "i-" + i,
+                    ConfigurationGenerator.SERVICES[i % 2],
+                    deployment.controlAddresses(),
+                    unheard,
+                    () -> {},
+                    ip -> {});
+        }
+        new SimulatedOperator(world, "10.8.0.1", deployment.controlAddresses(), unheard)
+                .changeConfiguration(
+                        new ConfigurationGenerator(new Random(1)).initialChange(),
+                        ClusterInvariantChecker.ExpectedDecision.ACCEPT,
+                        ConfigurationGenerator::visibleEffect,
+                        status -> {});
+        world.runFor(SETTLE_MICROS);
+        List<GrowthRow> rows = new ArrayList<>();
+        measure(rows, size, "rest", REST_MICROS);
+        deployment.proxies().get(size.proxies() / 2).kill(DOWNTIME_MICROS);
+        measure(rows, size, "one", SINGLE_RESTART_MICROS);
+        if (size.proxies() > MAX_ROLLED_PROXIES) {
+            return rows;
+        }
+        List<Deployment.DeployedNode> edges = deployment.proxies();
+        for (int i = 0; i < edges.size(); i++) {
+            Deployment.DeployedNode edge = edges.get(i);
+            world.scheduleAfter(i * ROLLING_RESTART_MICROS / edges.size(), () -> edge.kill(DOWNTIME_MICROS));
+        }
+        measure(rows, size, "roll", ROLLING_RESTART_MICROS + ROLLING_RESTART_TAIL_MICROS);
+        return rows;
+    }
+
+    private void measure(List<GrowthRow> rows, ClusterSize size, String phase, long length) {
+        List<List<ProcessLoad>> before = new ArrayList<>();
+        ROLES.forEach(role -> before.add(loads(role)));
+        world.runFor(length);
+        for (int i = 0; i < ROLES.size(); i++) {
+            List<ProcessLoad> then = loads(ROLES.get(i));
+            ProcessLoad[] gone = new ProcessLoad[then.size()];
+            for (int at = 0; at < gone.length; at++) {
+                gone[at] = then.get(at).since(before.get(i).get(at));
+            }
+            double seconds = length / 1e6;
+            rows.add(new GrowthRow(
+                    size,
+                    phase,
+                    ROLES.get(i),
+                    seconds,
+                    median(gone, load -> (load.sentBytes + load.receivedBytes) / 1e3) / seconds,
+                    median(gone, load -> load.messages) / seconds,
+                    median(gone, load -> load.events) / seconds,
+                    median(gone, load -> load.cpuNanos / 1e6) / seconds));
+        }
+    }
+
+    private List<ProcessLoad> loads(String role) {
+        List<ProcessLoad> all = new ArrayList<>();
+        for (Deployment.DeployedNode node : role.equals("proxy") ? deployment.proxies() : deployment.cores()) {
+            all.add(new ProcessLoad()
+                    .since(new ProcessLoad().since(node.machine().load(node.name() + '/' + role))));
+        }
+        return all;
+    }
+
+    private static double median(ProcessLoad[] loads, ToDoubleFunction<ProcessLoad> of) {
+        double[] sorted = Arrays.stream(loads).mapToDouble(of).sorted().toArray();
+        return sorted[sorted.length / 2];
+    }
+}
--- /dev/null
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedChecker.java
@@ -0,0 +1,277 @@
+package reedmux.simulation.cluster;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.List;
+import reedmux.common.eventloop.TcpListener;
+import reedmux.common.http1.Http1Head;
+import reedmux.common.http1.Http1ServerConnection;
+import reedmux.simulation.harness.OneShotHttpCall;
+
+/** One life of a checker, on a machine whose address may have been another's before. */
+final class SimulatedChecker {
+    private static final long HEARTBEAT_INTERVAL_MICROS = 1_500_000;
+    private static final long CALL_TIMEOUT_MICROS = 1_000_000;
+    private static final long DRAIN_MICROS = 2_300_000;
+    private static final long DRAIN_TIMEOUT_MICROS = 5_000_000;
+    private static final int SLOTS = 3;
+    private static final int MAX_QUEUED = 12;
+    private static final int PORT = 8080;
+    private final SimulatedProcess process;
+    private final ClusterSimulation world;
+    private final ClusterInvariantChecker invariants;
+    private final String id;
+    private final String service;
+    private final List<InetSocketAddress> controlAddresses;
+    private final Runnable exitListener;
+    /** Hears the address of who acknowledged that it leaves. */
+    private final java.util.function.Consumer<String> drainListener;
+
+    private final Deque<Runnable> queue = new ArrayDeque<>();
+    private int busy;
+    private boolean draining;
+    private long drainingAt;
+    private boolean drainAcknowledged;
+    private long sequence;
+    private int controlIndex;
+    /** Of its answers, how many are lost after it has run. */
+    private double lostResponseShare;
+
+    private double faultyResponseShare;
+    /** How much longer it serves on once its leaving was acknowledged. */
+    private long lingerMicros;
+
+    SimulatedChecker(
+            ClusterSimulation world,
+            SimulatedMachine machine,
+            String id,
+            String service,
+            List<InetSocketAddress> control,
+            ClusterInvariantChecker watch,
+            Runnable onEnd,
+            java.util.function.Consumer<String> onDrain) {
+        this.world = world;
+        this.invariants = watch;
+        this.id = id;
+        this.service = service;
+        this.controlAddresses = control;
+        this.exitListener = onEnd;
+        this.drainListener = onDrain;
+        controlIndex = world.random().nextInt(control.size());
+        process = new SimulatedProcess(world, machine, id, 0, line -> {});
+        try {
+            new TcpListener(
+                    process.reactor(),
+                    new InetSocketAddress(machine.ip(), PORT),
+                    wire -> new Http1ServerConnection(process.reactor(), wire, this::serve));
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
+        }
+        process.reactor()
+                .scheduleAfter(world.random().nextInt((int) HEARTBEAT_INTERVAL_MICROS / 4), () -> sendHeartbeat(0));
+        process.submit(() -> {});
+    }
+
+    String id() {
+        return id;
+    }
+
+    SimulatedMachine machine() {
+        return process.machine();
+    }
+
+    boolean isAlive() {
+        return process.isAlive();
+    }
+
+    boolean isDraining() {
+        return draining;
+    }
+
+    void loseResponses(double share) {
+        lostResponseShare = share;
+    }
+
+    /** A share of its answers comes late, twice, in part or not at all. */
+    void sendFaultyResponses(double share) {
+        faultyResponseShare = share;
+    }
+
+    // ---- Requests ----------------------------------------------------------------------------------
+    private void serve(Http1ServerConnection.Http1Request call, Http1ServerConnection from) {
+        Http1Head head = call.head();
+        String attempt = head.get("Reedmux-Attempt-Id");
+        String target = head.get("Reedmux-Target-Instance");
+        if (target != null && !target.equals(id)) {
+            from.respond(Http1Head.response(421).add("Reedmux-Instance-Id", id), new byte[0]);
+            return;
+        }
+        invariants.onRequestArrived(attempt, service, process.now());
+        if (attempt == null) {
+            from.respond(Http1Head.response(400).add("Reedmux-Not-Executed", "1"), new byte[0]);
+        } else if (busy < SLOTS) {
+            execute(head, attempt, from);
+        } else if (queue.size() < MAX_QUEUED) {
+            queue.add(() -> execute(head, attempt, from));
+        } else {
+            from.respond(Http1Head.response(503).add("Reedmux-Not-Executed", "1"), new byte[0]);
+        }
+    }
+
+    private void execute(Http1Head head, String attempt, Http1ServerConnection from) {
+        busy++;
+        invariants.onRequestExecuted(attempt, id, service, head.get("Reedmux-Tenant"), process.now());
+        world.addToDigest(id + " runs " + attempt);
+        process.reactor().scheduleAfter(40_000 + world.random().nextInt(80_000), () -> {
+            if (world.random().nextDouble() < lostResponseShare) {
+                from.sendRawAndClose(new byte[0]);
+            } else if (faultyResponseShare > 0 && world.random().nextDouble() < faultyResponseShare) {
+                respondFaultily(attempt, from);
+            } else {
+                respond(attempt, from);
+            }
+            busy--;
+            if (!queue.isEmpty()) {
+                queue.poll().run();
+            }
+        });
+    }
+
+    private void respond(String attempt, Http1ServerConnection from) {
+        from.respond(
+                Http1Head.response(200).add("Reedmux-Attempt-Id", attempt).add("Reedmux-Server-Seal", id),
+                content(attempt));
+    }
+
+    private byte[] content(String attempt) {
+        return (id + ' ' + service + ' ' + attempt).getBytes(StandardCharsets.UTF_8);
+    }
+
+    private void respondFaultily(String attempt, Http1ServerConnection from) {
+        byte[] whole = encodedResponse(attempt);
+        switch (world.random().nextInt(6)) {
+            case 0 ->
+                process.reactor()
+                        .scheduleAfter(500_000 + world.random().nextInt(2_500_000), () -> respond(attempt, from));
+            case 1 ->
+                from.sendRawAndClose(
+                        java.util.Arrays.copyOf(whole, 1 + world.random().nextInt(whole.length - 1)));
+            case 2, 3 -> { // once more, at once or when the connection may carry another request
+                respond(attempt, from);
+                process.reactor()
+                        .scheduleAfter(
+                                world.random().nextInt(3) == 0
+                                        ? 0
+                                        : world.random().nextInt(60_000),
+                                () -> from.sendUnsolicited(whole));
+            }
+            case 4 -> {
+                from.sendUnsolicited("HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.UTF_8));
+                respond(attempt, from);
+            }
+            default -> {}
+        }
+    }
+
+    private byte[] encodedResponse(String attempt) {
+        byte[] content = content(attempt);
+        byte[] head = Http1Head.response(200)
+                .add("Reedmux-Attempt-Id", attempt)
+                .add("Reedmux-Server-Seal", id)
+                .add("Content-Length", Integer.toString(content.length))
+                .encode();
+        byte[] all = java.util.Arrays.copyOf(head, head.length + content.length);
+        System.arraycopy(content, 0, all, head.length, content.length);
+        return all;
+    }
+
+    // ---- What it says of itself --------------------------------------------------------------------
+    private void sendHeartbeat(int failed) {
+        if (!process.isAlive()) {
+            return;
+        }
+        boolean said = draining;
+        String body = "{\"plant\":\"" + service + "\",\"address\":\""
+                + process.machine().ip() + ':' + PORT
+                + "\",\"zone\":\"" + process.machine().zone() + "\",\"revision\":\"v1\",\"capacity\":" + SLOTS
+                + ",\"phase\":\"" + (said ? "draining" : "ready") + "\",\"coldLeftMs\":0,\"seq\":" + ++sequence
+                + '}';
+        callControl("/v1/Instances.Heartbeat/" + id, body, good -> {
+            if (good && said && !drainAcknowledged) {
+                drainAcknowledged = true;
+                String by = controlAddresses
+                        .get(controlIndex % controlAddresses.size())
+                        .getAddress()
+                        .getHostAddress();
+                invariants.onDrainAcknowledged(id, by, process.now());
+                drainListener.accept(by);
+                process.reactor().scheduleAfter(DRAIN_MICROS + lingerMicros, () -> deregister(0));
+            } else if (!good && failed < controlAddresses.size()) {
+                controlIndex++;
+                sendHeartbeat(failed + 1);
+                return;
+            } else if (said && !drainAcknowledged) {
+                if (process.now() - drainingAt > DRAIN_TIMEOUT_MICROS) {
+                    invariants.onDrainUnacknowledged(drainingAt, process.now());
+                    deregister(0);
+                    return;
+                }
+            }
+            if (said == draining) {
+                process.reactor()
+                        .scheduleAfter(
+                                said && !drainAcknowledged ? 200_000 : HEARTBEAT_INTERVAL_MICROS,
+                                () -> sendHeartbeat(0));
+            }
+        });
+    }
+
+    private void deregister(int failed) {
+        callControl("/v1/Instances.Leave/" + id, "{}", good -> {
+            if (good || failed >= 3) {
+                process.kill();
+                exitListener.run();
+            } else {
+                controlIndex++;
+                deregister(failed + 1);
+            }
+        });
+    }
+
+    private void callControl(String path, String body, java.util.function.Consumer<Boolean> done) {
+        try {
+            new OneShotHttpCall(
+                    process.reactor(),
+                    controlAddresses.get(controlIndex % controlAddresses.size()),
+                    OneShotHttpCall.post(path, body),
+                    CALL_TIMEOUT_MICROS,
+                    (status, head, text) -> done.accept(status / 100 == 2));
+        } catch (IOException e) {
+            done.accept(false);
+        }
+    }
+
+    /** It is to leave in order, and serves on longer than it has to. */
+    void drain(long longer) {
+        lingerMicros = longer;
+        drain();
+    }
+
+    /** It is to leave in order. */
+    void drain() {
+        if (!draining) {
+            draining = true;
+            drainingAt = process.now();
+            process.reactor().execute(() -> sendHeartbeat(0));
+        }
+    }
+
+    /** It ends without a word. */
+    void crash() {
+        process.kill();
+        exitListener.run();
+    }
+}
--- /dev/null
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedClients.java
@@ -0,0 +1,235 @@
+package reedmux.simulation.cluster;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import java.util.function.Predicate;
+import reedmux.common.http1.Http1Head;
+import reedmux.simulation.harness.OneShotHttpCall;
+
+/** Clients of all zones, the platform that spreads them, and the probes that it sends to each proxy. */
+public final class SimulatedClients {
+    private static final long PROBE_INTERVAL_MICROS = 1_000_000;
+    private static final long DEADLINE_MICROS = 1_500_000;
+    private static final int MAX_MISSED_PROBES = 2;
+    private static final int MAX_ATTEMPTS = 3;
+    private final ClusterSimulation world;
+    private final Deployment deployment;
+    private final ClusterInvariantChecker invariants;
+    private final SimulatedProcess process;
+    private final Map<String, Integer> missedProbes = new HashMap<>();
+    private long nextRequestNumber;
+    private long countedRequests;
+    private long countedServed;
+    private long countFrom = Long.MAX_VALUE;
+
+    /**
+     * A request that may be made.
+     *
+     * @param tenant    whose key it has
+     * @param routeItem the item by which it is judged what a probe of its route shows
+     * @param keyItem   the item by which it is judged what a probe of its key shows
+     */
+    public record PlannedRequest(
+            String path,
+            boolean idempotent,
+            String key,
+            String tenant,
+            String service,
+            String routeItem,
+            String keyItem) {}
+
+    SimulatedClients(ClusterSimulation world, Deployment deployment, ClusterInvariantChecker watch) {
+        this.world = world;
+        this.deployment = deployment;
+        this.invariants = watch;
+        process = new SimulatedProcess(
+                world, new SimulatedMachine(world, "10.9.0.1", Deployment.ZONES[1], false), "clients", 0, line -> {});
+        probeReadiness();
+    }
+
+    // ---- The platform ------------------------------------------------------------------------------
+    private void probeReadiness() {
+        for (Deployment.DeployedNode edge : deployment.proxies()) {
+            runOnProcess(() -> new OneShotHttpCall(
+                    process.reactor(),
+                    deployment.readinessAddress(edge),
+                    OneShotHttpCall.request("GET", "/v1/readiness", "ready", ""),
+                    PROBE_INTERVAL_MICROS,
+                    (status, head, text) -> {
+                        missedProbes.merge(edge.name(), 1, (had, one) -> status == 200 ? 0 : had + 1);
+                        if (status == 200) {
+                            invariants.onReady(edge.name(), edge.startedAt(), world.now());
+                        }
+                    }));
+        }
+        world.scheduleAfter(PROBE_INTERVAL_MICROS, this::probeReadiness);
+    }
+
+    private interface ClientCall {
+        void make() throws IOException;
+    }
+
+    private void runOnProcess(ClientCall call) {
+        process.reactor().execute(() -> {
+            try {
+                call.make();
+            } catch (IOException e) {
+                throw new IllegalStateException(e);
+            }
+        });
+    }
+
+    boolean isInRotation(Deployment.DeployedNode edge) {
+        return missedProbes.getOrDefault(edge.name(), MAX_MISSED_PROBES) < MAX_MISSED_PROBES;
+    }
+
+    private Deployment.DeployedNode pickProxy() {
+        String zone = Deployment.ZONES[world.random().nextInt(Deployment.ZONES.length)];
+        List<Deployment.DeployedNode> here = new ArrayList<>();
+        List<Deployment.DeployedNode> up = new ArrayList<>();
+        for (Deployment.DeployedNode edge : deployment.proxies()) {
+            if (edge.machine().zone().equals(zone)) {
+                here.add(edge);
+                if (isInRotation(edge)) {
+                    up.add(edge);
+                }
+            }
+        }
+        if (up.isEmpty()) {
+            deployment.proxies().stream().filter(this::isInRotation).forEach(up::add);
+        } else if (up.size() * 2 < here.size()) {
+            up = here;
+        }
+        List<Deployment.DeployedNode> all = up.isEmpty() ? deployment.proxies() : up;
+        return all.get(world.random().nextInt(all.size()));
+    }
+
+    // ---- Requests ----------------------------------------------------------------------------------
+    /** From now on what is asked and served is counted. */
+    void countFromNow() {
+        countFrom = world.now();
+    }
+
+    long countedRequests() {
+        return countedRequests;
+    }
+
+    long countedServed() {
+        return countedServed;
+    }
+
+    /** A client makes a request, with its further tries. */
+    void request(PlannedRequest wish) {
+        boolean counted = world.now() >= countFrom;
+        countedRequests += counted ? 1 : 0;
+        request(
+                wish,
+                "q" + ++nextRequestNumber,
+                1,
+                world.now() + DEADLINE_MICROS,
+                good -> countedServed += counted && good ? 1 : 0);
+    }
+
+    private void request(PlannedRequest wish, String name, int number, long deadline, Consumer<Boolean> done) {
+        Deployment.DeployedNode edge = pickProxy();
+        String id = name + '.' + number;
+        invariants.onRequestSent(
+                id, edge.name(), wish.idempotent, wish.tenant, wish.service, wish.routeItem, world.now());
+        long begun = world.now();
+        send(edge, wish, id, deadline, (status, head, text) -> {
+            recordResponse(edge, id, status, head, text, begun);
+            boolean again = status == 429
+                    || status == 503
+                    || wish.idempotent && status != 200 && status != 401 && status != 404;
+            if (!again || number >= MAX_ATTEMPTS || world.now() + 50_000 > deadline) {
+                done.accept(status == 200);
+                return;
+            }
+            String after = head == null ? null : head.get("Retry-After");
+            long pause = after == null
+                    ? 50_000
+                    : Math.min(
+                            (long) (Double.parseDouble(after) * PROBE_INTERVAL_MICROS), (deadline - world.now()) / 3);
+            world.scheduleAfter(pause, () -> request(wish, name, number + 1, deadline, done));
+        });
+    }
+
+    private void recordResponse(
+            Deployment.DeployedNode edge, String id, int status, Http1Head head, String text, long begun) {
+        world.addToDigest(id + ' ' + status);
+        if (status == 0) {
+            invariants.onConnectionLost(
+                    id, text.equals("cut off") || text.contains("reset"), edge.isShuttingDown(), world.now());
+            return;
+        }
+        String seal = head.get("Reedmux-Server-Seal");
+        String own = seal != null && text.startsWith(seal + ' ') && text.endsWith(' ' + id) ? seal : null;
+        invariants.onResponse(id, status, own, world.now());
+    }
+
+    private void send(
+            Deployment.DeployedNode edge,
+            PlannedRequest wish,
+            String id,
+            long deadline,
+            OneShotHttpCall.ResponseCallback done) {
+        List<String> headers = new ArrayList<>(List.of(
+                "Reedmux-Attempt-Id: " + id + "\r\n",
+                "Reedmux-Time-Left-Ms: " + Math.max(1, (deadline - world.now()) / 1000) + "\r\n"));
+        headers.add("Authorization: Bearer " + wish.key + "\r\n");
+        byte[] bytes = OneShotHttpCall.request(
+                wish.idempotent ? "GET" : "POST",
+                wish.path,
+                "h.example",
+                wish.idempotent ? "" : "some body",
+                headers.toArray(new String[0]));
+        runOnProcess(() -> new OneShotHttpCall(
+                process.reactor(), deployment.frontAddress(edge), bytes, deadline - world.now() + 20_000, done));
+    }
+
+    /** The platform sends one to a proxy that is in, to see which configuration is in force there. */
+    void probeConfiguration(Deployment.DeployedNode edge, PlannedRequest wish, Predicate<String> swapped) {
+        if (!isInRotation(edge)) {
+            return;
+        }
+        String id = "p" + ++nextRequestNumber;
+        String life = edge.incarnation();
+        invariants.onRequestSent(id, edge.name(), true, null, null, null, world.now());
+        long begun = world.now();
+        send(edge, wish, id, begun + DEADLINE_MICROS, (status, head, text) -> {
+            recordResponse(edge, id, status, head, text, begun);
+            if (!life.equals(edge.incarnation()) || swapped.test(wish.routeItem)) {
+                return;
+            }
+            if (status == 404) {
+                invariants.onEffectObserved(
+                        edge.name(),
+                        life,
+                        wish.routeItem,
+                        ClusterInvariantChecker.NO_EFFECT,
+                        ClusterInvariantChecker.NO_EFFECT::equals,
+                        begun,
+                        world.now());
+            } else if (status == 401) {
+                invariants.onEffectObserved(
+                        edge.name(),
+                        life,
+                        wish.keyItem,
+                        "no " + wish.key,
+                        keys -> !keys.contains(wish.key),
+                        begun,
+                        world.now());
+            } else if (status == 200) {
+                String service = text.split(" ")[1];
+                invariants.onEffectObserved(
+                        edge.name(), life, wish.routeItem, service, service::equals, begun, world.now());
+                invariants.onEffectObserved(
+                        edge.name(), life, wish.keyItem, wish.key, keys -> keys.contains(wish.key), begun, world.now());
+            }
+        });
+    }
+}
--- /dev/null
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedMachine.java
@@ -0,0 +1,96 @@
+package reedmux.simulation.cluster;
+
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/** A machine: its address, its processes, and a disk if it has one. */
+public final class SimulatedMachine {
+    private final ClusterSimulation world;
+    private final String ip;
+    private final String zone;
+    private final SimulatedDisk disk;
+    private final Set<SimulatedProcess> processes = new LinkedHashSet<>();
+    private final Map<String, ProcessLoad> loads = new LinkedHashMap<>();
+    private boolean powered = true;
+
+    SimulatedMachine(ClusterSimulation world, String ip, String zone, boolean withDisk) {
+        this(world, ip, zone, withDisk ? new SimulatedDisk(world) : null);
+    }
+
+    /** One that may have another's disk. */
+    SimulatedMachine(ClusterSimulation world, String ip, String zone, SimulatedDisk disk) {
+        this.world = world;
+        this.ip = ip;
+        this.zone = zone;
+        this.disk = disk;
+        world.addMachine(this);
+    }
+
+    String ip() {
+        return ip;
+    }
+
+    String zone() {
+        return zone;
+    }
+
+    SimulatedDisk disk() {
+        return disk;
+    }
+
+    boolean powered() {
+        return powered;
+    }
+
+    /** What all lives of a process of that name have done. */
+    ProcessLoad load(String ofName) {
+        return loads.computeIfAbsent(ofName, name -> new ProcessLoad());
+    }
+
+    void processStarted(SimulatedProcess host) {
+        processes.add(host);
+    }
+
+    void processEnded(SimulatedProcess host) {
+        processes.remove(host);
+    }
+
+    SimulatedProcess tcpListener(int port) {
+        for (SimulatedProcess host : processes) {
+            if (host.serverSocket(port) != null) {
+                return host;
+            }
+        }
+        return null;
+    }
+
+    SimulatedProcess udpReceiver(int port) {
+        for (SimulatedProcess host : processes) {
+            if (host.udpSocket(port) != null) {
+                return host;
+            }
+        }
+        return null;
+    }
+
+    /** All its processes are gone without a word, and its disk is as a loss of power leaves it. */
+    void losePower() {
+        powered = false;
+        List.copyOf(processes).forEach(SimulatedProcess::losePower);
+        if (disk != null) {
+            disk.crash(true);
+        }
+    }
+
+    void restorePower() {
+        powered = true;
+    }
+
+    @Override
+    public String toString() {
+        return ip + " in " + zone + " at " + world.now();
+    }
+}
--- /dev/null
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedOperator.java
@@ -0,0 +1,185 @@
+package reedmux.simulation.cluster;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.function.BiConsumer;
+import java.util.function.Consumer;
+import reedmux.control.configuration.ConfigurationChangeFormat;
+import reedmux.control.configuration.ConfigurationItem;
+import reedmux.control.configuration.InvalidConfigurationException;
+import reedmux.simulation.harness.OneShotHttpCall;
+
+/** One operator: a call is sent unchanged to one registry after the other until its answer is clear. */
+final class SimulatedOperator {
+    private static final long CALL_TIMEOUT_MICROS = 1_000_000;
+    private static final long GIVE_UP_MICROS = 12_000_000;
+    private static final long FIRST_BACKOFF_MICROS = 100_000;
+    private static final long MAX_BACKOFF_MICROS = 800_000;
+    private static final byte[] READ_REQUEST = OneShotHttpCall.request("GET", "/v1/Config.Read", "control", "");
+    private final SimulatedProcess process;
+    private final ClusterInvariantChecker invariants;
+    private final List<InetSocketAddress> controlAddresses;
+    /** Of clear answers, how many are lost on their way, and how much later such a call is sent again. */
+    private double lostResponseShare;
+
+    private long resendMicros;
+    private int pendingChanges;
+    private String lastAcknowledgedBy = "";
+    /** Hears of each call of the operator whom it is sent to. */
+    private Consumer<String> sentListener = ip -> {};
+
+    SimulatedOperator(
+            ClusterSimulation world, String ip, List<InetSocketAddress> control, ClusterInvariantChecker watch) {
+        process = new SimulatedProcess(
+                world, new SimulatedMachine(world, ip, Deployment.ZONES[0], false), "operator " + ip, 0, line -> {});
+        this.invariants = watch;
+        this.controlAddresses = control;
+    }
+
+    SimulatedMachine machine() {
+        return process.machine();
+    }
+
+    void loseResponses(double share, long sentAgainAfter) {
+        lostResponseShare = share;
+        resendMicros = sentAgainAfter;
+    }
+
+    void onSent(Consumer<String> hears) {
+        sentListener = hears;
+    }
+
+    /** The address of who has acknowledged the last call. */
+    String lastAcknowledgedBy() {
+        return lastAcknowledgedBy;
+    }
+
+    /** Calls that have no clear answer yet. */
+    int pendingChanges() {
+        return pendingChanges;
+    }
+
+    /** How a version shows in requests. */
+    interface VisibleEffect {
+        String of(ConfigurationItem item);
+    }
+
+    /** Sends a change; {@code done} hears the last status, 0 where it was given up. */
+    void changeConfiguration(
+            String body, ClusterInvariantChecker.ExpectedDecision proper, VisibleEffect shows, Consumer<Integer> done) {
+        List<ConfigurationItem> items;
+        try {
+            items = ConfigurationChangeFormat.parse(body);
+        } catch (InvalidConfigurationException e) {
+            items = List.of(); // it cannot be read in full
+        }
+        long now = process.now();
+        items.forEach(item -> invariants.onVersionSent(item, shows.of(item), now));
+        pendingChanges++;
+        send(body, items, proper, now, FIRST_BACKOFF_MICROS, null, status -> {
+            pendingChanges--;
+            done.accept(status);
+        });
+    }
+
+    private InetSocketAddress randomAddress() {
+        return controlAddresses.get(process.simulation().random().nextInt(controlAddresses.size()));
+    }
+
+    /** Not the one that was called last, if there is another. */
+    private InetSocketAddress otherAddress(InetSocketAddress last) {
+        InetSocketAddress to = randomAddress();
+        if (to.equals(last) && controlAddresses.size() > 1) {
+            to = controlAddresses.get((controlAddresses.indexOf(to) + 1) % controlAddresses.size());
+        }
+        return to;
+    }
+
+    private void send(
+            String body,
+            List<ConfigurationItem> items,
+            ClusterInvariantChecker.ExpectedDecision proper,
+            long since,
+            long pause,
+            InetSocketAddress last,
+            Consumer<Integer> done) {
+        InetSocketAddress to = otherAddress(last);
+        sentListener.accept(to.getAddress().getHostAddress());
+        call(to, OneShotHttpCall.post("/v1/Config.Adjust", body), (status, text) -> {
+            process.simulation().addToDigest("adjust " + status);
+            lastAcknowledgedBy = status == 200 ? to.getAddress().getHostAddress() : lastAcknowledgedBy;
+            boolean clear = status == 200 || status >= 400 && status < 500 && status != 408 && status != 429;
+            if (clear && lostResponseShare > 0 && process.simulation().random().nextDouble() < lostResponseShare) {
+                if (status == 200) {
+                    invariants.onChangeAcknowledged(items, proper, since, process.now());
+                } else {
+                    invariants.onChangeRejected(items, proper, true, since, process.now());
+                }
+                process.reactor()
+                        .scheduleAfter(
+                                resendMicros,
+                                () -> send(body, items, proper, process.now(), FIRST_BACKOFF_MICROS, to, done));
+            } else if (status == 200) {
+                invariants.onChangeAcknowledged(items, proper, since, process.now());
+                done.accept(status);
+            } else if (clear) {
+                invariants.onChangeRejected(items, proper, true, since, process.now());
+                done.accept(status);
+            } else if (process.now() - since > GIVE_UP_MICROS) {
+                invariants.onChangeRejected(items, proper, false, since, process.now());
+                done.accept(0);
+            } else {
+                process.reactor()
+                        .scheduleAfter(
+                                pause,
+                                () -> send(
+                                        body, items, proper, since, Math.min(MAX_BACKOFF_MICROS, 2 * pause), to, done));
+            }
+        });
+    }
+
+    private interface OperatorCallback {
+        void onResponse(int status, String text);
+    }
+
+    private void call(InetSocketAddress to, byte[] call, OperatorCallback told) {
+        process.reactor().execute(() -> {
+            try {
+                new OneShotHttpCall(
+                        process.reactor(),
+                        to,
+                        call,
+                        CALL_TIMEOUT_MICROS,
+                        (status, head, text) -> told.onResponse(status, text));
+            } catch (IOException e) {
+                told.onResponse(0, e.getMessage());
+            }
+        });
+    }
+
+    /** Asks one machine once for all items, in the midst of the day. */
+    void readOnce() {
+        long sentAt = process.now();
+        call(randomAddress(), READ_REQUEST, (status, text) -> {
+            process.simulation().addToDigest("read " + status);
+            if (status == 200) {
+                invariants.checkRead(text, sentAt);
+            }
+        });
+    }
+
+    /** Asks for all items again and again, for so long; hears when that was sent, and null for no answer. */
+    void readUntil(long until, BiConsumer<String, Long> done) {
+        long sentAt = process.now();
+        call(randomAddress(), READ_REQUEST, (status, text) -> {
+            if (status == 200) {
+                done.accept(text, sentAt);
+            } else if (process.now() > until) {
+                done.accept(null, sentAt);
+            } else {
+                process.reactor().scheduleAfter(FIRST_BACKOFF_MICROS, () -> readUntil(until, done));
+            }
+        });
+    }
+}
--- /dev/null
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedProcess.java
@@ -0,0 +1,278 @@
+package reedmux.simulation.cluster;
+
+import java.io.IOException;
+import java.net.BindException;
+import java.net.InetSocketAddress;
+import java.nio.file.Path;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.Executor;
+import reedmux.common.disk.Volume;
+import reedmux.common.eventloop.Environment;
+import reedmux.common.eventloop.Reactor;
+import reedmux.common.logging.RingBufferLogger;
+
+/** One process in the world: what its reactor stands on. */
+public final class SimulatedProcess implements Environment {
+    private static final int FIRST_EPHEMERAL_PORT = 40_000;
+    private final ClusterSimulation world;
+    private final SimulatedMachine machine;
+    private final String name;
+    /** What one thing to do takes. */
+    private final long eventCostMicros;
+
+    private final Reactor reactor;
+    private final ProcessLoad load;
+    /** Whether it is one of the system's programs, and no stand-in. */
+    private final boolean systemProgram;
+
+    private final Deque<Runnable> tasks = new ArrayDeque<>();
+    private final Deque<Runnable> frozenEvents = new ArrayDeque<>();
+    private final Deque<Runnable> frozenWork = new ArrayDeque<>();
+    private final Map<Integer, SimulatedTcpServerSocket> serverSockets = new HashMap<>();
+    private final Map<Integer, SimulatedUdpSocket> udpSockets = new HashMap<>();
+    private final Set<SimulatedTcpSocket> tcpSockets = new LinkedHashSet<>();
+    private Runnable exitListener = () -> {};
+    private boolean alive = true;
+    private boolean isFrozen;
+    private boolean inDiskWork;
+    private long busyUntil;
+    private long wakeAt = Long.MAX_VALUE;
+    private int nextEphemeralPort = FIRST_EPHEMERAL_PORT;
+
+    SimulatedProcess(
+            ClusterSimulation world,
+            SimulatedMachine machine,
+            String name,
+            long cost,
+            java.util.function.Consumer<String> log) {
+        this.world = world;
+        this.machine = machine;
+        this.name = name;
+        this.eventCostMicros = cost;
+        load = machine.load(name);
+        systemProgram = name.indexOf('/') >= 0;
+        machine.processStarted(this);
+        reactor = new Reactor(new RingBufferLogger(name, 200, log, () -> world.now() * 1000), this);
+    }
+
+    Reactor reactor() {
+        return reactor;
+    }
+
+    ClusterSimulation simulation() {
+        return world;
+    }
+
+    SimulatedMachine machine() {
+        return machine;
+    }
+
+    boolean isAlive() {
+        return alive;
+    }
+
+    /** Told when it ends by itself. */
+    void onExit(Runnable task) {
+        exitListener = task;
+    }
+
+    @Override
+    public String toString() {
+        return name;
+    }
+
+    // ---- Its thread --------------------------------------------------------------------------------
+    /** Has its thread do something as soon as it can, and never in the midst of something else. */
+    void submit(Runnable event) {
+        world.scheduleAt(Math.max(world.now(), busyUntil), () -> runEvent(event));
+    }
+
+    private void runEvent(Runnable event) {
+        if (!alive) {
+            return;
+        } else if (isFrozen) {
+            frozenEvents.add(event);
+        } else if (world.now() < busyUntil) {
+            submit(event);
+        } else {
+            busyUntil = world.now() + eventCostMicros;
+            long begin = world.measuresCpu() ? System.nanoTime() : 0;
+            event.run();
+            runReactor();
+            load.events++;
+            load.cpuNanos += world.measuresCpu() ? System.nanoTime() - begin : 0;
+        }
+    }
+
+    private void runReactor() {
+        long next = reactor.runOnce();
+        if (reactor.isStopped() && alive) {
+            kill();
+            exitListener.run();
+        } else if (next < wakeAt || wakeAt < world.now()) {
+            wakeAt = next;
+            world.scheduleAt(next, () -> {
+                if (wakeAt == next) {
+                    wakeAt = Long.MAX_VALUE;
+                    submit(() -> {});
+                }
+            });
+        }
+    }
+
+    @Override
+    public long now() {
+        return world.now();
+    }
+
+    @Override
+    public long newIncarnationId() {
+        return world.random().nextLong();
+    }
+
+    @Override
+    public void execute(Runnable task) {
+        if (inDiskWork) { // what follows from the disk's work comes once that is over
+            world.scheduleAt(machine.disk().idleAt(), () -> addTask(task));
+        } else {
+            addTask(task);
+        }
+    }
+
+    private void addTask(Runnable task) {
+        tasks.add(task);
+        submit(() -> {});
+    }
+
+    @Override
+    public Runnable pollTask() {
+        return tasks.poll();
+    }
+
+    @Override
+    public void awaitReadiness(long until) {
+        throw new IllegalStateException("time passes in the world");
+    }
+
+    @Override
+    public Volume volume(Path folder) {
+        return machine.disk().volume(folder);
+    }
+
+    @Override
+    public Executor newWorker(String ofName, int most) {
+        return task -> world.scheduleAt(machine.disk().idleAt(), () -> runDiskWork(task));
+    }
+
+    private void runDiskWork(Runnable task) {
+        if (isFrozen) {
+            frozenWork.add(task);
+        } else if (alive) {
+            inDiskWork = true;
+            try {
+                task.run();
+            } finally {
+                inDiskWork = false;
+            }
+        }
+    }
+
+    void freeze() {
+        isFrozen = true;
+    }
+
+    void thaw() {
+        isFrozen = false;
+        while (!frozenEvents.isEmpty()) {
+            submit(frozenEvents.poll());
+        }
+        while (!frozenWork.isEmpty()) {
+            Runnable task = frozenWork.poll();
+            world.scheduleAt(machine.disk().idleAt(), () -> runDiskWork(task));
+        }
+    }
+
+    // ---- Its end -----------------------------------------------------------------------------------
+    /** It ends as a process ends: the kernel closes what it had open. */
+    void kill() {
+        if (alive) {
+            alive = false;
+            machine.processEnded(this);
+            List.copyOf(tcpSockets).forEach(SimulatedTcpSocket::close);
+            if (machine.disk() != null) {
+                machine.disk().crash(false);
+            }
+        }
+    }
+
+    /** It is gone without a word. */
+    void losePower() {
+        alive = false;
+        machine.processEnded(this);
+        List.copyOf(tcpSockets).forEach(SimulatedTcpSocket::losePower);
+    }
+
+    @Override
+    public void close() {
+        kill();
+    }
+
+    // ---- Sockets -----------------------------------------------------------------------------------
+    SimulatedTcpServerSocket serverSocket(int number) {
+        return serverSockets.get(number);
+    }
+
+    SimulatedUdpSocket udpSocket(int number) {
+        return udpSockets.get(number);
+    }
+
+    /** Bytes go to a peer; counted is what the system's own programs tell each other. */
+    void countWrite(SimulatedProcess to, int many) {
+        if (systemProgram && to.systemProgram) {
+            load.sentBytes += many;
+            load.messages++;
+            to.load.receivedBytes += many;
+        }
+    }
+
+    void socketOpened(SimulatedTcpSocket line) {
+        tcpSockets.add(line);
+    }
+
+    void socketClosed(SimulatedTcpSocket line) {
+        tcpSockets.remove(line);
+    }
+
+    @Override
+    public TcpSocket connect(InetSocketAddress to, InetSocketAddress local) {
+        SimulatedMachine target = world.machine(to.getAddress().getHostAddress());
+        SimulatedTcpSocket line = new SimulatedTcpSocket(this, true);
+        line.sendSyn(target, to.getPort(), 0);
+        return line;
+    }
+
+    @Override
+    public TcpServerSocket listen(InetSocketAddress at, int backlog) throws IOException {
+        int number = at.getPort() == 0 ? nextEphemeralPort++ : at.getPort();
+        if (machine.tcpListener(number) != null) {
+            throw new BindException("Address already in use");
+        }
+        SimulatedTcpServerSocket port = new SimulatedTcpServerSocket(
+                this, new InetSocketAddress(at.getAddress(), number), backlog, () -> serverSockets.remove(number));
+        serverSockets.put(number, port);
+        return port;
+    }
+
+    @Override
+    public UdpSocket bindDatagram(InetSocketAddress at) {
+        SimulatedUdpSocket box = new SimulatedUdpSocket(this, at);
+        udpSockets.put(at.getPort(), box);
+        return box;
+    }
+}
--- /dev/null
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedTcpServerSocket.java
@@ -0,0 +1,77 @@
+package reedmux.simulation.cluster;
+
+import java.net.InetSocketAddress;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import reedmux.common.eventloop.Environment;
+
+/** A place where connections come in, with a queue that drops what is beyond it. */
+public final class SimulatedTcpServerSocket implements Environment.TcpServerSocket {
+    private final SimulatedProcess process;
+    private final InetSocketAddress address;
+    private final int backlog;
+    private final Runnable onClose;
+    private final Deque<SimulatedTcpSocket> backlogQueue = new ArrayDeque<>();
+    private Environment.ReadinessHandler handler;
+    private boolean acceptEnabled = true;
+    private boolean notificationPending;
+
+    SimulatedTcpServerSocket(SimulatedProcess host, InetSocketAddress address, int backlog, Runnable closing) {
+        this.process = host;
+        this.address = address;
+        this.backlog = backlog;
+        this.onClose = closing;
+    }
+
+    /** One more has come; false where there is no room. */
+    boolean enqueue(SimulatedTcpSocket line) {
+        if (backlogQueue.size() >= backlog) {
+            return false;
+        }
+        backlogQueue.add(line);
+        notifyHandler();
+        return true;
+    }
+
+    private void notifyHandler() {
+        if (!notificationPending && acceptEnabled && !backlogQueue.isEmpty() && handler != null) {
+            notificationPending = true;
+            process.submit(() -> {
+                notificationPending = false;
+                try {
+                    handler.onReady(true, false);
+                } catch (java.io.IOException e) {
+                    handler.onFailure(e);
+                }
+                notifyHandler();
+            });
+        }
+    }
+
+    @Override
+    public InetSocketAddress localAddress() {
+        return address;
+    }
+
+    @Override
+    public void setHandler(Environment.ReadinessHandler by) {
+        handler = by;
+    }
+
+    @Override
+    public Environment.TcpSocket accept() {
+        return backlogQueue.poll();
+    }
+
+    @Override
+    public void setAcceptEnabled(boolean wanted) {
+        acceptEnabled = wanted;
+        notifyHandler();
+    }
+
+    @Override
+    public void close() {
+        onClose.run();
+        backlogQueue.forEach(SimulatedTcpSocket::close);
+    }
+}
--- /dev/null
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedTcpSocket.java
@@ -0,0 +1,327 @@
+package reedmux.simulation.cluster;
+
+import java.io.IOException;
+import java.net.ConnectException;
+import java.nio.ByteBuffer;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import reedmux.common.eventloop.Environment;
+
+/** One end of a TCP connection. */
+public final class SimulatedTcpSocket implements Environment.TcpSocket {
+    private static final int WINDOW_BYTES = 64 * 1024;
+    private static final long FIRST_SYN_RETRY_MICROS = 1_000_000;
+    private static final long RETRANSMIT_MICROS = 200_000;
+    private static final long KEEPALIVE_INTERVAL_MICROS = 1_000_000;
+    /** A line that was opened here and has had no path for so long is given up. */
+    private static final long KEEPALIVE_TIMEOUT_MICROS = 5 * KEEPALIVE_INTERVAL_MICROS;
+
+    private final SimulatedProcess process;
+    private final ClusterSimulation world;
+    private SimulatedTcpSocket peer;
+    private Environment.ReadinessHandler handler;
+    private final Deque<byte[]> received = new ArrayDeque<>();
+    private int receivedOffset;
+    private boolean inputEnded;
+    private IOException failure;
+    private boolean connected;
+    private boolean closed;
+    private boolean forgotten;
+    private boolean readInterest = true;
+    private boolean writeInterest;
+    private boolean notificationPending;
+    private boolean connectReported;
+    private int unacknowledgedBytes;
+    private long lastArrival;
+    private final Deque<Runnable> undelivered = new ArrayDeque<>();
+    private long noPathSince = -1;
+
+    SimulatedTcpSocket(SimulatedProcess host, boolean opens) {
+        this.process = host;
+        world = host.simulation();
+        host.socketOpened(this);
+        if (opens) {
+            scheduleKeepalive();
+        }
+    }
+
+    /** Sends the first packet; one that is dropped is sent again after seconds. */
+    void sendSyn(SimulatedMachine target, int port, int times) {
+        long again = FIRST_SYN_RETRY_MICROS << times;
+        Runnable next = () -> {
+            if (!closed && !connected && failure == null && process.isAlive()) {
+                sendSyn(target, port, times + 1);
+            }
+        };
+        if (target == null || !world.isReachable(process.machine(), target)) {
+            world.scheduleAfter(again, next);
+            return;
+        }
+        world.scheduleAfter(world.drawDelayMicros(process.machine(), target), () -> {
+            SimulatedProcess other = target.tcpListener(port);
+            if (!target.powered() || closed) {
+                world.scheduleAfter(again, next);
+            } else if (other == null) {
+                replyFrom(target, () -> fail(new ConnectException("Connection refused")));
+            } else {
+                SimulatedTcpSocket made = new SimulatedTcpSocket(other, false);
+                made.connected = true;
+                made.connectReported = true;
+                made.peer = this;
+                if (!other.serverSocket(port).enqueue(made)) {
+                    other.socketClosed(made);
+                    world.scheduleAfter(again, next);
+                    return;
+                }
+                replyFrom(target, () -> {
+                    if (closed || !process.isAlive()) {
+                        made.fail(new IOException("Connection reset by peer"));
+                        return;
+                    }
+                    peer = made;
+                    connected = true;
+                    notifyHandler();
+                });
+            }
+        });
+    }
+
+    private void replyFrom(SimulatedMachine from, Runnable task) {
+        if (world.isReachable(from, process.machine())) {
+            world.scheduleAfter(world.drawDelayMicros(from, process.machine()), task);
+        } else {
+            world.scheduleAfter(RETRANSMIT_MICROS, () -> replyFrom(from, task));
+        }
+    }
+
+    private void scheduleKeepalive() {
+        world.scheduleAfter(KEEPALIVE_INTERVAL_MICROS, () -> {
+            if (closed || !process.isAlive() || failure != null) {
+                return;
+            }
+            if (connected && peer != null) {
+                SimulatedMachine there = peer.process.machine();
+                boolean path = world.isReachable(process.machine(), there)
+                        && world.isReachable(there, process.machine())
+                        && there.powered();
+                if (path && peer.forgotten) {
+                    fail(new IOException("Connection reset by peer"));
+                    return;
+                }
+                noPathSince = path ? -1 : noPathSince < 0 ? world.now() : noPathSince;
+                if (noPathSince >= 0
+                        && world.now() - noPathSince >= KEEPALIVE_TIMEOUT_MICROS - KEEPALIVE_INTERVAL_MICROS) {
+                    fail(new IOException("Connection timed out"));
+                    return;
+                }
+            }
+            scheduleKeepalive();
+        });
+    }
+
+    // ---- The way to the other end ------------------------------------------------------------------
+    /** Something arrives there, in order; what a cut holds up goes on when that is over. */
+    private void transmit(Runnable arrival) {
+        if (peer == null) {
+            return;
+        }
+        if (!undelivered.isEmpty() || !world.isReachable(process.machine(), peer.process.machine())) {
+            undelivered.add(arrival);
+            if (undelivered.size() == 1) {
+                world.scheduleAfter(RETRANSMIT_MICROS, this::retransmit);
+            }
+            return;
+        }
+        lastArrival = Math.max(
+                lastArrival + 1, world.now() + world.drawDelayMicros(process.machine(), peer.process.machine()));
+        world.scheduleAt(lastArrival, () -> deliver(arrival));
+    }
+
+    private void retransmit() {
+        if (forgotten || !process.machine().powered()) {
+            undelivered.clear();
+        } else if (!world.isReachable(process.machine(), peer.process.machine())) {
+            world.scheduleAfter(RETRANSMIT_MICROS, this::retransmit);
+        } else {
+            while (!undelivered.isEmpty()) {
+                Runnable next = undelivered.poll();
+                lastArrival = Math.max(
+                        lastArrival + 1,
+                        world.now() + world.drawDelayMicros(process.machine(), peer.process.machine()));
+                world.scheduleAt(lastArrival, () -> deliver(next));
+            }
+        }
+    }
+
+    private void deliver(Runnable arrival) {
+        if (peer.forgotten) { // the machine has forgotten it, or is without power and says nothing
+            if (peer.process.machine().powered()) {
+                replyFrom(peer.process.machine(), () -> fail(new IOException("Connection reset by peer")));
+            }
+        } else {
+            arrival.run();
+        }
+    }
+
+    // ---- What its process does ---------------------------------------------------------------------
+    @Override
+    public void setHandler(Environment.ReadinessHandler by) {
+        handler = by;
+        notifyHandler();
+    }
+
+    @Override
+    public boolean isConnectedAtOnce() {
+        return false;
+    }
+
+    @Override
+    public boolean finishConnect() throws IOException {
+        checkOpen();
+        connectReported |= connected;
+        return connected;
+    }
+
+    private void checkOpen() throws IOException {
+        if (failure != null) {
+            throw failure;
+        } else if (closed) {
+            throw new IOException("closed");
+        }
+    }
+
+    @Override
+    public int read(ByteBuffer into) throws IOException {
+        checkOpen();
+        int some = 0;
+        while (!received.isEmpty() && into.hasRemaining()) {
+            byte[] first = received.peek();
+            int many = Math.min(into.remaining(), first.length - receivedOffset);
+            into.put(first, receivedOffset, many);
+            receivedOffset += many;
+            some += many;
+            if (receivedOffset == first.length) {
+                received.poll();
+                receivedOffset = 0;
+            }
+        }
+        if (some > 0) {
+            int taken = some;
+            SimulatedTcpSocket to = peer;
+            transmit(() -> to.acknowledge(taken));
+            return some;
+        }
+        return inputEnded && received.isEmpty() ? -1 : 0;
+    }
+
+    private void acknowledge(int room) {
+        unacknowledgedBytes -= room;
+        notifyHandler();
+    }
+
+    @Override
+    public int write(ByteBuffer from) throws IOException {
+        checkOpen();
+        int many = Math.min(from.remaining(), WINDOW_BYTES - unacknowledgedBytes);
+        if (many <= 0) {
+            return 0;
+        }
+        byte[] some = new byte[many];
+        from.get(some);
+        unacknowledgedBytes += many;
+        SimulatedTcpSocket to = peer;
+        process.countWrite(to.process, many);
+        transmit(() -> to.receive(some));
+        return many;
+    }
+
+    private void receive(byte[] some) {
+        if (closed) {
+            SimulatedTcpSocket to = peer;
+            transmit(() -> to.fail(new IOException("Connection reset by peer")));
+        } else {
+            received.add(some);
+            notifyHandler();
+        }
+    }
+
+    @Override
+    public void setInterest(boolean wantsReads, boolean wantsWrites) {
+        readInterest = wantsReads;
+        writeInterest = wantsWrites;
+        notifyHandler();
+    }
+
+    private void notifyHandler() {
+        if (notificationPending || handler == null || closed || !isReady()) {
+            return;
+        }
+        notificationPending = true;
+        process.submit(() -> {
+            notificationPending = false;
+            if (!closed && isReady()) {
+                try {
+                    boolean failed = failure != null;
+                    handler.onReady(
+                            failed || readInterest && (!received.isEmpty() || inputEnded),
+                            failed || writeInterest && unacknowledgedBytes < WINDOW_BYTES);
+                } catch (IOException e) {
+                    handler.onFailure(e);
+                }
+                notifyHandler();
+            }
+        });
+    }
+
+    private boolean isReady() {
+        return failure != null
+                || (connectReported
+                        ? readInterest && (!received.isEmpty() || inputEnded)
+                                || writeInterest && unacknowledgedBytes < WINDOW_BYTES
+                        : connected);
+    }
+
+    @Override
+    public void shutdownOutput() {
+        SimulatedTcpSocket to = peer;
+        transmit(() -> {
+            to.inputEnded = true;
+            to.notifyHandler();
+        });
+    }
+
+    @Override
+    public void close() {
+        if (closed) {
+            return;
+        }
+        closed = true;
+        process.socketClosed(this);
+        if (peer != null && failure == null) {
+            boolean unread = !received.isEmpty();
+            SimulatedTcpSocket to = peer;
+            if (unread) {
+                undelivered.clear();
+                transmit(() -> to.fail(new IOException("Connection reset by peer")));
+            } else {
+                shutdownOutput();
+            }
+        }
+    }
+
+    private void fail(IOException why) {
+        if (failure == null && !closed) {
+            failure = why;
+            undelivered.clear();
+            notifyHandler();
+        }
+    }
+
+    /** Its machine has lost power: nothing is said, and nothing is remembered. */
+    void losePower() {
+        forgotten = true;
+        closed = true;
+        undelivered.clear();
+        process.socketClosed(this);
+    }
+}
--- /dev/null
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedUdpSocket.java
@@ -0,0 +1,68 @@
+package reedmux.simulation.cluster;
+
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import reedmux.common.eventloop.Environment;
+
+/** A place for datagrams, which are lost now and then. */
+public final class SimulatedUdpSocket implements Environment.UdpSocket {
+    private static final int MAX_QUEUED = 256;
+    private final SimulatedProcess process;
+    private final InetSocketAddress address;
+    private final Deque<QueuedDatagram> queue = new ArrayDeque<>();
+    private Environment.ReadinessHandler handler;
+
+    private record QueuedDatagram(InetSocketAddress from, byte[] bytes) {}
+
+    SimulatedUdpSocket(SimulatedProcess host, InetSocketAddress address) {
+        this.process = host;
+        this.address = address;
+    }
+
+    @Override
+    public void setHandler(Environment.ReadinessHandler by) {
+        handler = by;
+    }
+
+    @Override
+    public void send(InetSocketAddress to, ByteBuffer bytes) {
+        ClusterSimulation world = process.simulation();
+        SimulatedMachine target = world.machine(to.getAddress().getHostAddress());
+        byte[] copy = new byte[bytes.remaining()];
+        bytes.get(copy);
+        if (target == null || world.drawDatagramLoss() || !world.isReachable(process.machine(), target)) {
+            return;
+        }
+        world.scheduleAfter(world.drawDelayMicros(process.machine(), target), () -> {
+            SimulatedProcess hears = target.udpReceiver(to.getPort());
+            if (hears != null) {
+                hears.udpSocket(to.getPort()).enqueue(new QueuedDatagram(address, copy));
+            }
+        });
+    }
+
+    private void enqueue(QueuedDatagram letter) {
+        if (queue.size() < MAX_QUEUED) {
+            queue.add(letter);
+            process.submit(() -> {
+                try {
+                    handler.onReady(true, false);
+                } catch (java.io.IOException e) {
+                    handler.onFailure(e);
+                }
+            });
+        }
+    }
+
+    @Override
+    public InetSocketAddress receive(ByteBuffer into) {
+        QueuedDatagram letter = queue.poll();
+        if (letter == null) {
+            return null;
+        }
+        into.put(letter.bytes);
+        return letter.from;
+    }
+}
--- a/src/main/java/reedmux/lab/world/package-info.java
+++ b/src/main/java/reedmux/simulation/cluster/package-info.java
@@ -3,4 +3,4 @@
  * sockets and disks, under drawn troubles, watched from outside by a checker of the rules. One seed decides
  * all of it, and a seed played again gives the same digest.
  */
-package reedmux.lab.world;
+package reedmux.simulation.cluster;
--- a/src/main/java/reedmux/lab/stage/CheckerStage.java
+++ b/src/main/java/reedmux/simulation/harness/LoopbackChecker.java
@@ -1,35 +1,35 @@
-package reedmux.lab.stage;
+package reedmux.simulation.harness;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import reedmux.message.Calls;
-import reedmux.message.Head;
-import reedmux.net.Listener;
-import reedmux.net.Reactor;
+import reedmux.common.eventloop.Reactor;
+import reedmux.common.eventloop.TcpListener;
+import reedmux.common.http1.Http1Head;
+import reedmux.common.http1.Http1ServerConnection;
 
 /** A checker's stand-in: it works on each request for a while and answers as the protocol says. */
-final class CheckerStage {
-    private static final long PERIOD = 500_000;
+final class LoopbackChecker {
+    private static final long HEARTBEAT_INTERVAL_MICROS = 500_000;
     /** What a request takes whose path says so. */
-    private static final long SLOW = 400_000;
+    private static final long SLOW_REQUEST_MICROS = 400_000;
 
     private final Reactor reactor;
-    private final Listener listener;
+    private final TcpListener listener;
     private final String id;
-    private final String plant;
+    private final String service;
     private final String zone;
-    private final List<InetSocketAddress> control;
-    private final long work;
-    private final List<String> ran = new ArrayList<>();
+    private final List<InetSocketAddress> controlAddresses;
+    private final long workMicros;
+    private final List<String> executedAttempts = new ArrayList<>();
     private String phase = "ready";
-    private long seq;
-    private int calls;
+    private long sequence;
+    private int heartbeats;
 
-    /** {@code work}: how long a request takes, in microseconds. */
-    CheckerStage(
+    /** {@code workMicros}: how long a request takes, in microseconds. */
+    LoopbackChecker(
             Reactor reactor,
             String ip,
             String id,
@@ -40,40 +40,41 @@
             throws IOException {
         this.reactor = reactor;
         this.id = id;
-        this.plant = plant;
+        this.service = plant;
         this.zone = zone;
-        this.control = control;
-        this.work = work;
-        listener = new Listener(reactor, new InetSocketAddress(ip, 0), wire -> new Calls(reactor, wire, this::serve));
-        beat();
+        this.controlAddresses = control;
+        this.workMicros = work;
+        listener = new TcpListener(
+                reactor, new InetSocketAddress(ip, 0), wire -> new Http1ServerConnection(reactor, wire, this::serve));
+        sendHeartbeat();
     }
 
-    private void serve(Calls.Call call, Calls from) {
-        Head head = call.head();
+    private void serve(Http1ServerConnection.Http1Request call, Http1ServerConnection from) {
+        Http1Head head = call.head();
         String attempt = head.get("Reedmux-Attempt-Id");
         String target = head.get("Reedmux-Target-Instance");
         if (target != null && !target.equals(id)) {
-            from.answer(Head.answer(421).add("Reedmux-Instance-Id", id), new byte[0]);
+            from.respond(Http1Head.response(421).add("Reedmux-Instance-Id", id), new byte[0]);
             return;
         } else if (attempt == null) {
-            from.answer(Head.answer(400).add("Reedmux-Not-Executed", "1"), new byte[0]);
+            from.respond(Http1Head.response(400).add("Reedmux-Not-Executed", "1"), new byte[0]);
             return;
         }
         String how = head.path().substring(head.path().lastIndexOf('/') + 1);
         if (how.equals("shed")) {
-            from.answer(Head.answer(503).add("Reedmux-Not-Executed", "1"), new byte[0]);
+            from.respond(Http1Head.response(503).add("Reedmux-Not-Executed", "1"), new byte[0]);
             return;
         }
-        ran.add(attempt);
-        String wrong = mischief(how, attempt);
+        executedAttempts.add(attempt);
+        String wrong = faultyResponse(how, attempt);
         if (wrong != null) {
-            from.raw(wrong.getBytes(StandardCharsets.ISO_8859_1));
+            from.sendRawAndClose(wrong.getBytes(StandardCharsets.ISO_8859_1));
             return;
         }
-        reactor.after(
-                how.equals("slow") ? SLOW : work,
-                () -> from.answer(
-                        Head.answer(200)
+        reactor.scheduleAfter(
+                how.equals("slow") ? SLOW_REQUEST_MICROS : workMicros,
+                () -> from.respond(
+                        Http1Head.response(200)
                                 .add("Reedmux-Attempt-Id", attempt)
                                 .add("Reedmux-Server-Seal", "seal-" + id)
                                 .add("Content-Type", "text/plain"),
@@ -82,7 +83,7 @@
     }
 
     /** What it says to a request whose path ends with a way to misbehave, or null. */
-    private static String mischief(String how, String attempt) {
+    private static String faultyResponse(String how, String attempt) {
         String seal = "Reedmux-Server-Seal: s\r\n";
         String good =
                 "HTTP/1.1 200 OK\r\nReedmux-Attempt-Id: " + attempt + "\r\n" + seal + "Content-Length: 4\r\n\r\ngood";
@@ -103,32 +104,32 @@
     }
 
     /** The attempts that it has run, in their order. */
-    List<String> ran() {
-        return ran;
+    List<String> executedAttempts() {
+        return executedAttempts;
     }
 
-    private void beat() {
+    private void sendHeartbeat() {
         try {
             InetSocketAddress at = listener.address();
             String address = at.getAddress().getHostAddress() + ':' + at.getPort();
             String body = String.format(
                             "{'plant':'%s','address':'%s','zone':'%s','revision':'v1','capacity':3,"
                                     + "'phase':'%s','coldLeftMs':0,'seq':%d}",
-                            plant, address, zone, phase, ++seq)
+                            service, address, zone, phase, ++sequence)
                     .replace('\'', '"');
-            new Asker(
+            new OneShotHttpCall(
                     reactor,
-                    control.get(calls++ % control.size()),
-                    Asker.post("/v1/Instances.Heartbeat/" + id, body),
+                    controlAddresses.get(heartbeats++ % controlAddresses.size()),
+                    OneShotHttpCall.post("/v1/Instances.Heartbeat/" + id, body),
                     (status, head, text) -> {});
         } catch (IOException e) {
-            reactor.log("checker " + id + ": " + e.getMessage());
+            reactor.info("checker " + id + ": " + e.getMessage());
         }
-        reactor.after(PERIOD, this::beat);
+        reactor.scheduleAfter(HEARTBEAT_INTERVAL_MICROS, this::sendHeartbeat);
     }
 
     /** It says that it leaves, from its next call on. */
-    void drain() {
+    void startDraining() {
         phase = "draining";
     }
 }
--- a/src/main/java/reedmux/lab/stage/package-info.java
+++ b/src/main/java/reedmux/simulation/harness/package-info.java
@@ -3,4 +3,4 @@
  * operator. Real sockets and files, the programs' own classes; for a first look, the class archive and
  * tests of the whole path. Nothing of it runs in service.
  */
-package reedmux.lab.stage;
+package reedmux.simulation.harness;
--- a/src/main/java/reedmux/lab/sim/SimProvider.java
+++ b/src/main/java/reedmux/simulation/region/SimulatedProvider.java
@@ -1,15 +1,15 @@
-package reedmux.lab.sim;
+package reedmux.simulation.region;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
-import reedmux.core.CallResult;
+import reedmux.gatekeeper.reducer.CallResult;
 
 /** A provider as a model: some cores, a waiting room, and the ways in which it fails. */
-final class SimProvider {
+final class SimulatedProvider {
     /** What it does with a request just now. */
-    enum Mood {
+    enum ProviderBehavior {
         WELL,
         GONE,
         HANGS,
@@ -19,45 +19,46 @@
     }
 
     /** One request in work. */
-    static final class Job {
+    static final class ProviderJob {
         final String id;
         final Consumer<CallResult> answer;
         private boolean aborted;
 
-        Job(String id, Consumer<CallResult> answer) {
+        ProviderJob(String id, Consumer<CallResult> answer) {
             this.id = id;
             this.answer = answer;
         }
     }
 
-    private static final CallResult.Answered FULL = new CallResult.Answered(503, true, null, new byte[0]);
+    private static final CallResult.ResponseReceived FULL =
+            new CallResult.ResponseReceived(503, true, null, new byte[0]);
 
     /** The share of its capacity that it starts with, and the time until it has all. */
-    static final double COLD_FROM = 0.18;
+    static final double COLD_CAPACITY_SHARE = 0.18;
 
-    static final long COLD_TIME = 16_000_000;
+    static final long WARM_UP_MICROS = 16_000_000;
 
     final String id;
-    private final Timeline time;
-    private final Ledger ledger;
+    private final VirtualTimeline time;
+    private final RequestLedger ledger;
     private final UniformRandomProvider random;
     private final int cores;
-    private final int room;
+    private final int queueCapacity;
     private final double meanWork;
-    private final Deque<Job> waiting = new ArrayDeque<>();
-    private int busy;
-    Mood mood = Mood.WELL;
+    private final Deque<ProviderJob> queue = new ArrayDeque<>();
+    private int busyCores;
+    ProviderBehavior behavior = ProviderBehavior.WELL;
     boolean draining;
     /** When its process last started, or 0 for long ago. */
     long startedAt;
     /** Requests that it has begun to run. */
-    long started;
+    long executions;
 
     /** {@code meanWork} in microseconds. */
-    SimProvider(
+    SimulatedProvider(
             String id,
-            Timeline time,
-            Ledger ledger,
+            VirtualTimeline time,
+            RequestLedger ledger,
             UniformRandomProvider random,
             int cores,
             int room,
@@ -67,35 +68,35 @@
         this.ledger = ledger;
         this.random = random;
         this.cores = cores;
-        this.room = room;
+        this.queueCapacity = room;
         this.meanWork = meanWork;
     }
 
     /** Whether a connection comes up. */
-    boolean reachable() {
-        return mood != Mood.GONE;
+    boolean isReachable() {
+        return behavior != ProviderBehavior.GONE;
     }
 
     /** A request has arrived whole; {@code broken} is run where the connection breaks under it. */
-    Job take(String request, Consumer<CallResult> answer, Runnable broken) {
-        Job job = new Job(request, answer);
-        switch (mood) {
+    ProviderJob accept(String request, Consumer<CallResult> answer, Runnable broken) {
+        ProviderJob job = new ProviderJob(request, answer);
+        switch (behavior) {
             case GONE -> broken.run();
             case FULL -> answer.accept(FULL);
-            case HANGS -> ledger.ran(request);
+            case HANGS -> ledger.onExecuted(request);
             case RESETS -> {
-                ledger.ran(request);
+                ledger.onExecuted(request);
                 broken.run();
             }
             case ERRS -> {
-                ledger.ran(request);
-                answer.accept(new CallResult.Answered(500, false, null, new byte[0]));
+                ledger.onExecuted(request);
+                answer.accept(new CallResult.ResponseReceived(500, false, null, new byte[0]));
             }
             default -> {
-                if (busy < cores) {
+                if (busyCores < cores) {
                     start(job);
-                } else if (waiting.size() < room) {
-                    waiting.add(job);
+                } else if (queue.size() < queueCapacity) {
+                    queue.add(job);
                 } else {
                     answer.accept(FULL);
                 }
@@ -104,35 +105,35 @@
         return job;
     }
 
-    private void start(Job job) {
-        busy++;
-        started++;
-        ledger.ran(job.id);
+    private void start(ProviderJob job) {
+        busyCores++;
+        executions++;
+        ledger.onExecuted(job.id);
         // Work between a half and one and a half of the mean, as a photo is much like another.
-        time.in((long) (meanWork * (0.5 + random.nextDouble()) / warmth()), () -> {
-            busy--;
-            if (!job.aborted && mood != Mood.GONE && mood != Mood.HANGS) {
-                job.answer.accept(new CallResult.Answered(200, false, null, new byte[0]));
+        time.in((long) (meanWork * (0.5 + random.nextDouble()) / capacityShare()), () -> {
+            busyCores--;
+            if (!job.aborted && behavior != ProviderBehavior.GONE && behavior != ProviderBehavior.HANGS) {
+                job.answer.accept(new CallResult.ResponseReceived(200, false, null, new byte[0]));
             }
             next();
         });
     }
 
     /** Starts anew: cold, and with nothing of what it had. */
-    void startAnew() {
+    void restart() {
         startedAt = time.now();
-        waiting.clear();
-        ledger.rules.started(startedAt, id, cores * 1e6, COLD_FROM, COLD_TIME);
+        queue.clear();
+        ledger.rules.onProviderStarted(startedAt, id, cores * 1e6, COLD_CAPACITY_SHARE, WARM_UP_MICROS);
     }
 
-    private double warmth() {
-        double age = (double) (time.now() - startedAt) / COLD_TIME;
-        return startedAt == 0 || age >= 1 ? 1 : COLD_FROM + (1 - COLD_FROM) * age;
+    private double capacityShare() {
+        double age = (double) (time.now() - startedAt) / WARM_UP_MICROS;
+        return startedAt == 0 || age >= 1 ? 1 : COLD_CAPACITY_SHARE + (1 - COLD_CAPACITY_SHARE) * age;
     }
 
     private void next() {
-        while (busy < cores && !waiting.isEmpty()) {
-            Job job = waiting.poll();
+        while (busyCores < cores && !queue.isEmpty()) {
+            ProviderJob job = queue.poll();
             if (!job.aborted) {
                 start(job);
             }
@@ -140,7 +141,7 @@
     }
 
     /** The connection has gone: what waits is dropped, what runs goes on. */
-    void abort(Job job) {
+    void abort(ProviderJob job) {
         job.aborted = true;
     }
 }
--- a/src/main/java/reedmux/lab/sim/Timeline.java
+++ b/src/main/java/reedmux/simulation/region/VirtualTimeline.java
@@ -1,18 +1,18 @@
-package reedmux.lab.sim;
+package reedmux.simulation.region;
 
 import java.util.PriorityQueue;
 
 /** Virtual time: what is due next happens next, and of things due together what was asked for first. */
-final class Timeline {
-    private record Task(long at, long order, Runnable what) implements Comparable<Task> {
+public final class VirtualTimeline {
+    private record TimelineTask(long at, long order, Runnable what) implements Comparable<TimelineTask> {
         @Override
-        public int compareTo(Task other) {
+        public int compareTo(TimelineTask other) {
             int byTime = Long.compare(at, other.at);
             return byTime != 0 ? byTime : Long.compare(order, other.order);
         }
     }
 
-    private final PriorityQueue<Task> tasks = new PriorityQueue<>();
+    private final PriorityQueue<TimelineTask> tasks = new PriorityQueue<>();
     private long now;
     private long order;
 
@@ -22,7 +22,7 @@
 
     /** Has something happen at a time, or now if that has passed. */
     void at(long when, Runnable what) {
-        tasks.add(new Task(Math.max(now, when), ++order, what));
+        tasks.add(new TimelineTask(Math.max(now, when), ++order, what));
     }
 
     void in(long micros, Runnable what) {
@@ -30,9 +30,9 @@
     }
 
     /** Lets happen what is due until then. */
-    void run(long until) {
+    void runUntil(long until) {
         while (!tasks.isEmpty() && tasks.peek().at <= until) {
-            Task task = tasks.poll();
+            TimelineTask task = tasks.poll();
             now = task.at;
             task.what.run();
         }
--- a/src/main/java/reedmux/lab/sim/package-info.java
+++ b/src/main/java/reedmux/simulation/region/package-info.java
@@ -4,4 +4,4 @@
  *
  * <p>The same seed gives the same run. Holds no decision of its own; nothing of the gatekeeper imports it.
  */
-package reedmux.lab.sim;
+package reedmux.simulation.region;
--- a/src/main/java/reedmux/lab/CapacityScene.java
+++ b/src/main/java/reedmux/simulation/scenario/CapacityScenario.java
@@ -1,4 +1,4 @@
-package reedmux.lab;
+package reedmux.simulation.scenario;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -12,19 +12,19 @@
 import org.knowm.xchart.BitmapEncoder;
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
-import reedmux.lab.world.Growth;
-import reedmux.lab.world.Growth.Row;
-import reedmux.lab.world.Growth.Size;
+import reedmux.simulation.cluster.GrowthExperiment;
+import reedmux.simulation.cluster.GrowthExperiment.ClusterSize;
+import reedmux.simulation.cluster.GrowthExperiment.GrowthRow;
 
 /**
  * What the control side costs at growing sizes, the power of the size that it rises with, and where that
  * leads at the operators' size.
  */
-public final class CapacityScene {
+public final class CapacityScenario {
     /** The operators' size. */
-    static final Size TARGET = new Size(7_400, 22, 140_000);
+    static final ClusterSize TARGET = new ClusterSize(7_400, 22, 140_000);
     /** Above linear by no more than what a few sizes spread by. */
-    private static final double MOST_POWER = 1.15;
+    private static final double MAX_POWER = 1.15;
 
     private static final int[] SIZES = {30, 100, 300, 1000};
     private static final int FEW_PROXIES = 30;
@@ -34,31 +34,31 @@
     private static final int CORE_PROXIES = 60;
 
     /** One thing that grows while the others stay. */
-    private record Axis(String name, int target, List<Size> sizes, ToDoubleFunction<Size> of) {}
+    private record GrowthAxis(String name, int target, List<ClusterSize> sizes, ToDoubleFunction<ClusterSize> of) {}
 
-    private record Figure(String name, ToDoubleFunction<Row> of) {}
+    private record GrowthMetric(String name, ToDoubleFunction<GrowthRow> of) {}
 
-    private static final List<Figure> FIGURES = List.of(
-            new Figure("kB/s", Row::kilobytes),
-            new Figure("messages/s", Row::messages),
-            new Figure("events/s", Row::events),
-            new Figure("CPU ms/s", Row::cpuMillis));
+    private static final List<GrowthMetric> METRICS = List.of(
+            new GrowthMetric("kB/s", GrowthRow::kilobytes),
+            new GrowthMetric("messages/s", GrowthRow::messages),
+            new GrowthMetric("events/s", GrowthRow::events),
+            new GrowthMetric("CPU ms/s", GrowthRow::cpuMillis));
 
-    private CapacityScene() {}
+    private CapacityScenario() {}
 
     /** Plays all sizes up to one; rows, powers and charts go to {@code folder}, if there is one. */
-    public static Claims run(int most, Path folder, Consumer<String> progress) throws IOException {
+    public static ScenarioChecks run(int most, Path folder, Consumer<String> progress) throws IOException {
         StringBuilder csv = new StringBuilder(
                 "axis,size,proxies,cores,checkers,phase,role,kilobytes_s,messages_s,events_s,cpu_ms_s\n");
-        Claims claims = new Claims();
+        ScenarioChecks claims = new ScenarioChecks();
         if (folder != null) {
             Files.createDirectories(folder);
         }
-        for (Axis axis : axes(most)) {
-            List<List<Row>> played = new ArrayList<>();
-            for (Size size : axis.sizes) {
+        for (GrowthAxis axis : axes(most)) {
+            List<List<GrowthRow>> played = new ArrayList<>();
+            for (ClusterSize size : axis.sizes) {
                 long begin = System.nanoTime();
-                List<Row> rows = Growth.play(size);
+                List<GrowthRow> rows = GrowthExperiment.run(size);
                 played.add(rows);
                 progress.accept(String.format(
                         Locale.ROOT,
@@ -66,14 +66,14 @@
                         axis.name,
                         axis.of.applyAsDouble(size),
                         (System.nanoTime() - begin) / 1e9));
-                rows.forEach(row -> csv.append(line(axis, row)));
+                rows.forEach(row -> csv.append(csvLine(axis, row)));
             }
-            fit(axis, played, claims);
+            recordGrowth(axis, played, claims);
             if (folder != null) {
                 chart(axis, played, folder);
             }
         }
-        CapacityState.measure(claims);
+        ControlStateSize.measure(claims);
         if (folder != null) {
             Files.writeString(folder.resolve("capacity-rows.csv"), csv);
         }
@@ -81,7 +81,7 @@
     }
 
     /** Bytes against size, both as logarithms: a line for each role and phase. */
-    private static void chart(Axis axis, List<List<Row>> played, Path folder) throws IOException {
+    private static void chart(GrowthAxis axis, List<List<GrowthRow>> played, Path folder) throws IOException {
         XYChart chart = new XYChartBuilder()
                 .width(900)
                 .height(560)
@@ -94,8 +94,8 @@
         double[] sizes = axis.sizes.stream().mapToDouble(axis.of).toArray();
         for (int at = 0; at < played.get(0).size(); at++) {
             int row = at;
-            Row first = played.get(0).get(row);
-            List<List<Row>> having =
+            GrowthRow first = played.get(0).get(row);
+            List<List<GrowthRow>> having =
                     played.stream().filter(rows -> rows.size() > row).toList();
             chart.addSeries(
                     first.role() + ", " + first.phase(),
@@ -110,26 +110,26 @@
                 BitmapEncoder.BitmapFormat.PNG);
     }
 
-    private static List<Axis> axes(int most) {
-        List<Size> members = new ArrayList<>();
-        List<Size> checkers = new ArrayList<>();
+    private static List<GrowthAxis> axes(int most) {
+        List<ClusterSize> members = new ArrayList<>();
+        List<ClusterSize> checkers = new ArrayList<>();
         for (int size : SIZES) {
             if (size <= most) {
-                members.add(new Size(size, CORES, FEW_CHECKERS));
-                checkers.add(new Size(FEW_PROXIES, CORES, size));
+                members.add(new ClusterSize(size, CORES, FEW_CHECKERS));
+                checkers.add(new ClusterSize(FEW_PROXIES, CORES, size));
             }
         }
-        List<Size> cores = new ArrayList<>();
+        List<ClusterSize> cores = new ArrayList<>();
         for (int size : CORE_SIZES) {
-            cores.add(new Size(CORE_PROXIES, size, FEW_CHECKERS));
+            cores.add(new ClusterSize(CORE_PROXIES, size, FEW_CHECKERS));
         }
         return List.of(
-                new Axis("proxies", TARGET.proxies(), members, Size::proxies),
-                new Axis("checkers", TARGET.checkers(), checkers, Size::checkers),
-                new Axis("core machines", TARGET.cores(), cores, Size::cores));
+                new GrowthAxis("proxies", TARGET.proxies(), members, ClusterSize::proxies),
+                new GrowthAxis("checkers", TARGET.checkers(), checkers, ClusterSize::checkers),
+                new GrowthAxis("core machines", TARGET.cores(), cores, ClusterSize::cores));
     }
 
-    private static String line(Axis axis, Row row) {
+    private static String csvLine(GrowthAxis axis, GrowthRow row) {
         return String.format(
                 Locale.ROOT,
                 "%s,%.0f,%d,%d,%d,%s,%s,%.3f,%.2f,%.2f,%.3f%n",
@@ -147,13 +147,13 @@
     }
 
     /** Notes each role's figures at each size, with the power of their growth and the value at the target. */
-    private static void fit(Axis axis, List<List<Row>> all, Claims claims) {
+    private static void recordGrowth(GrowthAxis axis, List<List<GrowthRow>> all, ScenarioChecks claims) {
         for (int place = 0; place < all.get(0).size(); place++) {
             int at = place;
-            List<List<Row>> played =
+            List<List<GrowthRow>> played =
                     all.stream().filter(rows -> rows.size() > at).toList();
-            Row first = played.get(0).get(at);
-            for (Figure figure : FIGURES) {
+            GrowthRow first = played.get(0).get(at);
+            for (GrowthMetric figure : METRICS) {
                 double[] sizes = new double[played.size()];
                 double[] values = new double[played.size()];
                 StringBuilder shown = new StringBuilder();
@@ -162,23 +162,23 @@
                     values[i] = figure.of.applyAsDouble(played.get(i).get(at));
                     shown.append(String.format(Locale.ROOT, "%.4g ", values[i]));
                 }
-                double power = power(sizes, values);
+                double power = growthPower(sizes, values);
                 String what = axis.name + ", " + first.phase() + ", " + first.role() + ", " + figure.name;
                 String told = String.format(
-                        Locale.ROOT, "%s ^%.2f -> %.4g", shown, power, at(axis.target, sizes, values, power));
-                if (figure == FIGURES.get(0) && !first.phase().equals("roll")) {
-                    claims.claim(what, told, "^" + MOST_POWER, power <= MOST_POWER);
+                        Locale.ROOT, "%s ^%.2f -> %.4g", shown, power, extrapolate(axis.target, sizes, values, power));
+                if (figure == METRICS.get(0) && !first.phase().equals("roll")) {
+                    claims.check(what, told, "^" + MAX_POWER, power <= MAX_POWER);
                 } else { // while all are restarted each is told of each: the square, for the registries
-                    claims.note(what, told);
+                    claims.record(what, told);
                 }
             }
         }
     }
 
     /** Where it leads: along a line through the last two sizes, or by a power that is more than linear. */
-    static double at(double target, double[] sizes, double[] values, double power) {
+    static double extrapolate(double target, double[] sizes, double[] values, double power) {
         int last = sizes.length - 1;
-        if (last == 0 || power > MOST_POWER) {
+        if (last == 0 || power > MAX_POWER) {
             return values[last] * Math.pow(target / sizes[last], power);
         }
         double slope = (values[last] - values[last - 1]) / (sizes[last] - sizes[last - 1]);
@@ -186,7 +186,7 @@
     }
 
     /** The power of the size that values rise with: the slope of a line through their logarithms. */
-    static double power(double[] sizes, double[] values) {
+    static double growthPower(double[] sizes, double[] values) {
         double meanX = 0;
         double meanY = 0;
         int many = sizes.length;
--- a/src/main/java/reedmux/lab/Gatekeeper.java
+++ b/src/main/java/reedmux/simulation/scenario/GatekeeperUnderTest.java
@@ -1,4 +1,4 @@
-package reedmux.lab;
+package reedmux.simulation.scenario;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -16,10 +16,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import reedmux.simulation.standin.ConsumerStandIn;
+import reedmux.simulation.standin.DiscoveryStandIn;
 
 /** A real gatekeeper as a process of its own, which can be hung up on, told to leave and killed. */
-final class Gatekeeper implements AutoCloseable {
-    private static final List<String> JVM = List.of(
+public final class GatekeeperUnderTest implements AutoCloseable {
+    private static final List<String> JVM_OPTIONS = List.of(
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
             "-XX:-UsePerfData",
@@ -29,27 +31,28 @@
             "-XX:MaxMetaspaceSize=48m",
             "-Xss512k");
     private static final Path TASKSET = Path.of("/usr/bin/taskset");
-    private static final long READY_MILLIS = 12_000;
-    private static final InetAddress HERE = InetAddress.getLoopbackAddress();
+    private static final long READY_TIMEOUT_MILLIS = 12_000;
+    private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
     /** Where a region's gatekeepers listen: for consumers, for regions, for each other. */
-    record Addresses(InetSocketAddress consumers, InetSocketAddress regions, InetSocketAddress peers) {}
+    public record GatekeeperAddresses(
+            InetSocketAddress consumers, InetSocketAddress regions, InetSocketAddress peers) {}
 
     private final Path folder;
     private final Path settings;
     private final Path jar;
-    private static final int DOOR_MILLIS = 2_000;
-    private final Map<String, String> variables = new HashMap<>();
-    private List<String> prefix = List.of();
+    private static final int ADMIN_TIMEOUT_MILLIS = 2_000;
+    private final Map<String, String> environment = new HashMap<>();
+    private List<String> commandPrefix = List.of();
     private Process process;
 
     /** {@code settings} may be null. */
-    Gatekeeper(Path folder, String config, Path settings) throws IOException {
+    GatekeeperUnderTest(Path folder, String config, Path settings) throws IOException {
         this(folder, config, settings, null);
     }
 
     /** From a jar of another build, or of this one where {@code jar} is null. */
-    Gatekeeper(Path folder, String config, Path settings, Path jar) throws IOException {
+    GatekeeperUnderTest(Path folder, String config, Path settings, Path jar) throws IOException {
         this.jar = jar;
         this.folder = folder;
         this.settings = settings;
@@ -61,15 +64,15 @@
      * Free ports for so many gatekeepers, all different; each is taken a moment later by a process of
      * ours.
      */
-    static List<Addresses> free(int count) throws IOException {
+    static List<GatekeeperAddresses> freeAddresses(int count) throws IOException {
         List<ServerSocket> taken = new ArrayList<>();
         List<DatagramSocket> datagrams = new ArrayList<>();
-        List<Addresses> all = new ArrayList<>();
+        List<GatekeeperAddresses> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            taken.add(new ServerSocket(0, 1, HERE));
-            taken.add(new ServerSocket(0, 1, HERE));
-            datagrams.add(new DatagramSocket(0, HERE));
-            all.add(new Addresses(
+            taken.add(new ServerSocket(0, 1, LOOPBACK));
+            taken.add(new ServerSocket(0, 1, LOOPBACK));
+            datagrams.add(new DatagramSocket(0, LOOPBACK));
+            all.add(new GatekeeperAddresses(
                     (InetSocketAddress) taken.get(2 * i).getLocalSocketAddress(),
                     (InetSocketAddress) taken.get(2 * i + 1).getLocalSocketAddress(),
                     (InetSocketAddress) datagrams.get(i).getLocalSocketAddress()));
@@ -86,7 +89,8 @@
     }
 
     /** The platform's configuration of one gatekeeper. */
-    static String config(int number, List<Addresses> members, DiscoveryStandIn discovery) throws IOException {
+    static String platformConfig(int number, List<GatekeeperAddresses> members, DiscoveryStandIn discovery)
+            throws IOException {
         java.io.StringWriter text = new java.io.StringWriter();
         try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
             json.writeStartObject();
@@ -99,12 +103,12 @@
             json.writeEndObject();
             json.writeStringField("peer_listen", hostPort(members.get(number).peers()));
             json.writeArrayFieldStart("peers");
-            for (Addresses member : members) {
+            for (GatekeeperAddresses member : members) {
                 json.writeString(hostPort(member.peers()));
             }
             json.writeEndArray();
             json.writeFieldName("known");
-            json.writeRawValue(discovery.whole());
+            json.writeRawValue(discovery.fullList());
             json.writeFieldName("settings");
             json.writeRawValue("""
                     {"position":%d,"groupSize":%d,"az":0,"dcs":["hall-a"],"kinds":["std-2c"],"tickUs":2000,
@@ -124,9 +128,9 @@
     }
 
     void start() throws IOException {
-        List<String> command = new ArrayList<>(prefix);
+        List<String> command = new ArrayList<>(commandPrefix);
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(JVM);
+        command.addAll(JVM_OPTIONS);
         command.addAll(List.of(
                 "-cp",
                 jar == null ? System.getProperty("java.class.path") : jar.toString(),
@@ -137,7 +141,7 @@
         }
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("RELAY_CONFIG", folder.resolve("config.json").toString());
-        builder.environment().putAll(variables);
+        builder.environment().putAll(environment);
         builder.redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(
                         folder.resolve("log.txt").toFile()));
@@ -148,7 +152,7 @@
      * Keeps it to one core from its next start on, as the platform does, and this process off that core;
      * where the system cannot, says so.
      */
-    boolean onOneCore() throws IOException, InterruptedException {
+    boolean pinToOneCore() throws IOException, InterruptedException {
         int cores = Runtime.getRuntime().availableProcessors();
         if (Files.isExecutable(TASKSET) && cores > 1) {
             new ProcessBuilder(
@@ -158,27 +162,27 @@
                             Long.toString(ProcessHandle.current().pid()))
                     .start()
                     .waitFor(5, TimeUnit.SECONDS);
-            prefix = List.of(TASKSET.toString(), "-c", "0");
+            commandPrefix = List.of(TASKSET.toString(), "-c", "0");
         }
-        return !prefix.isEmpty();
+        return !commandPrefix.isEmpty();
     }
 
     /** A process that takes all that it can get of the core of those on one core; the caller ends it. */
-    static Process busyBeside() throws IOException {
+    static Process startCpuLoad() throws IOException {
         return new ProcessBuilder(TASKSET.toString(), "-c", "0", "sh", "-c", "while :; do :; done").start();
     }
 
     /** Sets a variable of its environment, from its next start on. */
-    Gatekeeper with(String variable, String value) {
-        variables.put(variable, value);
+    GatekeeperUnderTest withEnvironment(String variable, String value) {
+        environment.put(variable, value);
         return this;
     }
 
     /** What it answers to a call at its operators' door, the last line's end taken off; nothing if closed. */
-    static String operator(InetSocketAddress door, String call) {
+    static String adminCommand(InetSocketAddress door, String call) {
         try (Socket socket = new Socket()) {
-            socket.connect(door, DOOR_MILLIS);
-            socket.setSoTimeout(DOOR_MILLIS);
+            socket.connect(door, ADMIN_TIMEOUT_MILLIS);
+            socket.setSoTimeout(ADMIN_TIMEOUT_MILLIS);
             socket.getOutputStream().write((call + '\n').getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII).strip();
         } catch (IOException e) {
@@ -187,7 +191,7 @@
     }
 
     /** Memory that is its own, with its part of what is shared, in bytes. */
-    long memory() throws IOException {
+    long memoryBytes() throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + pid() + "/smaps_rollup"))) {
             if (line.startsWith("Pss:")) {
                 return Long.parseLong(line.replaceAll("[^0-9]", "")) * 1024;
@@ -197,7 +201,7 @@
     }
 
     /** Descriptors that it holds, by the system's count. */
-    long descriptors() throws IOException {
+    long openDescriptors() throws IOException {
         try (java.util.stream.Stream<Path> files = Files.list(Path.of("/proc/" + pid() + "/fd"))) {
             return files.count();
         }
@@ -206,8 +210,8 @@
     /** Waits until it says that it can serve. */
     void awaitReady(ConsumerStandIn consumers) throws IOException, InterruptedException {
         long begin = System.nanoTime();
-        while (!consumers.ready()) {
-            if (System.nanoTime() - begin > READY_MILLIS * 1_000_000 || !process.isAlive()) {
+        while (!consumers.isGatekeeperReady()) {
+            if (System.nanoTime() - begin > READY_TIMEOUT_MILLIS * 1_000_000 || !process.isAlive()) {
                 throw new IOException("a gatekeeper does not come up: " + log());
             }
             TimeUnit.MILLISECONDS.sleep(50);
@@ -230,12 +234,12 @@
     }
 
     /** SIGHUP. */
-    void hangUp() throws IOException, InterruptedException {
+    void sendHangup() throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor(5, TimeUnit.SECONDS);
     }
 
     /** SIGTERM; returns the milliseconds until its end, or -1 if it did not end. */
-    long leave(long patienceMillis) throws InterruptedException {
+    long terminate(long patienceMillis) throws InterruptedException {
         long begin = System.nanoTime();
         process.destroy();
         return process.waitFor(patienceMillis, TimeUnit.MILLISECONDS) ? (System.nanoTime() - begin) / 1_000_000 : -1;
--- a/src/main/java/reedmux/lab/ItemScene.java
+++ b/src/main/java/reedmux/simulation/scenario/ItemScenario.java
@@ -1,24 +1,24 @@
-package reedmux.lab;
+package reedmux.simulation.scenario;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
 import java.util.function.Consumer;
-import reedmux.item.Item;
-import reedmux.item.Poll;
-import reedmux.item.Replica;
+import reedmux.control.configuration.ConfigurationItem;
+import reedmux.control.replication.ConfigurationFollower;
+import reedmux.control.replication.Replica;
 
 /** What one change costs a store and a proxy, by how many items there are. */
-final class ItemScene {
+final class ItemScenario {
     private static final int[] SIZES = {30, 100, 300, 1_000, 10_000, 100_000};
     private static final int ROUNDS = 41;
-    private static final double MOST_POWER = 0.5;
+    private static final double MAX_POWER = 0.5;
 
-    private ItemScene() {}
+    private ItemScenario() {}
 
-    static Claims run(Consumer<String> progress) {
-        Claims claims = new Claims();
+    static ScenarioChecks run(Consumer<String> progress) {
+        ScenarioChecks claims = new ScenarioChecks();
         double[] store = new double[SIZES.length];
         double[] proxy = new double[SIZES.length];
         for (int warm = 0; warm < 2; warm++) {
@@ -30,27 +30,27 @@
             }
         }
         for (int i = 0; i < SIZES.length; i++) {
-            claims.note(
+            claims.record(
                     SIZES[i] + " items: a call at a store, judged, merged and told on, microseconds",
                     String.format(Locale.ROOT, "%.1f", store[i]));
-            claims.note(
+            claims.record(
                     SIZES[i] + " items: the change at a proxy, microseconds",
                     String.format(Locale.ROOT, "%.1f", proxy[i]));
         }
-        claim(claims, "power of a call at a store from 300 items on", power(store));
-        claim(claims, "power of a change at a proxy from 300 items on", power(proxy));
+        claim(claims, "power of a call at a store from 300 items on", growthPower(store));
+        claim(claims, "power of a change at a proxy from 300 items on", growthPower(proxy));
         return claims;
     }
 
-    private static void claim(Claims claims, String what, double power) {
-        claims.claim(what, String.format(Locale.ROOT, "%.2f", power), "< " + MOST_POWER, power < MOST_POWER);
+    private static void claim(ScenarioChecks claims, String what, double power) {
+        claims.check(what, String.format(Locale.ROOT, "%.2f", power), "< " + MAX_POWER, power < MAX_POWER);
     }
 
-    private static Item item(int number, long revision) {
+    private static ConfigurationItem item(int number, long revision) {
         return switch (number % 10) {
-            case 0 -> new Item("plants", "p" + number, revision, "{\"connCeiling\":" + revision + "}");
+            case 0 -> new ConfigurationItem("plants", "p" + number, revision, "{\"connCeiling\":" + revision + "}");
             case 1, 2, 3, 4 ->
-                new Item(
+                new ConfigurationItem(
                         "routes",
                         "r" + number,
                         revision,
@@ -58,7 +58,7 @@
                                 + ".example\",\"prefix\":\"/" + number + "\",\"kind\":\"idempotent\",\"plant\":\"p"
                                 + number / 10 * 10 + "\",\"attempts\":" + revision + "}");
             default ->
-                new Item(
+                new ConfigurationItem(
                         "tenants",
                         "t" + number,
                         revision,
@@ -68,26 +68,26 @@
 
     /** The middle of some rounds, in microseconds: at a store, at a proxy. */
     private static double[] measure(int items) {
-        List<Item> all = new ArrayList<>();
+        List<ConfigurationItem> all = new ArrayList<>();
         for (int i = 0; i < items; i++) {
             all.add(item(i, 1));
         }
         Replica replica = new Replica();
         replica.merge(all);
-        Poll poll = new Poll();
-        poll.take("a", 1, replica.changes(), all);
-        replica.judge("", List.of(item(1, 2))); // the first reads all
+        ConfigurationFollower poll = new ConfigurationFollower();
+        poll.onUpdate("a", 1, replica.lastChange(), all);
+        replica.validate("", List.of(item(1, 2))); // the first reads all
         double[] store = new double[ROUNDS];
         double[] proxy = new double[ROUNDS];
         for (int i = 0; i < ROUNDS; i++) {
-            List<Item> call = List.of(item(i * 7 % items, i + 2));
-            long from = replica.changes();
+            List<ConfigurationItem> call = List.of(item(i * 7 % items, i + 2));
+            long from = replica.lastChange();
             long begin = System.nanoTime();
-            boolean good = replica.judge("", call) == Replica.Verdict.GOOD;
+            boolean good = replica.validate("", call) == Replica.ProposalVerdict.VALID;
             replica.merge(call);
-            List<Item> told = replica.since(from);
+            List<ConfigurationItem> told = replica.committedSince(from);
             long between = System.nanoTime();
-            boolean changed = poll.take("a", 1, replica.changes(), told);
+            boolean changed = poll.onUpdate("a", 1, replica.lastChange(), told);
             store[i] = (between - begin) / 1e3;
             proxy[i] = (System.nanoTime() - between) / 1e3;
             if (!good || !changed) {
@@ -100,7 +100,7 @@
     }
 
     /** The power with which it grows, by least squares over logarithms. */
-    private static double power(double[] took) {
+    private static double growthPower(double[] took) {
         double x = 0;
         double y = 0;
         double xx = 0;
--- a/src/main/java/reedmux/lab/QuickPoolScene.java
+++ b/src/main/java/reedmux/simulation/scenario/QuickPoolScenario.java
@@ -1,4 +1,4 @@
-package reedmux.lab;
+package reedmux.simulation.scenario;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,37 +9,41 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
-import reedmux.lab.ConsumerStandIn.Asked;
-import reedmux.lab.ConsumerStandIn.Told;
+import reedmux.simulation.standin.ConsumerStandIn;
+import reedmux.simulation.standin.ConsumerStandIn.RequestOutcome;
+import reedmux.simulation.standin.ConsumerStandIn.ScenarioRequest;
+import reedmux.simulation.standin.DiscoveryStandIn;
+import reedmux.simulation.standin.ProviderStandIn;
+import reedmux.simulation.standin.StandInServer;
 
 /**
  * A few providers that answer quickly, and consumers who ask in turn, each the next as soon as the last is
  * answered, far within the quota: who is refused all the same, on real sockets with a machine's real jitter.
  * Once on whatever cores are free, and once on one core beside a neighbour that takes all it can get.
  */
-final class QuickPoolScene {
+final class QuickPoolScenario {
     private static final int CONSUMERS = 4;
     private static final int CUSTOMERS = 1_000;
     private static final int REQUESTS = 4_000;
-    private static final int LONGEST_SECONDS = 5;
+    private static final int MAX_SECONDS = 5;
     private static final int[] PROVIDERS = {1, 2, 8};
     private static final int[] WORK_MILLIS = {0, 1, 5, 50};
     private static final int ROUNDS = 3;
 
-    private QuickPoolScene() {}
+    private QuickPoolScenario() {}
 
-    static Claims run(Consumer<String> progress) throws IOException, InterruptedException {
-        Claims claims = new Claims();
+    static ScenarioChecks run(Consumer<String> progress) throws IOException, InterruptedException {
+        ScenarioChecks claims = new ScenarioChecks();
         for (int providers : PROVIDERS) {
             for (int work : WORK_MILLIS) {
                 for (boolean neighbour : new boolean[] {false, true}) {
                     double worst = 0;
                     for (int i = 0; i < (work > 5 || !neighbour ? 1 : ROUNDS); i++) {
-                        worst = Math.max(worst, round(providers, work, neighbour));
+                        worst = Math.max(worst, measure(providers, work, neighbour));
                     }
                     String which =
                             providers + " providers of " + work + " ms" + (neighbour ? " beside a busy neighbour" : "");
-                    claims.claim(
+                    claims.check(
                             which + ": share refused, worst round",
                             String.format(Locale.ROOT, "%.4f", worst),
                             "0.01",
@@ -51,23 +55,26 @@
         return claims;
     }
 
-    private static double round(int count, int workMillis, boolean neighbour) throws IOException, InterruptedException {
-        List<Gatekeeper.Addresses> addresses = Gatekeeper.free(1);
+    private static double measure(int count, int workMillis, boolean neighbour)
+            throws IOException, InterruptedException {
+        List<GatekeeperUnderTest.GatekeeperAddresses> addresses = GatekeeperUnderTest.freeAddresses(1);
         List<ProviderStandIn> providers = new ArrayList<>();
         try (DiscoveryStandIn discovery = new DiscoveryStandIn();
                 ConsumerStandIn consumers = new ConsumerStandIn(addresses.get(0).consumers())) {
             for (int i = 0; i < count; i++) {
                 providers.add(new ProviderStandIn(CONSUMERS, CONSUMERS, workMillis));
-                discovery.list("s" + i, providers.get(i).hostPort(), "Ready");
+                discovery.setPhase("s" + i, providers.get(i).hostPort(), "Ready");
             }
-            try (Gatekeeper gatekeeper = new Gatekeeper(
-                    Files.createTempDirectory("reedmux-quick"), Gatekeeper.config(0, addresses, discovery), null)) {
-                boolean oneCore = neighbour && gatekeeper.onOneCore();
+            try (GatekeeperUnderTest gatekeeper = new GatekeeperUnderTest(
+                    Files.createTempDirectory("reedmux-quick"),
+                    GatekeeperUnderTest.platformConfig(0, addresses, discovery),
+                    null)) {
+                boolean oneCore = neighbour && gatekeeper.pinToOneCore();
                 gatekeeper.start();
                 gatekeeper.awaitReady(consumers);
-                Process beside = oneCore ? Gatekeeper.busyBeside() : null;
+                Process beside = oneCore ? GatekeeperUnderTest.startCpuLoad() : null;
                 try {
-                    return refused(consumers);
+                    return rejectedFraction(consumers);
                 } finally {
                     if (beside != null) {
                         beside.destroyForcibly();
@@ -81,17 +88,17 @@
         }
     }
 
-    private static double refused(ConsumerStandIn consumers) throws InterruptedException {
+    private static double rejectedFraction(ConsumerStandIn consumers) throws InterruptedException {
         AtomicInteger ids = new AtomicInteger();
         AtomicInteger refused = new AtomicInteger();
         CountDownLatch done = new CountDownLatch(CONSUMERS);
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONGEST_SECONDS);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_SECONDS);
         for (int i = 0; i < CONSUMERS; i++) {
-            StandIn.thread("consumer-in-turn", () -> {
+            StandInServer.startThread("consumer-in-turn", () -> {
                 for (int id = ids.incrementAndGet();
                         id <= REQUESTS && System.nanoTime() < end;
                         id = ids.incrementAndGet()) {
-                    Told told = consumers.askAndWait(new Asked(
+                    RequestOutcome told = consumers.sendAndWait(new ScenarioRequest(
                             String.format(Locale.ROOT, "%016x", id),
                             id % 2 == 0 ? "check" : "reject",
                             id % 2 == 0,
--- a/src/main/java/reedmux/lab/Claims.java
+++ b/src/main/java/reedmux/simulation/scenario/ScenarioChecks.java
@@ -1,4 +1,4 @@
-package reedmux.lab;
+package reedmux.simulation.scenario;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -9,66 +9,68 @@
 import java.util.stream.Collectors;
 
 /** What a scene claims, each with its figure, its bound and whether it holds. */
-public final class Claims {
+public final class ScenarioChecks {
     /** One claim, or a figure without a bound, which claims nothing. */
-    public record Claim(String what, String figure, String bound, boolean holds) {
+    public record ScenarioCheck(String name, String value, String bound, boolean passed) {
         private String verdict(String good, String bad) {
-            return bound.isEmpty() ? "" : holds ? good : bad;
+            return bound.isEmpty() ? "" : passed ? good : bad;
         }
     }
 
-    private final List<Claim> all = new ArrayList<>();
+    private final List<ScenarioCheck> checks = new ArrayList<>();
 
     /** Notes a claim. */
-    public void claim(String what, Object figure, Object bound, boolean holds) {
-        all.add(new Claim(what, String.valueOf(figure), String.valueOf(bound), holds));
+    public void check(String what, Object figure, Object bound, boolean holds) {
+        checks.add(new ScenarioCheck(what, String.valueOf(figure), String.valueOf(bound), holds));
     }
 
     /** Notes a figure that is told for itself. */
-    public void note(String what, Object figure) {
-        all.add(new Claim(what, String.valueOf(figure), "", true));
+    public void record(String what, Object figure) {
+        checks.add(new ScenarioCheck(what, String.valueOf(figure), "", true));
     }
 
     /** Whether there are claims and all of them hold. */
-    public boolean hold() {
-        return all.stream().anyMatch(claim -> !claim.bound.isEmpty())
-                && all.stream().allMatch(Claim::holds);
+    public boolean allPassed() {
+        return checks.stream().anyMatch(claim -> !claim.bound.isEmpty())
+                && checks.stream().allMatch(ScenarioCheck::passed);
     }
 
     /** The table as Markdown. */
-    public String table() {
+    public String markdownTable() {
         return "| claim | figure | bound | holds |\n| --- | --- | --- | --- |\n"
-                + all.stream()
-                        .map(claim -> "| " + claim.what + " | " + claim.figure + " | " + claim.bound + " | "
+                + checks.stream()
+                        .map(claim -> "| " + claim.name + " | " + claim.value + " | " + claim.bound + " | "
                                 + claim.verdict("yes", "NO") + " |\n")
                         .collect(Collectors.joining());
     }
 
     /** Prints the table in columns. */
     void print(PrintStream out) {
-        int what = all.stream().mapToInt(claim -> claim.what.length()).max().orElse(0);
-        int figure = all.stream().mapToInt(claim -> claim.figure.length()).max().orElse(0);
-        int bound = all.stream().mapToInt(claim -> claim.bound.length()).max().orElse(0);
-        for (Claim claim : all) {
+        int what = checks.stream().mapToInt(claim -> claim.name.length()).max().orElse(0);
+        int figure =
+                checks.stream().mapToInt(claim -> claim.value.length()).max().orElse(0);
+        int bound =
+                checks.stream().mapToInt(claim -> claim.bound.length()).max().orElse(0);
+        for (ScenarioCheck claim : checks) {
             out.printf(
                     "%-" + what + "s  %" + figure + "s  %-" + bound + "s  %s%n",
-                    claim.what,
-                    claim.figure,
+                    claim.name,
+                    claim.value,
                     claim.bound,
                     claim.verdict("holds", "FAILS"));
         }
     }
 
-    void keep(Path folder, String name, String command) throws IOException {
+    void saveTo(Path folder, String name, String command) throws IOException {
         Files.createDirectories(folder);
-        Files.writeString(folder.resolve(name + ".md"), "# " + name + "\n\n`" + command + "`\n\n" + table());
+        Files.writeString(folder.resolve(name + ".md"), "# " + name + "\n\n`" + command + "`\n\n" + markdownTable());
         Files.writeString(
                 folder.resolve(name + ".csv"),
                 "claim,figure,bound,holds\n"
-                        + all.stream()
-                                .map(claim -> quoted(claim.what)
+                        + checks.stream()
+                                .map(claim -> quoted(claim.name)
                                         + ','
-                                        + quoted(claim.figure)
+                                        + quoted(claim.value)
                                         + ','
                                         + quoted(claim.bound)
                                         + ','
--- a/src/main/java/reedmux/lab/Scenes.java
+++ b/src/main/java/reedmux/simulation/scenario/Scenarios.java
@@ -1,4 +1,4 @@
-package reedmux.lab;
+package reedmux.simulation.scenario;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -9,16 +9,16 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import reedmux.lab.sim.QuickScenes;
-import reedmux.lab.sim.RegionTables;
-import reedmux.lab.sim.SizeScenes;
-import reedmux.lab.world.CatchUp;
+import reedmux.simulation.cluster.CatchUpExperiment;
+import reedmux.simulation.region.ConcurrencyLimitScenarios;
+import reedmux.simulation.region.RegionMeasurements;
+import reedmux.simulation.region.ScaleScenarios;
 
 /** The scenes that can be run, by name. */
-public final class Scenes {
+public final class Scenarios {
     /** Plays a scene with the seeds from one to another. */
-    private interface Scene {
-        Claims run(Asked asked, Consumer<String> progress) throws IOException, InterruptedException;
+    private interface Scenario {
+        ScenarioChecks run(ScenarioOptions asked, Consumer<String> progress) throws IOException, InterruptedException;
     }
 
     /**
@@ -31,81 +31,84 @@
      * @param most  the largest size
      * @param folder where tables are kept, or null
      */
-    public record Asked(long first, long last, Path jar, Path other, int most, Path folder) {}
+    public record ScenarioOptions(long firstSeed, long lastSeed, Path jar, Path otherJar, int maxSize, Path folder) {}
 
     private static final int ROUNDS = 5;
 
-    private record Known(String what, Scene scene) {}
+    private record RegisteredScenario(String description, Scenario scenario) {}
 
-    private static final Map<String, Known> ALL = new LinkedHashMap<>();
+    private static final Map<String, RegisteredScenario> ALL = new LinkedHashMap<>();
 
     static {
-        ALL.put("region", new Known("two regions of real gatekeepers on loopback, 40 s", Scenes::region));
+        ALL.put(
+                "region",
+                new RegisteredScenario("two regions of real gatekeepers on loopback, 40 s", Scenarios::runRegion));
         ALL.put(
                 "cost",
-                new Known(
+                new RegisteredScenario(
                         "CPU a request and heap of two builds, by turns, 3 min; --jar, --vs",
-                        (asked, progress) -> CostScene.run(asked.jar, asked.other, ROUNDS, progress)));
+                        (asked, progress) -> CostScenario.run(asked.jar, asked.otherJar, ROUNDS, progress)));
         ALL.put(
                 "region-service",
-                new Known(
+                new RegisteredScenario(
                         "service with and without a last resort, in virtual time",
-                        (asked, progress) -> RegionTables.service(asked.first, asked.last, progress)));
+                        (asked, progress) -> RegionMeasurements.service(asked.firstSeed, asked.lastSeed, progress)));
         ALL.put(
                 "quick-pool",
-                new Known(
+                new RegisteredScenario(
                         "one to eight quick providers on loopback: who is refused, 3 min",
-                        (asked, progress) -> QuickPoolScene.run(progress)));
+                        (asked, progress) -> QuickPoolScenario.run(progress)));
         ALL.put(
                 "quick-pools",
-                new Known(
+                new RegisteredScenario(
                         "pools of 1 to 200 providers of 0.2 ms to 2 s: who is refused",
-                        (asked, progress) -> QuickScenes.sweep(asked.first, asked.last, progress)));
+                        (asked, progress) ->
+                                ConcurrencyLimitScenarios.sweep(asked.firstSeed, asked.lastSeed, progress)));
         ALL.put(
                 "services",
-                new Known(
+                new RegisteredScenario(
                         "three services in one gatekeeper, one flooded, hung, crowded; reloads," + " 90 s",
                         (asked, progress) ->
-                                ServicesScene.run(Files.createTempDirectory("reedmux-services"), progress)));
+                                ServicesScenario.run(Files.createTempDirectory("reedmux-services"), progress)));
         ALL.put(
                 "upgrade",
-                new Known(
+                new RegisteredScenario(
                         "new versions take a gatekeeper's place under load, one dies, 40 s",
-                        (asked, progress) -> UpgradeScene.run(Files.createTempDirectory("rx"), progress)));
+                        (asked, progress) -> UpgradeScenario.run(Files.createTempDirectory("rx"), progress)));
         ALL.put(
                 "sizes",
-                new Known(
+                new RegisteredScenario(
                         "14 and 100 gatekeepers: mass restart, lost zone, replacement; 1 min",
-                        (asked, progress) -> SizeScenes.sweep(asked.first, asked.last, progress)));
+                        (asked, progress) -> ScaleScenarios.sweep(asked.firstSeed, asked.lastSeed, progress)));
         ALL.put(
                 "capacity",
-                new Known(
+                new RegisteredScenario(
                         "the control side at growing sizes, in virtual time: powers and the sum at"
                                 + " the operators' size, 2 min; --most, --out",
-                        (asked, progress) -> CapacityScene.run(asked.most, asked.folder, progress)));
+                        (asked, progress) -> CapacityScenario.run(asked.maxSize, asked.folder, progress)));
         ALL.put(
                 "items",
-                new Known(
+                new RegisteredScenario(
                         "what one change costs at 30 to 100,000 items, 10 s",
-                        (asked, progress) -> ItemScene.run(progress)));
+                        (asked, progress) -> ItemScenario.run(progress)));
         ALL.put(
                 "catch-up",
-                new Known(
+                new RegisteredScenario(
                         "bytes and time until a core machine has all again, to 100,000 items",
-                        (asked, progress) -> CatchUp.run(progress)));
+                        (asked, progress) -> CatchUpExperiment.run(progress)));
         ALL.put(
                 "region-storms",
-                new Known(
+                new RegisteredScenario(
                         "faults of all kinds against the rules, in virtual time",
-                        (asked, progress) -> RegionTables.storms(asked.first, asked.last, progress)));
+                        (asked, progress) -> RegionMeasurements.storms(asked.firstSeed, asked.lastSeed, progress)));
     }
 
-    private Scenes() {}
+    private Scenarios() {}
 
     /** The scenes' names, each with what it shows. */
-    public static Map<String, String> known() {
+    public static Map<String, String> descriptions() {
         Map<String, String> all = new LinkedHashMap<>();
-        ALL.forEach((name, known) -> all.put(name, known.what));
+        ALL.forEach((name, known) -> all.put(name, known.description));
         return all;
     }
 
@@ -114,28 +117,31 @@
      *
      * @return whether all claims hold
      */
-    public static boolean run(String name, Asked asked, Path results, PrintStream out, Consumer<String> progress)
+    public static boolean run(
+            String name, ScenarioOptions asked, Path results, PrintStream out, Consumer<String> progress)
             throws IOException, InterruptedException {
         long begin = System.nanoTime();
-        Claims claims = ALL.get(name).scene.run(asked, progress);
+        ScenarioChecks claims = ALL.get(name).scenario.run(asked, progress);
         claims.print(out);
         out.printf(
                 "%s: %s, seeds %d to %d, %.1f s%n",
                 name,
-                claims.hold() ? "all claims hold" : "NOT ALL CLAIMS HOLD",
-                asked.first,
-                asked.last,
+                claims.allPassed() ? "all claims hold" : "NOT ALL CLAIMS HOLD",
+                asked.firstSeed,
+                asked.lastSeed,
                 (System.nanoTime() - begin) / 1e9);
         if (results != null) {
-            claims.keep(results, name, "reedmux lab run " + name + " --seeds " + asked.first + ".." + asked.last);
+            claims.saveTo(
+                    results, name, "reedmux lab run " + name + " --seeds " + asked.firstSeed + ".." + asked.lastSeed);
         }
-        return claims.hold();
+        return claims.allPassed();
     }
 
-    private static Claims region(Asked asked, Consumer<String> progress) throws IOException, InterruptedException {
+    private static ScenarioChecks runRegion(ScenarioOptions asked, Consumer<String> progress)
+            throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("reedmux-region");
-        Claims claims = RegionScene.run(folder, asked.first, progress);
-        if (claims.hold()) {
+        ScenarioChecks claims = RegionScenario.run(folder, asked.firstSeed, progress);
+        if (claims.allPassed()) {
             try (Stream<Path> files = Files.walk(folder)) {
                 for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                     Files.delete(file);
--- a/src/main/java/reedmux/lab/package-info.java
+++ b/src/main/java/reedmux/simulation/scenario/package-info.java
@@ -4,4 +4,4 @@
  * <p>Every server listens on port 0 of a loopback address; loops are bounded in count and time. Written from
  * the published form of each protocol; nothing of the gatekeeper imports it.
  */
-package reedmux.lab;
+package reedmux.simulation.scenario;
