--- a/src/main/java/reedmux/lab/ConsumerStandIn.java
+++ b/src/main/java/reedmux/simulation/standin/ConsumerStandIn.java
@@ -1,4 +1,4 @@
-package reedmux.lab;
+package reedmux.simulation.standin;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -27,14 +27,14 @@
 public final class ConsumerStandIn implements AutoCloseable {
 
     /** A request to be sent. */
-    public record Asked(
+    public record ScenarioRequest(
             String id,
             String requestClass,
-            boolean repeatable,
+            boolean idempotent,
             long customer,
             int units,
             long deadlineMillis,
-            int members) {}
+            int gatekeepers) {}
 
     /**
      * What came of one; times in nanoseconds of the system's monotonic clock.
@@ -43,15 +43,21 @@
      * @param retryAfter seconds, or a number below nought where not told
      * @param whole      whether the body was the one verdict that belongs to the request
      */
-    public record Told(Asked asked, long sentAt, long toldAt, int status, double retryAfter, boolean whole) {
+    public record RequestOutcome(
+            ScenarioRequest request,
+            long sentAtNanos,
+            long endedAtNanos,
+            int status,
+            double retryAfterSeconds,
+            boolean bodyMatches) {
         public double millis() {
-            return (toldAt - sentAt) / 1e6;
+            return (endedAtNanos - sentAtNanos) / 1e6;
         }
     }
 
-    private static final int PATIENCE_MILLIS = 15_000;
-    private final Queue<Told> told = new ConcurrentLinkedQueue<>();
-    private final Deque<DefaultBHttpClientConnection> idle = new ArrayDeque<>();
+    private static final int TIMEOUT_MILLIS = 15_000;
+    private final Queue<RequestOutcome> outcomes = new ConcurrentLinkedQueue<>();
+    private final Deque<DefaultBHttpClientConnection> idleConnections = new ArrayDeque<>();
     private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "consumer");
         thread.setDaemon(true);
@@ -72,41 +78,41 @@
     }
 
     /** Everything that was answered or broke off, in the order of the ends. */
-    public List<Told> told() {
-        return List.copyOf(told);
+    public List<RequestOutcome> outcomes() {
+        return List.copyOf(outcomes);
     }
 
     /** Sends a request, over a kept connection if there is one, and returns at once. */
-    public void ask(Asked asked) {
-        threads.execute(() -> told.add(exchange(asked)));
+    public void send(ScenarioRequest asked) {
+        threads.execute(() -> outcomes.add(exchange(asked)));
     }
 
-    /** Sends a request and waits for what comes of it; not noted under {@link #told}. */
-    Told askAndWait(Asked asked) {
+    /** Sends a request and waits for what comes of it; not noted under {@link #outcomes}. */
+    public RequestOutcome sendAndWait(ScenarioRequest asked) {
         return exchange(asked);
     }
 
-    private Told exchange(Asked asked) {
+    private RequestOutcome exchange(ScenarioRequest asked) {
         long sentAt = System.nanoTime();
         boolean connected = false;
         try {
             DefaultBHttpClientConnection connection;
-            synchronized (idle) {
-                connection = idle.poll();
+            synchronized (idleConnections) {
+                connection = idleConnections.poll();
             }
             if (connection == null || !connection.isOpen() || connection.isStale()) {
                 connection = connect();
             }
             connected = true;
             connection.sendRequestHeader(request(asked));
-            if (!asked.repeatable()) {
+            if (!asked.idempotent()) {
                 connection.sendRequestEntity(request(asked));
             }
             connection.flush();
             ClassicHttpResponse response = connection.receiveResponseHeader();
             connection.receiveResponseEntity(response);
             String body = response.getEntity() == null ? "" : EntityUtils.toString(response.getEntity());
-            Told one = new Told(
+            RequestOutcome one = new RequestOutcome(
                     asked,
                     sentAt,
                     System.nanoTime(),
@@ -117,29 +123,29 @@
             if (close != null && close.getValue().equals("close")) {
                 connection.close();
             } else {
-                synchronized (idle) {
-                    idle.push(connection);
+                synchronized (idleConnections) {
+                    idleConnections.push(connection);
                 }
             }
             return one;
         } catch (IOException | HttpException e) {
-            return new Told(asked, sentAt, System.nanoTime(), connected ? -1 : 0, -1, false);
+            return new RequestOutcome(asked, sentAt, System.nanoTime(), connected ? -1 : 0, -1, false);
         }
     }
 
     private DefaultBHttpClientConnection connect() throws IOException {
         Socket socket = new Socket();
-        socket.connect(gatekeeper, PATIENCE_MILLIS);
+        socket.connect(gatekeeper, TIMEOUT_MILLIS);
         socket.setTcpNoDelay(true);
-        socket.setSoTimeout(PATIENCE_MILLIS);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         DefaultBHttpClientConnection connection = new DefaultBHttpClientConnection(Http1Config.DEFAULT);
         connection.bind(socket);
         return connection;
     }
 
-    private ClassicHttpRequest request(Asked asked) {
+    private ClassicHttpRequest request(ScenarioRequest asked) {
         ClassicHttpRequest request =
-                new BasicClassicHttpRequest(asked.repeatable() ? "GET" : "POST", '/' + asked.requestClass());
+                new BasicClassicHttpRequest(asked.idempotent() ? "GET" : "POST", '/' + asked.requestClass());
         if (host != null) {
             request.setHeader("Host", host);
         }
@@ -147,8 +153,8 @@
         request.setHeader("X-Plan", "full-plant");
         request.setHeader("X-Customer", String.format(Locale.ROOT, "%016x", asked.customer()));
         request.setHeader("X-Expires-In-Ms", asked.deadlineMillis());
-        request.setHeader("X-Quota", "units=" + asked.units() + ",spread=" + asked.members() + ",first=0");
-        if (!asked.repeatable()) {
+        request.setHeader("X-Quota", "units=" + asked.units() + ",spread=" + asked.gatekeepers() + ",first=0");
+        if (!asked.idempotent()) {
             request.setEntity(new ByteArrayEntity(new byte[200], ContentType.APPLICATION_OCTET_STREAM));
             request.setHeader("Content-Length", 200);
         }
@@ -160,7 +166,7 @@
     }
 
     /** Whether the gatekeeper says that it can serve. */
-    public boolean ready() {
+    public boolean isGatekeeperReady() {
         try (DefaultBHttpClientConnection connection = connect()) {
             connection.sendRequestHeader(new BasicClassicHttpRequest("GET", "/healthz"));
             connection.flush();
@@ -171,9 +177,9 @@
     }
 
     /** Waits for the answers of all that was sent; returns whether all came. */
-    public boolean finish() throws InterruptedException {
+    public boolean awaitOutcomes() throws InterruptedException {
         threads.shutdown();
-        return threads.awaitTermination(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+        return threads.awaitTermination(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     @Override
--- a/src/main/java/reedmux/lab/DiscoveryStandIn.java
+++ b/src/main/java/reedmux/simulation/standin/DiscoveryStandIn.java
@@ -1,4 +1,4 @@
-package reedmux.lab;
+package reedmux.simulation.standin;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -13,36 +13,36 @@
 import org.apache.hc.core5.http.impl.io.DefaultBHttpServerConnection;
 
 /** Discovery: tells the whole list, and holds a watch until there is news. */
-public final class DiscoveryStandIn extends StandIn {
+public final class DiscoveryStandIn extends StandInServer {
     /** What it does with a question. */
-    public enum Does {
+    public enum DiscoveryStandInBehavior {
         ANSWERS,
         SILENT,
         NONSENSE
     }
 
-    private static final long LONGEST_WATCH_MILLIS = 60_000;
+    private static final long MAX_WATCH_MILLIS = 60_000;
     private final Map<String, String> members = new LinkedHashMap<>();
     private final Map<String, String> phases = new LinkedHashMap<>();
     private long revision = 1;
-    private volatile Does does = Does.ANSWERS;
+    private volatile DiscoveryStandInBehavior behavior = DiscoveryStandInBehavior.ANSWERS;
 
     public DiscoveryStandIn() throws IOException {}
 
     /** Lists a provider under a phase, or strikes it off at {@code Gone}. */
-    public synchronized void list(String id, String hostPort, String phase) {
+    public synchronized void setPhase(String id, String hostPort, String phase) {
         members.put(id, hostPort);
         phases.put(id, phase);
         revision++;
         notifyAll();
     }
 
-    public void does(Does told) {
-        does = told;
+    public void setBehavior(DiscoveryStandInBehavior told) {
+        behavior = told;
     }
 
     /** The whole list in discovery's form. */
-    public synchronized String whole() throws IOException {
+    public synchronized String fullList() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = new JsonFactory().createGenerator(bytes)) {
             json.writeStartObject();
@@ -72,31 +72,31 @@
     @Override
     boolean handle(Socket socket, DefaultBHttpServerConnection connection, ClassicHttpRequest request)
             throws IOException, HttpException, InterruptedException {
-        body(connection, request);
-        Does now = does;
-        if (now == Does.SILENT) {
-            Thread.sleep(LONGEST_WATCH_MILLIS);
+        readBody(connection, request);
+        DiscoveryStandInBehavior now = behavior;
+        if (now == DiscoveryStandInBehavior.SILENT) {
+            Thread.sleep(MAX_WATCH_MILLIS);
             return false;
-        } else if (now == Does.NONSENSE) {
+        } else if (now == DiscoveryStandInBehavior.NONSENSE) {
             send(connection, response(200, "{\"revision\":".getBytes(StandardCharsets.UTF_8)));
             return true;
         }
-        long since = number(request.getPath(), "since");
+        long since = queryParameter(request.getPath(), "since");
         if (since >= 0) {
-            await(since, Math.min(LONGEST_WATCH_MILLIS, number(request.getPath(), "timeout_ms")));
+            awaitChange(since, Math.min(MAX_WATCH_MILLIS, queryParameter(request.getPath(), "timeout_ms")));
         }
-        send(connection, response(200, whole().getBytes(StandardCharsets.UTF_8)));
+        send(connection, response(200, fullList().getBytes(StandardCharsets.UTF_8)));
         return true;
     }
 
-    private synchronized void await(long since, long millis) throws InterruptedException {
+    private synchronized void awaitChange(long since, long millis) throws InterruptedException {
         long end = System.nanoTime() + millis * 1_000_000;
         for (long left = millis; revision <= since && left > 0; left = (end - System.nanoTime()) / 1_000_000) {
             wait(left);
         }
     }
 
-    private static long number(String target, String name) {
+    private static long queryParameter(String target, String name) {
         int at = target.indexOf(name + '=');
         if (at < 0) {
             return -1;
--- a/src/main/java/reedmux/lab/LinkStandIn.java
+++ b/src/main/java/reedmux/simulation/standin/RegionLinkStandIn.java
@@ -1,4 +1,4 @@
-package reedmux.lab;
+package reedmux.simulation.standin;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -18,9 +18,9 @@
 import org.apache.hc.core5.http.message.BasicClassicHttpRequest;
 
 /** The line between two regions: notes each request that crosses it, and breaks as it is told to. */
-public final class LinkStandIn extends StandIn {
+public final class RegionLinkStandIn extends StandInServer {
     /** What it does with a request. */
-    public enum Does {
+    public enum RegionLinkStandInBehavior {
         PASSES,
         SILENT,
         BREAKS_BEFORE,
@@ -29,24 +29,24 @@
     }
 
     /** One that has crossed; {@code at} in nanoseconds of the system's monotonic clock. */
-    public record Crossing(long at, String id, String path, double units) {}
+    public record LinkCrossing(long atNanos, String id, String path, double units) {}
 
-    private static final int LONGEST_MILLIS = 20_000;
-    private final InetSocketAddress to;
-    private final List<Crossing> crossings = new CopyOnWriteArrayList<>();
-    private volatile Supplier<Does> script = () -> Does.PASSES;
+    private static final int TIMEOUT_MILLIS = 20_000;
+    private final InetSocketAddress gateway;
+    private final List<LinkCrossing> crossings = new CopyOnWriteArrayList<>();
+    private volatile Supplier<RegionLinkStandInBehavior> script = () -> RegionLinkStandInBehavior.PASSES;
 
     /** A line to a gateway's listener for regions. */
-    public LinkStandIn(InetSocketAddress to) throws IOException {
-        this.to = to;
+    public RegionLinkStandIn(InetSocketAddress to) throws IOException {
+        this.gateway = to;
     }
 
-    public void script(Supplier<Does> told) {
+    public void setScript(Supplier<RegionLinkStandInBehavior> told) {
         script = told;
     }
 
     /** All that has come in here, in order. */
-    public List<Crossing> crossings() {
+    public List<LinkCrossing> crossings() {
         return crossings;
     }
 
@@ -54,25 +54,25 @@
     boolean handle(Socket socket, DefaultBHttpServerConnection connection, ClassicHttpRequest request)
             throws IOException, HttpException, InterruptedException {
         String units = header(request, "X-Region-Units");
-        crossings.add(new Crossing(
+        crossings.add(new LinkCrossing(
                 System.nanoTime(),
                 header(request, "X-Trace-Id"),
                 header(request, "X-Region-Path"),
                 units.isEmpty() ? 0 : Double.parseDouble(units)));
-        Does does = script.get();
-        if (does == Does.SILENT) {
-            Thread.sleep(LONGEST_MILLIS);
+        RegionLinkStandInBehavior does = script.get();
+        if (does == RegionLinkStandInBehavior.SILENT) {
+            Thread.sleep(TIMEOUT_MILLIS);
             return false;
-        } else if (does == Does.BREAKS_BEFORE) {
+        } else if (does == RegionLinkStandInBehavior.BREAKS_BEFORE) {
             reset(socket);
             return false;
         }
-        byte[] body = body(connection, request);
+        byte[] body = readBody(connection, request);
         try (DefaultBHttpClientConnection onward = new DefaultBHttpClientConnection(Http1Config.DEFAULT);
                 Socket there = new Socket()) {
-            there.connect(to, LONGEST_MILLIS);
+            there.connect(gateway, TIMEOUT_MILLIS);
             there.setTcpNoDelay(true);
-            there.setSoTimeout(LONGEST_MILLIS);
+            there.setSoTimeout(TIMEOUT_MILLIS);
             onward.bind(there);
             ClassicHttpRequest same = new BasicClassicHttpRequest(request.getMethod(), request.getPath());
             for (Header header : request.getHeaders()) {
@@ -86,7 +86,7 @@
                 onward.sendRequestEntity(same);
             }
             onward.flush();
-            if (does == Does.BREAKS_AFTER) {
+            if (does == RegionLinkStandInBehavior.BREAKS_AFTER) {
                 Thread.sleep(5);
                 reset(socket);
                 return false;
@@ -94,7 +94,7 @@
             ClassicHttpResponse answer = onward.receiveResponseHeader();
             onward.receiveResponseEntity(answer);
             byte[] told = answer.getEntity() == null ? new byte[0] : EntityUtils.toByteArray(answer.getEntity());
-            if (does == Does.BREAKS_ANSWERING) {
+            if (does == RegionLinkStandInBehavior.BREAKS_ANSWERING) {
                 reset(socket);
                 return false;
             }
--- a/src/main/java/reedmux/lab/StandIn.java
+++ b/src/main/java/reedmux/simulation/standin/StandInServer.java
@@ -1,4 +1,4 @@
-package reedmux.lab;
+package reedmux.simulation.standin;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -21,17 +21,17 @@
 import org.apache.hc.core5.http.message.BasicClassicHttpResponse;
 
 /** An HTTP server on a free loopback port, one thread a connection, that can be closed and opened again. */
-abstract class StandIn implements AutoCloseable {
-    private static final int QUEUE = 512;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+public abstract class StandInServer implements AutoCloseable {
+    private static final int ACCEPT_BACKLOG = 512;
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
     private final InetSocketAddress address;
     private volatile ServerSocket listener;
-    private volatile Thread accepting;
+    private volatile Thread acceptThread;
 
-    StandIn() throws IOException {
-        listener = new ServerSocket(0, QUEUE, InetAddress.getByName("127.0.0.1"));
+    StandInServer() throws IOException {
+        listener = new ServerSocket(0, ACCEPT_BACKLOG, InetAddress.getByName("127.0.0.1"));
         address = (InetSocketAddress) listener.getLocalSocketAddress();
-        listen(listener);
+        startAccepting(listener);
     }
 
     /** Where it listens; the same when it is opened again. */
@@ -39,18 +39,18 @@
         return address;
     }
 
-    final String hostPort() {
+    public final String hostPort() {
         return address.getAddress().getHostAddress() + ':' + address.getPort();
     }
 
-    private void listen(ServerSocket on) {
-        accepting = thread("stand-in", () -> {
+    private void startAccepting(ServerSocket on) {
+        acceptThread = startThread("stand-in", () -> {
             while (true) {
                 try {
                     Socket accepted = on.accept();
                     accepted.setTcpNoDelay(true);
-                    open.add(accepted);
-                    thread("stand-in-connection", () -> serve(accepted));
+                    openSockets.add(accepted);
+                    startThread("stand-in-connection", () -> serve(accepted));
                 } catch (IOException e) {
                     return;
                 }
@@ -58,7 +58,7 @@
         });
     }
 
-    static Thread thread(String name, Runnable task) {
+    public static Thread startThread(String name, Runnable task) {
         Thread thread = new Thread(task, name);
         thread.setDaemon(true);
         thread.start();
@@ -77,7 +77,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            open.remove(socket);
+            openSockets.remove(socket);
         }
     }
 
@@ -85,7 +85,7 @@
     abstract boolean handle(Socket socket, DefaultBHttpServerConnection connection, ClassicHttpRequest request)
             throws IOException, HttpException, InterruptedException;
 
-    static byte[] body(DefaultBHttpServerConnection connection, ClassicHttpRequest request)
+    static byte[] readBody(DefaultBHttpServerConnection connection, ClassicHttpRequest request)
             throws IOException, HttpException {
         connection.receiveRequestEntity(request);
         return request.getEntity() == null ? new byte[0] : EntityUtils.toByteArray(request.getEntity());
@@ -121,29 +121,29 @@
     }
 
     /** Goes away as a process does: connections are reset, new ones refused. */
-    final void vanish() throws IOException {
+    public final void goDown() throws IOException {
         listener.close();
         try {
-            accepting.join(); // the system keeps the port for as long as a thread waits in accept
+            acceptThread.join(); // the system keeps the port for as long as a thread waits in accept
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        for (Socket socket : open) {
+        for (Socket socket : openSockets) {
             reset(socket);
         }
     }
 
     /** Comes back at the same address. */
-    final void comeBack() throws IOException {
+    public final void comeUp() throws IOException {
         ServerSocket again = new ServerSocket();
         again.setReuseAddress(true);
-        again.bind(address, QUEUE);
+        again.bind(address, ACCEPT_BACKLOG);
         listener = again;
-        listen(again);
+        startAccepting(again);
     }
 
     @Override
     public final void close() throws IOException {
-        vanish();
+        goDown();
     }
 }
--- a/src/test/java/reedmux/cli/CommandLineTest.java
+++ b/src/test/java/reedmux/cli/CommandLineTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void everyCommandHelps() throws Exception {
+    void everyCommandPrintsItsHelp() throws Exception {
         assertTrue(expect(0, "--help").contains("self-check"));
         assertTrue(expect(0, "serve", "--help").contains("--settings FILE"));
         assertTrue(expect(0, "check-config", "-h").contains("--settings FILE"));
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void badUsageIsToldWithWhatIsKnown() throws Exception {
+    void badUsageListsTheKnownCommands() throws Exception {
         assertTrue(expect(2, "serv").contains("known commands: serve, wirehost"));
         assertTrue(expect(2, "serve", "--setting").contains("try: reedmux serve --help"));
         assertTrue(expect(2).startsWith("usage: reedmux COMMAND"));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aGatekeeperDoesNotStartWithAFileThatDoesNotFitIt() throws Exception {
+    void serveRejectsSettingsThatDoNotFitTheConfiguration() throws Exception {
         Path script = folder.resolve("small.star");
         Files.writeString(
                 script,
--- a/src/test/java/reedmux/cli/HandoverTest.java
+++ b/src/test/java/reedmux/cli/HandoverTest.java
@@ -32,11 +32,11 @@
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
-import reedmux.config.Config;
-import reedmux.core.Clock;
-import reedmux.handover.Frame;
-import reedmux.handover.Frames;
-import reedmux.handover.Link;
+import reedmux.common.time.MonotonicClock;
+import reedmux.gatekeeper.config.GatekeeperConfig;
+import reedmux.gatekeeper.handover.HandoverConnection;
+import reedmux.gatekeeper.handover.HandoverFrame;
+import reedmux.gatekeeper.handover.HandoverFrameCodec;
 
 /** One gatekeeper takes another's place on real sockets, and all that can go wrong with it. */
 public final class HandoverTest {
@@ -57,11 +57,12 @@
     /** A gatekeeper with its thread and its log. */
     private final class Process {
         final BlockingQueue<String> log = new LinkedBlockingQueue<>();
-        final Node node;
+        final GatekeeperProcess node;
         final Thread thread;
 
         Process() throws Exception {
-            node = new Node(Loaded.alone(config()), new Clock(), log::add, place);
+            node = new GatekeeperProcess(
+                    LoadedConfiguration.platformOnly(config()), new MonotonicClock(), log::add, place);
             thread = new Thread(() -> {
                 try {
                     node.run();
@@ -89,7 +90,7 @@
 
         String ask(String call) throws IOException {
             try (Socket socket = new Socket()) {
-                socket.connect(node.operatorAddress(), HANGS);
+                socket.connect(node.adminAddress(), HANGS);
                 socket.setSoTimeout(HANGS);
                 socket.getOutputStream().write((call + '\n').getBytes(StandardCharsets.US_ASCII));
                 return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
@@ -97,14 +98,14 @@
         }
     }
 
-    private Config config() throws Exception {
+    private GatekeeperConfig config() throws Exception {
         String text = Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                 .replace("127.0.0.1:0\"", "127.0.0.1:" + port + "\",\"operator\":\"127.0.0.1:0\"")
                 .replace("${d}", "127.0.0.1:" + discovery.getLocalPort())
                 .replace("${p1}", "127.0.0.1:" + provider.getLocalPort())
                 .replace("$node", "127.0.0.1:9")
                 .replace("$u1", "127.0.0.1:10");
-        return Config.read(text.getBytes(StandardCharsets.UTF_8), Map.of(), new Clock());
+        return GatekeeperConfig.read(text.getBytes(StandardCharsets.UTF_8), Map.of(), new MonotonicClock());
     }
 
     @Before
@@ -147,7 +148,7 @@
     @After
     public void close() throws Exception {
         for (Process process : processes) {
-            process.node.leave();
+            process.node.beginShutdown();
             process.thread.join(HANGS);
             process.node.close();
         }
@@ -191,7 +192,7 @@
             Process next = new Process();
             assertEquals("+OK serving\n", next.ask("check"));
             old.says("another process serves in our place");
-            old.node.leave();
+            old.node.beginShutdown();
             send(kept, 3, 1); // one more on a connection that the old one still has
             String answer = rest(kept);
             assertTrue(answer, answer.contains("HTTP/1.1 429"));
@@ -201,7 +202,7 @@
             assertEquals("429", request(4, 1));
             Process third = new Process(); // another upgrade right behind
             next.says("another process serves in our place");
-            next.node.leave();
+            next.node.beginShutdown();
             third.says("the former process has gone");
             assertEquals("429", request(5, 1));
         }
@@ -211,32 +212,32 @@
     public void aNewOneThatEndsBeforeOrAfterItsTakingChangesNothing() throws Exception {
         Process old = new Process();
         Heard first = new Heard();
-        Link early = Link.to(place, first);
-        early.send(new Frame.Hello(Frames.VERSION, config().rules()));
-        assertTrue(first.frames.poll(HANGS, TimeUnit.MILLISECONDS) instanceof Frame.Hello);
+        HandoverConnection early = HandoverConnection.connect(place, first);
+        early.send(new HandoverFrame.HandoverHello(HandoverFrameCodec.PROTOCOL_VERSION, config().countingRules()));
+        assertTrue(first.frames.poll(HANGS, TimeUnit.MILLISECONDS) instanceof HandoverFrame.HandoverHello);
         early.close();
         Heard second = new Heard();
-        Link taker = meet(second);
-        taker.send(new Frame.Take());
-        assertTrue(second.frames.poll(HANGS, TimeUnit.MILLISECONDS) instanceof Frame.Counted);
-        taker.send(new Frame.Serving());
+        HandoverConnection taker = meet(second);
+        taker.send(new HandoverFrame.SnapshotRequest());
+        assertTrue(second.frames.poll(HANGS, TimeUnit.MILLISECONDS) instanceof HandoverFrame.ServiceSnapshot);
+        taker.send(new HandoverFrame.SuccessorServing());
         old.says("another process serves in our place");
         taker.close();
         old.says("serving on");
         assertEquals("200", request(1, 4));
         Process next = new Process();
         old.says("told what was counted of 1 customers");
-        old.node.leave();
+        old.node.beginShutdown();
         next.says("the former process has gone");
         assertEquals("429", request(2, 1));
     }
 
     /** Connects until the old one has seen that its former partner is gone, and takes this one. */
-    private Link meet(Heard ear) throws Exception {
+    private HandoverConnection meet(Heard ear) throws Exception {
         while (true) {
-            Link link = Link.to(place, ear);
-            link.send(new Frame.Hello(Frames.VERSION, config().rules()));
-            if (ear.frames.poll(HANGS, TimeUnit.MILLISECONDS) instanceof Frame.Hello) {
+            HandoverConnection link = HandoverConnection.connect(place, ear);
+            link.send(new HandoverFrame.HandoverHello(HandoverFrameCodec.PROTOCOL_VERSION, config().countingRules()));
+            if (ear.frames.poll(HANGS, TimeUnit.MILLISECONDS) instanceof HandoverFrame.HandoverHello) {
                 return link;
             }
         }
@@ -248,12 +249,12 @@
         talk(new byte[] {0, 0, 0, 3, 1, 2, 3});
         talk(new byte[] {-1, -1, -1, -1});
         long hangs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HANGS);
-        for (Frame other : List.of(
-                new Frame.Hello(Frames.VERSION + 1, config().rules()),
-                new Frame.Hello(Frames.VERSION, "other plans"))) {
+        for (HandoverFrame other : List.of(
+                new HandoverFrame.HandoverHello(HandoverFrameCodec.PROTOCOL_VERSION + 1, config().countingRules()),
+                new HandoverFrame.HandoverHello(HandoverFrameCodec.PROTOCOL_VERSION, "other plans"))) {
             old.log.clear();
             do { // it may still be seeing the one before off
-                talk(Frames.bytes(other));
+                talk(HandoverFrameCodec.encode(other));
                 assertTrue("never told: " + other, System.nanoTime() < hangs);
             } while (old.log.stream().noneMatch(line -> line.contains("of another version")));
         }
@@ -294,7 +295,7 @@
         Files.writeString(place, "not a socket");
         Process first = new Process();
         assertEquals("200", request(1, 4));
-        first.node.leave();
+        first.node.beginShutdown();
         first.thread.join(HANGS);
         assertFalse("its file goes with it", Files.exists(place));
         try (ServerSocketChannel dead = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
@@ -305,16 +306,16 @@
     }
 
     /** What the other side says. */
-    private static final class Heard implements Link.Ear {
+    private static final class Heard implements HandoverConnection.HandoverFrameHandler {
         final BlockingQueue<Object> frames = new LinkedBlockingQueue<>();
 
         @Override
-        public void heard(Link from, Frame frame) {
+        public void onFrame(HandoverConnection from, HandoverFrame frame) {
             frames.add(frame);
         }
 
         @Override
-        public void ended(Link link, String why) {
+        public void onClosed(HandoverConnection link, String why) {
             frames.add(why);
         }
     }
--- a/src/test/java/reedmux/cli/ExchangeTest.java
+++ b/src/test/java/reedmux/cli/RecordedExchangesTest.java
@@ -27,11 +27,11 @@
 import org.junit.Test;
 import org.junit.runner.RunWith;
 import org.junit.runners.Parameterized;
-import reedmux.config.Config;
-import reedmux.config.ConfigException;
-import reedmux.core.Clock;
-import reedmux.settings.OperatorSettings;
-import reedmux.settings.ScriptException;
+import reedmux.common.time.MonotonicClock;
+import reedmux.gatekeeper.config.ConfigException;
+import reedmux.gatekeeper.config.GatekeeperConfig;
+import reedmux.gatekeeper.script.ScriptException;
+import reedmux.gatekeeper.settings.OperatorSettings;
 
 /**
  * Plays the recorded exchanges in {@code src/test/resources/exchanges} against the program, line by line.
@@ -51,7 +51,7 @@
  * settings, {@code node settle} reads such a line anew.
  */
 @RunWith(Parameterized.class)
-public final class ExchangeTest {
+public final class RecordedExchangesTest {
     private static final Path FOLDER = Path.of("src/test/resources/exchanges");
     /** No verdict hangs on it: it only ends a test that would otherwise wait for ever. */
     private static final int HANGS = 10_000;
@@ -76,16 +76,16 @@
     private String config;
     private final StringBuilder settings = new StringBuilder();
     private final List<String> log = Collections.synchronizedList(new ArrayList<>());
-    private Node node;
+    private GatekeeperProcess node;
     private Thread running;
     private InetSocketAddress peerListen;
 
-    public ExchangeTest(String script) {
+    public RecordedExchangesTest(String script) {
         this.script = script;
     }
 
     @Test
-    public void goesAsRecorded() throws Exception {
+    public void exchangeMatchesTheRecording() throws Exception {
         InetAddress here = InetAddress.getByName("127.0.0.1");
         for (String name : List.of("p1", "p2", "d", "d2", "r1", "r2")) {
             listeners.put(name, new ServerSocket(0, 50, here));
@@ -149,14 +149,17 @@
         }
     }
 
-    private static Config read(String config) throws ConfigException {
-        return Config.read(config.getBytes(StandardCharsets.UTF_8), Map.of(), new Clock());
+    private static GatekeeperConfig read(String config) throws ConfigException {
+        return GatekeeperConfig.read(config.getBytes(StandardCharsets.UTF_8), Map.of(), new MonotonicClock());
     }
 
-    private static Loaded loaded(Config config, String script) throws ConfigException {
+    private static LoadedConfiguration loaded(GatekeeperConfig config, String script) throws ConfigException {
         try {
-            return Loaded.of(
-                    config, OperatorSettings.parse("own.star", script), FOLDER.resolve("own.star"), new Clock());
+            return LoadedConfiguration.of(
+                    config,
+                    OperatorSettings.parse("own.star", script),
+                    FOLDER.resolve("own.star"),
+                    new MonotonicClock());
         } catch (ScriptException e) {
             throw new ConfigException(e.getMessage());
         }
@@ -166,13 +169,13 @@
         if (node != null) {
             return;
         }
-        node = new Node(loaded(read(config), settings.toString()), new Clock(), log::add);
+        node = new GatekeeperProcess(loaded(read(config), settings.toString()), new MonotonicClock(), log::add);
         if (script.equals("warm-up.txt")) {
             warmingUp = node.warmUpAfter(mayWarmUp::await);
         }
         boolean waits = script.startsWith("first-list");
         if (waits) {
-            node.listenAfterList(script.contains("silent") ? 1 : HANGS);
+            node.setFirstEndpointListTimeout(script.contains("silent") ? 1 : HANGS);
         }
         running = new Thread(() -> {
             try {
@@ -194,7 +197,7 @@
             socket.close();
         }
         if (node != null) {
-            node.leave();
+            node.beginShutdown();
             running.join();
             node.close();
         }
@@ -216,7 +219,7 @@
             }
         } else if (party.equals("node")) {
             if (parts[1].equals("leave")) {
-                node.leave();
+                node.beginShutdown();
             } else if (parts[1].equals("warm")) {
                 mayWarmUp.countDown();
                 warmingUp.join();
@@ -225,7 +228,7 @@
             } else if (parts[1].equals("settle")) {
                 node.reload(() -> loaded(read(config), named(rest)));
             } else if (parts[1].equals("deaf")) { // the time only lets a mistake show itself
-                assertTrue("listens already", !node.listening(200));
+                assertTrue("listens already", !node.isListeningWithin(200));
             } else if (parts[1].equals("log")) {
                 expect(rest, String.join("|", log));
             } else {
@@ -289,8 +292,8 @@
             if (!socket.isConnected()) {
                 socket.connect(
                         party.startsWith("x")
-                                ? node.awaitRegions()
-                                : party.startsWith("o") ? node.operatorAddress() : node.awaitListening());
+                                ? node.awaitRegionAddress()
+                                : party.startsWith("o") ? node.adminAddress() : node.awaitListening());
             }
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(HANGS);
@@ -318,7 +321,7 @@
         String text = "";
         while (System.nanoTime() < end) {
             try (Socket socket = new Socket()) {
-                socket.connect(node.operatorAddress(), HANGS);
+                socket.connect(node.adminAddress(), HANGS);
                 socket.setSoTimeout(HANGS);
                 socket.getOutputStream().write("vars\r\n".getBytes(StandardCharsets.UTF_8));
                 text = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
--- a/src/test/java/reedmux/cli/ShowTest.java
+++ b/src/test/java/reedmux/cli/ShowCommandTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.Test;
 
 /** The operator's side of {@code show} and {@code core}, against stand-ins for control machines. */
-public class ShowTest {
+public class ShowCommandTest {
     private static final String CUT_OFF = "{\"show\":\"Core\",\"node\":\"core-1\",\"majority\":false,"
             + "\"epoch\":3,\"ageMs\":20417,"
             + "\"entries\":[{\"node\":\"core-1\",\"ip\":\"10.0.0.1\",\"heardMs\":0},"
@@ -53,12 +53,12 @@
         server.stop(0);
     }
 
-    private ControlClient.Told call(long patience, String... addresses) throws Exception {
+    private ControlClient.ControlResponse call(long patience, String... addresses) throws Exception {
         return new ControlClient(List.of(addresses), patience).call("GET", "/v1/Show.Core");
     }
 
     @Test
-    public void theNextIsAskedAfterAFailureAnd5xx() throws Exception {
+    public void aFailureOr5xxIsRetriedAtTheNextAddress() throws Exception {
         answers.addAll(List.of("503 later", "429 later", "200 {}"));
         assertEquals(call(5_000, "127.0.0.1:1", address).status(), 200);
         assertEquals(asked.size(), 3);
@@ -74,14 +74,14 @@
     }
 
     @Test
-    public void aClearRefusalEndsIt() throws Exception {
+    public void aRejectionIsNotRetried() throws Exception {
         answers.add("409 too few");
-        assertEquals(call(5_000, address).text(), "too few");
+        assertEquals(call(5_000, address).body(), "too few");
         assertEquals(asked.size(), 1);
     }
 
     @Test
-    public void whereNobodyAnswersTheLastFailureIsTold() {
+    public void theLastFailureIsReportedAfterTheTimeout() {
         answers.add("503 too few of the core can be reached");
         IOException told = org.testng.Assert.expectThrows(IOException.class, () -> call(300, address));
         assertEquals(
@@ -90,15 +90,15 @@
     }
 
     @Test
-    public void aPersonIsToldOfAMissingMajorityFirst() throws Exception {
-        assertEquals(Show.table("10.0.0.1:9", CUT_OFF), """
+    public void aMissingMajorityIsPrintedFirst() throws Exception {
+        assertEquals(ShowCommand.table("10.0.0.1:9", CUT_OFF), """
                 NO CONTACT WITH A MAJORITY: may be out of date; told by core-1 (10.0.0.1:9), age 20417 ms, \
                 epoch 3
                 node    ip        heardMs
                 core-1  10.0.0.1  0
                 core-2  10.0.0.2  -
                 2 shown""");
-        assertThrows(Exception.class, () -> Show.table("a", "{\"entries\":7}"));
+        assertThrows(Exception.class, () -> ShowCommand.table("a", "{\"entries\":7}"));
     }
 
     private String run(int code, String... arguments) throws Exception {
@@ -116,7 +116,7 @@
     }
 
     @Test
-    public void exitCodesAndLines() throws Exception {
+    public void commandsEndWithTheirExitCodesAndLines() throws Exception {
         answers.add("200 " + CUT_OFF);
         assertEquals(run(0, "show", "core", "--json", "--control", address), CUT_OFF + '\n');
         assertTrue(run(0, "show", "checkers", "--service", "a b", "--limit", "5", "--control", address)
--- a/src/test/java/reedmux/cli/WarmUpTest.java
+++ b/src/test/java/reedmux/cli/WarmUpTest.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import reedmux.config.Config;
-import reedmux.core.Clock;
+import reedmux.common.time.MonotonicClock;
+import reedmux.gatekeeper.config.GatekeeperConfig;
 
 /** What the warm-up does while nobody can connect yet. */
 final class WarmUpTest {
@@ -19,14 +19,14 @@
      * took 4.1 s. All decisions are practised before our own address is waited for.
      */
     @Test
-    void decisionsArePractisedWhileDiscoveryIsWaitedFor() throws Exception {
-        Clock clock = new Clock();
+    void decisionsArePractisedBeforeDiscoveryAnswers() throws Exception {
+        MonotonicClock clock = new MonotonicClock();
         byte[] sample;
         try (InputStream in = WarmUpTest.class.getResourceAsStream("/sample-config.json")) {
             sample = in.readAllBytes();
         }
         List<Long> waits = new ArrayList<>();
-        WarmUp warmUp = new WarmUp(Config.read(sample, Map.of(), clock), clock, line -> {}, () -> false);
+        WarmUp warmUp = new WarmUp(GatekeeperConfig.read(sample, Map.of(), clock), clock, line -> {}, () -> false);
         assertThrows(
                 InterruptedException.class,
                 () -> warmUp.run(null, millis -> {
--- a/src/test/java/reedmux/disk/CrashVolume.java
+++ b/src/test/java/reedmux/common/disk/CrashSimulatingVolume.java
@@ -1,4 +1,4 @@
-package reedmux.disk;
+package reedmux.common.disk;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -19,57 +19,57 @@
  * power after any of them may leave: each unsynced write kept, lost or torn, each unsynced name kept or lost
  * by itself.
  */
-public final class CrashVolume implements Volume {
-    private static final int MOST_WRITES = 4;
+public final class CrashSimulatingVolume implements Volume {
+    private static final int MAX_VARIED_WRITES = 4;
 
     /** A file, whatever its name; {@code pending}: what no sync has covered. */
-    private static final class Content {
+    private static final class SimulatedFile {
         private byte[] bytes = {};
         private byte[] synced = {};
-        private final List<Write> pending = new ArrayList<>();
+        private final List<UnsyncedWrite> pending = new ArrayList<>();
 
-        private Content() {}
+        private SimulatedFile() {}
 
-        private Content(byte[] bytes) {
+        private SimulatedFile(byte[] bytes) {
             this.bytes = bytes;
             synced = bytes;
         }
     }
 
     /** {@code bytes} is null for a cut of the file. */
-    private record Write(int at, byte[] bytes) {}
+    private record UnsyncedWrite(int offset, byte[] bytes) {}
 
-    private final Map<String, Content> names = new TreeMap<>();
-    private final Map<String, Content> lasting = new TreeMap<>();
+    private final Map<String, SimulatedFile> names = new TreeMap<>();
+    private final Map<String, SimulatedFile> syncedNames = new TreeMap<>();
     /** What a name has meant since the last sync of the folder. */
-    private final Map<String, Set<Content>> meant = new LinkedHashMap<>();
+    private final Map<String, Set<SimulatedFile>> unsyncedBindings = new LinkedHashMap<>();
 
     private boolean full;
     private boolean unreadable;
     /** Hears of each step that is over. */
-    private Runnable stepped = () -> {};
+    private Runnable stepListener = () -> {};
 
-    public CrashVolume() {}
+    public CrashSimulatingVolume() {}
 
-    private CrashVolume(Map<String, Content> names) {
+    private CrashSimulatingVolume(Map<String, SimulatedFile> names) {
         this.names.putAll(names);
-        lasting.putAll(names);
+        syncedNames.putAll(names);
     }
 
     /** From now on {@code heard} is told of each step that is over, and may ask what a crash would leave. */
     public void onStep(Runnable heard) {
-        stepped = heard;
+        stepListener = heard;
     }
 
-    public void full(boolean isFull) {
+    public void setFull(boolean isFull) {
         full = isFull;
     }
 
-    public void unreadable(boolean isUnreadable) {
+    public void setUnreadable(boolean isUnreadable) {
         unreadable = isUnreadable;
     }
 
-    private void room() throws IOException {
+    private void checkSpace() throws IOException {
         if (full) {
             throw new IOException("No space left on device");
         }
@@ -77,30 +77,32 @@
 
     // ---- What a crash may leave ----------------------------------------------------------------------
     /** What is there after the process was killed. */
-    public CrashVolume killed() {
-        Map<Content, Content> copies = new HashMap<>();
-        Map<String, Content> left = new TreeMap<>();
-        names.forEach((name, file) -> left.put(name, copies.computeIfAbsent(file, f -> new Content(f.bytes.clone()))));
-        return new CrashVolume(left);
+    public CrashSimulatingVolume imageAfterKill() {
+        Map<SimulatedFile, SimulatedFile> copies = new HashMap<>();
+        Map<String, SimulatedFile> left = new TreeMap<>();
+        names.forEach((name, file) ->
+                left.put(name, copies.computeIfAbsent(file, f -> new SimulatedFile(f.bytes.clone()))));
+        return new CrashSimulatingVolume(left);
     }
 
     /** All that may be there after the power was lost; returns how many that were. */
-    public int powerLost(Consumer<CrashVolume> left) {
-        List<String> open = new ArrayList<>(meant.keySet());
-        return names(new TreeMap<>(lasting), open, 0, left);
+    public int forEachImageAfterPowerLoss(Consumer<CrashSimulatingVolume> left) {
+        List<String> open = new ArrayList<>(unsyncedBindings.keySet());
+        return names(new TreeMap<>(syncedNames), open, 0, left);
     }
 
-    private int names(Map<String, Content> chosen, List<String> open, int at, Consumer<CrashVolume> left) {
+    private int names(
+            Map<String, SimulatedFile> chosen, List<String> open, int at, Consumer<CrashSimulatingVolume> left) {
         if (at == open.size()) {
-            List<Content> files = new ArrayList<>(new HashSet<>(chosen.values()));
-            return contents(chosen, files, 0, new HashMap<>(), left);
+            List<SimulatedFile> files = new ArrayList<>(new HashSet<>(chosen.values()));
+            return enumerateContents(chosen, files, 0, new HashMap<>(), left);
         }
         int many = 0;
         String name = open.get(at);
-        Set<Content> may = new HashSet<>(meant.get(name));
-        may.add(lasting.get(name));
-        for (Content one : may) {
-            Map<String, Content> next = new TreeMap<>(chosen);
+        Set<SimulatedFile> may = new HashSet<>(unsyncedBindings.get(name));
+        may.add(syncedNames.get(name));
+        for (SimulatedFile one : may) {
+            Map<String, SimulatedFile> next = new TreeMap<>(chosen);
             next.remove(name);
             if (one != null) {
                 next.put(name, one);
@@ -110,21 +112,21 @@
         return many;
     }
 
-    private int contents(
-            Map<String, Content> chosen,
-            List<Content> files,
+    private int enumerateContents(
+            Map<String, SimulatedFile> chosen,
+            List<SimulatedFile> files,
             int at,
-            Map<Content, Content> drawn,
-            Consumer<CrashVolume> left) {
+            Map<SimulatedFile, SimulatedFile> drawn,
+            Consumer<CrashSimulatingVolume> left) {
         if (at == files.size()) {
-            Map<String, Content> image = new TreeMap<>();
+            Map<String, SimulatedFile> image = new TreeMap<>();
             chosen.forEach((name, file) -> image.put(name, drawn.get(file)));
-            left.accept(new CrashVolume(image));
+            left.accept(new CrashSimulatingVolume(image));
             return 1;
         }
-        Content file = files.get(at);
+        SimulatedFile file = files.get(at);
         int writes = file.pending.size();
-        int free = Math.min(MOST_WRITES, writes);
+        int free = Math.min(MAX_VARIED_WRITES, writes);
         int many = 0;
         for (int fates = 0; fates < Math.pow(3, free); fates++) {
             byte[] bytes = file.synced;
@@ -135,32 +137,32 @@
                     fate = rest % 3;
                     rest /= 3;
                 }
-                bytes = fated(bytes, file.pending.get(i), fate);
+                bytes = applyFate(bytes, file.pending.get(i), fate);
             }
-            drawn.put(file, new Content(bytes));
-            many += contents(chosen, files, at + 1, drawn, left);
+            drawn.put(file, new SimulatedFile(bytes));
+            many += enumerateContents(chosen, files, at + 1, drawn, left);
         }
         return many;
     }
 
-    private static byte[] fated(byte[] before, Write write, int fate) {
+    private static byte[] applyFate(byte[] before, UnsyncedWrite write, int fate) {
         if (write.bytes == null) {
-            return fate == 1 ? before : Arrays.copyOf(before, write.at);
+            return fate == 1 ? before : Arrays.copyOf(before, write.offset);
         }
         byte[] some = write.bytes.clone();
         Arrays.fill(some, fate == 2 ? some.length / 2 : some.length, some.length, (byte) 0);
-        return fate == 1 ? before : put(before, write.at, some);
+        return fate == 1 ? before : overwrite(before, write.offset, some);
     }
 
-    private static byte[] put(byte[] before, int at, byte[] some) {
+    private static byte[] overwrite(byte[] before, int at, byte[] some) {
         byte[] after = Arrays.copyOf(before, Math.max(before.length, at + some.length));
         System.arraycopy(some, 0, after, at, some.length);
         return after;
     }
 
     // ---- The folder ------------------------------------------------------------------------------------
-    private void means(String name, Content file) {
-        meant.computeIfAbsent(name, n -> new HashSet<>()).add(file);
+    private void bindName(String name, SimulatedFile file) {
+        unsyncedBindings.computeIfAbsent(name, n -> new HashSet<>()).add(file);
         if (file == null) {
             names.remove(name);
         } else {
@@ -169,7 +171,7 @@
     }
 
     @Override
-    public List<String> names() {
+    public List<String> fileNames() {
         return List.copyOf(names.keySet());
     }
 
@@ -184,86 +186,86 @@
     }
 
     /** Puts a file there as it is, synced. */
-    public void place(String name, byte[] bytes) {
-        Content file = new Content(bytes);
+    public void putSyncedFile(String name, byte[] bytes) {
+        SimulatedFile file = new SimulatedFile(bytes);
         names.put(name, file);
-        lasting.put(name, file);
+        syncedNames.put(name, file);
     }
 
     @Override
-    public File create(String name) throws IOException {
-        room();
-        Content file = names.get(name);
+    public WritableFile create(String name) throws IOException {
+        checkSpace();
+        SimulatedFile file = names.get(name);
         if (file == null) {
-            file = new Content();
-            means(name, file);
+            file = new SimulatedFile();
+            bindName(name, file);
         } else { // the same file, which another name may have, too
             file.bytes = new byte[0];
-            file.pending.add(new Write(0, null));
+            file.pending.add(new UnsyncedWrite(0, null));
         }
-        stepped.run();
-        return new Open(file);
+        stepListener.run();
+        return new SimulatedFileHandle(file);
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        room();
-        Content file = names.get(from);
-        means(from, null);
-        means(to, file);
-        stepped.run();
+        checkSpace();
+        SimulatedFile file = names.get(from);
+        bindName(from, null);
+        bindName(to, file);
+        stepListener.run();
     }
 
     @Override
-    public void forceNames() throws IOException {
-        room();
-        lasting.clear();
-        lasting.putAll(names);
-        meant.clear();
-        stepped.run();
+    public void syncDirectory() throws IOException {
+        checkSpace();
+        syncedNames.clear();
+        syncedNames.putAll(names);
+        unsyncedBindings.clear();
+        stepListener.run();
     }
 
     @Override
     public void delete(String name) {
         if (names.containsKey(name)) {
-            means(name, null);
-            stepped.run();
+            bindName(name, null);
+            stepListener.run();
         }
     }
 
-    private final class Open implements Volume.File {
-        private final Content file;
+    private final class SimulatedFileHandle implements Volume.WritableFile {
+        private final SimulatedFile file;
         private int position;
 
-        private Open(Content file) {
+        private SimulatedFileHandle(SimulatedFile file) {
             this.file = file;
         }
 
         @Override
         public void write(ByteBuffer bytes) throws IOException {
-            room();
+            checkSpace();
             byte[] some = new byte[bytes.remaining()];
             bytes.get(some);
-            file.bytes = put(file.bytes, position, some);
-            file.pending.add(new Write(position, some));
+            file.bytes = overwrite(file.bytes, position, some);
+            file.pending.add(new UnsyncedWrite(position, some));
             position += some.length;
-            stepped.run();
+            stepListener.run();
         }
 
         @Override
-        public void force() throws IOException {
-            room();
+        public void sync() throws IOException {
+            checkSpace();
             file.synced = file.bytes;
             file.pending.clear();
-            stepped.run();
+            stepListener.run();
         }
 
         @Override
         public void truncate(long length) {
             file.bytes = Arrays.copyOf(file.bytes, (int) length);
-            file.pending.add(new Write((int) length, null));
+            file.pending.add(new UnsyncedWrite((int) length, null));
             position = (int) length;
-            stepped.run();
+            stepListener.run();
         }
 
         @Override
--- a/src/test/java/reedmux/disk/JournalTest.java
+++ b/src/test/java/reedmux/common/disk/JournalTest.java
@@ -1,4 +1,4 @@
-package reedmux.disk;
+package reedmux.common.disk;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -21,12 +21,12 @@
     private Path dir;
 
     @BeforeMethod
-    public void make() throws IOException {
+    public void createDirectory() throws IOException {
         dir = Files.createTempDirectory("reedmux-journal");
     }
 
     @AfterMethod
-    public void remove() throws IOException {
+    public void deleteDirectory() throws IOException {
         try (Stream<Path> all = Files.walk(dir)) {
             all.sorted(Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
         }
@@ -39,10 +39,10 @@
     }
 
     @Test
-    public void anEmptyFolderIsNothingFound() throws IOException {
-        Journal journal = new Journal(new Folder(dir));
-        assertTrue(journal.read().isEmpty());
-        assertFalse(journal.found());
+    public void emptyDirectoryHasNoFiles() throws IOException {
+        Journal journal = new Journal(new FileSystemVolume(dir));
+        assertTrue(journal.recover().isEmpty());
+        assertFalse(journal.foundFiles());
     }
 
     /**
@@ -50,11 +50,11 @@
      * whole behind it, but nothing that was never written; and it is told where something is wrong.
      */
     @Test
-    public void whatWasSyncedIsFoundWhateverBecameOfTheRest() throws IOException {
-        try (Journal journal = new Journal(new Folder(dir))) {
-            journal.read();
-            journal.begin(List.of(record(0), record(1)));
-            long synced = journal.length();
+    public void syncedRecordsSurviveTruncationOrCorruptionBehindThem() throws IOException {
+        try (Journal journal = new Journal(new FileSystemVolume(dir))) {
+            journal.recover();
+            journal.startGeneration(List.of(record(0), record(1)));
+            long synced = journal.lengthBytes();
             journal.append(record(2));
             journal.append(record(3));
             journal.sync();
@@ -67,8 +67,8 @@
                         image[end] ^= 0x55;
                     }
                     Files.write(file, image);
-                    Journal next = new Journal(new Folder(dir));
-                    List<byte[]> found = next.read();
+                    Journal next = new Journal(new FileSystemVolume(dir));
+                    List<byte[]> found = next.recover();
                     boolean third = end >= synced + 8 + record(2).length;
                     assertTrue(found.size() >= (third ? 3 : 2) && found.size() < 4, "at " + end);
                     for (int i = 0; i < 2; i++) {
@@ -78,7 +78,7 @@
                         boolean skipped = !cut && !third;
                         assertEquals(found.get(2), record(skipped ? 3 : 2), "at " + end);
                     }
-                    assertFalse(next.damaged());
+                    assertFalse(next.mayHaveLostRecords());
                     boolean between = cut && (end == synced || third && end == synced + 8 + record(2).length);
                     assertEquals(next.problems().size(), between ? 0 : 1, "at " + end + next.problems());
                     assertTrue(between || next.problems().get(0).startsWith("items-1 at "));
@@ -89,18 +89,18 @@
 
     /** A generation that did not get whole gives way to the one before. */
     @Test
-    public void theGenerationBeforeStandsUntilTheNextIsWhole() throws IOException {
-        try (Journal journal = new Journal(new Folder(dir))) {
-            journal.read();
-            journal.begin(List.of(record(0)));
-            journal.begin(List.of(record(0), record(1)));
+    public void previousGenerationIsReadUntilTheNextIsComplete() throws IOException {
+        try (Journal journal = new Journal(new FileSystemVolume(dir))) {
+            journal.recover();
+            journal.startGeneration(List.of(record(0)));
+            journal.startGeneration(List.of(record(0), record(1)));
             Files.write(dir.resolve("items-3"), Arrays.copyOf(Files.readAllBytes(dir.resolve("items-2")), 9));
             Files.write(dir.resolve("fresh"), new byte[] {1, 2, 3});
-            Journal next = new Journal(new Folder(dir));
-            assertEquals(next.read().size(), 2);
-            next.begin(List.of(record(2)));
+            Journal next = new Journal(new FileSystemVolume(dir));
+            assertEquals(next.recover().size(), 2);
+            next.startGeneration(List.of(record(2)));
             next.close();
-            assertEquals(new Journal(new Folder(dir)).read().get(0), record(2));
+            assertEquals(new Journal(new FileSystemVolume(dir)).recover().get(0), record(2));
         }
     }
 
@@ -109,14 +109,14 @@
      * added to the one before, where that start would not read it.
      */
     @Test
-    public void afterAGenerationThatFailedHalfWayTheOneBeforeTakesNothing() throws IOException {
+    public void nothingIsAppendedAfterAFailedGeneration() throws IOException {
         boolean[] fails = {false};
         Volume volume = new Volume() {
-            private final Volume folder = new Folder(dir);
+            private final Volume folder = new FileSystemVolume(dir);
 
             @Override
-            public List<String> names() throws IOException {
-                return folder.names();
+            public List<String> fileNames() throws IOException {
+                return folder.fileNames();
             }
 
             @Override
@@ -125,7 +125,7 @@
             }
 
             @Override
-            public File create(String name) throws IOException {
+            public WritableFile create(String name) throws IOException {
                 return folder.create(name);
             }
 
@@ -135,11 +135,11 @@
             }
 
             @Override
-            public void forceNames() throws IOException {
+            public void syncDirectory() throws IOException {
                 if (fails[0]) {
                     throw new IOException("no room");
                 }
-                folder.forceNames();
+                folder.syncDirectory();
             }
 
             @Override
@@ -148,26 +148,26 @@
             }
         };
         Journal journal = new Journal(volume);
-        journal.read();
-        journal.begin(List.of(record(0)));
+        journal.recover();
+        journal.startGeneration(List.of(record(0)));
         fails[0] = true;
         try {
-            journal.begin(List.of(record(0)));
+            journal.startGeneration(List.of(record(0)));
             fail("the folder cannot be synced");
         } catch (IOException e) {
-            assertTrue(journal.broken());
+            assertTrue(journal.isBroken());
         }
         try {
             journal.append(record(1));
             fail("a start would not read it");
         } catch (IOException e) {
-            assertTrue(journal.broken());
+            assertTrue(journal.isBroken());
         }
         fails[0] = false;
-        journal.begin(List.of(record(0), record(1)));
+        journal.startGeneration(List.of(record(0), record(1)));
         journal.append(record(2));
         journal.sync();
         journal.close();
-        assertEquals(new Journal(new Folder(dir)).read().size(), 3);
+        assertEquals(new Journal(new FileSystemVolume(dir)).recover().size(), 3);
     }
 }
--- a/src/test/java/reedmux/net/ScriptedSockets.java
+++ b/src/test/java/reedmux/common/eventloop/ScriptedEnvironment.java
@@ -1,4 +1,4 @@
-package reedmux.net;
+package reedmux.common.eventloop;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -11,24 +11,24 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.concurrent.Executor;
-import reedmux.disk.Volume;
-import reedmux.log.Ring;
+import reedmux.common.disk.Volume;
+import reedmux.common.logging.RingBufferLogger;
 
 /** Sockets whose other side is a test: each step of theirs is one call, and time stands still between. */
-public final class ScriptedSockets implements Environment {
+public final class ScriptedEnvironment implements Environment {
     /** Connections that were opened or accepted, in their order. */
-    public final List<Conn> opened = new ArrayList<>();
+    public final List<ScriptedSocket> sockets = new ArrayList<>();
 
-    public final List<String> lines = new ArrayList<>();
+    public final List<String> logLines = new ArrayList<>();
     /** How many bytes a new connection takes before it blocks. */
-    public long room = Long.MAX_VALUE;
+    public long socketCapacityBytes = Long.MAX_VALUE;
 
     private final Deque<Runnable> tasks = new ArrayDeque<>();
     private final Reactor reactor;
     private long now = 1_000_000;
 
-    public ScriptedSockets() {
-        reactor = new Reactor(new Ring("test", 50, lines::add, () -> now * 1000), this);
+    public ScriptedEnvironment() {
+        reactor = new Reactor(new RingBufferLogger("test", 50, logLines::add, () -> now * 1000), this);
     }
 
     public Reactor reactor() {
@@ -36,74 +36,74 @@
     }
 
     /** One connection, as its other side sees it. */
-    public final class Conn implements Line {
+    public final class ScriptedSocket implements TcpSocket {
         private final ByteArrayOutputStream written = new ByteArrayOutputStream();
-        private final Deque<byte[]> in = new ArrayDeque<>();
-        private Handler handler;
-        private boolean up;
+        private final Deque<byte[]> input = new ArrayDeque<>();
+        private ReadinessHandler handler;
+        private boolean connected;
         private boolean ended;
         private boolean broken;
         private boolean closed;
         private boolean reads;
         private boolean writes;
-        private long left = room;
+        private long remainingCapacity = socketCapacityBytes;
 
         /** It comes up. */
-        public void accept() {
-            up = true;
+        public void completeConnect() {
+            connected = true;
             try {
-                handler.ready(false, true);
+                handler.onReady(false, true);
             } catch (IOException e) {
-                handler.failed(e);
+                handler.onFailure(e);
             }
-            turn();
+            runReactorOnce();
         }
 
-        public void give(String text) {
-            in.add(text.getBytes(StandardCharsets.ISO_8859_1));
-            tell(true, false);
+        public void receive(String text) {
+            input.add(text.getBytes(StandardCharsets.ISO_8859_1));
+            notifyHandler(true, false);
         }
 
         /** Comes in behind the next event, as what is on its way while we write. */
-        public void giveUnseen(String text) {
-            in.add(text.getBytes(StandardCharsets.ISO_8859_1));
+        public void receiveUnannounced(String text) {
+            input.add(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        public void end() {
+        public void endInput() {
             ended = true;
-            tell(true, false);
+            notifyHandler(true, false);
         }
 
         public void reset() {
             broken = true;
-            tell(true, true);
+            notifyHandler(true, true);
         }
 
         /** It takes so many more bytes. */
-        public void take(long more) {
-            left = more;
-            tell(false, true);
+        public void setCapacityBytes(long more) {
+            remainingCapacity = more;
+            notifyHandler(false, true);
         }
 
-        private void tell(boolean readable, boolean writable) {
+        private void notifyHandler(boolean readable, boolean writable) {
             if (closed) {
                 return;
             }
             try {
-                if (!up || readable && reads || writable && writes) {
-                    handler.ready(readable && up, writable);
+                if (!connected || readable && reads || writable && writes) {
+                    handler.onReady(readable && connected, writable);
                 }
-                while (!closed && !in.isEmpty() && reads) {
-                    handler.ready(true, false);
+                while (!closed && !input.isEmpty() && reads) {
+                    handler.onReady(true, false);
                 }
             } catch (IOException e) {
-                handler.failed(e);
+                handler.onFailure(e);
             }
-            turn();
+            runReactorOnce();
         }
 
         /** All that has come here. */
-        public String text() {
+        public String writtenText() {
             return written.toString(StandardCharsets.ISO_8859_1);
         }
 
@@ -111,24 +111,24 @@
             return closed;
         }
 
-        public boolean isUp() {
-            return up && !closed;
+        public boolean isConnected() {
+            return connected && !closed;
         }
 
         @Override
-        public void handle(Handler by) {
+        public void setHandler(ReadinessHandler by) {
             handler = by;
         }
 
         @Override
-        public boolean upAtOnce() {
+        public boolean isConnectedAtOnce() {
             return false;
         }
 
         @Override
-        public boolean finish() throws IOException {
+        public boolean finishConnect() throws IOException {
             check();
-            return up;
+            return connected;
         }
 
         private void check() throws IOException {
@@ -140,14 +140,14 @@
         @Override
         public int read(ByteBuffer into) throws IOException {
             check();
-            byte[] next = in.poll();
+            byte[] next = input.poll();
             if (next == null) {
                 return ended ? -1 : 0;
             }
             int some = Math.min(next.length, into.remaining());
             into.put(next, 0, some);
             if (some < next.length) {
-                in.addFirst(java.util.Arrays.copyOfRange(next, some, next.length));
+                input.addFirst(java.util.Arrays.copyOfRange(next, some, next.length));
             }
             return some;
         }
@@ -155,22 +155,22 @@
         @Override
         public int write(ByteBuffer from) throws IOException {
             check();
-            int some = (int) Math.min(left, from.remaining());
+            int some = (int) Math.min(remainingCapacity, from.remaining());
             for (int i = 0; i < some; i++) {
                 written.write(from.get());
             }
-            left -= some;
+            remainingCapacity -= some;
             return some;
         }
 
         @Override
-        public void interest(boolean wantsReads, boolean wantsWrites) {
+        public void setInterest(boolean wantsReads, boolean wantsWrites) {
             reads = wantsReads;
             writes = wantsWrites;
         }
 
         @Override
-        public void endOutput() {}
+        public void shutdownOutput() {}
 
         @Override
         public void close() {
@@ -179,15 +179,15 @@
     }
 
     /** Runs what is due. */
-    public void turn() {
-        reactor.turn();
+    public void runReactorOnce() {
+        reactor.runOnce();
     }
 
     /** Time passes, with a turn each hundredth of a second. */
-    public void pass(long micros) {
+    public void advanceMicros(long micros) {
         for (long until = now + micros; now < until; ) {
             now = Math.min(until, now + 10_000);
-            reactor.turn();
+            reactor.runOnce();
         }
     }
 
@@ -197,7 +197,7 @@
     }
 
     @Override
-    public Runnable next() {
+    public Runnable pollTask() {
         return tasks.poll();
     }
 
@@ -207,33 +207,33 @@
     }
 
     @Override
-    public long draw() {
+    public long newIncarnationId() {
         return 7;
     }
 
     @Override
-    public Line open(InetSocketAddress to, InetSocketAddress local) {
-        Conn conn = new Conn();
-        opened.add(conn);
+    public TcpSocket connect(InetSocketAddress to, InetSocketAddress local) {
+        ScriptedSocket conn = new ScriptedSocket();
+        sockets.add(conn);
         return conn;
     }
 
     /** One that somebody else has opened. */
-    public Wire accepted() throws IOException {
-        Conn conn = new Conn();
-        conn.up = true;
+    public Connection acceptConnection() throws IOException {
+        ScriptedSocket conn = new ScriptedSocket();
+        conn.connected = true;
         conn.reads = true;
-        opened.add(conn);
-        return Wire.accepted(reactor, conn);
+        sockets.add(conn);
+        return Connection.ofAccepted(reactor, conn);
     }
 
     @Override
-    public Port listen(InetSocketAddress at, int backlog) {
+    public TcpServerSocket listen(InetSocketAddress at, int backlog) {
         throw new UnsupportedOperationException();
     }
 
     @Override
-    public Post post(InetSocketAddress at) {
+    public UdpSocket bindDatagram(InetSocketAddress at) {
         throw new UnsupportedOperationException();
     }
 
@@ -243,12 +243,12 @@
     }
 
     @Override
-    public Executor worker(String name, int most) {
+    public Executor newWorker(String name, int most) {
         return this;
     }
 
     @Override
-    public void await(long until) {}
+    public void awaitReadiness(long until) {}
 
     @Override
     public void close() {}
--- a/src/test/java/reedmux/http/GrammarTest.java
+++ b/src/test/java/reedmux/common/http1/Http1GrammarTest.java
@@ -1,4 +1,4 @@
-package reedmux.http;
+package reedmux.common.http1;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The grammar of lines, against a second reading of the RFCs as regular expressions. */
-final class GrammarTest {
+final class Http1GrammarTest {
     private static final String TOKEN = "[!#$%&'*+.^_`|~0-9A-Za-z-]+";
     private static final String QUOTED =
             "\"(?:[\\t \\x21\\x23-\\x5B\\x5D-\\x7E\\x80-\\xFF]" + "|\\\\[\\t \\x21-\\x7E\\x80-\\xFF])*\"";
@@ -32,9 +32,9 @@
                     @Chars({'G', 'e', ' ', '/', 'H', 'T', 'P', '1', '.', '\t', '\r', '\0', '?', '\u00e9', '(', ':'})
                     @StringLength(max = 16)
                     String line) {
-        same(REQUEST, line, Grammar.requestLine(line));
-        same(REQUEST, "GET /" + line + " HTTP/1.1", Grammar.requestLine("GET /" + line + " HTTP/1.1"));
-        same(REQUEST, "GET / HTTP/1." + line, Grammar.requestLine("GET / HTTP/1." + line));
+        same(REQUEST, line, Http1Grammar.checkRequestLine(line));
+        same(REQUEST, "GET /" + line + " HTTP/1.1", Http1Grammar.checkRequestLine("GET /" + line + " HTTP/1.1"));
+        same(REQUEST, "GET / HTTP/1." + line, Http1Grammar.checkRequestLine("GET / HTTP/1." + line));
     }
 
     @Property(tries = 20_000, seed = "52")
@@ -44,8 +44,8 @@
                     })
                     @StringLength(min = 1, max = 12)
                     String line) {
-        same(FIELD, line, Grammar.fieldLine(line));
-        same(FIELD, "X-A: " + line, Grammar.fieldLine("X-A: " + line));
+        same(FIELD, line, Http1Grammar.checkFieldLine(line));
+        same(FIELD, "X-A: " + line, Http1Grammar.checkFieldLine("X-A: " + line));
     }
 
     @Property(tries = 30_000, seed = "53")
@@ -54,15 +54,15 @@
                     @Chars({'0', 'a', 'F', ';', '=', '"', '\\', ' ', '\t', 'x', '+', '-', '\r', '\u00e9', ','})
                     @StringLength(max = 14)
                     String line) {
-        same(CHUNK, line, Grammar.chunkLine(line));
-        same(CHUNK, "1f;a=" + line, Grammar.chunkLine("1f;a=" + line));
+        same(CHUNK, line, Http1Grammar.checkChunkLine(line));
+        same(CHUNK, "1f;a=" + line, Http1Grammar.checkChunkLine("1f;a=" + line));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"5", "00000005", "5;a", "5 ; a = b ; c=\"d\\\"e\"", "FFFFFFFF"})
     void goodChunkLines(String line) {
-        assertNull(Grammar.chunkLine(line));
-        assertEquals(Long.parseLong(line.replaceFirst("[ ;].*", ""), 16), Grammar.chunkSize(line));
+        assertNull(Http1Grammar.checkChunkLine(line));
+        assertEquals(Long.parseLong(line.replaceFirst("[ ;].*", ""), 16), Http1Grammar.parseChunkSize(line));
     }
 
     @ParameterizedTest
@@ -86,6 +86,6 @@
                 "g"
             })
     void badChunkLines(String line) {
-        assertNotNull(Grammar.chunkLine(line));
+        assertNotNull(Http1Grammar.checkChunkLine(line));
     }
 }
--- a/src/test/java/reedmux/log/RingTest.java
+++ b/src/test/java/reedmux/common/logging/RingBufferLoggerTest.java
@@ -1,4 +1,4 @@
-package reedmux.log;
+package reedmux.common.logging;
 
 import static org.testng.Assert.assertEquals;
 
@@ -7,19 +7,19 @@
 import org.testng.annotations.Test;
 
 /** What of the lines in memory is written out, and when. */
-public class RingTest {
+public class RingBufferLoggerTest {
     @Test
-    public void whatLedToItIsWrittenOnceAndBounded() {
+    public void anErrorWritesBufferedLinesOnceUpToCapacity() {
         List<String> out = new ArrayList<>();
         long[] now = {0};
-        Ring ring = new Ring("n", 2, out::add, () -> now[0]);
-        ring.note("one");
+        RingBufferLogger ring = new RingBufferLogger("n", 2, out::add, () -> now[0]);
+        ring.debug("one");
         now[0] = 5_000_000;
-        ring.note("two");
-        ring.note("three");
-        ring.tell("at once");
-        ring.wrong("it broke");
-        ring.wrong("again");
+        ring.debug("two");
+        ring.debug("three");
+        ring.info("at once");
+        ring.error("it broke");
+        ring.error("again");
         assertEquals(
                 out,
                 List.of(
--- a/src/test/java/reedmux/boot/BootTest.java
+++ b/src/test/java/reedmux/common/settings/ProcessSettingsTest.java
@@ -1,4 +1,4 @@
-package reedmux.boot;
+package reedmux.common.settings;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -8,7 +8,7 @@
 import org.testng.annotations.Test;
 
 /** Settings files, good and bad. */
-public class BootTest {
+public class ProcessSettingsTest {
     private static final String GOOD = """
             node = "edge-1"
             ip = "10.1.0.21"   # ours
@@ -25,11 +25,11 @@
             """;
 
     @Test
-    public void aGoodFileIsReadWithWhatIsNotKnown() throws BootException {
-        Boot boot = Boot.read("f", GOOD);
+    public void unknownKeysAreIgnored() throws ProcessSettingsException {
+        ProcessSettings boot = ProcessSettings.parse("f", GOOD);
         assertEquals(boot.seeds().size(), 2);
-        assertEquals(boot.millis("envelope.settleMs", 1), 2_000_000);
-        assertEquals(boot.socket("front").getPort(), 8689);
+        assertEquals(boot.durationMicros("envelope.settleMs", 1), 2_000_000);
+        assertEquals(boot.socketAddress("front").getPort(), 8689);
         assertTrue(boot.coldStart());
     }
 
@@ -51,11 +51,11 @@
     }
 
     @Test(dataProvider = "faults")
-    public void aFaultIsNamedWithItsFileAndKey(String from, String to, String key) {
-        BootException bad = expectThrows(BootException.class, () -> {
-            Boot boot = Boot.read("settings.toml", GOOD.replace(from, to));
-            boot.socket("front");
-            boot.millis("envelope.settleMs", 1);
+    public void anInvalidValueIsReportedWithFileAndKey(String from, String to, String key) {
+        ProcessSettingsException bad = expectThrows(ProcessSettingsException.class, () -> {
+            ProcessSettings boot = ProcessSettings.parse("settings.toml", GOOD.replace(from, to));
+            boot.socketAddress("front");
+            boot.durationMicros("envelope.settleMs", 1);
         });
         assertTrue(
                 bad.getMessage().startsWith("settings.toml") && bad.getMessage().contains(key), bad.getMessage());
--- a/src/test/java/reedmux/compatibility/FixtureGenerator.java
+++ b/src/test/java/reedmux/compatibility/FixtureGenerator.java
@@ -4,11 +4,11 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
-import reedmux.handover.HandoverFixtures;
-import reedmux.link.RpcFixtures;
-import reedmux.policy.PeerPacketFixtures;
-import reedmux.registry.RegistryFixtures;
-import reedmux.store.StoreFixtures;
+import reedmux.control.registry.RegistryFixtures;
+import reedmux.control.rpc.RpcFixtures;
+import reedmux.control.store.StoreFixtures;
+import reedmux.gatekeeper.handover.HandoverFixtures;
+import reedmux.gatekeeper.policy.PeerPacketFixtures;
 
 /**
  * Writes the compatibility fixtures with the code that is checked out. No part of the build: the resources in
--- a/src/test/java/reedmux/item/AgreementTest.java
+++ b/src/test/java/reedmux/control/consensus/ConsensusNodeTest.java
@@ -1,4 +1,4 @@
-package reedmux.item;
+package reedmux.control.consensus;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -11,9 +11,16 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.testng.annotations.Test;
+import reedmux.control.configuration.ConfigurationChangeFormat;
+import reedmux.control.configuration.ConfigurationItem;
+import reedmux.control.configuration.ConfigurationTable;
+import reedmux.control.configuration.InvalidConfigurationException;
+import reedmux.control.replication.Replica;
+import reedmux.control.replication.Watermark;
+import reedmux.testing.ScheduleExplorer;
 
 /** Three stores, and every order in which their messages may come in. */
-public class AgreementTest {
+public class ConsensusNodeTest {
     private static final long SECOND = 1_000_000;
     private static final String PLANT = item("plants", "desk", 1, "{\"probe\":\"/health\",\"connCeiling\":9}");
 
@@ -35,8 +42,8 @@
     }
 
     /** Three agreements, the messages between them, and what the operator was told. */
-    static final class World {
-        final Agreement[] agreements = new Agreement[3];
+    public static final class ConsensusTestCluster {
+        final ConsensusNode[] agreements = new ConsensusNode[3];
         final Replica[] replicas = new Replica[3];
         final List<Runnable> mail = new ArrayList<>();
         final List<Integer> mailTo = new ArrayList<>();
@@ -45,24 +52,24 @@
         final Set<Integer> noDisk = new HashSet<>();
         long now = SECOND;
 
-        World() {
+        ConsensusTestCluster() {
             for (int i = 0; i < 3; i++) {
                 start(i, true, new Replica());
             }
             meet();
             adjust(0, 3, call(PLANT));
             drain();
-            assertEquals(answers[3], Agreement.GOOD);
+            assertEquals(answers[3], ConsensusNode.STATUS_OK);
         }
 
         void start(int i, boolean whole, Replica replica) {
             replicas[i] = replica;
-            agreements[i] = new Agreement("s" + i, now + i, replica, whole, new Effects(i));
-            agreements[i].quorum(Quorum.of(List.of("s0", "s1", "s2"), 2));
+            agreements[i] = new ConsensusNode("s" + i, now + i, replica, whole, new Effects(i));
+            agreements[i].onQuorumChanged(Quorum.of(List.of("s0", "s1", "s2"), 2));
         }
 
         void adjust(int at, int number, String body) {
-            agreements[at].adjust(now, body, (status, line) -> answers[number] = status);
+            agreements[at].onChangeRequest(now, body, (status, line) -> answers[number] = status);
         }
 
         /** Each tells each other all that is in force. */
@@ -71,13 +78,13 @@
                 for (int i = 0; i < 3; i++) {
                     for (int j = 0; j < 3; j++) {
                         if (i != j && !dead.contains(i) && !dead.contains(j)) {
-                            replicas[i].mark(List.copyOf(replicas[j].marks()));
-                            agreements[i].met(
+                            replicas[i].mergeWatermarks(List.copyOf(replicas[j].watermarks()));
+                            agreements[i].onPeerState(
                                     now,
                                     "s" + j,
-                                    agreements[j].whole(),
-                                    List.copyOf(replicas[j].inForce()),
-                                    List.copyOf(replicas[j].held().values()));
+                                    agreements[j].isComplete(),
+                                    List.copyOf(replicas[j].committed()),
+                                    List.copyOf(replicas[j].pending().values()));
                         }
                     }
                 }
@@ -106,7 +113,7 @@
                 meet();
                 for (int j = 0; j < 3; j++) {
                     if (!dead.contains(j)) {
-                        agreements[j].look(now);
+                        agreements[j].onTick(now);
                     }
                 }
                 drain();
@@ -117,12 +124,12 @@
         TreeMap<String, Long> inForce(int at) {
             TreeMap<String, Long> all = new TreeMap<>();
             replicas[at]
-                    .inForce()
+                    .committed()
                     .forEach(item -> all.put(item.key() + ' ' + item.body().hashCode(), item.revision()));
             return all;
         }
 
-        private final class Effects implements Agreement.Effects {
+        private final class Effects implements ConsensusNode.ConsensusPort {
             private final int self;
 
             Effects(int self) {
@@ -137,98 +144,99 @@
             }
 
             @Override
-            public void propose(Proposal proposal) {
+            public void broadcastProposal(Proposal proposal) {
                 for (int i = 0; i < 3; i++) {
                     int to = i;
-                    send(to, () -> agreements[to].asked(now, "s" + self, proposal));
+                    send(to, () -> agreements[to].onProposal(now, "s" + self, proposal));
                 }
             }
 
             @Override
-            public void vote(String to, String call, Ballot ballot, Agreement.Vote vote) {
+            public void sendVote(String to, String call, Ballot ballot, ConsensusNode.Vote vote) {
                 int other = to.charAt(1) - '0';
-                send(other, () -> agreements[other].counted(now, "s" + self, call, ballot, vote));
+                send(other, () -> agreements[other].onVote(now, "s" + self, call, ballot, vote));
             }
 
             @Override
-            public void confirm(long id, boolean settled) {
+            public void broadcastContactRequest(long id, boolean settled) {
                 for (int i = 0; i < 3; i++) {
                     int to = i;
-                    send(to, () -> agreements[to].confirm(now, "s" + self, id, settled));
+                    send(to, () -> agreements[to].onContactRequest(now, "s" + self, id, settled));
                 }
             }
 
             @Override
-            public void confirmed(String to, long id) {
+            public void sendContactConfirmation(String to, long id) {
                 int other = to.charAt(1) - '0';
-                List<Mark> marks = List.copyOf(replicas[self].marks());
-                List<Item> items = List.copyOf(replicas[self].inForce());
-                List<Proposal> held = List.copyOf(replicas[self].held().values());
+                List<Watermark> marks = List.copyOf(replicas[self].watermarks());
+                List<ConfigurationItem> items = List.copyOf(replicas[self].committed());
+                List<Proposal> held = List.copyOf(replicas[self].pending().values());
                 send(other, () -> {
-                    replicas[other].mark(marks);
-                    agreements[other].met(now, "s" + self, true, items, held);
-                    agreements[other].confirmed(now, "s" + self, id);
+                    replicas[other].mergeWatermarks(marks);
+                    agreements[other].onPeerState(now, "s" + self, true, items, held);
+                    agreements[other].onContactConfirmation(now, "s" + self, id);
                 });
             }
 
             @Override
-            public void tell(String call, Ballot ballot, boolean inForce, List<Item> items) {
+            public void broadcastDecision(String call, Ballot ballot, boolean inForce, List<ConfigurationItem> items) {
                 for (int i = 0; i < 3; i++) {
                     int to = i;
-                    send(to, () -> agreements[to].decided(now, call, ballot, inForce, items));
+                    send(to, () -> agreements[to].onDecision(now, call, ballot, inForce, items));
                 }
             }
 
             @Override
-            public void keepHeld(Proposal proposal) {
+            public void persistProposal(Proposal proposal) {
                 if (!noDisk.contains(self)) {
-                    agreements[self].kept(now, proposal.call(), proposal.ballot(), true);
+                    agreements[self].onPersisted(now, proposal.id(), proposal.ballot(), true);
                 }
             }
 
             @Override
-            public void keepDecided(String call, Ballot ballot, boolean inForce, List<Item> items) {}
+            public void persistDecision(String call, Ballot ballot, boolean inForce, List<ConfigurationItem> items) {}
 
             @Override
-            public void changed() {}
+            public void notifyConfigurationChanged() {}
 
             @Override
             public void log(String line) {}
         }
     }
 
-    static void assertAgreed(World world) {
+    static void assertAgreed(ConsensusTestCluster world) {
         assertEquals(world.inForce(1), world.inForce(0));
         assertEquals(world.inForce(2), world.inForce(0));
         try {
-            Table.of(world.replicas[0].inForce());
-        } catch (Invalid e) {
+            ConfigurationTable.of(world.replicas[0].committed());
+        } catch (InvalidConfigurationException e) {
             throw new AssertionError("in force and invalid: " + e.getMessage());
         }
         for (int i = 0; i < 3; i++) {
-            assertTrue(world.replicas[i].held().isEmpty());
+            assertTrue(world.replicas[i].pending().isEmpty());
         }
     }
 
-    static boolean has(World world, int at, String key, long revision) {
-        return world.replicas[at].inForce().stream()
+    static boolean has(ConsensusTestCluster world, int at, String key, long revision) {
+        return world.replicas[at].committed().stream()
                 .anyMatch(item -> item.key().equals(key) && item.revision() == revision);
     }
 
     @Test
     public void twoCallsForOneHostAndPrefixNeverBothComeIntoForce() {
         int[] both = {0};
-        int plays = Orders.all(20_000, orders -> {
-            World world = new World();
+        int plays = ScheduleExplorer.exploreAll(20_000, orders -> {
+            ConsensusTestCluster world = new ConsensusTestCluster();
             world.adjust(0, 0, call(route("one", 2, "h.example")));
             world.adjust(1, 1, call(route("two", 2, "h.example")));
-            world.deliver(orders::pick);
+            world.deliver(orders::choose);
             world.settle();
             assertAgreed(world);
-            assertFalse(world.answers[0] == Agreement.GOOD && world.answers[1] == Agreement.GOOD);
-            both[0] += world.answers[0] == Agreement.GOOD || world.answers[1] == Agreement.GOOD ? 1 : 0;
+            assertFalse(world.answers[0] == ConsensusNode.STATUS_OK && world.answers[1] == ConsensusNode.STATUS_OK);
+            both[0] +=
+                    world.answers[0] == ConsensusNode.STATUS_OK || world.answers[1] == ConsensusNode.STATUS_OK ? 1 : 0;
             for (int i = 0; i < 2; i++) {
-                if (world.answers[i] == Agreement.GOOD) {
+                if (world.answers[i] == ConsensusNode.STATUS_OK) {
                     assertTrue(has(world, 2, i == 0 ? "routes/one" : "routes/two", 2));
                 }
             }
@@ -238,29 +246,29 @@
 
     @Test
     public void ofTwoContentsWithOneRevisionOneHoldsEverywhere() {
-        Orders.all(20_000, orders -> {
-            World world = new World();
+        ScheduleExplorer.exploreAll(20_000, orders -> {
+            ConsensusTestCluster world = new ConsensusTestCluster();
             world.adjust(0, 0, call(route("one", 2, "h.example")));
             world.adjust(1, 1, call(route("one", 2, "other.example")));
-            world.deliver(orders::pick);
+            world.deliver(orders::choose);
             world.settle();
             assertAgreed(world);
-            assertFalse(world.answers[0] == Agreement.GOOD && world.answers[1] == Agreement.GOOD);
+            assertFalse(world.answers[0] == ConsensusNode.STATUS_OK && world.answers[1] == ConsensusNode.STATUS_OK);
         });
     }
 
     @Test
     public void whatWasAcknowledgedOutlivesTheStoreThatAcknowledgedIt() {
         for (boolean wiped : new boolean[] {false, true}) {
-            Orders.all(20_000, orders -> {
-                World world = new World();
+            ScheduleExplorer.exploreAll(20_000, orders -> {
+                ConsensusTestCluster world = new ConsensusTestCluster();
                 world.adjust(0, 0, call(route("one", 2, "h.example")));
                 world.deliver(many -> {
                     // The store that was asked may die before any message comes in, and takes those it has
                     // sent along.
-                    if (world.answers[0] == Agreement.GOOD && world.dead.isEmpty()) {
+                    if (world.answers[0] == ConsensusNode.STATUS_OK && world.dead.isEmpty()) {
                         world.dead.add(0);
-                        if (orders.pick(2) == 0) {
+                        if (orders.choose(2) == 0) {
                             world.mail.clear();
                             world.mailTo.clear();
                             world.mail.add(() -> {});
@@ -268,35 +276,35 @@
                             return 0;
                         }
                     }
-                    return orders.pick(many);
+                    return orders.choose(many);
                 });
-                boolean acknowledged = world.answers[0] == Agreement.GOOD;
+                boolean acknowledged = world.answers[0] == ConsensusNode.STATUS_OK;
                 world.dead.add(0);
                 world.now += SECOND;
-                world.agreements[1].lost("s0");
-                world.agreements[2].lost("s0");
+                world.agreements[1].onPeerDisconnected("s0");
+                world.agreements[2].onPeerDisconnected("s0");
                 world.settle();
                 if (acknowledged) {
                     assertTrue(has(world, 1, "routes/one", 2) && has(world, 2, "routes/one", 2));
                 }
                 world.dead.clear();
                 world.start(0, !wiped, wiped ? new Replica() : world.replicas[0]);
-                assertFalse(world.agreements[0].current());
+                assertFalse(world.agreements[0].isCurrent());
                 world.settle();
                 assertAgreed(world);
-                assertTrue(world.agreements[0].whole());
+                assertTrue(world.agreements[0].isComplete());
             });
         }
     }
 
     @Test
     public void aWipedStoreDoesNotVouchBeforeItHasMetTheOthers() {
-        World world = new World();
+        ConsensusTestCluster world = new ConsensusTestCluster();
         world.start(0, false, new Replica());
         world.adjust(1, 0, call(route("one", 2, "h.example")));
         world.dead.add(2); // so that only the wiped one could make up the number
         world.drain();
-        assertNotEquals(world.answers[0], Agreement.GOOD);
+        assertNotEquals(world.answers[0], ConsensusNode.STATUS_OK);
         world.dead.clear();
         world.settle();
         assertAgreed(world);
@@ -304,15 +312,15 @@
 
     @Test
     public void nothingIsAcknowledgedFromMemory() {
-        World world = new World();
+        ConsensusTestCluster world = new ConsensusTestCluster();
         world.noDisk.add(1);
         world.noDisk.add(2);
         world.adjust(0, 0, call(route("one", 2, "h.example")));
         world.drain();
         assertEquals(world.answers[0], 0);
         world.now += SECOND;
-        world.agreements[0].look(world.now);
-        assertEquals(world.answers[0], Agreement.LATER);
+        world.agreements[0].onTick(world.now);
+        assertEquals(world.answers[0], ConsensusNode.STATUS_UNAVAILABLE);
     }
 
     @Test
@@ -329,15 +337,15 @@
             "{\"apply\":{},\"remove\":{\"plants\":[{\"name\":\"desk\",\"revision\":3}]},\"x\":"
         };
         for (String body : invalid) {
-            World world = new World();
+            ConsensusTestCluster world = new ConsensusTestCluster();
             TreeMap<String, Long> before = world.inForce(0);
             StringBuilder why = new StringBuilder();
-            world.agreements[0].adjust(world.now, body, (status, line) -> {
+            world.agreements[0].onChangeRequest(world.now, body, (status, line) -> {
                 world.answers[0] = status;
                 why.append(line);
             });
             world.drain();
-            assertEquals(world.answers[0], Agreement.WRONG, body);
+            assertEquals(world.answers[0], ConsensusNode.STATUS_INVALID, body);
             assertTrue(why.length() > 10, body);
             world.settle();
             assertEquals(world.inForce(2), before);
@@ -346,7 +354,7 @@
 
     @Test
     public void ofOneRevisionOnlyTheContentThatWasTakenIsAcknowledged() {
-        World world = new World();
+        ConsensusTestCluster world = new ConsensusTestCluster();
         world.adjust(0, 0, call(route("one", 5, "h.example")));
         world.drain();
         TreeMap<String, Long> before = world.inForce(0);
@@ -354,16 +362,16 @@
         world.adjust(2, 2, call(route("one", 4, "third.example")));
         world.adjust(1, 0, call(route("one", 5, "h.example")));
         world.drain();
-        assertEquals(world.answers[1], Agreement.CONFLICT);
-        assertEquals(world.answers[2], Agreement.GOOD);
-        assertEquals(world.answers[0], Agreement.GOOD);
+        assertEquals(world.answers[1], ConsensusNode.STATUS_CONFLICT);
+        assertEquals(world.answers[2], ConsensusNode.STATUS_OK);
+        assertEquals(world.answers[0], ConsensusNode.STATUS_OK);
         world.settle();
         assertEquals(world.inForce(1), before);
     }
 
     @Test
     public void whatWasDroppedStaysDropped() {
-        World world = new World();
+        ConsensusTestCluster world = new ConsensusTestCluster();
         world.adjust(0, 0, call(route("one", 5, "h.example")));
         world.drain();
         world.adjust(1, 1, "{\"remove\":{\"routes\":[{\"name\":\"one\",\"revision\":7}]}}");
@@ -371,7 +379,7 @@
         world.adjust(2, 2, call(route("one", 6, "h.example")));
         world.drain();
         StringBuilder read = new StringBuilder();
-        world.agreements[2].read(
+        world.agreements[2].onReadRequest(
                 world.now, (status, text) -> read.append(status).append(text));
         world.drain();
         assertTrue(read.toString().startsWith("200"));
@@ -379,48 +387,51 @@
     }
 
     /** One store of the three, whose votes are collected; its disk keeps all. */
-    private static final class Alone implements Agreement.Effects {
+    private static final class SingleConsensusNode implements ConsensusNode.ConsensusPort {
         final Replica replica = new Replica();
         final List<String> votes = new ArrayList<>();
-        final Agreement agreement = new Agreement("s0", 1, replica, true, this);
+        final ConsensusNode agreement = new ConsensusNode("s0", 1, replica, true, this);
 
-        Alone() throws Invalid {
-            agreement.quorum(Quorum.of(List.of("s0", "s1", "s2", "s3", "s4"), 2));
-            replica.merge(Change.read(call(PLANT)));
+        SingleConsensusNode() throws InvalidConfigurationException {
+            agreement.onQuorumChanged(Quorum.of(List.of("s0", "s1", "s2", "s3", "s4"), 2));
+            replica.merge(ConfigurationChangeFormat.parse(call(PLANT)));
         }
 
-        String asked(String by, long number, String call, String... items) throws Invalid {
-            agreement.asked(SECOND, by, new Proposal(call, new Ballot(number, by), Change.read(call(items))));
+        String asked(String by, long number, String call, String... items) throws InvalidConfigurationException {
+            agreement.onProposal(
+                    SECOND,
+                    by,
+                    new Proposal(call, new Ballot(number, by), ConfigurationChangeFormat.parse(call(items))));
             return votes.remove(votes.size() - 1);
         }
 
         @Override
-        public void propose(Proposal proposal) {}
+        public void broadcastProposal(Proposal proposal) {}
 
         @Override
-        public void vote(String to, String call, Ballot ballot, Agreement.Vote vote) {
+        public void sendVote(String to, String call, Ballot ballot, ConsensusNode.Vote vote) {
             votes.add(vote + " under " + ballot);
         }
 
         @Override
-        public void confirm(long id, boolean settled) {}
+        public void broadcastContactRequest(long id, boolean settled) {}
 
         @Override
-        public void confirmed(String to, long id) {}
+        public void sendContactConfirmation(String to, long id) {}
 
         @Override
-        public void tell(String call, Ballot ballot, boolean inForce, List<Item> items) {}
+        public void broadcastDecision(String call, Ballot ballot, boolean inForce, List<ConfigurationItem> items) {}
 
         @Override
-        public void keepHeld(Proposal proposal) {
-            agreement.kept(SECOND, proposal.call(), proposal.ballot(), true);
+        public void persistProposal(Proposal proposal) {
+            agreement.onPersisted(SECOND, proposal.id(), proposal.ballot(), true);
         }
 
         @Override
-        public void keepDecided(String call, Ballot ballot, boolean inForce, List<Item> items) {}
+        public void persistDecision(String call, Ballot ballot, boolean inForce, List<ConfigurationItem> items) {}
 
         @Override
-        public void changed() {}
+        public void notifyConfigurationChanged() {}
 
         @Override
         public void log(String line) {}
@@ -428,58 +439,61 @@
 
     /** Another attempt may be counting our vote: what a lower one decides does not take it back. */
     @Test
-    public void aDropUnderALowerBallotLeavesWhatIsHeld() throws Invalid {
-        Alone store = new Alone();
+    public void aDropUnderALowerBallotLeavesWhatIsHeld() throws InvalidConfigurationException {
+        SingleConsensusNode store = new SingleConsensusNode();
         assertEquals(store.asked("s1", 1, "x", route("one", 2, "h.example")), "HELD under 1 of s1");
         assertEquals(store.asked("s2", 2, "x", route("one", 2, "h.example")), "HELD under 2 of s2");
-        store.agreement.decided(SECOND, "x", new Ballot(1, "s1"), false, List.of());
-        assertTrue(store.replica.holds("x"));
+        store.agreement.onDecision(SECOND, "x", new Ballot(1, "s1"), false, List.of());
+        assertTrue(store.replica.isPending("x"));
         assertEquals(store.asked("s3", 1, "z", route("two", 2, "h.example")), "BUSY under 1 of s3");
-        store.agreement.decided(SECOND, "x", new Ballot(2, "s2"), false, List.of());
-        assertFalse(store.replica.holds("x"));
+        store.agreement.onDecision(SECOND, "x", new Ballot(2, "s2"), false, List.of());
+        assertFalse(store.replica.isPending("x"));
     }
 
     /** Who has said no under one ballot says nothing else under one before it, whatever has become free. */
     @Test
-    public void aLowerBallotIsNotHeeded() throws Invalid {
-        Alone store = new Alone();
+    public void aLowerBallotIsNotHeeded() throws InvalidConfigurationException {
+        SingleConsensusNode store = new SingleConsensusNode();
         store.asked("s3", 1, "z", route("two", 2, "h.example"));
         assertEquals(store.asked("s2", 2, "x", route("one", 2, "h.example")), "BUSY under 2 of s2");
-        store.agreement.decided(SECOND, "z", new Ballot(1, "s3"), false, List.of());
+        store.agreement.onDecision(SECOND, "z", new Ballot(1, "s3"), false, List.of());
         assertEquals(store.asked("s1", 1, "x", route("one", 2, "h.example")), "PASSED under 1 of s1");
         assertEquals(store.asked("s1", 3, "x", route("one", 2, "h.example")), "HELD under 3 of s1");
     }
 
     /** A vote for a call may have gone with the disk: what others hold stands in the way of what contends. */
     @Test
-    public void aWipedStoreHoldsWhatTheOthersHold() throws Invalid {
-        Alone other = new Alone();
+    public void aWipedStoreHoldsWhatTheOthersHold() throws InvalidConfigurationException {
+        SingleConsensusNode other = new SingleConsensusNode();
         other.asked("s1", 1, "x", route("one", 2, "h.example"));
-        Alone store = new Alone();
-        Agreement wiped = new Agreement("s0", 2, store.replica, false, store);
-        wiped.quorum(Quorum.of(List.of("s0", "s1", "s2"), 2));
-        wiped.met(SECOND, "s1", true, List.copyOf(other.replica.inForce()), List.of());
-        wiped.met(
+        SingleConsensusNode store = new SingleConsensusNode();
+        ConsensusNode wiped = new ConsensusNode("s0", 2, store.replica, false, store);
+        wiped.onQuorumChanged(Quorum.of(List.of("s0", "s1", "s2"), 2));
+        wiped.onPeerState(SECOND, "s1", true, List.copyOf(other.replica.committed()), List.of());
+        wiped.onPeerState(
                 SECOND,
                 "s2",
                 true,
-                List.copyOf(other.replica.inForce()),
-                List.copyOf(other.replica.held().values()));
-        assertTrue(wiped.whole());
-        wiped.asked(
-                SECOND, "s3", new Proposal("z", new Ballot(1, "s3"), Change.read(call(route("two", 2, "h.example")))));
+                List.copyOf(other.replica.committed()),
+                List.copyOf(other.replica.pending().values()));
+        assertTrue(wiped.isComplete());
+        wiped.onProposal(
+                SECOND,
+                "s3",
+                new Proposal(
+                        "z", new Ballot(1, "s3"), ConfigurationChangeFormat.parse(call(route("two", 2, "h.example")))));
         assertEquals(store.votes, List.of("BUSY under 1 of s3"));
     }
 
     /** While the core is being changed nothing new is held; what is held goes on. */
     @Test
-    public void aFencedStoreTakesNothingNew() throws Invalid {
-        Alone store = new Alone();
+    public void aFencedStoreTakesNothingNew() throws InvalidConfigurationException {
+        SingleConsensusNode store = new SingleConsensusNode();
         assertEquals(store.asked("s1", 1, "x", route("one", 2, "h.example")), "HELD under 1 of s1");
-        store.agreement.fence(true);
+        store.agreement.setFenced(true);
         assertEquals(store.asked("s2", 2, "x", route("one", 2, "h.example")), "HELD under 2 of s2");
         assertEquals(store.asked("s2", 1, "y", route("three", 2, "three.example")), "BUSY under 1 of s2");
-        assertEquals(new java.util.TreeSet<>(store.agreement.votedFor("x")).toString(), "[s1, s2]");
+        assertEquals(new java.util.TreeSet<>(store.agreement.proposersVotedFor("x")).toString(), "[s1, s2]");
     }
 
     /**
@@ -487,15 +501,17 @@
      * it.
      */
     @Test
-    public void whatIsHandedOverIsHeldOrInDoubt() throws Invalid {
-        Alone store = new Alone();
+    public void whatIsHandedOverIsHeldOrInDoubt() throws InvalidConfigurationException {
+        SingleConsensusNode store = new SingleConsensusNode();
         store.asked("s1", 1, "x", route("one", 2, "h.example"));
-        Proposal beside = new Proposal("z", new Ballot(1, "s3"), Change.read(call(route("two", 2, "h.example"))));
-        Proposal other = new Proposal("o", new Ballot(1, "s3"), Change.read(call(route("o", 2, "o.example"))));
-        store.agreement.handed(SECOND, List.of(), List.of(beside, other), List.of(List.of("s3"), List.of("s3")));
-        assertTrue(store.replica.holds("o"));
-        assertFalse(store.replica.holds("z"));
-        assertFalse(store.agreement.settled(Set.of("s1", "s2")));
-        assertTrue(store.agreement.settled(Set.of("s1", "s3")));
+        Proposal beside = new Proposal(
+                "z", new Ballot(1, "s3"), ConfigurationChangeFormat.parse(call(route("two", 2, "h.example"))));
+        Proposal other = new Proposal(
+                "o", new Ballot(1, "s3"), ConfigurationChangeFormat.parse(call(route("o", 2, "o.example"))));
+        store.agreement.onHandover(SECOND, List.of(), List.of(beside, other), List.of(List.of("s3"), List.of("s3")));
+        assertTrue(store.replica.isPending("o"));
+        assertFalse(store.replica.isPending("z"));
+        assertFalse(store.agreement.resolvesDoubts(Set.of("s1", "s2")));
+        assertTrue(store.agreement.resolvesDoubts(Set.of("s1", "s3")));
     }
 }
--- a/src/test/java/reedmux/item/DoubtTest.java
+++ b/src/test/java/reedmux/control/consensus/ContendingProposalsTest.java
@@ -1,29 +1,31 @@
-package reedmux.item;
+package reedmux.control.consensus;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
-import static reedmux.item.AgreementTest.assertAgreed;
-import static reedmux.item.AgreementTest.call;
-import static reedmux.item.AgreementTest.route;
+import static reedmux.control.consensus.ConsensusNodeTest.assertAgreed;
+import static reedmux.control.consensus.ConsensusNodeTest.call;
+import static reedmux.control.consensus.ConsensusNodeTest.route;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.Reporter;
 import org.testng.annotations.Test;
-import reedmux.item.AgreementTest.World;
+import reedmux.control.consensus.ConsensusNodeTest.ConsensusTestCluster;
+import reedmux.control.replication.Replica;
+import reedmux.testing.ScheduleExplorer;
 
 /** The one store that knows of a decision loses its disk, and what contends is held elsewhere. */
-public class DoubtTest {
+public class ContendingProposalsTest {
     private static final int MOST = 10_000;
     private static final long SECOND = 1_000_000;
 
     /** Delivers in any order, and knows who has sent what. */
-    private static final class Play {
-        final World world = new World();
-        final Orders orders;
+    private static final class MessageSchedule {
+        final ConsensusTestCluster world = new ConsensusTestCluster();
+        final ScheduleExplorer orders;
         final List<Integer> from = new ArrayList<>();
 
-        Play(Orders orders) {
+        MessageSchedule(ScheduleExplorer orders) {
             this.orders = orders;
         }
 
@@ -38,7 +40,7 @@
             if (world.mail.isEmpty()) {
                 return false;
             }
-            int next = orders.pick(world.mail.size());
+            int next = orders.choose(world.mail.size());
             from.remove(next);
             int to = world.mailTo.remove(next);
             Runnable message = world.mail.remove(next);
@@ -60,7 +62,7 @@
             for (int i = 0; i < 3; i++) {
                 if (i != store) {
                     int other = i;
-                    by(other, () -> world.agreements[other].lost("s" + store));
+                    by(other, () -> world.agreements[other].onPeerDisconnected("s" + store));
                 }
             }
         }
@@ -68,12 +70,12 @@
         void met(int at, int other) {
             by(
                     at,
-                    () -> world.agreements[at].met(
+                    () -> world.agreements[at].onPeerState(
                             world.now,
                             "s" + other,
-                            world.agreements[other].whole(),
-                            List.copyOf(world.replicas[other].inForce()),
-                            List.copyOf(world.replicas[other].held().values())));
+                            world.agreements[other].isComplete(),
+                            List.copyOf(world.replicas[other].committed()),
+                            List.copyOf(world.replicas[other].pending().values())));
         }
 
         /** It comes back without its disk and meets the others in any order. */
@@ -81,7 +83,7 @@
             world.dead.remove(store);
             world.now += SECOND;
             world.start(store, false, new Replica());
-            int first = (store + 1 + orders.pick(2)) % 3;
+            int first = (store + 1 + orders.choose(2)) % 3;
             int second = 3 - store - first;
             met(store, first);
             met(store, second);
@@ -94,7 +96,7 @@
             for (int i = 0; i < 3; i++) {
                 int store = i;
                 if (!world.dead.contains(i)) {
-                    by(i, () -> world.agreements[store].look(world.now));
+                    by(i, () -> world.agreements[store].onTick(world.now));
                 }
             }
         }
@@ -104,19 +106,19 @@
     private static int lost(String what, String contending, String acknowledged) {
         int[] good = {0};
         int[] lost = {0};
-        int plays = Orders.allOrDrawn(MOST, orders -> {
-            Play play = new Play(orders);
-            World world = play.world;
+        int plays = ScheduleExplorer.exploreAllOrSample(MOST, orders -> {
+            MessageSchedule play = new MessageSchedule(orders);
+            ConsensusTestCluster world = play.world;
             play.by(1, () -> world.adjust(1, 1, contending));
             play.by(0, () -> world.adjust(0, 0, acknowledged));
-            while (world.answers[0] != Agreement.GOOD) {
+            while (world.answers[0] != ConsensusNode.STATUS_OK) {
                 if (!play.next()) {
                     return;
                 }
             }
             good[0]++;
             play.die(0);
-            boolean before = orders.pick(2) == 0; // what was on its way comes in before it is back, or after
+            boolean before = orders.choose(2) == 0; // what was on its way comes in before it is back, or after
             while (before && play.next()) {
                 // all that is due before
             }
@@ -129,7 +131,7 @@
             }
             world.settle();
             assertAgreed(world);
-            lost[0] += world.replicas[1].inForce().stream()
+            lost[0] += world.replicas[1].committed().stream()
                             .anyMatch(item -> item.key().equals("routes/one")
                                     && item.body().contains("\"h.example\""))
                     ? 0
@@ -157,9 +159,9 @@
     @Test
     public void oneOfTwoThatContendGivesWayWhileTheThirdIsAway() {
         for (String contending : List.of(route("two", 5, "h.example"), route("one", 5, "other.example"))) {
-            int plays = Orders.allOrDrawn(MOST, orders -> {
-                Play play = new Play(orders);
-                World world = play.world;
+            int plays = ScheduleExplorer.exploreAllOrSample(MOST, orders -> {
+                MessageSchedule play = new MessageSchedule(orders);
+                ConsensusTestCluster world = play.world;
                 play.die(2);
                 play.by(0, () -> world.adjust(0, 0, call(route("one", 5, "h.example"))));
                 play.by(1, () -> world.adjust(1, 1, call(contending)));
@@ -170,18 +172,19 @@
                     world.now += SECOND / 8;
                     for (int at = 0; at < 2; at++) {
                         int store = at;
-                        play.by(at, () -> world.agreements[store].look(world.now));
+                        play.by(at, () -> world.agreements[store].onTick(world.now));
                         while (play.next()) {
                             // until nothing is left to do
                         }
                     }
                 }
                 assertEquals(
-                        (world.answers[0] == Agreement.GOOD ? 1 : 0) + (world.answers[1] == Agreement.GOOD ? 1 : 0),
+                        (world.answers[0] == ConsensusNode.STATUS_OK ? 1 : 0)
+                                + (world.answers[1] == ConsensusNode.STATUS_OK ? 1 : 0),
                         1,
                         world.answers[0] + " and " + world.answers[1]);
-                assertTrue(world.replicas[0].held().isEmpty()
-                        && world.replicas[1].held().isEmpty());
+                assertTrue(world.replicas[0].pending().isEmpty()
+                        && world.replicas[1].pending().isEmpty());
             });
             Reporter.log("two that contend, the third away: " + plays + " orders", true);
         }
--- a/src/test/java/reedmux/item/MembershipTest.java
+++ b/src/test/java/reedmux/control/consensus/CoreMembershipTest.java
@@ -1,4 +1,4 @@
-package reedmux.item;
+package reedmux.control.consensus;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -20,12 +20,15 @@
 import java.util.function.Consumer;
 import java.util.function.IntUnaryOperator;
 import org.testng.annotations.Test;
+import reedmux.control.configuration.ConfigurationItem;
+import reedmux.control.replication.Replica;
+import reedmux.testing.ScheduleExplorer;
 
 /**
  * Changes of the core: links that keep their order among themselves, and messages in every order across
  * them.
  */
-public class MembershipTest {
+public class CoreMembershipTest {
     private static final long SECOND = 1_000_000;
     private static final int ORDERS = 500;
     private static final int DRAWN = 500;
@@ -42,8 +45,8 @@
             + "\"remove\":{}}";
 
     /** Stores by ip, what is under way between them, and what the operator was told. */
-    private static final class World {
-        final Map<String, Node> nodes = new TreeMap<>();
+    private static final class CoreTestCluster {
+        final Map<String, CoreTestNode> nodes = new TreeMap<>();
         final Map<String, Deque<Runnable>> mail = new TreeMap<>();
         final Set<String> cut = new TreeSet<>();
         final Map<String, Integer> answers = new HashMap<>();
@@ -54,12 +57,13 @@
         long now = SECOND;
         int lives;
 
-        World(int members) {
+        CoreTestCluster(int members) {
             for (int i = 0; i < members; i++) {
-                nodes.put("s" + i, new Node("s" + i, "n" + i));
+                nodes.put("s" + i, new CoreTestNode("s" + i, "n" + i));
             }
-            for (Node node : nodes.values()) {
-                node.core = new Membership.State(Members.first(nodes.keySet()), null, null, null, false);
+            for (CoreTestNode node : nodes.values()) {
+                node.core = new CoreMembership.PersistentCoreState(
+                        CoreMembers.initial(nodes.keySet()), null, null, null, false);
                 node.start(true);
             }
             settle(2);
@@ -68,15 +72,15 @@
             assertEquals(answers.get(PLANT), (Integer) 200);
         }
 
-        Node add(String ip, String name) {
-            Node node = new Node(ip, name);
+        CoreTestNode add(String ip, String name) {
+            CoreTestNode node = new CoreTestNode(ip, name);
             nodes.put(ip, node);
             node.start(false);
             return node;
         }
 
         void adjust(String at, String body) {
-            nodes.get(at).agreement.adjust(now, body, (status, line) -> answers.put(body, status));
+            nodes.get(at).agreement.onChangeRequest(now, body, (status, line) -> answers.put(body, status));
         }
 
         boolean linked(String one, String other) {
@@ -85,32 +89,32 @@
 
         /** Links come up and down, and each store tells the others over them. */
         void meet() {
-            for (Node one : nodes.values()) {
-                for (Node other : nodes.values()) {
+            for (CoreTestNode one : nodes.values()) {
+                for (CoreTestNode other : nodes.values()) {
                     if (one == other || !one.up) {
                         continue;
                     } else if (!linked(one.ip, other.ip)) {
                         if (one.links.remove(other.ip)) {
-                            one.agreement.lost(other.ip);
-                            one.membership.lost(now, other.ip);
+                            one.agreement.onPeerDisconnected(other.ip);
+                            one.membership.onPeerDisconnected(now, other.ip);
                         }
                     } else if (one.links.add(other.ip)) {
-                        one.membership.met(now, other.ip, other.name);
-                        other.tellCore(one.ip);
+                        one.membership.onPeerConnected(now, other.ip, other.name);
+                        other.announceCore(one.ip);
                     }
                 }
             }
             drain();
-            for (Node one : nodes.values()) {
-                for (Node other : nodes.values()) {
+            for (CoreTestNode one : nodes.values()) {
+                for (CoreTestNode other : nodes.values()) {
                     if (one != other && linked(one.ip, other.ip)) {
-                        one.agreement.met(
+                        one.agreement.onPeerState(
                                 now,
                                 other.ip,
-                                other.agreement.whole(),
-                                List.copyOf(other.replica.inForce()),
-                                List.copyOf(other.replica.held().values()));
-                        other.tellCore(one.ip);
+                                other.agreement.isComplete(),
+                                List.copyOf(other.replica.committed()),
+                                List.copyOf(other.replica.pending().values()));
+                        other.announceCore(one.ip);
                     }
                 }
             }
@@ -120,7 +124,7 @@
             if (nodes.containsKey(to)
                     && linked(from, to)
                     && nodes.get(from).links.contains(to)) {
-                Node receiver = nodes.get(to);
+                CoreTestNode receiver = nodes.get(to);
                 int life = receiver.life;
                 mail.computeIfAbsent(from + '>' + to, name -> new ArrayDeque<>())
                         .add(() -> {
@@ -151,10 +155,10 @@
         void look() {
             now += SECOND / 5;
             meet();
-            for (Node node : nodes.values()) {
+            for (CoreTestNode node : nodes.values()) {
                 if (node.up) {
-                    node.agreement.look(now);
-                    node.membership.look(now);
+                    node.agreement.onTick(now);
+                    node.membership.onTick(now);
                     node.keepCount();
                 }
             }
@@ -168,23 +172,23 @@
         }
 
         boolean has(String at, String route) {
-            return nodes.get(at).replica.inForce().stream()
+            return nodes.get(at).replica.committed().stream()
                     .anyMatch(item -> item.name().equals(route));
         }
 
-        Members core(String at) {
+        CoreMembers core(String at) {
             return nodes.get(at).membership.core();
         }
 
         /** All that are up have one core, of these, and it takes changes. */
         void assertCore(String... members) {
-            for (Node node : nodes.values()) {
+            for (CoreTestNode node : nodes.values()) {
                 if (node.up) {
                     assertEquals(new TreeSet<>(node.membership.core().ips()), new TreeSet<>(List.of(members)), node.ip);
                     assertEquals(
                             node.membership.epoch(),
                             nodes.get(members[0]).membership.epoch());
-                    assertFalse(node.membership.fenced());
+                    assertFalse(node.membership.isFenced());
                 }
             }
             pick = many -> 0;
@@ -194,18 +198,18 @@
             assertEquals(answers.get(route("last", "last.example")), (Integer) 200);
         }
 
-        final class Node implements Agreement.Effects, Membership.Effects {
+        public final class CoreTestNode implements ConsensusNode.ConsensusPort, CoreMembership.CoreMembershipPort {
             final String ip;
             final String name;
             final Set<String> links = new TreeSet<>();
             Replica replica = new Replica();
-            Membership.State core;
-            Agreement agreement;
-            Membership membership;
+            CoreMembership.PersistentCoreState core;
+            ConsensusNode agreement;
+            CoreMembership membership;
             boolean up;
             int life;
 
-            Node(String ip, String name) {
+            CoreTestNode(String ip, String name) {
                 this.ip = ip;
                 this.name = name;
             }
@@ -213,19 +217,19 @@
             void start(boolean whole) {
                 up = true;
                 life = ++lives;
-                agreement = new Agreement(ip, life, replica, whole, this);
-                membership = new Membership(ip, 2, core, whole, this);
-                adopted();
+                agreement = new ConsensusNode(ip, life, replica, whole, this);
+                membership = new CoreMembership(ip, 2, core, whole, this);
+                coreChanged();
             }
 
             void die() {
                 up = false;
                 links.clear();
-                for (Node other : nodes.values()) {
+                for (CoreTestNode other : nodes.values()) {
                     other.links.remove(ip);
                     if (other.up) {
-                        other.agreement.lost(ip);
-                        other.membership.lost(now, ip);
+                        other.agreement.onPeerDisconnected(ip);
+                        other.membership.onPeerDisconnected(now, ip);
                     }
                 }
                 mail.keySet().removeIf(way -> way.startsWith(ip + '>') || way.endsWith('>' + ip));
@@ -237,10 +241,10 @@
             }
 
             void keepCount() {
-                if (agreement.whole()) {
-                    membership.mended(now);
+                if (agreement.isComplete()) {
+                    membership.onDiskRecovered(now);
                 }
-                Members known = membership.core();
+                CoreMembers known = membership.core();
                 if (known != null) {
                     Set<String> before = epochs.putIfAbsent(known.epoch(), new TreeSet<>(known.ips()));
                     assertTrue(
@@ -249,8 +253,8 @@
                 }
             }
 
-            private void toAll(Consumer<Node> message) {
-                for (Node other : nodes.values()) {
+            private void toAll(Consumer<CoreTestNode> message) {
+                for (CoreTestNode other : nodes.values()) {
                     if (other != this) {
                         carry(ip, other.ip, () -> message.accept(other));
                     }
@@ -258,84 +262,85 @@
             }
 
             @Override
-            public void propose(Proposal proposal) {
+            public void broadcastProposal(Proposal proposal) {
                 long epoch = membership.epoch();
                 toAll(other -> {
-                    if (other.membership.admits(ip, epoch)) {
-                        other.agreement.asked(now, ip, proposal);
+                    if (other.membership.acceptsEpoch(ip, epoch)) {
+                        other.agreement.onProposal(now, ip, proposal);
                     }
                 });
             }
 
             @Override
-            public void vote(String to, String call, Ballot ballot, Agreement.Vote vote) {
-                carry(ip, to, () -> nodes.get(to).agreement.counted(now, ip, call, ballot, vote));
+            public void sendVote(String to, String call, Ballot ballot, ConsensusNode.Vote vote) {
+                carry(ip, to, () -> nodes.get(to).agreement.onVote(now, ip, call, ballot, vote));
             }
 
             @Override
-            public void confirm(long id, boolean settled) {
+            public void broadcastContactRequest(long id, boolean settled) {
                 long epoch = membership.epoch();
                 toAll(other -> {
-                    if (other.membership.admits(ip, epoch) && !other.membership.fenced()) {
-                        other.agreement.confirm(now, ip, id, settled);
+                    if (other.membership.acceptsEpoch(ip, epoch) && !other.membership.isFenced()) {
+                        other.agreement.onContactRequest(now, ip, id, settled);
                     }
                 });
             }
 
             @Override
-            public void confirmed(String to, long id) {
-                List<Item> items = List.copyOf(replica.inForce());
+            public void sendContactConfirmation(String to, long id) {
+                List<ConfigurationItem> items = List.copyOf(replica.committed());
                 carry(ip, to, () -> {
                     nodes.get(to).replica.merge(items);
-                    nodes.get(to).agreement.confirmed(now, ip, id);
+                    nodes.get(to).agreement.onContactConfirmation(now, ip, id);
                 });
             }
 
             @Override
-            public void tell(String call, Ballot ballot, boolean inForce, List<Item> items) {
-                toAll(other -> other.agreement.decided(now, call, ballot, inForce, items));
+            public void broadcastDecision(String call, Ballot ballot, boolean inForce, List<ConfigurationItem> items) {
+                toAll(other -> other.agreement.onDecision(now, call, ballot, inForce, items));
             }
 
             @Override
-            public void keepHeld(Proposal proposal) {
-                agreement.kept(now, proposal.call(), proposal.ballot(), true);
+            public void persistProposal(Proposal proposal) {
+                agreement.onPersisted(now, proposal.id(), proposal.ballot(), true);
             }
 
             @Override
-            public void keepDecided(String call, Ballot ballot, boolean inForce, List<Item> items) {}
+            public void persistDecision(String call, Ballot ballot, boolean inForce, List<ConfigurationItem> items) {}
 
             @Override
-            public void changed() {}
+            public void notifyConfigurationChanged() {}
 
             @Override
             public void log(String line) {}
 
             @Override
-            public void say(String to, Membership.Step step) {
-                carry(ip, to, () -> nodes.get(to).membership.step(now, ip, step));
+            public void sendEpochMessage(String to, CoreMembership.EpochMessage step) {
+                carry(ip, to, () -> nodes.get(to).membership.onEpochMessage(now, ip, step));
             }
 
             @Override
-            public void tellCore(String to) {
-                Members known = membership.core();
-                boolean ready = membership.applies() && agreement.current();
-                boolean fenced = membership.fenced();
-                carry(ip, to, () -> nodes.get(to).membership.told(now, ip, known, ready, fenced));
+            public void announceCore(String to) {
+                CoreMembers known = membership.core();
+                boolean ready = membership.isCandidate() && agreement.isCurrent();
+                boolean fenced = membership.isFenced();
+                carry(ip, to, () -> nodes.get(to).membership.onCoreAnnounced(now, ip, known, ready, fenced));
             }
 
             @Override
-            public void fetch(String from, long epoch) {
+            public void requestHandover(String from, long epoch) {
                 carry(ip, from, () -> {
-                    Node other = nodes.get(from);
-                    if (other.membership.handsOver(ip, epoch)) {
-                        List<Item> items = List.copyOf(other.replica.inForce());
-                        List<Proposal> held = List.copyOf(other.replica.held().values());
+                    CoreTestNode other = nodes.get(from);
+                    if (other.membership.maySendHandover(ip, epoch)) {
+                        List<ConfigurationItem> items = List.copyOf(other.replica.committed());
+                        List<Proposal> held =
+                                List.copyOf(other.replica.pending().values());
                         List<List<String>> deciders = held.stream()
-                                .map(proposal -> other.agreement.votedFor(proposal.call()))
+                                .map(proposal -> other.agreement.proposersVotedFor(proposal.id()))
                                 .toList();
                         other.send(ip, () -> {
-                            agreement.handed(now, items, held, deciders);
-                            membership.handed(now, from, epoch);
+                            agreement.onHandover(now, items, held, deciders);
+                            membership.onHandover(now, from, epoch);
                         });
                     }
                 });
@@ -346,43 +351,44 @@
             }
 
             @Override
-            public boolean settled(Set<String> handed) {
-                return agreement.settled(handed);
+            public boolean resolvesDoubts(Set<String> handed) {
+                return agreement.resolvesDoubts(handed);
             }
 
             @Override
-            public void keepCore(Membership.State state, Consumer<Boolean> done) {
+            public void persistCore(CoreMembership.PersistentCoreState state, Consumer<Boolean> done) {
                 core = state;
                 done.accept(true);
             }
 
             @Override
-            public void adopted() {
+            public void coreChanged() {
                 if (membership == null) {
                     return;
                 }
-                agreement.fence(membership.fenced());
-                if (!membership.fenced()) {
-                    agreement.quorum(membership.quorum());
+                agreement.setFenced(membership.isFenced());
+                if (!membership.isFenced()) {
+                    agreement.onQuorumChanged(membership.quorum());
                 }
                 for (String other : List.copyOf(links)) {
-                    tellCore(other);
+                    announceCore(other);
                 }
             }
         }
     }
 
     /** All orders of the last messages, and as many drawn ones. */
-    private static int play(BiConsumer<World, IntUnaryOperator> scene, int members) {
-        int plays = Orders.all(ORDERS, orders -> scene.accept(new World(members), orders::pick));
+    private static int play(BiConsumer<CoreTestCluster, IntUnaryOperator> scene, int members) {
+        int plays = ScheduleExplorer.exploreAll(
+                ORDERS, orders -> scene.accept(new CoreTestCluster(members), orders::choose));
         for (int seed = 0; seed < DRAWN; seed++) {
             Random random = new Random(seed);
-            scene.accept(new World(members), random::nextInt);
+            scene.accept(new CoreTestCluster(members), random::nextInt);
         }
         return plays + DRAWN;
     }
 
-    private static void assertAcknowledgedIsInForce(World world, String... routes) {
+    private static void assertAcknowledgedIsInForce(CoreTestCluster world, String... routes) {
         for (String name : routes) {
             if (Integer.valueOf(200).equals(world.answers.get(route(name, name + ".example")))) {
                 for (String ip : world.nodes.get("s0").up
@@ -410,15 +416,15 @@
                             world.adjust("s1", route("two", "two.example"));
                         } else if (i == 8) {
                             world.adjust("s2", route("three", "three.example"));
-                            world.nodes.get("s0").membership.leave(world.now, "n2", (status, line) -> {});
+                            world.nodes.get("s0").membership.requestRemoval(world.now, "n2", (status, line) -> {});
                         }
                     }
                     world.drain();
                     world.pick = many -> 0;
                     world.settle(6);
                     assertAcknowledgedIsInForce(world, "one", "two", "three");
-                    assertTrue(world.core("s0").has("s3"));
-                    assertTrue(world.core("s0").has("s2") == (world.epochs.size() < 3));
+                    assertTrue(world.core("s0").contains("s3"));
+                    assertTrue(world.core("s0").contains("s2") == (world.epochs.size() < 3));
                 },
                 3);
         System.out.println("join and leave: " + plays + " orders");
@@ -446,29 +452,29 @@
                     world.pick = orders;
                     for (int i = 0; i < 20 && world.core("s1").epoch() == 0; i++) {
                         world.now += SECOND / 5;
-                        for (World.Node node : world.nodes.values()) {
-                            for (World.Node other : world.nodes.values()) {
+                        for (CoreTestCluster.CoreTestNode node : world.nodes.values()) {
+                            for (CoreTestCluster.CoreTestNode other : world.nodes.values()) {
                                 if (node != other && world.linked(node.ip, other.ip) && node.links.add(other.ip)) {
-                                    node.membership.met(world.now, other.ip, other.name);
-                                    other.tellCore(node.ip);
+                                    node.membership.onPeerConnected(world.now, other.ip, other.name);
+                                    other.announceCore(node.ip);
                                 }
                             }
                             if (node.up) { // the joiner learns by asking members alone; s1 has not been told yet
                                 if (node.ip.equals("s3")) {
                                     world.nodes.values().stream()
                                             .filter(other -> other != node && other.up)
-                                            .forEach(other -> node.agreement.met(
+                                            .forEach(other -> node.agreement.onPeerState(
                                                     world.now, other.ip, true, List.of(), List.of()));
                                 }
                                 world.nodes.values().stream()
                                         .filter(other -> other != node && other.up)
-                                        .forEach(other -> node.tellCore(other.ip));
-                                node.membership.look(world.now);
+                                        .forEach(other -> node.announceCore(other.ip));
+                                node.membership.onTick(world.now);
                             }
                         }
                         world.deliver(10);
                     }
-                    if (!world.core("s1").has("s3")) {
+                    if (!world.core("s1").contains("s3")) {
                         return;
                     }
                     replaced[0]++;
@@ -493,8 +499,8 @@
                     world.cut.add("s0s1");
                     world.meet();
                     world.pick = orders;
-                    world.nodes.get("s0").membership.leave(world.now, "n3", (status, line) -> {});
-                    world.nodes.get("s1").membership.leave(world.now, "n2", (status, line) -> {});
+                    world.nodes.get("s0").membership.requestRemoval(world.now, "n3", (status, line) -> {});
+                    world.nodes.get("s1").membership.requestRemoval(world.now, "n2", (status, line) -> {});
                     for (int i = 0; i < 6; i++) {
                         world.look();
                         world.deliver(9);
@@ -527,14 +533,14 @@
                         }
                         world.pick = orders;
                         world.deliver(4 + orders.applyAsInt(30));
-                        for (World.Node node : world.nodes.values()) {
+                        for (CoreTestCluster.CoreTestNode node : world.nodes.values()) {
                             node.die();
                         }
                         world.mail.clear();
                         if (wiped) {
                             world.nodes.get("s2").wipe();
                         }
-                        for (World.Node node : world.nodes.values()) {
+                        for (CoreTestCluster.CoreTestNode node : world.nodes.values()) {
                             node.start(!(wiped && node.ip.equals("s2")) && !node.ip.equals("s3"));
                         }
                         world.pick = many -> 0;
@@ -571,22 +577,23 @@
                     }
                     world.pick = many -> 0;
                     world.settle(4);
-                    world.nodes.get("s1").membership.leave(world.now, "n3", (status, line) -> {});
+                    world.nodes.get("s1").membership.requestRemoval(world.now, "n3", (status, line) -> {});
                     world.settle(4);
                     long epoch = world.core("s1").epoch();
-                    Membership.Duty duty = world.nodes.get("s1").membership.duty();
-                    assertEquals(duty.holder(), "s1");
+                    CoreMembership.CoreLeader duty =
+                            world.nodes.get("s1").membership.leader();
+                    assertEquals(duty.ip(), "s1");
                     assertEquals(duty.epoch(), epoch);
                     world.cut.clear();
                     world.meet();
                     world.mail.putAll(late);
                     world.pick = orders;
-                    world.nodes.get("s0").membership.look(world.now);
+                    world.nodes.get("s0").membership.onTick(world.now);
                     world.drain();
                     world.pick = many -> 0;
                     world.settle(4);
                     assertEquals(world.core("s0").ips(), world.core("s1").ips());
-                    assertFalse(world.core("s0").has("s3"));
+                    assertFalse(world.core("s0").contains("s3"));
                 },
                 4);
         System.out.println("frozen holder: " + plays + " orders");
@@ -599,11 +606,11 @@
     @Test
     public void anOldMajorityDecidesNothing() {
         for (boolean learns : new boolean[] {false, true}) {
-            World world = new World(3);
+            CoreTestCluster world = new CoreTestCluster(3);
             world.nodes.get("s2").die();
             world.add("s3", "n2");
             world.settle(4);
-            assertTrue(world.core("s0").has("s3"));
+            assertTrue(world.core("s0").contains("s3"));
             world.nodes.get("s1").die();
             world.add("s4", "n1");
             world.settle(4);
@@ -626,7 +633,7 @@
                 world.cut.clear();
                 world.settle(3);
                 world.assertCore("s0", "s3", "s4");
-                assertFalse(world.nodes.get("s1").membership.applies(), "who was taken out does not come back");
+                assertFalse(world.nodes.get("s1").membership.isCandidate(), "who was taken out does not come back");
             }
         }
     }
@@ -637,14 +644,14 @@
      */
     @Test
     public void aStoreWithoutDiskTakesTheCoreFromOthersAndNeverMakesUpItsOwn() {
-        World world = new World(3);
+        CoreTestCluster world = new CoreTestCluster(3);
         for (String other : List.of("s0", "s1", "s2")) {
             world.cut.add("s3" + other);
         }
         world.add("s3", "n3");
         world.settle(3);
         assertNull(world.core("s3"));
-        assertFalse(world.nodes.get("s3").agreement.current());
+        assertFalse(world.nodes.get("s3").agreement.isCurrent());
         world.adjust("s3", route("one", "one.example"));
         assertEquals(world.answers.get(route("one", "one.example")), (Integer) 503);
         // It reaches only a member that was cut off while the others took in another.
@@ -655,9 +662,9 @@
         world.cut.add("s3s4");
         world.add("s4", "n4");
         world.settle(4);
-        assertTrue(world.core("s0").has("s4"));
+        assertTrue(world.core("s0").contains("s4"));
         assertEquals(world.core("s3").epoch(), 0);
-        assertFalse(world.nodes.get("s3").agreement.current());
+        assertFalse(world.nodes.get("s3").agreement.isCurrent());
         world.cut.clear();
         world.settle(4);
         world.assertCore("s0", "s1", "s2", "s3", "s4");
@@ -669,7 +676,7 @@
      */
     @Test
     public void aMemberWithoutItsDiskIsTheSameMember() {
-        World world = new World(3);
+        CoreTestCluster world = new CoreTestCluster(3);
         world.nodes.get("s1").die();
         world.nodes.get("s1").wipe();
         world.adjust("s0", route("one", "one.example"));
@@ -687,81 +694,85 @@
      */
     @Test
     public void ordersToLeave() {
-        World world = new World(3);
+        CoreTestCluster world = new CoreTestCluster(3);
         int[] status = {0};
-        Membership holder = world.nodes.get("s0").membership;
-        world.nodes.get("s1").membership.leave(world.now, "n2", (code, line) -> status[0] = code);
+        CoreMembership holder = world.nodes.get("s0").membership;
+        world.nodes.get("s1").membership.requestRemoval(world.now, "n2", (code, line) -> status[0] = code);
         assertEquals(status[0], 503, "not on duty");
-        holder.leave(world.now, "n2", (code, line) -> status[0] = code);
+        holder.requestRemoval(world.now, "n2", (code, line) -> status[0] = code);
         assertEquals(status[0], 409, "three are needed while all are up");
         world.nodes.get("s2").die();
         world.settle(1);
-        holder.leave(world.now, "n2", (code, line) -> status[0] = code);
+        holder.requestRemoval(world.now, "n2", (code, line) -> status[0] = code);
         world.settle(2);
         assertEquals(status[0], 200);
         world.assertCore("s0", "s1");
         status[0] = 0;
-        holder.leave(world.now, "n2", (code, line) -> status[0] = code);
+        holder.requestRemoval(world.now, "n2", (code, line) -> status[0] = code);
         assertEquals(status[0], 200, "the same again");
-        holder.leave(world.now, "n1", (code, line) -> status[0] = code);
+        holder.requestRemoval(world.now, "n1", (code, line) -> status[0] = code);
         assertEquals(status[0], 409, "two copies are promised");
     }
 
     /** One member of three, whose steps are collected; its disk keeps what it is told to while it works. */
-    private static final class Alone implements Membership.Effects {
+    private static final class SingleCoreMember implements CoreMembership.CoreMembershipPort {
         final List<String> said = new ArrayList<>();
-        final Membership membership;
+        final CoreMembership membership;
         boolean disk = true;
 
-        Alone(Ballot accepted, Members value, boolean sound) {
-            Members core = Members.first(List.of("s0", "s1", "s2"));
-            membership =
-                    new Membership("s0", 2, new Membership.State(core, accepted, accepted, value, false), sound, this);
-            membership.met(SECOND, "s1", "n1");
-            membership.met(SECOND, "s2", "n2");
+        SingleCoreMember(Ballot accepted, CoreMembers value, boolean sound) {
+            CoreMembers core = CoreMembers.initial(List.of("s0", "s1", "s2"));
+            membership = new CoreMembership(
+                    "s0",
+                    2,
+                    new CoreMembership.PersistentCoreState(core, accepted, accepted, value, false),
+                    sound,
+                    this);
+            membership.onPeerConnected(SECOND, "s1", "n1");
+            membership.onPeerConnected(SECOND, "s2", "n2");
         }
 
-        void step(String from, Membership.Kind kind, Ballot ballot, Ballot under, Members value) {
-            membership.step(SECOND, from, new Membership.Step(kind, 0, ballot, under, value));
+        void step(String from, CoreMembership.EpochMessageType kind, Ballot ballot, Ballot under, CoreMembers value) {
+            membership.onEpochMessage(SECOND, from, new CoreMembership.EpochMessage(kind, 0, ballot, under, value));
         }
 
         @Override
-        public void say(String to, Membership.Step step) {
-            said.add(step.kind() + " to " + to
+        public void sendEpochMessage(String to, CoreMembership.EpochMessage step) {
+            said.add(step.type() + " to " + to
                     + (step.value() == null ? "" : " " + step.value().ips()));
         }
 
         @Override
-        public void tellCore(String to) {
+        public void announceCore(String to) {
             said.add("core to " + to);
         }
 
         @Override
-        public void fetch(String from, long epoch) {}
+        public void requestHandover(String from, long epoch) {}
 
         @Override
-        public boolean settled(Set<String> handed) {
+        public boolean resolvesDoubts(Set<String> handed) {
             return true;
         }
 
         @Override
-        public void keepCore(Membership.State state, Consumer<Boolean> done) {
+        public void persistCore(CoreMembership.PersistentCoreState state, Consumer<Boolean> done) {
             done.accept(disk);
         }
 
         @Override
-        public void adopted() {}
+        public void coreChanged() {}
 
         @Override
         public void log(String line) {}
     }
 
-    private static Members with(String... ips) {
+    private static CoreMembers with(String... ips) {
         Map<String, String> nodes = new HashMap<>();
         for (String ip : ips) {
             nodes.put(ip, "");
         }
-        return new Members(1, nodes);
+        return new CoreMembers(1, nodes);
     }
 
     private static final Ballot SECOND_OF_1 = new Ballot(2, "s1");
@@ -769,11 +780,12 @@
     /** What another may have decided on goes before what is wanted here. */
     @Test
     public void theHighestThatWasAcceptedIsCarriedThrough() {
-        Alone store = new Alone(new Ballot(1, "s0"), with("s0", "s1", "s2", "s3"), true);
-        store.membership.look(2 * SECOND);
+        SingleCoreMember store = new SingleCoreMember(new Ballot(1, "s0"), with("s0", "s1", "s2", "s3"), true);
+        store.membership.onTick(2 * SECOND);
         Ballot mine = new Ballot(2, "s0");
         store.said.clear();
-        store.step("s2", Membership.Kind.PROMISE, mine, new Ballot(1, "s1"), with("s0", "s1", "s2", "s4"));
+        store.step(
+                "s2", CoreMembership.EpochMessageType.PROMISE, mine, new Ballot(1, "s1"), with("s0", "s1", "s2", "s4"));
         assertEquals(
                 store.said,
                 List.of(
@@ -786,13 +798,13 @@
     @Test
     public void bothQuorumsDecide() {
         for (String[] order : new String[][] {{"s1", "s2", "s3", "s4"}, {"s3", "s4", "s1", "s2"}}) {
-            Alone store = new Alone(new Ballot(1, "s0"), with("s1", "s3", "s4"), true);
-            store.membership.look(2 * SECOND);
+            SingleCoreMember store = new SingleCoreMember(new Ballot(1, "s0"), with("s1", "s3", "s4"), true);
+            store.membership.onTick(2 * SECOND);
             Ballot mine = new Ballot(2, "s0");
-            store.step("s2", Membership.Kind.PROMISE, mine, null, null);
+            store.step("s2", CoreMembership.EpochMessageType.PROMISE, mine, null, null);
             for (int i = 0; i < order.length; i++) {
                 assertEquals(store.membership.epoch(), 0, "after " + i + " of " + List.of(order));
-                store.step(order[i], Membership.Kind.ACCEPTED, mine, null, null);
+                store.step(order[i], CoreMembership.EpochMessageType.ACCEPTED, mine, null, null);
                 if (store.membership.epoch() == 1) {
                     assertTrue(i >= 2);
                     break;
@@ -804,34 +816,34 @@
 
     @Test
     public void whatWasAcceptedOutlivesTheProcessAndFences() {
-        assertTrue(new Alone(SECOND_OF_1, with("s0", "s1", "s3"), true).membership.fenced());
+        assertTrue(new SingleCoreMember(SECOND_OF_1, with("s0", "s1", "s3"), true).membership.isFenced());
     }
 
     @Test
     public void whoActsUnderAnotherEpochIsToldOfTheCore() {
-        Alone store = new Alone(null, null, true);
-        assertTrue(store.membership.admits("s1", 0));
-        assertFalse(store.membership.admits("s1", -1));
-        assertFalse(store.membership.admits("s1", 1));
+        SingleCoreMember store = new SingleCoreMember(null, null, true);
+        assertTrue(store.membership.acceptsEpoch("s1", 0));
+        assertFalse(store.membership.acceptsEpoch("s1", -1));
+        assertFalse(store.membership.acceptsEpoch("s1", 1));
         assertEquals(store.said, List.of("core to s1", "core to s1"));
     }
 
     @Test
     public void withoutItsDiskAMemberPromisesAndAcceptsNothing() {
-        Alone store = new Alone(null, null, false);
-        store.step("s1", Membership.Kind.PREPARE, SECOND_OF_1, null, null);
-        store.step("s1", Membership.Kind.ACCEPT, SECOND_OF_1, null, with("s0", "s1", "s3"));
+        SingleCoreMember store = new SingleCoreMember(null, null, false);
+        store.step("s1", CoreMembership.EpochMessageType.PREPARE, SECOND_OF_1, null, null);
+        store.step("s1", CoreMembership.EpochMessageType.ACCEPT, SECOND_OF_1, null, with("s0", "s1", "s3"));
         assertEquals(store.said, List.of());
-        assertFalse(store.membership.fenced());
+        assertFalse(store.membership.isFenced());
     }
 
     @Test
     public void nothingIsSaidThatIsNotOnDisk() {
-        Alone store = new Alone(SECOND_OF_1, with("s0", "s1", "s3"), true);
+        SingleCoreMember store = new SingleCoreMember(SECOND_OF_1, with("s0", "s1", "s3"), true);
         store.disk = false;
-        store.membership.look(2 * SECOND);
-        store.step("s1", Membership.Kind.PREPARE, new Ballot(9, "s1"), null, null);
-        store.step("s1", Membership.Kind.ACCEPT, new Ballot(9, "s1"), null, with("s1", "s2", "s3"));
+        store.membership.onTick(2 * SECOND);
+        store.step("s1", CoreMembership.EpochMessageType.PREPARE, new Ballot(9, "s1"), null, null);
+        store.step("s1", CoreMembership.EpochMessageType.ACCEPT, new Ballot(9, "s1"), null, with("s1", "s2", "s3"));
         assertEquals(store.said, List.of());
     }
 }
--- a/src/test/java/reedmux/item/ContactTest.java
+++ b/src/test/java/reedmux/control/consensus/QuorumContactTest.java
@@ -1,24 +1,29 @@
-package reedmux.item;
+package reedmux.control.consensus;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
-import static reedmux.item.AgreementTest.assertAgreed;
-import static reedmux.item.AgreementTest.call;
-import static reedmux.item.AgreementTest.has;
-import static reedmux.item.AgreementTest.item;
-import static reedmux.item.AgreementTest.route;
+import static reedmux.control.consensus.ConsensusNodeTest.assertAgreed;
+import static reedmux.control.consensus.ConsensusNodeTest.call;
+import static reedmux.control.consensus.ConsensusNodeTest.has;
+import static reedmux.control.consensus.ConsensusNodeTest.item;
+import static reedmux.control.consensus.ConsensusNodeTest.route;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.IntUnaryOperator;
 import org.testng.Reporter;
 import org.testng.annotations.Test;
-import reedmux.item.AgreementTest.World;
+import reedmux.control.configuration.ConfigurationChangeFormat;
+import reedmux.control.configuration.InvalidConfigurationException;
+import reedmux.control.consensus.ConsensusNodeTest.ConsensusTestCluster;
+import reedmux.control.replication.Replica;
+import reedmux.control.replication.WatermarkTable;
+import reedmux.testing.ScheduleExplorer;
 
 /** What three stores answer from what they have, in every order of their messages. */
-public class ContactTest {
+public class QuorumContactTest {
     private static final int MOST = 10_000;
     private static final long SECOND = 1_000_000;
     private static final String ONE = call(route("one", 5, "h.example"));
@@ -27,7 +32,7 @@
     private static final String SHELF = call(item("plants", "shelf", 5, "{\"probe\":\"/health\",\"connCeiling\":9}"));
 
     /** What goes on besides the delivery of messages. */
-    private enum Trouble {
+    private enum ContactFault {
         NONE,
         LOSS,
         RESTART,
@@ -39,10 +44,10 @@
     }
 
     /** Delivers all; before one of the messages, in each place, something is done. */
-    private static void deliver(World world, Orders orders, Runnable once) {
+    private static void deliver(ConsensusTestCluster world, ScheduleExplorer orders, Runnable once) {
         int[] left = {once == null ? 0 : 1};
         IntUnaryOperator pick = many -> {
-            if (left[0] > 0 && orders.pick(4) == 0) {
+            if (left[0] > 0 && orders.choose(4) == 0) {
                 left[0]--;
                 once.run();
                 if (world.mail.isEmpty()) {
@@ -50,12 +55,12 @@
                     world.mailTo.add(0);
                 }
             }
-            return orders.pick(world.mail.size());
+            return orders.choose(world.mail.size());
         };
         world.deliver(pick);
     }
 
-    private static void restart(World world, int at, boolean wiped) {
+    private static void restart(ConsensusTestCluster world, int at, boolean wiped) {
         for (int i = world.mail.size() - 1; i >= 0; i--) { // its links end, and what was on its way to it
             if (world.mailTo.get(i) == at) {
                 world.mail.remove(i);
@@ -65,9 +70,9 @@
         world.start(at, !wiped, wiped ? new Replica() : world.replicas[at]);
     }
 
-    private static int answer(World world, int at, String body) {
+    private static int answer(ConsensusTestCluster world, int at, String body) {
         int[] status = {0};
-        world.agreements[at].adjust(world.now, body, (told, line) -> status[0] = told);
+        world.agreements[at].onChangeRequest(world.now, body, (told, line) -> status[0] = told);
         world.drain();
         if (status[0] == 0) {
             world.settle();
@@ -77,10 +82,10 @@
 
     @Test
     public void twoOperatorsAreNeverBothConfirmedUnderOneNumber() {
-        for (Trouble trouble : Trouble.values()) {
+        for (ContactFault trouble : ContactFault.values()) {
             int[] refused = {0};
-            told("one number, two contents, " + trouble, Orders.allOrDrawn(MOST, orders -> {
-                World world = new World();
+            told("one number, two contents, " + trouble, ScheduleExplorer.exploreAllOrSample(MOST, orders -> {
+                ConsensusTestCluster world = new ConsensusTestCluster();
                 world.adjust(0, 0, ONE);
                 world.adjust(1, 1, OTHER);
                 deliver(
@@ -90,27 +95,28 @@
                             case NONE -> null;
                             case LOSS ->
                                 () -> {
-                                    int lost = orders.pick(world.mail.size());
+                                    int lost = orders.choose(world.mail.size());
                                     world.mail.remove(lost);
                                     world.mailTo.remove(lost);
                                 };
-                            case RESTART -> () -> restart(world, orders.pick(3), false);
-                            case WIPE -> () -> restart(world, orders.pick(3), true);
+                            case RESTART -> () -> restart(world, orders.choose(3), false);
+                            case WIPE -> () -> restart(world, orders.choose(3), true);
                         });
                 world.settle();
-                assertFalse(world.answers[0] == Agreement.GOOD && world.answers[1] == Agreement.GOOD);
-                refused[0] += world.answers[0] == Agreement.CONFLICT ? 1 : 0;
-                refused[0] += world.answers[1] == Agreement.CONFLICT ? 1 : 0;
+                assertFalse(world.answers[0] == ConsensusNode.STATUS_OK && world.answers[1] == ConsensusNode.STATUS_OK);
+                refused[0] += world.answers[0] == ConsensusNode.STATUS_CONFLICT ? 1 : 0;
+                refused[0] += world.answers[1] == ConsensusNode.STATUS_CONFLICT ? 1 : 0;
                 // Sent again, and elsewhere, until the answer is clear: for ever the same.
-                int one = answer(world, orders.pick(3), ONE);
+                int one = answer(world, orders.choose(3), ONE);
                 int other = answer(world, 2, OTHER);
-                assertEquals(one + other, Agreement.GOOD + Agreement.CONFLICT, one + " and " + other);
-                boolean holds = one == Agreement.GOOD;
-                assertNotEquals(world.answers[0], holds ? Agreement.CONFLICT : Agreement.GOOD);
-                assertNotEquals(world.answers[1], holds ? Agreement.GOOD : Agreement.CONFLICT);
+                assertEquals(
+                        one + other, ConsensusNode.STATUS_OK + ConsensusNode.STATUS_CONFLICT, one + " and " + other);
+                boolean holds = one == ConsensusNode.STATUS_OK;
+                assertNotEquals(world.answers[0], holds ? ConsensusNode.STATUS_CONFLICT : ConsensusNode.STATUS_OK);
+                assertNotEquals(world.answers[1], holds ? ConsensusNode.STATUS_OK : ConsensusNode.STATUS_CONFLICT);
                 assertAgreed(world);
             }));
-            assertTrue(trouble != Trouble.NONE || refused[0] > 0);
+            assertTrue(trouble != ContactFault.NONE || refused[0] > 0);
         }
     }
 
@@ -119,38 +125,39 @@
     public void whatWasTakenIsAcknowledgedAgainByAnyStore() {
         for (boolean wiped : new boolean[] {false, true}) {
             String how = wiped ? "wiped" : "dead";
-            told("sent again after newer versions, " + how, Orders.allOrDrawn(MOST, orders -> {
-                World world = new World();
+            told("sent again after newer versions, " + how, ScheduleExplorer.exploreAllOrSample(MOST, orders -> {
+                ConsensusTestCluster world = new ConsensusTestCluster();
                 world.adjust(0, 0, ONE);
                 world.deliver(many -> {
-                    if (world.answers[0] == Agreement.GOOD && world.dead.isEmpty()) {
+                    if (world.answers[0] == ConsensusNode.STATUS_OK && world.dead.isEmpty()) {
                         world.dead.add(0);
                     }
-                    return orders.pick(many);
+                    return orders.choose(many);
                 });
                 world.dead.add(0);
-                world.agreements[1].lost("s0");
-                world.agreements[2].lost("s0");
+                world.agreements[1].onPeerDisconnected("s0");
+                world.agreements[2].onPeerDisconnected("s0");
                 world.settle();
-                boolean taken = world.answers[0] == Agreement.GOOD;
-                int newer = orders.pick(3);
+                boolean taken = world.answers[0] == ConsensusNode.STATUS_OK;
+                int newer = orders.choose(3);
                 if (newer > 0) {
-                    assertEquals(answer(world, 1, call(route("one", 7, "h.example"))), Agreement.GOOD);
+                    assertEquals(answer(world, 1, call(route("one", 7, "h.example"))), ConsensusNode.STATUS_OK);
                 }
                 if (newer > 1) {
                     String drop = "{\"remove\":{\"routes\":[{\"name\":\"one\",\"revision\":9}]}}";
-                    assertEquals(answer(world, 2, drop), Agreement.GOOD);
+                    assertEquals(answer(world, 2, drop), ConsensusNode.STATUS_OK);
                 }
                 world.start(2, true, compacted(world.replicas[2]));
                 world.settle();
-                boolean first = orders.pick(2) == 0;
+                boolean first = orders.choose(2) == 0;
                 int one = first ? answer(world, 2, ONE) : 0;
                 int other = answer(world, 1, OTHER);
                 one = first ? one : answer(world, 2, ONE);
                 if (taken) {
-                    assertEquals(one, Agreement.GOOD);
+                    assertEquals(one, ConsensusNode.STATUS_OK);
                 }
-                assertEquals(one + other, Agreement.GOOD + Agreement.CONFLICT, one + " and " + other);
+                assertEquals(
+                        one + other, ConsensusNode.STATUS_OK + ConsensusNode.STATUS_CONFLICT, one + " and " + other);
                 world.dead.clear();
                 world.start(0, !wiped, wiped ? new Replica() : world.replicas[0]);
                 world.settle();
@@ -158,8 +165,8 @@
                 assertEquals(answer(world, 0, ONE), one);
                 assertAgreed(world);
                 assertFalse(newer == 2
-                        && world.replicas[0].inForce().stream()
-                                .anyMatch(item -> item.key().equals("routes/one") && !item.dropped()));
+                        && world.replicas[0].committed().stream()
+                                .anyMatch(item -> item.key().equals("routes/one") && !item.isDeleted()));
             }));
         }
     }
@@ -167,9 +174,9 @@
     /** As a disk gives it back after its file has begun anew. */
     private static Replica compacted(Replica replica) {
         Replica next = new Replica();
-        next.merge(replica.inForce());
-        next.mark(List.copyOf(replica.marks()));
-        replica.held().values().forEach(next::hold);
+        next.merge(replica.committed());
+        next.mergeWatermarks(List.copyOf(replica.watermarks()));
+        replica.pending().values().forEach(next::addPending);
         return next;
     }
 
@@ -180,29 +187,30 @@
             int[] good = {0};
             boolean dies = dead == 1;
             String how = dies ? ", its store dies" : "";
-            told("a call that needs an earlier one" + how, Orders.allOrDrawn(MOST, orders -> {
-                World world = new World();
+            told("a call that needs an earlier one" + how, ScheduleExplorer.exploreAllOrSample(MOST, orders -> {
+                ConsensusTestCluster world = new ConsensusTestCluster();
                 world.adjust(0, 0, SHELF);
                 world.deliver(many -> {
-                    if (world.answers[0] == Agreement.GOOD && world.answers[1] == 0) {
+                    if (world.answers[0] == ConsensusNode.STATUS_OK && world.answers[1] == 0) {
                         world.answers[1] = -1;
                         if (dies) {
                             world.dead.add(0);
                         }
-                        world.adjust(1 + orders.pick(2), 1, NEEDS);
+                        world.adjust(1 + orders.choose(2), 1, NEEDS);
                     }
-                    return orders.pick(world.mail.size());
+                    return orders.choose(world.mail.size());
                 });
-                world.agreements[1].lost("s0");
-                world.agreements[2].lost("s0");
+                world.agreements[1].onPeerDisconnected("s0");
+                world.agreements[2].onPeerDisconnected("s0");
                 world.settle();
                 assertTrue(
-                        world.answers[1] == Agreement.GOOD || world.answers[1] == Agreement.LATER,
+                        world.answers[1] == ConsensusNode.STATUS_OK
+                                || world.answers[1] == ConsensusNode.STATUS_UNAVAILABLE,
                         "answered " + world.answers[1]);
-                good[0] += world.answers[1] == Agreement.GOOD ? 1 : 0;
+                good[0] += world.answers[1] == ConsensusNode.STATUS_OK ? 1 : 0;
                 world.dead.clear();
                 world.settle();
-                assertEquals(answer(world, 0, NEEDS), Agreement.GOOD);
+                assertEquals(answer(world, 0, NEEDS), ConsensusNode.STATUS_OK);
             }));
             assertTrue(good[0] > 0);
         }
@@ -212,16 +220,17 @@
     @Test
     public void aReadHasAllThatWasAcknowledgedBeforeItCame() {
         int[] read = {0};
-        told("reads once a call is acknowledged", Orders.allOrDrawn(MOST, orders -> {
-            World world = new World();
+        told("reads once a call is acknowledged", ScheduleExplorer.exploreAllOrSample(MOST, orders -> {
+            ConsensusTestCluster world = new ConsensusTestCluster();
             List<String> told = new ArrayList<>();
             world.adjust(0, 0, ONE);
             world.deliver(many -> {
-                if (world.answers[0] == Agreement.GOOD && world.answers[1] == 0) {
+                if (world.answers[0] == ConsensusNode.STATUS_OK && world.answers[1] == 0) {
                     world.answers[1] = -1;
-                    world.agreements[1 + orders.pick(2)].read(world.now, (status, text) -> told.add(status + text));
+                    world.agreements[1 + orders.choose(2)].onReadRequest(
+                            world.now, (status, text) -> told.add(status + text));
                 }
-                return orders.pick(world.mail.size());
+                return orders.choose(world.mail.size());
             });
             world.settle();
             assertEquals(told.size(), 1);
@@ -234,14 +243,14 @@
     /** One is cut off and does not know it yet, or was frozen: its links stand, what it has is old. */
     @Test
     public void whoHasNoContactNeitherReadsNorConfirmsNorRefuses() {
-        told("cut off, then heard again", Orders.allOrDrawn(MOST, orders -> {
-            World world = new World();
+        told("cut off, then heard again", ScheduleExplorer.exploreAllOrSample(MOST, orders -> {
+            ConsensusTestCluster world = new ConsensusTestCluster();
             world.dead.add(2); // nothing comes in there
             world.adjust(0, 0, SHELF);
             world.drain();
             world.adjust(1, 0, ONE);
             world.drain();
-            assertEquals(world.answers[0], Agreement.GOOD);
+            assertEquals(world.answers[0], ConsensusNode.STATUS_OK);
             world.dead.clear();
             List<Integer> told = new ArrayList<>();
             List<String> asked = List.of(
@@ -249,19 +258,20 @@
                     OTHER,
                     "{\"apply\":{\"signals\":[]}}",
                     call(route("x", 3, "h.example").replace("desk", "none")));
-            asked.forEach(body -> world.agreements[2].adjust(world.now, body, (status, line) -> told.add(status)));
-            world.agreements[2].read(world.now, (status, text) -> told.add(status));
+            asked.forEach(
+                    body -> world.agreements[2].onChangeRequest(world.now, body, (status, line) -> told.add(status)));
+            world.agreements[2].onReadRequest(world.now, (status, text) -> told.add(status));
             assertEquals(told, List.of());
             // Its questions reach the others, and it hears them in any order; or not.
-            boolean wakes = orders.pick(2) == 0;
+            boolean wakes = orders.choose(2) == 0;
             if (wakes) {
-                world.deliver(orders::pick);
+                world.deliver(orders::choose);
             } else {
                 world.mail.clear();
                 world.mailTo.clear();
             }
             world.now += SECOND;
-            world.agreements[2].look(world.now);
+            world.agreements[2].onTick(world.now);
             assertEquals(told.size(), 5);
             if (wakes) {
                 told.sort(null);
@@ -277,19 +287,19 @@
     /** It had a part in what was acknowledged, and nobody else can be reached who has. */
     @Test
     public void aStoreThatLostItsDiskDoesNotConfirm() {
-        World world = new World();
+        ConsensusTestCluster world = new ConsensusTestCluster();
         world.dead.add(2);
         world.adjust(0, 0, ONE);
         world.drain();
-        assertEquals(world.answers[0], Agreement.GOOD);
+        assertEquals(world.answers[0], ConsensusNode.STATUS_OK);
         world.dead.clear();
         restart(world, 0, true);
         world.dead.add(1);
         List<Integer> told = new ArrayList<>();
-        world.agreements[2].read(world.now, (status, text) -> told.add(status));
+        world.agreements[2].onReadRequest(world.now, (status, text) -> told.add(status));
         world.drain();
         world.now += SECOND;
-        world.agreements[2].look(world.now);
+        world.agreements[2].onTick(world.now);
         assertEquals(told, List.of(503));
     }
 
@@ -298,14 +308,14 @@
     public void aCallIsDecidedOnWhileAContactIsUnderWay() {
         for (int at = 0; at < 2; at++) {
             int asked = at;
-            Orders.allOrDrawn(MOST, orders -> {
-                World world = new World();
+            ScheduleExplorer.exploreAllOrSample(MOST, orders -> {
+                ConsensusTestCluster world = new ConsensusTestCluster();
                 boolean[] reached = {false};
-                world.agreements[asked].contact(world.now, false, told -> reached[0] = told);
+                world.agreements[asked].contactQuorum(world.now, false, told -> reached[0] = told);
                 world.adjust(0, 0, ONE);
-                world.deliver(orders::pick);
+                world.deliver(orders::choose);
                 assertTrue(reached[0]);
-                assertEquals(world.answers[0], Agreement.GOOD);
+                assertEquals(world.answers[0], ConsensusNode.STATUS_OK);
                 world.settle();
                 assertAgreed(world);
             });
@@ -315,14 +325,14 @@
     /** A link is gone, and with it the quorum: that is told at once. */
     @Test
     public void withoutLinksTheAnswerIsAtOnceAndNoRefusal() {
-        World world = new World();
+        ConsensusTestCluster world = new ConsensusTestCluster();
         List<Integer> told = new ArrayList<>();
-        world.agreements[0].read(world.now, (status, text) -> told.add(status));
-        world.agreements[0].lost("s1");
+        world.agreements[0].onReadRequest(world.now, (status, text) -> told.add(status));
+        world.agreements[0].onPeerDisconnected("s1");
         assertEquals(told, List.of());
-        world.agreements[0].lost("s2");
+        world.agreements[0].onPeerDisconnected("s2");
         assertEquals(told, List.of(503));
-        world.agreements[0].adjust(
+        world.agreements[0].onChangeRequest(
                 world.now,
                 call(route("x", 3, "h.example").replace("desk", "none")),
                 (status, line) -> told.add(status));
@@ -331,32 +341,33 @@
 
     @Test
     public void whatIsBelowTheFloorHasNoClearAnswer() {
-        World world = new World();
-        for (int i = 1; i <= Marks.MOST + 20; i++) {
-            assertEquals(answer(world, i % 3, call(route("one", i, "h" + i + ".example"))), Agreement.GOOD);
+        ConsensusTestCluster world = new ConsensusTestCluster();
+        for (int i = 1; i <= WatermarkTable.MAX_REVISIONS_PER_ITEM + 20; i++) {
+            assertEquals(answer(world, i % 3, call(route("one", i, "h" + i + ".example"))), ConsensusNode.STATUS_OK);
         }
         world.settle();
-        assertEquals(answer(world, 0, call(route("one", 19, "h19.example"))), Agreement.LATER);
-        assertEquals(answer(world, 0, call(route("one", 19, "other.example"))), Agreement.LATER);
+        assertEquals(answer(world, 0, call(route("one", 19, "h19.example"))), ConsensusNode.STATUS_UNAVAILABLE);
+        assertEquals(answer(world, 0, call(route("one", 19, "other.example"))), ConsensusNode.STATUS_UNAVAILABLE);
         for (int i = 20; i < 24; i++) {
-            assertEquals(answer(world, 1, call(route("one", i, "h" + i + ".example"))), Agreement.GOOD);
-            assertEquals(answer(world, 2, call(route("one", i, "other.example"))), Agreement.CONFLICT);
+            assertEquals(answer(world, 1, call(route("one", i, "h" + i + ".example"))), ConsensusNode.STATUS_OK);
+            assertEquals(answer(world, 2, call(route("one", i, "other.example"))), ConsensusNode.STATUS_CONFLICT);
         }
-        assertEquals(world.replicas[0].marks().size(), Marks.MOST + 1);
-        assertEquals(answer(world, 1, call(route("one", 999, "a"), route("one", 999, "b"))), Agreement.WRONG);
+        assertEquals(world.replicas[0].watermarks().size(), WatermarkTable.MAX_REVISIONS_PER_ITEM + 1);
+        assertEquals(
+                answer(world, 1, call(route("one", 999, "a"), route("one", 999, "b"))), ConsensusNode.STATUS_INVALID);
     }
 
     /** What was dropped and answered by 503 does not come into force after its content was refused. */
     @Test
-    public void whatWasDroppedIsNotBroughtAgainByWhoWasAway() throws Invalid {
-        World world = new World();
-        Proposal stale = new Proposal("s2/1/9", new Ballot(1, "s2"), Change.read(OTHER));
-        world.agreements[0].decided(world.now, stale.call(), stale.ballot(), false, List.of());
-        world.agreements[1].decided(world.now, stale.call(), stale.ballot(), false, List.of());
-        world.agreements[2].asked(world.now, "s2", stale);
+    public void whatWasDroppedIsNotBroughtAgainByWhoWasAway() throws InvalidConfigurationException {
+        ConsensusTestCluster world = new ConsensusTestCluster();
+        Proposal stale = new Proposal("s2/1/9", new Ballot(1, "s2"), ConfigurationChangeFormat.parse(OTHER));
+        world.agreements[0].onDecision(world.now, stale.id(), stale.ballot(), false, List.of());
+        world.agreements[1].onDecision(world.now, stale.id(), stale.ballot(), false, List.of());
+        world.agreements[2].onProposal(world.now, "s2", stale);
         world.now += 20 * SECOND;
-        world.agreements[0].look(world.now);
-        world.agreements[1].look(world.now);
+        world.agreements[0].onTick(world.now);
+        world.agreements[1].onTick(world.now);
         world.settle();
         assertAgreed(world);
         assertFalse(has(world, 0, "routes/one", 5));
--- a/src/test/java/reedmux/item/QuorumTest.java
+++ b/src/test/java/reedmux/control/consensus/QuorumTest.java
@@ -1,4 +1,4 @@
-package reedmux.item;
+package reedmux.control.consensus;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -30,8 +30,8 @@
         for (List<String> first : sets()) {
             List<String> rest = new ArrayList<>(ALL);
             rest.removeAll(first);
-            assertFalse(one.reached(first) && other.reached(rest), first + " and " + rest);
-            assertEquals(one.blocked(rest), !one.reached(first));
+            assertFalse(one.isReachedBy(first) && other.isReachedBy(rest), first + " and " + rest);
+            assertEquals(one.isBlockedBy(rest), !one.isReachedBy(first));
         }
     }
 
@@ -52,8 +52,8 @@
     @Test
     public void fourOfFiveWhereThreeMayBeLost() {
         Quorum quorum = Quorum.of(List.of("a", "b", "c", "d", "e"), 4);
-        assertFalse(quorum.reached(List.of("a", "b", "c", "f")));
-        assertTrue(quorum.reached(List.of("a", "b", "c", "e")));
-        assertTrue(quorum.blocked(List.of("a", "b")));
+        assertFalse(quorum.isReachedBy(List.of("a", "b", "c", "f")));
+        assertTrue(quorum.isReachedBy(List.of("a", "b", "c", "e")));
+        assertTrue(quorum.isBlockedBy(List.of("a", "b")));
     }
 }
--- /dev/null
+++ b/src/test/java/reedmux/control/registry/PendingRequestsTest.java
@@ -0,0 +1,46 @@
+package reedmux.control.registry;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertNull;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.testng.annotations.Test;
+import reedmux.testing.ScheduleExplorer;
+
+/** Questions, answers, and ends of links and of patience in all orders. */
+public class PendingRequestsTest {
+
+    /** Two questions, to links a and b and to a's next; each has one end, and never another's answer. */
+    @Test
+    public void eachRequestCompletesOnceWithItsOwnResponse() {
+        int plays = ScheduleExplorer.exploreAll(100_000, orders -> {
+            PendingRequests<String, String> pending = new PendingRequests<>();
+            List<String> ends = new ArrayList<>();
+            long one = pending.register(List.of("a", "b"), "one");
+            long two = pending.register(List.of("a2"), "two");
+            List<Runnable> left = new ArrayList<>(List.of(
+                    () -> recordEnd(ends, pending.complete(one, "a"), "one"),
+                    () -> recordEnd(ends, pending.complete(one, "b"), "one"),
+                    () -> pending.onConnectionLost("a").forEach(who -> recordEnd(ends, who, "one")),
+                    () -> pending.onConnectionLost("b").forEach(who -> recordEnd(ends, who, "one")),
+                    () -> assertNull(pending.complete(one, "a2")), // the next link of who was asked
+                    () -> assertNull(pending.complete(two, "a")), // a process that is gone
+                    () -> recordEnd(ends, pending.complete(two, "a2"), "two"),
+                    () -> recordEnd(ends, pending.cancel(two), "two")));
+            while (!left.isEmpty()) {
+                left.remove(orders.choose(left.size())).run();
+            }
+            assertEquals(ends.stream().filter("one"::equals).count(), 1);
+            assertEquals(ends.stream().filter("two"::equals).count(), 1);
+        });
+        assertEquals(plays, 40_320);
+    }
+
+    private static void recordEnd(List<String> ends, String who, String expected) {
+        if (who != null) {
+            assertEquals(who, expected);
+            ends.add(who);
+        }
+    }
+}
--- a/src/test/java/reedmux/registry/RegistryCompatibilityTest.java
+++ b/src/test/java/reedmux/control/registry/RegistryCompatibilityTest.java
@@ -1,4 +1,4 @@
-package reedmux.registry;
+package reedmux.control.registry;
 
 import static org.testng.Assert.assertEquals;
 
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 import reedmux.compatibility.FixtureFiles;
-import reedmux.fleet.Incarnation;
+import reedmux.control.instances.CheckerIncarnation;
 
 /** The files of a registry of an earlier version are read, and this version writes the same bytes. */
 public class RegistryCompatibilityTest {
@@ -21,11 +21,11 @@
         check(RegistryFixtures.SECOND_GENERATION, "items-2");
     }
 
-    private static void check(List<Incarnation> expected, String... files) throws IOException {
+    private static void check(List<CheckerIncarnation> expected, String... files) throws IOException {
         Path folder = Files.createTempDirectory("reedmux-registry");
         FixtureFiles.copy(FOLDER, folder, files);
         RegistryFixtures.Life life = new RegistryFixtures.Life(folder);
-        assertEquals(life.environment.log, List.of());
+        assertEquals(life.environment.logLines, List.of());
         assertEquals(List.copyOf(life.fleet.all(0)), expected);
         for (String file : files) {
             Files.delete(folder.resolve(file));
--- /dev/null
+++ b/src/test/java/reedmux/control/registry/RegistryFixtures.java
@@ -0,0 +1,62 @@
+package reedmux.control.registry;
+
+import java.nio.file.Path;
+import java.util.List;
+import reedmux.common.disk.FileSystemVolume;
+import reedmux.common.eventloop.Reactor;
+import reedmux.control.instances.CheckerIncarnation;
+import reedmux.control.instances.InstanceDirectory;
+import reedmux.control.rpc.MessageCodec;
+import reedmux.control.store.DiskEnvironment;
+
+/** The checkers that a registry keeps on its disk, in two generations. */
+public final class RegistryFixtures {
+    private static final long LATER_MICROS = 300_000;
+    private static final CheckerIncarnation READY = new CheckerIncarnation(
+            "i-1", "desk", "10.0.0.1:80", "zone-a", 300, CheckerIncarnation.READY, 1L << 35, 100_000, false);
+    private static final CheckerIncarnation SILENT =
+            new CheckerIncarnation("i-2", "desk", "10.0.0.2:80", "zone-b", 2, CheckerIncarnation.DRAINING, 4, 0, true);
+    private static final CheckerIncarnation GONE = new CheckerIncarnation(
+            "i-3", "office", "10.0.0.3:80", "zone-c", 1, CheckerIncarnation.GONE, 9, 7_000, true);
+    /** What the first generation of the files holds. */
+    static final List<CheckerIncarnation> FIRST_GENERATION = List.of(READY, SILENT);
+    /** What the second one holds: one checker more, and the first one a while later. */
+    static final List<CheckerIncarnation> SECOND_GENERATION = List.of(
+            new CheckerIncarnation(
+                    "i-1", "desk", "10.0.0.1:80", "zone-a", 300, CheckerIncarnation.READY, 1L << 35, 99_700, false),
+            SILENT,
+            GONE);
+
+    private RegistryFixtures() {}
+
+    /** A registry's memory over one folder, and what it knows. */
+    static final class Life {
+        final DiskEnvironment environment;
+        final InstanceDirectory fleet = new InstanceDirectory();
+        private final Reactor reactor;
+
+        Life(Path folder) {
+            environment = new DiskEnvironment(new FileSystemVolume(folder));
+            reactor = environment.reactor();
+            new IncarnationStorage(folder, reactor, new MessageCodec(), fleet);
+        }
+
+        void keep() {
+            environment.now += LATER_MICROS;
+            reactor.runOnce();
+            while (!environment.diskTasks.isEmpty()) {
+                environment.diskTasks.poll().run();
+                reactor.runOnce();
+            }
+        }
+    }
+
+    /** Lets a registry write the files of two generations to an empty folder. */
+    public static void writeDataFolder(Path folder) {
+        Life life = new Life(folder);
+        FIRST_GENERATION.forEach(checker -> life.fleet.merge(checker, LATER_MICROS));
+        life.keep();
+        life.fleet.merge(GONE, 2 * LATER_MICROS);
+        life.keep();
+    }
+}
--- /dev/null
+++ b/src/test/java/reedmux/control/rpc/MessageCodecTest.java
@@ -0,0 +1,143 @@
+package reedmux.control.rpc;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertNull;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import org.testng.annotations.Test;
+import reedmux.control.configuration.ConfigurationItem;
+import reedmux.control.consensus.Ballot;
+import reedmux.control.consensus.ConsensusNode.Vote;
+import reedmux.control.consensus.CoreMembers;
+import reedmux.control.consensus.CoreMembership;
+import reedmux.control.consensus.Proposal;
+import reedmux.control.instances.CheckerIncarnation;
+import reedmux.control.instances.InstanceDirectory;
+import reedmux.control.replication.Watermark;
+import reedmux.control.session.ProxySession;
+import reedmux.control.session.SessionChanges;
+import reedmux.proxy.quota.QuotaTracker;
+
+/** Each message there and back, and bytes that are none. */
+public class MessageCodecTest {
+    private static final ConfigurationItem ITEM = new ConfigurationItem("routes", "r", 7, "{\"host\":\"h\"}");
+    private static final CheckerIncarnation INCARNATION =
+            new CheckerIncarnation("i-1", "desk", "10.0.0.1:80", "a", 3, CheckerIncarnation.DRAINING, 9, 100, true);
+    private static final Proposal PROPOSAL = new Proposal("c", new Ballot(3, "core-1"), List.of(ITEM));
+    private static final CoreMembers CORE = new CoreMembers(4, Map.of("10.0.0.1", "core-1", "10.0.0.2", ""));
+    private static final ProxySession SESSION = new ProxySession("edge-1", "10.1.0.1", "a", -5);
+
+    private static List<Object> allMessages() {
+        return List.of(
+                new Messages.Hello(1, "store", "n", "10.0.0.1", "a", 77, List.of("10.0.0.1")),
+                new Messages.KeepAlive(),
+                new Messages.ChangesRequest(-3, 4),
+                new Messages.ConfigurationUpdate(1, 2, true, List.of(ITEM), List.of(PROPOSAL)),
+                new Messages.MembershipUpdate(
+                        1,
+                        2,
+                        List.of(INCARNATION),
+                        List.of(new InstanceDirectory.InstanceOwner("i-1", 9, -7)),
+                        new SessionChanges(true, List.of(SESSION), List.of("edge-2"))),
+                new Messages.ConfigurationChangeRequest(5, "x"),
+                new Messages.ConfigurationReadRequest(6),
+                new Messages.OperatorResponse(7, 200, "{}"),
+                new Messages.ProposalRecord(PROPOSAL),
+                new Messages.VoteResponse("c", PROPOSAL.ballot(), Vote.BUSY),
+                new Messages.DecisionNotice("c", PROPOSAL.ballot(), true, List.of(ITEM)),
+                new Messages.WatermarkUpdate(List.of(new Watermark("routes/r", 7, -9))),
+                new Messages.QuorumContactRequest(2, 4, true),
+                new Messages.QuorumContactResponse(4),
+                new Messages.CaughtUpNotice(),
+                new Messages.ProposeRequest(3, PROPOSAL),
+                new Messages.CoreMembershipNotice(null, true, false),
+                new Messages.CoreMembershipNotice(CORE, false, true),
+                new Messages.CoreStateRecord(
+                        new CoreMembership.PersistentCoreState(CORE, PROPOSAL.ballot(), null, null, true)),
+                new CoreMembership.EpochMessage(
+                        CoreMembership.EpochMessageType.ACCEPT, 4, PROPOSAL.ballot(), null, CORE),
+                new Messages.StateTransferRequest(4, -5, 6),
+                new Messages.StateTransferResponse(
+                        4,
+                        new Messages.ConfigurationUpdate(1, 2, true, List.of(ITEM), List.of(PROPOSAL)),
+                        List.of(List.of("10.0.0.1"))),
+                new Messages.SnapshotChunk(1, -1, List.of(ITEM)),
+                new Messages.SnapshotChunkRequest(-2, 3),
+                new Messages.DigestRequest(List.of(1, 63), List.of(-5L, 0L)),
+                new Messages.DigestMismatch(List.of(2)),
+                new Messages.CoreRemovalRequest(5, "core-1"),
+                new Messages.StoreStatusRequest(5, "items", "", 7),
+                new Messages.IncarnationNotice(8, List.of(INCARNATION)),
+                new Messages.IncarnationAck(9),
+                new Messages.RegistryHeartbeats(List.of(new InstanceDirectory.RegistryHeartbeat(-3, 4))),
+                new QuotaTracker.QuotaUpdate(
+                        "n", 1, 2, 3, 4, new ArrayList<>(List.of(new QuotaTracker.TenantTotal("t", 1.5, -1)))));
+    }
+
+    @Test
+    public void roundTripsEveryMessage() {
+        MessageCodec codec = new MessageCodec();
+        allMessages().forEach(message -> assertEquals(codec.decodeOrNull(codec.encode(message)), message));
+    }
+
+    @Test
+    public void rejectsTruncatedOrUnknownMessages() {
+        MessageCodec codec = new MessageCodec();
+        for (Object message : allMessages()) {
+            byte[] bytes = codec.encode(message);
+            for (int end = 0; end < bytes.length; end++) {
+                assertNull(codec.decodeOrNull(Arrays.copyOf(bytes, end)), message + " cut at " + end);
+            }
+            assertNull(codec.decodeOrNull(Arrays.copyOf(bytes, bytes.length + 1)));
+        }
+        assertNull(codec.decodeOrNull(new byte[] {99, 1, 2}));
+        assertNull(codec.decodeOrNull(codec.encode(
+                new Messages.CoreMembershipNotice(new CoreMembers(1, Map.of("nowhere", "")), false, false))));
+        assertNull(codec.decodeOrNull(codec.encode(new CoreMembership.EpochMessage(
+                CoreMembership.EpochMessageType.ACCEPT, 4, PROPOSAL.ballot(), null, null))));
+    }
+
+    /** Bytes in place of any text of a message that promise a text of any length, or none. */
+    @Test
+    public void rejectsStringLengthsBeyondTheFrame() {
+        MessageCodec codec = new MessageCodec();
+        for (int length : new int[] {Integer.MAX_VALUE, 1 << 29, 1 << 20, 1000, 3, 0, -1}) {
+            com.esotericsoftware.kryo.io.Output out = new com.esotericsoftware.kryo.io.Output(64);
+            out.writeByte(codec.encode(new Messages.ConfigurationChangeRequest(5, "x"))[0]);
+            out.writeLong(5);
+            out.writeVarIntFlag(true, length, true);
+            assertNull(codec.decodeOrNull(out.toBytes()), "a text of " + length);
+        }
+    }
+
+    /** All flips of one bit in all messages: a message or none, and never more than that. */
+    @Test
+    public void survivesEverySingleBitFlip() {
+        MessageCodec codec = new MessageCodec();
+        int plays = 0;
+        for (Object message : allMessages()) {
+            byte[] bytes = codec.encode(message);
+            for (int bit = 0; bit < 8 * bytes.length; bit++) {
+                byte[] flipped = bytes.clone();
+                flipped[bit / 8] ^= (byte) (1 << bit % 8);
+                Object read = codec.decodeOrNull(flipped);
+                if (read instanceof QuotaTracker.QuotaUpdate packet) {
+                    packet.entries().forEach(entry -> assertEquals(entry.total() - entry.total(), 0.0));
+                    assertEquals(packet.reachableMembers() < 0, false);
+                } else if (read instanceof Messages.IncarnationNotice tell) {
+                    tell.instances()
+                            .forEach(life -> assertEquals(
+                                    life.phase() >= CheckerIncarnation.READY
+                                            && life.phase() <= CheckerIncarnation.GONE
+                                            && life.capacity() > 0,
+                                    true));
+                }
+                plays++;
+            }
+        }
+        assertEquals(plays > 3000, true, plays + " flips");
+    }
+}
--- a/src/test/java/reedmux/link/RpcCompatibilityTest.java
+++ b/src/test/java/reedmux/control/rpc/RpcCompatibilityTest.java
@@ -1,4 +1,4 @@
-package reedmux.link;
+package reedmux.control.rpc;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -12,8 +12,8 @@
 import java.util.Map;
 import java.util.Set;
 import org.testng.annotations.Test;
+import reedmux.common.eventloop.ScriptedEnvironment;
 import reedmux.compatibility.FixtureFiles;
-import reedmux.net.ScriptedSockets;
 
 /** Frames that an earlier version sent are understood, and this version sends the same bytes. */
 public class RpcCompatibilityTest {
@@ -25,14 +25,14 @@
 
     @Test
     public void decodesAndEncodesEveryFrameOfTheFixture() throws IOException {
-        Codec codec = new Codec();
+        MessageCodec codec = new MessageCodec();
         Map<String, byte[]> frames = FixtureFiles.frames("rpc-frames.txt");
         Map<String, Object> expected = RpcFixtures.messages();
         assertEquals(List.copyOf(frames.keySet()), List.copyOf(expected.keySet()));
         for (Map.Entry<String, byte[]> frame : frames.entrySet()) {
             String name = frame.getKey();
-            assertEquals(codec.read(payload(frame.getValue())), expected.get(name), name);
-            assertEquals(RpcFixtures.framed(codec.write(expected.get(name))), frame.getValue(), name);
+            assertEquals(codec.decodeOrNull(payload(frame.getValue())), expected.get(name), name);
+            assertEquals(RpcFixtures.framed(codec.encode(expected.get(name))), frame.getValue(), name);
         }
     }
 
@@ -42,7 +42,8 @@
         Map<String, Object> expected = RpcFixtures.readOnlyMessages();
         assertEquals(frames.keySet(), expected.keySet());
         for (Map.Entry<String, byte[]> frame : frames.entrySet()) {
-            assertEquals(new Codec().read(frame.getValue()), expected.get(frame.getKey()), frame.getKey());
+            assertEquals(
+                    new MessageCodec().decodeOrNull(frame.getValue()), expected.get(frame.getKey()), frame.getKey());
         }
     }
 
@@ -58,31 +59,32 @@
 
     @Test
     public void aConnectionUnderstandsTheFramesOfTheFixture() throws IOException {
-        ScriptedSockets sockets = new ScriptedSockets();
+        ScriptedEnvironment sockets = new ScriptedEnvironment();
         List<Object> told = new ArrayList<>();
-        Link.Owner owner = new Link.Owner() {
+        RpcConnection.RpcConnectionHandler owner = new RpcConnection.RpcConnectionHandler() {
             @Override
-            public void up(Link link) {
-                told.add(link.other());
+            public void onConnected(RpcConnection link) {
+                told.add(link.peer());
             }
 
             @Override
-            public void told(Link link, Object message) {
+            public void onMessage(RpcConnection link, Object message) {
                 told.add(message);
             }
 
             @Override
-            public void down(Link link) {
+            public void onDisconnected(RpcConnection link) {
                 throw new AssertionError("refused behind " + told);
             }
         };
-        Messages.Hello self = new Messages.Hello(Messages.FORM, "proxy", "edge-1", "10.1.0.1", "a", 5, List.of());
-        Link.of(sockets.reactor(), new Codec(), self, sockets.accepted(), owner);
+        Messages.Hello self =
+                new Messages.Hello(Messages.FORMAT_VERSION, "proxy", "edge-1", "10.1.0.1", "a", 5, List.of());
+        RpcConnection.accept(sockets.reactor(), new MessageCodec(), self, sockets.acceptConnection(), owner);
         for (byte[] frame : FixtureFiles.frames("rpc-frames.txt").values()) {
-            sockets.opened.get(0).give(new String(frame, StandardCharsets.ISO_8859_1));
+            sockets.sockets.get(0).receive(new String(frame, StandardCharsets.ISO_8859_1));
         }
         List<Object> expected = new ArrayList<>(RpcFixtures.messages().values());
-        expected.remove(new Messages.Ping()); // answered by the connection itself
+        expected.remove(new Messages.KeepAlive()); // answered by the connection itself
         assertEquals(told, expected);
     }
 }
--- a/src/test/java/reedmux/store/DiskEnvironment.java
+++ b/src/test/java/reedmux/control/store/DiskEnvironment.java
@@ -1,4 +1,4 @@
-package reedmux.store;
+package reedmux.control.store;
 
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -7,17 +7,17 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.concurrent.Executor;
-import reedmux.disk.Volume;
-import reedmux.log.Ring;
-import reedmux.net.Environment;
-import reedmux.net.Reactor;
+import reedmux.common.disk.Volume;
+import reedmux.common.eventloop.Environment;
+import reedmux.common.eventloop.Reactor;
+import reedmux.common.logging.RingBufferLogger;
 
 /** A process that has a disk and a clock and nothing else; its disk's tasks run when the test says so. */
 public final class DiskEnvironment implements Environment {
     private final Volume volume;
-    private final Deque<Runnable> posted = new ArrayDeque<>();
-    public final Deque<Runnable> disk = new ArrayDeque<>();
-    public final List<String> log = new ArrayList<>();
+    private final Deque<Runnable> reactorTasks = new ArrayDeque<>();
+    public final Deque<Runnable> diskTasks = new ArrayDeque<>();
+    public final List<String> logLines = new ArrayList<>();
     public long now;
 
     public DiskEnvironment(Volume volume) {
@@ -25,7 +25,7 @@
     }
 
     public Reactor reactor() {
-        return new Reactor(new Ring("store", 10, log::add, () -> now * 1000), this);
+        return new Reactor(new RingBufferLogger("store", 10, logLines::add, () -> now * 1000), this);
     }
 
     @Override
@@ -34,18 +34,18 @@
     }
 
     @Override
-    public long draw() {
+    public long newIncarnationId() {
         return 1;
     }
 
     @Override
     public void execute(Runnable task) {
-        posted.add(task);
+        reactorTasks.add(task);
     }
 
     @Override
-    public Runnable next() {
-        return posted.poll();
+    public Runnable pollTask() {
+        return reactorTasks.poll();
     }
 
     @Override
@@ -54,27 +54,27 @@
     }
 
     @Override
-    public Executor worker(String name, int most) {
-        return disk::add;
+    public Executor newWorker(String name, int most) {
+        return diskTasks::add;
     }
 
     @Override
-    public Line open(InetSocketAddress to, InetSocketAddress local) {
+    public TcpSocket connect(InetSocketAddress to, InetSocketAddress local) {
         throw new UnsupportedOperationException();
     }
 
     @Override
-    public Port listen(InetSocketAddress at, int backlog) {
+    public TcpServerSocket listen(InetSocketAddress at, int backlog) {
         throw new UnsupportedOperationException();
     }
 
     @Override
-    public Post post(InetSocketAddress at) {
+    public UdpSocket bindDatagram(InetSocketAddress at) {
         throw new UnsupportedOperationException();
     }
 
     @Override
-    public void await(long until) {
+    public void awaitReadiness(long until) {
         throw new UnsupportedOperationException();
     }
 
