--- a/src/test/java/reedmux/lab/rules/RuleCheckerTest.java
+++ b/src/test/java/reedmux/simulation/invariants/HistoryCheckerTest.java
@@ -1,4 +1,4 @@
-package reedmux.lab.rules;
+package reedmux.simulation.invariants;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -17,36 +17,36 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import reedmux.lab.rules.RuleChecker.Fault;
-import reedmux.lab.rules.RuleChecker.Figures;
-import reedmux.lab.rules.RuleChecker.Rule;
-import reedmux.lab.rules.RuleChecker.Tolerance;
-import reedmux.lab.sim.RuleScenes;
+import reedmux.simulation.invariants.HistoryChecker.HistoryRule;
+import reedmux.simulation.invariants.HistoryChecker.QuotaTolerance;
+import reedmux.simulation.invariants.HistoryChecker.RuleParameters;
+import reedmux.simulation.invariants.HistoryChecker.Violation;
+import reedmux.simulation.region.InvariantScenarios;
 
 /**
  * Plays the histories in {@code src/test/resources/histories}: of each rule at least one that breaks it and
  * no other, beside a near miss. A file holds several, each under {@code == TITLE : RULE or none}.
  */
-final class RuleCheckerTest {
+public final class HistoryCheckerTest {
     private static final Path FOLDER = Path.of("src/test/resources/histories");
-    private static final Figures FIGURES =
-            new Figures(8_000, 250_000, 4, 1_000_000, 150_000, 4, true, new Tolerance(1, 2_000_000));
+    private static final RuleParameters FIGURES =
+            new RuleParameters(8_000, 250_000, 4, 1_000_000, 150_000, 4, true, new QuotaTolerance(1, 2_000_000));
 
-    record Case(String title, String verdict, List<String> lines) {
+    public record HistoryCase(String title, String verdict, List<String> lines) {
         @Override
         public String toString() {
             return title;
         }
     }
 
-    static List<Case> cases() throws IOException {
-        List<Case> all = new ArrayList<>();
+    static List<HistoryCase> cases() throws IOException {
+        List<HistoryCase> all = new ArrayList<>();
         try (Stream<Path> files = Files.list(FOLDER)) {
             for (Path file : files.sorted().toList()) {
                 for (String line : Files.readAllLines(file)) {
                     if (line.startsWith("== ")) {
                         String[] head = line.substring(3).split(" : ");
-                        all.add(new Case(head[0], head[1], new ArrayList<>()));
+                        all.add(new HistoryCase(head[0], head[1], new ArrayList<>()));
                     } else if (!all.isEmpty()) {
                         all.get(all.size() - 1).lines.add(line);
                     }
@@ -58,28 +58,31 @@
 
     @ParameterizedTest
     @MethodSource("cases")
-    void eachHistoryBreaksTheRuleThatItSays(Case one) {
-        History history = History.check(FIGURES, one.lines);
-        Set<String> broken = history.faults().stream()
+    void eachHistoryBreaksTheRuleThatItSays(HistoryCase one) {
+        HistoryReader history = HistoryReader.check(FIGURES, one.lines);
+        Set<String> broken = history.violations().stream()
                 .map(fault -> fault.rule().name())
                 .collect(Collectors.toCollection(TreeSet::new));
-        assertEquals(one.verdict.equals("none") ? Set.of() : Set.of(one.verdict), broken, history.faults() + "");
-        assertTrue(!history.checker().seen().isEmpty(), "nothing was looked at");
+        assertEquals(one.verdict.equals("none") ? Set.of() : Set.of(one.verdict), broken, history.violations() + "");
+        assertTrue(!history.checker().checks().isEmpty(), "nothing was looked at");
     }
 
     @Test
     void eachRuleIsBrokenOnceAtLeastAndNearlyOnce() throws IOException {
-        Set<Rule> broken = EnumSet.noneOf(Rule.class);
-        Set<Rule> kept = EnumSet.noneOf(Rule.class);
-        for (Case one : cases()) {
+        Set<HistoryRule> broken = EnumSet.noneOf(HistoryRule.class);
+        Set<HistoryRule> kept = EnumSet.noneOf(HistoryRule.class);
+        for (HistoryCase one : cases()) {
             if (one.verdict.equals("none")) {
-                kept.addAll(History.check(FIGURES, one.lines).checker().seen().keySet());
+                kept.addAll(HistoryReader.check(FIGURES, one.lines)
+                        .checker()
+                        .checks()
+                        .keySet());
             } else {
-                broken.add(Rule.valueOf(one.verdict));
+                broken.add(HistoryRule.valueOf(one.verdict));
             }
         }
-        assertEquals(EnumSet.allOf(Rule.class), broken);
-        assertEquals(EnumSet.allOf(Rule.class), kept);
+        assertEquals(EnumSet.allOf(HistoryRule.class), broken);
+        assertEquals(EnumSet.allOf(HistoryRule.class), kept);
     }
 
     @Test
@@ -91,29 +94,29 @@
                 List.of("5 answered nobody served", "end 9"),
                 List.of("end 9", "end 10"),
                 List.of("5 told n0 s1 perhaps", "end 9"))) {
-            assertThrows(IllegalArgumentException.class, () -> History.check(FIGURES, lines), lines + "");
+            assertThrows(IllegalArgumentException.class, () -> HistoryReader.check(FIGURES, lines), lines + "");
         }
     }
 
     /** Seeds that print themselves where a rule is broken; every rule has to have been looked at. */
     @Test
     void drawnHistoriesBreakNoRule() {
-        Set<Rule> seen = EnumSet.noneOf(Rule.class);
+        Set<HistoryRule> seen = EnumSet.noneOf(HistoryRule.class);
         for (long seed = 0; seed < 150; seed++) {
-            RuleScenes.Result result = RuleScenes.storm(seed, 20);
-            assertEquals(List.<Fault>of(), result.faults(), "seed " + seed);
-            seen.addAll(result.seen().keySet());
+            InvariantScenarios.InvariantRun result = InvariantScenarios.storm(seed, 20);
+            assertEquals(List.<Violation>of(), result.violations(), "seed " + seed);
+            seen.addAll(result.checks().keySet());
         }
-        assertEquals(EnumSet.complementOf(EnumSet.of(Rule.AWAY)), seen);
+        assertEquals(EnumSet.complementOf(EnumSet.of(HistoryRule.AWAY)), seen);
     }
 
     /** The same seed gives the same history, and its text read again the same verdict. */
     @Test
     void aSeedReplaysToTheSameHistoryAndItsTextToTheSameVerdict() {
-        RuleScenes.Result one = RuleScenes.storm(7, 10);
-        assertEquals(one.history(), RuleScenes.storm(7, 10).history());
-        History read = History.check(FIGURES, one.history().lines().toList());
-        assertEquals(one.faults(), read.faults());
-        assertEquals(one.seen(), read.checker().seen());
+        InvariantScenarios.InvariantRun one = InvariantScenarios.storm(7, 10);
+        assertEquals(one.history(), InvariantScenarios.storm(7, 10).history());
+        HistoryReader read = HistoryReader.check(FIGURES, one.history().lines().toList());
+        assertEquals(one.violations(), read.violations());
+        assertEquals(one.checks(), read.checker().checks());
     }
 }
--- a/src/test/java/reedmux/lab/ClaimsTest.java
+++ b/src/test/java/reedmux/simulation/scenario/ScenarioChecksTest.java
@@ -1,4 +1,4 @@
-package reedmux.lab;
+package reedmux.simulation.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,23 +7,23 @@
 import org.junit.jupiter.api.Test;
 
 /** A scene's verdict: all claims hold, and there are some. */
-final class ClaimsTest {
+final class ScenarioChecksTest {
     @Test
-    void figuresAloneProveNothing() {
-        Claims claims = new Claims();
-        assertFalse(claims.hold());
-        claims.note("a figure", 7);
-        assertFalse(claims.hold());
-        claims.claim("one that holds", 1, "2", true);
-        assertTrue(claims.hold());
-        claims.claim("one that does not", 3, "2", false);
-        assertFalse(claims.hold());
+    void valuesWithoutABoundPassNothing() {
+        ScenarioChecks claims = new ScenarioChecks();
+        assertFalse(claims.allPassed());
+        claims.record("a figure", 7);
+        assertFalse(claims.allPassed());
+        claims.check("one that holds", 1, "2", true);
+        assertTrue(claims.allPassed());
+        claims.check("one that does not", 3, "2", false);
+        assertFalse(claims.allPassed());
         assertEquals("""
                 | claim | figure | bound | holds |
                 | --- | --- | --- | --- |
                 | a figure | 7 |  |  |
                 | one that holds | 1 | 2 | yes |
                 | one that does not | 3 | 2 | NO |
-                """, claims.table());
+                """, claims.markdownTable());
     }
 }
--- a/src/test/java/reedmux/lab/StandInTest.java
+++ b/src/test/java/reedmux/simulation/standin/StandInServerTest.java
@@ -1,4 +1,4 @@
-package reedmux.lab;
+package reedmux.simulation.standin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,19 +6,19 @@
 import java.net.InetSocketAddress;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import reedmux.lab.ConsumerStandIn.Asked;
-import reedmux.lab.ConsumerStandIn.Told;
-import reedmux.lab.ProviderStandIn.Does;
+import reedmux.simulation.standin.ConsumerStandIn.RequestOutcome;
+import reedmux.simulation.standin.ConsumerStandIn.ScenarioRequest;
+import reedmux.simulation.standin.ProviderStandIn.ProviderStandInBehavior;
 
 /** The stand-ins do what they are told, or nothing that is measured with them would mean anything. */
-final class StandInTest {
+final class StandInServerTest {
 
-    private static Told ask(InetSocketAddress address, String id) throws InterruptedException {
+    private static RequestOutcome send(InetSocketAddress address, String id) throws InterruptedException {
         try (ConsumerStandIn consumer = new ConsumerStandIn(address)) {
-            consumer.ask(new Asked(id, "reject", false, 1, 1, 1_000, 1));
-            assertTrue(consumer.finish());
-            assertEquals(1, consumer.told().size());
-            return consumer.told().get(0);
+            consumer.send(new ScenarioRequest(id, "reject", false, 1, 1, 1_000, 1));
+            assertTrue(consumer.awaitOutcomes());
+            assertEquals(1, consumer.outcomes().size());
+            return consumer.outcomes().get(0);
         }
     }
 
@@ -32,12 +32,12 @@
         "RESETS_AFTER,-1,1",
         "HALF_ANSWERS,-1,1"
     })
-    void aProviderDoesAsItIsTold(Does does, int status, int runs) throws Exception {
+    void providerFollowsItsScript(ProviderStandInBehavior does, int status, int runs) throws Exception {
         try (ProviderStandIn provider = new ProviderStandIn(1, 1, 1)) {
-            provider.script(id -> does);
-            Told told = ask(provider.address(), "00000000000000aa");
+            provider.setScript(id -> does);
+            RequestOutcome told = send(provider.address(), "00000000000000aa");
             assertEquals(status, told.status());
-            assertEquals(status == 200, told.whole());
+            assertEquals(status == 200, told.bodyMatches());
             assertEquals(
                     runs,
                     provider.runs().values().stream().mapToInt(Number::intValue).sum());
@@ -46,11 +46,12 @@
 
     @ParameterizedTest
     @CsvSource({"PASSES,1,true", "BREAKS_BEFORE,0,false", "BREAKS_ANSWERING,1,false"})
-    void aLineDoesAsItIsTold(LinkStandIn.Does does, int runs, boolean answered) throws Exception {
+    void regionLinkFollowsItsScript(RegionLinkStandIn.RegionLinkStandInBehavior does, int runs, boolean answered)
+            throws Exception {
         try (ProviderStandIn provider = new ProviderStandIn(1, 1, 1);
-                LinkStandIn line = new LinkStandIn(provider.address())) {
-            line.script(() -> does);
-            Told told = ask(line.address(), "00000000000000ab");
+                RegionLinkStandIn line = new RegionLinkStandIn(provider.address())) {
+            line.setScript(() -> does);
+            RequestOutcome told = send(line.address(), "00000000000000ab");
             assertEquals(answered, told.status() == 200);
             assertEquals(runs, provider.runs().size());
             assertEquals(1, line.crossings().size());
@@ -59,14 +60,14 @@
 
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void whatHasVanishedRefusesAndComesBackAtItsAddress(boolean back) throws Exception {
+    void downServerRefusesAndComesUpAtItsAddress(boolean back) throws Exception {
         try (ProviderStandIn provider = new ProviderStandIn(1, 1, 1)) {
-            provider.vanish();
+            provider.goDown();
             if (back) {
-                provider.comeBack();
+                provider.comeUp();
             }
             assertEquals(
-                    back ? 200 : 0, ask(provider.address(), "00000000000000ac").status());
+                    back ? 200 : 0, send(provider.address(), "00000000000000ac").status());
         }
     }
 }
--- a/src/test/java/reedmux/item/Orders.java
+++ b/src/test/java/reedmux/testing/ScheduleExplorer.java
@@ -1,4 +1,4 @@
-package reedmux.item;
+package reedmux.testing;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,15 +6,15 @@
 import java.util.function.Consumer;
 
 /** Plays something once for each order of its choices, one by one, until there is none left. */
-public final class Orders {
+public final class ScheduleExplorer {
     private final List<int[]> taken = new ArrayList<>();
     private int at;
     private Random random;
 
-    private Orders() {}
+    private ScheduleExplorer() {}
 
     /** Picks one of {@code many}, another one in each play. */
-    public int pick(int many) {
+    public int choose(int many) {
         if (many == 1) {
             return 0;
         }
@@ -28,8 +28,8 @@
     }
 
     /** Plays all orders, {@code most} at the most, and returns how many there were. */
-    public static int all(int most, Consumer<Orders> play) {
-        Orders orders = new Orders();
+    public static int exploreAll(int most, Consumer<ScheduleExplorer> play) {
+        ScheduleExplorer orders = new ScheduleExplorer();
         for (int plays = 1; ; plays++) {
             orders.at = 0;
             play.accept(orders);
@@ -44,11 +44,11 @@
         }
     }
 
-    /** Plays as {@link #all}, and where there are more orders than that, so many drawn ones, too. */
-    public static int allOrDrawn(int most, Consumer<Orders> play) {
-        int plays = all(most, play);
+    /** Plays as {@link #exploreAll}, and where there are more orders than that, so many drawn ones, too. */
+    public static int exploreAllOrSample(int most, Consumer<ScheduleExplorer> play) {
+        int plays = exploreAll(most, play);
         for (int i = 0; plays >= most && i < most; i++) {
-            Orders orders = new Orders();
+            ScheduleExplorer orders = new ScheduleExplorer();
             orders.random = new Random(i);
             play.accept(orders);
         }
