--- a/src/main/java/reedmux/control/rpc/RpcConnection.java
+++ b/src/main/java/reedmux/control/rpc/RpcConnection.java
@@ -10,7 +10,8 @@
 
 /**
  * A connection between two of the system's own processes: frames of a length and a message. Each side says
- * something at least each {@link #KEEP_ALIVE_INTERVAL_MICROS}, and one that is silent for {@link #RECEIVE_TIMEOUT_MICROS} is given up.
+ * something at least each {@link #KEEP_ALIVE_INTERVAL_MICROS}, and one that is silent for
+ * {@link #RECEIVE_TIMEOUT_MICROS} is given up.
  */
 public final class RpcConnection implements Connection.ConnectionHandler {
     static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
--- a/src/main/java/reedmux/gatekeeper/policy/PeerPacket.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerPacket.java
@@ -13,7 +13,8 @@
 
 /**
  * The bytes of one message between gateways. {@code number} counts the sender's packets on this edge;
- * {@code acknowledgedNumber} and {@code acceptedBits} acknowledge the other direction: bit i tells whether highest - i was
+ * {@code acknowledgedNumber} and {@code acceptedBits} acknowledge the other direction: bit i tells whether highest -
+ * i was
  * taken in. {@code syncIntervalMillis} is the time in milliseconds that the sender wants between packets to it, and
  * {@code members} is what it learnt of members.
  */
--- a/src/main/java/reedmux/gatekeeper/service/ServiceManager.java
+++ b/src/main/java/reedmux/gatekeeper/service/ServiceManager.java
@@ -27,7 +27,8 @@
 /**
  * The pools of one gatekeeper on their one thread. With one pool its events are taken in the order of their
  * coming and nothing is counted; with several each event waits in its pool's queue, from which
- * {@link DeficitRoundRobinQueue} takes, and {@link AdmissionControl} says what is let in. Other threads post events and reload;
+ * {@link DeficitRoundRobinQueue} takes, and {@link AdmissionControl} says what is let in. Other threads post events
+ * and reload;
  * all else is the turns' thread's.
  */
 public final class ServiceManager implements GatekeeperLoop.LoopTasks, AutoCloseable {
