--- a/src/main/java/reedmux/gatekeeper/http/RequestFrontend.java
+++ b/src/main/java/reedmux/gatekeeper/http/RequestFrontend.java
@@ -17,7 +17,9 @@
     /** Microseconds of the program's clock. */
     long now();
 
-    /** Most bytes of a request's body; what is over {@link HttpTransport#MAX_BUFFERED_BODY_BYTES} is read as it comes. */
+    /**
+     * Maximum size of a request's body; what exceeds {@link HttpTransport#MAX_BUFFERED_BODY_BYTES} is streamed.
+     */
     default long maxBodyBytes() {
         return HttpTransport.MAX_STREAMED_BODY_BYTES;
     }
