--- a/src/main/java/reedmux/common/eventloop/Connection.java
+++ b/src/main/java/reedmux/common/eventloop/Connection.java
@@ -3,32 +3,45 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.Arrays;
 import java.util.Deque;
 
 /**
- * A TCP connection of a {@link Reactor}: what has come in and is not used yet, and what waits to go out.
- * For the reactor's thread alone.
+ * A TCP connection of a {@link Reactor} with an input buffer and an output queue. Input stays in the buffer until the
+ * handler consumes it; output that the kernel does not take is queued without a bound, so a handler that forwards data
+ * watches {@link #queuedBytes} and pauses its source. For the reactor's thread only.
+ *
+ * <p>States: connecting, connected, closed. The input may end earlier than the connection, as the peer may have shut
+ * down its output only ({@link #isInputEnded}).
  */
 public final class Connection implements Environment.ReadinessHandler {
     private static final byte[] EMPTY = {};
     private static final int MIN_BUFFER_BYTES = 1024;
+    /** An empty buffer beyond this is given back, as most connections are idle most of the time. */
+    private static final int MAX_IDLE_BUFFER_BYTES = 4 * MIN_BUFFER_BYTES;
+    /** The buffer doubles up to this step, so that a long body does not reserve twice its size. */
+    private static final int MAX_GROWTH_BYTES = 64 * 1024;
 
-    /** Whom a connection's events are told. */
+    /** Receives a connection's events, on the reactor's thread. */
     public interface ConnectionHandler {
 
-        /** It is up. */
+        /** The connection that was opened here is established. */
         default void onConnected() {}
 
-        /** More has come in, or the other side has ended it. */
+        /**
+         * Input has arrived, or the peer has ended it ({@link #isInputEnded}).
+         *
+         * @throws IOException if the connection cannot go on; it is closed and {@link #onClosed} called
+         */
         void onInput() throws IOException;
 
-        /** All that waited has gone out. */
+        /** The kernel has taken all queued output. */
         default void onFlushed() throws IOException {}
 
-        /** It is gone, and not by our {@link #close()}; told once. */
-        void onClosed(String why);
+        /** The connection has failed or could not be established; called once, and not after {@link #close()}. */
+        void onClosed(String reason);
     }
 
     private final Reactor reactor;
@@ -45,31 +58,36 @@
     private long queuedBytes;
     private long sentBytes;
 
-    private Connection(Reactor reactor, Environment.TcpSocket line) {
+    private Connection(Reactor reactor, Environment.TcpSocket socket) {
         this.reactor = reactor;
-        this.socket = line;
+        this.socket = socket;
     }
 
-    /** One that has been accepted. */
-    static Connection ofAccepted(Reactor reactor, Environment.TcpSocket line) throws IOException {
-        Connection wire = new Connection(reactor, line);
-        wire.connected = true;
-        line.setHandler(reactor.guarded(wire));
-        return wire;
+    /** A connection that was accepted; the caller sets its handler. */
+    static Connection ofAccepted(Reactor reactor, Environment.TcpSocket socket) throws IOException {
+        Connection connection = new Connection(reactor, socket);
+        connection.connected = true;
+        socket.setHandler(reactor.guard(connection));
+        return connection;
     }
 
-    /** Opens one; {@code owner} hears when it is up, or that it has not come up. */
+    /**
+     * Opens a connection. The handler is told in a later turn that it is established or has failed.
+     *
+     * @param local the address to bind, or null for any
+     * @throws IOException if it fails at once, for instance without a descriptor
+     */
     public static Connection connect(
-            Reactor reactor, InetSocketAddress to, InetSocketAddress local, ConnectionHandler owner)
+            Reactor reactor, InetSocketAddress to, InetSocketAddress local, ConnectionHandler handler)
             throws IOException {
-        Environment.TcpSocket line = reactor.environment().connect(to, local);
-        Connection wire = new Connection(reactor, line);
-        wire.handler = owner;
-        line.setHandler(reactor.guarded(wire));
-        if (line.isConnectedAtOnce()) {
-            reactor.execute(wire::markConnected);
+        Environment.TcpSocket socket = reactor.environment().connect(to, local);
+        Connection connection = new Connection(reactor, socket);
+        connection.handler = handler;
+        socket.setHandler(reactor.guard(connection));
+        if (socket.isConnectedAtOnce()) {
+            reactor.execute(connection::markConnected);
         }
-        return wire;
+        return connection;
     }
 
     private void markConnected() {
@@ -80,19 +98,22 @@
         }
     }
 
-    public void setHandler(ConnectionHandler told) {
-        handler = told;
+    /** Sets who receives the events from now on. */
+    public void setHandler(ConnectionHandler newHandler) {
+        handler = newHandler;
     }
 
-    /** Who is at the other end, for people to read. */
+    /** The peer's address for log lines. */
     public String remoteAddress() {
         return socket.remoteAddress();
     }
 
+    /** Whether it is connecting or connected. */
     public boolean isOpen() {
         return !closed;
     }
 
+    /** Whether it is established and not closed. */
     public boolean isConnected() {
         return connected && !closed;
     }
@@ -119,103 +140,109 @@
     }
 
     private void read() throws IOException {
-        ByteBuffer chunk = reactor.readBuffer.clear();
-        int some = socket.read(chunk);
-        if (some < 0) {
+        ByteBuffer readBuffer = reactor.readBuffer.clear();
+        int count = socket.read(readBuffer);
+        if (count < 0) {
             inputEnded = true;
             updateInterest();
-        } else if (some > 0) {
-            ensureCapacity(some);
-            chunk.flip().get(inputBuffer, inputEnd, some);
-            inputEnd += some;
+        } else if (count > 0) {
+            ensureCapacity(count);
+            readBuffer.flip().get(inputBuffer, inputEnd, count);
+            inputEnd += count;
         }
-        if (some != 0) {
+        if (count != 0) {
             handler.onInput();
             releaseIfEmpty();
         }
     }
 
     /**
-     * Whether nothing has come in that nobody asked for, and it has not been ended: looked up at the
-     * socket, as the reactor may not have been round yet.
+     * Whether the connection may carry another request: it is open and has no unsolicited input. Reads the socket, as
+     * the selector may not have reported what has arrived; whatever arrived makes the connection unusable, so it is not
+     * kept.
      */
     public boolean isQuiescent() {
         if (closed || inputEnded || available() > 0) {
             return false;
         }
         try {
-            ByteBuffer chunk = reactor.readBuffer.clear();
-            return socket.read(chunk) == 0;
+            return socket.read(reactor.readBuffer.clear()) == 0;
         } catch (IOException e) {
             return false;
         }
     }
 
-    private void ensureCapacity(int some) {
-        if (inputBuffer.length - inputEnd >= some) {
+    /** Makes room for so many bytes behind {@link #inputEnd}, by moving the content to the front or to a new array. */
+    private void ensureCapacity(int count) {
+        if (inputBuffer.length - inputEnd >= count) {
             return;
         }
-        int held = inputEnd - inputStart;
-        byte[] next = held + some <= inputBuffer.length
-                ? inputBuffer
-                : new byte
-                        [Math.max(
-                                MIN_BUFFER_BYTES,
-                                Math.max(held + some, Math.min(2 * inputBuffer.length, inputBuffer.length + 65_536)))];
-        System.arraycopy(inputBuffer, inputStart, next, 0, held);
-        inputBuffer = next;
+        int unread = inputEnd - inputStart;
+        byte[] target = inputBuffer;
+        if (unread + count > inputBuffer.length) {
+            int grown = Math.min(2 * inputBuffer.length, inputBuffer.length + MAX_GROWTH_BYTES);
+            target = new byte[Math.max(MIN_BUFFER_BYTES, Math.max(unread + count, grown))];
+        }
+        System.arraycopy(inputBuffer, inputStart, target, 0, unread);
+        inputBuffer = target;
         inputStart = 0;
-        inputEnd = held;
+        inputEnd = unread;
     }
 
     private void releaseIfEmpty() {
         if (inputStart == inputEnd) {
             inputStart = 0;
             inputEnd = 0;
-            if (inputBuffer.length > 4 * MIN_BUFFER_BYTES) {
+            if (inputBuffer.length > MAX_IDLE_BUFFER_BYTES) {
                 inputBuffer = EMPTY;
             }
         }
     }
 
-    // ---- What has come in --------------------------------------------------------------------------
+    // ---- Input -------------------------------------------------------------------------------------
+    /** Bytes of input that are not consumed yet. */
     public int available() {
         return inputEnd - inputStart;
     }
 
-    /** A byte that has come in, counted from the first that is not used yet. */
+    /** The byte at an offset into the {@link #available} input; does not consume it. */
     public byte peek(int offset) {
         return inputBuffer[inputStart + offset];
     }
 
-    public void skip(int many) {
-        inputStart += many;
+    /** Consumes so many bytes of the {@link #available} input. */
+    public void skip(int count) {
+        inputStart += count;
         releaseIfEmpty();
     }
 
-    /** Takes bytes away from what has come in. */
-    public byte[] readBytes(int many) {
-        byte[] taken = Arrays.copyOfRange(inputBuffer, inputStart, inputStart + many);
-        skip(many);
-        return taken;
+    /** Consumes and returns so many bytes of the {@link #available} input. */
+    public byte[] readBytes(int count) {
+        byte[] bytes = Arrays.copyOfRange(inputBuffer, inputStart, inputStart + count);
+        skip(count);
+        return bytes;
     }
 
-    /** A part of what has come in, one character a byte. */
+    /** A part of the {@link #available} input as ISO 8859-1, one character a byte; does not consume it. */
     public String peekText(int offset, int length) {
-        return new String(inputBuffer, inputStart + offset, length, java.nio.charset.StandardCharsets.ISO_8859_1);
+        return new String(inputBuffer, inputStart + offset, length, StandardCharsets.ISO_8859_1);
     }
 
-    /** Whether the other side will send no more than {@link #available()}. */
+    /** Whether the peer will send no more than what is {@link #available}. */
     public boolean isInputEnded() {
         return inputEnded;
     }
 
-    // ---- What goes out -----------------------------------------------------------------------------
+    // ---- Output ------------------------------------------------------------------------------------
+    /** Sends an array, which must not be changed afterwards; see {@link #write(ByteBuffer)}. */
     public void write(byte[] bytes) {
         write(ByteBuffer.wrap(bytes));
     }
 
-    /** Sends, now or as soon as the other side takes it; a failure is told to the owner in a later turn. */
+    /**
+     * Sends a buffer, now or once the kernel takes it. The buffer is not copied. A failure reaches the handler's
+     * {@code onClosed} in a later turn; on a closed connection the bytes are dropped.
+     */
     public void write(ByteBuffer bytes) {
         if (closed) {
             return;
@@ -234,9 +261,9 @@
     private void flush() throws IOException {
         while (!outputQueue.isEmpty()) {
             ByteBuffer first = outputQueue.peek();
-            int some = socket.write(first);
-            sentBytes += some;
-            queuedBytes -= some;
+            int count = socket.write(first);
+            sentBytes += count;
+            queuedBytes -= count;
             if (first.hasRemaining()) {
                 break;
             }
@@ -245,19 +272,19 @@
         updateInterest();
     }
 
-    /** Bytes that the kernel has taken. */
+    /** Bytes that the kernel has taken since the connection was opened. */
     public long sentBytes() {
         return sentBytes;
     }
 
-    /** Bytes that it has not taken yet. */
+    /** Bytes that were written and the kernel has not taken yet. */
     public long queuedBytes() {
         return queuedBytes;
     }
 
-    /** Stops reading, so that the other side is held up, or goes on. */
-    public void setReadPaused(boolean pause) {
-        readPaused = pause;
+    /** Pauses or resumes reading; while it is paused, TCP's flow control slows the peer down. */
+    public void setReadPaused(boolean paused) {
+        readPaused = paused;
         updateInterest();
     }
 
@@ -267,8 +294,8 @@
         }
     }
 
-    // ---- The end -----------------------------------------------------------------------------------
-    /** Ends it from here; its owner hears nothing. */
+    // ---- Closing -----------------------------------------------------------------------------------
+    /** Closes both directions and drops what is queued; the handler is not called any more. */
     public void close() {
         if (!closed) {
             closed = true;
@@ -279,12 +306,12 @@
             try {
                 socket.close();
             } catch (IOException e) {
-                // it is gone either way
+                // closed either way
             }
         }
     }
 
-    /** No more goes out from here, and what comes in is still read; the other side sees the end. */
+    /** Ends the output; the input stays open, and the peer reads the end of the stream. */
     public void shutdownOutput() {
         try {
             socket.shutdownOutput();
--- a/src/main/java/reedmux/common/eventloop/NioEnvironment.java
+++ b/src/main/java/reedmux/common/eventloop/NioEnvironment.java
@@ -22,15 +22,21 @@
 import reedmux.common.disk.Volume;
 import reedmux.common.time.MonotonicClock;
 
-/** The machine's own sockets, files and clock. */
+/**
+ * The operating system's sockets, files and clock, on one {@link Selector}. A worker's tasks run on its own daemon
+ * thread; everything else runs on the reactor's.
+ */
 public final class NioEnvironment implements Environment {
+    /** A peer without power or path is given up after 2 + 3 * 1 seconds of silence. */
     private static final int KEEPALIVE_IDLE_SECONDS = 2;
+
     private static final int KEEPALIVE_INTERVAL_SECONDS = 1;
     private static final int KEEPALIVE_PROBES = 3;
     private final MonotonicClock clock = new MonotonicClock();
     private final Selector selector;
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
 
+    /** Opens the selector. */
     public NioEnvironment() throws IOException {
         selector = Selector.open();
     }
@@ -58,13 +64,13 @@
 
     @Override
     public void awaitReadiness(long until) throws IOException {
-        long wait = until - clock.now();
-        if (!tasks.isEmpty() || wait <= 0) {
+        long waitMicros = until - clock.now();
+        if (!tasks.isEmpty() || waitMicros <= 0) {
             selector.selectNow(NioEnvironment::dispatch);
         } else if (until == Long.MAX_VALUE) {
             selector.select(NioEnvironment::dispatch);
         } else {
-            selector.select(NioEnvironment::dispatch, (wait + 999) / 1000);
+            selector.select(NioEnvironment::dispatch, (waitMicros + 999) / 1000);
         }
     }
 
@@ -93,8 +99,8 @@
     }
 
     @Override
-    public Executor newWorker(String name, int most) {
-        return new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new LinkedBlockingQueue<>(most), task -> {
+    public Executor newWorker(String name, int capacity) {
+        return new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new LinkedBlockingQueue<>(capacity), task -> {
             Thread thread = new Thread(task, name);
             thread.setDaemon(true);
             return thread;
@@ -147,9 +153,9 @@
         private boolean connected;
         private SelectionKey key;
 
-        private NioTcpSocket(SocketChannel channel, boolean up) {
+        private NioTcpSocket(SocketChannel channel, boolean connected) {
             this.channel = channel;
-            this.connected = up;
+            this.connected = connected;
         }
 
         @Override
@@ -229,7 +235,7 @@
             try {
                 accepted.setOption(StandardSocketOptions.TCP_NODELAY, true);
             } catch (IOException e) {
-                // gone before its turn, which its first read tells
+                // reset by the peer already: the first read fails
             }
             return new NioTcpSocket(accepted, true);
         }
--- a/src/main/java/reedmux/common/eventloop/Reactor.java
+++ b/src/main/java/reedmux/common/eventloop/Reactor.java
@@ -11,26 +11,32 @@
 import reedmux.common.logging.RingBufferLogger;
 
 /**
- * One thread's sockets and timers. All that it calls runs on the thread of {@link #run()}, and only
- * {@link #execute} may be called from others. Times are microseconds of the monotonic clock.
+ * An event loop: one thread that serves sockets, timers and tasks. Every handler, timer and task runs on the thread of
+ * {@link #run()}, so the state behind them needs no locks; of this class only {@link #execute} and {@link #stop} may be
+ * called from other threads. An exception that escapes a callback is logged and ends nothing but that callback.
+ *
+ * <p>Times are microseconds of the environment's monotonic clock, read once for each turn and socket event.
  */
 public final class Reactor implements Executor {
     private static final int READ_BUFFER_BYTES = 64 * 1024;
+    /** Between two warnings of one kind in the log; those in between are kept in the ring buffer only. */
     private static final long WARNING_INTERVAL_MICROS = 30_000_000;
+    /** Kinds may hold text from peers, so their number is bounded; further ones go to the ring buffer only. */
     private static final int MAX_WARNING_KINDS = 200;
 
-    /** Something to be done at a time. */
+    /** A task that runs at a time unless it is cancelled; ordered by time, then by when it was scheduled. */
     public static final class ScheduledTask implements Comparable<ScheduledTask> {
         private final long dueAt;
         private final long sequence;
         private Runnable task;
 
-        private ScheduledTask(long at, long number, Runnable task) {
-            this.dueAt = at;
-            this.sequence = number;
+        private ScheduledTask(long dueAt, long sequence, Runnable task) {
+            this.dueAt = dueAt;
+            this.sequence = sequence;
             this.task = task;
         }
 
+        /** Drops the task; without effect once it has run. */
         public void cancel() {
             task = null;
         }
@@ -44,21 +50,23 @@
     private final Environment environment;
     private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>();
     private final RingBufferLogger logger;
+    /** Shared by all sockets of this thread; its content is copied out before the next read. */
     final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
-    /** When what was complained of last. */
+    /** By kind of warning, in microseconds. */
     private final Map<String, Long> lastWarningAt = new HashMap<>();
 
     private long now;
     private long nextTaskSequence;
     private volatile boolean stopped;
 
-    /** One on the machine's own sockets. */
-    public Reactor(RingBufferLogger log) throws IOException {
-        this(log, new NioEnvironment());
+    /** A reactor on the operating system's sockets, files and clock. */
+    public Reactor(RingBufferLogger logger) throws IOException {
+        this(logger, new NioEnvironment());
     }
 
-    public Reactor(RingBufferLogger log, Environment environment) {
-        this.logger = log;
+    /** A reactor in an environment of its own, as tests and the simulation have it. */
+    public Reactor(RingBufferLogger logger, Environment environment) {
+        this.logger = logger;
         this.environment = environment;
         now = environment.now();
     }
@@ -67,52 +75,57 @@
         return environment;
     }
 
-    /** A number that tells one life of a process from another. */
+    /** A number that tells one incarnation of a process from another. */
     public long newIncarnationId() {
         return environment.newIncarnationId();
     }
 
-    /** A folder on this process's disk. */
+    /** The files below a directory; see {@link Environment#volume}. */
     public Volume volume(Path folder) {
         return environment.volume(folder);
     }
 
-    /** A thread of its own, for what waits for a disk; see {@link Environment#newWorker}. */
-    public Executor newWorker(String name, int most) {
-        return environment.newWorker(name, most);
+    /** A thread of its own for tasks that block on a disk; see {@link Environment#newWorker}. */
+    public Executor newWorker(String name, int capacity) {
+        return environment.newWorker(name, capacity);
     }
 
-    /** The time of this turn. */
+    /** The time of the current turn or socket event, in microseconds; it does not advance within one. */
     public long now() {
         return now;
     }
 
-    /** Has something done on the reactor's thread; from any thread. */
+    /** Runs a task in a later turn; may be called from any thread. */
     @Override
     public void execute(Runnable task) {
         environment.execute(task);
     }
 
-    public ScheduledTask scheduleAt(long when, Runnable task) {
-        ScheduledTask timer = new ScheduledTask(when, nextTaskSequence++, task);
-        timers.add(timer);
-        return timer;
+    /** Runs a task at a time, in microseconds of {@link #now()}; one in the past runs in the next turn. */
+    public ScheduledTask scheduleAt(long dueAt, Runnable task) {
+        ScheduledTask scheduled = new ScheduledTask(dueAt, nextTaskSequence++, task);
+        timers.add(scheduled);
+        return scheduled;
     }
 
-    public ScheduledTask scheduleAfter(long delay, Runnable task) {
-        return scheduleAt(now + delay, task);
+    /** Runs a task after a delay in microseconds. */
+    public ScheduledTask scheduleAfter(long delayMicros, Runnable task) {
+        return scheduleAt(now + delayMicros, task);
     }
 
-    /** Does something now and then, as long as the reactor runs. */
-    public void scheduleEvery(long pace, Runnable task) {
-        scheduleAfter(pace, () -> {
-            scheduleEvery(pace, task);
+    /**
+     * Runs a task again and again until the reactor stops. The interval, in microseconds, counts from the turn of the
+     * run before; a turn that was late is not made up for.
+     */
+    public void scheduleEvery(long intervalMicros, Runnable task) {
+        scheduleAfter(intervalMicros, () -> {
+            scheduleEvery(intervalMicros, task);
             task.run();
         });
     }
 
-    /** One that hears in turns of this reactor, and whose failures end nobody else. */
-    Environment.ReadinessHandler guarded(Environment.ReadinessHandler handler) {
+    /** Wraps a handler so that it sees the current time and its exceptions reach {@code onFailure} only. */
+    Environment.ReadinessHandler guard(Environment.ReadinessHandler handler) {
         return new Environment.ReadinessHandler() {
             @Override
             public void onReady(boolean readable, boolean writable) {
@@ -129,22 +142,25 @@
 
             @Override
             public void onFailure(Exception cause) {
-                guarded(() -> handler.onFailure(cause));
+                runGuarded(() -> handler.onFailure(cause));
             }
         };
     }
 
-    /** Writes a line for operators. */
+    /** Logs a line for operators. */
     public void info(String line) {
         logger.info(line);
     }
 
-    /** Keeps a line for the case that something goes wrong. */
+    /** Keeps a line in the ring buffer; it is written only if an error follows. */
     public void debug(String line) {
         logger.debug(line);
     }
 
-    /** Writes a line on what others do, of the same kind at most one in a while: they may do it often. */
+    /**
+     * Logs a line about a peer's behaviour, at most one of a kind each {@value #WARNING_INTERVAL_MICROS} microseconds, as
+     * a peer may repeat it at will. The others go to the ring buffer.
+     */
     public void warnRateLimited(String kind, String line) {
         Long before = lastWarningAt.get(kind);
         if (before == null && lastWarningAt.size() >= MAX_WARNING_KINDS) {
@@ -157,22 +173,23 @@
         }
     }
 
-    /** Something has gone wrong: writes a line, and what was noted before. */
+    /** Logs an error, preceded by the lines of the ring buffer. */
     public void error(String line) {
         logger.error(line);
     }
 
-    /** Ends {@link #run()} after this turn. */
+    /** Ends {@link #run()} after the current turn; may be called from any thread. */
     public void stop() {
         stopped = true;
-        environment.execute(() -> {});
+        environment.execute(() -> {}); // wakes it up
     }
 
+    /** Whether {@link #stop()} was called. */
     public boolean isStopped() {
         return stopped;
     }
 
-    /** Runs turns until {@link #stop()}. */
+    /** Serves events on the calling thread until {@link #stop()}, then closes all sockets. */
     public void run() throws IOException {
         long next = runOnce();
         while (!stopped) {
@@ -182,22 +199,26 @@
         environment.close();
     }
 
-    /** One turn: what others gave us, and what is due; returns when something is due again. */
+    /**
+     * One turn: runs the tasks of {@link #execute} and the timers that are due.
+     *
+     * @return when the next timer is due, or {@link Long#MAX_VALUE} if there is none
+     */
     public long runOnce() {
         now = environment.now();
         for (Runnable task = environment.pollTask(); task != null; task = environment.pollTask()) {
-            guarded(task);
+            runGuarded(task);
         }
         while (!timers.isEmpty() && timers.peek().dueAt <= now) {
             Runnable task = timers.poll().task;
             if (task != null) {
-                guarded(task);
+                runGuarded(task);
             }
         }
         return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueAt;
     }
 
-    private void guarded(Runnable task) {
+    private void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
--- a/src/main/java/reedmux/common/eventloop/StackTraces.java
+++ b/src/main/java/reedmux/common/eventloop/StackTraces.java
@@ -3,10 +3,11 @@
 import java.io.PrintWriter;
 import java.io.StringWriter;
 
-/** Failures that should not be, in words for the log. */
+/** Formats unexpected exceptions for the log. */
 public final class StackTraces {
     private StackTraces() {}
 
+    /** The stack trace as lines, without a line end behind the last. */
     public static String format(Throwable failure) {
         StringWriter text = new StringWriter();
         failure.printStackTrace(new PrintWriter(text));
--- a/src/main/java/reedmux/common/eventloop/TcpListener.java
+++ b/src/main/java/reedmux/common/eventloop/TcpListener.java
@@ -4,23 +4,36 @@
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 
-/** Takes in connections at an address, as long as there is room for them. */
+/**
+ * Accepts connections at an address. When the process has no file descriptor left it pauses accepting, so that the
+ * connections it has are served on and the new ones wait in the backlog. For the reactor's thread.
+ */
 public final class TcpListener implements Environment.ReadinessHandler {
     private static final int BACKLOG = 512;
+    /** Bounds one turn, so that a burst of connections does not delay timers. */
     private static final int MAX_ACCEPTS_PER_TURN = 64;
+    /** Before accepting is tried again without a descriptor left. */
     private static final long ACCEPT_PAUSE_MICROS = 50_000;
+
     private final Reactor reactor;
     private final Environment.TcpServerSocket socket;
     private final Consumer<Connection> acceptedHandler;
 
-    public TcpListener(Reactor reactor, InetSocketAddress address, Consumer<Connection> taken) throws IOException {
+    /**
+     * Listens at an address.
+     *
+     * @param acceptedHandler receives each connection and sets its handler before it returns
+     * @throws IOException if the address cannot be bound
+     */
+    public TcpListener(Reactor reactor, InetSocketAddress address, Consumer<Connection> acceptedHandler)
+            throws IOException {
         this.reactor = reactor;
-        this.acceptedHandler = taken;
+        this.acceptedHandler = acceptedHandler;
         socket = reactor.environment().listen(address, BACKLOG);
-        socket.setHandler(reactor.guarded(this));
+        socket.setHandler(reactor.guard(this));
     }
 
-    /** Where it listens. */
+    /** The address that is bound, with the port that was chosen for port 0. */
     public InetSocketAddress address() throws IOException {
         return socket.localAddress();
     }
@@ -31,7 +44,7 @@
             Environment.TcpSocket accepted;
             try {
                 accepted = socket.accept();
-            } catch (IOException e) { // no descriptor left: those that are open go on
+            } catch (IOException e) { // no descriptor left
                 reactor.info("cannot accept: " + e.getMessage());
                 pauseAccepting();
                 return;
@@ -41,7 +54,7 @@
             }
             try {
                 acceptedHandler.accept(Connection.ofAccepted(reactor, accepted));
-            } catch (IOException e) { // gone before its turn
+            } catch (IOException e) { // reset by the peer before it was accepted
                 accepted.close();
             }
         }
@@ -52,6 +65,7 @@
         reactor.scheduleAfter(ACCEPT_PAUSE_MICROS, () -> socket.setAcceptEnabled(true));
     }
 
+    /** Stops listening; accepted connections stay open. */
     public void close() {
         try {
             socket.close();
--- a/src/main/java/reedmux/common/eventloop/UdpEndpoint.java
+++ b/src/main/java/reedmux/common/eventloop/UdpEndpoint.java
@@ -5,39 +5,45 @@
 import java.nio.ByteBuffer;
 import java.util.function.BiConsumer;
 
-/** Datagrams at one address. */
+/** Sends and receives datagrams at one address. For the reactor's thread. */
 public final class UdpEndpoint implements Environment.ReadinessHandler {
     private final Reactor reactor;
     private final Environment.UdpSocket socket;
     private final BiConsumer<InetSocketAddress, byte[]> receiver;
 
-    public UdpEndpoint(Reactor reactor, InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> taken)
+    /**
+     * Binds an address.
+     *
+     * @param receiver receives each datagram with its sender
+     * @throws IOException if the address cannot be bound
+     */
+    public UdpEndpoint(Reactor reactor, InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> receiver)
             throws IOException {
         this.reactor = reactor;
-        this.receiver = taken;
+        this.receiver = receiver;
         socket = reactor.environment().bindDatagram(address);
-        socket.setHandler(reactor.guarded(this));
+        socket.setHandler(reactor.guard(this));
     }
 
-    /** Sends one, or loses it where there is no room. */
+    /** Sends a datagram; one that the kernel does not take is dropped without an error. */
     public void send(InetSocketAddress to, byte[] bytes) {
         try {
             socket.send(to, ByteBuffer.wrap(bytes));
         } catch (IOException e) {
-            // lost, as datagrams may be
+            // dropped: senders expect loss and send again
         }
     }
 
     @Override
     public void onReady(boolean readable, boolean writable) throws IOException {
         while (true) {
-            ByteBuffer chunk = reactor.readBuffer.clear();
-            InetSocketAddress from = socket.receive(chunk);
+            ByteBuffer buffer = reactor.readBuffer.clear();
+            InetSocketAddress from = socket.receive(buffer);
             if (from == null) {
                 return;
             }
-            byte[] bytes = new byte[chunk.flip().remaining()];
-            chunk.get(bytes);
+            byte[] bytes = new byte[buffer.flip().remaining()];
+            buffer.get(bytes);
             receiver.accept(from, bytes);
         }
     }
--- a/src/main/java/reedmux/common/http1/HostName.java
+++ b/src/main/java/reedmux/common/http1/HostName.java
@@ -1,13 +1,13 @@
 package reedmux.common.http1;
 
 /**
- * Reads an authority as RFC 9110, section 7.2, and RFC 3986, section 3.2.2, have it, and more strictly where
- * two readers might differ: a name of letters, digits, {@code -}, {@code _} and dots, an IPv4 address, or an
- * IPv6 address in brackets, each with a port or without. Userinfo, percent signs, empty labels and
- * characters beyond ASCII are refused. Allocates nothing.
+ * Parses an authority as RFC 9110, section 7.2, and RFC 3986, section 3.2.2, define it, and more strictly where two
+ * readers might differ. Accepted are a name of letters, digits, {@code -}, {@code _} and dots, an IPv4 address, and an
+ * IPv6 address in brackets, each with or without a port. Userinfo, percent-encoding, empty labels and characters beyond
+ * ASCII are rejected. Allocates nothing.
  */
 public final class HostName {
-    /** The result for what is no host, or might be read as two. */
+    /** The result for a text that is no host. */
     public static final int INVALID = -1;
 
     private static final int MAX_NAME_LENGTH = 255;
@@ -18,11 +18,12 @@
     private HostName() {}
 
     /**
-     * Where the host ends in {@code authority}, without port and without the dot of a name's root, or
-     * {@link #INVALID}. The host begins at {@code from} and is compared without regard to case.
+     * The end of the host in {@code authority}, without its port and without the final dot of a fully qualified name.
+     * Hosts are compared without regard to case.
      *
      * @param from where the authority begins
      * @param to   where it ends
+     * @return the position behind the host, or {@link #INVALID}
      */
     public static int hostEnd(String authority, int from, int to) {
         if (from >= to || to - from > MAX_NAME_LENGTH + 1 + MAX_PORT_DIGITS) {
@@ -71,7 +72,7 @@
             }
             colons += c == ':' ? 1 : 0;
             if (c != ':' && c != '.' && !isHex(c)) {
-                return INVALID; // zones and future forms have no place here
+                return INVALID; // zone identifiers and IPvFuture are rejected
             }
         }
         return INVALID;
--- a/src/main/java/reedmux/common/http1/Http1BodyReader.java
+++ b/src/main/java/reedmux/common/http1/Http1BodyReader.java
@@ -2,16 +2,21 @@
 
 import reedmux.common.eventloop.Connection;
 
-/** Takes one message's body from a connection, as its head says where it ends. */
+/**
+ * Reads one message's body from a connection, framed by its head: a length, or chunks (RFC 9112, sections 6 and 7.1).
+ * The states of a chunked body: chunk size, data, chunk end, and so on, then trailers. Trailers are checked and dropped.
+ * For the reactor's thread.
+ */
 public final class Http1BodyReader {
     private static final int MAX_LINE_BYTES = 1024;
     private static final int MAX_TRAILERS = 32;
     private static final int BAD_REQUEST = 400;
-    /** Most bytes taken at once. */
+    /** Bounds the arrays handed to the sink. */
     private static final int MAX_READ_BYTES = 64 * 1024;
 
-    /** Where the bytes go. */
+    /** Receives a body's bytes in order. */
     public interface BodySink {
+        /** The next bytes of the body; the array belongs to the sink. */
         void onBytes(byte[] bytes);
     }
 
@@ -23,7 +28,7 @@
         COMPLETE
     }
 
-    /** The length that the head told, or -1 where it comes in chunks. */
+    /** The Content-Length, or -1 for a chunked body. */
     private final long declaredLength;
 
     private BodyState state;
@@ -31,68 +36,87 @@
     private int trailers;
     private long bytesRead;
 
-    private Http1BodyReader(long length) {
-        this.declaredLength = length;
-        remaining = Math.max(0, length);
-        state = length < 0 ? BodyState.CHUNK_SIZE : length == 0 ? BodyState.COMPLETE : BodyState.DATA;
+    private Http1BodyReader(long declaredLength) {
+        this.declaredLength = declaredLength;
+        remaining = Math.max(0, declaredLength);
+        if (declaredLength < 0) {
+            state = BodyState.CHUNK_SIZE;
+        } else {
+            state = declaredLength == 0 ? BodyState.COMPLETE : BodyState.DATA;
+        }
     }
 
+    /** A reader for the body of a request; without a length or coding it has none. */
     public static Http1BodyReader ofRequest(Http1Head head) {
-        return of(head, 0);
+        return of(head);
     }
 
     /**
-     * Null where the answer has no end but that of its connection, so that nobody can tell if it is whole.
+     * A reader for the body of a response.
+     *
+     * @param method the request's method
+     * @return null if only the end of the connection would end the body: a truncated one could not be told from that
      */
     public static Http1BodyReader ofResponse(Http1Head head, String method) {
         int status = head.status();
         if (method.equals("HEAD") || status == 204 || status == 304) {
             return new Http1BodyReader(0);
         }
-        return head.count("Content-Length") + head.count("Transfer-Encoding") == 0 ? null : of(head, 0);
+        return head.count("Content-Length") + head.count("Transfer-Encoding") == 0 ? null : of(head);
     }
 
-    private static Http1BodyReader of(Http1Head head, long otherwise) {
-        String told = head.get("Content-Length");
-        return new Http1BodyReader(
-                head.count("Transfer-Encoding") > 0 ? -1 : told == null ? otherwise : Long.parseLong(told));
+    private static Http1BodyReader of(Http1Head head) {
+        if (head.count("Transfer-Encoding") > 0) {
+            return new Http1BodyReader(-1);
+        }
+        String length = head.get("Content-Length");
+        return new Http1BodyReader(length == null ? 0 : Long.parseLong(length));
     }
 
-    /** The length that was told, or -1. */
+    /** The body's length in bytes by its head, or -1 for a chunked body. */
     public long declaredLength() {
         return declaredLength;
     }
 
+    /** Whether the body's last byte has been read. */
     public boolean isComplete() {
         return state == BodyState.COMPLETE;
     }
 
-    /** Bytes of the body that have come. */
+    /** Bytes of the body that have been read, without the framing. */
     public long bytesRead() {
         return bytesRead;
     }
 
-    /** Takes what has come in. */
-    public void read(Connection wire, BodySink sink) throws MalformedMessageException {
+    /**
+     * Consumes what the connection has of the body.
+     *
+     * @throws MalformedMessageException if the chunks cannot be read; what follows cannot be framed then
+     */
+    public void read(Connection connection, BodySink sink) throws MalformedMessageException {
         while (state != BodyState.COMPLETE) {
             if (state == BodyState.DATA) {
-                int some = (int) Math.min(Math.min(remaining, MAX_READ_BYTES), wire.available());
-                if (some == 0) {
+                if (connection.available() == 0) {
                     return;
                 }
-                bytesRead += some;
-                remaining -= some;
-                sink.onBytes(wire.readBytes(some));
-                if (remaining == 0) {
-                    state = declaredLength < 0 ? BodyState.CHUNK_END : BodyState.COMPLETE;
+                readData(connection, sink);
+            } else {
+                String line = nextLine(connection);
+                if (line == null) {
+                    return;
                 }
-                continue;
-            }
-            String line = nextLine(wire);
-            if (line == null) {
-                return;
+                parseLine(line);
             }
-            parseLine(line);
+        }
+    }
+
+    private void readData(Connection connection, BodySink sink) {
+        int count = (int) Math.min(Math.min(remaining, MAX_READ_BYTES), connection.available());
+        bytesRead += count;
+        remaining -= count;
+        sink.onBytes(connection.readBytes(count));
+        if (remaining == 0) {
+            state = declaredLength < 0 ? BodyState.CHUNK_END : BodyState.COMPLETE;
         }
     }
 
@@ -116,21 +140,21 @@
         }
     }
 
-    /** The next line, without its end, or null while that has not come. */
-    private static String nextLine(Connection wire) throws MalformedMessageException {
-        int available = Math.min(wire.available(), MAX_LINE_BYTES);
+    /** Consumes the next line and returns it without its line end, or null while it is incomplete. */
+    private static String nextLine(Connection connection) throws MalformedMessageException {
+        int available = Math.min(connection.available(), MAX_LINE_BYTES);
         for (int i = 0; i < available; i++) {
-            byte b = wire.peek(i);
+            byte b = connection.peek(i);
             if (b == '\n') {
                 throw malformed("a line ends without a carriage return");
             } else if (b == '\r') {
-                if (i + 1 >= wire.available()) {
+                if (i + 1 >= connection.available()) {
                     return null;
-                } else if (wire.peek(i + 1) != '\n') {
+                } else if (connection.peek(i + 1) != '\n') {
                     throw malformed("a line holds a carriage return");
                 }
-                String line = wire.peekText(0, i);
-                wire.skip(i + 2);
+                String line = connection.peekText(0, i);
+                connection.skip(i + 2);
                 return line;
             }
         }
--- a/src/main/java/reedmux/common/http1/Http1Grammar.java
+++ b/src/main/java/reedmux/common/http1/Http1Grammar.java
@@ -1,15 +1,15 @@
 package reedmux.common.http1;
 
 /**
- * The lines of a request's head and of a chunked body, to the letter of RFC 9110, section 5, and RFC 9112,
- * sections 2 to 5 and 7.1: whatever else a lenient reader lets through, the next one may read otherwise.
- * Each function returns what is wrong, or null. A line comes without its end, one character a byte.
+ * The grammar of the lines of a head and of a chunked body, exactly that of RFC 9110, section 5, and RFC 9112, sections
+ * 2 to 5 and 7.1. A lenient reader would accept what the next hop reads differently, which is how requests are
+ * smuggled. Each {@code check} method returns what is wrong, or null. A line has no line end and one character a byte.
  */
 public final class Http1Grammar {
-    /** More digits than any body that is taken has in its length. */
+    /** More hexadecimal digits than the size of any body that is accepted. */
     private static final int MAX_CHUNK_SIZE_DIGITS = 8;
 
-    /** The characters of a token, looked up, as each of a head's names is made of them. */
+    /** By ASCII code whether a character may be part of a token; a table, as every field name is checked. */
     private static final boolean[] TOKEN_CHARS = new boolean[0x7F];
 
     static {
@@ -20,7 +20,7 @@
 
     private Http1Grammar() {}
 
-    /** {@code method SP request-target SP HTTP-version}, with single spaces and nothing round them. */
+    /** {@code method SP request-target SP HTTP-version}, with single spaces and none around it. */
     public static String checkRequestLine(CharSequence line) {
         int first = indexOf(line, ' ', 0);
         int second = first < 0 ? -1 : indexOf(line, ' ', first + 1);
@@ -49,7 +49,7 @@
                 && isDigit(line.charAt(from + 7));
     }
 
-    /** {@code field-name ":" OWS field-value OWS}, no space before the colon, no line that goes on. */
+    /** {@code field-name ":" OWS field-value OWS}, without a space before the colon and without line folding. */
     public static String checkFieldLine(CharSequence line) {
         int colon = indexOf(line, ':', 0);
         if (line.length() > 0 && (line.charAt(0) == ' ' || line.charAt(0) == '\t')) {
@@ -99,7 +99,7 @@
         return null;
     }
 
-    /** The size that a chunk's line, found good, tells. */
+    /** The size in a chunk's line that {@link #checkChunkLine} has accepted. */
     public static long parseChunkSize(CharSequence line) {
         long size = 0;
         for (int i = 0; i < line.length() && isHex(line.charAt(i)); i++) {
@@ -108,6 +108,19 @@
         return size;
     }
 
+    /** Whether a text is one to {@code maxDigits} decimal digits and nothing else. */
+    public static boolean isDecimal(String text, int maxDigits) {
+        if (text.isEmpty() || text.length() > maxDigits) {
+            return false;
+        }
+        for (int i = 0; i < text.length(); i++) {
+            if (!isDigit(text.charAt(i))) {
+                return false;
+            }
+        }
+        return true;
+    }
+
     /** The position behind a quoted string, or -1. */
     private static int quotedEnd(CharSequence line, int from) {
         for (int i = from + 1; i < line.length(); i++) {
--- a/src/main/java/reedmux/common/http1/Http1Head.java
+++ b/src/main/java/reedmux/common/http1/Http1Head.java
@@ -5,9 +5,12 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The head of a request or of an answer, its header lines in their order. */
+/**
+ * The head of a request or a response, with its fields in the order of the message. Field names are compared without
+ * regard to case. Mutable and not thread-safe.
+ */
 public final class Http1Head {
-    /** Of a request; null in an answer. */
+    /** Null in a response. */
     private String method;
 
     private String target;
@@ -18,6 +21,7 @@
 
     private Http1Head() {}
 
+    /** The head of an HTTP/1.1 request without fields. */
     public static Http1Head request(String method, String target) {
         Http1Head head = new Http1Head();
         head.method = method;
@@ -26,6 +30,7 @@
         return head;
     }
 
+    /** The head of an HTTP/1.1 response without fields. */
     public static Http1Head response(int status) {
         Http1Head head = new Http1Head();
         head.status = status;
@@ -33,15 +38,18 @@
         return head;
     }
 
-    Http1Head version(String told) {
-        version = told;
+    /** Sets the version that was received. */
+    Http1Head version(String received) {
+        version = received;
         return this;
     }
 
+    /** The request's method; null in a response. */
     public String method() {
         return method;
     }
 
+    /** The request's target as it was received; null in a response. */
     public String target() {
         return target;
     }
@@ -52,33 +60,39 @@
         return query < 0 ? target : target.substring(0, query);
     }
 
+    /** The response's status; 0 in a request. */
     public int status() {
         return status;
     }
 
+    /** Whether the message is of HTTP/1.0. */
     public boolean isHttp10() {
         return version.equals("HTTP/1.0");
     }
 
+    /** Appends a field and returns this head. */
     public Http1Head add(String name, String value) {
         names.add(name);
         values.add(value);
         return this;
     }
 
+    /** The number of fields. */
     public int size() {
         return names.size();
     }
 
+    /** The name of field {@code i}. */
     public String name(int i) {
         return names.get(i);
     }
 
+    /** The value of field {@code i}. */
     public String value(int i) {
         return values.get(i);
     }
 
-    /** The first header of that name, or null. */
+    /** The value of the first field of that name, or null. */
     public String get(String name) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
@@ -88,20 +102,21 @@
         return null;
     }
 
+    /** How many fields have that name. */
     public int count(String name) {
         int count = 0;
-        for (String told : names) {
-            count += told.equalsIgnoreCase(name) ? 1 : 0;
+        for (String each : names) {
+            count += each.equalsIgnoreCase(name) ? 1 : 0;
         }
         return count;
     }
 
-    /** Whether a header that is a list holds a word, without regard to case. */
-    public boolean hasListToken(String name, String word) {
+    /** Whether a field that is a comma-separated list holds a token, without regard to case. */
+    public boolean hasListToken(String name, String token) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
-                for (String told : values.get(i).split(",")) {
-                    if (told.trim().equalsIgnoreCase(word)) {
+                for (String element : values.get(i).split(",")) {
+                    if (element.trim().equalsIgnoreCase(token)) {
                         return true;
                     }
                 }
@@ -110,12 +125,12 @@
         return false;
     }
 
-    /** Whether the connection ends behind this message. */
+    /** Whether the sender closes the connection after this message, RFC 9112, section 9.3. */
     public boolean closesConnection() {
         return hasListToken("Connection", "close") || isHttp10() && !hasListToken("Connection", "keep-alive");
     }
 
-    /** Whether a header of this message concerns one connection only, RFC 9110, section 7.6.1. */
+    /** Whether a field is for one connection only and is not forwarded, RFC 9110, section 7.6.1. */
     public boolean isHopByHop(String name) {
         return switch (name.toLowerCase(Locale.ROOT)) {
             case "connection",
@@ -133,7 +148,7 @@
         };
     }
 
-    /** As it goes over the wire. */
+    /** The head's bytes with the empty line at its end; always HTTP/1.1. */
     public byte[] encode() {
         StringBuilder out = new StringBuilder(512);
         if (method != null) {
--- a/src/main/java/reedmux/common/http1/Http1HeadReader.java
+++ b/src/main/java/reedmux/common/http1/Http1HeadReader.java
@@ -2,51 +2,72 @@
 
 import reedmux.common.eventloop.Connection;
 
-/** Reads heads to the letter of RFC 9112: what could be read in two ways is refused. */
+/**
+ * Reads the heads of one connection's messages strictly by RFC 9112. One reader serves a connection for its whole life,
+ * as it remembers how far an incomplete head was searched. For the reactor's thread.
+ */
 public final class Http1HeadReader {
     private static final int MAX_FIELDS = 100;
     private static final int BAD_REQUEST = 400;
     private static final int FIELDS_TOO_LARGE = 431;
     private static final int MAX_CONTENT_LENGTH_DIGITS = 15;
+    /** The length of the two line ends that close a head. */
+    private static final int HEAD_END_BYTES = 4;
+
     private final boolean readsRequests;
-    /** How far the bytes that have come in were looked through for the end of the head. */
+    /** Input that was searched for the end of the head without finding it. */
     private int scannedBytes;
 
-    public Http1HeadReader(boolean requests) {
-        this.readsRequests = requests;
+    /** A reader of requests, or of responses. */
+    public Http1HeadReader(boolean readsRequests) {
+        this.readsRequests = readsRequests;
     }
 
-    /** The next head, or null while it is not whole. */
-    public Http1Head read(Connection wire, int most) throws MalformedMessageException {
-        if (readsRequests
-                && scannedBytes == 0
-                && wire.available() >= 2
-                && wire.peek(0) == '\r'
-                && wire.peek(1) == '\n') {
-            wire.skip(2); // RFC 9112, section 2.2: one empty line before a request is passed over
-        }
-        int available = wire.available();
-        int end = -1;
-        for (int i = Math.max(0, scannedBytes - 3); i + 3 < available && end < 0; i++) {
-            if (wire.peek(i) == '\r'
-                    && wire.peek(i + 1) == '\n'
-                    && wire.peek(i + 2) == '\r'
-                    && wire.peek(i + 3) == '\n') {
-                end = i;
-            }
+    /**
+     * Consumes the next head of the connection's input.
+     *
+     * @param maxBytes the longest head, its closing empty line not counted
+     * @return the head, or null while it is incomplete
+     * @throws MalformedMessageException if it is too large or violates the grammar; what follows cannot be framed then
+     */
+    public Http1Head read(Connection connection, int maxBytes) throws MalformedMessageException {
+        if (readsRequests && scannedBytes == 0) {
+            skipEmptyLine(connection);
         }
-        if (end < 0 ? available > most + 3 : end > most) { // the empty line at its end is no part of it
+        int available = connection.available();
+        int end = findHeadEnd(connection, available);
+        if (end < 0 ? available > maxBytes + HEAD_END_BYTES - 1 : end > maxBytes) {
             throw new MalformedMessageException(FIELDS_TOO_LARGE, "the head is too large");
         } else if (end < 0) {
             scannedBytes = available;
             return null;
         }
         scannedBytes = 0;
-        String[] lines = wire.peekText(0, end).split("\r\n", -1);
-        wire.skip(end + 4);
+        String[] lines = connection.peekText(0, end).split("\r\n", -1);
+        connection.skip(end + HEAD_END_BYTES);
         return parse(lines);
     }
 
+    /** RFC 9112, section 2.2: an empty line before a request is ignored. */
+    private static void skipEmptyLine(Connection connection) {
+        if (connection.available() >= 2 && connection.peek(0) == '\r' && connection.peek(1) == '\n') {
+            connection.skip(2);
+        }
+    }
+
+    /** The offset of the two line ends that close the head, or -1. */
+    private int findHeadEnd(Connection connection, int available) {
+        for (int i = Math.max(0, scannedBytes - HEAD_END_BYTES + 1); i + HEAD_END_BYTES <= available; i++) {
+            if (connection.peek(i) == '\r'
+                    && connection.peek(i + 1) == '\n'
+                    && connection.peek(i + 2) == '\r'
+                    && connection.peek(i + 3) == '\n') {
+                return i;
+            }
+        }
+        return -1;
+    }
+
     private Http1Head parse(String[] lines) throws MalformedMessageException {
         Http1Head head = readsRequests ? parseRequestLine(lines[0]) : parseStatusLine(lines[0]);
         if (lines.length > MAX_FIELDS + 1) {
@@ -79,7 +100,7 @@
         if (!line.startsWith("HTTP/1.") || line.length() < 12 || line.charAt(8) != ' ') {
             throw malformed("what came is no answer");
         }
-        int status = 0;
+        int status = 0; // three digits behind "HTTP/1.x "
         for (int i = 9; i < 12; i++) {
             int digit = line.charAt(i) - '0';
             if (digit < 0 || digit > 9) {
@@ -93,6 +114,7 @@
         return Http1Head.response(status).version(line.substring(0, 8));
     }
 
+    /** Rejects a head whose body or host two readers might read differently, RFC 9112, sections 3.2 and 6. */
     private Http1Head checkFraming(Http1Head head) throws MalformedMessageException {
         int lengths = head.count("Content-Length");
         int codings = head.count("Transfer-Encoding");
@@ -100,24 +122,22 @@
             throw malformed("the body's length is told in two ways");
         } else if (codings > 0 && !head.get("Transfer-Encoding").equalsIgnoreCase("chunked")) {
             throw malformed("Transfer-Encoding is not chunked");
-        } else if (lengths > 0 && !isContentLength(head.get("Content-Length"))) {
+        } else if (lengths > 0 && !Http1Grammar.isDecimal(head.get("Content-Length"), MAX_CONTENT_LENGTH_DIGITS)) {
             throw malformed("Content-Length is not a whole number");
         }
         if (readsRequests) {
-            String host = head.get("Host");
-            if (head.count("Host") > 1
-                    || host != null && !host.isEmpty() && HostName.hostEnd(host) == HostName.INVALID
-                    || host == null && !head.isHttp10()) {
-                throw malformed("the host is missing, told twice or cannot be read");
-            }
+            checkHost(head);
         }
         return head;
     }
 
-    private static boolean isContentLength(String value) {
-        return !value.isEmpty()
-                && value.length() <= MAX_CONTENT_LENGTH_DIGITS
-                && value.chars().allMatch(c -> c >= '0' && c <= '9');
+    private static void checkHost(Http1Head head) throws MalformedMessageException {
+        String host = head.get("Host");
+        boolean missing = host == null && !head.isHttp10();
+        boolean invalid = host != null && !host.isEmpty() && HostName.hostEnd(host) == HostName.INVALID;
+        if (missing || invalid || head.count("Host") > 1) {
+            throw malformed("the host is missing, told twice or cannot be read");
+        }
     }
 
     private static MalformedMessageException malformed(String problem) {
--- /dev/null
+++ b/src/main/java/reedmux/common/time/package-info.java
@@ -0,0 +1,2 @@
+/** The clock of the programs: monotonic, in microseconds. */
+package reedmux.common.time;
