--- a/src/main/java/reedmux/control/rpc/Messages.java
+++ b/src/main/java/reedmux/control/rpc/Messages.java
@@ -13,14 +13,31 @@
 import reedmux.control.replication.Watermark;
 import reedmux.control.session.SessionChanges;
 
-/** What the system's own processes tell each other. */
+/**
+ * The messages that proxies, registries and stores exchange, and the records that they keep on disk. Their encoded
+ * forms are in the serializers of this package; a class name is never a part of them.
+ *
+ * <p>Replication is by pulling. A process numbers its changes, and a reader names the last one that it has, together
+ * with the incarnation of the process whose numbers these are: every start of a process draws another incarnation and
+ * begins to count anew. A request is answered as soon as there is a change behind that number.
+ *
+ * <p>An {@code id} in a request comes back in its response.
+ */
 public final class Messages {
-    /** The form of the messages; who speaks another one is turned away. */
+    /** The version of the encoded forms; a connection to a process with another one is closed. */
     public static final int FORMAT_VERSION = 4;
 
     private Messages() {}
 
-    /** The first message each way: who speaks, and which machines it knows to serve control. */
+    // ---- Connections --------------------------------------------------------------------------------
+
+    /**
+     * The first message in each direction: who the sender is.
+     *
+     * @param program {@code proxy}, {@code registry} or {@code store}
+     * @param incarnation drawn at the start of the sender's process
+     * @param coreIps the machines of the core that the sender knows of
+     */
     public record Hello(
             int formatVersion,
             String program,
@@ -29,22 +46,31 @@
             String zone,
             long incarnation,
             List<String> coreIps) {
+        /** Copies the list. */
         public Hello {
             coreIps = new ArrayList<>(coreIps);
         }
     }
 
-    /** Nothing but that the sender lives. */
+    /** Sent where there is nothing else to send, so that the peer does not time the connection out. */
     public record KeepAlive() {}
 
+    // ---- Replication of the configuration: store to store, and store to proxy -----------------------
+
     /**
-     * Asks for what has changed in that life of the asked one since that change; answered once there is any.
+     * Asks a store for configuration changes, or a registry for membership changes.
+     *
+     * @param incarnation whose numbers {@code sinceChange} is from; where it is not the receiver's, all is sent
+     * @param sinceChange the last change that the sender has
      */
     public record ChangesRequest(long incarnation, long sinceChange) {}
 
     /**
-     * Items that are in force at a store; {@code whole}: it has all that was ever acknowledged; {@code held}:
-     * for another store, what is not decided on.
+     * Committed items of a store: the response to a {@link ChangesRequest}, and the last message of a snapshot.
+     *
+     * @param upToChange the number of the last change that is contained
+     * @param complete whether the sender has everything that was ever acknowledged
+     * @param pendingProposals to another store, the proposals that are not decided yet; to a proxy, none
      */
     public record ConfigurationUpdate(
             long incarnation,
@@ -52,82 +78,148 @@
             boolean complete,
             List<ConfigurationItem> items,
             List<Proposal> pendingProposals) {
+        /** Copies the lists. */
         public ConfigurationUpdate {
             items = new ArrayList<>(items);
             pendingProposals = new ArrayList<>(pendingProposals);
         }
     }
 
+    /** Revisions that were taken and superseded; sent by a store to another ahead of the items, and kept on disk. */
+    public record WatermarkUpdate(List<Watermark> watermarks) {
+        /** Copies the list. */
+        public WatermarkUpdate {
+            watermarks = new ArrayList<>(watermarks);
+        }
+    }
+
+    /** Tells a proxy that it has everything that was committed when it began to pull: a quorum was reached since. */
+    public record CaughtUpNotice() {}
+
     /**
-     * What has changed at a registry: lives of checkers, and sessions: its own for another registry, the view
-     * for a proxy; for another registry also which process each checker calls.
+     * A part of a snapshot that is too large for one message; the receiver applies the parts together, with the
+     * {@link ConfigurationUpdate} that ends them.
+     *
+     * @param upToChange the last change that is contained; negative where the items are those of differing digests
      */
-    public record MembershipUpdate(
-            long incarnation,
-            long upToChange,
-            List<CheckerIncarnation> instances,
-            List<InstanceDirectory.InstanceOwner> owners,
-            SessionChanges sessions) {
-        public MembershipUpdate {
-            instances = new ArrayList<>(instances);
-            owners = new ArrayList<>(owners);
+    public record SnapshotChunk(long incarnation, long upToChange, List<ConfigurationItem> items) {
+        /** Copies the list. */
+        public SnapshotChunk {
+            items = new ArrayList<>(items);
         }
     }
 
-    /** A call of the operator that changes items, handed to a store. */
-    public record ConfigurationChangeRequest(long id, String body) {}
-
-    /** The operator asks for all items. */
-    public record ConfigurationReadRequest(long id) {}
+    /** Asks for the next chunk of a snapshot; what came since {@code sinceChange} is not applied yet. */
+    public record SnapshotChunkRequest(long incarnation, long sinceChange) {}
 
     /**
-     * The operator asks a store what it knows, and as of when: of one thing, so many entries behind a name;
-     * answered as an {@link OperatorResponse} in JSON, also where it knows little.
+     * Starts an anti-entropy repair in place of a {@link ChangesRequest}, where the sender has items but does not know
+     * the receiver's incarnation.
+     *
+     * @param ranges empty: the digests are those of the coarse key ranges; else those of the fine ones within these
+     * @param digests of everything that the sender has
      */
-    public record StoreStatusRequest(long id, String subject, String afterName, int limit) {}
+    public record DigestRequest(List<Integer> ranges, List<Long> digests) {
+        /** Copies the lists. */
+        public DigestRequest {
+            ranges = new ArrayList<>(ranges);
+            digests = new ArrayList<>(digests);
+        }
+    }
 
-    /** What the operator is to be answered. */
-    public record OperatorResponse(long id, int status, String body) {}
+    /** The coarse key ranges whose digests differ; the receiver then sends those of the fine ranges within them. */
+    public record DigestMismatch(List<Integer> ranges) {
+        /** Copies the list. */
+        public DigestMismatch {
+            ranges = new ArrayList<>(ranges);
+        }
+    }
 
-    /** Asks another store to hold a call's items. */
-    public record ProposalRecord(Proposal proposal) {}
+    // ---- Consensus on the configuration: store to store ---------------------------------------------
 
-    /** What became of that at one store. */
+    /**
+     * Asks another store to accept a proposal.
+     *
+     * @param epoch of the core whose quorum the sender counts
+     */
+    public record ProposeRequest(long epoch, Proposal proposal) {}
+
+    /** The vote of one store on a proposal under one ballot. */
     public record VoteResponse(String callId, Ballot ballot, Vote vote) {}
 
-    /** A call's items are in force, or are to be dropped unless a higher ballot has gone before. */
+    /**
+     * The outcome of a proposal, also as it is kept on disk.
+     *
+     * @param committed the items are committed; else the proposal is dropped, unless a higher ballot has been accepted
+     */
     public record DecisionNotice(String callId, Ballot ballot, boolean committed, List<ConfigurationItem> items) {
+        /** Copies the list. */
         public DecisionNotice {
             items = new ArrayList<>(items);
         }
     }
 
-    /** A proposal on its way, with the epoch of the core that its sender counts votes by. */
-    public record ProposeRequest(long epoch, Proposal proposal) {}
+    /** A proposal that a store has accepted, as it is kept on disk. */
+    public record ProposalRecord(Proposal proposal) {}
+
+    /**
+     * Asks another store whether it can be reached, over the connection on which the sender pulls from it.
+     *
+     * @param afterPendingDecisions the response waits until the proposals that are pending now are decided
+     */
+    public record QuorumContactRequest(long epoch, long id, boolean afterPendingDecisions) {}
+
+    /** Sent by a complete store, after everything that is committed there. */
+    public record QuorumContactResponse(long id) {}
+
+    // ---- Membership of the core: store to store, and store to registry and proxy ---------------------
 
     /**
-     * The core as a store knows it; null where it does not. {@code ready}: the store has everything and would
-     * join; {@code fenced}: a change is half done there.
+     * The core as a store knows it.
+     *
+     * @param core null where the store does not know it
+     * @param ready the store has everything and would join
+     * @param fenced a change of the core is in progress at the store, which does not vote until that is decided
      */
     public record CoreMembershipNotice(CoreMembers core, boolean ready, boolean fenced) {}
 
     /** What a store keeps of the core on its disk. */
     public record CoreStateRecord(CoreMembership.PersistentCoreState state) {}
 
-    /** Asks a fenced store for all that it has since that change of its life. */
+    /** Asks a fenced store for everything that it has behind a change of its incarnation. */
     public record StateTransferRequest(long epoch, long incarnation, long sinceChange) {}
 
     /**
-     * The answer; {@code deciders}: for each call that is held there, whose attempts it has had a vote
-     * in.
+     * The response to a {@link StateTransferRequest}.
+     *
+     * @param votersByProposal for each pending proposal of the update, the proposers that the sender has voted for
      */
     public record StateTransferResponse(long epoch, ConfigurationUpdate update, List<List<String>> votersByProposal) {}
 
-    /** The operator orders a member out of the core. */
-    public record CoreRemovalRequest(long id, String node) {}
+    // ---- Instances and sessions: registry to registry, and registry to proxy --------------------------
 
-    /** Lives that another process is to know of; it says when it does. */
+    /**
+     * What has changed at a registry: the response to a {@link ChangesRequest}.
+     *
+     * @param owners to another registry, the registry processes that the instances call; to a proxy, none
+     * @param sessions to another registry, the sender's own ones; to a proxy, those of the merged view
+     */
+    public record MembershipUpdate(
+            long incarnation,
+            long upToChange,
+            List<CheckerIncarnation> instances,
+            List<InstanceDirectory.InstanceOwner> owners,
+            SessionChanges sessions) {
+        /** Copies the lists. */
+        public MembershipUpdate {
+            instances = new ArrayList<>(instances);
+            owners = new ArrayList<>(owners);
+        }
+    }
+
+    /** Incarnations that the receiver is to acknowledge; also as a registry keeps them on disk. */
     public record IncarnationNotice(long id, List<CheckerIncarnation> instances) {
+        /** Copies the list. */
         public IncarnationNotice {
             instances = new ArrayList<>(instances);
         }
@@ -136,57 +228,34 @@
     /** Acknowledges the incarnations of one {@link IncarnationNotice}. */
     public record IncarnationAck(long id) {}
 
-    /** How far registries have been heard to count, each second while it lives; proxies pass it on. */
+    /** The heartbeat counters of registry processes, as far as the sender has seen them; proxies forward them. */
     public record RegistryHeartbeats(List<InstanceDirectory.RegistryHeartbeat> heartbeats) {
+        /** Copies the list. */
         public RegistryHeartbeats {
             heartbeats = new ArrayList<>(heartbeats);
         }
     }
 
-    /** Revisions that were taken and overtaken, from store to store, ahead of the items; and on disk. */
-    public record WatermarkUpdate(List<Watermark> watermarks) {
-        public WatermarkUpdate {
-            watermarks = new ArrayList<>(watermarks);
-        }
-    }
-
-    /**
-     * A store asks another one, over the link on which it pulls, whether they are in touch;
-     * {@code settled}: the answer is to wait until what is held now is decided on.
-     */
-    public record QuorumContactRequest(long epoch, long id, boolean afterPendingDecisions) {}
-
-    /** The answer, by a store that counts itself, behind all that is in force there. */
-    public record QuorumContactResponse(long id) {}
-
-    /** To a proxy: a quorum was in touch since it began to pull, and what was in force then has been told. */
-    public record CaughtUpNotice() {}
+    // ---- Calls of the operator: registry to store, and store to store ---------------------------------
 
-    /** Items of which more is to come; {@code upTo} is below nought where they are as of no change. */
-    public record SnapshotChunk(long incarnation, long upToChange, List<ConfigurationItem> items) {
-        public SnapshotChunk {
-            items = new ArrayList<>(items);
-        }
-    }
+    /** A call that changes items; the body is its JSON. */
+    public record ConfigurationChangeRequest(long id, String body) {}
 
-    /** Asks for the next piece, as what came since that change is not taken in yet. */
-    public record SnapshotChunkRequest(long incarnation, long sinceChange) {}
+    /** A call that reads all items. */
+    public record ConfigurationReadRequest(long id) {}
 
     /**
-     * In place of a {@link ChangesRequest} where the other's life is not the one that we know: the digests of all that
-     * is here, by ranges of keys; of the coarse ranges, or of the fine ones in {@code ranges}.
+     * Asks a store what it knows; it responds in JSON, also where it cannot reach a quorum.
+     *
+     * @param subject what to report on, as in {@code Show.Items}
+     * @param afterName the entries start behind this name; empty for the first ones
+     * @param limit the most entries to return
      */
-    public record DigestRequest(List<Integer> ranges, List<Long> digests) {
-        public DigestRequest {
-            ranges = new ArrayList<>(ranges);
-            digests = new ArrayList<>(digests);
-        }
-    }
+    public record StoreStatusRequest(long id, String subject, String afterName, int limit) {}
 
-    /** The coarse ranges whose digests are others. */
-    public record DigestMismatch(List<Integer> ranges) {
-        public DigestMismatch {
-            ranges = new ArrayList<>(ranges);
-        }
-    }
+    /** A call that removes a member from the core. */
+    public record CoreRemovalRequest(long id, String node) {}
+
+    /** The HTTP status and body that the operator is to receive. */
+    public record OperatorResponse(long id, int status, String body) {}
 }
--- /dev/null
+++ b/src/main/java/reedmux/control/rpc/QuotaUpdateSerializer.java
@@ -0,0 +1,50 @@
+package reedmux.control.rpc;
+
+import com.esotericsoftware.kryo.io.Input;
+import com.esotericsoftware.kryo.io.Output;
+import java.util.ArrayList;
+import reedmux.proxy.quota.QuotaTracker.QuotaUpdate;
+import reedmux.proxy.quota.QuotaTracker.TenantTotal;
+
+/** The form of the datagrams by which proxies count the use of quotas together. */
+final class QuotaUpdateSerializer {
+    /** More proxies than any system has; a larger number is corrupt. */
+    private static final int MAX_REACHABLE_MEMBERS = 1 << 20;
+
+    private QuotaUpdateSerializer() {}
+
+    /** Writes a quota update; returns false, with nothing written, for any other message. */
+    static boolean write(Object message, Output out) {
+        if (!(message instanceof QuotaUpdate update)) {
+            return false;
+        }
+        out.writeByte(MessageIds.QUOTA_UPDATE);
+        out.writeString(update.sender());
+        out.writeLong(update.incarnation());
+        out.writeVarLong(update.generation(), true);
+        out.writeLong(update.viewTag());
+        out.writeVarInt(update.reachableMembers(), true);
+        out.writeVarInt(update.entries().size(), true);
+        for (TenantTotal total : update.entries()) {
+            out.writeString(total.tenant());
+            out.writeDouble(total.total());
+            out.writeFloat((float) total.senderCount());
+        }
+        return true;
+    }
+
+    static QuotaUpdate read(Input in) {
+        String sender = in.readString();
+        long incarnation = in.readLong();
+        long generation = in.readVarLong(true);
+        long viewTag = in.readLong();
+        int reachableMembers = (int) RpcFrame.requireInRange(0, in.readVarInt(true), MAX_REACHABLE_MEMBERS);
+        int size = in.readVarInt(true);
+        ArrayList<TenantTotal> totals = ListSerializer.newList(size);
+        for (int i = 0; i < size; i++) {
+            totals.add(new TenantTotal(
+                    in.readString(), RpcFrame.requireFinite(in.readDouble()), RpcFrame.requireFinite(in.readFloat())));
+        }
+        return new QuotaUpdate(sender, incarnation, generation, viewTag, reachableMembers, totals);
+    }
+}
--- a/src/main/java/reedmux/control/rpc/RpcConnection.java
+++ b/src/main/java/reedmux/control/rpc/RpcConnection.java
@@ -9,31 +9,44 @@
 import reedmux.control.rpc.Messages.KeepAlive;
 
 /**
- * A connection between two of the system's own processes: frames of a length and a message. Each side says
- * something at least each {@link #KEEP_ALIVE_INTERVAL_MICROS}, and one that is silent for
- * {@link #RECEIVE_TIMEOUT_MICROS} is given up.
+ * A connection between two processes of the system. It carries frames: a length in four bytes, and a message as
+ * {@link MessageCodec} encodes it.
+ *
+ * <ol>
+ *   <li>Connecting: from {@link #connect} until TCP is connected. An accepted connection starts behind this.
+ *   <li>Handshake: each side sends its {@link Hello} at once. Until the peer's has come, no other message is taken.
+ *   <li>Established: the handler is told, and gets each message. A side that has nothing else to send for
+ *       {@link #KEEP_ALIVE_INTERVAL_MICROS} sends a {@link KeepAlive}, and one that has received nothing for
+ *       {@link #RECEIVE_TIMEOUT_MICROS} closes the connection.
+ *   <li>Closed: by either side, a time-out, or bytes that are no valid message. There is no way back.
+ * </ol>
+ *
+ * <p>For the reactor's thread.
  */
 public final class RpcConnection implements Connection.ConnectionHandler {
+    /** An established connection is closed after so long without anything received: three intervals, and some more. */
+    public static final long RECEIVE_TIMEOUT_MICROS = 2_200_000;
+
     static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
     private static final int LENGTH_PREFIX_BYTES = 4;
-    /** Of whoever has not said who it is no more than this is taken in. */
+    /** Before the handshake is over anybody may be at the other end, and no more than this is buffered. */
     private static final int MAX_HELLO_BYTES = 64 * 1024;
 
     private static final long KEEP_ALIVE_INTERVAL_MICROS = 700_000;
-    public static final long RECEIVE_TIMEOUT_MICROS = 2_200_000;
-    /** More than this that waits to go out means that the other side does not read. */
+    /** More than this in the output queue means that the peer does not read. */
     private static final long MAX_QUEUED_BYTES = 32L * 1024 * 1024;
 
-    /** Whom a link's events are told. */
+    /** Receives the events of a connection. */
     public interface RpcConnectionHandler {
 
-        /** The other side has said who it is. */
-        void onConnected(RpcConnection link);
+        /** The handshake is over: {@link RpcConnection#peer} says who is at the other end. */
+        void onConnected(RpcConnection connection);
 
-        void onMessage(RpcConnection link, Object message);
+        /** A message has come on an established connection. */
+        void onMessage(RpcConnection connection, Object message);
 
-        /** It is gone; told once, also of one that was never up. */
-        void onDisconnected(RpcConnection link);
+        /** The connection is closed; called once, also for one that was never established. */
+        void onDisconnected(RpcConnection connection);
     }
 
     private final Reactor reactor;
@@ -45,34 +58,47 @@
     private boolean closed;
     private long lastReceivedMicros;
     private long lastSentMicros;
-    /** What the owner keeps with it. */
+    /** What the handler keeps with the connection. */
     private Object attachment;
 
-    private RpcConnection(Reactor reactor, MessageCodec codec, Hello self, RpcConnectionHandler owner) {
+    private RpcConnection(Reactor reactor, MessageCodec codec, Hello localHello, RpcConnectionHandler handler) {
         this.reactor = reactor;
         this.codec = codec;
-        this.localHello = self;
-        this.handler = owner;
+        this.localHello = localHello;
+        this.handler = handler;
         lastReceivedMicros = reactor.now();
         scheduleKeepAlive();
     }
 
-    /** One that somebody else has opened. */
+    /** Takes over a connection that the peer has opened. */
     public static RpcConnection accept(
-            Reactor reactor, MessageCodec codec, Hello self, Connection wire, RpcConnectionHandler owner) {
-        RpcConnection link = new RpcConnection(reactor, codec, self, owner);
-        link.connection = wire;
-        wire.setHandler(link);
-        link.onConnected();
-        return link;
+            Reactor reactor,
+            MessageCodec codec,
+            Hello localHello,
+            Connection connection,
+            RpcConnectionHandler handler) {
+        RpcConnection accepted = new RpcConnection(reactor, codec, localHello, handler);
+        accepted.connection = connection;
+        connection.setHandler(accepted);
+        accepted.onConnected();
+        return accepted;
     }
 
+    /**
+     * Opens a connection to a peer; returns before it is connected.
+     *
+     * @throws IOException if no socket can be opened
+     */
     public static RpcConnection connect(
-            Reactor reactor, MessageCodec codec, Hello self, InetSocketAddress to, RpcConnectionHandler owner)
+            Reactor reactor,
+            MessageCodec codec,
+            Hello localHello,
+            InetSocketAddress address,
+            RpcConnectionHandler handler)
             throws IOException {
-        RpcConnection link = new RpcConnection(reactor, codec, self, owner);
-        link.connection = Connection.connect(reactor, to, null, link);
-        return link;
+        RpcConnection opened = new RpcConnection(reactor, codec, localHello, handler);
+        opened.connection = Connection.connect(reactor, address, null, opened);
+        return opened;
     }
 
     private void scheduleKeepAlive() {
@@ -84,9 +110,8 @@
                 close();
                 return;
             }
-            if (connection != null
-                    && connection.isConnected()
-                    && reactor.now() - lastSentMicros >= KEEP_ALIVE_INTERVAL_MICROS) {
+            boolean idle = reactor.now() - lastSentMicros >= KEEP_ALIVE_INTERVAL_MICROS;
+            if (connection != null && connection.isConnected() && idle) {
                 sendMessage(new KeepAlive());
             }
             scheduleKeepAlive();
@@ -94,39 +119,42 @@
     }
 
     /**
-     * Whether the other side has given us up, so that what waits here was said in another time: a process
-     * that was frozen finds it before its timers run.
+     * Whether the peer has timed this connection out, too, so that what is still buffered here is obsolete. A process
+     * that was suspended may read input before its timers run, so every input checks it.
      */
     private boolean isTimedOut() {
         return reactor.now() - lastReceivedMicros > RECEIVE_TIMEOUT_MICROS;
     }
 
-    /** When the other side was heard last. */
+    /** When anything was last received, by the reactor's clock in microseconds; before that, when it was opened. */
     public long lastReceivedMicros() {
         return lastReceivedMicros;
     }
 
-    /** Who is at the other end; null before it is up. */
+    /** Who is at the other end; null before the connection is established. */
     public Hello peer() {
         return peer;
     }
 
-    /** Whether the connection itself has not come up yet. */
+    /** Whether TCP is not connected yet. */
     public boolean isConnecting() {
         return !closed && !connection.isConnected();
     }
 
+    /** Whether the handshake is over, and the connection neither closed nor timed out. */
     public boolean isEstablished() {
         return peer != null && !closed && !isTimedOut();
     }
 
+    /** What the handler has attached, or null; the caller knows its type. */
     @SuppressWarnings("unchecked")
     public <T> T attachment() {
         return (T) attachment;
     }
 
-    public void attachment(Object kept) {
-        attachment = kept;
+    /** Attaches what the handler wants to keep with this connection. */
+    public void attachment(Object value) {
+        attachment = value;
     }
 
     @Override
@@ -134,6 +162,7 @@
         sendMessage(localHello);
     }
 
+    /** Sends a message; without effect on a closed connection. */
     public void sendMessage(Object message) {
         if (closed) {
             return;
@@ -141,7 +170,7 @@
         sendEncoded(codec.encode(message));
     }
 
-    /** Says a message that has been written already, as it goes to many. */
+    /** Sends a message that is encoded already, as it goes to many; without effect on a closed connection. */
     public void sendEncoded(byte[] bytes) {
         if (closed) {
             return;
@@ -164,64 +193,86 @@
         }
         lastReceivedMicros = reactor.now();
         while (!closed && connection.available() >= LENGTH_PREFIX_BYTES) {
-            int length = (connection.peek(0) & 0xFF) << 24
-                    | (connection.peek(1) & 0xFF) << 16
-                    | (connection.peek(2) & 0xFF) << 8
-                    | connection.peek(3) & 0xFF;
+            int length = peekLength();
             if (length <= 0 || length > MAX_FRAME_BYTES || peer == null && length > MAX_HELLO_BYTES) {
-                closeOnProtocolError("a length of " + length + " is no frame's");
+                closeOnProtocolError("a length of " + length + " is no frame's", "");
                 return;
             } else if (connection.available() < LENGTH_PREFIX_BYTES + length) {
                 break;
             }
             connection.skip(LENGTH_PREFIX_BYTES);
-            byte[] frame = connection.readBytes(length);
-            Object message = codec.decodeOrNull(frame);
-            if (message == null) {
-                closeOnProtocolError("a frame of " + length + " bytes of kind " + frame[0] + " cannot be read");
-                return;
-            }
-            dispatch(message);
+            onFrame(connection.readBytes(length));
         }
         if (!closed && connection.isInputEnded()) {
             close();
         }
     }
 
+    /** Returns the frame length that the input starts with, in the order of the network. */
+    private int peekLength() {
+        return (connection.peek(0) & 0xFF) << 24
+                | (connection.peek(1) & 0xFF) << 16
+                | (connection.peek(2) & 0xFF) << 8
+                | connection.peek(3) & 0xFF;
+    }
+
+    private void onFrame(byte[] frame) {
+        Object message;
+        try {
+            message = codec.decode(frame);
+        } catch (MessageDecodingException e) {
+            closeOnProtocolError(
+                    "a frame of " + frame.length + " bytes of kind " + frame[0] + " cannot be read",
+                    ": " + e.getMessage());
+            return;
+        }
+        dispatch(message);
+    }
+
     private void dispatch(Object message) {
         if (message instanceof Hello hello && peer == null && hello.formatVersion() == Messages.FORMAT_VERSION) {
             peer = hello;
-            reactor.debug("link with " + hello.program() + " of " + hello.node() + " is up");
+            reactor.debug("connection with " + hello.program() + " of " + hello.node() + " is established");
             handler.onConnected(this);
         } else if (peer == null && message instanceof Hello hello) {
-            closeOnProtocolError(hello.program() + " of " + hello.node() + " speaks form " + hello.formatVersion()
-                    + ", here " + Messages.FORMAT_VERSION);
-        } else if (peer == null || message instanceof Hello) {
-            closeOnProtocolError(peer == null ? "a message before it said who it is" : "it says again who it is");
+            closeOnProtocolError(
+                    hello.program() + " of " + hello.node() + " speaks form " + hello.formatVersion() + ", here "
+                            + Messages.FORMAT_VERSION,
+                    "");
+        } else if (peer == null) {
+            closeOnProtocolError("a message before it said who it is", "");
+        } else if (message instanceof Hello) {
+            closeOnProtocolError("it says again who it is", "");
         } else if (!(message instanceof KeepAlive)) {
             handler.onMessage(this, message);
         }
     }
 
-    /** What has come cannot be acted on: a line for operators, and the end of this link alone. */
-    private void closeOnProtocolError(String what) {
-        String who = peer == null ? "somebody" : peer.program() + " of " + peer.node();
+    /**
+     * Closes this connection alone, with a warning.
+     *
+     * @param problem what the rate limit of the warnings goes by, together with the peer
+     * @param detail what is logged behind it
+     */
+    private void closeOnProtocolError(String problem, String detail) {
+        String sender = peer == null ? "somebody" : peer.program() + " of " + peer.node();
         reactor.warnRateLimited(
-                who + what, "link with " + who + " at " + connection.remoteAddress() + " is ended: " + what);
+                sender + problem,
+                "connection with " + sender + " at " + connection.remoteAddress() + " is closed: " + problem + detail);
         close();
     }
 
     @Override
-    public void onClosed(String why) {
+    public void onClosed(String reason) {
         close();
     }
 
-    /** Ends it; its owner is told. */
+    /** Closes the connection and tells its handler; without effect on a closed one. */
     public void close() {
         if (!closed) {
             closed = true;
             if (peer != null) {
-                reactor.debug("link with " + peer.program() + " of " + peer.node() + " is down");
+                reactor.debug("connection with " + peer.program() + " of " + peer.node() + " is closed");
             }
             if (connection != null) {
                 connection.close();
--- a/src/main/java/reedmux/control/rpc/RpcDialer.java
+++ b/src/main/java/reedmux/control/rpc/RpcDialer.java
@@ -5,14 +5,21 @@
 import reedmux.common.eventloop.Reactor;
 import reedmux.control.rpc.Messages.Hello;
 
-/** Keeps a link to one address up, as far as that can be had. */
+/**
+ * Keeps a connection to one address established: whenever it ends, or could not be opened, another one is opened after
+ * a delay, until the dialer is closed. For the reactor's thread.
+ */
 public final class RpcDialer implements RpcConnection.RpcConnectionHandler {
-    /** Between the first tries, so that who starts together with us is met soon, and between later ones. */
+    /** The first retries are fast, as programs that start together are up at about the same time. */
     private static final long FAST_RETRY_DELAY_MICROS = 30_000;
 
     private static final long SLOW_RETRY_DELAY_MICROS = 200_000;
     private static final int FAST_RETRIES = 20;
-    /** A connection that is not up by then has met a machine without power: its first packet is lost. */
+
+    /**
+     * A machine without power does not refuse the connection, and TCP would repeat its first packet only after a
+     * second; so much sooner a new connection is opened in its place.
+     */
     private static final long CONNECT_TIMEOUT_MICROS = 300_000;
 
     private final Reactor reactor;
@@ -25,35 +32,41 @@
     private boolean attempted;
     private boolean closed;
 
+    /**
+     * Opens the first connection.
+     *
+     * @param handler is called for each connection that is established
+     */
     public RpcDialer(
             Reactor reactor,
             MessageCodec codec,
-            Hello self,
-            InetSocketAddress to,
-            RpcConnection.RpcConnectionHandler owner) {
+            Hello localHello,
+            InetSocketAddress address,
+            RpcConnection.RpcConnectionHandler handler) {
         this.reactor = reactor;
         this.codec = codec;
-        this.localHello = self;
-        this.address = to;
-        this.handler = owner;
+        this.localHello = localHello;
+        this.address = address;
+        this.handler = handler;
         connect();
     }
 
+    /** The address that this dialer connects to. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** The link if it is up, else null. */
+    /** The connection if it is established, else null. */
     public RpcConnection connection() {
         return connection != null && connection.isEstablished() ? connection : null;
     }
 
-    /** Whether at least one try has come to an end. */
+    /** Whether at least one attempt has succeeded or failed. */
     public boolean hasAttempted() {
         return attempted;
     }
 
-    /** Ends the link for good. */
+    /** Closes the connection and opens no other one. */
     public void close() {
         closed = true;
         if (connection != null) {
@@ -66,11 +79,11 @@
             return;
         }
         try {
-            RpcConnection made = RpcConnection.connect(reactor, codec, localHello, address, this);
-            connection = made;
+            RpcConnection opened = RpcConnection.connect(reactor, codec, localHello, address, this);
+            connection = opened;
             reactor.scheduleAfter(CONNECT_TIMEOUT_MICROS, () -> {
-                if (made.isConnecting()) {
-                    made.close();
+                if (opened.isConnecting()) {
+                    opened.close();
                 }
             });
         } catch (IOException e) {
@@ -81,28 +94,29 @@
     private void scheduleReconnect() {
         connection = null;
         attempted = true;
-        reactor.scheduleAfter(
-                ++failedAttempts <= FAST_RETRIES ? FAST_RETRY_DELAY_MICROS : SLOW_RETRY_DELAY_MICROS, this::connect);
+        failedAttempts++;
+        boolean fast = failedAttempts <= FAST_RETRIES;
+        reactor.scheduleAfter(fast ? FAST_RETRY_DELAY_MICROS : SLOW_RETRY_DELAY_MICROS, this::connect);
     }
 
     @Override
-    public void onConnected(RpcConnection up) {
+    public void onConnected(RpcConnection established) {
         failedAttempts = 0;
         attempted = true;
-        handler.onConnected(up);
+        handler.onConnected(established);
     }
 
     @Override
-    public void onMessage(RpcConnection from, Object message) {
-        handler.onMessage(from, message);
+    public void onMessage(RpcConnection sender, Object message) {
+        handler.onMessage(sender, message);
     }
 
     @Override
-    public void onDisconnected(RpcConnection gone) {
-        boolean was = gone.peer() != null;
+    public void onDisconnected(RpcConnection ended) {
+        boolean wasEstablished = ended.peer() != null;
         scheduleReconnect();
-        if (was) {
-            handler.onDisconnected(gone);
+        if (wasEstablished) {
+            handler.onDisconnected(ended);
         }
     }
 }
--- a/src/main/java/reedmux/control/rpc/RpcFrame.java
+++ b/src/main/java/reedmux/control/rpc/RpcFrame.java
@@ -4,11 +4,12 @@
 import com.esotericsoftware.kryo.io.Input;
 
 /**
- * The bytes of one message, which may be anybody's: a text that says it is longer than what is left, or
- * that it is none, is refused before there is room made for it. Kryo makes that room first, and a process
- * that runs out of memory by it ends.
+ * The bytes of one message from an untrusted sender. Kryo allocates room for a string before it looks whether the frame
+ * has as many bytes, so a corrupt length could exhaust the heap; here such a length is rejected first.
  */
 final class RpcFrame extends Input {
+    /** Far above any count of requests or tokens that a proxy reports. */
+    private static final double MAX_COUNT = 1e15;
 
     RpcFrame(byte[] bytes) {
         super(bytes);
@@ -16,30 +17,45 @@
 
     @Override
     public String readString() {
-        int at = position();
-        if (readVarIntFlag()) {
+        int start = position();
+        boolean hasLength = readVarIntFlag();
+        if (hasLength) {
             int length = readVarIntFlag(true) - 1;
-            if (length < 0 || length > limit() - position()) {
-                throw new KryoException("a text of " + length + " characters in " + (limit() - position()) + " bytes");
+            int remaining = limit() - position();
+            if (length < 0 || length > remaining) {
+                throw new KryoException("a string of " + length + " characters in " + remaining + " bytes");
             }
         }
-        setPosition(at);
+        setPosition(start);
         return super.readString();
     }
 
-    /** A number that has to lie within bounds. */
-    static long requireInRange(long least, long number, long most) {
-        if (number < least || number > most) {
-            throw new KryoException(number + " is not from " + least + " to " + most);
+    /**
+     * Returns a number that has to lie within bounds, both included.
+     *
+     * @throws KryoException if it does not
+     */
+    static long requireInRange(long min, long number, long max) {
+        if (number < min || number > max) {
+            throw new KryoException(number + " is not from " + min + " to " + max);
         }
         return number;
     }
 
-    /** A number that is one, and no larger than any that is ever told. */
+    /**
+     * Returns a count that has to be a number, and not larger than any that is sent.
+     *
+     * @throws KryoException if it is not
+     */
     static double requireFinite(double number) {
-        if (!(Math.abs(number) <= 1e15)) {
-            throw new KryoException(number + " is no number that is told");
+        if (!(Math.abs(number) <= MAX_COUNT)) {
+            throw new KryoException(number + " is not a finite count");
         }
         return number;
     }
+
+    /** Returns the exception for a message id that no form has. */
+    static KryoException unknownId(byte id) {
+        return new KryoException("no message has the id " + id);
+    }
 }
--- a/src/main/java/reedmux/control/rpc/package-info.java
+++ b/src/main/java/reedmux/control/rpc/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Connections between the system's own processes: frames with messages in Kryo's form, kept up and watched.
+ * Connections between proxies, registries and stores: the messages, their encoded forms, and connections that are kept
+ * alive, timed out and opened again. Everything but the codec runs on the reactor's thread.
  */
 package reedmux.control.rpc;
--- a/src/test/java/reedmux/control/rpc/MessageCodecTest.java
+++ b/src/test/java/reedmux/control/rpc/MessageCodecTest.java
@@ -2,7 +2,10 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
+import static org.testng.Assert.assertTrue;
+import static org.testng.Assert.expectThrows;
 
+import com.esotericsoftware.kryo.KryoException;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -100,6 +103,22 @@
                 CoreMembership.EpochMessageType.ACCEPT, 4, PROPOSAL.ballot(), null, null))));
     }
 
+    @Test
+    public void decodingErrorsNameTheOffsetAndTheCause() {
+        MessageCodec codec = new MessageCodec();
+        byte[] bytes = codec.encode(new Messages.IncarnationAck(9));
+        MessageDecodingException truncated =
+                expectThrows(MessageDecodingException.class, () -> codec.decode(Arrays.copyOf(bytes, 5)));
+        assertTrue(truncated.getCause() instanceof KryoException, String.valueOf(truncated.getCause()));
+        MessageDecodingException tooLong =
+                expectThrows(MessageDecodingException.class, () -> codec.decode(Arrays.copyOf(bytes, 11)));
+        assertEquals(tooLong.offset(), 9);
+        assertEquals(tooLong.getMessage(), "at byte 9: 2 bytes follow the message");
+        MessageDecodingException unknown =
+                expectThrows(MessageDecodingException.class, () -> codec.decode(new byte[] {99, 1}));
+        assertEquals(unknown.getMessage(), "at byte 1: no message has the id 99");
+    }
+
     /** Bytes in place of any text of a message that promise a text of any length, or none. */
     @Test
     public void rejectsStringLengthsBeyondTheFrame() {
