--- /dev/null
+++ b/src/main/java/reedmux/gatekeeper/policy/ClassLatency.java
@@ -0,0 +1,16 @@
+package reedmux.gatekeeper.policy;
+
+/** Moving averages of one class of requests; times in microseconds. {@link LatencyEstimator} moves them. */
+final class ClassLatency {
+    double mean;
+    /** The least mean so far, which follows the mean slowly. */
+    double bestMean;
+
+    double meanUnits = 1;
+    long sampledAt;
+
+    ClassLatency(double firstGuess) {
+        mean = firstGuess;
+        bestMean = firstGuess;
+    }
+}
--- a/src/main/java/reedmux/gatekeeper/policy/HandoverCounts.java
+++ b/src/main/java/reedmux/gatekeeper/policy/HandoverCounts.java
@@ -2,25 +2,23 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import reedmux.gatekeeper.policy.PolicyState.CustomerAccount;
-import reedmux.gatekeeper.policy.PolicyState.PeerState;
 
 /**
- * Two processes that are one gateway for a while, as one takes the other's place: carries what one module has
- * counted to the other, and then what each goes on to count. It decides nothing: the module counts what it
- * hears from its twin as it would count a neighbour's units. Called by the thread that handles events.
+ * Two processes that are one gateway for a while, as one takes the other's place: carries what one policy has counted
+ * to the other, and then what each goes on to count. It decides nothing: a policy counts what it hears from the other
+ * process as it would count a neighbour's units. Called by the thread that handles events.
  */
 public final class HandoverCounts {
-    /** Where units come from that the twin has counted: no neighbour, so all of them are told. */
+    /** Where units come from that the other process has counted: no neighbour, so that all of them are told. */
     static final int HANDOVER_SOURCE = -2;
-    /** Of a ceiling's store and its refill, as long as there are two. */
+    /** Of the rate limit's tokens and their refill, as long as there are two processes. */
     private static final double SHARE_DURING_HANDOVER = 0.5;
 
     /**
      * What was counted of a customer.
      *
-     * @param seenFor how long it has been known, in microseconds
-     * @param near    neighbours that have not been told {@code owed} units yet; -1 for none
+     * @param knownFor   how long it has been known, in microseconds
+     * @param neighbours members that have not been told {@code unreportedUnits} yet; -1 for none
      */
     public record AccountSnapshot(
             long customer,
@@ -39,22 +37,34 @@
     /** Units that were counted of a customer since the last time. */
     public record AccountUsage(long customer, int plan, int firstMember, int memberCount, double units) {}
 
-    private final GatekeeperPolicy policy;
+    private final PolicyContext context;
+    private final CustomerAccounts accounts;
+    private final PeerTable peers;
+    private final QuotaPolicy quotas;
+    private final PeerExchange exchange;
 
-    HandoverCounts(GatekeeperPolicy brain) {
-        this.policy = brain;
+    HandoverCounts(
+            PolicyContext context,
+            CustomerAccounts accounts,
+            PeerTable peers,
+            QuotaPolicy quotas,
+            PeerExchange exchange) {
+        this.context = context;
+        this.accounts = accounts;
+        this.peers = peers;
+        this.quotas = quotas;
+        this.exchange = exchange;
     }
 
     /** All that was counted; from now on there are two. What neighbours may not have had yet goes along. */
     public List<AccountSnapshot> snapshot(long now) {
-        policy.now = now;
-        for (PeerState edge : policy.edges) {
-            policy.takeBack(edge, edge.takeUnacknowledged());
+        context.now = now;
+        for (PeerState peer : peers.all()) {
+            exchange.restoreUnacknowledged(peer);
         }
         List<AccountSnapshot> all = new ArrayList<>();
-        for (CustomerAccount account : policy.accounts.values()) {
-            policy.refresh(account);
-            policy.drain(account);
+        for (CustomerAccount account : accounts.all()) {
+            quotas.refreshed(account);
             account.rateLimitTokens *= SHARE_DURING_HANDOVER;
             account.unreportedToHandover = 0;
             all.add(new AccountSnapshot(
@@ -63,48 +73,52 @@
                     account.firstMember,
                     account.memberCount,
                     account.maxMemberCount,
-                    account.localCount,
+                    account.localCount(),
                     account.raceMargin,
                     account.unitsSinceFirstSeen,
                     account.rateLimitTokens,
                     now - account.firstSeenAt,
-                    account.neighbours.clone(),
-                    account.pending.clone()));
+                    account.neighboursCopy(),
+                    account.pendingCopy()));
         }
-        policy.part.fraction = SHARE_DURING_HANDOVER;
+        accounts.quotaShare().fraction = SHARE_DURING_HANDOVER;
         return all;
     }
 
-    /** Goes on from what another process has counted, which goes on beside us. */
+    /** Goes on from what another process has counted, which goes on beside this one. */
     public void restore(long now, List<AccountSnapshot> told) {
-        policy.now = now;
-        policy.part.fraction = SHARE_DURING_HANDOVER;
-        for (AccountSnapshot kept : told) {
-            if (!isValid(kept.customer, kept.plan, kept.firstMember, kept.memberCount)) {
-                continue;
+        context.now = now;
+        accounts.quotaShare().fraction = SHARE_DURING_HANDOVER;
+        for (AccountSnapshot snapshot : told) {
+            if (isValid(snapshot.customer, snapshot.plan, snapshot.firstMember, snapshot.memberCount)) {
+                restore(now, snapshot);
             }
-            CustomerAccount account = policy.account(kept.customer, kept.plan, kept.firstMember, kept.memberCount);
-            policy.refresh(account);
-            account.firstSeenAt = Math.min(account.firstSeenAt, now - Math.max(0, kept.knownFor));
-            account.maxMemberCount = Math.max(account.maxMemberCount, kept.maxMemberCount);
-            account.localCount += Math.max(0, kept.count);
-            account.raceMargin = Math.max(account.raceMargin, kept.raceMargin);
-            account.unitsSinceFirstSeen += Math.max(0, kept.unitsSinceFirstSeen);
-            account.rateLimitTokens = Math.min(kept.rateLimitTokens, account.share(account.plan.rateLimitBurst()));
-            for (int i = 0; i < kept.neighbours.length; i++) {
-                int slot = kept.neighbours[i] < 0 ? -1 : account.slotOf(kept.neighbours[i]);
-                if (slot >= 0) {
-                    account.pending[slot] += kept.unreportedUnits[i];
-                }
+        }
+    }
+
+    private void restore(long now, AccountSnapshot snapshot) {
+        CustomerAccount account =
+                accounts.of(snapshot.customer, snapshot.plan, snapshot.firstMember, snapshot.memberCount);
+        peers.refresh(account);
+        account.firstSeenAt = Math.min(account.firstSeenAt, now - Math.max(0, snapshot.knownFor));
+        account.maxMemberCount = Math.max(account.maxMemberCount, snapshot.maxMemberCount);
+        account.addWithoutForwarding(Math.max(0, snapshot.count));
+        account.raceMargin = Math.max(account.raceMargin, snapshot.raceMargin);
+        account.unitsSinceFirstSeen += Math.max(0, snapshot.unitsSinceFirstSeen);
+        account.rateLimitTokens = Math.min(snapshot.rateLimitTokens, account.share(account.plan.rateLimitBurst()));
+        for (int i = 0; i < snapshot.neighbours.length; i++) {
+            int slot = snapshot.neighbours[i] < 0 ? -1 : account.slotOf(snapshot.neighbours[i]);
+            if (slot >= 0) {
+                account.addPending(slot, snapshot.unreportedUnits[i]);
             }
-            policy.markDirty(account, -1);
         }
+        peers.markPending(account, PeerTable.NOBODY);
     }
 
-    /** What was counted here since the last time and is not the twin's own word. */
+    /** What was counted here since the last time and is not the other process's own report. */
     public List<AccountUsage> takeUsage() {
         List<AccountUsage> all = new ArrayList<>();
-        for (CustomerAccount account : policy.accounts.values()) {
+        for (CustomerAccount account : accounts.all()) {
             if (account.unreportedToHandover != 0) {
                 all.add(new AccountUsage(
                         account.customer,
@@ -118,34 +132,32 @@
         return all;
     }
 
-    /** Counts what the twin has counted. */
+    /** Counts what the other process has counted. */
     public void addUsage(long now, List<AccountUsage> told) {
-        policy.now = now;
-        for (AccountUsage spent : told) {
-            if (isValid(spent.customer, spent.plan, spent.firstMember, spent.memberCount)) {
+        context.now = now;
+        for (AccountUsage usage : told) {
+            if (isValid(usage.customer, usage.plan, usage.firstMember, usage.memberCount)) {
                 CustomerAccount account =
-                        policy.account(spent.customer, spent.plan, spent.firstMember, spent.memberCount);
-                policy.refresh(account);
-                policy.drain(account);
+                        quotas.refreshed(accounts.of(usage.customer, usage.plan, usage.firstMember, usage.memberCount));
                 account.usedAt = now;
-                policy.count(account, spent.units, HANDOVER_SOURCE);
+                quotas.count(account, usage.units, HANDOVER_SOURCE);
             }
         }
     }
 
-    /** There is no other any more: the whole share is ours. */
+    /** There is no other process any more: the whole share is this one's. */
     public void endSharing() {
-        policy.part.fraction = 1;
+        accounts.quotaShare().fraction = 1;
     }
 
-    private boolean isValid(long customer, int plan, int first, int spread) {
-        TrafficPolicy.PolicySettings settings = policy.settings;
+    private boolean isValid(long customer, int plan, int firstMember, int memberCount) {
+        TrafficPolicy.PolicySettings settings = context.settings;
         return customer >= 0
                 && plan >= 0
                 && plan < settings.plans().size()
-                && spread >= 1
-                && spread <= settings.groupSize()
-                && first >= 0
-                && first < settings.groupSize();
+                && memberCount >= 1
+                && memberCount <= settings.groupSize()
+                && firstMember >= 0
+                && firstMember < settings.groupSize();
     }
 }
--- /dev/null
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerFailureDetector.java
@@ -0,0 +1,146 @@
+package reedmux.gatekeeper.policy;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Failure detection for peers: how often each is sent a packet, and after how long without an answer it is taken for
+ * silent. Who is silent is gossiped: of two versions of a member's state the higher one holds.
+ */
+final class PeerFailureDetector {
+    static final long SYNC_TIMER = 1;
+    /** Share of the message limit that is planned for; the rest is for answers and for clocks that run together. */
+    private static final double PLANNED_MESSAGE_SHARE = 0.8;
+    /** Bounds of the sync interval: bytes and messages, against late counts. */
+    private static final long MIN_SYNC_MICROS = 40_000;
+
+    static final long MAX_SYNC_MICROS = 1_000_000;
+    /** How often it is adapted to the messages that came in, and the largest change at once. */
+    private static final double ADAPT_INTERVAL_MICROS = 0.5 * PolicyContext.MICROS_PER_SECOND;
+
+    private static final double MAX_ADAPT_FACTOR = 1.5;
+    /** Intervals without an answer until it is asked for again: messages against late notice of a loss. */
+    private static final int ASK_AGAIN_INTERVALS = 2;
+    /** Intervals until an answer that is owed goes out without any other news. */
+    private static final int ANSWER_INTERVALS = 1;
+    /** Intervals without an answer until a peer is silent: rerouting round a dead one, against false alarms. */
+    private static final int SILENT_INTERVALS = 12;
+    /** Bounds of the least time until then, which each false alarm doubles. */
+    private static final long MIN_SILENT_MICROS = 300_000;
+
+    private static final long MAX_SILENT_MICROS = 4_000_000;
+    /** What is kept of it at each interval: a machine that stalls often, against one that has come to rest. */
+    private static final double SILENT_TIME_DECAY = 0.999;
+    /** How often a silent peer is asked: notice of its return, against messages to nobody. */
+    private static final long PROBE_INTERVAL_MICROS = 1_000_000;
+    /** Intervals without any event that are a stall of our own, in which nobody is called silent. */
+    private static final long STALL_INTERVALS = 3;
+
+    private final PolicyContext context;
+    private final HeapTopology topology;
+    private final PeerTable peers;
+    private final QuotaPolicy quotas;
+    private double plannedMessagesPerSecond;
+    private double silentTime = MIN_SILENT_MICROS;
+    private int messagesReceived;
+    private long adaptedAt;
+    private long handledAt;
+
+    PeerFailureDetector(PolicyContext context, HeapTopology topology, PeerTable peers, QuotaPolicy quotas) {
+        this.context = context;
+        this.topology = topology;
+        this.peers = peers;
+        this.quotas = quotas;
+        setMessageLimit(context.settings.limits().peerMessagesPerSecond());
+        double messages = 2 + HeapTopology.depth(topology.size()) / 2;
+        peers.syncInterval = bounded(messages / plannedMessagesPerSecond * PolicyContext.MICROS_PER_SECOND);
+        quotas.meanSyncInterval = peers.syncInterval;
+    }
+
+    void setMessageLimit(double perSecond) {
+        plannedMessagesPerSecond = Math.max(1, perSecond * PLANNED_MESSAGE_SHARE);
+    }
+
+    /** Starts the timer, and asks the neighbours in the heap of all gateways for what they have counted. */
+    void begin() {
+        context.actions.setTimer(context.now + peers.syncInterval, SYNC_TIMER);
+        peers.requestCounts();
+    }
+
+    /** After a stall of our own, or long without any event, nobody else is called silent for that time. */
+    void excludeOwnStall() {
+        long gap = context.now - handledAt;
+        handledAt = context.now;
+        if (gap > STALL_INTERVALS * peers.syncInterval) {
+            for (PeerState peer : peers.all()) {
+                peer.awaitingReplySince = peer.awaitingReplySince < 0 ? -1 : peer.awaitingReplySince + gap;
+            }
+        }
+    }
+
+    void onMessage() {
+        messagesReceived++;
+    }
+
+    /** A silent peer was heard: a false alarm, or it is back. */
+    void onReturn(int member) {
+        silentTime = Math.min(MAX_SILENT_MICROS, 2 * silentTime);
+        peers.learn(member, topology.version(member) + 1, PeerTable.NOBODY);
+    }
+
+    /** At each interval, which the message limit sets: sends each neighbour its counters, judges who is silent. */
+    void synchronise(PeerExchange exchange) {
+        adaptInterval();
+        long sync = peers.syncInterval;
+        context.actions.setTimer(context.now + sync, SYNC_TIMER); // first: after a fault nobody is told again
+        silentTime = Math.max(MIN_SILENT_MICROS, silentTime * SILENT_TIME_DECAY);
+        double intervals = 0;
+        int heard = 0;
+        List<Integer> unheard = new ArrayList<>();
+        for (int i = 0; i < peers.all().size(); i++) { // sending may bring up further peers
+            PeerState peer = peers.all().get(i);
+            boolean silent = topology.isSilent(peer.peer);
+            long interval = silent ? PROBE_INTERVAL_MICROS : Math.max(sync, peer.syncInterval);
+            if (!silent) {
+                heard++;
+                intervals += interval;
+                if (isOverdue(peer, interval)) {
+                    unheard.add(peer.peer);
+                }
+            }
+            if (context.now - peer.sentAt >= interval - sync / 4 && (silent || isDue(peer, interval))) {
+                exchange.send(peer);
+            }
+        }
+        unheard.forEach(peer -> peers.learn(peer, topology.version(peer) | 1, PeerTable.NOBODY));
+        quotas.meanSyncInterval = heard == 0 ? sync : intervals / heard;
+    }
+
+    private boolean isOverdue(PeerState peer, long interval) {
+        return peer.awaitingReplySince >= 0
+                && context.now - peer.awaitingReplySince > Math.max(silentTime, SILENT_INTERVALS * interval);
+    }
+
+    private boolean isDue(PeerState peer, long interval) {
+        return !peer.pendingAccounts.isEmpty()
+                || !peer.pendingMembers.isEmpty()
+                || peer.replyOwedSince >= 0 && context.now - peer.replyOwedSince >= ANSWER_INTERVALS * interval
+                || peer.awaitingReplySince >= 0 && context.now - peer.sentAt >= ASK_AGAIN_INTERVALS * interval;
+    }
+
+    /** The interval, which neighbours are told, follows the messages that come in towards the planned share. */
+    private void adaptInterval() {
+        if (context.now - adaptedAt >= ADAPT_INTERVAL_MICROS) {
+            double perSecond = messagesReceived * PolicyContext.MICROS_PER_SECOND / (context.now - adaptedAt);
+            double used = perSecond / plannedMessagesPerSecond;
+            peers.syncInterval =
+                    bounded(peers.syncInterval * Math.max(1 / MAX_ADAPT_FACTOR, Math.min(MAX_ADAPT_FACTOR, used)));
+            messagesReceived = 0;
+            adaptedAt = context.now;
+        }
+    }
+
+    private static long bounded(double interval) {
+        return (long) Math.max(MIN_SYNC_MICROS, Math.min(MAX_SYNC_MICROS, interval));
+    }
+}
