--- /dev/null
+++ b/src/main/java/reedmux/control/store/ChangePublisher.java
@@ -0,0 +1,285 @@
+package reedmux.control.store;
+
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Consumer;
+import reedmux.common.eventloop.Reactor;
+import reedmux.control.consensus.ConsensusNode;
+import reedmux.control.replication.Replica;
+import reedmux.control.rpc.MessageCodec;
+import reedmux.control.rpc.Messages.CaughtUpNotice;
+import reedmux.control.rpc.Messages.ChangesRequest;
+import reedmux.control.rpc.Messages.ConfigurationUpdate;
+import reedmux.control.rpc.Messages.DigestMismatch;
+import reedmux.control.rpc.Messages.DigestRequest;
+import reedmux.control.rpc.Messages.QuorumContactResponse;
+import reedmux.control.rpc.Messages.SnapshotChunk;
+import reedmux.control.rpc.Messages.SnapshotChunkRequest;
+import reedmux.control.rpc.Messages.StateTransferRequest;
+import reedmux.control.rpc.Messages.StateTransferResponse;
+import reedmux.control.rpc.Messages.WatermarkUpdate;
+import reedmux.control.rpc.RpcConnection;
+
+/**
+ * Sends this store's committed items to the followers that pull them: other stores, proxies and registries.
+ *
+ * <p>A follower asks for the changes behind a position ({@link ChangesRequest}) and is answered as soon as there are
+ * any. What does not fit one message comes as {@link SnapshotChunk}s, each of which the follower asks for, so that a
+ * long snapshot keeps nothing else waiting. Another store whose position is of an earlier incarnation of this process
+ * first compares digests ({@link DigestRequest}), and is then sent just the key ranges that differ, followed by what
+ * has changed during the comparison. Only stores are sent watermarks and pending proposals.
+ *
+ * <p>Two notices are sent behind changes. A store that has asked for contact gets its {@link QuorumContactResponse}
+ * once it was sent everything that was committed when the contact was confirmed here. A proxy gets one
+ * {@link CaughtUpNotice} once it was sent everything that was committed when this store, after the proxy began to pull,
+ * was in contact with a quorum. For the reactor's thread.
+ */
+final class ChangePublisher {
+    /** About how many bytes one message of items has: small enough to let heartbeats through in between. */
+    private static final int CHUNK_BYTES = 64 * 1024;
+    /** How many items, and how many watermarks, one message of a repair has. */
+    private static final int REPAIR_CHUNK_ITEMS = 256;
+
+    private final Reactor reactor;
+    private final long incarnation;
+    private final Replica replica;
+    private final ConsensusNode consensus;
+    private final EncodedBatchCache encodedBatches;
+    /** Connections with a request that is not answered yet. */
+    private final Set<RpcConnection> waiting = new LinkedHashSet<>();
+    /** Connections of proxies for which contact with a quorum was not confirmed since their first request. */
+    private final Set<RpcConnection> proxiesAwaitingContact = new LinkedHashSet<>();
+
+    private boolean contactInProgress;
+
+    ChangePublisher(Reactor reactor, MessageCodec codec, long incarnation, Replica replica, ConsensusNode consensus) {
+        this.reactor = reactor;
+        this.incarnation = incarnation;
+        this.replica = replica;
+        this.consensus = consensus;
+        encodedBatches = new EncodedBatchCache(codec, incarnation, replica);
+    }
+
+    private static PullSession sessionOf(RpcConnection connection) {
+        PullSession session = connection.attachment();
+        if (session == null) {
+            session = new PullSession();
+            connection.attachment(session);
+        }
+        return session;
+    }
+
+    private static boolean isStore(RpcConnection connection) {
+        return connection.peer().program().equals(StoreServer.PROGRAM_NAME);
+    }
+
+    // ---- Requests of followers ---------------------------------------------------------------------
+
+    /** The follower has applied everything up to its position and wants what has changed since. */
+    void onChangesRequest(RpcConnection connection, ChangesRequest request) {
+        onPull(connection, positionHere(request.incarnation(), request.sinceChange()), true);
+    }
+
+    /** The follower has received a chunk and wants the next one. */
+    void onSnapshotChunkRequest(RpcConnection connection, SnapshotChunkRequest request) {
+        onPull(connection, positionHere(request.incarnation(), request.sinceChange()), false);
+    }
+
+    private long positionHere(long ofIncarnation, long change) {
+        return ofIncarnation == incarnation ? change : PullSession.UNKNOWN;
+    }
+
+    /** Another store sends its digests, first of the coarse ranges and then of the fine ones where those differ. */
+    void onDigestRequest(RpcConnection connection, DigestRequest request) {
+        List<Integer> differing = replica.digests().differingRanges(request.ranges(), request.digests());
+        if (differing == null) {
+            reactor.error("digests of no sense from " + connection.peer().node());
+            connection.close();
+            return;
+        }
+        PullSession session = sessionOf(connection);
+        boolean coarse = request.ranges().isEmpty();
+        if (coarse) {
+            session.repairReadAtChange = replica.lastChange(); // later changes are sent behind the repair
+        }
+        if (coarse && !differing.isEmpty()) {
+            connection.sendMessage(new DigestMismatch(differing));
+            return;
+        }
+        session.repairBatch = differing.isEmpty() ? null : replica.batchInRanges(differing);
+        onPull(connection, session.repairReadAtChange, false);
+    }
+
+    private void onPull(RpcConnection connection, long since, boolean applied) {
+        PullSession session = sessionOf(connection);
+        session.replyDue = true;
+        session.sinceChange = !applied && since < 0 ? session.repairReadAtChange : since;
+        session.appliedSince = applied;
+        session.sentUpToChange = applied ? since : PullSession.UNKNOWN;
+        waiting.add(connection);
+        sendDue(connection);
+        if (!session.notifiedCaughtUp
+                && session.contactAtChange < 0
+                && !isStore(connection)
+                && proxiesAwaitingContact.add(connection)) {
+            startProxyContact();
+        }
+    }
+
+    /** Sends everything that has changed since a position to a store that takes over the state of this one. */
+    void onStateTransferRequest(RpcConnection connection, StateTransferRequest request) {
+        long since = request.incarnation() == incarnation ? request.sinceChange() : 0;
+        connection.sendMessage(new WatermarkUpdate(replica.watermarksSince(since)));
+        ConfigurationUpdate update = new ConfigurationUpdate(
+                incarnation,
+                replica.lastChange(),
+                consensus.isComplete(),
+                replica.committedSince(since),
+                List.copyOf(replica.pending().values()));
+        List<List<String>> votersByProposal = update.pendingProposals().stream()
+                .map(proposal -> consensus.proposersVotedFor(proposal.id()))
+                .toList();
+        connection.sendMessage(new StateTransferResponse(request.epoch(), update, votersByProposal));
+    }
+
+    /** A connection has ended. */
+    void onDisconnected(RpcConnection connection) {
+        waiting.remove(connection);
+        proxiesAwaitingContact.remove(connection);
+    }
+
+    // ---- Answers -----------------------------------------------------------------------------------
+
+    /** The replica has changed, or this store has become complete: answers who waits for that. */
+    void onConfigurationChanged() {
+        for (RpcConnection connection : List.copyOf(waiting)) {
+            sendDue(connection);
+        }
+    }
+
+    private void sendDue(RpcConnection connection) {
+        sendNextBatch(connection);
+        sendDueNotices(connection);
+    }
+
+    private void sendNextBatch(RpcConnection connection) {
+        PullSession session = sessionOf(connection);
+        boolean toStore = isStore(connection);
+        if (!session.replyDue || !hasAnswer(session, toStore)) {
+            return;
+        }
+        session.replyDue = false;
+        session.replied = true;
+        waiting.remove(connection);
+        if (toStore) {
+            sendToStore(connection, session);
+        } else {
+            sendToProxy(connection, session);
+        }
+    }
+
+    private boolean hasAnswer(PullSession session, boolean toStore) {
+        if (session.sinceChange < 0) {
+            return toStore || consensus.isComplete(); // a proxy starts with a complete configuration only
+        }
+        // A store that has reconnected is answered even if nothing is new: it counts no peer that has not answered.
+        boolean firstReply = toStore && !session.replied;
+        return firstReply || !session.appliedSince || replica.lastChange() > session.sinceChange;
+    }
+
+    private void sendToProxy(RpcConnection connection, PullSession session) {
+        EncodedBatchCache.EncodedBatch batch =
+                encodedBatches.since(Math.max(0, session.sinceChange), consensus.isComplete(), CHUNK_BYTES);
+        session.sentUpToChange = batch.last() && consensus.isComplete() ? replica.lastChange() : PullSession.UNKNOWN;
+        connection.sendEncoded(batch.bytes());
+    }
+
+    private void sendToStore(RpcConnection connection, PullSession session) {
+        if (session.repairBatch != null) {
+            Replica.ChangeBatch chunk = session.repairBatch.first(REPAIR_CHUNK_ITEMS);
+            sendWatermarks(connection, chunk);
+            session.repairBatch = session.repairBatch.remainder(REPAIR_CHUNK_ITEMS);
+            connection.sendMessage(new SnapshotChunk(incarnation, PullSession.UNKNOWN, chunk.items()));
+            return;
+        }
+        Replica.ChangeBatch batch = replica.batchSince(Math.max(0, session.sinceChange), CHUNK_BYTES);
+        sendWatermarks(connection, batch);
+        if (!batch.last()) {
+            connection.sendMessage(new SnapshotChunk(incarnation, batch.upToChange(), batch.items()));
+            return;
+        }
+        session.sentUpToChange = consensus.isComplete() ? replica.lastChange() : PullSession.UNKNOWN;
+        connection.sendMessage(new ConfigurationUpdate(
+                incarnation,
+                batch.upToChange(),
+                consensus.isComplete(),
+                batch.items(),
+                List.copyOf(replica.pending().values())));
+    }
+
+    /** Watermarks go ahead of the items that they belong to. */
+    private static void sendWatermarks(RpcConnection connection, Replica.ChangeBatch batch) {
+        if (!batch.watermarks().isEmpty()) {
+            connection.sendMessage(new WatermarkUpdate(batch.watermarks()));
+        }
+    }
+
+    // ---- Notices behind the changes ----------------------------------------------------------------
+
+    /** Confirms a store's request for contact once it was sent everything that is committed now. */
+    void confirmContact(RpcConnection connection, long contactId) {
+        sessionOf(connection).dueConfirmations.add(new PullSession.DueConfirmation(contactId, replica.lastChange()));
+        sendDue(connection);
+    }
+
+    private void sendDueNotices(RpcConnection connection) {
+        PullSession session = sessionOf(connection);
+        while (!session.dueConfirmations.isEmpty()
+                && session.dueConfirmations.peek().afterChange() <= session.sentUpToChange) {
+            connection.sendMessage(
+                    new QuorumContactResponse(session.dueConfirmations.poll().contactId()));
+        }
+        if (!session.notifiedCaughtUp
+                && session.contactAtChange >= 0
+                && session.contactAtChange <= session.sentUpToChange) {
+            session.notifiedCaughtUp = true;
+            connection.sendMessage(new CaughtUpNotice());
+        }
+    }
+
+    /** Seeks contact with a quorum, once for all proxies that have begun to pull since the last time. */
+    void startProxyContact() {
+        if (contactInProgress || proxiesAwaitingContact.isEmpty() || !consensus.isCurrent()) {
+            return;
+        }
+        contactInProgress = true;
+        consensus.contactQuorum(reactor.now(), false, new ProxyContactCallback(List.copyOf(proxiesAwaitingContact)));
+    }
+
+    /** A class and no lambda, which would be linked at run time in the middle of a start. */
+    private final class ProxyContactCallback implements Consumer<Boolean> {
+        private final List<RpcConnection> proxies;
+
+        private ProxyContactCallback(List<RpcConnection> proxies) {
+            this.proxies = proxies;
+        }
+
+        @Override
+        public void accept(Boolean reached) {
+            contactInProgress = false;
+            if (reached) {
+                for (RpcConnection connection : proxies) {
+                    onProxyContact(connection);
+                }
+            }
+        }
+    }
+
+    private void onProxyContact(RpcConnection connection) {
+        if (proxiesAwaitingContact.remove(connection)) {
+            sessionOf(connection).contactAtChange = replica.lastChange();
+            sendDue(connection);
+        }
+    }
+}
--- a/src/main/java/reedmux/control/store/ReplicaStorage.java
+++ b/src/main/java/reedmux/control/store/ReplicaStorage.java
@@ -143,7 +143,7 @@
     }
 
     /** Keeps that; {@code done} hears whether it is safe. */
-    void core(CoreMembership.PersistentCoreState state, Consumer<Boolean> done) {
+    void persistCore(CoreMembership.PersistentCoreState state, Consumer<Boolean> done) {
         core = state;
         enqueueRecord(codec.encode(new CoreStateRecord(state)), done);
     }
--- a/src/test/java/reedmux/control/store/StoreFixtures.java
+++ b/src/test/java/reedmux/control/store/StoreFixtures.java
@@ -151,7 +151,7 @@
     /** Lets a store write the files of two generations to an empty folder; returns the digests of its contents. */
     public static Map<String, byte[]> writeDataFolder(Path folder) {
         Life life = new Life(folder, true);
-        life.storage.core(FIRST_GENERATION.core, Life::written);
+        life.storage.persistCore(FIRST_GENERATION.core, Life::written);
         life.hold(IN_FORCE);
         life.hold(HELD);
         life.hold(DROPPED_CALL);
@@ -166,7 +166,7 @@
         life.merge(NEW_ROUTE);
         life.decide(PRECOMMITTED, true);
         life.mark(List.of(LATE_MARK));
-        life.storage.core(SECOND_GENERATION.core, Life::written);
+        life.storage.persistCore(SECOND_GENERATION.core, Life::written);
         life.hold(LAST);
         life.settle();
         return life.digests();
