--- a/src/main/antlr4/reedmux/gatekeeper/script/Script.g4
+++ b/src/main/antlr4/reedmux/gatekeeper/script/Script.g4
@@ -1,6 +1,6 @@
 /*
  * The operators' settings script: the part of Starlark that always ends. No while, no recursion, no I/O.
- * INDENT and DEDENT come from Layout, which stands between the lexer and the parser.
+ * INDENT and DEDENT come from IndentationTokenSource, which stands between the lexer and the parser.
  */
 grammar Script;
 
--- a/src/main/java/reedmux/cli/GatekeeperProcess.java
+++ b/src/main/java/reedmux/cli/GatekeeperProcess.java
@@ -29,7 +29,7 @@
 import reedmux.gatekeeper.reducer.GatekeeperLoop;
 import reedmux.gatekeeper.service.ServiceManager;
 import reedmux.gatekeeper.service.ServiceRuntime;
-import reedmux.gatekeeper.settings.OperatorSettings.RegionSettings;
+import reedmux.gatekeeper.settings.RegionSettings;
 
 /** One gatekeeper, put together: the reducer in the middle, and round it what reads and writes for it. */
 public final class GatekeeperProcess implements AutoCloseable {
@@ -94,7 +94,7 @@
     GatekeeperProcess(LoadedConfiguration loaded, MonotonicClock clock, Consumer<String> log, Path meeting)
             throws IOException {
         config = loaded.config();
-        RegionSettings region = loaded.settings().readRegion();
+        RegionSettings region = loaded.settings().region();
         this.clock = clock;
         this.log = log;
         peers = new PeerSocket(config.peerListen(), config.peers(), config.peerBroadcast());
@@ -469,7 +469,7 @@
                 log.accept("configuration: a change takes a restart: " + String.join(", ", kept));
             }
             pools.reload(loaded.services().pools(), loaded.services().routes());
-            RegionSettings region = loaded.settings().readRegion();
+            RegionSettings region = loaded.settings().region();
             if (regionConnector != null) {
                 pools.defaultService().post(regionConnector.reload(region));
             } else if (region != null) {
--- a/src/main/java/reedmux/cli/RegionConnector.java
+++ b/src/main/java/reedmux/cli/RegionConnector.java
@@ -24,7 +24,7 @@
 import reedmux.gatekeeper.reducer.ReducerEvent;
 import reedmux.gatekeeper.reducer.RegionCoordinator;
 import reedmux.gatekeeper.reducer.UpstreamCall;
-import reedmux.gatekeeper.settings.OperatorSettings.RegionSettings;
+import reedmux.gatekeeper.settings.RegionSettings;
 
 /**
  * A gatekeeper's link to other regions: a listener of its own for what they send, and connections of its own
--- /dev/null
+++ b/src/main/java/reedmux/gatekeeper/script/Assignments.java
@@ -0,0 +1,112 @@
+package reedmux.gatekeeper.script;
+
+import static reedmux.gatekeeper.script.ScriptSyntax.positionOf;
+
+import java.util.List;
+import org.antlr.v4.runtime.Token;
+import reedmux.gatekeeper.script.ScriptParser.AssignmentContext;
+import reedmux.gatekeeper.script.ScriptParser.PlaceContext;
+import reedmux.gatekeeper.script.ScriptParser.TargetContext;
+
+/** Assigns values to names, to several names at once, and to elements of lists and dicts. */
+final class Assignments {
+    private final ScriptMeter meter;
+    private final ScriptScope builtins;
+    private final ScriptOperators operators;
+    private final ScriptCollections collections;
+    private final ExpressionEvaluator expressions;
+
+    Assignments(
+            ScriptMeter meter,
+            ScriptScope builtins,
+            ScriptOperators operators,
+            ScriptCollections collections,
+            ExpressionEvaluator expressions) {
+        this.meter = meter;
+        this.builtins = builtins;
+        this.operators = operators;
+        this.collections = collections;
+        this.expressions = expressions;
+    }
+
+    /** Binds a name in {@code scope}; those of declarations cannot be bound anew. */
+    void bind(Token name, Object value, ScriptScope scope) {
+        if (builtins.lookUpHere(name.getText()) instanceof Declaration.DeclarationKind) {
+            throw new ScriptFaultException(
+                    ScriptFaultException.positionOf(name),
+                    "'" + name.getText() + "' is a function of ours and keeps its meaning");
+        }
+        meter.countElements(ScriptFaultException.positionOf(name), 1);
+        scope.bind(name.getText(), value);
+    }
+
+    /** Executes {@code target = value} or an augmented assignment such as {@code target += value}. */
+    void execute(AssignmentContext assignment, ScriptScope scope) {
+        Object value = expressions.evaluate(assignment.tests(), scope);
+        String operator = assignment.op.getText();
+        if (!operator.equals("=")) {
+            Object before = valueBefore(assignment, scope);
+            value = operators.binary(
+                    ScriptFaultException.positionOf(assignment.op),
+                    operator.substring(0, operator.length() - 1),
+                    before,
+                    value);
+        }
+        assign(assignment.target(), value, scope);
+    }
+
+    private Object valueBefore(AssignmentContext assignment, ScriptScope scope) {
+        TargetContext target = assignment.target();
+        if (target.place().size() != 1 || target.place(0).target() != null) {
+            throw new ScriptFaultException(
+                    positionOf(target), "'" + assignment.op.getText() + "' takes one name or element");
+        }
+        PlaceContext place = target.place(0);
+        return place.NAME() != null ? scope.resolveHere(place.NAME().getSymbol()) : element(place, scope);
+    }
+
+    /** Assigns a value to a target; a target of several places takes a value's elements apart. */
+    void assign(TargetContext target, Object value, ScriptScope scope) {
+        boolean several = target.place().size() > 1 || target.getText().endsWith(",");
+        if (!several) {
+            assign(target.place(0), value, scope);
+            return;
+        }
+        List<Object> values = collections.elements(positionOf(target), value);
+        if (values.size() != target.place().size()) {
+            throw new ScriptFaultException(
+                    positionOf(target), target.place().size() + " names for " + values.size() + " values");
+        }
+        for (int i = 0; i < values.size(); i++) {
+            assign(target.place(i), values.get(i), scope);
+        }
+    }
+
+    private void assign(PlaceContext place, Object value, ScriptScope scope) {
+        if (place.NAME() != null) {
+            bind(place.NAME().getSymbol(), value, scope);
+        } else if (place.target() != null) {
+            assign(place.target(), value, scope);
+        } else {
+            Object container = read(place.place(), scope);
+            Object key = expressions.evaluate(place.test(), scope);
+            collections.setElement(positionOf(place), container, key, value);
+        }
+    }
+
+    /** The value that a place has, as the container of an element that is assigned to. */
+    private Object read(PlaceContext place, ScriptScope scope) {
+        if (place.NAME() != null) {
+            return scope.resolve(place.NAME().getSymbol());
+        } else if (place.target() != null) {
+            throw new ScriptFaultException(positionOf(place), "names in brackets have no elements");
+        }
+        return element(place, scope);
+    }
+
+    private Object element(PlaceContext place, ScriptScope scope) {
+        Object container = read(place.place(), scope);
+        Object key = expressions.evaluate(place.test(), scope);
+        return collections.element(positionOf(place), container, key);
+    }
+}
--- a/src/main/java/reedmux/gatekeeper/script/Declaration.java
+++ b/src/main/java/reedmux/gatekeeper/script/Declaration.java
@@ -4,13 +4,18 @@
 import java.util.Map;
 import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
 
-/** Something that a script declares, such as {@code budget(share = 0.1)}, with where each key was told. */
+/** What a call such as {@code budget(share = 0.1)} declares, with the position of the call and of each key. */
 public record Declaration(String kind, ScriptPosition position, Map<String, DeclaredValue> keys) {
 
-    /** One key's value and its place. */
+    /** The value of one key and its position. */
     public record DeclaredValue(Object value, ScriptPosition position) {}
 
-    /** A function of the script that declares; {@code whole}: a call of it stands for itself. */
+    /**
+     * A function whose calls are declarations.
+     *
+     * @param topLevel whether a call counts by itself; otherwise it only serves as the value of another one's key
+     * @param keys     the named arguments that it takes
+     */
     public record DeclarationKind(String name, boolean topLevel, List<String> keys)
             implements ScriptValues.ScriptCallable {}
 
--- a/src/main/java/reedmux/gatekeeper/script/IndentationTokenSource.java
+++ b/src/main/java/reedmux/gatekeeper/script/IndentationTokenSource.java
@@ -10,9 +10,9 @@
 import org.antlr.v4.runtime.TokenSource;
 
 /**
- * Stands between lexer and parser and turns the indents of lines into tokens: nothing counts between
- * brackets, blank lines and comments count nowhere. Bounds how deep brackets, indents and signs may nest,
- * so that the parser's own recursion stays small.
+ * The tokens between lexer and parser, with {@code INDENT} and {@code DEDENT} where the indentation of lines changes,
+ * as in Python. Line breaks between brackets, blank lines and comments are left out. Bounds how deep brackets,
+ * indents and prefix operators nest, since the generated parser recurses with each of them.
  */
 final class IndentationTokenSource implements TokenSource {
     private static final int MAX_BRACKET_DEPTH = 50;
@@ -41,51 +41,60 @@
     }
 
     private void read(Token token) {
-        int type = token.getType();
-        if (type == Token.EOF) {
-            if (lineHasTokens && bracketDepth == 0) {
-                pendingTokens.add(synthesize(token, ScriptParser.NEWLINE, "the end"));
-            }
-            for (; indents.peek() > 0; indents.pop()) {
-                pendingTokens.add(synthesize(token, ScriptParser.DEDENT, "the end"));
-            }
-            pendingTokens.add(token);
-            return;
-        }
-        if (type == ScriptParser.NEWLINE) {
-            if (bracketDepth == 0) {
-                if (lineHasTokens) {
-                    pendingTokens.add(token);
+        switch (token.getType()) {
+            case Token.EOF -> endOfFile(token);
+            case ScriptParser.NEWLINE -> endOfLine(token);
+            case ScriptParser.STRAY -> throw strayCharacter(token);
+            case ScriptParser.UNSUPPORTED ->
+                throw new ScriptFaultException(
+                        ScriptFaultException.positionOf(token),
+                        "'" + token.getText() + "' is not part of the settings script");
+            default -> {
+                if (atLineStart) {
+                    atLineStart = false;
+                    prefixOperators = 0;
+                    emitIndentation(token);
                 }
-                atLineStart = true;
-                lineHasTokens = false;
+                lineHasTokens = true;
+                trackNesting(token);
+                pendingTokens.add(token);
             }
-            return;
-        }
-        if (type == ScriptParser.STRAY) {
-            throw new ScriptFaultException(
-                    ScriptFaultException.positionOf(token),
-                    token.getText().equals("\t")
-                            ? "a tab: indents and gaps are made of spaces"
-                            : token.getText().matches("[\"']")
-                                    ? "a string that does not end on its line"
-                                    : "a character that has no place here: '" + token.getText() + "'");
         }
-        if (type == ScriptParser.UNSUPPORTED) {
-            throw new ScriptFaultException(
-                    ScriptFaultException.positionOf(token),
-                    "'" + token.getText() + "' is not part of the settings script");
+    }
+
+    private void endOfFile(Token token) {
+        if (lineHasTokens && bracketDepth == 0) {
+            pendingTokens.add(synthesize(token, ScriptParser.NEWLINE, "the end"));
         }
-        if (atLineStart) {
-            atLineStart = false;
-            prefixOperators = 0;
-            emitIndentation(token);
+        while (indents.peek() > 0) {
+            pendingTokens.add(synthesize(token, ScriptParser.DEDENT, "the end"));
+            indents.pop();
         }
-        lineHasTokens = true;
-        trackNesting(token);
         pendingTokens.add(token);
     }
 
+    private void endOfLine(Token token) {
+        if (bracketDepth > 0) {
+            return;
+        }
+        if (lineHasTokens) {
+            pendingTokens.add(token);
+        }
+        atLineStart = true;
+        lineHasTokens = false;
+    }
+
+    private static ScriptFaultException strayCharacter(Token token) {
+        String text = token.getText();
+        String problem =
+                switch (text) {
+                    case "\t" -> "a tab: indents and gaps are made of spaces";
+                    case "\"", "'" -> "a string that does not end on its line";
+                    default -> "a character that has no place here: '" + text + "'";
+                };
+        return new ScriptFaultException(ScriptFaultException.positionOf(token), problem);
+    }
+
     private void emitIndentation(Token token) {
         int column = token.getCharPositionInLine();
         if (column > indents.peek()) {
@@ -108,7 +117,8 @@
     private void trackNesting(Token token) {
         switch (token.getText()) {
             case "(", "[", "{" -> {
-                if (++bracketDepth > MAX_BRACKET_DEPTH) {
+                bracketDepth++;
+                if (bracketDepth > MAX_BRACKET_DEPTH) {
                     throw new ScriptFaultException(
                             ScriptFaultException.positionOf(token),
                             "more than " + MAX_BRACKET_DEPTH + " brackets within each other");
@@ -117,7 +127,7 @@
             case ")", "]", "}" -> bracketDepth = Math.max(0, bracketDepth - 1);
             default -> {}
         }
-        // Only what the parser descends for without a bracket: signs, 'not' and the rest of a choice.
+        // The parser also recurses without a bracket: at signs, 'not' and the last part of a conditional expression.
         prefixOperators = switch (token.getText()) {
             case "-", "+", "not", "else" -> prefixOperators + 1;
             case "=", ":", "," -> 0;
@@ -130,8 +140,8 @@
         }
     }
 
-    private static Token synthesize(Token at, int type, String text) {
-        CommonToken token = new CommonToken(at);
+    private static Token synthesize(Token original, int type, String text) {
+        CommonToken token = new CommonToken(original);
         token.setType(type);
         token.setText(text);
         token.setChannel(Token.DEFAULT_CHANNEL);
--- /dev/null
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptCollections.java
@@ -0,0 +1,105 @@
+package reedmux.gatekeeper.script;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
+
+/** Reads and changes the elements of lists, dicts and strings. */
+final class ScriptCollections {
+    private final ScriptMeter meter;
+
+    ScriptCollections(ScriptMeter meter) {
+        this.meter = meter;
+    }
+
+    /** A copy of a list's elements or of a dict's keys, so that a loop may change what it goes through. */
+    List<Object> elements(ScriptPosition position, Object value) {
+        if (value instanceof List<?> list) {
+            meter.countElements(position, list.size());
+            return new ArrayList<>(list);
+        } else if (value instanceof Map<?, ?> map) {
+            meter.countElements(position, map.size());
+            return new ArrayList<>(map.keySet());
+        }
+        throw new ScriptFaultException(
+                position, "a " + ScriptValues.typeName(value) + " has no elements to go through");
+    }
+
+    /** The value of {@code container[key]}. */
+    Object element(ScriptPosition position, Object container, Object key) {
+        if (container instanceof Map<?, ?> map) {
+            Object found = map.get(key);
+            if (found == null) {
+                throw unknownKey(position, map, key);
+            }
+            return found;
+        } else if (container instanceof List<?> list && key instanceof Long index) {
+            return list.get(checkedIndex(position, index, list.size()));
+        } else if (container instanceof String text && key instanceof Long index) {
+            int at = checkedIndex(position, index, text.length());
+            return text.substring(at, at + 1);
+        }
+        throw new ScriptFaultException(
+                position,
+                "a " + ScriptValues.typeName(container) + " has no element by a " + ScriptValues.typeName(key));
+    }
+
+    private ScriptFaultException unknownKey(ScriptPosition position, Map<?, ?> map, Object key) {
+        List<String> known = map.keySet().stream().map(String::valueOf).toList();
+        return new ScriptFaultException(
+                position,
+                "the dict has no key " + ScriptValues.toText(meter, position, List.of(key))
+                        + NameSuggestions.suggest(String.valueOf(key), known));
+    }
+
+    /** An index counts from the end where it is negative. */
+    private static int checkedIndex(ScriptPosition position, long given, int size) {
+        long index = given < 0 ? given + size : given;
+        if (index < 0 || index >= size) {
+            throw new ScriptFaultException(position, "the index " + given + " lies outside of " + size + " elements");
+        }
+        return (int) index;
+    }
+
+    /** The value of {@code container[low:high]}; a bound that is left out is null. */
+    Object slice(ScriptPosition position, Object container, Object low, Object high) {
+        boolean sliceable = container instanceof List<?> || container instanceof String;
+        if (!sliceable || !isSliceBound(low) || !isSliceBound(high)) {
+            throw new ScriptFaultException(position, "a part is taken of a list or string, between whole numbers");
+        }
+        int size = container instanceof List<?> list ? list.size() : ((String) container).length();
+        int from = sliceIndex(low, 0, size);
+        int to = Math.max(from, sliceIndex(high, size, size));
+        meter.countElements(position, to - from);
+        return container instanceof String text
+                ? text.substring(from, to)
+                : new ArrayList<>(((List<?>) container).subList(from, to));
+    }
+
+    private static boolean isSliceBound(Object bound) {
+        return bound == null || bound instanceof Long;
+    }
+
+    private static int sliceIndex(Object given, int otherwise, int size) {
+        long index = given == null ? otherwise : (Long) given;
+        return (int) Math.max(0, Math.min(size, index < 0 ? index + size : index));
+    }
+
+    /** Executes {@code container[key] = value}. */
+    @SuppressWarnings("unchecked")
+    void setElement(ScriptPosition position, Object container, Object key, Object value) {
+        if (container instanceof Map<?, ?> map) {
+            if (!(key instanceof String || key instanceof Long || key instanceof Boolean)) {
+                throw new ScriptFaultException(
+                        position, "a " + ScriptValues.typeName(key) + " cannot be the key of a dict");
+            }
+            meter.countElements(position, 2);
+            ((Map<Object, Object>) map).put(key, value);
+        } else if (container instanceof List<?> list && key instanceof Long index) {
+            ((List<Object>) list).set(checkedIndex(position, index, list.size()), value);
+        } else {
+            throw new ScriptFaultException(position, "nothing can be put into a " + ScriptValues.typeName(container));
+        }
+    }
+}
--- a/src/main/java/reedmux/gatekeeper/script/ScriptException.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptException.java
@@ -1,20 +1,34 @@
 package reedmux.gatekeeper.script;
 
-/** What is wrong with a settings script, and where: {@code FILE:LINE:COLUMN: what}. */
+/** An error in a settings script; the message has the form {@code FILE:LINE:COLUMN: what}. */
 public final class ScriptException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** A place in a script; lines and columns count from 1. */
-    public record ScriptPosition(int line, int column) {}
+    /** A position in a script; lines and columns count from 1. */
+    public record ScriptPosition(int line, int column) {
+        /** The beginning of a script, for errors that concern all of it. */
+        public static final ScriptPosition START = new ScriptPosition(1, 1);
+    }
 
     private final transient ScriptPosition position;
 
-    public ScriptException(String file, ScriptPosition place, String message) {
-        super(file + ':' + place.line() + ':' + place.column() + ": " + message, null, false, false);
-        this.position = place;
+    /** An error in {@code file} at {@code position}. */
+    public ScriptException(String file, ScriptPosition position, String message) {
+        this(file, position, message, null);
+    }
+
+    /** An error in {@code file} that follows from {@code cause}, which may be null. */
+    public ScriptException(String file, ScriptPosition position, String message, Throwable cause) {
+        super(file + ':' + position.line() + ':' + position.column() + ": " + message, cause, false, false);
+        this.position = position;
+    }
+
+    /** An error that the parser or the interpreter found in {@code file}. */
+    public ScriptException(String file, ScriptFaultException fault) {
+        this(file, fault.position(), fault.getMessage(), fault);
     }
 
-    /** Where it is. */
+    /** Where in the script the error is. */
     public ScriptPosition position() {
         return position;
     }
--- a/src/main/java/reedmux/gatekeeper/script/ScriptFaultException.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptFaultException.java
@@ -4,16 +4,25 @@
 import org.antlr.v4.runtime.misc.ParseCancellationException;
 import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
 
-/** A fault on its way out of the parser or interpreter; becomes a {@link ScriptException} at the edge. */
+/**
+ * An error in a script, thrown through the generated parser and the interpreter. Whoever knows the script's file turns
+ * it into a {@link ScriptException}; it never leaves the settings.
+ */
 public final class ScriptFaultException extends ParseCancellationException {
     private static final long serialVersionUID = 1;
     private final transient ScriptPosition position;
 
-    public ScriptFaultException(ScriptPosition place, String message) {
+    public ScriptFaultException(ScriptPosition position, String message) {
         super(message);
-        this.position = place;
+        this.position = position;
     }
 
+    ScriptFaultException(ScriptPosition position, String message, Throwable cause) {
+        super(message, cause);
+        this.position = position;
+    }
+
+    /** Where in the script the error is. */
     public ScriptPosition position() {
         return position;
     }
@@ -22,8 +31,9 @@
         return new ScriptPosition(token.getLine(), token.getCharPositionInLine() + 1);
     }
 
+    /** Leaves the stack trace out: the error is in the script, whose position it carries. */
     @Override
     public synchronized Throwable fillInStackTrace() {
-        return this; // it tells of the script, not of us
+        return this;
     }
 }
--- a/src/main/java/reedmux/gatekeeper/script/ScriptMeter.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptMeter.java
@@ -3,44 +3,48 @@
 import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
 
 /**
- * Bounds what one reading of a script may cost: steps, and memory by all that it ever allocates, as a part
- * given back cannot be told. Both are counted, not timed, so that a script is taken everywhere or nowhere.
+ * Bounds what executing a script may cost: steps, memory and depth. Memory is the sum of all allocations, since what
+ * the script has dropped is not known. Both are counted rather than measured, so that a script that is accepted on one
+ * machine is accepted on all. For one execution on one thread.
  */
 public final class ScriptMeter {
-    /** Statements, expressions and rounds of loops. */
+    /** Statements, expressions, iterations of loops and comparisons. */
     static final int MAX_STEPS = 1_000_000;
-    /** Characters of strings, elements of lists and entries of dicts, the latter two as 16. */
+    /** One unit a character of a string; elements of lists and entries of dicts count as several. */
     static final long MAX_MEMORY_UNITS = 8_000_000;
 
     private static final int UNITS_PER_ELEMENT = 16;
-    /** Expressions within each other and calls of functions, together. */
+    /** Nested expressions and function calls, together. */
     private static final int MAX_DEPTH = 400;
 
     private int steps;
     private long memory;
     private int depth;
 
-    void countStep(ScriptPosition place) {
-        if (++steps > MAX_STEPS) {
-            throw new ScriptFaultException(place, "the script takes more than " + MAX_STEPS + " steps");
+    void countStep(ScriptPosition position) {
+        steps++;
+        if (steps > MAX_STEPS) {
+            throw new ScriptFaultException(position, "the script takes more than " + MAX_STEPS + " steps");
         }
     }
 
-    void countElements(ScriptPosition place, long count) {
-        countCharacters(place, count * UNITS_PER_ELEMENT);
+    void countElements(ScriptPosition position, long count) {
+        countCharacters(position, count * UNITS_PER_ELEMENT);
     }
 
-    void countCharacters(ScriptPosition place, long count) {
+    void countCharacters(ScriptPosition position, long count) {
         memory += count;
         if (count < 0 || memory > MAX_MEMORY_UNITS) {
-            throw new ScriptFaultException(place, "the script takes more than " + MAX_MEMORY_UNITS + " bytes");
+            throw new ScriptFaultException(position, "the script takes more than " + MAX_MEMORY_UNITS + " bytes");
         }
     }
 
-    void enter(ScriptPosition place) {
-        countStep(place);
-        if (++depth > MAX_DEPTH) {
-            throw new ScriptFaultException(place, "an expression is nested too deeply");
+    /** An expression or a function's body begins; {@link #leave} follows when it ends. */
+    void enter(ScriptPosition position) {
+        countStep(position);
+        depth++;
+        if (depth > MAX_DEPTH) {
+            throw new ScriptFaultException(position, "an expression is nested too deeply");
         }
     }
 
--- a/src/main/java/reedmux/gatekeeper/script/ScriptValues.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptValues.java
@@ -5,12 +5,12 @@
 import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
 
 /**
- * What a script computes with, as plain Java values: {@link Boolean}, {@link Long}, {@link Double},
- * {@link String}, {@link List}, {@link Map}, {@link ScriptCallable} and {@link #NONE}. Unlike in Starlark a tuple
+ * The values of scripts, as plain Java objects: {@link Boolean}, {@link Long}, {@link Double}, {@link String},
+ * {@link List}, {@link Map}, {@link ScriptCallable}, {@link Declaration} and {@link #NONE}. Unlike in Starlark a tuple
  * is a list.
  */
 public final class ScriptValues {
-    /** The one value of {@code None}. */
+    /** The value of {@code None}. */
     public static final Object NONE = new Object() {
         @Override
         public String toString() {
@@ -18,87 +18,111 @@
         }
     };
 
-    /** What can be called. */
+    /** A value that can be called. */
     interface ScriptCallable {
+        /** The name that errors and {@code str} give it. */
         String name();
     }
 
     private ScriptValues() {}
 
-    /** A value's type under its name in scripts. */
+    /** The name that scripts give a value's type. */
     static String typeName(Object value) {
-        return value instanceof Boolean
-                ? "bool"
-                : value instanceof Long
-                        ? "int"
-                        : value instanceof Double
-                                ? "float"
-                                : value instanceof String
-                                        ? "string"
-                                        : value instanceof List
-                                                ? "list"
-                                                : value instanceof Map
-                                                        ? "dict"
-                                                        : value instanceof ScriptCallable
-                                                                ? "function"
-                                                                : value instanceof Declaration declared
-                                                                        ? declared.kind()
-                                                                        : "NoneType";
+        if (value instanceof Boolean) {
+            return "bool";
+        } else if (value instanceof Long) {
+            return "int";
+        } else if (value instanceof Double) {
+            return "float";
+        } else if (value instanceof String) {
+            return "string";
+        } else if (value instanceof List) {
+            return "list";
+        } else if (value instanceof Map) {
+            return "dict";
+        } else if (value instanceof ScriptCallable) {
+            return "function";
+        }
+        return value instanceof Declaration declaration ? declaration.kind() : "NoneType";
     }
 
+    /** False for {@code False}, {@code None}, zero and what is empty. */
     static boolean isTruthy(Object value) {
-        return value instanceof Boolean flag
-                ? flag
-                : value instanceof Long whole
-                        ? whole != 0
-                        : value instanceof Double number
-                                ? number != 0
-                                : value instanceof String text
-                                        ? !text.isEmpty()
-                                        : value instanceof List<?> list
-                                                ? !list.isEmpty()
-                                                : value instanceof Map<?, ?> map ? !map.isEmpty() : value != NONE;
+        if (value instanceof Boolean flag) {
+            return flag;
+        } else if (value instanceof Long integer) {
+            return integer != 0;
+        } else if (value instanceof Double number) {
+            return number != 0;
+        } else if (value instanceof String text) {
+            return !text.isEmpty();
+        } else if (value instanceof List<?> list) {
+            return !list.isEmpty();
+        } else if (value instanceof Map<?, ?> map) {
+            return !map.isEmpty();
+        }
+        return value != NONE;
     }
 
     static boolean isNumber(Object value) {
         return value instanceof Long || value instanceof Double;
     }
 
-    /** Equality as scripts have it: 1 equals 1.0. Counts each comparison, as lists may share their parts. */
-    static boolean areEqual(ScriptMeter meter, ScriptPosition place, Object one, Object other) {
-        meter.countStep(place);
-        if (isNumber(one) && isNumber(other)) {
-            return one instanceof Long a && other instanceof Long b
-                    ? a.longValue() == b
-                    : ((Number) one).doubleValue() == ((Number) other).doubleValue();
+    /**
+     * Equality as scripts have it: 1 equals 1.0. Each comparison counts as a step, since lists that share elements can
+     * make far more comparisons than they have elements.
+     */
+    static boolean areEqual(ScriptMeter meter, ScriptPosition position, Object left, Object right) {
+        meter.countStep(position);
+        if (isNumber(left) && isNumber(right)) {
+            return left instanceof Long first && right instanceof Long second
+                    ? first.longValue() == second
+                    : ((Number) left).doubleValue() == ((Number) right).doubleValue();
+        } else if (left instanceof List<?> first && right instanceof List<?> second) {
+            return areListsEqual(meter, position, first, second);
+        } else if (left instanceof Map<?, ?> first && right instanceof Map<?, ?> second) {
+            return areDictsEqual(meter, position, first, second);
         }
-        if (one instanceof List<?> a && other instanceof List<?> b) {
-            boolean same = a.size() == b.size();
-            for (int i = 0; same && i < a.size(); i++) {
-                same = areEqual(meter, place, a.get(i), b.get(i));
+        return left.equals(right);
+    }
+
+    private static boolean areListsEqual(ScriptMeter meter, ScriptPosition position, List<?> first, List<?> second) {
+        if (first.size() != second.size()) {
+            return false;
+        }
+        for (int i = 0; i < first.size(); i++) {
+            if (!areEqual(meter, position, first.get(i), second.get(i))) {
+                return false;
             }
-            return same;
         }
-        if (one instanceof Map<?, ?> a && other instanceof Map<?, ?> b) {
-            return a.size() == b.size()
-                    && a.entrySet().stream()
-                            .allMatch(entry -> b.containsKey(entry.getKey())
-                                    && areEqual(meter, place, entry.getValue(), b.get(entry.getKey())));
+        return true;
+    }
+
+    private static boolean areDictsEqual(
+            ScriptMeter meter, ScriptPosition position, Map<?, ?> first, Map<?, ?> second) {
+        if (first.size() != second.size()) {
+            return false;
+        }
+        for (Map.Entry<?, ?> entry : first.entrySet()) {
+            Object key = entry.getKey();
+            if (!second.containsKey(key) || !areEqual(meter, position, entry.getValue(), second.get(key))) {
+                return false;
+            }
         }
-        return one.equals(other);
+        return true;
     }
 
-    /** A value as {@code str} gives it: strings bare, others as a script would write them. */
-    public static String toText(ScriptMeter meter, ScriptPosition place, Object value) {
+    /** A value as {@code str} gives it: strings as they are, others as a script would write them. */
+    public static String toText(ScriptMeter meter, ScriptPosition position, Object value) {
         if (value instanceof String text) {
             return text;
         }
         StringBuilder out = new StringBuilder();
-        write(meter, place, value, out);
+        write(meter, position, value, out);
         return out.toString();
     }
 
-    private static void write(ScriptMeter meter, ScriptPosition place, Object value, StringBuilder out) {
+    private static void write(ScriptMeter meter, ScriptPosition position, Object value, StringBuilder out) {
         int before = out.length();
         if (value instanceof String text) {
             out.append('"')
@@ -107,18 +131,18 @@
         } else if (value instanceof Boolean flag) {
             out.append(flag ? "True" : "False");
         } else if (value instanceof List<?> list) {
-            String gap = "[";
+            String separator = "[";
             for (Object element : list) {
-                write(meter, place, element, out.append(gap));
-                gap = ", ";
+                write(meter, position, element, out.append(separator));
+                separator = ", ";
             }
             out.append(list.isEmpty() ? "[]" : "]");
         } else if (value instanceof Map<?, ?> map) {
-            String gap = "{";
+            String separator = "{";
             for (Map.Entry<?, ?> entry : map.entrySet()) {
-                write(meter, place, entry.getKey(), out.append(gap));
-                write(meter, place, entry.getValue(), out.append(": "));
-                gap = ", ";
+                write(meter, position, entry.getKey(), out.append(separator));
+                write(meter, position, entry.getValue(), out.append(": "));
+                separator = ", ";
             }
             out.append(map.isEmpty() ? "{}" : "}");
         } else if (value instanceof ScriptCallable function) {
@@ -126,6 +150,6 @@
         } else {
             out.append(value);
         }
-        meter.countCharacters(place, 1 + out.length() - before);
+        meter.countCharacters(position, 1 + out.length() - before);
     }
 }
--- a/src/main/java/reedmux/gatekeeper/settings/DeclarationReader.java
+++ b/src/main/java/reedmux/gatekeeper/settings/DeclarationReader.java
@@ -17,25 +17,33 @@
 import reedmux.gatekeeper.script.ScriptMeter;
 import reedmux.gatekeeper.script.ScriptValues;
 
-/** Reads the keys of one declaration, with their bounds; what is wrong is told by key and place. */
+/**
+ * Reads the keys of one declaration and checks their types and bounds. Errors name the key and its position; a key that
+ * is {@code None} counts as not set. Times are microseconds.
+ */
 final class DeclarationReader {
     private static final Pattern TIME = Pattern.compile("([0-9]{1,9}(?:\\.[0-9]{1,6})?) ?(us|ms|s|m|h)");
+    /** Characters of a value that an error shows. */
+    private static final int MAX_SHOWN_CHARS = 60;
 
     private final Declaration declaration;
 
-    DeclarationReader(Declaration of) {
-        this.declaration = of;
+    DeclarationReader(Declaration declaration) {
+        this.declaration = declaration;
     }
 
+    /** Where a key is set, or the declaration where it is not. */
     ScriptPosition position(String key) {
-        DeclaredValue told = declaration.keys().get(key);
-        return told == null ? declaration.position() : told.position();
+        DeclaredValue declared = declaration.keys().get(key);
+        return declared == null ? declaration.position() : declared.position();
     }
 
+    /** An error about a key, to be thrown by the caller. */
     ScriptFaultException error(String key, String problem) {
         return new ScriptFaultException(position(key), declaration.kind() + '.' + key + ' ' + problem);
     }
 
+    /** Whether a key has a value. */
     boolean has(String key) {
         return declaration.keys().containsKey(key)
                 && declaration.keys().get(key).value() != ScriptValues.NONE;
@@ -64,19 +72,19 @@
         return has(key) ? new LinkedHashSet<>(list(key, this::name)) : Set.of();
     }
 
-    private <T> List<T> list(String key, BiFunction<String, Object, T> each) {
+    private <T> List<T> list(String key, BiFunction<String, Object, T> readElement) {
         if (!(value(key) instanceof List<?> list)) {
             throw error(key, "is not a list: " + abbreviated(value(key)));
         }
-        List<T> read = new ArrayList<>();
+        List<T> values = new ArrayList<>();
         for (Object element : list) {
-            T value = each.apply(key, element);
-            if (read.contains(value)) {
+            T value = readElement.apply(key, element);
+            if (values.contains(value)) {
                 throw error(key, "names " + abbreviated(element) + " twice");
             }
-            read.add(value);
+            values.add(value);
         }
-        return read;
+        return values;
     }
 
     InetSocketAddress address(String key) {
@@ -99,29 +107,24 @@
         return all;
     }
 
-    /** Whether a key is told, if only as {@code None}. */
+    /** Whether a key is set, even if to {@code None}. */
     boolean isDeclared(String key) {
         return declaration.keys().containsKey(key);
     }
 
     String text(String key, String otherwise) {
-        if (!has(key)) {
-            return otherwise;
-        } else if (value(key) instanceof String text && !text.isEmpty()) {
+        return has(key) ? text(key, value(key)) : otherwise;
+    }
+
+    private String text(String key, Object value) {
+        if (value instanceof String text && !text.isEmpty()) {
             return text;
         }
-        throw error(key, "is not a text: " + abbreviated(value(key)));
+        throw error(key, "is not a text: " + abbreviated(value));
     }
 
     Set<String> texts(String key) {
-        return !has(key)
-                ? Set.of()
-                : new LinkedHashSet<>(list(key, (name, value) -> {
-                    if (value instanceof String text && !text.isEmpty()) {
-                        return text;
-                    }
-                    throw error(name, "is not a text: " + abbreviated(value));
-                }));
+        return has(key) ? new LinkedHashSet<>(list(key, this::text)) : Set.of();
     }
 
     boolean flag(String key, boolean otherwise) {
@@ -133,34 +136,34 @@
         throw error(key, "is neither True nor False: " + abbreviated(value(key)));
     }
 
-    /** A number from {@code least} to {@code most}. */
-    double number(String key, double least, double most) {
+    /** A number from {@code min} to {@code max}. */
+    double number(String key, double min, double max) {
         Object value = value(key);
         if (!(value instanceof Number number)) {
             throw error(key, "is not a number: " + abbreviated(value));
-        } else if (number.doubleValue() < least) {
-            throw error(key, "is under " + formatBound(least) + ": " + abbreviated(value));
-        } else if (number.doubleValue() > most) {
-            throw error(key, "is over " + formatBound(most) + ": " + abbreviated(value));
+        } else if (number.doubleValue() < min) {
+            throw error(key, "is under " + formatBound(min) + ": " + abbreviated(value));
+        } else if (number.doubleValue() > max) {
+            throw error(key, "is over " + formatBound(max) + ": " + abbreviated(value));
         }
         return number.doubleValue();
     }
 
-    double number(String key, double least, double most, double otherwise) {
-        return has(key) ? number(key, least, most) : otherwise;
+    double number(String key, double min, double max, double otherwise) {
+        return has(key) ? number(key, min, max) : otherwise;
     }
 
-    int integer(String key, int least, int most, int otherwise) {
+    int integer(String key, int min, int max, int otherwise) {
         if (!has(key)) {
             return otherwise;
         } else if (!(value(key) instanceof Long)) {
             throw error(key, "is not a whole number: " + abbreviated(value(key)));
         }
-        return (int) number(key, least, most);
+        return (int) number(key, min, max);
     }
 
-    /** A time in microseconds, told as text with its unit. */
-    long micros(String key, long least, long most, long otherwise) {
+    /** A duration in microseconds, given as a text with a unit such as {@code "250ms"}. */
+    long micros(String key, long min, long max, long otherwise) {
         if (!has(key)) {
             return otherwise;
         }
@@ -169,23 +172,24 @@
         if (matcher == null || !matcher.matches()) {
             throw error(key, "is not a time with a unit, as in \"250ms\" or \"2s\": " + abbreviated(value));
         }
-        double unit =
-                switch (matcher.group(2)) {
-                    case "us" -> 1;
-                    case "ms" -> 1e3;
-                    case "s" -> 1e6;
-                    case "m" -> 60e6;
-                    default -> 3600e6;
-                };
-        long micros = Math.round(Double.parseDouble(matcher.group(1)) * unit);
-        if (micros < least || micros > most) {
-            throw error(
-                    key, "lies outside of " + least / 1000.0 + " to " + most / 1000.0 + " ms: " + abbreviated(value));
+        long micros = Math.round(Double.parseDouble(matcher.group(1)) * microsPerUnit(matcher.group(2)));
+        if (micros < min || micros > max) {
+            throw error(key, "lies outside of " + min / 1000.0 + " to " + max / 1000.0 + " ms: " + abbreviated(value));
         }
         return micros;
     }
 
-    /** A declaration within this one. */
+    private static double microsPerUnit(String unit) {
+        return switch (unit) {
+            case "us" -> 1;
+            case "ms" -> 1e3;
+            case "s" -> 1e6;
+            case "m" -> 60e6;
+            default -> 3600e6;
+        };
+    }
+
+    /** The declaration of the given kind that is the value of a key. */
     DeclarationReader nested(String key, String kind) {
         Object value = value(key);
         if (value instanceof Declaration inner && inner.kind().equals(kind)) {
@@ -194,11 +198,11 @@
         throw error(key, "is not " + kind + "(...): " + abbreviated(value));
     }
 
-    /** A value on one line, cut short. */
+    /** A value on one line, shortened for a message. */
     private String abbreviated(Object value) {
         String text = ScriptValues.toText(new ScriptMeter(), declaration.position(), value)
                 .replace('\n', ' ');
-        return text.length() > 60 ? text.substring(0, 60) + "..." : text;
+        return text.length() > MAX_SHOWN_CHARS ? text.substring(0, MAX_SHOWN_CHARS) + "..." : text;
     }
 
     private static String formatBound(double value) {
--- a/src/main/java/reedmux/gatekeeper/settings/package-info.java
+++ b/src/main/java/reedmux/gatekeeper/settings/package-info.java
@@ -1,8 +1,9 @@
 /**
- * The operators' own settings: a small Starlark-like script, read whole or not at all.
+ * The operators' own settings: one script, which takes effect as a whole or not at all.
  *
- * <p>Owns the grammar's use ({@code Script.g4}), the interpreter with its bounds on steps, memory and depth,
- * and the declarations that a script may make. Errors are {@link reedmux.gatekeeper.script.ScriptException}s that name
- * file, line, column and the key or name at fault. Reads one file and does no other I/O; knows no socket.
+ * <p>{@link reedmux.gatekeeper.settings.OperatorSettings} reads the file; what it can declare about other regions and
+ * about services is read by {@link reedmux.gatekeeper.settings.RegionSettings} and
+ * {@link reedmux.gatekeeper.settings.ServicesSettings}. Errors are {@link reedmux.gatekeeper.script.ScriptException}s
+ * that name file, line, column and the key at fault. Reads one file and does no other I/O.
  */
 package reedmux.gatekeeper.settings;
--- a/src/test/java/reedmux/gatekeeper/settings/ScriptTest.java
+++ b/src/test/java/reedmux/gatekeeper/script/ScriptInterpreterTest.java
@@ -1,4 +1,4 @@
-package reedmux.gatekeeper.settings;
+package reedmux.gatekeeper.script;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -19,17 +19,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import reedmux.gatekeeper.script.Declaration;
-import reedmux.gatekeeper.script.ScriptException;
-import reedmux.gatekeeper.script.ScriptInterpreter;
-import reedmux.gatekeeper.script.ScriptMeter;
-import reedmux.gatekeeper.script.ScriptValues;
-
-/**
- * The script's language: what it computes, where it says that something is wrong, and that it always
- * ends.
- */
-final class ScriptTest {
+import reedmux.gatekeeper.settings.OperatorSettings;
+
+/** The language of the settings scripts: its values, the positions in its errors, and that every script terminates. */
+final class ScriptInterpreterTest {
     private static final List<Declaration.DeclarationKind> KINDS =
             List.of(new Declaration.DeclarationKind("told", true, List.of("value", "other")));
 
@@ -207,7 +200,7 @@
         assertTrue(error(" ".repeat(300_000)).startsWith("x.star:1:1: the script is longer than 262144"));
     }
 
-    /** Whatever is written, it is understood or refused with a place; nothing else comes out. */
+    /** Arbitrary text is either a script or an error with its position; nothing else is thrown. */
     @Property(tries = 2_000, seed = "11")
     void arbitraryTextFailsWithAPosition(
             @ForAll
@@ -229,7 +222,7 @@
         }
     }
 
-    /** Programs made of whole statements, cut off anywhere. */
+    /** A valid script, truncated anywhere. */
     @Property(tries = 500, seed = "12")
     void truncatedScriptFailsWithAPosition(@ForAll @IntRange(max = 600) int length) throws Exception {
         String whole = Files.readString(Path.of("deploy/east.star"));
--- a/src/test/java/reedmux/gatekeeper/settings/OperatorSettingsTest.java
+++ b/src/test/java/reedmux/gatekeeper/settings/OperatorSettingsTest.java
@@ -29,19 +29,19 @@
     @Test
     void readsTheExampleFile() throws ScriptException {
         OperatorSettings read = OperatorSettings.read(Path.of("deploy/east.star"));
-        assertEquals("east", read.readRegion().rules().name());
-        assertEquals(Set.of("west"), read.readRegion().rules().acceptsFrom());
+        assertEquals("east", read.region().rules().name());
+        assertEquals(Set.of("west"), read.region().rules().acceptsFrom());
         assertEquals(
                 List.of("127.0.2.1:7100", "127.0.2.2:7100"),
-                read.readRegion().rules().target().gateways());
-        assertEquals(1_000_000, read.readRegion().rules().remoteLimits().holdMicros());
-        assertEquals(20_000, read.readRegion().rules().target().marginMicros());
+                read.region().rules().target().gateways());
+        assertEquals(1_000_000, read.region().rules().remoteLimits().holdMicros());
+        assertEquals(20_000, read.region().rules().target().marginMicros());
         assertEquals(List.of(), read.platformConflicts(3, 8, 1024));
     }
 
     @Test
     void anEmptyFileSetsNothing() throws ScriptException {
-        assertNull(OperatorSettings.parse("x.star", "# nothing\n").readRegion());
+        assertNull(OperatorSettings.parse("x.star", "# nothing\n").region());
         assertEquals(List.of("nothing is set"), OperatorSettings.NONE.describe());
     }
 
