--- a/src/test/java/reedmux/cli/ShowCommandTest.java
+++ b/src/test/java/reedmux/cli/ShowCommandTest.java
@@ -91,14 +91,14 @@
 
     @Test
     public void aMissingMajorityIsPrintedFirst() throws Exception {
-        assertEquals(ShowCommand.table("10.0.0.1:9", CUT_OFF), """
+        assertEquals(ShowTable.format("10.0.0.1:9", CUT_OFF), """
                 NO CONTACT WITH A MAJORITY: may be out of date; told by core-1 (10.0.0.1:9), age 20417 ms, \
                 epoch 3
                 node    ip        heardMs
                 core-1  10.0.0.1  0
                 core-2  10.0.0.2  -
                 2 shown""");
-        assertThrows(Exception.class, () -> ShowCommand.table("a", "{\"entries\":7}"));
+        assertThrows(Exception.class, () -> ShowTable.format("a", "{\"entries\":7}"));
     }
 
     private String run(int code, String... arguments) throws Exception {
