--- a/src/main/java/reedmux/control/registry/IncarnationStorage.java
+++ b/src/main/java/reedmux/control/registry/IncarnationStorage.java
@@ -13,66 +13,87 @@
 import reedmux.control.rpc.Messages.IncarnationNotice;
 
 /**
- * The lives of checkers on disk, so that a loss of all processes at once does not make the system wait for
- * every checker's next call. Nothing depends on it: what is missing or old is told again. One thread waits
- * for the disk.
+ * Keeps the instances on disk, so that after a loss of all processes at once requests need not wait for each instance's
+ * next heartbeat. Nothing depends on it: what is missing or old is reported again. Each write replaces the file by one
+ * with all instances. A worker thread waits for the disk, everything else runs on the reactor's thread.
  */
 final class IncarnationStorage {
     private static final long WRITE_INTERVAL_MICROS = 300_000;
-    /** After a failure it is tried again so much later. */
+    /** After a failed write; a full disk is not filled by retries. */
     private static final long RETRY_DELAY_MICROS = 2_000_000;
+    /** Of the worker. */
+    private static final int MAX_QUEUED_WRITES = 4;
 
     private final Reactor reactor;
     private final MessageCodec codec;
     private final InstanceDirectory directory;
     private final Journal journal;
+    private final Executor diskWorker;
+    /** The directory's change that the file on disk is as of. */
     private long savedChange;
+
     private long nextAttemptMicros;
     private boolean writeInProgress;
-    private final Executor diskWorker;
 
-    IncarnationStorage(Path dir, Reactor reactor, MessageCodec codec, InstanceDirectory fleet) {
+    /** Reads what earlier processes have kept into the directory, and begins to write what changes. */
+    IncarnationStorage(Path folder, Reactor reactor, MessageCodec codec, InstanceDirectory directory) {
         this.reactor = reactor;
         this.codec = codec;
-        this.directory = fleet;
-        journal = new Journal(reactor.volume(dir));
-        diskWorker = reactor.newWorker("reedmux-disk", 4);
+        this.directory = directory;
+        journal = new Journal(reactor.volume(folder));
+        diskWorker = reactor.newWorker("reedmux-disk", MAX_QUEUED_WRITES);
+        recover();
+        savedChange = directory.lastChange();
+        reactor.scheduleEvery(WRITE_INTERVAL_MICROS, this::saveChanges);
+    }
+
+    private void recover() {
         List<byte[]> records = journal.recover();
-        journal.problems().forEach(line -> reactor.error("disk: " + line));
+        journal.problems().forEach(problem -> reactor.error("disk: " + problem));
         for (int i = 0; i < records.size(); i++) {
-            if (codec.decodeOrNull(records.get(i)) instanceof IncarnationNotice told) {
-                told.instances().forEach(life -> fleet.merge(life, reactor.now()));
+            byte[] record = records.get(i);
+            if (codec.decodeOrNull(record) instanceof IncarnationNotice notice) {
+                notice.instances().forEach(instance -> directory.merge(instance, reactor.now()));
             } else {
                 reactor.error("disk: " + journal.recordLocation(i) + ": a record that this program does not know, of "
-                        + records.get(i).length + " bytes");
+                        + record.length + " bytes");
             }
         }
-        savedChange = fleet.lastChange();
-        reactor.scheduleEvery(WRITE_INTERVAL_MICROS, this::saveChanges);
     }
 
     private void saveChanges() {
-        if (writeInProgress || directory.lastChange() == savedChange || reactor.now() < nextAttemptMicros) {
+        boolean changed = directory.lastChange() != savedChange;
+        if (!changed || writeInProgress || reactor.now() < nextAttemptMicros) {
             return;
         }
         writeInProgress = true;
-        long changes = directory.lastChange();
-        List<CheckerIncarnation> lives = new ArrayList<>(directory.all(reactor.now()));
-        byte[] record = codec.encode(new IncarnationNotice(0, lives));
+        long change = directory.lastChange();
+        List<CheckerIncarnation> instances = new ArrayList<>(directory.all(reactor.now()));
+        byte[] record = codec.encode(new IncarnationNotice(0, instances));
         diskWorker.execute(() -> {
-            boolean done = false;
-            try {
-                journal.startGeneration(List.of(record));
-                done = true;
-            } catch (IOException e) {
-                reactor.error("disk: " + e.getMessage());
-            }
-            boolean safe = done;
-            reactor.execute(() -> {
-                writeInProgress = false;
-                savedChange = safe ? changes : savedChange;
-                nextAttemptMicros = safe ? 0 : reactor.now() + RETRY_DELAY_MICROS;
-            });
+            boolean written = write(record);
+            reactor.execute(() -> onWritten(change, written));
         });
     }
+
+    /** Runs on the worker. */
+    private boolean write(byte[] record) {
+        try {
+            journal.startGeneration(List.of(record));
+            return true;
+        } catch (IOException e) {
+            reactor.error("disk: " + e.getMessage());
+            return false;
+        }
+    }
+
+    private void onWritten(long change, boolean written) {
+        writeInProgress = false;
+        if (written) {
+            savedChange = change;
+            nextAttemptMicros = 0;
+        } else {
+            nextAttemptMicros = reactor.now() + RETRY_DELAY_MICROS;
+        }
+    }
 }
--- a/src/main/java/reedmux/control/registry/PendingRequests.java
+++ b/src/main/java/reedmux/control/registry/PendingRequests.java
@@ -9,54 +9,58 @@
 import java.util.Set;
 
 /**
- * Questions that were put to others and have no answer yet. An answer counts only with the question's number
- * and over a link on which it was put, so one of a link or a process that is gone answers nothing. Pure.
+ * Requests that were sent and have no response yet. A request ends in one of three ways, and only once: by a response,
+ * by {@link #cancel}, or by the loss of the last connection that it was sent over. A response counts only with the
+ * request's id and over one of its connections, so that one of an earlier connection or process ends nothing. Pure.
  *
- * @param <L> a link
- * @param <T> who waits
+ * @param <C> a connection
+ * @param <W> who waits for the response
  */
-final class PendingRequests<L, T> {
-    private final Map<Long, PendingRequest<L, T>> requests = new HashMap<>();
+final class PendingRequests<C, W> {
+    private final Map<Long, PendingRequest<C, W>> requests = new HashMap<>();
     private long lastId;
 
-    private static final class PendingRequest<L, T> {
-        private final Set<L> connections;
-        private final T waiter;
+    private static final class PendingRequest<C, W> {
+        /** Those that are still open. */
+        private final Set<C> connections;
 
-        PendingRequest(Set<L> over, T waits) {
-            this.connections = over;
-            this.waiter = waits;
+        private final W waiter;
+
+        PendingRequest(Set<C> connections, W waiter) {
+            this.connections = connections;
+            this.waiter = waiter;
         }
     }
 
-    /** Takes note of a question over some links; returns its number. */
-    long register(List<L> over, T waits) {
-        requests.put(++lastId, new PendingRequest<>(new HashSet<>(over), waits));
+    /** Registers a request that is sent over each of the connections; returns its id. */
+    long register(List<C> connections, W waiter) {
+        lastId++;
+        requests.put(lastId, new PendingRequest<>(new HashSet<>(connections), waiter));
         return lastId;
     }
 
-    /** An answer has come: who waits for it, or null where nobody does. */
-    T complete(long number, L over) {
-        PendingRequest<L, T> question = requests.get(number);
-        return question == null || !question.connections.contains(over) ? null : cancel(number);
+    /** Ends a request by a response; returns who waits for it, or null where the response counts for nothing. */
+    W complete(long id, C connection) {
+        PendingRequest<C, W> request = requests.get(id);
+        return request == null || !request.connections.contains(connection) ? null : cancel(id);
     }
 
-    /** It is waited for no longer: who did, or null where it has its answer. */
-    T cancel(long number) {
-        PendingRequest<L, T> question = requests.remove(number);
-        return question == null ? null : question.waiter;
+    /** Ends a request without a response; returns who waits for it, or null where it has ended before. */
+    W cancel(long id) {
+        PendingRequest<C, W> request = requests.remove(id);
+        return request == null ? null : request.waiter;
     }
 
-    /** A link is gone: who waits for what only it could bring. */
-    List<T> onConnectionLost(L link) {
-        List<T> all = new ArrayList<>();
-        for (Iterator<PendingRequest<L, T>> at = requests.values().iterator(); at.hasNext(); ) {
-            PendingRequest<L, T> question = at.next();
-            if (question.connections.remove(link) && question.connections.isEmpty()) {
-                at.remove();
-                all.add(question.waiter);
+    /** Ends the requests that have no other connection left than this one; returns who waits for them. */
+    List<W> onConnectionLost(C connection) {
+        List<W> waiters = new ArrayList<>();
+        for (Iterator<PendingRequest<C, W>> iterator = requests.values().iterator(); iterator.hasNext(); ) {
+            PendingRequest<C, W> request = iterator.next();
+            if (request.connections.remove(connection) && request.connections.isEmpty()) {
+                iterator.remove();
+                waiters.add(request.waiter);
             }
         }
-        return all;
+        return waiters;
     }
 }
--- a/src/main/java/reedmux/control/registry/RegistryStatusReport.java
+++ b/src/main/java/reedmux/control/registry/RegistryStatusReport.java
@@ -11,161 +11,205 @@
 import reedmux.control.configuration.ItemJson;
 import reedmux.control.instances.CheckerIncarnation;
 import reedmux.control.instances.InstanceDirectory;
+import reedmux.control.registry.ControlCall.ShowCall;
 import reedmux.control.rpc.Messages.Hello;
+import reedmux.control.rpc.RpcConnection;
 import reedmux.control.rpc.RpcDialer;
 import reedmux.control.session.ProxySession;
 import reedmux.control.session.SessionTable;
+import reedmux.control.session.SessionView;
 
-/** What an operator is shown at one machine: what its registry knows, and what a store has said. */
+/**
+ * The JSON that answers an operator's {@code Show} call: what this machine's registry knows itself, and what the
+ * nearest store has reported, as of one moment.
+ */
 final class RegistryStatusReport {
+    private static final String MEMBERS = "Members";
+    private static final String CHECKERS = "Checkers";
     private static final long MICROS_PER_MILLI = 1000;
-    private static final String[] PHASE_NAMES = {"ready", "draining", "gone"};
+    /** The fields of a store's status that belong to the report itself, and not to the store. */
+    private static final List<String> STORE_ENTRY_FIELDS = List.of("change", "total", "held", "entries", "next");
+    /** By the phases of {@link CheckerIncarnation}. */
+    private static final List<String> PHASE_NAMES = List.of("ready", "draining", "gone");
+
     private final Hello localHello;
     private final InstanceDirectory directory;
     private final SessionTable sessions;
     private final List<RpcDialer> registries;
     private final long now;
 
-    RegistryStatusReport(Hello self, InstanceDirectory fleet, SessionTable sessions, List<RpcDialer> others, long now) {
-        this.localHello = self;
-        this.directory = fleet;
+    /**
+     * Creates a report.
+     *
+     * @param registries the connections to the other registries
+     * @param now by the reactor's clock, in microseconds
+     */
+    RegistryStatusReport(
+            Hello localHello,
+            InstanceDirectory directory,
+            SessionTable sessions,
+            List<RpcDialer> registries,
+            long now) {
+        this.localHello = localHello;
+        this.directory = directory;
         this.sessions = sessions;
-        this.registries = others;
+        this.registries = registries;
         this.now = now;
     }
 
-    /** {@code store}: what the store has said in JSON, or null and {@code why}. */
-    String toJson(ControlCall.ShowCall show, String store, String why) {
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("show", show.subject());
-        all.put("node", localHello.node());
-        all.put("ip", localHello.ip());
-        all.put("incarnation", Long.toHexString(localHello.incarnation()));
-        Map<String, Object> told;
-        String cause = why;
+    /**
+     * Renders the report.
+     *
+     * @param storeJson the status that a store has reported, or null
+     * @param storeProblem why there is none
+     */
+    String toJson(ShowCall show, String storeJson, String storeProblem) {
+        Map<String, Object> storeStatus;
+        String problem = storeProblem;
         try {
-            told = store == null
-                    ? Map.of()
-                    : new LinkedHashMap<>(ItemJson.requireObject(ItemJson.parse(store), "its answer"));
+            storeStatus = parseStoreStatus(storeJson);
         } catch (InvalidConfigurationException e) {
-            told = Map.of();
-            cause = "the store's answer cannot be read: " + e.getMessage();
-        }
-        // Whatever is known here: contact with a majority is what a store has proved.
-        all.put("majority", Boolean.TRUE.equals(told.get("majority")));
-        all.put("epoch", told.get("epoch"));
-        Map<String, Object> entries = new LinkedHashMap<>();
-        for (String key : new String[] {"change", "total", "held", "entries", "next"}) {
-            if (told.containsKey(key)) {
-                entries.put(key, told.get(key));
-            }
+            storeStatus = Map.of();
+            problem = "the store's answer cannot be read: " + e.getMessage();
         }
-        boolean ours = show.subject().equals("Members") || show.subject().equals("Checkers");
-        if (ours) {
-            all.put("ageMs", addRegistries(all));
+        Map<String, Object> report = new LinkedHashMap<>();
+        report.put("show", show.subject());
+        report.put("node", localHello.node());
+        report.put("ip", localHello.ip());
+        report.put("incarnation", Long.toHexString(localHello.incarnation()));
+        // Only a store can prove that a majority is in contact, so without one it counts as not.
+        report.put("majority", Boolean.TRUE.equals(storeStatus.get("majority")));
+        report.put("epoch", storeStatus.get("epoch"));
+        boolean ownSubject = show.subject().equals(MEMBERS) || show.subject().equals(CHECKERS);
+        report.put("ageMs", ownSubject ? addRegistries(report) : storeStatus.get("ageMs"));
+        Map<String, Object> entryFields = entryFields(show, storeStatus);
+        if (storeStatus.isEmpty()) {
+            report.put("why", problem);
         } else {
-            all.put("ageMs", told.get("ageMs"));
+            STORE_ENTRY_FIELDS.forEach(storeStatus::remove);
+            report.put("store", storeStatus);
         }
-        if (told.isEmpty()) {
-            all.put("why", cause);
-        } else {
-            told.keySet().removeAll(entries.keySet());
-            all.put("store", told);
+        report.putAll(entryFields);
+        return ItemJson.write(report);
+    }
+
+    /** Returns an empty map where there is no status. */
+    private static Map<String, Object> parseStoreStatus(String storeJson) throws InvalidConfigurationException {
+        return storeJson == null
+                ? Map.of()
+                : new LinkedHashMap<>(ItemJson.requireObject(ItemJson.parse(storeJson), "its answer"));
+    }
+
+    /** Returns the entries with what counts and pages them: our own ones of what we know, else those of the store. */
+    private Map<String, Object> entryFields(ShowCall show, Map<String, Object> storeStatus) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        for (String field : STORE_ENTRY_FIELDS) {
+            if (storeStatus.containsKey(field)) {
+                fields.put(field, storeStatus.get(field));
+            }
         }
-        if (show.subject().equals("Members")) {
-            addSessions(entries, show);
-        } else if (show.subject().equals("Checkers")) {
-            addInstances(entries, show);
-        } else if (told.isEmpty()) {
-            entries.put("entries", List.of());
+        if (show.subject().equals(MEMBERS)) {
+            addSessions(fields, show);
+        } else if (show.subject().equals(CHECKERS)) {
+            addInstances(fields, show);
+        } else if (storeStatus.isEmpty()) {
+            fields.put("entries", List.of());
         }
-        all.putAll(entries);
-        return ItemJson.write(all);
+        return fields;
     }
 
-    /** Tells of the other registries; returns how old the oldest of their word is, null where one is lost. */
-    private Long addRegistries(Map<String, Object> all) {
-        List<Object> list = new ArrayList<>();
-        Long oldest = 0L;
-        for (RpcDialer other : registries) {
+    /**
+     * Adds the other registries; returns the age in milliseconds of what was last heard of any of them, null where one
+     * is not connected.
+     */
+    private Long addRegistries(Map<String, Object> report) {
+        List<Object> entries = new ArrayList<>();
+        Long age = 0L;
+        for (RpcDialer dialer : registries) {
+            RpcConnection connection = dialer.connection();
+            Long heardMillis =
+                    connection == null ? null : (Long) ((now - connection.lastReceivedMicros()) / MICROS_PER_MILLI);
             Map<String, Object> entry = new LinkedHashMap<>();
-            boolean up = other.connection() != null;
-            Long ago = up ? (Long) ((now - other.connection().lastReceivedMicros()) / MICROS_PER_MILLI) : null;
-            entry.put("ip", other.address().getAddress().getHostAddress());
-            entry.put("linked", up);
-            entry.put("heardMs", ago);
-            list.add(entry);
-            oldest = oldest == null || ago == null ? null : (Long) Math.max(oldest, ago);
+            entry.put("ip", dialer.address().getAddress().getHostAddress());
+            entry.put("linked", connection != null);
+            entry.put("heardMs", heardMillis);
+            entries.add(entry);
+            age = age == null || heardMillis == null ? null : (Long) Math.max(age, heardMillis);
         }
-        all.put("registries", list);
-        return oldest;
+        report.put("registries", entries);
+        return age;
     }
 
-    private void addSessions(Map<String, Object> into, ControlCall.ShowCall show) {
-        Set<String> own = new HashSet<>();
-        sessions.localSessions().forEach(session -> own.add(session.node()));
+    private void addSessions(Map<String, Object> fields, ShowCall show) {
+        Set<String> localNodes = new HashSet<>();
+        sessions.localSessions().forEach(session -> localNodes.add(session.node()));
+        SessionView view = sessions.view(now);
         List<Object> entries = new ArrayList<>();
         String last = null;
-        String more = null;
-        List<ProxySession> members = sessions.view(now).members();
-        for (ProxySession member : members) { // in the order of their names
-            if (member.node().compareTo(show.afterName()) <= 0) {
+        String next = null;
+        for (ProxySession session : view.members()) { // in the order of the nodes' names
+            if (session.node().compareTo(show.afterName()) <= 0) {
                 continue;
             } else if (entries.size() == show.limit()) {
-                more = last;
+                next = last;
                 break;
             }
-            Map<String, Object> entry = new LinkedHashMap<>();
-            entry.put("node", member.node());
-            entry.put("ip", member.ip());
-            entry.put("zone", member.zone());
-            entry.put("incarnation", Long.toHexString(member.incarnation()));
-            entry.put("here", own.contains(member.node()));
-            entries.add(entry);
-            last = member.node();
+            entries.add(sessionEntry(session, localNodes.contains(session.node())));
+            last = session.node();
         }
-        into.put("view", Long.toHexString(sessions.view(now).digest()));
-        into.put("total", members.size());
-        into.put("entries", entries);
-        into.put("next", more);
+        fields.put("view", Long.toHexString(view.digest()));
+        fields.put("total", view.size());
+        fields.put("entries", entries);
+        fields.put("next", next);
     }
 
-    private void addInstances(Map<String, Object> into, ControlCall.ShowCall show) {
+    private static Map<String, Object> sessionEntry(ProxySession session, boolean local) {
+        Map<String, Object> entry = new LinkedHashMap<>();
+        entry.put("node", session.node());
+        entry.put("ip", session.ip());
+        entry.put("zone", session.zone());
+        entry.put("incarnation", Long.toHexString(session.incarnation()));
+        entry.put("here", local);
+        return entry;
+    }
+
+    private void addInstances(Map<String, Object> fields, ShowCall show) {
+        // The page and one more, by id; the directory is in the order of changes.
         TreeMap<String, CheckerIncarnation> page = new TreeMap<>();
         int total = 0;
-        for (CheckerIncarnation checker : directory.all(now)) {
-            if (show.service().isEmpty() || show.service().equals(checker.service())) {
-                total++;
-                if (checker.id().compareTo(show.afterName()) > 0) {
-                    page.put(checker.id(), checker);
-                    if (page.size() > show.limit() + 1) {
-                        page.pollLastEntry();
-                    }
+        for (CheckerIncarnation instance : directory.all(now)) {
+            if (!show.service().isEmpty() && !show.service().equals(instance.service())) {
+                continue;
+            }
+            total++;
+            if (instance.id().compareTo(show.afterName()) > 0) {
+                page.put(instance.id(), instance);
+                if (page.size() > show.limit() + 1) {
+                    page.pollLastEntry();
                 }
             }
         }
-        List<Object> entries = new ArrayList<>();
-        String last = null;
-        String more = null;
-        for (CheckerIncarnation checker : page.values()) {
-            if (entries.size() == show.limit()) {
-                more = last;
-                break;
-            }
-            Map<String, Object> entry = new LinkedHashMap<>();
-            entry.put("id", checker.id());
-            entry.put("service", checker.service());
-            entry.put("address", checker.address());
-            entry.put("zone", checker.zone());
-            entry.put("phase", PHASE_NAMES[checker.phase()]);
-            entry.put("silent", checker.unresponsive());
-            entry.put("seq", checker.sequence());
-            entry.put("heardMs", directory.millisSinceHeard(checker.id(), now));
-            entries.add(entry);
-            last = checker.id();
+        boolean more = page.size() > show.limit();
+        if (more) {
+            page.pollLastEntry();
         }
-        into.put("total", total);
-        into.put("entries", entries);
-        into.put("next", more);
+        List<Object> entries = new ArrayList<>();
+        page.values().forEach(instance -> entries.add(instanceEntry(instance)));
+        fields.put("total", total);
+        fields.put("entries", entries);
+        fields.put("next", more ? page.lastKey() : null);
+    }
+
+    private Map<String, Object> instanceEntry(CheckerIncarnation instance) {
+        Map<String, Object> entry = new LinkedHashMap<>();
+        entry.put("id", instance.id());
+        entry.put("service", instance.service());
+        entry.put("address", instance.address());
+        entry.put("zone", instance.zone());
+        entry.put("phase", PHASE_NAMES.get(instance.phase()));
+        entry.put("silent", instance.unresponsive());
+        entry.put("seq", instance.sequence());
+        entry.put("heardMs", directory.millisSinceHeard(instance.id(), now));
+        return entry;
     }
 }
--- a/src/main/java/reedmux/control/registry/package-info.java
+++ b/src/main/java/reedmux/control/registry/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The program that takes the calls from outside, knows the lives of checkers and who of the proxies is
- * there.
+ * The registry program: it serves the control API to instances and to the operator, and replicates instances, their
+ * owners and the sessions of proxies. {@link reedmux.control.registry.Registry} says how the parts work together.
  */
 package reedmux.control.registry;
--- a/src/test/java/reedmux/control/registry/ControlCallTest.java
+++ b/src/test/java/reedmux/control/registry/ControlCallParserTest.java
@@ -12,13 +12,13 @@
 import reedmux.control.instances.CheckerIncarnation;
 
 /** Calls from outside as they should be, and as they should not. */
-public class ControlCallTest {
+public class ControlCallParserTest {
     private static final String HEARTBEAT_JSON = "{\"plant\":\"desk\",\"address\":\"10.1.0.9:8080\","
             + "\"zone\":\"hall\",\"revision\":\"v1\",\"capacity\":6,"
             + "\"phase\":\"ready\",\"coldLeftMs\":0,\"seq\":4}";
 
     private static ControlCall parseHeartbeat(String id, byte[] body) throws MalformedMessageException {
-        return ControlCall.parse(Http1Head.request("POST", "/v1/Instances.Heartbeat/" + id), body);
+        return ControlCallParser.parse(Http1Head.request("POST", "/v1/Instances.Heartbeat/" + id), body);
     }
 
     private static byte[] bytes(String text) {
@@ -99,13 +99,13 @@
             "/v2/none"
         }) {
             try {
-                throw new AssertionError(ControlCall.parse(Http1Head.request("POST", path), none));
+                throw new AssertionError(ControlCallParser.parse(Http1Head.request("POST", path), none));
             } catch (MalformedMessageException e) {
                 assertEquals(e.status(), path.contains("Leave/") || path.contains("Heartbeat/") ? 400 : 404);
             }
         }
         try {
-            throw new AssertionError(ControlCall.parse(
+            throw new AssertionError(ControlCallParser.parse(
                     Http1Head.request("POST", "/v1/Config.Adjust"), new byte[] {'{', '"', (byte) 0xC3, '"', '}'}));
         } catch (MalformedMessageException e) {
             assertEquals(e.getMessage(), "Config.Adjust: byte 2 of the body is not UTF-8");
