--- a/src/main/java/reedmux/gatekeeper/config/ConfigJson.java
+++ b/src/main/java/reedmux/gatekeeper/config/ConfigJson.java
@@ -6,43 +6,48 @@
 import java.net.InetSocketAddress;
 import reedmux.common.net.SocketAddresses;
 
-/** What the streaming parser needs to read our documents; each message names the place in the document. */
+/** Reads typed values with the streaming parser; errors name the path in the document, such as {@code peers.1}. */
 final class ConfigJson {
 
-    /** Reads the value of one field, whose name it is given; the parser stands at the value. */
+    /** Reads the value of the field with the given name; the parser is at the value. */
     interface JsonFieldReader {
         void read(String name) throws IOException, ConfigException;
     }
 
-    /** Reads one element of an array, at which the parser stands. */
+    /** Reads the element of an array that the parser is at. */
     interface JsonElementReader {
         void read() throws IOException, ConfigException;
     }
 
+    /** The largest integer up to which a double represents all of them. */
+    private static final long MAX_EXACT_INTEGER = 1L << 53;
+
     private ConfigJson() {}
 
-    static ConfigException error(JsonParser json, String what) {
+    /** An error about the value that the parser is at. */
+    static ConfigException error(JsonParser json, String problem) {
         String path = json.getParsingContext().pathAsPointer().toString();
         return new ConfigException(
-                (path.isEmpty() ? "the document" : path.substring(1).replace('/', '.')) + ' ' + what);
+                (path.isEmpty() ? "the document" : path.substring(1).replace('/', '.')) + ' ' + problem);
     }
 
-    static void readObject(JsonParser json, JsonFieldReader field) throws IOException, ConfigException {
+    static void readObject(JsonParser json, JsonFieldReader reader) throws IOException, ConfigException {
         expect(json, JsonToken.START_OBJECT, "is not an object");
         while (json.nextToken() != JsonToken.END_OBJECT) {
             String name = json.currentName();
             json.nextToken();
-            field.read(name);
+            reader.read(name);
         }
     }
 
-    static void readArray(JsonParser json, JsonElementReader element) throws IOException, ConfigException {
+    static void readArray(JsonParser json, JsonElementReader reader) throws IOException, ConfigException {
         expect(json, JsonToken.START_ARRAY, "is not an array");
         while (json.nextToken() != JsonToken.END_ARRAY) {
-            element.read();
+            reader.read();
         }
     }
 
+    /** Fails with {@code problem} if the parser is at another token. */
     static void expect(JsonParser json, JsonToken token, String message) throws ConfigException {
         if (json.currentToken() != token) {
             throw error(json, message);
@@ -54,9 +59,10 @@
         return json.getText();
     }
 
+    /** An integer of 0 or more. */
     static long integer(JsonParser json) throws IOException, ConfigException {
         double value = number(json);
-        if (value < 0 || value != Math.rint(value) || value > 1L << 53) {
+        if (value < 0 || value != Math.rint(value) || value > MAX_EXACT_INTEGER) {
             throw error(json, "is not a whole number of nought or more");
         }
         return (long) value;
--- a/src/main/java/reedmux/gatekeeper/config/GatekeeperConfig.java
+++ b/src/main/java/reedmux/gatekeeper/config/GatekeeperConfig.java
@@ -1,10 +1,5 @@
 package reedmux.gatekeeper.config;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.core.JsonToken;
-import com.fasterxml.jackson.core.StreamReadFeature;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -24,9 +19,17 @@
 import reedmux.gatekeeper.reducer.ProviderList;
 
 /**
- * All that the gatekeeper is told at its start, read once and checked here, with the defaults that hold where
- * a key is missing. A {@link ConfigException} names the key that is at fault. {@code adminListen} is null where
- * no place for operators is named.
+ * The configuration of a gatekeeper: read once at its start, checked, and completed with defaults. A
+ * {@link ConfigException} names the key at fault.
+ *
+ * @param maxDescriptors       descriptors that the process may use
+ * @param peerListen           where datagrams of peers arrive, or null without peers
+ * @param peers                the addresses of all gatekeepers of the group, by their numbers
+ * @param peerBroadcast        an address that reaches all peers at once, or null
+ * @param connectTimeoutMicros for connections to providers
+ * @param connectionIdleMicros how long providers keep idle connections
+ * @param knownProviders       those of the last list before the start
+ * @param adminListen          where operators connect, or null where nobody may
  */
 public record GatekeeperConfig(
         String name,
@@ -43,18 +46,11 @@
         ProviderList knownProviders,
         ProviderListReader providerListReader,
         InetSocketAddress adminListen) {
-    /** A key told twice has one value that nobody meant. */
-    private static final JsonFactory JSON = JsonFactory.builder()
-            .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
-            .build();
-
-    private static final int DEFAULT_DESCRIPTORS = 1024;
-    private static final int MIN_DESCRIPTORS = 256;
     private static final ProviderList NO_PROVIDERS = new ProviderList(ServerListScope.CACHED, 0, List.of());
     private static final long DEFAULT_CONNECT_TIMEOUT_MICROS = 250_000;
     private static final long DEFAULT_CONNECTION_IDLE_MICROS = 30_000_000;
 
-    /** Reads the file that the environment names; the environment's own values come before the file's. */
+    /** Reads the file that the environment names; values of the environment take precedence over the file's. */
     public static GatekeeperConfig load(Map<String, String> environment, MonotonicClock clock) throws ConfigException {
         String file = environment.get("RELAY_CONFIG");
         if (file == null || file.isBlank()) {
@@ -63,13 +59,13 @@
         try {
             return read(Files.readAllBytes(Path.of(file)), environment, clock);
         } catch (NoSuchFileException e) {
-            throw new ConfigException("RELAY_CONFIG names no file: " + file);
+            throw new ConfigException("RELAY_CONFIG names no file: " + file, e);
         } catch (IOException e) {
-            throw new ConfigException("RELAY_CONFIG cannot be read: " + e.getMessage());
+            throw new ConfigException("RELAY_CONFIG cannot be read: " + e.getMessage(), e);
         }
     }
 
-    /** Reads the file anew: what it says of discovery now is news, and comes before the environment. */
+    /** Reads the file again; this time its address of discovery takes precedence over the environment's. */
     public static GatekeeperConfig reload(Map<String, String> environment, MonotonicClock clock)
             throws ConfigException {
         Map<String, String> rest = new HashMap<>(environment);
@@ -77,7 +73,7 @@
         return load(rest, clock);
     }
 
-    /** The one service that the platform's configuration tells of. */
+    /** The service that the platform's configuration describes. */
     public ServiceConfig service() {
         return new ServiceConfig(
                 settings,
@@ -90,63 +86,70 @@
     }
 
     /**
-     * Reads what a document in the platform's form tells of a further service: {@code discovery}, {@code
-     * known} and {@code settings}. Where it has no settings the platform's hold. Our place among the
-     * gatekeepers, and what these may send each other, are the platform's in any case.
+     * Reads the configuration of a further service from a document in the platform's form: {@code discovery},
+     * {@code known} and {@code settings}. Without settings the platform's hold. Our number among the gatekeepers, and
+     * the limits on the messages between them, are always the platform's.
      *
-     * @param told comes before the document's {@code discovery}; may be null
+     * @param discoveryOverride takes precedence over the document's {@code discovery}; may be null
      */
-    public ServiceConfig service(byte[] bytes, InetSocketAddress told, MonotonicClock clock) throws ConfigException {
-        ConfigDraft draft = new ConfigDraft();
-        parse(bytes, "the document", draft);
-        InetSocketAddress where = told == null ? draft.discovery : told;
-        if (where == null) {
+    public ServiceConfig service(byte[] bytes, InetSocketAddress discoveryOverride, MonotonicClock clock)
+            throws ConfigException {
+        ConfigDocument document = ConfigDocument.parse(bytes, "the document");
+        InetSocketAddress serviceDiscovery = discoveryOverride == null ? document.discovery : discoveryOverride;
+        if (serviceDiscovery == null) {
             throw new ConfigException("discovery is missing");
         }
-        if (draft.settings.isEmpty()) {
+        if (document.settings.isEmpty()) {
             return new ServiceConfig(
                     settings,
-                    where,
-                    known(draft, providerListReader),
+                    serviceDiscovery,
+                    resolveKnown(document, providerListReader),
                     providerListReader,
                     connectTimeoutMicros,
                     connectionIdleMicros,
                     "");
         }
-        applySocketDefaults(draft.settings);
-        draft.settings.put("position", Integer.toString(settings.self()));
-        draft.settings.put("groupSize", Integer.toString(settings.groupSize()));
-        draft.settings.put("az", Integer.toString(settings.zone()));
-        draft.settings.put(
+        applySocketDefaults(document.settings);
+        document.settings.put("position", Integer.toString(settings.self()));
+        document.settings.put("groupSize", Integer.toString(settings.groupSize()));
+        document.settings.put("az", Integer.toString(settings.zone()));
+        document.settings.put(
                 "limits.peerMessages", Boolean.toString(settings.limits().peerMessages()));
-        draft.settings.put("extra.mailPerS", Double.toString(settings.limits().peerMessagesPerSecond()));
-        SettingsReader reader = new SettingsReader("settings.", draft.settings);
-        ProviderListReader own = new ProviderListReader(reader.names("dcs"), reader.names("kinds"), clock);
+        document.settings.put(
+                "extra.mailPerS", Double.toString(settings.limits().peerMessagesPerSecond()));
+        SettingsReader reader = new SettingsReader("settings.", document.settings);
+        ProviderListReader listReader = new ProviderListReader(reader.names("dcs"), reader.names("kinds"), clock);
         return new ServiceConfig(
                 reader.settings(),
-                where,
-                known(draft, own),
-                own,
+                serviceDiscovery,
+                resolveKnown(document, listReader),
+                listReader,
                 reader.micros("limits.connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_MICROS),
                 reader.micros("limits.connIdleUs", DEFAULT_CONNECTION_IDLE_MICROS),
                 reader.names("dcs") + " " + reader.names("kinds"));
     }
 
-    /** As {@link #service(byte[], InetSocketAddress, Clock)} without a document. */
-    public ServiceConfig service(InetSocketAddress told) {
+    /** A further service without a document: the platform's settings, with its own discovery. */
+    public ServiceConfig service(InetSocketAddress serviceDiscovery) {
         return new ServiceConfig(
-                settings, told, NO_PROVIDERS, providerListReader, connectTimeoutMicros, connectionIdleMicros, "");
+                settings,
+                serviceDiscovery,
+                NO_PROVIDERS,
+                providerListReader,
+                connectTimeoutMicros,
+                connectionIdleMicros,
+                "");
     }
 
-    private static ProviderList known(ConfigDraft draft, ProviderListReader lists) throws ConfigException {
-        return draft.knownProviders == null
+    private static ProviderList resolveKnown(ConfigDocument document, ProviderListReader listReader) {
+        return document.knownProviders == null
                 ? NO_PROVIDERS
-                : lists.resolve(draft.knownProviders, ServerListScope.CACHED);
+                : listReader.resolve(document.knownProviders, ServerListScope.CACHED);
     }
 
-    /** All that must be the same in two processes of this gatekeeper for their counts to mean the same. */
+    /** What two processes of this gatekeeper must agree on, so that one can take over the other's counts. */
     public String countingRules() {
-        // Put together here: a record's own text is linked at run time, which costs a start 20 ms of CPU.
+        // Not the records' toString: linking that at run time costs a start 20 ms of CPU.
         StringBuilder rules =
                 new StringBuilder().append(settings.self()).append(" of ").append(settings.groupSize());
         for (CustomerPlan plan : settings.plans()) {
@@ -166,7 +169,7 @@
         return rules.toString();
     }
 
-    /** What differs from another configuration but is only read at the start, by its keys. */
+    /** The keys whose values differ from another configuration but take effect only with a restart. */
     public List<String> fixedAtStart(GatekeeperConfig other) {
         List<String> keys = new ArrayList<>();
         if (!listen.equals(other.listen)) {
@@ -191,65 +194,64 @@
         return keys;
     }
 
-    /** Reads a configuration from its bytes. */
+    /** Reads a configuration from the bytes of a file. */
     public static GatekeeperConfig read(byte[] bytes, Map<String, String> environment, MonotonicClock clock)
             throws ConfigException {
-        ConfigDraft draft = new ConfigDraft();
-        parse(bytes, "RELAY_CONFIG", draft);
-        if (draft.settings.isEmpty()) {
+        ConfigDocument document = ConfigDocument.parse(bytes, "RELAY_CONFIG");
+        if (document.settings.isEmpty()) {
             throw new ConfigException("settings is missing");
         }
-        applySocketDefaults(draft.settings);
-        SettingsReader reader = new SettingsReader("settings.", draft.settings);
+        applySocketDefaults(document.settings);
+        SettingsReader reader = new SettingsReader("settings.", document.settings);
         PolicySettings settings = reader.settings();
-        ProviderListReader lists = new ProviderListReader(reader.names("dcs"), reader.names("kinds"), clock);
-        ProviderList known = known(draft, lists);
+        ProviderListReader listReader = new ProviderListReader(reader.names("dcs"), reader.names("kinds"), clock);
+        ProviderList known = resolveKnown(document, listReader);
         if (settings.limits().peerMessages()) {
-            checkPeers(draft, settings.groupSize());
+            checkPeers(document, settings.groupSize());
         }
         return new GatekeeperConfig(
-                environment.getOrDefault("RELAY_NAME", draft.name),
-                address("listen", environment, draft.listen),
-                address("discovery", environment, draft.discovery),
-                draft.seed,
-                draft.maxDescriptors,
-                settings.limits().peerMessages() ? draft.peerListen : null,
-                List.copyOf(draft.peers),
-                draft.peerBroadcast,
+                environment.getOrDefault("RELAY_NAME", document.name),
+                address("listen", environment, document.listen),
+                address("discovery", environment, document.discovery),
+                document.seed,
+                document.maxDescriptors,
+                settings.limits().peerMessages() ? document.peerListen : null,
+                List.copyOf(document.peers),
+                document.peerBroadcast,
                 settings,
                 reader.micros("limits.connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_MICROS),
                 reader.micros("limits.connIdleUs", DEFAULT_CONNECTION_IDLE_MICROS),
                 known,
-                lists,
-                optionalAddress("operator", environment, draft.adminListen));
+                listReader,
+                optionalAddress("operator", environment, document.adminListen));
     }
 
-    /** The heap spans the group by number: a peer too few, too many or twice would mix up the counts. */
-    private static void checkPeers(ConfigDraft draft, int groupSize) throws ConfigException {
-        if (groupSize > 1 && draft.peerListen == null) {
+    /** Counts are exchanged by the gatekeepers' numbers: a peer too few, too many or twice would mix them up. */
+    private static void checkPeers(ConfigDocument document, int groupSize) throws ConfigException {
+        if (groupSize > 1 && document.peerListen == null) {
             throw new ConfigException("peer_listen is missing, and settings.limits.peerMessages is true");
         }
-        if (draft.peers.size() != groupSize && (groupSize > 1 || !draft.peers.isEmpty())) {
+        if (document.peers.size() != groupSize && (groupSize > 1 || !document.peers.isEmpty())) {
             throw new ConfigException(
-                    "peers holds " + draft.peers.size() + " addresses, and settings.groupSize is " + groupSize);
+                    "peers holds " + document.peers.size() + " addresses, and settings.groupSize is " + groupSize);
         }
-        for (int i = 0; i < draft.peers.size(); i++) {
-            int first = draft.peers.indexOf(draft.peers.get(i));
+        for (int i = 0; i < document.peers.size(); i++) {
+            int first = document.peers.indexOf(document.peers.get(i));
             if (first < i) {
                 throw new ConfigException("peers." + i + " is the same address as peers." + first);
             }
         }
     }
 
-    /** On sockets the advice always reaches the consumer, and units are taken later than in the simulator. */
+    /** On sockets consumers always get {@code Retry-After}, and units are charged later than in the simulator. */
     private static void applySocketDefaults(Map<String, String> settings) {
         settings.put("limits.retryAfter", "true");
         settings.put(SettingsReader.UNITS_AFTER_BODY, "true");
     }
 
-    private static InetSocketAddress address(String key, Map<String, String> environment, InetSocketAddress inFile)
+    private static InetSocketAddress address(String key, Map<String, String> environment, InetSocketAddress fromFile)
             throws ConfigException {
-        InetSocketAddress address = optionalAddress(key, environment, inFile);
+        InetSocketAddress address = optionalAddress(key, environment, fromFile);
         if (address == null) {
             throw new ConfigException(key + " is missing");
         }
@@ -257,116 +259,13 @@
     }
 
     private static InetSocketAddress optionalAddress(
-            String key, Map<String, String> environment, InetSocketAddress inFile) throws ConfigException {
+            String key, Map<String, String> environment, InetSocketAddress fromFile) throws ConfigException {
         String variable = "RELAY_" + key.toUpperCase(Locale.ROOT);
-        String told = environment.get(variable);
-        InetSocketAddress address = told == null ? inFile : SocketAddresses.parse(told);
-        if (address == null && told != null) {
-            throw new ConfigException(variable + " is not an address:port: " + told);
+        String text = environment.get(variable);
+        InetSocketAddress address = text == null ? fromFile : SocketAddresses.parse(text);
+        if (address == null && text != null) {
+            throw new ConfigException(variable + " is not an address:port: " + text);
         }
         return address;
     }
-
-    /** {@code what} stands for the document in messages; whoever knows its file puts that in front. */
-    private static void parse(byte[] bytes, String what, ConfigDraft draft) throws ConfigException {
-        try (JsonParser json = JSON.createParser(bytes)) {
-            json.nextToken();
-            ConfigJson.readObject(json, name -> draft.readField(json, name));
-            if (json.nextToken() != null) {
-                throw new ConfigException(what + " goes on behind its end at line "
-                        + json.currentLocation().getLineNr());
-            }
-        } catch (JsonProcessingException e) {
-            throw new ConfigException(what + " is not JSON: " + e.getOriginalMessage() + " at line "
-                    + e.getLocation().getLineNr());
-        } catch (IOException e) {
-            throw new ConfigException(what + " cannot be read: " + e.getMessage());
-        }
-    }
-
-    /** What the one pass over the document finds. */
-    private static final class ConfigDraft {
-        String name = "reedmux";
-        InetSocketAddress listen;
-        InetSocketAddress discovery;
-        InetSocketAddress adminListen;
-        long seed;
-        int maxDescriptors = DEFAULT_DESCRIPTORS;
-        InetSocketAddress peerListen;
-        final List<InetSocketAddress> peers = new ArrayList<>();
-        InetSocketAddress peerBroadcast;
-        ProviderListReader.ProviderListing knownProviders;
-        final Map<String, String> settings = new HashMap<>();
-
-        void readField(JsonParser json, String name) throws IOException, ConfigException {
-            if (json.currentToken() == JsonToken.VALUE_NULL) {
-                return;
-            }
-            switch (name) {
-                case "name" -> this.name = ConfigJson.text(json);
-                case "listen" -> listen = ConfigJson.address(json);
-                case "discovery" -> discovery = ConfigJson.address(json);
-                case "operator" -> adminListen = ConfigJson.address(json);
-                case "seed" -> seed = readSeed(json);
-                case "limits" -> ConfigJson.readObject(json, key -> readLimit(json, key));
-                case "peer_listen" -> peerListen = ConfigJson.address(json);
-                case "peers_all" -> peerBroadcast = ConfigJson.address(json);
-                case "peers" -> ConfigJson.readArray(json, () -> peers.add(ConfigJson.address(json)));
-                case "known" -> knownProviders = ProviderListReader.read(json);
-                case "settings" -> {
-                    ConfigJson.expect(json, JsonToken.START_OBJECT, "is not an object");
-                    flatten(json, "");
-                }
-                default -> json.skipChildren();
-            }
-        }
-
-        private static long readSeed(JsonParser json) throws IOException, ConfigException {
-            try {
-                return Long.parseUnsignedLong(ConfigJson.text(json), 16);
-            } catch (NumberFormatException e) {
-                throw ConfigJson.error(json, "is not 16 hex digits");
-            }
-        }
-
-        private void readLimit(JsonParser json, String key) throws IOException, ConfigException {
-            if (!key.equals("sockets")) {
-                json.skipChildren();
-                return;
-            }
-            long told = ConfigJson.integer(json);
-            if (told < MIN_DESCRIPTORS) {
-                throw ConfigJson.error(json, "is under " + MIN_DESCRIPTORS);
-            }
-            maxDescriptors = (int) Math.min(Integer.MAX_VALUE, told);
-        }
-
-        /** The values below one place, under names as on the simulator's wire. */
-        private void flatten(JsonParser json, String at) throws IOException {
-            switch (json.currentToken()) {
-                case START_OBJECT -> {
-                    while (json.nextToken() != JsonToken.END_OBJECT) {
-                        String name = json.currentName();
-                        json.nextToken();
-                        flatten(json, at.isEmpty() ? name : at + '.' + name);
-                    }
-                }
-                case START_ARRAY -> {
-                    int count = 0;
-                    List<String> plain = new ArrayList<>();
-                    for (; json.nextToken() != JsonToken.END_ARRAY; count++) {
-                        if (json.currentToken().isScalarValue()) {
-                            plain.add(json.getText());
-                        } else {
-                            flatten(json, at + '.' + count);
-                        }
-                    }
-                    settings.put(at + ".count", Integer.toString(count));
-                    settings.put(at, String.join(",", plain));
-                }
-                case VALUE_NULL -> {}
-                default -> settings.put(at, json.getText());
-            }
-        }
-    }
 }
--- a/src/main/java/reedmux/gatekeeper/config/ProviderListReader.java
+++ b/src/main/java/reedmux/gatekeeper/config/ProviderListReader.java
@@ -13,19 +13,22 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerStatus;
 import reedmux.gatekeeper.reducer.ProviderList;
 
-/** Reads lists of providers in discovery's form, from discovery and from the configuration alike. */
+/** Reads lists of providers in the form that discovery and the configuration have in common. */
 public final class ProviderListReader {
+    private static final long NO_REVISION = -1;
+
     private final List<String> zones;
     private final List<String> kinds;
     private final MonotonicClock clock;
 
+    /** A reader that knows zones and kinds by the indices in these lists. */
     public ProviderListReader(List<String> zones, List<String> kinds, MonotonicClock clock) {
         this.zones = zones;
         this.kinds = kinds;
         this.clock = clock;
     }
 
-    /** An entry as it was written. */
+    /** An entry as it is written: zone and kind by name, times of the wall clock. */
     public record ProviderListEntry(
             String id,
             InetSocketAddress address,
@@ -36,23 +39,27 @@
             double weight,
             long upSinceMillis) {}
 
-    /** A list as it was written. */
+    /** A list as it is written; if it is not {@code complete} it holds the changes since an earlier revision. */
     public record ProviderListing(long revision, boolean complete, List<ProviderListEntry> entries) {}
 
-    /** Reads an answer of discovery. */
+    /** Reads a response of discovery. */
     public ProviderList read(byte[] body) throws ConfigException {
         try (JsonParser json = new JsonFactory().createParser(body)) {
             json.nextToken();
             return resolve(read(json), ServerListScope.FULL);
         } catch (IOException e) {
-            throw new ConfigException("the list is not JSON");
+            throw new ConfigException("the list is not JSON", e);
         }
     }
 
-    /** Puts in the numbers of zones and kinds, and times of our clock; {@code whole}: scope when complete. */
-    ProviderList resolve(ProviderListing listing, ServerListScope whole) {
+    /**
+     * Replaces zones and kinds by their indices, and times of the wall clock by our clock's.
+     *
+     * @param completeScope the scope of a complete list
+     */
+    ProviderList resolve(ProviderListing listing, ServerListScope completeScope) {
         return new ProviderList(
-                listing.complete() ? whole : ServerListScope.CHANGES,
+                listing.complete() ? completeScope : ServerListScope.CHANGES,
                 listing.revision(),
                 listing.entries().stream().map(this::provider).toList());
     }
@@ -70,23 +77,26 @@
                 entry.address());
     }
 
-    /** Reads the object that the parser stands at. */
+    /** Reads the list that the parser is at. */
     static ProviderListing read(JsonParser json) throws IOException, ConfigException {
-        long[] revision = {-1};
-        boolean[] complete = {false};
+        long revision = NO_REVISION;
+        boolean complete = false;
         List<ProviderListEntry> entries = new ArrayList<>();
-        ConfigJson.readObject(json, name -> {
+        ConfigJson.expect(json, JsonToken.START_OBJECT, "is not an object");
+        while (json.nextToken() != JsonToken.END_OBJECT) {
+            String name = json.currentName();
+            json.nextToken();
             switch (name) {
-                case "revision" -> revision[0] = ConfigJson.integer(json);
-                case "complete" -> complete[0] = ConfigJson.flag(json);
+                case "revision" -> revision = ConfigJson.integer(json);
+                case "complete" -> complete = ConfigJson.flag(json);
                 case "members" -> ConfigJson.readArray(json, () -> entries.add(entry(json)));
                 default -> json.skipChildren();
             }
-        });
-        if (revision[0] < 0) {
+        }
+        if (revision == NO_REVISION) {
             throw new ConfigException("revision is missing");
         }
-        return new ProviderListing(revision[0], complete[0], entries);
+        return new ProviderListing(revision, complete, entries);
     }
 
     private static ProviderListEntry entry(JsonParser json) throws IOException, ConfigException {
@@ -97,7 +107,7 @@
         int cell = 0;
         ServerStatus status = null;
         double weight = 1;
-        long upSince = 0;
+        long upSinceMillis = 0;
         ConfigJson.expect(json, JsonToken.START_OBJECT, "is not an object");
         while (json.nextToken() != JsonToken.END_OBJECT) {
             String name = json.currentName();
@@ -110,14 +120,14 @@
                 case "cell" -> cell = (int) ConfigJson.integer(json);
                 case "phase" -> status = status(json);
                 case "size" -> weight = ConfigJson.number(json);
-                case "up_since_ms" -> upSince = ConfigJson.integer(json);
+                case "up_since_ms" -> upSinceMillis = ConfigJson.integer(json);
                 default -> json.skipChildren();
             }
         }
         if (id == null || status == null || address == null && status != ServerStatus.GONE) {
             throw ConfigJson.error(json, "needs id, host_port and phase");
         }
-        return new ProviderListEntry(id, address, zone, kind, cell, status, weight, upSince);
+        return new ProviderListEntry(id, address, zone, kind, cell, status, weight, upSinceMillis);
     }
 
     private static ServerStatus status(JsonParser json) throws IOException, ConfigException {
--- a/src/main/java/reedmux/gatekeeper/config/ServiceConfig.java
+++ b/src/main/java/reedmux/gatekeeper/config/ServiceConfig.java
@@ -6,10 +6,14 @@
 import reedmux.gatekeeper.reducer.ProviderList;
 
 /**
- * What the gatekeeper is told of one service: its classes, plans and rules, where its providers are told of,
- * which were known last, and the times of its connections in microseconds.
+ * The configuration of one service.
  *
- * @param form whatever else tells one from another, such as how its provider lists are read
+ * @param settings             its request classes, plans and rules
+ * @param discovery            where its providers are listed
+ * @param knownProviders       those of the last list before the start
+ * @param connectTimeoutMicros for connections to its providers
+ * @param connectionIdleMicros how long its providers keep idle connections
+ * @param listFormat           the zones and kinds of its provider lists, empty for the platform's
  */
 public record ServiceConfig(
         PolicySettings settings,
@@ -20,7 +24,7 @@
         long connectionIdleMicros,
         String listFormat) {
 
-    /** The same with messages to peers that leave room for so many bytes more. */
+    /** The same with messages to peers that are shorter by so many bytes, to leave space for a tag. */
     public ServiceConfig withSmallerPeerMessages(int bytes) {
         DeploymentLimits old = settings.limits();
         DeploymentLimits limits = new DeploymentLimits(
@@ -55,7 +59,7 @@
                 listFormat);
     }
 
-    /** Whether a module that was made for the other serves this one too, with all that it has counted. */
+    /** Whether a policy that was created for the other one, with its counts, can go on with this one. */
     public boolean hasSameRules(ServiceConfig other) {
         return settings.equals(other.settings)
                 && connectTimeoutMicros == other.connectTimeoutMicros
--- a/src/main/java/reedmux/gatekeeper/config/SettingsReader.java
+++ b/src/main/java/reedmux/gatekeeper/config/SettingsReader.java
@@ -13,26 +13,27 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.RequestClass;
 
 /**
- * The settings of an instance from their flat form, {@code lanes.0.name} and the like; keys nobody asks for
- * are passed over. The simulator's adapter and the real gatekeeper read their settings here and only here.
+ * Reads the policy's settings from flat keys such as {@code lanes.0.name}; unknown keys are ignored. Both the simulator's
+ * adapter and the real gatekeeper read their settings here.
  */
 public final class SettingsReader {
-    /** For units of one request, where no bound is told. */
+    /** The limit on the units of one request where none is set. */
     private static final double UNBOUNDED_UNITS = 1e9;
-    /** Told by nobody but {@link GatekeeperConfig}, as only on sockets a request takes its units that late. */
+    /** Set by {@link GatekeeperConfig} alone: only on sockets units are charged when the request is complete. */
     static final String UNITS_AFTER_BODY = "reedmux.unitsWhenWhole";
-    /** The longest advice to stay away, in microseconds, where no bound is told. */
+    /** The longest {@code Retry-After} where no limit is set. */
     private static final long DEFAULT_MAX_RETRY_AFTER_MICROS = 1_000_000;
-    /** Most bytes of a message between gatekeepers, by the platform's protocol. */
+    /** The longest message between gatekeepers, by the platform's protocol. */
     private static final int MAX_PEER_MESSAGE_BYTES = 256;
 
-    private final Map<String, String> values;
+    private static final int MAX_COUNT = 1_000_000;
 
+    private final Map<String, String> values;
     private final String keyPrefix;
 
-    /** {@code keyPrefix} stands before the key in every message. */
-    public SettingsReader(String place, Map<String, String> values) {
-        this.keyPrefix = place;
+    /** A reader of {@code values}; {@code keyPrefix} precedes the key in the text of errors. */
+    public SettingsReader(String keyPrefix, Map<String, String> values) {
+        this.keyPrefix = keyPrefix;
         this.values = values;
     }
 
@@ -40,6 +41,7 @@
         return new ConfigException(keyPrefix + message);
     }
 
+    /** All settings, checked. */
     public PolicySettings settings() throws ConfigException {
         int groupSize = count("groupSize");
         int self = count("position");
@@ -50,10 +52,10 @@
         for (int i = 0; i < count("lanes.count"); i++) {
             classes.add(requestClass("lanes." + i + "."));
         }
-        double mostUnits = number("extra.unitsTop", UNBOUNDED_UNITS);
+        double maxUnits = number("extra.unitsTop", UNBOUNDED_UNITS);
         List<CustomerPlan> plans = new ArrayList<>();
         for (int i = 0; i < count("packages.count"); i++) {
-            plans.add(plan("packages." + i + ".", mostUnits));
+            plans.add(plan("packages." + i + ".", maxUnits));
         }
         if (classes.isEmpty() || plans.isEmpty()) {
             throw error((classes.isEmpty() ? "lanes" : "packages") + ".count must be above nought");
@@ -67,7 +69,7 @@
                 (int) number("az", 0),
                 text("discovery", "push").equals("ask"),
                 flag(UNITS_AFTER_BODY),
-                mostUnits,
+                maxUnits,
                 micros("tickUs", 1000),
                 List.copyOf(classes),
                 List.copyOf(plans),
@@ -80,39 +82,39 @@
         return List.of(text(key, "").split(","));
     }
 
-    private RequestClass requestClass(String at) throws ConfigException {
-        Idempotency repeat =
-                switch (text(at + "effect", "non_idempotent")) {
+    private RequestClass requestClass(String prefix) throws ConfigException {
+        Idempotency idempotency =
+                switch (text(prefix + "effect", "non_idempotent")) {
                     case "read_like" -> Idempotency.SAFE;
                     case "idempotency_key" -> Idempotency.KEYED;
                     case "non_idempotent" -> Idempotency.UNSAFE;
-                    default -> throw error(at + "effect is not known");
+                    default -> throw error(prefix + "effect is not known");
                 };
-        DeduplicationScope group =
-                switch (text(at + "group", "cell")) {
+        DeduplicationScope scope =
+                switch (text(prefix + "group", "cell")) {
                     case "all" -> DeduplicationScope.ALL;
                     case "zone" -> DeduplicationScope.ZONE;
                     case "cell" -> DeduplicationScope.CELL;
-                    default -> throw error(at + "group is not known");
+                    default -> throw error(prefix + "group is not known");
                 };
-        long deadline = requiredMicros(at + "deadlineUs");
-        long aim = requiredMicros(at + "targetUs");
-        if (aim > deadline) {
-            throw error(at + "targetUs lies past its deadlineUs");
+        long deadline = requiredMicros(prefix + "deadlineUs");
+        long target = requiredMicros(prefix + "targetUs");
+        if (target > deadline) {
+            throw error(prefix + "targetUs lies past its deadlineUs");
         }
         return new RequestClass(
-                text(at + "name", "class"),
-                repeat,
-                group,
-                micros(at + "windowUs", 0),
-                aim,
+                text(prefix + "name", "class"),
+                idempotency,
+                scope,
+                micros(prefix + "windowUs", 0),
+                target,
                 deadline,
-                number(at + "worth", 1),
-                number(at + "lateValue", 0),
-                flag(at + "streaming"));
+                number(prefix + "worth", 1),
+                number(prefix + "lateValue", 0),
+                flag(prefix + "streaming"));
     }
 
-    /** A request names its class and plan, so that of two with one name the second is never meant. */
+    /** Requests give their class and plan by name, so names have to be unique. */
     private void checkUniqueNames(String list) throws ConfigException {
         Map<String, Integer> seen = new HashMap<>();
         for (int i = 0; i < count(list + ".count"); i++) {
@@ -124,39 +126,38 @@
         }
     }
 
-    private CustomerPlan plan(String at, double mostUnits) throws ConfigException {
+    private CustomerPlan plan(String prefix, double maxUnits) throws ConfigException {
         CustomerPlan plan = new CustomerPlan(
-                text(at + "name", "plan"),
-                number(at + "refill", 0),
-                number(at + "mostAtOnce", 0),
-                integer(at + "concurrency", 0),
-                number(at + "hardRate", 0),
-                number(at + "capDepth", 0),
-                number(at + "capSlack", 0),
-                number(at + "pays", 1),
-                number(at + "beyondEarns", 0),
-                number(at + "beyondCosts", 0));
-        if (plan.quotaRate() > 0 && plan.quotaBurst() <= 0) {
-            throw error(at + "mostAtOnce must be above nought where refill is");
-        }
-        if (plan.rateLimit() > 0 && plan.rateLimitBurst() <= 0) {
-            throw error(at + "capDepth must be above nought where hardRate is");
-        }
-        if (plan.quotaRate() > 0 && mostUnits < UNBOUNDED_UNITS && plan.quotaBurst() < mostUnits) {
-            throw error(at + "mostAtOnce is under extra.unitsTop: the largest request would never be let in");
-        }
-        if (plan.quotaRate() > 0
-                && plan.rateLimit() > 0
-                && (plan.rateLimit() < plan.quotaRate() || plan.rateLimitBurst() < plan.quotaBurst())) {
-            throw error(at
-                    + (plan.rateLimit() < plan.quotaRate()
-                            ? "hardRate is under its refill"
-                            : "capDepth is under its mostAtOnce")
-                    + ": the ceiling would cut into the quota");
-        }
+                text(prefix + "name", "plan"),
+                number(prefix + "refill", 0),
+                number(prefix + "mostAtOnce", 0),
+                integer(prefix + "concurrency", 0),
+                number(prefix + "hardRate", 0),
+                number(prefix + "capDepth", 0),
+                number(prefix + "capSlack", 0),
+                number(prefix + "pays", 1),
+                number(prefix + "beyondEarns", 0),
+                number(prefix + "beyondCosts", 0));
+        checkPlan(prefix, plan, maxUnits);
         return plan;
     }
 
+    private void checkPlan(String prefix, CustomerPlan plan, double maxUnits) throws ConfigException {
+        boolean hasQuota = plan.quotaRate() > 0;
+        boolean hasRateLimit = plan.rateLimit() > 0;
+        if (hasQuota && plan.quotaBurst() <= 0) {
+            throw error(prefix + "mostAtOnce must be above nought where refill is");
+        } else if (hasRateLimit && plan.rateLimitBurst() <= 0) {
+            throw error(prefix + "capDepth must be above nought where hardRate is");
+        } else if (hasQuota && maxUnits < UNBOUNDED_UNITS && plan.quotaBurst() < maxUnits) {
+            throw error(prefix + "mostAtOnce is under extra.unitsTop: the largest request would never be let in");
+        } else if (hasQuota && hasRateLimit && plan.rateLimit() < plan.quotaRate()) {
+            throw error(prefix + "hardRate is under its refill: the ceiling would cut into the quota");
+        } else if (hasQuota && hasRateLimit && plan.rateLimitBurst() < plan.quotaBurst()) {
+            throw error(prefix + "capDepth is under its mostAtOnce: the ceiling would cut into the quota");
+        }
+    }
+
     private PlatformRules rules() throws ConfigException {
         return new PlatformRules(
                 micros("rules.answerSlackUs", 0),
@@ -182,8 +183,8 @@
                 micros("extra.countLimitUs", 0));
     }
 
-    private String text(String key, String missing) {
-        return values.getOrDefault(key, missing);
+    private String text(String key, String otherwise) {
+        return values.getOrDefault(key, otherwise);
     }
 
     private boolean flag(String key) throws ConfigException {
@@ -194,10 +195,10 @@
         return value.equals("true");
     }
 
-    private double number(String key, double missing) throws ConfigException {
+    private double number(String key, double otherwise) throws ConfigException {
         String value = values.get(key);
         if (value == null || value.equals("-")) {
-            return missing;
+            return otherwise;
         }
         try {
             double number = Double.parseDouble(value);
@@ -205,14 +206,14 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // told below, like a number that makes no sense
+            // reported below, like a number out of range
         }
         throw error(key + " is not a number of nought or more: '" + value + "'");
     }
 
-    /** A time in microseconds. */
-    public long micros(String key, long missing) throws ConfigException {
-        return (long) number(key, missing);
+    /** A duration in microseconds. */
+    public long micros(String key, long otherwise) throws ConfigException {
+        return (long) number(key, otherwise);
     }
 
     private long requiredMicros(String key) throws ConfigException {
@@ -227,11 +228,11 @@
         if (!values.containsKey(key)) {
             throw error(key + " is missing");
         }
-        return Math.min(1_000_000, integer(key, 0));
+        return Math.min(MAX_COUNT, integer(key, 0));
     }
 
-    private int integer(String key, int missing) throws ConfigException {
-        double value = number(key, missing);
+    private int integer(String key, int otherwise) throws ConfigException {
+        double value = number(key, otherwise);
         if (value != Math.rint(value)) {
             throw error(key + " is not a whole number: '" + values.get(key) + "'");
         }
--- a/src/main/java/reedmux/gatekeeper/discovery/DiscoveryWatch.java
+++ b/src/main/java/reedmux/gatekeeper/discovery/DiscoveryWatch.java
@@ -15,34 +15,37 @@
 import reedmux.gatekeeper.reducer.ReducerEvent;
 
 /**
- * Watches discovery without a pause: the whole list first, then changes, each call sent as soon as the one
- * before it was answered, since a watch lapses 200 ms later. Where discovery has to be asked, the changes
- * since the list that the configuration told come first. While discovery is silent or tells nonsense, the
- * list that is known goes on serving.
+ * Keeps the list of providers up to date by long polling: the full list first, then changes. Each call is sent as soon
+ * as the one before it was answered, since discovery forgets a watcher after 200 ms. If the configuration has a list,
+ * the changes since its revision come first. While discovery does not answer or sends what cannot be read, the last
+ * list stays in use.
+ *
+ * <p>Calls end on the I/O thread and time out on the timers' thread; the monitor guards the state.
  */
 public final class DiscoveryWatch implements AutoCloseable {
     /**
-     * The wait asked for. A connection that has gone silent looks like one with no news until the wait is
-     * over, so it bounds how old the list may get; a call with no news costs next to nothing.
+     * How long discovery holds a call while nothing changes. Until then a dead connection cannot be told from one
+     * without changes, so this bounds how old the list may become; shorter waits cost more calls.
      */
     private static final long WATCH_WAIT_MILLIS = 2_000;
     /**
-     * The wait asked for while nothing has been heard yet. What discovery would have told counts as told 2 s
-     * after a wait, and a crowd of calls after a mass restart was seen to take over 2 s: with 400 ms the old
-     * list broke a drain. With this it is as long as for the whole list.
+     * The same for the first call. After a restart of many gatekeepers calls were seen to take over 2 s; with a wait
+     * of 400 ms a provider that was draining was still in use. This is as long as the full list may take.
      */
     private static final long FIRST_WATCH_WAIT_MILLIS = 4_000;
     /**
-     * How long the whole list may take, and how much longer than the agreed wait an answer to a watch, before
-     * the call is made anew. One discovery serves all gatekeepers, calls wait there in turn, and after many
-     * have started at once for seconds: whoever gives up and asks again stands last once more.
+     * Time-out of a call for the full list. One discovery serves all gatekeepers and queues their calls, for seconds
+     * after many have started at once: whoever retries early goes to the end of the queue.
      */
     private static final long FULL_LIST_TIMEOUT_MILLIS = 4_000;
-
+    /** How much longer than its wait a call for changes may take. */
     private static final long WATCH_GRACE_MILLIS = 2_000;
-    /** A pause after a failure, so that a broken agent is not asked in a tight circle. */
+    /** Backoff after a failed call. */
     private static final long RETRY_DELAY_MILLIS = 100;
 
+    private static final long NO_REVISION = -1;
+    private static final int STATUS_OK = 200;
+
     private final ProviderClient client;
     private final ProviderListReader listReader;
     private final Consumer<ReducerEvent> eventSink;
@@ -50,115 +53,117 @@
     private final ScheduledExecutorService timers;
     private InetSocketAddress discovery;
     private Runnable abortCall = () -> {};
+    /** Of the last list; {@link #NO_REVISION} has the full list sent. */
     private long revision;
+
     private boolean listReceived;
     private boolean failing;
     private boolean closed;
 
     /**
-     * {@code known}: the list to go on from, or null for the whole list first. The whole list costs a
-     * discovery that is asked a line for each provider, for each gatekeeper that starts: fourteen that did at
-     * once kept it busy for so long that nearly every later call failed, and hardly a list came after that.
+     * A watch that has sent no call yet.
+     *
+     * @param known the list whose changes come first, or null for the full list first. Full lists are expensive:
+     *              fourteen gatekeepers that asked for one at once kept discovery so busy that nearly all later calls
+     *              timed out
      */
     public DiscoveryWatch(
             ProviderClient client,
             InetSocketAddress discovery,
-            ProviderListReader lists,
+            ProviderListReader listReader,
             ProviderList known,
-            Consumer<ReducerEvent> events,
+            Consumer<ReducerEvent> eventSink,
             Consumer<String> log,
             ScheduledExecutorService timers) {
         revision = known != null
                         && known.scope() == ServerListScope.CACHED
                         && !known.providers().isEmpty()
                 ? known.revision()
-                : -1;
+                : NO_REVISION;
         this.timers = timers;
         this.client = client;
         this.discovery = discovery;
-        this.listReader = lists;
-        this.eventSink = events;
+        this.listReader = listReader;
+        this.eventSink = eventSink;
         this.log = log;
     }
 
-    /** A thread for the time limits of any number of watches. */
+    /** The timers for any number of watches, with one thread. */
     public static ScheduledExecutorService createTimers() {
         ScheduledThreadPoolExecutor timers = new ScheduledThreadPoolExecutor(1, task -> {
             Thread thread = new Thread(task, "reedmux-watch");
             thread.setDaemon(true);
             return thread;
         });
-        // The limits of calls that have ended would else hold on to them, and what they read, for 22 s.
+        // Otherwise the time-outs of completed calls would keep these, and what they read, in memory.
         timers.setRemoveOnCancelPolicy(true);
         return timers;
     }
 
-    /** Makes the next call. */
+    /** Sends the next call. */
     public synchronized void sendRequest() {
         if (closed) {
             return;
         }
         long wait = listReceived ? WATCH_WAIT_MILLIS : FIRST_WATCH_WAIT_MILLIS;
-        String target = "/v1/servers" + (revision < 0 ? "" : "?since=" + revision + "&timeout_ms=" + wait);
+        boolean fullList = revision == NO_REVISION;
+        String target = "/v1/servers" + (fullList ? "" : "?since=" + revision + "&timeout_ms=" + wait);
+        long timeoutMillis = fullList ? FULL_LIST_TIMEOUT_MILLIS : wait + WATCH_GRACE_MILLIS;
         WatchTimeout timeout = new WatchTimeout();
         InetSocketAddress asked = discovery;
-        Runnable stop = client.fetch(asked, target, result -> {
+        Runnable abort = client.fetch(asked, target, result -> {
             timeout.clear();
             onResponse(asked, result);
         });
-        abortCall = stop;
-        timeout.set(timers.schedule(
-                stop, revision < 0 ? FULL_LIST_TIMEOUT_MILLIS : wait + WATCH_GRACE_MILLIS, TimeUnit.MILLISECONDS));
+        abortCall = abort;
+        timeout.set(timers.schedule(abort, timeoutMillis, TimeUnit.MILLISECONDS));
     }
 
-    /** The limit on one call, which may end before the limit is even set. */
+    /** The time-out of one call, which may end before its time-out is set. */
     private static final class WatchTimeout {
-        private ScheduledFuture<?> limit;
+        private ScheduledFuture<?> timer;
         private boolean cleared;
 
-        synchronized void set(ScheduledFuture<?> told) {
-            limit = told;
+        synchronized void set(ScheduledFuture<?> scheduled) {
+            timer = scheduled;
             if (cleared) {
-                limit.cancel(false);
+                timer.cancel(false);
             }
         }
 
         synchronized void clear() {
             cleared = true;
-            if (limit != null) {
-                limit.cancel(false);
+            if (timer != null) {
+                timer.cancel(false);
             }
         }
     }
 
     /**
-     * Goes on at another address, with the whole list first: revisions there need not go on from here. Where
-     * the address is the same the watch that runs is left alone, as its next answer is as good as any.
+     * Continues at another address, with the full list first, since the revisions of two discoveries are unrelated. If
+     * the address is the same nothing changes.
      */
-    public synchronized void setDiscovery(InetSocketAddress to) {
-        if (closed || to.equals(discovery)) {
+    public synchronized void setDiscovery(InetSocketAddress address) {
+        if (closed || address.equals(discovery)) {
             return;
         }
-        InetSocketAddress from = discovery;
-        discovery = to;
-        revision = -1;
+        InetSocketAddress before = discovery;
+        discovery = address;
+        revision = NO_REVISION;
         failing = false;
-        log.accept("discovery: now at " + to);
+        log.accept("discovery: now at " + address);
         abortCall.run();
-        client.closeIdle(from);
+        client.closeIdle(before);
         sendRequest();
     }
 
     private synchronized void onResponse(InetSocketAddress asked, CallResult result) {
-        // A call that ended with the program says nothing of discovery, and what a discovery tells that is
-        // no longer ours must neither be taken for a change to the new one's list nor start a second watch.
+        // A call that ended with the program says nothing about discovery. A response of the former discovery must
+        // neither change the list of the new one nor start a second sequence of calls.
         if (closed || !asked.equals(discovery)) {
             return;
         }
-        String problem = result instanceof CallResult.ConnectionBroken broken ? broken.reason() : null;
-        if (result instanceof CallResult.ResponseReceived answered) {
-            problem = answered.status() == 200 ? applyList(answered.body()) : "status " + answered.status();
-        }
+        String problem = problemOf(result);
         if (problem == null) {
             failing = false;
             listReceived = true;
@@ -172,13 +177,21 @@
         timers.schedule(() -> retry(asked), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private synchronized void retry(InetSocketAddress of) {
-        if (of.equals(discovery)) {
+    /** Applies the list of a response; returns why there is none, or null. */
+    private String problemOf(CallResult result) {
+        if (result instanceof CallResult.ResponseReceived response) {
+            return response.status() == STATUS_OK ? applyList(response.body()) : "status " + response.status();
+        }
+        return result instanceof CallResult.ConnectionBroken broken ? broken.reason() : null;
+    }
+
+    private synchronized void retry(InetSocketAddress asked) {
+        if (asked.equals(discovery)) {
             sendRequest();
         }
     }
 
-    /** Takes in an answer; returns what is wrong with it, or null. */
+    /** Applies a list; returns what is wrong with it, or null. */
     private String applyList(byte[] body) {
         try {
             ProviderList list = listReader.read(body);
@@ -186,7 +199,7 @@
             eventSink.accept(new ReducerEvent.ProvidersUpdated(list));
             return null;
         } catch (ConfigException e) {
-            revision = -1; // whatever was meant to be told, the whole list will tell it
+            revision = NO_REVISION; // the full list contains whatever these changes were
             return e.getMessage();
         }
     }
