--- a/src/main/java/reedmux/gatekeeper/reducer/CallResult.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/CallResult.java
@@ -2,10 +2,16 @@
 
 import reedmux.gatekeeper.policy.TrafficPolicy.AttemptOutcome;
 
-/** How an invoker call ended: a value, with how far the call had come. */
+/** How a call to a provider or to another region ended. Times are in microseconds. */
 public sealed interface CallResult {
+    /** The status of an answer without fault. */
+    int OK_STATUS = 200;
+    /** The status of a provider that is overloaded, where it vouches that it did nothing. */
+    int UNAVAILABLE_STATUS = 503;
+    /** The status of a provider or another region whose time ran out. */
+    int TIMEOUT_STATUS = 504;
 
-    /** How far a call had come when it ended. */
+    /** How far a call had come when its connection broke. */
     enum CallStage {
         CONNECTING,
         WRITING,
@@ -16,15 +22,18 @@
     /** The body of an answer that is still coming in; only the protocol that made it looks inside. */
     interface RemainingBody {
 
-        /** Bytes of the whole body, -1 where that is not told. */
+        /** Bytes of the complete body; -1 where the head does not say. */
         long length();
     }
 
     /**
-     * A whole answer, or the beginning of one where {@code rest} is not null; {@code neverRan} when the
-     * provider vouches that it did nothing. Another region also tells how long it had the request and when to
-     * come again, both in microseconds, -1 where not told. {@code bodyTook} is how long after its head the
-     * last byte came, in microseconds: a peer that writes slowly is not one that has much to do.
+     * A complete answer, or the head of one.
+     *
+     * @param neverRan      whether the provider vouches that it did nothing
+     * @param remoteElapsed how long another region had the request; -1 where it does not say
+     * @param retryAfter    when another region wants it again; -1 where it does not say
+     * @param remainingBody the body that is still coming, or null for a complete answer
+     * @param bodyElapsed   how long after the head the last byte came: who writes slowly is not who has much to do
      */
     record ResponseReceived(
             int status,
@@ -37,29 +46,30 @@
             long bodyElapsed)
             implements CallResult {
 
-        /** A whole answer. */
+        /** A complete answer of another region. */
         public ResponseReceived(
-                int status, boolean neverRan, String contentType, byte[] body, long took, long retryAfter) {
-            this(status, neverRan, contentType, body, took, retryAfter, null, 0);
+                int status, boolean neverRan, String contentType, byte[] body, long remoteElapsed, long retryAfter) {
+            this(status, neverRan, contentType, body, remoteElapsed, retryAfter, null, 0);
         }
 
-        /** A provider's answer. */
+        /** A provider's complete answer. */
         public ResponseReceived(int status, boolean neverRan, String contentType, byte[] body) {
             this(status, neverRan, contentType, body, -1, -1);
         }
     }
 
-    /** No whole answer: the connection broke, was refused or was closed by us. */
+    /** No complete answer: the connection broke, was refused or was closed by us. */
     record ConnectionBroken(CallStage stage, String reason) implements CallResult {}
 
-    /** The outcome in the module's terms; nothing but a whole answer or an unfinished write proves much. */
+    /** The outcome in the policy's terms; nothing but a complete answer or an unfinished write proves much. */
     default AttemptOutcome outcome() {
-        if (this instanceof ResponseReceived answered) {
-            return answered.status() == 200
-                    ? AttemptOutcome.OK
-                    : (answered.status() == 503 || answered.status() == 504) && answered.neverRan()
-                            ? AttemptOutcome.OVERLOADED
-                            : AttemptOutcome.ERROR;
+        if (this instanceof ResponseReceived response) {
+            int status = response.status();
+            if (status == OK_STATUS) {
+                return AttemptOutcome.OK;
+            }
+            boolean overloaded = status == UNAVAILABLE_STATUS || status == TIMEOUT_STATUS;
+            return overloaded && response.neverRan() ? AttemptOutcome.OVERLOADED : AttemptOutcome.ERROR;
         }
         CallStage stage = ((ConnectionBroken) this).stage();
         return stage == CallStage.CONNECTING || stage == CallStage.WRITING
--- a/src/main/java/reedmux/gatekeeper/reducer/FinalAnswer.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/FinalAnswer.java
@@ -7,11 +7,18 @@
     record Served(CallResult.ResponseReceived result) implements FinalAnswer {}
 
     /**
-     * Turned away, and better not back before {@code retryAfter}; {@code tried} when it had been sent,
-     * {@code neverRan} when it certainly has not run, and not only may be repeated all the same.
+     * Rejected; a repeat has no second effect.
+     *
+     * @param retryAfter how long the consumer had better wait before that, in microseconds
+     * @param attempted  whether it had been sent
+     * @param neverRan   whether it certainly has not run, and not only may be repeated all the same
      */
     record Rejected(long retryAfter, boolean attempted, boolean neverRan) implements FinalAnswer {}
 
-    /** Failed, promising nothing; {@code late} when time had run out. */
+    /**
+     * Failed: it may have run.
+     *
+     * @param deadlineExceeded whether its time had run out
+     */
     record Failed(boolean deadlineExceeded) implements FinalAnswer {}
 }
--- a/src/main/java/reedmux/gatekeeper/reducer/GatekeeperLoop.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/GatekeeperLoop.java
@@ -3,36 +3,37 @@
 import reedmux.common.time.MonotonicClock;
 
 /**
- * The turns of the program: each reads the clock once, takes in what others have posted and what is due, and
- * then waits. The thread that runs it owns all reducers.
+ * The gatekeeper's event loop: each iteration reads the clock once, processes what other threads have posted, datagrams
+ * of peers and due timers, and then waits. The thread that runs it owns all reducers. Times are in microseconds.
  */
 public final class GatekeeperLoop {
 
-    /** Takes in what peers have told, for the pool of that tag. */
+    /** Receives peers' datagrams. */
     public interface PeerDatagramHandler {
+        /** A datagram of the peer of that number has come in for the service of that tag. */
         void onDatagram(int tag, int peer, byte[] bytes);
     }
 
-    /** What the turns do. */
+    /** What each iteration does. */
     public interface LoopTasks {
 
-        /** Takes in what has been posted, or as much of it as one turn may. */
+        /** Processes what has been posted, or as much of it as one iteration may. */
         void processPosted(long now);
 
-        /** Takes in what a peer has told. */
+        /** Processes a peer's datagram for the service of that tag. */
         void onPeerDatagram(long now, int tag, int peer, byte[] bytes);
 
-        /** Takes in what is due. */
+        /** Processes the timers that are due. */
         void processDueTimers(long now);
 
-        /** Whether there is more to be taken in at once. */
+        /** Whether there is more to be processed at once. */
         boolean hasPending();
 
-        /** When something is due next; the far future if nothing is. */
+        /** When the next timer is due; the far future if there is none. */
         long nextDue();
     }
 
-    /** Where the loop waits, and a source of events itself. */
+    /** Where the loop waits, and where datagrams come in. */
     public interface LoopWaiter {
 
         /** Waits until woken, until something has come in or for so many microseconds. */
@@ -41,17 +42,18 @@
         /** Ends a wait, from any thread. */
         void wake();
 
-        /** Hands over what has come in. */
-        void receive(PeerDatagramHandler sink);
+        /** Hands over the datagrams that have come in. */
+        void receive(PeerDatagramHandler handler);
     }
 
-    /** No further turn. */
+    /** In place of a time: no further iteration. */
     public static final long STOP = Long.MIN_VALUE;
 
     private final MonotonicClock clock;
     private final LoopWaiter waiter;
     private volatile boolean waiting;
 
+    /** A loop that waits at {@code waiter}. */
     public GatekeeperLoop(MonotonicClock clock, LoopWaiter waiter) {
         this.clock = clock;
         this.waiter = waiter;
@@ -65,27 +67,27 @@
         }
     }
 
-    /** What is to be seen to after a turn. */
+    /** What is done at the end of each iteration. */
     public interface AfterIteration {
 
         /** Returns when it wants to be called again at the latest, or {@link #STOP}. */
         long run(long now);
     }
 
-    /** Runs turns until {@code afterTurn} ends them. */
-    public void run(LoopTasks work, AfterIteration afterTurn) {
+    /** Iterates until {@code afterIteration} returns {@link #STOP}. */
+    public void run(LoopTasks tasks, AfterIteration afterIteration) {
         while (true) {
             long now = clock.now();
-            work.processPosted(now);
-            waiter.receive((tag, peer, bytes) -> work.onPeerDatagram(now, tag, peer, bytes));
-            work.processDueTimers(now);
-            long next = afterTurn.run(now);
+            tasks.processPosted(now);
+            waiter.receive((tag, peer, bytes) -> tasks.onPeerDatagram(now, tag, peer, bytes));
+            tasks.processDueTimers(now);
+            long next = afterIteration.run(now);
             if (next == STOP) {
                 return;
             }
             waiting = true;
-            long wait = Math.min(next, work.nextDue()) - now;
-            if (!work.hasPending() && wait > 0) {
+            long wait = Math.min(next, tasks.nextDue()) - now;
+            if (!tasks.hasPending() && wait > 0) {
                 waiter.await(wait);
             }
             waiting = false;
--- a/src/main/java/reedmux/gatekeeper/reducer/Invocation.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/Invocation.java
@@ -5,20 +5,21 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.IncomingRequest;
 
 /**
- * A consumer's request as the core knows it: what the decisions need, and two things that it only carries,
- * the message for a provider and the place where the answer goes. A second protocol brings its own of both.
+ * A consumer's request as the reducer knows it: what the decisions need, and two things that it only carries, the
+ * message for a provider and the sink of the answer. Each protocol brings its own of both. Times are in microseconds.
+ * Owned by the reducer's thread once it is accepted.
  */
 public final class Invocation {
 
-    /** A message that goes to a provider as it came; only the protocol that made it looks inside. */
+    /** The message that goes to a provider as it came; only the protocol that made it looks inside. */
     public interface RequestMessage {
 
-        /** Bytes that it keeps in memory, as far as they differ from one message to the next. */
+        /** Bytes of memory that it takes, without what all messages have in common. */
         default int sizeBytes() {
             return 0;
         }
 
-        /** Whether all of it could be sent now, to another provider than before too. */
+        /** Whether all of it could be sent now, also to another provider than before. */
         default boolean isSendable() {
             return true;
         }
@@ -31,6 +32,7 @@
 
     /** Where the one final answer goes. */
     public interface AnswerSink {
+        /** Sends the answer to the consumer; called once at most. */
         void send(FinalAnswer answer);
     }
 
@@ -39,40 +41,49 @@
     final RequestMessage message;
     final AnswerSink answerSink;
     final List<UpstreamCall> calls = new ArrayList<>(2);
+    /** Whether it has its answer, or nobody waits for one any more. */
     boolean closed;
-    /** Whether a decision on it has thrown. */
+    /** Whether the policy has thrown an exception at it. */
     boolean policyFailed;
 
     ReducerTimer deadlineTimer;
-    /** When its consumer gives up, and when its body was whole if it came in behind it, else nought. */
+    /** Until when its consumer waits. */
     long deadlineAt;
-
+    /** When its body was complete if that came in behind its head, else 0. */
     long bodyCompletedAt;
-    /** When it was taken, in microseconds; whether another region sent it; whether its service is noted. */
-    long acceptedAt;
 
+    long acceptedAt;
+    /** Whether another region sent it. */
     boolean remote;
+    /** Whether the decisions on regions know how it was served. */
     boolean serviceRecorded;
-    /** When its pool let it in, in microseconds; -1 where nobody counts it. */
+    /** When its service admitted it; -1 where nobody counts it. */
     private long admittedAt = -1;
 
-    public Invocation(IncomingRequest request, boolean repeatable, RequestMessage message, AnswerSink reply) {
+    /**
+     * An invocation that has not been accepted yet.
+     *
+     * @param repeatable whether a repeat has no second effect
+     */
+    public Invocation(IncomingRequest request, boolean repeatable, RequestMessage message, AnswerSink answerSink) {
         this.request = request;
         this.repeatable = repeatable;
         deadlineAt = request.deadline();
         this.message = message;
-        this.answerSink = reply;
+        this.answerSink = answerSink;
     }
 
-    /** When its pool let it in, in microseconds; -1 where nobody counts it. */
+    /** When its service admitted it, in microseconds; -1 where nobody counts it. */
     public long admittedAt() {
         return admittedAt;
     }
 
+    /** Notes when its service admitted it, in microseconds. */
     public void admittedAt(long at) {
         admittedAt = at;
     }
 
+    /** The request's id, which no other invocation under way has. */
     public String id() {
         return request.id();
     }
@@ -92,10 +103,12 @@
         return remote;
     }
 
+    /** What goes to a provider. */
     public RequestMessage message() {
         return message;
     }
 
+    /** Where its answer goes. */
     public AnswerSink answerSink() {
         return answerSink;
     }
--- a/src/main/java/reedmux/gatekeeper/reducer/ReducerEvent.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/ReducerEvent.java
@@ -6,58 +6,58 @@
 import reedmux.gatekeeper.failover.RegionPath;
 import reedmux.gatekeeper.policy.TrafficPolicy.AttemptOutcome;
 
-/** What the reducer is told; all changes of state come from these. */
+/** What the reducer is notified of; all changes of its state come from these. Times are in microseconds. */
 public sealed interface ReducerEvent {
 
-    /** A whole and well-formed request has come in. */
+    /** A well-formed request has come in, or its head has where the body is still coming. */
     record InvocationAccepted(Invocation invocation) implements ReducerEvent {}
 
-    /** A whole and well-formed request of another region has come in, having passed these. */
+    /** A well-formed request of another region has come in, by way of the regions of the path. */
     record RemoteInvocationAccepted(Invocation invocation, RegionPath path) implements ReducerEvent {}
 
-    /** The operators have set other rules about regions, with the addresses of the other one's gateways. */
+    /** The operators have set other rules on regions; with the addresses of the other region's gateways. */
     record RegionRulesUpdated(FailoverRules rules, Map<String, InetSocketAddress> gateways) implements ReducerEvent {}
 
     /** The consumer has closed its connection before the answer. */
     record ConsumerDisconnected(Invocation invocation) implements ReducerEvent {}
 
-    /** A body that was still coming in with its request is whole; from now on its time runs, for so long. */
+    /** A body that was still coming in with its request is complete; the invocation's time runs from now on. */
     record RequestBodyCompleted(Invocation invocation, long timeout) implements ReducerEvent {}
 
-    /** An invoker call's answer has begun, and more of it is coming than is waited for. */
+    /** A call's answer has begun, and is passed on as it comes. */
     record ResponseStarted(UpstreamCall call, CallResult.ResponseReceived head) implements ReducerEvent {}
 
-    /** An invoker call has ended. */
+    /** A call has ended. */
     record CallEnded(UpstreamCall call, CallResult result) implements ReducerEvent {}
 
-    /** A probe has ended. */
+    /** A health check has ended. */
     record HealthCheckCompleted(String provider, long startedAt, CallResult result) implements ReducerEvent {}
 
-    /** Discovery, or the configuration, has told of providers. */
+    /** Discovery, or the configuration, has another list of providers. */
     record ProvidersUpdated(ProviderList list) implements ReducerEvent {}
 
     /** A datagram of a peer has come in. */
     record PeerDatagramReceived(int peer, byte[] bytes) implements ReducerEvent {}
 
-    /** A timer of the module is due. */
+    /** A timer of the policy is due. */
     record PolicyTimerExpired(long token) implements ReducerEvent {}
 
-    /** A call's connection should be up by now. */
+    /** The time for a call's connection to come up is over. */
     record ConnectTimeoutExpired(UpstreamCall call) implements ReducerEvent {}
 
-    /** The time that the module gave a call is over. */
+    /** The time that the policy gave a call is over. */
     record CallTimeoutExpired(UpstreamCall call) implements ReducerEvent {}
 
-    /** The consumer gives up about now. */
+    /** The consumer waits no longer than until now. */
     record InvocationDeadlinePassed(Invocation invocation) implements ReducerEvent {}
 
-    /** The decision on an invocation has thrown, so that nobody decides on it any more. */
+    /** The policy has thrown an exception at an invocation, so that nobody decides on it any more. */
     record PolicyDecisionFailed(Invocation invocation) implements ReducerEvent {}
 
-    /** A call of the counter service that cannot be made here. */
+    /** The policy asked for the counter service, which is not reached from here. */
     record CounterUnavailable(long name, AttemptOutcome outcome) implements ReducerEvent {}
 
-    /** A send that never went out: its request was over, or its server is not known here. */
+    /** An attempt that was never sent: its invocation was closed, or its provider is not listed here. */
     record AttemptNotSent(Invocation invocation, int number, String provider, AttemptOutcome outcome)
             implements ReducerEvent {}
 }
--- a/src/main/java/reedmux/gatekeeper/reducer/ReducerTimer.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/ReducerTimer.java
@@ -1,9 +1,8 @@
 package reedmux.gatekeeper.reducer;
 
 /**
- * An event that is due at a time; of those due together the one set first comes first. Nearly all are called
- * off: what they would have told of is let go then, while the timer itself stays in its queue until it is
- * due.
+ * An event that is due at a time, in microseconds; of those due together the one set first comes first. Nearly all are
+ * cancelled: what the event refers to can be freed then, while the timer itself stays in its queue until it is due.
  */
 public final class ReducerTimer implements Comparable<ReducerTimer> {
     final long dueAt;
@@ -16,7 +15,7 @@
         this.event = event;
     }
 
-    /** The event, or null where it has been called off. */
+    /** The event, or null where it has been cancelled. */
     ReducerEvent event() {
         return event;
     }
--- a/src/main/java/reedmux/gatekeeper/reducer/RegionCoordinator.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/RegionCoordinator.java
@@ -4,7 +4,6 @@
 import java.util.Map;
 import reedmux.gatekeeper.failover.FailoverPolicy;
 import reedmux.gatekeeper.failover.FailoverRules;
-import reedmux.gatekeeper.failover.ForwardDecision;
 import reedmux.gatekeeper.failover.ForwardResult;
 import reedmux.gatekeeper.failover.ForwardedRequest;
 import reedmux.gatekeeper.failover.OverflowRequest;
@@ -13,34 +12,34 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.AttemptOutcome;
 
 /**
- * Tells the decisions about other regions what the reducer sees, and the reducer what they decide. Without
- * settings of regions there is none. The thread that owns the reducer owns it too.
+ * Notifies the decisions on other regions of what the reducer sees, and asks them for the reducer. Without settings of
+ * regions there is none. Owned by the reducer's thread. Times are in microseconds.
  */
 public final class RegionCoordinator {
-    private final FailoverPolicy regions;
+    private final FailoverPolicy failover;
     private final long[] latencyTargets;
     private Map<String, InetSocketAddress> gateways;
 
     /**
-     * A desk.
+     * A coordinator.
      *
-     * @param gateways the other region's gateways, by the names that the rules use
-     * @param aims     the time in which a request of each class should be answered, in microseconds
+     * @param gateways       the other region's gateways, by the names that the rules use
+     * @param latencyTargets the time in which a request of each class should be answered
      */
-    public RegionCoordinator(FailoverPolicy regions, Map<String, InetSocketAddress> gateways, long[] aims) {
-        this.regions = regions;
+    public RegionCoordinator(FailoverPolicy failover, Map<String, InetSocketAddress> gateways, long[] latencyTargets) {
+        this.failover = failover;
         this.gateways = Map.copyOf(gateways);
-        this.latencyTargets = aims.clone();
+        this.latencyTargets = latencyTargets.clone();
     }
 
-    /** The decisions; their figures may be read by the owning thread. */
+    /** The decisions; their metrics may be read by the owning thread. */
     public FailoverPolicy regions() {
-        return regions;
+        return failover;
     }
 
-    void applyRules(FailoverRules rules, Map<String, InetSocketAddress> told, long now) {
-        regions.applyRules(rules, now);
-        gateways = Map.copyOf(told);
+    void applyRules(FailoverRules rules, Map<String, InetSocketAddress> newGateways, long now) {
+        failover.applyRules(rules, now);
+        gateways = Map.copyOf(newGateways);
     }
 
     InetSocketAddress address(String gateway) {
@@ -49,15 +48,15 @@
 
     void onAccepted(Invocation invocation) {
         if (!invocation.remote) {
-            regions.onLocalRequest();
+            failover.onLocalRequest();
         }
     }
 
-    /** How one of our own was served here; only the first word of each counts. */
+    /** Notes how a request of one of our own consumers was served here; only the first report of each counts. */
     void recordService(Invocation invocation, long now, boolean good) {
         if (!invocation.remote && !invocation.serviceRecorded) {
             invocation.serviceRecorded = true;
-            regions.onLocalRequestEnded(now, good);
+            failover.onLocalRequestEnded(now, good);
         }
     }
 
@@ -72,35 +71,35 @@
 
     void onClosed(Invocation invocation) {
         if (invocation.remote) {
-            regions.onRemoteRequestEnded();
+            failover.onRemoteRequestEnded();
         }
     }
 
     RemoteRejection admit(Invocation invocation, RegionPath path, long now) {
-        return regions.admitRemote(now, path, invocation.request.units());
+        return failover.admitRemote(now, path, invocation.request.units());
     }
 
     ForwardedRequest forward(Invocation invocation, int callsLeft, long now) {
-        ForwardDecision decision = regions.decideForward(
-                now,
-                new OverflowRequest(
-                        invocation.request.deadline(),
-                        invocation.request.units(),
-                        invocation.repeatable,
-                        invocation.neverRan(),
-                        invocation.remote,
-                        callsLeft));
-        return decision.forwarded();
+        OverflowRequest overflow = new OverflowRequest(
+                invocation.request.deadline(),
+                invocation.request.units(),
+                invocation.repeatable,
+                invocation.neverRan(),
+                invocation.remote,
+                callsLeft);
+        return failover.decideForward(now, overflow).forwarded();
     }
 
     void onForwardEnded(UpstreamCall call, CallResult result, AttemptOutcome outcome, long now) {
-        long tookThere = result instanceof CallResult.ResponseReceived answered ? answered.remoteElapsed() : -1;
-        long retryAfter = result instanceof CallResult.ResponseReceived answered ? answered.retryAfter() : -1;
-        ForwardResult how = call.stopReason == UpstreamCall.StopReason.CANCELLED
-                ? ForwardResult.CANCELLED
-                : outcome == AttemptOutcome.OVERLOADED
-                        ? ForwardResult.REJECTED
-                        : result instanceof CallResult.ResponseReceived ? ForwardResult.ANSWERED : ForwardResult.FAILED;
-        regions.onForwardEnded(now, call.forwardedRequest, how, now - call.sentAt, tookThere, retryAfter);
+        CallResult.ResponseReceived response = result instanceof CallResult.ResponseReceived some ? some : null;
+        long remoteElapsed = response != null ? response.remoteElapsed() : -1;
+        long retryAfter = response != null ? response.retryAfter() : -1;
+        ForwardResult ended = response != null ? ForwardResult.ANSWERED : ForwardResult.FAILED;
+        if (call.stopReason == UpstreamCall.StopReason.CANCELLED) {
+            ended = ForwardResult.CANCELLED;
+        } else if (outcome == AttemptOutcome.OVERLOADED) {
+            ended = ForwardResult.REJECTED;
+        }
+        failover.onForwardEnded(now, call.forwardedRequest, ended, now - call.sentAt, remoteElapsed, retryAfter);
     }
 }
--- a/src/main/java/reedmux/gatekeeper/reducer/UpstreamCall.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/UpstreamCall.java
@@ -3,10 +3,10 @@
 import java.net.InetSocketAddress;
 import reedmux.gatekeeper.failover.ForwardedRequest;
 
-/** One attempt of an invocation at a provider. */
+/** One attempt of an invocation at a provider, or at a gateway of another region. Times are in microseconds. */
 public final class UpstreamCall {
 
-    /** Why we stopped waiting for it, if we did. */
+    /** Why this gateway stopped waiting for it, if it did. */
     enum StopReason {
         NONE,
         TIMED_OUT,
@@ -18,18 +18,19 @@
     final String provider;
     final InetSocketAddress address;
     final long sentAt;
-    /** How it goes to another region, or null for a provider's call; and our own advice if that refuses. */
+    /** How it goes to another region, or null for a provider's call. */
     final ForwardedRequest forwardedRequest;
-
+    /** Our own advice if the other region rejects it. */
     final long rejectionRetryAfter;
+
     StopReason stopReason = StopReason.NONE;
     boolean ended;
     ReducerTimer timeoutTimer;
     ReducerTimer connectTimer;
     boolean neverRan;
-    /** When its answer began to be passed on, in microseconds; nought before that. */
+    /** When its answer began to be passed on; 0 before that. */
     long responseStartedAt;
-    /** What the carrier of calls remembers of it; the core never looks at it. */
+    /** What the transport remembers of it; the reducer never looks at it. */
     private Object transport;
 
     UpstreamCall(Invocation invocation, int number, String provider, InetSocketAddress address, long sentAt) {
@@ -42,10 +43,10 @@
             String provider,
             InetSocketAddress address,
             long sentAt,
-            ForwardedRequest departure,
-            long advice) {
-        this.forwardedRequest = departure;
-        this.rejectionRetryAfter = advice;
+            ForwardedRequest forwardedRequest,
+            long rejectionRetryAfter) {
+        this.forwardedRequest = forwardedRequest;
+        this.rejectionRetryAfter = rejectionRetryAfter;
         this.invocation = invocation;
         this.number = number;
         this.provider = provider;
@@ -53,18 +54,19 @@
         this.sentAt = sentAt;
     }
 
-    /** It has ended, and needs no time limits any more. */
+    /** It has ended, and needs no timers any more. */
     void markEnded() {
         ended = true;
         timeoutTimer.cancel();
         connectTimer.cancel();
     }
 
+    /** Whose call it is. */
     public Invocation invocation() {
         return invocation;
     }
 
-    /** Which of its invocation's calls it is, from nought. */
+    /** Which of its invocation's calls it is, from 0. */
     public int number() {
         return number;
     }
@@ -74,18 +76,22 @@
         return forwardedRequest;
     }
 
+    /** The provider's id, or the gateway's name. */
     public String provider() {
         return provider;
     }
 
+    /** Where it goes. */
     public InetSocketAddress address() {
         return address;
     }
 
+    /** What the transport keeps with it, or null. */
     public Object transport() {
         return transport;
     }
 
+    /** Has the transport keep something with it. */
     public void transport(Object transport) {
         this.transport = transport;
     }
