--- a/src/main/java/reedmux/gatekeeper/handover/HandoverConnection.java
+++ b/src/main/java/reedmux/gatekeeper/handover/HandoverConnection.java
@@ -17,21 +17,26 @@
 import java.util.function.BiConsumer;
 
 /**
- * A connection to the other process of the same gatekeeper, over a local socket. Frames are read by a thread
- * of its own and written by another, so that neither process ever waits for the other. The end, however it
- * comes about, is told once.
+ * A connection to the other process of the same gatekeeper, over a Unix domain socket. Frames are read on a thread of
+ * its own and written on another, so that neither process ever waits for the other. The handler is notified of the end
+ * once, however it comes about.
  */
 public final class HandoverConnection implements AutoCloseable {
-    /** Frames that may wait to be written; a process that takes none for so long is as good as gone. */
+    /** Frames that may wait to be written; a process that reads none for so long is as good as gone. */
     private static final int MAX_QUEUED_FRAMES = 256;
 
+    /** In place of a frame: nothing is written after it. */
     private static final byte[] END_OF_FRAMES = {};
+    /** Connections that may wait to be accepted. */
+    private static final int ACCEPT_BACKLOG = 2;
 
-    /** Hears frames and the end, on threads of the link. */
+    /** Is notified of frames and of the end, on threads of the connection. */
     public interface HandoverFrameHandler {
+        /** A frame has come in. */
         void onFrame(HandoverConnection from, HandoverFrame frame);
 
-        void onClosed(HandoverConnection link, String why);
+        /** The connection has ended, for that reason; called once. */
+        void onClosed(HandoverConnection connection, String why);
     }
 
     private final SocketChannel channel;
@@ -39,9 +44,9 @@
     private final BlockingQueue<byte[]> outgoing = new ArrayBlockingQueue<>(MAX_QUEUED_FRAMES);
     private boolean closed;
 
-    private HandoverConnection(SocketChannel channel, HandoverFrameHandler ear) {
+    private HandoverConnection(SocketChannel channel, HandoverFrameHandler handler) {
         this.channel = channel;
-        this.handler = ear;
+        this.handler = handler;
     }
 
     private HandoverConnection start() {
@@ -56,45 +61,52 @@
         thread.start();
     }
 
-    /** Connects to a process that listens there, or returns null where none does. */
-    public static HandoverConnection connect(Path place, HandoverFrameHandler ear) {
+    /** Connects to the process that listens at a socket's path; returns null where none does. */
+    public static HandoverConnection connect(Path socketPath, HandoverFrameHandler handler) {
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open(StandardProtocolFamily.UNIX);
-            channel.connect(UnixDomainSocketAddress.of(place));
-            return new HandoverConnection(channel, ear).start();
+            channel.connect(UnixDomainSocketAddress.of(socketPath));
+            return new HandoverConnection(channel, handler).start();
         } catch (IOException | RuntimeException e) { // no such file, a stale one, or a path that is too long
             closeQuietly(channel);
             return null;
         }
     }
 
-    /** Waits for others to connect, until closed; each gets a link. */
+    /** Accepts connections of other processes, until closed. */
     public static final class HandoverServer implements AutoCloseable {
         private final ServerSocketChannel server;
         private final Path socketPath;
         private final Object fileKey;
 
-        /** Takes the place of whatever lies there. */
-        public HandoverServer(Path place, HandoverFrameHandler ear, BiConsumer<HandoverConnection, HandoverServer> met)
+        /**
+         * Listens at a path, in place of any file there.
+         *
+         * @param onConnected receives each connection before its first frame is handled
+         */
+        public HandoverServer(
+                Path socketPath,
+                HandoverFrameHandler handler,
+                BiConsumer<HandoverConnection, HandoverServer> onConnected)
                 throws IOException {
-            this.socketPath = place;
+            this.socketPath = socketPath;
             server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
             try {
-                Files.deleteIfExists(place);
-                server.bind(UnixDomainSocketAddress.of(place), 2);
-                fileKey = fileKeyOf(place);
+                Files.deleteIfExists(socketPath);
+                server.bind(UnixDomainSocketAddress.of(socketPath), ACCEPT_BACKLOG);
+                fileKey = fileKeyOf(socketPath);
             } catch (IOException | RuntimeException e) {
                 server.close();
-                throw new IOException(place + ": " + e.getMessage(), e);
+                throw new IOException(socketPath + ": " + e.getMessage(), e);
             }
             startThread("reedmux-handover", () -> {
                 try {
                     while (true) {
                         SocketChannel accepted = server.accept();
-                        HandoverConnection link = new HandoverConnection(accepted, ear);
-                        met.accept(link, this);
-                        link.start();
+                        HandoverConnection connection = new HandoverConnection(accepted, handler);
+                        onConnected.accept(connection, this);
+                        connection.start();
                     }
                 } catch (IOException e) {
                     closeQuietly(server);
@@ -102,7 +114,7 @@
             });
         }
 
-        /** Stops listening and takes its file away, unless another's lies there by now. */
+        /** Stops listening and deletes the socket's file, unless it is another process's by now. */
         public void closeAndRemove() {
             close();
             try {
@@ -114,8 +126,8 @@
             }
         }
 
-        private static Object fileKeyOf(Path of) throws IOException {
-            return Files.readAttributes(of, BasicFileAttributes.class).fileKey();
+        private static Object fileKeyOf(Path file) throws IOException {
+            return Files.readAttributes(file, BasicFileAttributes.class).fileKey();
         }
 
         @Override
@@ -124,7 +136,7 @@
         }
     }
 
-    /** Sends a frame, some time soon; false where the link has ended or nothing is taken there. */
+    /** Queues a frame to be written; returns false where the connection has ended or its queue is full. */
     public boolean send(HandoverFrame frame) {
         if (!outgoing.offer(HandoverFrameCodec.encode(frame))) {
             closeBecause("the other process takes nothing");
@@ -198,30 +210,30 @@
         handler.onClosed(this, why);
     }
 
-    /** Ends it once all that was sent is written. */
+    /** Closes the connection once all queued frames are written. */
     public void closeAfterWriting() {
         if (!outgoing.offer(END_OF_FRAMES)) {
             close();
         }
     }
 
-    /** Ends it; the ear hears of that too. */
+    /** Closes the connection; the handler is notified of that too. */
     @Override
     public void close() {
         closeBecause("closed here");
     }
 
-    private static void closeQuietly(AutoCloseable what) {
+    private static void closeQuietly(AutoCloseable closeable) {
         try {
-            if (what != null) {
-                what.close();
+            if (closeable != null) {
+                closeable.close();
             }
         } catch (Exception e) {
             // nothing is left to be done with it
         }
     }
 
-    /** Where processes of the gatekeeper of this name and address meet. */
+    /** The path at which a gatekeeper of this name and address listens for other processes of its own. */
     public static Path socketPath(Path folder, String name, String listen) {
         return folder.resolve("reedmux-" + (name + '-' + listen).replaceAll("[^A-Za-z0-9.-]", "_") + ".sock");
     }
--- a/src/main/java/reedmux/gatekeeper/handover/HandoverCoordinator.java
+++ b/src/main/java/reedmux/gatekeeper/handover/HandoverCoordinator.java
@@ -10,42 +10,56 @@
 import reedmux.gatekeeper.policy.HandoverCounts.AccountUsage;
 
 /**
- * One process's part in hand-overs: first, perhaps, the one that takes another's place, later the one whose
- * place is taken. Every step that fails leads to where the process would be without the other one.
+ * One process's part in hand-overs, by which a new process of a gatekeeper replaces the old one under load. A process
+ * is first, perhaps, the successor of another, and may later be the predecessor of a third. The phases:
+ *
+ * <ol>
+ *   <li>The successor connects, both say hello and compare versions and rules.
+ *   <li>Once it is ready, the successor requests a snapshot; the predecessor closes its peers' socket and sends it.
+ *   <li>The successor restores them, opens the peers' socket, serves, and says so.
+ *   <li>Both send each other what they count, until the predecessor has answered its last request and ends.
+ * </ol>
+ *
+ * <p>Every step that fails leads to where the process would be without the other one. Frames are handled on threads of
+ * the connection; state that they share with the gatekeeper's loop is guarded by this object's monitor.
  */
 public final class HandoverCoordinator implements HandoverConnection.HandoverFrameHandler, AutoCloseable {
-    /** How long the other process may take for a word; one that is busy answers within a few turns. */
+    /** How long the other process may take to answer; a busy one answers within a few iterations of its loop. */
     private static final long REPLY_TIMEOUT_MILLIS = 1_000;
 
-    /** What a hand-over asks of the gatekeeper. All but the first are called by the turns' thread. */
+    /** What a hand-over asks of the gatekeeper; on the loop's thread unless it says otherwise. */
     public interface HandoverHost {
-        /** Has this run by the turns' thread. */
+        /** Has a task run on the loop's thread; from any thread. */
         void runOnLoop(Runnable task);
 
-        /** Lets the peers' socket go, and tells what was counted. */
+        /** Closes the peers' socket, and returns what was counted. */
         List<HandoverFrame.ServiceSnapshot> releaseAndSnapshot();
 
-        /** Goes on from what another process has counted, and takes the peers' socket. */
-        void restoreAndOpen(List<HandoverFrame.ServiceSnapshot> counted);
+        /** Goes on from what another process has counted, and opens the peers' socket. */
+        void restoreAndOpen(List<HandoverFrame.ServiceSnapshot> snapshots);
 
         /** Counts what the other process has counted since. */
-        void addUsage(String service, List<AccountUsage> spent);
+        void addUsage(String service, List<AccountUsage> usage);
 
-        /** What was counted here since the last time. */
+        /** Returns what was counted here since the last time. */
         List<HandoverFrame.ServiceUsage> takeUsage();
 
-        /** The other process has gone; {@code predecessor}: it had taken our place, which is ours again. */
-        void onOtherProcessGone(boolean elder);
+        /**
+         * The other process has gone.
+         *
+         * @param wasSuccessor whether it had taken our place, which is ours again
+         */
+        void onOtherProcessGone(boolean wasSuccessor);
 
-        /** Another process serves in our place, or does no more. Any thread. */
-        void setSucceeded(boolean now);
+        /** Notes whether another process serves in our place; from any thread. */
+        void setSucceeded(boolean succeeded);
     }
 
     private final Path socketPath;
     private final HandoverFrame.HandoverHello ownHello;
     private final HandoverHost host;
     private final Consumer<String> log;
-    private HandoverConnection.HandoverServer listener;
+    private HandoverConnection.HandoverServer server;
     private HandoverConnection predecessor;
     private HandoverConnection successor;
     private boolean snapshotSent;
@@ -55,27 +69,36 @@
     private final CountDownLatch helloReceived = new CountDownLatch(1);
     private final CountDownLatch snapshotReceived = new CountDownLatch(1);
     private final List<HandoverFrame.ServiceSnapshot> receivedSnapshots = new ArrayList<>();
-    private String problem;
+    private boolean abandoned;
 
-    /** {@code rules}: all that must be the same in two processes for their counts to mean the same. */
-    public HandoverCoordinator(Path place, String rules, HandoverHost body, Consumer<String> log) {
-        this.socketPath = place;
-        this.host = body;
+    /**
+     * A coordinator that neither connects nor listens yet.
+     *
+     * @param rules all that must be the same in two processes for their counts to mean the same
+     * @param log   receives lines for the log, on any thread
+     */
+    public HandoverCoordinator(Path socketPath, String rules, HandoverHost host, Consumer<String> log) {
+        this.socketPath = socketPath;
+        this.host = host;
         this.log = log;
         ownHello = new HandoverFrame.HandoverHello(HandoverFrameCodec.PROTOCOL_VERSION, rules);
     }
 
-    // ---- The new process ---------------------------------------------------------------------------
-    /** Whether another process of this gatekeeper runs, be it of a kind that hands nothing over. */
+    // ---- The successor -------------------------------------------------------------------------------------------
+    /**
+     * Connects to another process of this gatekeeper and waits for its hello.
+     *
+     * @return whether one runs, be it one of another version, which hands nothing over
+     */
     public boolean connectToPredecessor() throws InterruptedException {
-        HandoverConnection link = HandoverConnection.connect(socketPath, this);
-        if (link == null) {
+        HandoverConnection connection = HandoverConnection.connect(socketPath, this);
+        if (connection == null) {
             return false;
         }
         synchronized (this) {
-            predecessor = link;
+            predecessor = connection;
         }
-        link.send(ownHello);
+        connection.send(ownHello);
         if (!helloReceived.await(REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
             abandonTakeover("the other process does not answer");
         }
@@ -83,8 +106,9 @@
     }
 
     /**
-     * Takes over what the other process has counted, if there is one; to be called when all else is ready.
-     * Returns whether it did, with the counts taken in.
+     * Takes over what the predecessor has counted, if there is one; to be called when all else is ready.
+     *
+     * @return whether the counts are restored
      */
     public boolean takeOverCounts() throws InterruptedException {
         HandoverConnection from;
@@ -95,10 +119,10 @@
             return false;
         }
         from.send(new HandoverFrame.SnapshotRequest());
-        boolean all = snapshotReceived.await(REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-        CountDownLatch taken = new CountDownLatch(1);
+        boolean complete = snapshotReceived.await(REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        CountDownLatch restored = new CountDownLatch(1);
         synchronized (this) {
-            if (!all || predecessor == null) {
+            if (!complete || predecessor == null) {
                 abandonTakeover("the other process does not tell what it has counted");
                 return false;
             }
@@ -106,27 +130,27 @@
             host.runOnLoop(() -> {
                 host.restoreAndOpen(List.copyOf(receivedSnapshots));
                 usagePeer = from;
-                taken.countDown();
+                restored.countDown();
             });
         }
-        return taken.await(REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        return restored.await(REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private synchronized void abandonTakeover(String why) {
-        HandoverConnection link = predecessor;
+        HandoverConnection connection = predecessor;
         predecessor = null;
-        if (problem == null) {
-            problem = why;
+        if (!abandoned) {
+            abandoned = true;
             log.accept("hand-over: " + why + "; starting from nothing");
         }
-        if (link != null && !snapshotRestored) {
-            link.close();
+        if (connection != null && !snapshotRestored) {
+            connection.close();
         }
         helloReceived.countDown();
         snapshotReceived.countDown();
     }
 
-    /** This process serves now: the other one is told, and later ones may take our place. */
+    /** This process serves now: the predecessor is notified, and successors may connect. */
     public synchronized void onServing() {
         if (predecessor != null) {
             predecessor.send(new HandoverFrame.SuccessorServing());
@@ -139,49 +163,51 @@
             return;
         }
         try {
-            listener = new HandoverConnection.HandoverServer(socketPath, this, this::onSuccessorConnected);
+            server = new HandoverConnection.HandoverServer(socketPath, this, this::onSuccessorConnected);
         } catch (IOException e) {
             log.accept("hand-over: not possible from this process: " + e.getMessage());
         }
     }
 
-    // ---- The old process ---------------------------------------------------------------------------
-    private synchronized void onSuccessorConnected(HandoverConnection link, HandoverConnection.HandoverServer by) {
-        if (successor != null || closed || by != listener && listener != null) {
-            link.close(); // one at a time
+    // ---- The predecessor -----------------------------------------------------------------------------------------
+    private synchronized void onSuccessorConnected(
+            HandoverConnection connection, HandoverConnection.HandoverServer by) {
+        if (successor != null || closed || by != server && server != null) {
+            connection.close(); // one at a time
         } else {
-            successor = link;
+            successor = connection;
         }
     }
 
-    /** Leaves; whoever comes now starts from nothing. */
+    /** Ends this process's part; a process that starts now starts from nothing. */
     @Override
     public synchronized void close() {
         closed = true;
-        for (HandoverConnection link : new HandoverConnection[] {predecessor, successor}) {
-            if (link != null) {
-                link.closeAfterWriting();
-            }
+        if (predecessor != null) {
+            predecessor.closeAfterWriting();
         }
-        if (listener != null && !snapshotSent) {
-            listener.closeAndRemove();
-        } else if (listener != null) {
-            listener.close();
+        if (successor != null) {
+            successor.closeAfterWriting();
+        }
+        if (server != null && !snapshotSent) {
+            server.closeAndRemove();
+        } else if (server != null) {
+            server.close();
         }
     }
 
-    // ---- Either ------------------------------------------------------------------------------------
-    /** Tells the other process what was counted here; by the turns' thread, every few dozen milliseconds. */
+    // ---- Either one ----------------------------------------------------------------------------------------------
+    /** Sends the other process what was counted here; on the loop's thread, every few dozen milliseconds. */
     public void exchangeUsage() {
-        HandoverConnection with = usagePeer;
-        if (with != null) {
-            for (HandoverFrame.ServiceUsage since : host.takeUsage()) {
-                with.send(since);
+        HandoverConnection other = usagePeer;
+        if (other != null) {
+            for (HandoverFrame.ServiceUsage usage : host.takeUsage()) {
+                other.send(usage);
             }
         }
     }
 
-    /** Whether there is another process to be told. */
+    /** Whether there is another process to send counts to. */
     public boolean isExchanging() {
         return usagePeer != null;
     }
@@ -192,18 +218,18 @@
             onHello(from, hello);
         } else if (frame instanceof HandoverFrame.SnapshotRequest) {
             host.runOnLoop(() -> sendSnapshot(from));
-        } else if (frame instanceof HandoverFrame.ServiceSnapshot some) {
+        } else if (frame instanceof HandoverFrame.ServiceSnapshot snapshot) {
             synchronized (this) {
-                receivedSnapshots.add(some);
+                receivedSnapshots.add(snapshot);
             }
-            if (some.last()) {
+            if (snapshot.last()) {
                 snapshotReceived.countDown();
             }
         } else if (frame instanceof HandoverFrame.SuccessorServing) {
             log.accept("hand-over: another process serves in our place");
             host.setSucceeded(true);
-        } else if (frame instanceof HandoverFrame.ServiceUsage since) {
-            host.runOnLoop(() -> host.addUsage(since.service(), since.accounts()));
+        } else if (frame instanceof HandoverFrame.ServiceUsage usage) {
+            host.runOnLoop(() -> host.addUsage(usage.service(), usage.accounts()));
         }
     }
 
@@ -237,38 +263,43 @@
     }
 
     @Override
-    public void onClosed(HandoverConnection link, String why) {
-        boolean lostPlace = false;
-        boolean alone = false;
+    public void onClosed(HandoverConnection connection, String why) {
+        boolean successorGone = false;
+        boolean predecessorGone = false;
         synchronized (this) {
-            if (link == successor) {
+            if (connection == successor) {
                 successor = null;
-                lostPlace = snapshotSent && !closed;
+                successorGone = snapshotSent && !closed;
                 snapshotSent = false;
-            } else if (link == predecessor) {
-                alone = snapshotRestored && !closed;
+            } else if (connection == predecessor) {
+                predecessorGone = snapshotRestored && !closed;
                 if (!snapshotRestored) {
                     abandonTakeover(why);
                 }
                 predecessor = null;
             }
         }
-        if (link == usagePeer) {
+        if (connection == usagePeer) {
             usagePeer = null;
         }
-        if (lostPlace) {
-            log.accept("hand-over: the process that took our place has gone (" + why + "); serving on");
-            host.setSucceeded(false);
-            host.runOnLoop(() -> host.onOtherProcessGone(true));
-            synchronized (this) {
-                if (listener != null) {
-                    listener.close();
-                }
-                listen();
-            }
-        } else if (alone) {
+        if (successorGone) {
+            serveAgain(why);
+        } else if (predecessorGone) {
             log.accept("hand-over: the former process has gone");
             host.runOnLoop(() -> host.onOtherProcessGone(false));
         }
     }
+
+    /** The successor has gone, so that its place is ours again, and others may connect. */
+    private void serveAgain(String why) {
+        log.accept("hand-over: the process that took our place has gone (" + why + "); serving on");
+        host.setSucceeded(false);
+        host.runOnLoop(() -> host.onOtherProcessGone(true));
+        synchronized (this) {
+            if (server != null) {
+                server.close();
+            }
+            listen();
+        }
+    }
 }
--- a/src/main/java/reedmux/gatekeeper/handover/HandoverFrame.java
+++ b/src/main/java/reedmux/gatekeeper/handover/HandoverFrame.java
@@ -4,26 +4,26 @@
 import reedmux.gatekeeper.policy.HandoverCounts.AccountSnapshot;
 import reedmux.gatekeeper.policy.HandoverCounts.AccountUsage;
 
-/** What two processes of one gatekeeper tell each other. */
+/** The messages between two processes of one gatekeeper, as one replaces the other. */
 public sealed interface HandoverFrame {
 
     /**
-     * Who speaks; the first word of either side.
+     * The first message of either side.
      *
      * @param version of these frames
      * @param rules   all that must be the same for counts to mean the same
      */
     record HandoverHello(int version, String rules) implements HandoverFrame {}
 
-    /** The new one is warm and asks for what was counted. */
+    /** The successor is ready and requests what was counted. */
     record SnapshotRequest() implements HandoverFrame {}
 
-    /** What one service's module has counted; {@code last}: of all services. */
+    /** What one service's policy has counted; {@code last} in the one of the last service. */
     record ServiceSnapshot(String service, List<AccountSnapshot> accounts, boolean last) implements HandoverFrame {}
 
-    /** The new one listens for consumers. */
+    /** The successor serves. */
     record SuccessorServing() implements HandoverFrame {}
 
-    /** What one service's module has counted since the last time. */
+    /** What one service's policy has counted since the last time. */
     record ServiceUsage(String service, List<AccountUsage> accounts) implements HandoverFrame {}
 }
--- a/src/main/java/reedmux/gatekeeper/handover/HandoverFrameCodec.java
+++ b/src/main/java/reedmux/gatekeeper/handover/HandoverFrameCodec.java
@@ -12,25 +12,28 @@
 import reedmux.gatekeeper.policy.HandoverCounts.AccountSnapshot;
 import reedmux.gatekeeper.policy.HandoverCounts.AccountUsage;
 
-/** The bytes of a {@link HandoverFrame}: its length, a letter for its kind, its fields. */
+/**
+ * The form of a {@link HandoverFrame}: the body's length in four bytes, a letter for its kind, its fields as {@link
+ * DataOutputStream} writes them.
+ */
 public final class HandoverFrameCodec {
-    /** Of these frames; one that speaks another cannot be understood. */
+    /** Processes of different versions hand nothing over. */
     public static final int PROTOCOL_VERSION = 1;
-    /** Bytes of a frame's body: some fifty thousand customers. */
+    /** Bytes of a frame's body at most: some fifty thousand customers. */
     static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
 
     private static final int NEIGHBOUR_SLOTS = 3;
 
     private HandoverFrameCodec() {}
 
-    /** A frame's bytes, its length in front. */
+    /** A frame's bytes, with its length in front. */
     public static byte[] encode(HandoverFrame frame) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(all)) {
             out.writeInt(0);
             write(frame, out);
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // there is no I/O in it
+            throw new UncheckedIOException(e); // writing to memory does no I/O
         }
         byte[] bytes = all.toByteArray();
         int length = bytes.length - Integer.BYTES;
@@ -90,7 +93,11 @@
         }
     }
 
-    /** Reads a frame's body. Whatever it holds that no frame does is an error, and so are bytes behind it. */
+    /**
+     * Reads a frame's body.
+     *
+     * @throws IOException where it is no frame, or bytes follow it
+     */
     public static HandoverFrame decode(byte[] body) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(body));
         HandoverFrame frame;
@@ -122,7 +129,7 @@
         boolean last = in.readBoolean();
         int size = in.readInt();
         List<AccountSnapshot> all = new ArrayList<>();
-        for (int i = 0; i < size; i++) { // what is said to be there and is not ends the reading
+        for (int i = 0; i < size; i++) { // a size that is too large ends with the body
             long customer = in.readLong();
             int plan = in.readShort();
             int first = in.readInt();
--- a/src/main/java/reedmux/gatekeeper/peer/PeerSocket.java
+++ b/src/main/java/reedmux/gatekeeper/peer/PeerSocket.java
@@ -1,6 +1,7 @@
 package reedmux.gatekeeper.peer;
 
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.nio.ByteBuffer;
@@ -12,11 +13,19 @@
 import java.util.Map;
 import reedmux.gatekeeper.reducer.GatekeeperLoop;
 
-/** Datagrams from and to the other gatekeepers; the core's loop waits here. */
+/**
+ * The datagram socket to the other gatekeepers of the group, where the gatekeeper's loop waits. All but {@link #wake}
+ * is for the loop's thread.
+ */
 public final class PeerSocket implements GatekeeperLoop.LoopWaiter, AutoCloseable {
+    /** The longest datagram that is sent or received. */
     public static final int MAX_DATAGRAM_BYTES = 256;
+    /** So that a flood of datagrams cannot hold up an iteration of the loop. */
     private static final int MAX_DATAGRAMS_PER_RECEIVE = 64;
 
+    private static final long MAX_WAIT_MILLIS = 60_000;
+    private static final long MICROS_PER_MILLI = 1000;
+
     private final Selector selector;
     private final InetSocketAddress listen;
     private DatagramChannel channel;
@@ -29,55 +38,63 @@
     private long unsentCount;
 
     /**
-     * Hears peers at an address, once told to {@link #open}, or only waits where that is null. All but
-     * {@link #wake} is for the thread that runs the turns.
+     * A socket that is not open yet.
+     *
+     * @param listen           its address, or null to only wait here
+     * @param peers            the peers' addresses, by their numbers
+     * @param broadcastAddress of all peers together
      */
-    public PeerSocket(InetSocketAddress listen, List<InetSocketAddress> peers, InetSocketAddress everyone)
+    public PeerSocket(InetSocketAddress listen, List<InetSocketAddress> peers, InetSocketAddress broadcastAddress)
             throws IOException {
         this.listen = listen;
         this.peers = peers;
-        this.broadcastAddress = everyone;
+        this.broadcastAddress = broadcastAddress;
         for (int i = 0; i < peers.size(); i++) {
             peerNumbers.put(peers.get(i), i);
         }
         selector = Selector.open();
     }
 
-    /** Takes the socket, unless it has it; nobody else may have it then. */
+    /**
+     * Opens the socket unless it is open.
+     *
+     * @throws IOException where it cannot be, also where another process has the address
+     */
     public void open() throws IOException {
         if (listen == null || channel != null) {
             return;
         }
-        DatagramChannel made = DatagramChannel.open();
+        DatagramChannel opened = DatagramChannel.open();
         try {
-            made.configureBlocking(false);
-            made.bind(listen);
-            made.register(selector, SelectionKey.OP_READ);
+            opened.configureBlocking(false);
+            opened.bind(listen);
+            opened.register(selector, SelectionKey.OP_READ);
         } catch (IOException e) {
-            made.close();
+            opened.close();
             throw e;
         }
-        channel = made;
+        channel = opened;
     }
 
-    /** Lets the socket go, for another process to take; until it is open again nothing comes and goes. */
+    /** Closes the socket, for another process to open; until it is open again nothing is sent or received. */
     public void release() throws IOException {
         if (channel != null) {
-            DatagramChannel had = channel;
+            DatagramChannel closing = channel;
             channel = null;
-            had.close();
-            selector.selectNow(); // only now does the selector let go of it
+            closing.close();
+            selector.selectNow(); // only now is the address free: the selector still held the channel
         }
     }
 
     @Override
     public void await(long micros) {
         try {
-            // Rounded up: a wait cut short would only mean one more turn that finds nothing due.
-            selector.select(Math.max(1, Math.min(60_000, (micros + 999) / 1000)));
+            // Rounded up: a wait cut short would only mean one more iteration that finds nothing due.
+            long millis = (micros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
+            selector.select(Math.max(1, Math.min(MAX_WAIT_MILLIS, millis)));
             selector.selectedKeys().clear();
         } catch (IOException e) {
-            throw new IllegalStateException("the selector of the peer link failed", e);
+            throw new UncheckedIOException("the selector of the peer socket failed", e);
         }
     }
 
@@ -86,9 +103,9 @@
         selector.wakeup();
     }
 
-    /** Takes in what has arrived; from strangers, too long or broken means dropped and counted. */
+    /** Hands over what has arrived. Datagrams that are of no peer or too long are dropped and counted. */
     @Override
-    public void receive(GatekeeperLoop.PeerDatagramHandler sink) {
+    public void receive(GatekeeperLoop.PeerDatagramHandler handler) {
         for (int i = 0; channel != null && i < MAX_DATAGRAMS_PER_RECEIVE; i++) {
             in.clear();
             SocketAddress from;
@@ -108,14 +125,14 @@
             }
             byte[] bytes = new byte[in.position()];
             in.flip().get(bytes);
-            int tag = PoolTag.of(bytes);
-            sink.onDatagram(tag, number, tag == PoolTag.NONE ? bytes : PoolTag.untagged(bytes));
+            int tag = PoolTag.read(bytes);
+            handler.onDatagram(tag, number, tag == PoolTag.NONE ? bytes : PoolTag.untagged(bytes));
         }
     }
 
-    /** Sends to one peer, or to all at -1. What cannot be sent is lost, as on any such link. */
+    /** Sends to the peer of that number, or to all at -1. What cannot be sent is lost, as any datagram may be. */
     public void send(int peer, byte[] bytes) {
-        InetSocketAddress to = peer < 0 ? broadcastAddress : peer < peers.size() ? peers.get(peer) : null;
+        InetSocketAddress to = addressOf(peer);
         if (channel == null || to == null || bytes.length > MAX_DATAGRAM_BYTES) {
             unsentCount++;
             return;
@@ -129,7 +146,14 @@
         }
     }
 
-    /** Datagrams that came in and were of no use. */
+    private InetSocketAddress addressOf(int peer) {
+        if (peer < 0) {
+            return broadcastAddress;
+        }
+        return peer < peers.size() ? peers.get(peer) : null;
+    }
+
+    /** Datagrams that came in and were dropped. */
     public long droppedCount() {
         return droppedCount;
     }
--- a/src/main/java/reedmux/gatekeeper/peer/PoolTag.java
+++ b/src/main/java/reedmux/gatekeeper/peer/PoolTag.java
@@ -6,29 +6,30 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Marks a datagram as that of one pool: two bytes of check, four that stand for the pool's name, then the
- * module's own bytes. A module's datagram begins with the low half of the CRC-32 of the rest; the check here
- * is that half with some bits turned. So no datagram is ever valid as both: a gatekeeper of a version before
- * pools drops what is marked, and what is not marked belongs to the default pool.
+ * Tags a datagram as that of one service: a checksum of two bytes, a hash of the service's name of four, then the
+ * policy's own bytes. A policy's datagram begins with the low half of the CRC-32 of the rest; the checksum here is that
+ * half with some bits flipped. So no datagram is ever valid as both: a gatekeeper of a version before there were
+ * several services drops what is tagged, and what is not tagged belongs to the default service.
  */
 public final class PoolTag {
-    /** No mark: the default pool's. */
+    /** No tag: the default service's. */
     public static final int NONE = 0;
-    /** Bytes that a mark takes. */
+    /** Bytes that a tag takes, with its checksum. */
     public static final int LENGTH_BYTES = Short.BYTES + Integer.BYTES;
 
+    /** The bits that are flipped, which tell a tagged datagram's checksum from a policy's. */
     private static final int CHECKSUM_MASK = 0xA5C3;
 
     private PoolTag() {}
 
-    /** The mark of a pool, the same at all gatekeepers; never {@link #NONE}. */
+    /** The tag of a service, the same at all gatekeepers; never {@link #NONE}. */
     public static int of(String name) {
         int hash = MurmurHash3.hash32x86(name.getBytes(StandardCharsets.UTF_8));
         return hash == NONE ? 1 : hash;
     }
 
-    /** The mark that a datagram bears, or {@link #NONE}. */
-    public static int of(byte[] datagram) {
+    /** The tag of a datagram, or {@link #NONE}. */
+    public static int read(byte[] datagram) {
         if (datagram.length < LENGTH_BYTES) {
             return NONE;
         }
@@ -36,17 +37,17 @@
         return bytes.getShort() == checksum(datagram) ? bytes.getInt() : NONE;
     }
 
-    /** The datagram with a mark. */
-    public static byte[] tagged(int tag, byte[] own) {
-        byte[] all = ByteBuffer.allocate(LENGTH_BYTES + own.length)
+    /** The policy's datagram with a tag. */
+    public static byte[] tagged(int tag, byte[] untagged) {
+        byte[] all = ByteBuffer.allocate(LENGTH_BYTES + untagged.length)
                 .putShort((short) 0)
                 .putInt(tag)
-                .put(own)
+                .put(untagged)
                 .array();
         return ByteBuffer.wrap(all).putShort(checksum(all)).array();
     }
 
-    /** The module's own bytes of a datagram with a mark. */
+    /** The policy's own bytes of a datagram with a tag. */
     static byte[] untagged(byte[] datagram) {
         byte[] own = new byte[datagram.length - LENGTH_BYTES];
         System.arraycopy(datagram, LENGTH_BYTES, own, 0, own.length);
--- a/src/main/java/reedmux/gatekeeper/simulator/MalformedFrameException.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/MalformedFrameException.java
@@ -1,6 +1,6 @@
 package reedmux.gatekeeper.simulator;
 
-/** Input that the wire does not allow; the message names the line. */
+/** Input that the simulator's protocol does not allow; the message names the line. */
 final class MalformedFrameException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/reedmux/gatekeeper/simulator/SimulatorLine.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/SimulatorLine.java
@@ -4,10 +4,16 @@
 import java.util.HexFormat;
 import java.util.List;
 
-/** The tab-separated parts of one line, read from left to right. */
+/** The tab-separated values of one line, read from left to right; each method reads the next one. */
 final class SimulatorLine {
+    /** In place of a value. */
     private static final String ABSENT = "-";
+    /** Customers' numbers lie below this. */
     private static final long CUSTOMER_BOUND = 1L << 33;
+    /** Characters of a line that an error shows. */
+    private static final int SHOWN_CHARACTERS = 120;
+
+    private static final int REQUEST_ID_DIGITS = 16;
 
     private final long lineNumber;
     private final String line;
@@ -25,11 +31,13 @@
         parts.add(line.substring(start));
     }
 
+    /** The error that names this line. */
     MalformedFrameException malformed(String what) {
-        String shown = line.length() > 120 ? line.substring(0, 120) + "..." : line;
+        String shown = line.length() > SHOWN_CHARACTERS ? line.substring(0, SHOWN_CHARACTERS) + "..." : line;
         return new MalformedFrameException("line " + lineNumber + ": " + what + ": " + shown.replace('\t', ' '));
     }
 
+    /** A text that is not empty. */
     String text() throws MalformedFrameException {
         if (next >= parts.size() || parts.get(next).isEmpty()) {
             throw malformed("too few values");
@@ -37,12 +45,12 @@
         return parts.get(next++);
     }
 
-    /** All that is left of the line, as separate parts. */
+    /** All values that are left. */
     List<String> remaining() {
         return parts.subList(next, parts.size());
     }
 
-    /** A whole number of nought or more; nought when absent. */
+    /** An integer that is not negative; 0 when absent. */
     long nonNegativeLong() throws MalformedFrameException {
         String part = text();
         if (part.equals(ABSENT)) {
@@ -54,12 +62,12 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // told below, like a number below nought
+            // reported below, like a negative number
         }
         throw malformed("not a whole number of nought or more: '" + part + "'");
     }
 
-    /** A whole number below {@code bound}. */
+    /** An integer that is not negative and below {@code bound}. */
     int intBelow(int bound) throws MalformedFrameException {
         long value = nonNegativeLong();
         if (value >= bound) {
@@ -80,7 +88,7 @@
         return value;
     }
 
-    /** A finite number; nought when absent. */
+    /** A finite number; 0 when absent. */
     double finiteDouble() throws MalformedFrameException {
         String part = text();
         if (part.equals(ABSENT)) {
@@ -92,7 +100,7 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // told below, like a number that is not finite
+            // reported below, like a number that is not finite
         }
         throw malformed("not a number: '" + part + "'");
     }
@@ -116,8 +124,8 @@
 
     String requestId() throws MalformedFrameException {
         String part = text();
-        boolean good = part.length() == 16;
-        for (int i = 0; good && i < 16; i++) {
+        boolean good = part.length() == REQUEST_ID_DIGITS;
+        for (int i = 0; good && i < REQUEST_ID_DIGITS; i++) {
             good = Character.digit(part.charAt(i), 16) >= 0;
         }
         if (!good) {
--- a/src/main/java/reedmux/gatekeeper/simulator/SimulatorMain.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/SimulatorMain.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import reedmux.gatekeeper.policy.GatekeeperPolicy;
 
-/** The simulator's adapter on standard input and output. */
+/** Serves the simulator on standard input and output. */
 public final class SimulatorMain {
 
     private SimulatorMain() {}
@@ -24,9 +24,9 @@
 
     /** Answers batches until the input ends; returns the exit code. */
     static int serve(BufferedReader in, OutputStream out, PrintStream err) {
-        SimulatorSession drill = new SimulatorSession(GatekeeperPolicy::new);
+        SimulatorSession session = new SimulatorSession(GatekeeperPolicy::new);
         try {
-            drill.run(in, out);
+            session.run(in, out);
             return 0;
         } catch (MalformedFrameException | IOException e) {
             err.println("reedmux: " + e.getMessage());
--- a/src/main/java/reedmux/gatekeeper/simulator/SimulatorOptions.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/SimulatorOptions.java
@@ -6,7 +6,7 @@
 import reedmux.gatekeeper.config.SettingsReader;
 import reedmux.gatekeeper.policy.TrafficPolicy.PolicySettings;
 
-/** The settings of a {@code CONFIGURE} line, taken apart here and read where all configuration is. */
+/** The settings of a {@code CONFIGURE} line: {@code KEY=VALUE} pairs, read as those of a configuration file are. */
 final class SimulatorOptions {
     private final SimulatorLine line;
     private final SettingsReader reader;
@@ -24,6 +24,7 @@
         reader = new SettingsReader("", values);
     }
 
+    /** Reads the settings; a contradiction in them names its key. */
     PolicySettings settings() throws MalformedFrameException {
         try {
             return reader.settings();
--- a/src/main/java/reedmux/gatekeeper/simulator/SimulatorReplyWriter.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/SimulatorReplyWriter.java
@@ -3,7 +3,7 @@
 import java.util.HexFormat;
 import reedmux.gatekeeper.policy.TrafficPolicy.PolicyActions;
 
-/** Writes one instance's actions as lines of the reply. */
+/** Writes one gatekeeper's actions as lines of the reply. */
 public final class SimulatorReplyWriter implements PolicyActions {
     private final StringBuilder out;
     private final int instance;
@@ -102,7 +102,7 @@
         beginLine("DEBUG").append('\t').append(oneLine(line)).append('\n');
     }
 
-    /** Tells that the module itself has failed. */
+    /** Reports that the policy itself has failed. */
     void reportPolicyFailure(String reason) {
         beginLine("GIVE_IN").append('\t').append(oneLine(reason)).append('\n');
     }
--- a/src/main/java/reedmux/gatekeeper/simulator/SimulatorSession.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/SimulatorSession.java
@@ -26,12 +26,16 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerStatus;
 import reedmux.gatekeeper.policy.TrafficPolicy.TimerExpired;
 
-/** Reads batches of the wire, hands each event to its instance and writes the replies. */
-public final class SimulatorSession {
+/**
+ * Reads batches of events, hands each event to its gatekeeper and writes what that does. A batch begins with {@code
+ * CLOCK}, the time in microseconds, and ends with {@code YOUR_TURN}; its reply ends with {@code FINISHED}.
+ */
+final class SimulatorSession {
+    /** In a request's flags: the client had sent it before. */
     private static final int CLIENT_RETRY_BIT = 2;
 
-    /** An instance with what is needed to read its lines. */
-    private record GatekeeperInstance(TrafficPolicy gateway, PolicySettings settings, SimulatorReplyWriter reply) {}
+    /** One simulated gatekeeper, with what is needed to read its lines. */
+    private record GatekeeperInstance(TrafficPolicy policy, PolicySettings settings, SimulatorReplyWriter reply) {}
 
     private final BiFunction<PolicySettings, Long, TrafficPolicy> policyFactory;
     private final Map<Integer, GatekeeperInstance> instances = new HashMap<>();
@@ -39,11 +43,16 @@
     private long lineNumber;
     private long now;
 
-    SimulatorSession(BiFunction<PolicySettings, Long, TrafficPolicy> start) {
-        this.policyFactory = start;
+    /** A session without gatekeepers; a policy is made of its settings and the seed of its randomness. */
+    SimulatorSession(BiFunction<PolicySettings, Long, TrafficPolicy> policyFactory) {
+        this.policyFactory = policyFactory;
     }
 
-    /** Answers batches until the input ends between two of them. */
+    /**
+     * Answers batches until the input ends between two of them.
+     *
+     * @throws MalformedFrameException at the first line that cannot be read
+     */
     void run(BufferedReader in, OutputStream sink) throws IOException, MalformedFrameException {
         for (SimulatorLine line = read(in); line != null; line = read(in)) {
             if (!line.text().equals("CLOCK")) {
@@ -82,7 +91,7 @@
                         throw line.malformed("no such instance");
                     }
                     PolicyEvent event = event(name, line, instance, in);
-                    runGuarded(instance.reply, () -> instance.gateway.handle(now, event, instance.reply));
+                    runGuarded(instance.reply, () -> instance.policy.handle(now, event, instance.reply));
                 }
             }
         }
@@ -99,7 +108,7 @@
                 () -> instances.put(id, new GatekeeperInstance(policyFactory.apply(settings, seed), settings, reply)));
     }
 
-    /** An exception in the module is the instance's fault and is told as such, never swallowed. */
+    /** An exception in the policy is reported as that gatekeeper's fault, never swallowed. */
     private static void runGuarded(SimulatorReplyWriter reply, Runnable decision) {
         try {
             decision.run();
@@ -134,9 +143,12 @@
         long customer = line.customerNumber();
         long deadline = line.nonNegativeLong();
         double units = line.positiveDouble();
-        int spread = (int) Math.round(line.positiveDouble());
-        int first = (int) Math.round(line.finiteDouble());
-        if (spread < 1 || spread > settings.groupSize() || first < 0 || first >= settings.groupSize()) {
+        int memberCount = (int) Math.round(line.positiveDouble());
+        int firstMember = (int) Math.round(line.finiteDouble());
+        if (memberCount < 1
+                || memberCount > settings.groupSize()
+                || firstMember < 0
+                || firstMember >= settings.groupSize()) {
             throw line.malformed("the customer's gateways do not lie within the group");
         }
         return new IncomingRequest(
@@ -146,8 +158,8 @@
                 customer,
                 deadline,
                 units,
-                spread,
-                first,
+                memberCount,
+                firstMember,
                 (line.nonNegativeLong() & CLIENT_RETRY_BIT) != 0);
     }
 
--- a/src/test/java/reedmux/gatekeeper/peer/PoolTagTest.java
+++ b/src/test/java/reedmux/gatekeeper/peer/PoolTagTest.java
@@ -26,7 +26,7 @@
         int tag = any == PoolTag.NONE ? 1 : any;
         byte[] tagged = PoolTag.tagged(tag, own);
         assertEquals(own.length + PoolTag.LENGTH_BYTES, tagged.length);
-        assertEquals(tag, PoolTag.of(tagged));
+        assertEquals(tag, PoolTag.read(tagged));
         assertArrayEquals(own, PoolTag.untagged(tagged));
         assertNotEquals(ownCheck(tagged), ByteBuffer.wrap(tagged).getShort(), "older versions drop it");
     }
@@ -34,7 +34,7 @@
     @Property(tries = 2_000, seed = "82")
     void aModulesOwnBearsNoMark(@ForAll @Size(min = 2, max = 256) byte[] own) {
         ByteBuffer.wrap(own).putShort(ownCheck(own));
-        assertEquals(PoolTag.NONE, PoolTag.of(own));
+        assertEquals(PoolTag.NONE, PoolTag.read(own));
     }
 
     @Property(tries = 2_000, seed = "83")
@@ -43,13 +43,13 @@
         int place = Math.floorMod(at, tagged.length);
         int change = by == 0 ? 1 : by;
         tagged[place] = (byte) (tagged[place] ^ change);
-        assertEquals(PoolTag.NONE, PoolTag.of(tagged));
+        assertEquals(PoolTag.NONE, PoolTag.read(tagged));
     }
 
     @Example
     void marksGoByNameAlone() {
         assertEquals(PoolTag.of("print"), PoolTag.of("print"));
         assertNotEquals(PoolTag.of("print"), PoolTag.of("archive"));
-        assertEquals(PoolTag.NONE, PoolTag.of(new byte[3]));
+        assertEquals(PoolTag.NONE, PoolTag.read(new byte[3]));
     }
 }
