--- a/src/main/java/reedmux/common/disk/FileSystemVolume.java
+++ b/src/main/java/reedmux/common/disk/FileSystemVolume.java
@@ -11,12 +11,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A folder of the machine's own disk. */
+/** A folder of the machine's own file system. */
 public final class FileSystemVolume implements Volume {
     private final Path directory;
 
-    public FileSystemVolume(Path dir) {
-        this.directory = dir;
+    /** A folder, which {@link #create} makes where it is not there yet. */
+    public FileSystemVolume(Path directory) {
+        this.directory = directory;
     }
 
     @Override
@@ -25,8 +26,8 @@
         if (Files.notExists(directory)) {
             return names;
         }
-        try (DirectoryStream<Path> all = Files.newDirectoryStream(directory)) {
-            for (Path path : all) { // no lambda: where the folder is new, none is rehearsed for the archive
+        try (DirectoryStream<Path> paths = Files.newDirectoryStream(directory)) {
+            for (Path path : paths) { // no lambda: the class archive is made with a new folder and would not have it
                 names.add(path.getFileName().toString());
             }
         }
@@ -65,6 +66,7 @@
         Files.deleteIfExists(directory.resolve(name));
     }
 
+    /** A file that is open at its end. */
     private record ChannelFile(FileChannel channel) implements WritableFile {
         @Override
         public void write(ByteBuffer bytes) throws IOException {
