--- a/src/main/java/reedmux/control/configuration/ConfigurationChangeFormat.java
+++ b/src/main/java/reedmux/control/configuration/ConfigurationChangeFormat.java
@@ -5,110 +5,124 @@
 import java.util.List;
 import java.util.Map;
 
-/** A call of the operator that changes items: as it is read, and as all items are told again. */
+/**
+ * The JSON in which operators send changes of the configuration, and read all of it:
+ *
+ * <pre>{@code
+ * {"apply": {"signals": [{"signalKind": "routes", "heading": {"name": "shop", "revision": 7}, "reference": {...}}]},
+ *  "remove": {"tenants": [{"name": "acme", "revision": 3}]}}
+ * }</pre>
+ *
+ * <p>{@code reference} is an item's body. Items of the kind {@code saturation} have no name.
+ */
 public final class ConfigurationChangeFormat {
-    private static final List<String> KINDS = List.of("routes", "plants", "tenants", "saturation");
-
     private ConfigurationChangeFormat() {}
 
-    /** Reads a call's body; what is wrong in one item alone is found here. */
+    /** An item of a change, with its body as it was read; {@code body} is null where the item is deleted. */
+    private record ChangedItem(ConfigurationItem item, Map<String, Object> body) {}
+
+    /**
+     * Reads a change.
+     *
+     * @return its items, each valid by itself, in their order and without repetitions
+     * @throws InvalidConfigurationException if it can't be read, an item is not valid by itself, or two items have the
+     *     same revision and different bodies
+     */
     public static List<ConfigurationItem> parse(String text) throws InvalidConfigurationException {
-        Map<String, Object> call = ItemJson.requireObject(ItemJson.parse(text), "the call");
-        List<ConfigurationItem> items = new ArrayList<>();
-        Object apply = call.get("apply");
-        if (apply != null) {
-            for (Object element :
-                    ItemJson.listOrEmpty(ItemJson.requireObject(apply, "apply").get("signals"), "apply: signals")) {
-                items.add(parseItem(ItemJson.requireObject(element, "a signal")));
-            }
+        Map<String, Object> change = ItemJson.requireObject(ItemJson.parse(text), "the call");
+        List<ChangedItem> changed = new ArrayList<>();
+        if (change.get("apply") != null) {
+            parseApplied(ItemJson.requireObject(change.get("apply"), "apply"), changed);
         }
-        Object remove = call.get("remove");
-        if (remove != null) {
-            for (Map.Entry<String, Object> list :
-                    ItemJson.requireObject(remove, "remove").entrySet()) {
-                String kind = requireKnownKind(list.getKey(), "remove");
-                for (Object element : ItemJson.listOrEmpty(list.getValue(), "remove: " + kind)) {
-                    Map<String, Object> dropped = ItemJson.requireObject(element, "remove: " + kind);
-                    items.add(new ConfigurationItem(kind, parseName(kind, dropped), parseRevision(dropped, kind), ""));
-                }
-            }
+        if (change.get("remove") != null) {
+            parseRemoved(ItemJson.requireObject(change.get("remove"), "remove"), changed);
         }
-        Map<String, ConfigurationItem> all = new LinkedHashMap<>();
-        for (ConfigurationItem item : items) {
+        Map<String, ConfigurationItem> byRevision = new LinkedHashMap<>();
+        for (ChangedItem one : changed) {
+            ConfigurationItem item = one.item;
             if (!item.isDeleted()) {
-                validate(item);
+                ParsedItem.parse(item.kind(), item.name(), one.body);
             }
-            ConfigurationItem other = all.put(item.key() + ' ' + item.revision(), item);
+            ConfigurationItem other = byRevision.put(item.key() + ' ' + item.revision(), item);
             if (other != null && !other.equals(item)) {
                 throw new InvalidConfigurationException(
                         item.key() + " has two contents with the revision " + item.revision());
             }
         }
-        return new ArrayList<>(all.values());
+        return new ArrayList<>(byRevision.values());
     }
 
-    private static void validate(ConfigurationItem item) throws InvalidConfigurationException {
-        switch (item.kind()) {
-            case "routes" -> RouteItem.parse(item);
-            case "plants" -> ServiceItem.parse(item);
-            case "tenants" -> TenantItem.parse(item);
-            default -> RequestLimits.parse(item);
+    private static void parseApplied(Map<String, Object> apply, List<ChangedItem> changed)
+            throws InvalidConfigurationException {
+        for (Object element : ItemJson.listOrEmpty(apply.get("signals"), "apply: signals")) {
+            Map<String, Object> signal = ItemJson.requireObject(element, "a signal");
+            String kind =
+                    requireKnownKind(ItemJson.requireString(signal.get("signalKind"), "signalKind"), "signalKind");
+            Map<String, Object> heading = ItemJson.requireObject(signal.get("heading"), "heading");
+            String name = parseName(kind, heading);
+            long revision = parseRevision(kind, heading);
+            Map<String, Object> body = ItemJson.requireObject(signal.get("reference"), "reference");
+            changed.add(new ChangedItem(new ConfigurationItem(kind, name, revision, ItemJson.write(body)), body));
         }
     }
 
-    private static ConfigurationItem parseItem(Map<String, Object> signal) throws InvalidConfigurationException {
-        String kind = requireKnownKind(ItemJson.requireString(signal.get("signalKind"), "signalKind"), "signalKind");
-        Map<String, Object> heading = ItemJson.requireObject(signal.get("heading"), "heading");
-        return new ConfigurationItem(
-                kind,
-                parseName(kind, heading),
-                parseRevision(heading, kind),
-                ItemJson.write(ItemJson.requireObject(signal.get("reference"), "reference")));
+    private static void parseRemoved(Map<String, Object> remove, List<ChangedItem> changed)
+            throws InvalidConfigurationException {
+        for (Map.Entry<String, Object> ofKind : remove.entrySet()) {
+            String kind = requireKnownKind(ofKind.getKey(), "remove");
+            String path = "remove: " + kind;
+            for (Object element : ItemJson.listOrEmpty(ofKind.getValue(), path)) {
+                Map<String, Object> heading = ItemJson.requireObject(element, path);
+                String name = parseName(kind, heading);
+                long revision = parseRevision(kind, heading);
+                changed.add(new ChangedItem(ConfigurationItem.deleted(kind, name, revision), null));
+            }
+        }
     }
 
-    private static String requireKnownKind(String told, String place) throws InvalidConfigurationException {
-        if (!KINDS.contains(told)) {
-            throw new InvalidConfigurationException(place + ": no kind of item is called " + told);
+    private static String requireKnownKind(String kind, String key) throws InvalidConfigurationException {
+        if (!ItemKinds.isKnown(kind)) {
+            throw new InvalidConfigurationException(key, key + ": no kind of item is called " + kind);
         }
-        return told;
+        return kind;
     }
 
     private static String parseName(String kind, Map<String, Object> heading) throws InvalidConfigurationException {
-        if (kind.equals("saturation")) {
+        if (kind.equals(ItemKinds.LIMITS)) {
             return "";
         }
-        String name = ItemJson.requireString(heading.get("name"), kind + ": name");
+        String key = kind + ": name";
+        String name = ItemJson.requireString(heading.get("name"), key);
         if (name.isEmpty()) {
-            throw new InvalidConfigurationException(kind + ": name is empty");
+            throw new InvalidConfigurationException(key, key + " is empty");
         }
         return name;
     }
 
-    private static long parseRevision(Map<String, Object> heading, String kind) throws InvalidConfigurationException {
+    private static long parseRevision(String kind, Map<String, Object> heading) throws InvalidConfigurationException {
         return ItemJson.requireInteger(heading.get("revision"), kind + ": revision");
     }
 
-    /** All items that stand, laid out as in a call's {@code apply}. */
+    /** All items that are not deleted, in the form of a change's {@code apply}. */
     public static String write(Iterable<ConfigurationItem> items) {
         StringBuilder out = new StringBuilder("{\"signals\":[");
-        String between = "";
+        String separator = "";
         for (ConfigurationItem item : items) {
             if (!item.isDeleted()) {
-                out.append(between)
-                        .append("{\"signalKind\":")
-                        .append(ItemJson.write(item.kind()))
-                        .append(",\"heading\":{");
-                if (!item.kind().equals("saturation")) {
-                    out.append("\"name\":").append(ItemJson.write(item.name())).append(',');
-                }
-                out.append("\"revision\":")
-                        .append(item.revision())
-                        .append("},\"reference\":")
-                        .append(item.body())
-                        .append('}');
-                between = ",";
+                out.append(separator);
+                writeItem(out, item);
+                separator = ",";
             }
         }
         return out.append("]}").toString();
     }
+
+    private static void writeItem(StringBuilder out, ConfigurationItem item) {
+        out.append("{\"signalKind\":").append(ItemJson.write(item.kind())).append(",\"heading\":{");
+        if (!item.kind().equals(ItemKinds.LIMITS)) {
+            out.append("\"name\":").append(ItemJson.write(item.name())).append(',');
+        }
+        out.append("\"revision\":").append(item.revision()).append("},\"reference\":");
+        out.append(item.body()).append('}');
+    }
 }
--- a/src/main/java/reedmux/control/configuration/ConfigurationItem.java
+++ b/src/main/java/reedmux/control/configuration/ConfigurationItem.java
@@ -1,16 +1,24 @@
 package reedmux.control.configuration;
 
 /**
- * One named part of the configuration, or the mark that it was dropped. For one name the highest revision
- * holds, and of two with the same revision the one that comes last by {@link #compareTo}.
+ * One named part of the configuration at one revision, or its deletion. Items are replicated one by one: of two with the
+ * same key the one with the higher revision wins, and of two with the same revision, too, the one with the greater body,
+ * so that replicas end with the same items whatever the order in which these come.
  *
- * @param kind {@code routes}, {@code plants}, {@code tenants} or {@code saturation}
- * @param body what the operator sent, as JSON; empty where it was dropped
+ * @param kind {@code routes}, {@code plants} (services), {@code tenants} or {@code saturation} (limits of requests)
+ * @param name unique within the kind; empty for {@code saturation}
+ * @param revision as the operator has counted; from 0
+ * @param body what the operator has sent, as JSON; empty where the item is deleted
  */
 public record ConfigurationItem(String kind, String name, long revision, String body)
         implements Comparable<ConfigurationItem> {
 
-    // Written out, as what a record brings is linked at run time, in the middle of a start.
+    /** The deletion of an item. */
+    public static ConfigurationItem deleted(String kind, String name, long revision) {
+        return new ConfigurationItem(kind, name, revision, "");
+    }
+
+    // Written out: what a record generates is linked at run time, in the middle of a start.
     @Override
     public boolean equals(Object other) {
         return other instanceof ConfigurationItem item
@@ -24,21 +32,23 @@
         return 31 * key().hashCode() + Long.hashCode(revision);
     }
 
+    /** Whether this is the deletion of the item. */
     public boolean isDeleted() {
         return body.isEmpty();
     }
 
+    /** By this an item is known among all. */
     public String key() {
         return kind + '/' + name;
     }
 
-    /** Which of two of one name holds. */
+    /** Of two items with the same key the greater one wins. */
     @Override
     public int compareTo(ConfigurationItem other) {
         return revision != other.revision ? Long.compare(revision, other.revision) : body.compareTo(other.body);
     }
 
-    /** Whether this one would take the place of another of its name, or of none. */
+    /** Whether an operator's change to this item takes the place of another one with its key; null for none. */
     public boolean supersedes(ConfigurationItem other) {
         return other == null || revision > other.revision;
     }
--- a/src/main/java/reedmux/control/configuration/ItemJson.java
+++ b/src/main/java/reedmux/control/configuration/ItemJson.java
@@ -7,163 +7,191 @@
 import com.fasterxml.jackson.core.StreamReadFeature;
 import java.io.IOException;
 import java.io.StringWriter;
+import java.io.UncheckedIOException;
 import java.math.BigDecimal;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
-/** JSON as texts, {@link BigDecimal}s, flags, lists and maps, each number as exact as it was told. */
+/**
+ * Reads and writes JSON as maps, lists, strings, {@link BigDecimal}s, booleans and nulls, so that each number stays as
+ * exact as it was sent; and checks the types of what was read.
+ */
 public final class ItemJson {
     private static final int MAX_DEPTH = 32;
+    /** From here on a {@code double} does not hold every integer. */
+    private static final long MAX_EXACT_INTEGER = 1L << 53;
+
     private static final JsonFactory FACTORY = JsonFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
 
     private ItemJson() {}
 
-    /** Reads one whole document. */
+    /**
+     * Reads a document.
+     *
+     * @throws InvalidConfigurationException if it is no JSON, is nested too deeply, has a field twice, or something
+     *     follows behind it
+     */
     public static Object parse(String text) throws InvalidConfigurationException {
-        try (JsonParser json = FACTORY.createParser(text)) {
-            json.nextToken();
-            Object value = parseValue(json, 0);
-            if (json.nextToken() != null) {
+        try (JsonParser parser = FACTORY.createParser(text)) {
+            parser.nextToken();
+            Object value = parseValue(parser, 0);
+            if (parser.nextToken() != null) {
                 throw new InvalidConfigurationException("more follows behind the document");
             }
             return value;
         } catch (IOException e) {
-            throw new InvalidConfigurationException("the document cannot be read in full");
+            throw unreadable(e);
         }
     }
 
-    private static Object parseValue(JsonParser json, int depth) throws IOException, InvalidConfigurationException {
-        JsonToken token = json.currentToken();
+    /** {@code cause} has the position in the text; null where the text itself is valid JSON. */
+    private static InvalidConfigurationException unreadable(IOException cause) {
+        return new InvalidConfigurationException("the document cannot be read in full", cause);
+    }
+
+    private static Object parseValue(JsonParser parser, int depth) throws IOException, InvalidConfigurationException {
+        JsonToken token = parser.currentToken();
         if (token == null || depth > MAX_DEPTH) {
-            throw new InvalidConfigurationException("the document cannot be read in full");
+            throw unreadable(null);
         }
-        switch (token) {
-            case START_OBJECT -> {
-                Map<String, Object> map = new LinkedHashMap<>();
-                while (json.nextToken() != JsonToken.END_OBJECT) {
-                    String name = json.currentName();
-                    json.nextToken();
-                    map.put(name, parseValue(json, depth + 1));
-                }
-                return map;
-            }
-            case START_ARRAY -> {
-                List<Object> list = new ArrayList<>();
-                while (json.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(parseValue(json, depth + 1));
-                }
-                return list;
-            }
-            case VALUE_STRING -> {
-                return json.getText();
-            }
-            case VALUE_TRUE, VALUE_FALSE -> {
-                return token == JsonToken.VALUE_TRUE;
-            }
-            case VALUE_NULL -> {
-                return null;
-            }
-            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> {
-                return json.getDecimalValue();
-            }
-            default -> throw new InvalidConfigurationException("the document cannot be read in full");
+        return switch (token) {
+            case START_OBJECT -> parseObject(parser, depth);
+            case START_ARRAY -> parseArray(parser, depth);
+            case VALUE_STRING -> parser.getText();
+            case VALUE_TRUE -> true;
+            case VALUE_FALSE -> false;
+            case VALUE_NULL -> null;
+            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getDecimalValue();
+            default -> throw unreadable(null);
+        };
+    }
+
+    private static Map<String, Object> parseObject(JsonParser parser, int depth)
+            throws IOException, InvalidConfigurationException {
+        Map<String, Object> object = new LinkedHashMap<>();
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String name = parser.currentName();
+            parser.nextToken();
+            object.put(name, parseValue(parser, depth + 1));
+        }
+        return object;
+    }
+
+    private static List<Object> parseArray(JsonParser parser, int depth)
+            throws IOException, InvalidConfigurationException {
+        List<Object> array = new ArrayList<>();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            array.add(parseValue(parser, depth + 1));
         }
+        return array;
     }
 
+    /** Writes a value as {@link #parse} returns them; other numbers than {@link BigDecimal}s as integers. */
     public static String write(Object value) {
         StringWriter out = new StringWriter();
-        try (JsonGenerator json = FACTORY.createGenerator(out)) {
-            write(json, value);
+        try (JsonGenerator generator = FACTORY.createGenerator(out)) {
+            write(generator, value);
         } catch (IOException e) {
-            throw new IllegalStateException(e); // a StringWriter has none
+            throw new UncheckedIOException("a StringWriter does not fail", e);
         }
         return out.toString();
     }
 
-    private static void write(JsonGenerator json, Object value) throws IOException {
+    private static void write(JsonGenerator generator, Object value) throws IOException {
         if (value instanceof Map<?, ?> map) {
-            json.writeStartObject();
+            generator.writeStartObject();
             for (Map.Entry<?, ?> entry : map.entrySet()) {
-                json.writeFieldName((String) entry.getKey());
-                write(json, entry.getValue());
+                generator.writeFieldName((String) entry.getKey());
+                write(generator, entry.getValue());
             }
-            json.writeEndObject();
+            generator.writeEndObject();
         } else if (value instanceof List<?> list) {
-            json.writeStartArray();
+            generator.writeStartArray();
             for (Object element : list) {
-                write(json, element);
+                write(generator, element);
             }
-            json.writeEndArray();
+            generator.writeEndArray();
         } else if (value instanceof String text) {
-            json.writeString(text);
+            generator.writeString(text);
         } else if (value instanceof Boolean flag) {
-            json.writeBoolean(flag);
+            generator.writeBoolean(flag);
         } else if (value instanceof BigDecimal number) {
-            json.writeNumber(number);
+            generator.writeNumber(number);
         } else if (value instanceof Number number) {
-            json.writeNumber(number.longValue());
+            generator.writeNumber(number.longValue());
         } else {
-            json.writeNull();
+            generator.writeNull();
         }
     }
 
-    // ---- What is expected of a place ----------------------------------------------------------------
-    @SuppressWarnings("unchecked")
-    public static Map<String, Object> requireObject(Object value, String place) throws InvalidConfigurationException {
+    // ---- Types -------------------------------------------------------------------------------------
+    // In each of these methods {@code key} is the path of the value, which is told where its type is wrong.
+
+    /** An object, which may not be missing. */
+    @SuppressWarnings("unchecked") // parse makes objects of this type alone
+    public static Map<String, Object> requireObject(Object value, String key) throws InvalidConfigurationException {
         if (!(value instanceof Map<?, ?>)) {
-            throw new InvalidConfigurationException(place + (value == null ? " is missing" : " is not an object"));
+            throw wrongType(value, key, "an object");
         }
         return (Map<String, Object>) value;
     }
 
-    public static List<?> listOrEmpty(Object value, String place) throws InvalidConfigurationException {
+    /** A list; empty where it is missing. */
+    public static List<?> listOrEmpty(Object value, String key) throws InvalidConfigurationException {
         if (value == null) {
             return List.of();
         } else if (!(value instanceof List<?> list)) {
-            throw new InvalidConfigurationException(place + " is not a list");
+            throw wrongType(value, key, "a list");
         } else {
             return list;
         }
     }
 
-    public static String requireString(Object value, String place) throws InvalidConfigurationException {
+    /** A string, which may not be missing. */
+    public static String requireString(Object value, String key) throws InvalidConfigurationException {
         if (!(value instanceof String text)) {
-            throw new InvalidConfigurationException(place + (value == null ? " is missing" : " is not a text"));
+            throw wrongType(value, key, "a text");
         }
         return text;
     }
 
-    /** A number of nought or more. */
-    public static double numberOrDefault(Object value, double otherwise, String place)
+    /** A number that is not below 0. */
+    public static double numberOrDefault(Object value, double otherwise, String key)
             throws InvalidConfigurationException {
         if (value == null) {
             return otherwise;
         } else if (!(value instanceof BigDecimal number)) {
-            throw new InvalidConfigurationException(place + " is not a number");
+            throw wrongType(value, key, "a number");
         } else if (number.signum() < 0) {
-            throw new InvalidConfigurationException(place + " is below 0");
+            throw new InvalidConfigurationException(key, key + " is below 0");
         } else {
             return number.doubleValue();
         }
     }
 
-    public static long requireInteger(Object value, String place) throws InvalidConfigurationException {
-        double number = numberOrDefault(value, -1, place);
-        if (number < 0 || number != Math.rint(number) || number > 1L << 53) {
-            throw new InvalidConfigurationException(place + (value == null ? " is missing" : " is not a whole number"));
+    /** An integer that is not below 0 and not missing. */
+    public static long requireInteger(Object value, String key) throws InvalidConfigurationException {
+        double number = numberOrDefault(value, -1, key);
+        if (number < 0 || number != Math.rint(number) || number > MAX_EXACT_INTEGER) {
+            throw wrongType(value, key, "a whole number");
         }
         return (long) number;
     }
 
-    public static boolean booleanOrDefault(Object value, boolean otherwise, String place)
+    /** A boolean. */
+    public static boolean booleanOrDefault(Object value, boolean otherwise, String key)
             throws InvalidConfigurationException {
         if (value != null && !(value instanceof Boolean)) {
-            throw new InvalidConfigurationException(place + " is neither true nor false");
+            throw new InvalidConfigurationException(key, key + " is neither true nor false");
         }
         return value == null ? otherwise : (Boolean) value;
     }
+
+    private static InvalidConfigurationException wrongType(Object value, String key, String expected) {
+        return new InvalidConfigurationException(key, key + (value == null ? " is missing" : " is not " + expected));
+    }
 }
--- a/src/main/java/reedmux/control/configuration/RequestLimits.java
+++ b/src/main/java/reedmux/control/configuration/RequestLimits.java
@@ -1,13 +1,21 @@
 package reedmux.control.configuration;
 
-import java.util.Map;
-
-/** What a client may send and how long it may take, the item {@code saturation}; times are microseconds. */
-public record RequestLimits(int maxHeaderBytes, long maxBodyBytes, long headerTimeoutMicros, long idleTimeoutMicros) {
-    /** What holds before there is an item. */
+/**
+ * What a client may send, and how long it may take for that.
+ *
+ * @param maxHeaderBytes of a request's line and headers together
+ * @param maxBodyBytes of a request's body
+ * @param headerTimeoutMicros for a request's line and headers
+ * @param idleTimeoutMicros without progress of a request, and between two requests of one connection
+ */
+public record RequestLimits(int maxHeaderBytes, long maxBodyBytes, long headerTimeoutMicros, long idleTimeoutMicros)
+        implements ParsedItem {
+    /** What holds where there is no such item. */
     public static final RequestLimits DEFAULTS = new RequestLimits(16_384, 64 << 20, 3_000_000, 15_000_000);
 
-    /** Whatever either of the two allows. */
+    private static final long MICROS_PER_MILLI = 1000;
+
+    /** The limits that allow whatever either of the two allows. */
     public RequestLimits mostPermissive(RequestLimits other) {
         return new RequestLimits(
                 Math.max(maxHeaderBytes, other.maxHeaderBytes),
@@ -16,13 +24,17 @@
                 Math.max(idleTimeoutMicros, other.idleTimeoutMicros));
     }
 
-    static RequestLimits parse(ConfigurationItem item) throws InvalidConfigurationException {
-        Map<String, Object> map = ItemJson.requireObject(ItemJson.parse(item.body()), "saturation");
+    static RequestLimits parse(ItemFields fields) throws InvalidConfigurationException {
         return new RequestLimits(
-                (int) ItemJson.numberOrDefault(
-                        map.get("headerBytes"), DEFAULTS.maxHeaderBytes, "saturation: headerBytes"),
-                (long) ItemJson.numberOrDefault(map.get("bodyBytes"), DEFAULTS.maxBodyBytes, "saturation: bodyBytes"),
-                (long) (1000 * ItemJson.numberOrDefault(map.get("headerMs"), 3000, "saturation: headerMs")),
-                (long) (1000 * ItemJson.numberOrDefault(map.get("idleMs"), 15_000, "saturation: idleMs")));
+                (int) fields.numberOrDefault("headerBytes", DEFAULTS.maxHeaderBytes),
+                (long) fields.numberOrDefault("bodyBytes", DEFAULTS.maxBodyBytes),
+                parseMicros(fields, "headerMs", DEFAULTS.headerTimeoutMicros),
+                parseMicros(fields, "idleMs", DEFAULTS.idleTimeoutMicros));
+    }
+
+    private static long parseMicros(ItemFields fields, String key, long defaultMicros)
+            throws InvalidConfigurationException {
+        double defaultMillis = (double) defaultMicros / MICROS_PER_MILLI;
+        return (long) (MICROS_PER_MILLI * fields.numberOrDefault(key, defaultMillis));
     }
 }
--- a/src/main/java/reedmux/control/configuration/RouteItem.java
+++ b/src/main/java/reedmux/control/configuration/RouteItem.java
@@ -2,14 +2,21 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
+import java.util.Locale;
 
 /**
- * A route as it is used; times are microseconds.
+ * A route: which requests go to which services, and what is promised to them.
  *
- * @param repeatable whether a request may run more than once
- * @param cutoff     the longest time that a request is held
- * @param aim        the time within which an answer earns its full worth
+ * @param host of the requests, in lower case and without a port
+ * @param prefix of the requests' paths; it begins with a slash
+ * @param idempotent whether a request may be executed more than once, so that it is retried without knowing whether the
+ *     first attempt was
+ * @param timeoutMicros how long a request may take, waiting included
+ * @param latencyTargetMicros within which a response has its full value
+ * @param priority of the route's requests where capacity is short
+ * @param services that the requests are split between; at least one has a weight above 0
+ * @param maxAttempts how often a request is sent at most, the first time included
+ * @param keyOptional whether requests need no tenant's key
  */
 public record RouteItem(
         String name,
@@ -21,61 +28,70 @@
         int priority,
         List<WeightedService> services,
         int maxAttempts,
-        boolean keyOptional) {
+        boolean keyOptional)
+        implements ParsedItem {
 
-    /** A service that a share of the requests goes to. */
+    /**
+     * A service of a route.
+     *
+     * @param weight the service's share of the requests is its part of the sum of all weights
+     */
     public record WeightedService(String service, double weight) {}
 
     private static final long MICROS_PER_MILLI = 1000;
+    /** What holds where a duration is not given, and where a longer one is. */
     private static final long MAX_DURATION_MILLIS = 3_600_000;
 
-    static RouteItem parse(ConfigurationItem item) throws InvalidConfigurationException {
-        String place = "route " + item.name();
-        Map<String, Object> map = ItemJson.requireObject(ItemJson.parse(item.body()), place);
-        String host = ItemJson.requireString(map.get("host"), place + ": host");
-        String prefix = ItemJson.requireString(map.get("prefix"), place + ": prefix");
+    private static final String IDEMPOTENT_KIND = "idempotent";
+    private static final List<String> KINDS = List.of(IDEMPOTENT_KIND, "effectful", "inflow");
+
+    static RouteItem parse(String name, ItemFields fields) throws InvalidConfigurationException {
+        String host = fields.requireString("host");
+        String prefix = fields.requireString("prefix");
         if (host.isEmpty()) {
-            throw new InvalidConfigurationException(place + ": host is empty");
+            throw fields.invalid("host", "is empty");
         } else if (!prefix.startsWith("/")) {
-            throw new InvalidConfigurationException(place + ": prefix does not begin with a slash");
-        }
-        List<WeightedService> parts = new ArrayList<>();
-        Object split = map.get("split");
-        if (split != null) {
-            for (Object element : ItemJson.listOrEmpty(split, place + ": split")) {
-                Map<String, Object> part = ItemJson.requireObject(element, place + ": split");
-                parts.add(new WeightedService(
-                        ItemJson.requireString(part.get("plant"), place + ": split: plant"),
-                        ItemJson.numberOrDefault(part.get("gain"), 1, place + ": split: gain")));
-            }
-            if (parts.stream().mapToDouble(WeightedService::weight).sum() <= 0) {
-                throw new InvalidConfigurationException(place + ": split has no gain above 0");
-            }
-        } else {
-            parts.add(new WeightedService(ItemJson.requireString(map.get("plant"), place + ": plant"), 1));
+            throw fields.invalid("prefix", "does not begin with a slash");
         }
-        String kind = ItemJson.requireString(map.get("kind"), place + ": kind");
-        if (!List.of("idempotent", "effectful", "inflow").contains(kind)) {
-            throw new InvalidConfigurationException(place + ": kind is none that is known: " + kind);
+        List<WeightedService> services = parseServices(fields);
+        String kind = fields.requireString("kind");
+        if (!KINDS.contains(kind)) {
+            throw fields.invalid("kind", "is none that is known: " + kind);
         }
         return new RouteItem(
-                item.name(),
-                host.toLowerCase(java.util.Locale.ROOT),
+                name,
+                host.toLowerCase(Locale.ROOT),
                 prefix,
-                kind.equals("idempotent"),
-                durationMicros(map, "cutoffMs", place),
-                durationMicros(map, "setpointMs", place),
-                (int) ItemJson.numberOrDefault(map.get("priority"), 0, place + ": priority"),
-                List.copyOf(parts),
-                (int) Math.max(1, ItemJson.numberOrDefault(map.get("attempts"), 1, place + ": attempts")),
-                ItemJson.booleanOrDefault(map.get("unkeyed"), false, place + ": unkeyed"));
+                kind.equals(IDEMPOTENT_KIND),
+                parseDurationMicros(fields, "cutoffMs"),
+                parseDurationMicros(fields, "setpointMs"),
+                (int) fields.numberOrDefault("priority", 0),
+                services,
+                (int) Math.max(1, fields.numberOrDefault("attempts", 1)),
+                fields.booleanOrDefault("unkeyed", false));
+    }
+
+    /** Either a list of services with weights, or one service. */
+    private static List<WeightedService> parseServices(ItemFields fields) throws InvalidConfigurationException {
+        if (!fields.has("split")) {
+            return List.of(new WeightedService(fields.requireString("plant"), 1));
+        }
+        List<WeightedService> services = new ArrayList<>();
+        boolean anyWeight = false;
+        for (Object element : fields.listOrEmpty("split")) {
+            ItemFields part = fields.elementOf("split", element);
+            WeightedService service = new WeightedService(part.requireString("plant"), part.numberOrDefault("gain", 1));
+            services.add(service);
+            anyWeight |= service.weight() > 0;
+        }
+        if (!anyWeight) {
+            throw fields.invalid("split", "has no gain above 0");
+        }
+        return List.copyOf(services);
     }
 
-    private static long durationMicros(Map<String, Object> map, String key, String place)
-            throws InvalidConfigurationException {
-        return (long) Math.min(
-                        MAX_DURATION_MILLIS,
-                        ItemJson.numberOrDefault(map.get(key), MAX_DURATION_MILLIS, place + ": " + key))
-                * MICROS_PER_MILLI;
+    private static long parseDurationMicros(ItemFields fields, String key) throws InvalidConfigurationException {
+        double millis = Math.min(MAX_DURATION_MILLIS, fields.numberOrDefault(key, MAX_DURATION_MILLIS));
+        return (long) millis * MICROS_PER_MILLI;
     }
 }
--- a/src/main/java/reedmux/control/configuration/ServiceItem.java
+++ b/src/main/java/reedmux/control/configuration/ServiceItem.java
@@ -1,22 +1,17 @@
 package reedmux.control.configuration;
 
-import java.util.Map;
-
 /**
- * A service.
+ * A service, which instances register for.
  *
- * @param ceiling connections that one checker takes from all callers together
+ * @param healthCheckPath the path of the requests by which an instance's health is checked
+ * @param maxConnections how many connections one instance takes from all proxies together
  */
-public record ServiceItem(String name, String healthCheckPath, int maxConnections) {
+public record ServiceItem(String name, String healthCheckPath, int maxConnections) implements ParsedItem {
     private static final int DEFAULT_MAX_CONNECTIONS = 100;
+    private static final String DEFAULT_HEALTH_CHECK_PATH = "/";
 
-    static ServiceItem parse(ConfigurationItem item) throws InvalidConfigurationException {
-        String place = "plant " + item.name();
-        Map<String, Object> map = ItemJson.requireObject(ItemJson.parse(item.body()), place);
-        Object probe = map.get("probe");
-        return new ServiceItem(
-                item.name(), probe == null ? "/" : ItemJson.requireString(probe, place + ": probe"), (int)
-                        ItemJson.numberOrDefault(
-                                map.get("connCeiling"), DEFAULT_MAX_CONNECTIONS, place + ": connCeiling"));
+    static ServiceItem parse(String name, ItemFields fields) throws InvalidConfigurationException {
+        return new ServiceItem(name, fields.stringOrDefault("probe", DEFAULT_HEALTH_CHECK_PATH), (int)
+                fields.numberOrDefault("connCeiling", DEFAULT_MAX_CONNECTIONS));
     }
 }
--- a/src/main/java/reedmux/control/configuration/TenantItem.java
+++ b/src/main/java/reedmux/control/configuration/TenantItem.java
@@ -2,29 +2,30 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 
 /**
  * A customer.
  *
- * @param priority below nought where the route's holds
- * @param rate     requests a second over all proxies, 0 for no limit
- * @param burst    requests beyond that
+ * @param keys by which the customer's requests are recognized; no two tenants share one
+ * @param priority of the tenant's requests; {@link #ROUTE_PRIORITY} where the route's holds
+ * @param requestsPerSecond the rate limit over all proxies; 0 for none
+ * @param burst how many requests may come at once beyond that rate
  */
-public record TenantItem(String name, List<String> keys, int priority, double requestsPerSecond, double burst) {
+public record TenantItem(String name, List<String> keys, int priority, double requestsPerSecond, double burst)
+        implements ParsedItem {
+    /** The priority of a tenant that has none of its own. */
+    public static final int ROUTE_PRIORITY = -1;
 
-    static TenantItem parse(ConfigurationItem item) throws InvalidConfigurationException {
-        String place = "tenant " + item.name();
-        Map<String, Object> map = ItemJson.requireObject(ItemJson.parse(item.body()), place);
+    static TenantItem parse(String name, ItemFields fields) throws InvalidConfigurationException {
         List<String> keys = new ArrayList<>();
-        for (Object key : ItemJson.listOrEmpty(map.get("keys"), place + ": keys")) {
-            keys.add(ItemJson.requireString(key, place + ": keys"));
+        for (Object key : fields.listOrEmpty("keys")) {
+            keys.add(fields.stringElement("keys", key));
         }
         return new TenantItem(
-                item.name(),
+                name,
                 List.copyOf(keys),
-                (int) ItemJson.numberOrDefault(map.get("priority"), -1, place + ": priority"),
-                ItemJson.numberOrDefault(map.get("flowPerS"), 0, place + ": flowPerS"),
-                ItemJson.numberOrDefault(map.get("burst"), 0, place + ": burst"));
+                (int) fields.numberOrDefault("priority", ROUTE_PRIORITY),
+                fields.numberOrDefault("flowPerS", 0),
+                fields.numberOrDefault("burst", 0));
     }
 }
--- a/src/test/java/reedmux/control/configuration/ConfigurationTableTest.java
+++ b/src/test/java/reedmux/control/configuration/ConfigurationTableTest.java
@@ -62,13 +62,13 @@
                 if (item.isDeleted()) {
                     continue;
                 } else if (item.kind().equals("routes")) {
-                    routes.add(RouteItem.parse(item));
+                    routes.add((RouteItem) ParsedItem.parse(item));
                 } else if (item.kind().equals("plants")) {
-                    plants.add(ServiceItem.parse(item).name());
+                    plants.add(((ServiceItem) ParsedItem.parse(item)).name());
                 } else if (item.kind().equals("saturation")) {
-                    RequestLimits.parse(item);
+                    ParsedItem.parse(item);
                 } else {
-                    for (String key : TenantItem.parse(item).keys()) {
+                    for (String key : ((TenantItem) ParsedItem.parse(item)).keys()) {
                         String other = byKey.put(key, item.name());
                         if (other != null && !other.equals(item.name())) {
                             return false;
@@ -99,7 +99,7 @@
             long longest = -1;
             for (ConfigurationItem item : items) {
                 if (item.kind().equals("routes") && !item.isDeleted()) {
-                    RouteItem route = RouteItem.parse(item);
+                    RouteItem route = (RouteItem) ParsedItem.parse(item);
                     if (route.host().equals("h" + i % 2) && path.startsWith(route.prefix())) {
                         longest = Math.max(longest, route.prefix().length());
                     }
