--- a/src/main/java/reedmux/control/replication/ConfigurationFollower.java
+++ b/src/main/java/reedmux/control/replication/ConfigurationFollower.java
@@ -8,64 +8,73 @@
 import reedmux.control.configuration.ConfigurationTable;
 
 /**
- * What a process that pulls knows: the items, merged from several sources, and how far it has come with
- * each of these. Within its life an item never goes back. Pure.
+ * What a process that only follows knows of the configuration: items that were merged from several sources, and how far
+ * it has come with each of these. No item goes back to an earlier revision, whichever source it comes from. No I/O,
+ * threads or clocks.
  */
 public final class ConfigurationFollower {
+    /** By key. */
     private final Map<String, ConfigurationItem> items = new TreeMap<>();
-    /** Those of them that are not in the table yet. */
-    private final Map<String, ConfigurationItem> pending = new TreeMap<>();
+    /** Those items that are not in the table yet, as they were not valid together with it. */
+    private final Map<String, ConfigurationItem> notApplied = new TreeMap<>();
+
+    private final SnapshotAssembler snapshots = new SnapshotAssembler();
+    /** By the source's name. */
+    private final Map<String, ReplicationPosition> positions = new HashMap<>();
 
-    private final SnapshotAssembler snapshot = new SnapshotAssembler();
-    private final Map<String, long[]> positions = new HashMap<>();
     private ConfigurationTable table;
     private String problem;
 
-    /** What has come of items that come in pieces. */
+    /** The chunks of snapshots that aren't complete. */
     public SnapshotAssembler snapshot() {
-        return snapshot;
+        return snapshots;
     }
 
-    /** Takes in what a source tells, with the pieces before; returns whether the table has changed. */
-    public boolean onUpdate(String source, long life, long upTo, List<ConfigurationItem> told) {
-        positions.put(source, new long[] {life, upTo});
-        for (ConfigurationItem item : snapshot.complete(source, life, told)) {
-            ConfigurationItem had = items.get(item.key());
-            if (had == null || item.compareTo(had) > 0) {
+    /**
+     * Merges what a source has committed, with the chunks that came before.
+     *
+     * @return whether the table has changed: not where everything was known, and not where the items aren't valid
+     *     together until more of them come
+     */
+    public boolean onUpdate(String source, long incarnation, long upToChange, List<ConfigurationItem> update) {
+        positions.put(source, new ReplicationPosition(incarnation, upToChange));
+        for (ConfigurationItem item : snapshots.complete(source, incarnation, update)) {
+            ConfigurationItem known = items.get(item.key());
+            if (known == null || item.compareTo(known) > 0) {
                 items.put(item.key(), item);
-                pending.put(item.key(), item);
+                notApplied.put(item.key(), item);
             }
         }
-        if (pending.isEmpty() && table != null) {
+        if (notApplied.isEmpty() && table != null) {
             return false;
         }
         ConfigurationTable next = table == null ? new ConfigurationTable() : table;
-        if (!next.applyIfValid(pending.values())) {
-            problem = next.problem(); // half of what belongs together has come; the rest is on its way
+        if (!next.applyIfValid(notApplied.values())) {
+            problem = next.problem(); // a part of a change has come; the rest is on its way
             return false;
         }
-        pending.clear();
+        notApplied.clear();
         problem = null;
         table = next;
         return true;
     }
 
-    /** The life of a source that is known, and the last change of it: two numbers. */
-    public long[] position(String source) {
-        return positions.getOrDefault(source, new long[] {0, 0});
+    /** How far the changes of a source were applied. */
+    public ReplicationPosition position(String source) {
+        return positions.getOrDefault(source, ReplicationPosition.NONE);
     }
 
-    /** The last that could be used, or null. */
+    /** The latest configuration that was valid; null before there was one. */
     public ConfigurationTable table() {
         return table;
     }
 
-    /** Why the newest items cannot be used together, or null. */
+    /** Why the latest items aren't valid together; null where they are. */
     public String problem() {
         return problem;
     }
 
-    /** Whether nothing has ever been told. */
+    /** Whether no item has ever come. */
     public boolean isEmpty() {
         return items.isEmpty();
     }
--- a/src/main/java/reedmux/control/replication/Replica.java
+++ b/src/main/java/reedmux/control/replication/Replica.java
@@ -12,46 +12,53 @@
 import reedmux.control.consensus.Proposal;
 
 /**
- * The items that one store has: those in force, and those of calls that are held until it is known whether
- * they come into force. A call is held, comes into force or is dropped as a whole. Pure.
+ * What one store has of the configuration: the committed items, the proposals that are pending until it is known whether
+ * they are committed, and watermarks of the revisions that were overtaken. A proposal's items become pending, are
+ * committed or are dropped together. Everything that is committed, and every watermark, gets a change number, by which
+ * followers continue. No I/O, threads or clocks.
  */
 public final class Replica {
 
-    /** What a store says of a call that it is asked to hold. */
+    /** What a store says of a proposal. */
     public enum ProposalVerdict {
-        /** It may be held. */
+        /** It may become pending. */
         VALID,
-        /** It cannot stand beside what is in force. */
+        /** It is not valid together with the committed items. */
         INVALID,
-        /** It cannot stand beside another call that is held, or not without it. */
+        /** It is not valid together with another pending proposal, or not without one: try again later. */
         CONFLICTS_WITH_PENDING,
-        /** Another content was taken under one of its revisions. */
+        /** One of its revisions was committed with another body, so that it can never be committed. */
         REVISION_REUSED,
-        /** One of its revisions is so old that it is not known any more whether it was taken. */
+        /** One of its revisions is so old that it is no longer known whether it was committed. */
         REVISION_EXPIRED
     }
 
-    /** About what an item takes beside its name and body. */
-    private static final int ITEM_OVERHEAD_BYTES = 24;
+    /** About how many bytes an item or a watermark takes in a message beside its name and body. */
+    private static final int ENTRY_OVERHEAD_BYTES = 24;
 
+    /** By key. */
     private final Map<String, ConfigurationItem> committed = new TreeMap<>();
-    /** The number of the change that brought each, and each by that number. */
+    /** By key: the change that has brought the committed item. */
     private final Map<String, Long> changeNumbers = new HashMap<>();
 
     private final TreeMap<Long, ConfigurationItem> itemsByChange = new TreeMap<>();
-    /** Of what is in force and the marks; null until another store compares. */
+    /** Of the committed items and the watermarks; null until another store compares, as most never do. */
     private DigestTree digests;
-    /** What is in force, as it is used; null until the first call is judged, as a start does without. */
+    /** The committed items; null until the first proposal is validated, as a start does without. */
     private ConfigurationTable table;
 
+    /** By the proposal's id, the oldest first. */
     private final Map<String, Proposal> pending = new LinkedHashMap<>();
+
     private final WatermarkTable watermarks = new WatermarkTable();
     private long lastChange;
     private String problem = "";
 
-    /** Judges a call; what is wrong with it is told by {@link #problem()}. */
-    public ProposalVerdict validate(String call, List<ConfigurationItem> items) {
-        if (pending.containsKey(call)) {
+    // ---- Validation --------------------------------------------------------------------------------
+
+    /** Judges a proposal; what is wrong with it is told by {@link #problem()}. One that is pending stays valid. */
+    public ProposalVerdict validate(String proposalId, List<ConfigurationItem> items) {
+        if (pending.containsKey(proposalId)) {
             return ProposalVerdict.VALID;
         }
         List<ConfigurationItem> unrecorded = new ArrayList<>();
@@ -63,71 +70,87 @@
                 return verdict;
             }
         }
+        if (reusesPendingRevision(unrecorded)) {
+            return ProposalVerdict.CONFLICTS_WITH_PENDING;
+        }
+        boolean validAlone = isValidTogether(List.of(unrecorded));
+        if (pending.isEmpty()) {
+            return validAlone ? ProposalVerdict.VALID : ProposalVerdict.INVALID;
+        }
+        String problemAlone = problem;
+        List<List<ConfigurationItem>> withPending = new ArrayList<>();
+        for (Proposal other : pending.values()) {
+            withPending.add(other.items());
+        }
+        withPending.add(unrecorded);
+        boolean validWithPending = isValidTogether(withPending);
+        if (validAlone) {
+            return validWithPending ? ProposalVerdict.VALID : ProposalVerdict.CONFLICTS_WITH_PENDING;
+        }
+        problem = problemAlone;
+        return validWithPending ? ProposalVerdict.CONFLICTS_WITH_PENDING : ProposalVerdict.INVALID;
+    }
+
+    private boolean reusesPendingRevision(List<ConfigurationItem> items) {
         for (Proposal other : pending.values()) {
-            for (ConfigurationItem one : unrecorded) {
-                for (ConfigurationItem beside : other.items()) {
-                    if (one.key().equals(beside.key()) && one.revision() == beside.revision() && !one.equals(beside)) {
-                        return ProposalVerdict.CONFLICTS_WITH_PENDING;
+            for (ConfigurationItem theirs : other.items()) {
+                for (ConfigurationItem ours : items) {
+                    boolean sameRevision = ours.key().equals(theirs.key()) && ours.revision() == theirs.revision();
+                    if (sameRevision && !ours.equals(theirs)) {
+                        return true;
                     }
                 }
             }
         }
-        List<List<ConfigurationItem>> together = new ArrayList<>();
-        pending.values().forEach(other -> together.add(other.items()));
-        together.add(unrecorded);
-        if (isValidTogether(List.of(unrecorded))) {
-            return pending.isEmpty() || isValidTogether(together)
-                    ? ProposalVerdict.VALID
-                    : ProposalVerdict.CONFLICTS_WITH_PENDING;
-        }
-        String alone = problem;
-        boolean later = !pending.isEmpty() && isValidTogether(together);
-        problem = alone;
-        return later ? ProposalVerdict.CONFLICTS_WITH_PENDING : ProposalVerdict.INVALID;
+        return false;
     }
 
-    /** Of one item: null where it was taken with this content, {@link ProposalVerdict#VALID} where it is news. */
+    /**
+     * What is known of one item's revision: null where it was committed with this body, {@link ProposalVerdict#VALID}
+     * where it was not committed.
+     */
     private ProposalVerdict classify(ConfigurationItem item) {
-        ConfigurationItem had = committed.get(item.key());
-        if (had != null && had.revision() == item.revision()) {
-            return had.equals(item) ? null : conflict(item);
+        ConfigurationItem current = committed.get(item.key());
+        if (current != null && current.revision() == item.revision()) {
+            return current.equals(item) ? null : revisionReused(item);
         }
         Long digest = watermarks.digest(item.key(), item.revision());
         if (digest != null) {
-            return digest == Watermark.of(item).digest() ? null : conflict(item);
+            return digest == Watermark.of(item).digest() ? null : revisionReused(item);
         }
         return item.revision() <= watermarks.lowWatermark(item.key())
                 ? ProposalVerdict.REVISION_EXPIRED
                 : ProposalVerdict.VALID;
     }
 
-    private ProposalVerdict conflict(ConfigurationItem item) {
+    private ProposalVerdict revisionReused(ConfigurationItem item) {
         problem = item.key() + " was taken with another content under the revision " + item.revision();
         return ProposalVerdict.REVISION_REUSED;
     }
 
-    /** Why the last call was not good. */
+    /** Why the last proposal that was validated was not valid. */
     public String problem() {
         return problem;
     }
 
-    /** The items of a call whose revisions were not taken yet, as far as is known here. */
+    /** Those of some items whose revisions were not committed yet, as far as is known here. */
     public List<ConfigurationItem> unrecordedItems(List<ConfigurationItem> items) {
-        List<ConfigurationItem> news = new ArrayList<>();
+        List<ConfigurationItem> unrecorded = new ArrayList<>();
         for (ConfigurationItem item : items) {
             if (classify(item) == ProposalVerdict.VALID) {
-                news.add(item);
+                unrecorded.add(item);
             }
         }
-        return news;
+        return unrecorded;
     }
 
-    private boolean isValidTogether(List<List<ConfigurationItem>> calls) {
+    /** Whether the committed items would be valid after these proposals, each with its items. */
+    private boolean isValidTogether(List<List<ConfigurationItem>> proposals) {
         Map<String, ConfigurationItem> changed = new LinkedHashMap<>();
-        for (List<ConfigurationItem> call : calls) {
-            for (ConfigurationItem item : call) {
-                ConfigurationItem had = changed.get(item.key());
-                if (item.supersedes(had != null ? had : committed.get(item.key()))) {
+        for (List<ConfigurationItem> items : proposals) {
+            for (ConfigurationItem item : items) {
+                ConfigurationItem earlier = changed.get(item.key());
+                if (item.supersedes(earlier != null ? earlier : committed.get(item.key()))) {
                     changed.put(item.key(), item);
                 }
             }
@@ -145,197 +168,192 @@
         return false;
     }
 
-    /** Holds a call that was judged good, or goes on holding it under another ballot. */
+    // ---- Proposals ---------------------------------------------------------------------------------
+
+    /** A proposal that was found valid is pending from now on, or goes on being so under another ballot. */
     public void addPending(Proposal proposal) {
         pending.put(proposal.id(), proposal);
     }
 
-    /** A call is no longer held, and in force from now on or not at all. */
-    public void resolvePending(String call, boolean comesIntoForce, List<ConfigurationItem> items) {
-        pending.remove(call);
-        if (comesIntoForce) {
+    /** A proposal is no longer pending; its items are committed now, or dropped. */
+    public void resolvePending(String proposalId, boolean commit, List<ConfigurationItem> items) {
+        pending.remove(proposalId);
+        if (commit) {
             merge(items);
         }
     }
 
-    /** Takes in items that are in force elsewhere; returns those that were news. */
+    /** Whether a proposal is pending. */
+    public boolean isPending(String proposalId) {
+        return pending.containsKey(proposalId);
+    }
+
+    /** The pending proposals by their ids, the oldest first; a view. */
+    public Map<String, Proposal> pending() {
+        return pending;
+    }
+
+    // ---- Committed items and watermarks ------------------------------------------------------------
+
+    /** Merges items that are committed elsewhere; returns those that have taken the place of others here. */
     public List<ConfigurationItem> merge(Collection<ConfigurationItem> items) {
-        List<ConfigurationItem> news = new ArrayList<>();
+        List<ConfigurationItem> merged = new ArrayList<>();
         for (ConfigurationItem item : items) {
-            ConfigurationItem had = committed.get(item.key());
-            if (had == null || item.compareTo(had) > 0) {
-                if (had != null && had.revision() < item.revision()) {
-                    mergeWatermarks(Watermark.of(had));
-                }
-                committed.put(item.key(), item);
-                Long before = changeNumbers.put(item.key(), ++lastChange);
-                if (before != null) {
-                    itemsByChange.remove(before);
-                }
-                itemsByChange.put(lastChange, item);
-                if (table != null) {
-                    table.put(item);
+            ConfigurationItem current = committed.get(item.key());
+            if (current == null || item.compareTo(current) > 0) {
+                if (current != null && current.revision() < item.revision()) {
+                    mergeWatermark(Watermark.of(current));
                 }
-                if (digests != null) {
-                    if (had != null) {
-                        digests.toggle(Watermark.of(had));
-                    }
-                    digests.toggle(Watermark.of(item));
-                }
-                news.add(item);
-            } else if (item.revision() < had.revision()) {
-                mergeWatermarks(Watermark.of(item));
+                commit(item, current);
+                merged.add(item);
+            } else if (item.revision() < current.revision()) {
+                mergeWatermark(Watermark.of(item));
+            }
+        }
+        return merged;
+    }
+
+    /** {@code replaced} is null for none. */
+    private void commit(ConfigurationItem item, ConfigurationItem replaced) {
+        committed.put(item.key(), item);
+        Long replacedChange = changeNumbers.put(item.key(), ++lastChange);
+        if (replacedChange != null) {
+            itemsByChange.remove(replacedChange);
+        }
+        itemsByChange.put(lastChange, item);
+        if (table != null) {
+            table.put(item);
+        }
+        if (digests != null) {
+            if (replaced != null) {
+                digests.toggle(Watermark.of(replaced));
             }
+            digests.toggle(Watermark.of(item));
         }
-        return news;
     }
 
-    /** The items of which {@link #merge} would keep something. */
+    /** Those of some items that {@link #merge} would keep, as items or as watermarks. */
     public List<ConfigurationItem> findMissing(Collection<ConfigurationItem> items) {
-        List<ConfigurationItem> news = new ArrayList<>();
+        List<ConfigurationItem> missing = new ArrayList<>();
         for (ConfigurationItem item : items) {
-            ConfigurationItem had = committed.get(item.key());
-            if (had == null
-                    || item.compareTo(had) > 0
-                    || item.revision() < had.revision() && watermarks.isNew(Watermark.of(item))) {
-                news.add(item);
+            ConfigurationItem current = committed.get(item.key());
+            if (current == null
+                    || item.compareTo(current) > 0
+                    || item.revision() < current.revision() && watermarks.isNew(Watermark.of(item))) {
+                missing.add(item);
             }
         }
-        return news;
+        return missing;
     }
 
-    /** Takes in marks of what was taken and overtaken elsewhere; returns those that were news. */
-    public List<Watermark> mergeWatermarks(Collection<Watermark> told) {
-        List<Watermark> news = new ArrayList<>();
-        for (Watermark mark : told) {
-            if (mergeWatermarks(mark)) {
-                news.add(mark);
+    /** Merges watermarks of another store; returns those that were new here. */
+    public List<Watermark> mergeWatermarks(Collection<Watermark> others) {
+        List<Watermark> added = new ArrayList<>();
+        for (Watermark watermark : others) {
+            if (mergeWatermark(watermark)) {
+                added.add(watermark);
             }
         }
-        return news;
+        return added;
     }
 
-    private boolean mergeWatermarks(Watermark mark) {
-        if (!watermarks.isNew(mark)) {
+    private boolean mergeWatermark(Watermark watermark) {
+        if (!watermarks.isNew(watermark)) {
             return false;
         }
-        watermarks.add(mark, ++lastChange);
-        Watermark floor = watermarks.requiredLowWatermark(mark.key());
-        if (floor != null) {
-            watermarks.add(floor, ++lastChange);
+        watermarks.add(watermark, ++lastChange);
+        Watermark lowWatermark = watermarks.requiredLowWatermark(watermark.key());
+        if (lowWatermark != null) {
+            watermarks.add(lowWatermark, ++lastChange);
         }
         return true;
     }
 
-    /** What was taken and overtaken: all that is known of it. */
+    /** All watermarks, in the order in which they came; a view. */
     public Collection<Watermark> watermarks() {
         return watermarks.all();
     }
 
-    /** What of that has become known since a change. */
+    /** The watermarks that have come after a change. */
     public List<Watermark> watermarksSince(long change) {
         return watermarks.since(change);
     }
 
-    public boolean isPending(String call) {
-        return pending.containsKey(call);
-    }
-
-    /** Calls that are held, the oldest first. */
-    public Map<String, Proposal> pending() {
-        return pending;
-    }
-
+    /** All committed items, deletions included, in the order of their keys; a view. */
     public Collection<ConfigurationItem> committed() {
         return committed.values();
     }
 
-    /** The number of the last change of what is in force. */
+    /** The number of the last change; 0 for none. */
     public long lastChange() {
         return lastChange;
     }
 
-    /** What has come into force since that change. */
+    /** The items that were committed after a change. */
     public List<ConfigurationItem> committedSince(long change) {
         return new ArrayList<>(itemsByChange.tailMap(change, false).values());
     }
 
-    // ---- Catching up ---------------------------------------------------------------------------------
-    /** Some of what has changed, in order, as of a change; {@code last}: there is no more. */
-    public record ChangeBatch(
-            long upToChange, List<ConfigurationItem> items, List<Watermark> watermarks, boolean last) {
-
-        /** The first of each, at most so many. */
-        public ChangeBatch first(int most) {
-            return new ChangeBatch(
-                    upToChange,
-                    items.subList(0, Math.min(most, items.size())),
-                    watermarks.subList(0, Math.min(most, watermarks.size())),
-                    false);
-        }
-
-        /** What comes behind those, or null. */
-        public ChangeBatch remainder(int most) {
-            return items.size() <= most && watermarks.size() <= most
-                    ? null
-                    : new ChangeBatch(
-                            upToChange,
-                            items.subList(Math.min(most, items.size()), items.size()),
-                            watermarks.subList(Math.min(most, watermarks.size()), watermarks.size()),
-                            last);
-        }
-    }
+    // ---- Batches for followers ---------------------------------------------------------------------
 
-    /** What has changed since a change, up to about so many bytes of it, and one change at the least. */
-    public ChangeBatch batchSince(long change, int bytes) {
+    /** What has changed after {@code change}: up to about {@code maxBytes} of it, and at least one change. */
+    public ChangeBatch batchSince(long change, int maxBytes) {
         List<ConfigurationItem> items = new ArrayList<>();
-        List<Watermark> some = new ArrayList<>();
-        long at = change;
-        for (int size = 0; ; size += ITEM_OVERHEAD_BYTES) {
-            Map.Entry<Long, ConfigurationItem> item = itemsByChange.higherEntry(at);
-            Map.Entry<Long, Watermark> mark = watermarks.nextAfter(at);
-            if (item == null && mark == null) {
-                return new ChangeBatch(lastChange, items, some, true);
-            } else if (size >= bytes) {
-                return new ChangeBatch(at, items, some, false);
-            } else if (mark == null || item != null && item.getKey() < mark.getKey()) {
-                at = item.getKey();
-                items.add(item.getValue());
-                size += item.getValue().name().length() + item.getValue().body().length();
+        List<Watermark> marks = new ArrayList<>();
+        long upToChange = change;
+        int bytes = 0;
+        while (true) {
+            Map.Entry<Long, ConfigurationItem> nextItem = itemsByChange.higherEntry(upToChange);
+            Map.Entry<Long, Watermark> nextMark = watermarks.nextAfter(upToChange);
+            if (nextItem == null && nextMark == null) {
+                return new ChangeBatch(lastChange, items, marks, true);
+            } else if (bytes >= maxBytes) {
+                return new ChangeBatch(upToChange, items, marks, false);
+            }
+            bytes += ENTRY_OVERHEAD_BYTES;
+            if (nextMark == null || nextItem != null && nextItem.getKey() < nextMark.getKey()) {
+                upToChange = nextItem.getKey();
+                ConfigurationItem item = nextItem.getValue();
+                items.add(item);
+                bytes += item.name().length() + item.body().length();
             } else {
-                at = mark.getKey();
-                some.add(mark.getValue());
-                size += mark.getValue().key().length();
+                upToChange = nextMark.getKey();
+                marks.add(nextMark.getValue());
+                bytes += nextMark.getValue().key().length();
             }
         }
     }
 
-    /** Digests of all that is here. */
+    /** Digests of all committed items and watermarks; kept up to date from the first call on. */
     public DigestTree digests() {
         if (digests == null) {
             digests = new DigestTree();
-            committed.values().forEach(item -> digests.toggle(Watermark.of(item)));
+            for (ConfigurationItem item : committed.values()) {
+                digests.toggle(Watermark.of(item));
+            }
             watermarks.attachDigests(digests);
         }
         return digests;
     }
 
-    /** All in some of the fine ranges. */
-    public ChangeBatch batchInRanges(Collection<Integer> ranges) {
-        boolean[] wanted = new boolean[DigestTree.RANGES_PER_LEVEL * DigestTree.RANGES_PER_LEVEL];
-        ranges.forEach(range -> wanted[range] = true);
+    /** Everything in some of the fine ranges of {@link #digests()}. */
+    public ChangeBatch batchInRanges(Collection<Integer> fineRanges) {
+        boolean[] wanted = new boolean[DigestTree.FINE_RANGES];
+        for (int range : fineRanges) {
+            wanted[range] = true;
+        }
         List<ConfigurationItem> items = new ArrayList<>();
         for (ConfigurationItem item : committed.values()) {
             if (wanted[DigestTree.rangeOf(item.key())]) {
                 items.add(item);
             }
         }
-        List<Watermark> some = new ArrayList<>();
-        for (Watermark mark : watermarks.all()) {
-            if (wanted[DigestTree.rangeOf(mark.key())]) {
-                some.add(mark);
+        List<Watermark> marks = new ArrayList<>();
+        for (Watermark watermark : watermarks.all()) {
+            if (wanted[DigestTree.rangeOf(watermark.key())]) {
+                marks.add(watermark);
             }
         }
-        return new ChangeBatch(lastChange, items, some, true);
+        return new ChangeBatch(lastChange, items, marks, true);
     }
 }
--- a/src/main/java/reedmux/control/replication/SnapshotAssembler.java
+++ b/src/main/java/reedmux/control/replication/SnapshotAssembler.java
@@ -8,54 +8,59 @@
 import reedmux.control.configuration.ConfigurationItem;
 
 /**
- * Items that come in pieces, by their source. They are taken in with the last piece, as half of a call has no
- * effect; what came before a cut is kept, as long as the source lives. Pure.
+ * Collects the chunks in which a source sends many items. Nothing is applied before the last chunk has come, as items
+ * that belong together may be in two of them. What has come is kept over a lost connection, as long as the source runs.
  */
 public final class SnapshotAssembler {
+    /** What {@link #resumeFrom} returns where nothing has come, or a chunk was as of no change. */
+    private static final long UNKNOWN_CHANGE = -1;
+
+    /** By the source's name. */
     private final Map<String, PartialSnapshot> partialSnapshots = new HashMap<>();
 
-    /** {@code upTo}: as of which change all is there, or below nought where that is not known yet. */
     private static final class PartialSnapshot {
         private final long incarnation;
+        /** The change up to which everything has come; below 0 where that is not known yet. */
         private long upToChange;
+
         private final List<ConfigurationItem> items = new ArrayList<>();
 
-        private PartialSnapshot(long life) {
-            this.incarnation = life;
+        private PartialSnapshot(long incarnation) {
+            this.incarnation = incarnation;
         }
     }
 
-    /** A piece that is not the last. */
-    public void addChunk(String source, long life, long upTo, Collection<ConfigurationItem> items) {
-        PartialSnapshot part = partialSnapshots.get(source);
-        if (part == null || part.incarnation != life) {
-            part = new PartialSnapshot(life);
-            partialSnapshots.put(source, part);
+    /** A chunk that is not the last one; {@code upToChange} is below 0 where it is as of no change. */
+    public void addChunk(String source, long incarnation, long upToChange, Collection<ConfigurationItem> items) {
+        PartialSnapshot partial = partialSnapshots.get(source);
+        if (partial == null || partial.incarnation != incarnation) {
+            partial = new PartialSnapshot(incarnation);
+            partialSnapshots.put(source, partial);
         }
-        part.upToChange = upTo;
-        part.items.addAll(items);
+        partial.upToChange = upToChange;
+        partial.items.addAll(items);
     }
 
-    /** The last piece: returns all that came. */
-    public List<ConfigurationItem> complete(String source, long life, List<ConfigurationItem> items) {
-        PartialSnapshot part = partialSnapshots.remove(source);
-        if (part == null || part.incarnation != life) {
+    /** The last chunk, which may be the only one; returns the items of all. */
+    public List<ConfigurationItem> complete(String source, long incarnation, List<ConfigurationItem> items) {
+        PartialSnapshot partial = partialSnapshots.remove(source);
+        if (partial == null || partial.incarnation != incarnation) {
             return items;
         }
-        part.items.addAll(items);
-        return part.items;
+        partial.items.addAll(items);
+        return partial.items;
     }
 
     /**
-     * After a cut: the change from which on the rest is to be asked for; below nought where there is
-     * none.
+     * On a new connection to a source: the change behind which its next chunk begins. Where that is below 0 no snapshot
+     * can be resumed, and what has come of one is dropped.
      */
-    public long resumeFrom(String source, long life) {
-        PartialSnapshot part = partialSnapshots.get(source);
-        if (part != null && part.incarnation == life && part.upToChange >= 0) {
-            return part.upToChange;
+    public long resumeFrom(String source, long incarnation) {
+        PartialSnapshot partial = partialSnapshots.get(source);
+        if (partial != null && partial.incarnation == incarnation && partial.upToChange >= 0) {
+            return partial.upToChange;
         }
         partialSnapshots.remove(source);
-        return -1;
+        return UNKNOWN_CHANGE;
     }
 }
--- a/src/main/java/reedmux/control/store/ChangePublisher.java
+++ b/src/main/java/reedmux/control/store/ChangePublisher.java
@@ -6,6 +6,7 @@
 import java.util.function.Consumer;
 import reedmux.common.eventloop.Reactor;
 import reedmux.control.consensus.ConsensusNode;
+import reedmux.control.replication.ChangeBatch;
 import reedmux.control.replication.Replica;
 import reedmux.control.rpc.MessageCodec;
 import reedmux.control.rpc.Messages.CaughtUpNotice;
@@ -197,13 +198,13 @@
 
     private void sendToStore(RpcConnection connection, PullSession session) {
         if (session.repairBatch != null) {
-            Replica.ChangeBatch chunk = session.repairBatch.first(REPAIR_CHUNK_ITEMS);
+            ChangeBatch chunk = session.repairBatch.first(REPAIR_CHUNK_ITEMS);
             sendWatermarks(connection, chunk);
             session.repairBatch = session.repairBatch.remainder(REPAIR_CHUNK_ITEMS);
             connection.sendMessage(new SnapshotChunk(incarnation, PullSession.UNKNOWN, chunk.items()));
             return;
         }
-        Replica.ChangeBatch batch = replica.batchSince(Math.max(0, session.sinceChange), CHUNK_BYTES);
+        ChangeBatch batch = replica.batchSince(Math.max(0, session.sinceChange), CHUNK_BYTES);
         sendWatermarks(connection, batch);
         if (!batch.last()) {
             connection.sendMessage(new SnapshotChunk(incarnation, batch.upToChange(), batch.items()));
@@ -219,7 +220,7 @@
     }
 
     /** Watermarks go ahead of the items that they belong to. */
-    private static void sendWatermarks(RpcConnection connection, Replica.ChangeBatch batch) {
+    private static void sendWatermarks(RpcConnection connection, ChangeBatch batch) {
         if (!batch.watermarks().isEmpty()) {
             connection.sendMessage(new WatermarkUpdate(batch.watermarks()));
         }
--- a/src/main/java/reedmux/control/store/EncodedBatchCache.java
+++ b/src/main/java/reedmux/control/store/EncodedBatchCache.java
@@ -3,6 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import reedmux.control.replication.ChangeBatch;
 import reedmux.control.replication.Replica;
 import reedmux.control.rpc.MessageCodec;
 import reedmux.control.rpc.Messages.ConfigurationUpdate;
@@ -59,7 +60,7 @@
         return encoded;
     }
 
-    private EncodedBatch encode(Replica.ChangeBatch batch) {
+    private EncodedBatch encode(ChangeBatch batch) {
         Object message = batch.last()
                 ? new ConfigurationUpdate(incarnation, batch.upToChange(), encodedAsComplete, batch.items(), List.of())
                 : new SnapshotChunk(incarnation, batch.upToChange(), batch.items());
--- a/src/main/java/reedmux/control/store/PullSession.java
+++ b/src/main/java/reedmux/control/store/PullSession.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import reedmux.control.replication.Replica;
+import reedmux.control.replication.ChangeBatch;
 
 /** What a {@link ChangePublisher} knows of one connection over which changes are pulled. */
 final class PullSession {
@@ -18,7 +18,7 @@
     /** Whether the follower has applied everything up to {@link #sinceChange}, and not only received it. */
     boolean appliedSince;
     /** What is in the key ranges whose digests differ and was not sent yet; null where there is nothing of the kind. */
-    Replica.ChangeBatch repairBatch;
+    ChangeBatch repairBatch;
     /** The change as of which the digests were compared; {@link #UNKNOWN} where none were. */
     long repairReadAtChange = UNKNOWN;
     /** The last change that was sent while this store was complete; {@link #UNKNOWN} for none. */
--- /dev/null
+++ b/src/main/java/reedmux/control/store/ReplicaState.java
@@ -0,0 +1,117 @@
+package reedmux.control.store;
+
+import java.util.Iterator;
+import java.util.List;
+import java.util.NoSuchElementException;
+import reedmux.control.configuration.ConfigurationItem;
+import reedmux.control.consensus.CoreMembership;
+import reedmux.control.consensus.Proposal;
+import reedmux.control.replication.Replica;
+import reedmux.control.replication.Watermark;
+import reedmux.control.rpc.MessageCodec;
+import reedmux.control.rpc.Messages.ConfigurationUpdate;
+import reedmux.control.rpc.Messages.CoreStateRecord;
+import reedmux.control.rpc.Messages.ProposalRecord;
+import reedmux.control.rpc.Messages.WatermarkUpdate;
+
+/**
+ * Everything that a store keeps on its disk, as of one moment: the state that a generation of the journal begins with.
+ * Immutable, so that the disk's thread encodes it while the replica goes on.
+ *
+ * @param core the state of the core's membership; null where nothing is known of it
+ * @param complete whether nothing that was ever acknowledged with this store's vote is missing
+ */
+record ReplicaState(
+        CoreMembership.PersistentCoreState core,
+        boolean complete,
+        List<ConfigurationItem> items,
+        List<Watermark> watermarks,
+        List<Proposal> pending) {
+    /** How many items, or watermarks, one record has at most. */
+    private static final int MAX_ITEMS_PER_RECORD = 512;
+    /** A record of items ends with the first one that takes their bodies, in characters, to this. */
+    private static final int MAX_BODY_CHARS_PER_RECORD = 256 * 1024;
+
+    static ReplicaState of(Replica replica, CoreMembership.PersistentCoreState core, boolean complete) {
+        return new ReplicaState(
+                core,
+                complete,
+                List.copyOf(replica.committed()),
+                List.copyOf(replica.watermarks()),
+                List.copyOf(replica.pending().values()));
+    }
+
+    /** The state as records of the journal, each encoded when it is asked for. */
+    Iterable<byte[]> encodeWith(MessageCodec codec) {
+        return new Records(codec);
+    }
+
+    /** A class and no lambda, which would be linked at run time in the middle of a start. */
+    private final class Records implements Iterable<byte[]> {
+        private final MessageCodec codec;
+
+        private Records(MessageCodec codec) {
+            this.codec = codec;
+        }
+
+        @Override
+        public Iterator<byte[]> iterator() {
+            return new RecordIterator(codec);
+        }
+    }
+
+    /** The core, the watermarks, the items (at least one record, as it carries {@link #complete}), the proposals. */
+    private final class RecordIterator implements Iterator<byte[]> {
+        private final MessageCodec codec;
+        private boolean coreWritten = core == null;
+        private int nextWatermark;
+        private int nextItem;
+        private boolean itemsWritten;
+        private int nextProposal;
+
+        private RecordIterator(MessageCodec codec) {
+            this.codec = codec;
+        }
+
+        @Override
+        public boolean hasNext() {
+            return !itemsWritten || nextProposal < pending.size();
+        }
+
+        @Override
+        public byte[] next() {
+            if (!hasNext()) {
+                throw new NoSuchElementException();
+            }
+            if (!coreWritten) {
+                coreWritten = true;
+                return codec.encode(new CoreStateRecord(core));
+            }
+            if (nextWatermark < watermarks.size()) {
+                return codec.encode(nextWatermarks());
+            }
+            if (!itemsWritten) {
+                return codec.encode(nextItems());
+            }
+            return codec.encode(new ProposalRecord(pending.get(nextProposal++)));
+        }
+
+        private WatermarkUpdate nextWatermarks() {
+            int from = nextWatermark;
+            nextWatermark = Math.min(from + MAX_ITEMS_PER_RECORD, watermarks.size());
+            return new WatermarkUpdate(watermarks.subList(from, nextWatermark));
+        }
+
+        private ConfigurationUpdate nextItems() {
+            int from = nextItem;
+            int bodyChars = 0;
+            while (nextItem < items.size()
+                    && nextItem - from < MAX_ITEMS_PER_RECORD
+                    && bodyChars < MAX_BODY_CHARS_PER_RECORD) {
+                bodyChars += items.get(nextItem++).body().length();
+            }
+            itemsWritten = nextItem == items.size();
+            return new ConfigurationUpdate(0, 0, complete, items.subList(from, nextItem), List.of());
+        }
+    }
+}
--- a/src/main/java/reedmux/proxy/Proxy.java
+++ b/src/main/java/reedmux/proxy/Proxy.java
@@ -27,6 +27,7 @@
 import reedmux.control.instances.CheckerIncarnation;
 import reedmux.control.instances.InstanceDirectory;
 import reedmux.control.replication.ConfigurationFollower;
+import reedmux.control.replication.ReplicationPosition;
 import reedmux.control.rpc.MessageCodec;
 import reedmux.control.rpc.Messages;
 import reedmux.control.rpc.Messages.CaughtUpNotice;
@@ -108,7 +109,7 @@
     private final RequestTracker requests;
     private final List<RpcDialer> stores = new ArrayList<>();
     private final List<RpcDialer> registries = new ArrayList<>();
-    private final Map<String, long[]> registryPositions = new HashMap<>();
+    private final Map<String, ReplicationPosition> registryPositions = new HashMap<>();
     private final UdpEndpoint peerSocket;
     private final Set<ClientConnection> clients = new LinkedHashSet<>();
     private final CheckerConnectionPool checkerConnections;
@@ -212,16 +213,18 @@
     private void pull(RpcConnection link) {
         String source = link.peer().node();
         boolean store = link.peer().program().equals("store");
-        long[] from =
-                store ? configuration.position(source) : registryPositions.getOrDefault(source, new long[] {0, 0});
-        if (from[0] == link.peer().incarnation() && link.peer().program().equals("registry")) {
+        ReplicationPosition from = store
+                ? configuration.position(source)
+                : registryPositions.getOrDefault(source, ReplicationPosition.NONE);
+        if (from.incarnation() == link.peer().incarnation()
+                && link.peer().program().equals("registry")) {
             sessions.onSourceRestored(source);
         }
         long arrived =
                 store ? configuration.snapshot().resumeFrom(source, link.peer().incarnation()) : -1;
         link.sendMessage(
                 arrived < 0
-                        ? new ChangesRequest(from[0], from[1])
+                        ? new ChangesRequest(from.incarnation(), from.change())
                         : new SnapshotChunkRequest(link.peer().incarnation(), arrived));
     }
 
@@ -248,7 +251,7 @@
             configurationConfirmed = true;
             resumeClientsAwaitingStart();
         } else if (message instanceof MembershipUpdate news) {
-            registryPositions.put(link.peer().node(), new long[] {news.incarnation(), news.upToChange()});
+            registryPositions.put(link.peer().node(), new ReplicationPosition(news.incarnation(), news.upToChange()));
             for (CheckerIncarnation life : news.instances()) {
                 if (instances.merge(life, now())) {
                     loadBalancer.onIncarnationUpdate(instances.get(life.id(), now()), now());
