--- a/src/main/java/reedmux/control/store/CoreAddresses.java
+++ b/src/main/java/reedmux/control/store/CoreAddresses.java
@@ -10,35 +10,40 @@
 import reedmux.control.consensus.CoreMembers;
 
 /**
- * The machines that serve control, by their addresses, as one process dials them: those that its seeds name
- * and that others tell of, as seeds may be old or name fewer than there are, until a store tells of the core
- * as it is agreed on. From then on who is taken out of that, and a seed that is not in it, is dropped.
+ * The IPs of the machines of the core, as one process dials them. At first these are the seeds of its settings and
+ * whatever others tell, as seeds may be old or too few; from when a store announces the core that was decided on, its
+ * members: a machine that was taken out, or a seed that is no member, is then dropped and not learned again. For one
+ * thread.
  */
 public final class CoreAddresses {
     private final String self;
+    /** All machines to dial, and this one. */
     private final Set<String> machines = new TreeSet<>();
-    /** Seeds and members, as far as we know. */
+    /** Seeds, and members as far as they are known. */
     private final Set<String> members = new TreeSet<>();
 
     private final Set<String> removed = new TreeSet<>();
+    /** Of the core that was adopted last; below 0 for none. */
     private long epoch = -1;
 
-    /** {@code member}: this machine is one of them. */
-    public CoreAddresses(ProcessSettings boot, boolean member) {
-        self = boot.ip();
-        boot.seeds().forEach(seed -> machines.add(seed.getAddress().getHostAddress()));
+    /** The seeds; {@code member}: this machine is one of the core's, whether it is a seed or not. */
+    public CoreAddresses(ProcessSettings settings, boolean member) {
+        self = settings.ip();
+        for (InetSocketAddress seed : settings.seeds()) {
+            machines.add(seed.getAddress().getHostAddress());
+        }
         members.addAll(machines);
         if (member) {
             machines.add(self);
         }
     }
 
-    /** The first core, where the system starts for the first time: its seeds. */
+    /** The first core of a system that starts for the first time: its seeds. */
     CoreMembers initialMembers() {
         return CoreMembers.initial(members);
     }
 
-    /** Takes in the core that was known when the last process ended; seeds may be newer than that. */
+    /** Adds the core that was on disk; null for none. The seeds stay, as they may be newer than that. */
     void restore(CoreMembers core) {
         if (core != null) {
             epoch = core.epoch();
@@ -47,7 +52,7 @@
         }
     }
 
-    /** Takes in the core as it was agreed on; returns whether it is news. */
+    /** Takes over a core that was decided on; returns false where that is known already, or null. */
     public boolean adopt(CoreMembers core) {
         if (core == null || core.epoch() <= epoch) {
             return false;
@@ -62,39 +67,40 @@
         return true;
     }
 
-    /** Whether a machine was taken out. */
+    /** Whether a machine was taken out of the core. */
     public boolean isRemoved(InetSocketAddress machine) {
         return removed.contains(machine.getAddress().getHostAddress());
     }
 
-    /** All of them, to be told to others. */
+    /** The IPs of all machines, to be told to others. */
     public List<String> machines() {
         return new ArrayList<>(machines);
     }
 
-    /** Where the others are reached at a port. */
+    /** The addresses of all machines but this one, at a port. */
     public List<InetSocketAddress> others(int port) {
         return toAddresses(machines, port);
     }
 
-    /** Takes in those that somebody tells of; returns where those that are news are reached at a port. */
-    public List<InetSocketAddress> learn(List<String> told, int port) {
-        List<String> news = new ArrayList<>();
-        for (String machine : told) {
-            if (SocketAddresses.parse(machine + ":1") != null && !removed.contains(machine) && machines.add(machine)) {
-                news.add(machine);
+    /** Adds machines that a peer tells of; returns the addresses of those that were not known, at a port. */
+    public List<InetSocketAddress> learn(List<String> ips, int port) {
+        List<String> added = new ArrayList<>();
+        for (String ip : ips) {
+            boolean isAddress = SocketAddresses.parse(ip + ":1") != null;
+            if (isAddress && !removed.contains(ip) && machines.add(ip)) {
+                added.add(ip);
             }
         }
-        return toAddresses(news, port);
+        return toAddresses(added, port);
     }
 
-    private List<InetSocketAddress> toAddresses(Iterable<String> some, int port) {
-        List<InetSocketAddress> all = new ArrayList<>();
-        for (String machine : some) {
-            if (!machine.equals(self)) {
-                all.add(SocketAddresses.parse(machine + ':' + port));
+    private List<InetSocketAddress> toAddresses(Iterable<String> ips, int port) {
+        List<InetSocketAddress> addresses = new ArrayList<>();
+        for (String ip : ips) {
+            if (!ip.equals(self)) {
+                addresses.add(SocketAddresses.parse(ip + ':' + port));
             }
         }
-        return all;
+        return addresses;
     }
 }
--- a/src/main/java/reedmux/control/store/StoreStatus.java
+++ b/src/main/java/reedmux/control/store/StoreStatus.java
@@ -15,144 +15,171 @@
 import reedmux.control.replication.Replica;
 import reedmux.control.rpc.Messages.StoreStatusRequest;
 
-/** What an operator is shown of one store: what it knows, as of when, and whether a quorum is in touch. */
+/**
+ * What an operator is shown of one store, as JSON: what it knows, as of when, and whether a quorum is reachable. The keys
+ * and their values are an interface of the command line, and stay as they are.
+ */
 final class StoreStatus {
     private static final long MICROS_PER_MILLI = 1000;
-    /** So much of items' text goes into one answer. */
+    /** A page of items ends with the one whose body takes the text beyond this. */
     private static final int MAX_BODY_CHARS = 1024 * 1024;
 
-    private final ProcessSettings boot;
+    private final ProcessSettings settings;
     private final long incarnation;
-    private final ConsensusNode agreement;
+    private final ConsensusNode consensus;
     private final CoreMembership membership;
     private final Replica replica;
-    private final Map<String, Long> lastHeardAt;
+    private final Map<String, Long> lastReceivedMicros;
     private final long quorumConnectedAt;
     private final long now;
 
-    /** {@code lastHeardAt}: when each of the others with which a link stands was heard last. */
+    /**
+     * The status as of {@code now}. Times are microseconds of the reactor's clock.
+     *
+     * @param lastReceivedMicros when each reachable peer was last heard, by its IP
+     * @param quorumConnectedAt when connections with a quorum were last established; below 0 for never
+     */
     StoreStatus(
-            ProcessSettings boot,
+            ProcessSettings settings,
             long incarnation,
-            ConsensusNode agreement,
+            ConsensusNode consensus,
             CoreMembership membership,
             Replica replica,
-            Map<String, Long> heard,
-            long linkedAt,
+            Map<String, Long> lastReceivedMicros,
+            long quorumConnectedAt,
             long now) {
-        this.boot = boot;
+        this.settings = settings;
         this.incarnation = incarnation;
-        this.agreement = agreement;
+        this.consensus = consensus;
         this.membership = membership;
         this.replica = replica;
-        this.lastHeardAt = heard;
-        this.quorumConnectedAt = linkedAt;
+        this.lastReceivedMicros = lastReceivedMicros;
+        this.quorumConnectedAt = quorumConnectedAt;
         this.now = now;
     }
 
-    /** {@code reached}: a quorum has answered since {@code begun}. */
-    String toJson(StoreStatusRequest show, boolean reached, long begun) {
+    /**
+     * The answer to a request.
+     *
+     * @param quorumReached whether a quorum has confirmed contact since {@code receivedAt}, when the request came
+     */
+    String toJson(StoreStatusRequest request, boolean quorumReached, long receivedAt) {
         Map<String, Object> all = new LinkedHashMap<>();
-        all.put("node", boot.node());
-        all.put("ip", boot.ip());
+        all.put("node", settings.node());
+        all.put("ip", settings.ip());
         all.put("incarnation", Long.toHexString(incarnation));
-        all.put("majority", reached);
-        all.put(
-                "ageMs",
-                reached ? (Long) ((now - begun) / MICROS_PER_MILLI) : ageMillis(agreement.lastQuorumContactAt()));
+        all.put("majority", quorumReached);
+        all.put("ageMs", ageMillis(quorumReached ? receivedAt : consensus.lastQuorumContactAt()));
         all.put("linkedMs", ageMillis(quorumConnectedAt));
         all.put("epoch", membership.epoch());
         all.put("member", membership.isMember());
-        all.put("whole", agreement.isComplete());
+        all.put("whole", consensus.isComplete());
         all.put("fenced", membership.isFenced());
-        switch (show.subject()) {
+        switch (request.subject()) {
             case "Core" -> all.put("entries", memberEntries());
             case "Duties" -> all.put("entries", List.of(coreChangesRoleEntry()));
-            case "Items" -> addItems(all, show.afterName(), show.limit());
+            case "Items" -> addItems(all, request.afterName(), request.limit());
             default -> {}
         }
         return ItemJson.write(all);
     }
 
-    /** How long ago that was in milliseconds; null for never. */
+    /** How long ago a time was; null where it is below 0, which means never. */
     private Long ageMillis(long at) {
-        return at < 0 ? null : (Long) ((now - at) / MICROS_PER_MILLI);
+        return at < 0 ? null : Long.valueOf((now - at) / MICROS_PER_MILLI);
     }
 
+    /** The members of the core. */
     private List<Object> memberEntries() {
         List<Object> entries = new ArrayList<>();
         CoreMembers core = membership.core();
         if (core != null) {
             for (Map.Entry<String, String> member : core.nodeNames().entrySet()) {
                 Map<String, Object> entry = new LinkedHashMap<>();
-                boolean self = member.getKey().equals(boot.ip());
-                Long at = lastHeardAt.get(member.getKey());
+                boolean self = member.getKey().equals(settings.ip());
+                Long lastReceived = lastReceivedMicros.get(member.getKey());
                 entry.put("node", member.getValue());
                 entry.put("ip", member.getKey());
-                entry.put("linked", self || at != null);
-                entry.put("heardMs", self ? (Long) 0L : at == null ? null : ageMillis(at));
+                entry.put("linked", self || lastReceived != null);
+                entry.put("heardMs", self ? Long.valueOf(0) : lastReceived == null ? null : ageMillis(lastReceived));
                 entries.add(entry);
             }
         }
         return entries;
     }
 
+    /** The leader, which makes changes of the core. */
     private Map<String, Object> coreChangesRoleEntry() {
-        CoreMembership.CoreLeader duty = membership.leader();
+        CoreMembership.CoreLeader leader = membership.leader();
         Map<String, Object> entry = new LinkedHashMap<>();
         entry.put("duty", "core changes");
-        entry.put("holder", duty.ip());
+        entry.put("holder", leader.ip());
         entry.put(
                 "node",
-                membership.core() == null ? "" : membership.core().nodeNames().getOrDefault(duty.ip(), ""));
-        entry.put("epoch", duty.epoch());
-        entry.put("sinceMs", ageMillis(duty.since()));
+                membership.core() == null ? "" : membership.core().nodeNames().getOrDefault(leader.ip(), ""));
+        entry.put("epoch", leader.epoch());
+        entry.put("sinceMs", ageMillis(leader.since()));
         entry.put("here", membership.isLeader());
         return entry;
     }
 
-    private void addItems(Map<String, Object> all, String after, int limit) {
-        TreeMap<String, ConfigurationItem> page = new TreeMap<>();
+    /** One page of the committed items, in the order of their keys, and the pending proposals. */
+    private void addItems(Map<String, Object> all, String afterKey, int limit) {
+        List<Object> entries = new ArrayList<>();
+        String lastKey = null;
+        String nextAfter = null;
+        int bodyChars = 0;
+        for (ConfigurationItem item : firstItems(afterKey, limit + 1)) {
+            if (entries.size() == limit || bodyChars > MAX_BODY_CHARS) {
+                nextAfter = lastKey;
+                break;
+            }
+            entries.add(itemEntry(item));
+            bodyChars += item.body().length();
+            lastKey = item.key();
+        }
+        all.put("change", replica.lastChange());
+        all.put("total", replica.committed().size());
+        all.put("held", pendingEntries(limit));
+        all.put("entries", entries);
+        all.put("next", nextAfter);
+    }
+
+    /** The first {@code count} items behind a key. */
+    private Iterable<ConfigurationItem> firstItems(String afterKey, int count) {
+        TreeMap<String, ConfigurationItem> first = new TreeMap<>();
         for (ConfigurationItem item : replica.committed()) {
-            if (item.key().compareTo(after) > 0) {
-                page.put(item.key(), item);
-                if (page.size() > limit + 1) {
-                    page.pollLastEntry();
+            if (item.key().compareTo(afterKey) > 0) {
+                first.put(item.key(), item);
+                if (first.size() > count) {
+                    first.pollLastEntry();
                 }
             }
         }
+        return first.values();
+    }
+
+    private static Map<String, Object> itemEntry(ConfigurationItem item) {
+        Map<String, Object> entry = new LinkedHashMap<>();
+        entry.put("kind", item.kind());
+        entry.put("name", item.name());
+        entry.put("revision", item.revision());
+        entry.put("dropped", item.isDeleted());
+        entry.put("body", item.body());
+        return entry;
+    }
+
+    private List<Object> pendingEntries(int limit) {
         List<Object> entries = new ArrayList<>();
-        String last = null;
-        String more = null;
-        int text = 0;
-        for (ConfigurationItem item : page.values()) {
-            if (entries.size() == limit || text > MAX_BODY_CHARS) {
-                more = last;
+        for (Proposal proposal : replica.pending().values()) {
+            if (entries.size() == limit) {
                 break;
             }
             Map<String, Object> entry = new LinkedHashMap<>();
-            entry.put("kind", item.kind());
-            entry.put("name", item.name());
-            entry.put("revision", item.revision());
-            entry.put("dropped", item.isDeleted());
-            entry.put("body", item.body());
+            entry.put("call", proposal.id());
+            entry.put("items", proposal.items().size());
             entries.add(entry);
-            text += item.body().length();
-            last = item.key();
         }
-        List<Object> held = new ArrayList<>();
-        for (Proposal proposal : replica.pending().values()) {
-            if (held.size() < limit) {
-                Map<String, Object> call = new LinkedHashMap<>();
-                call.put("call", proposal.id());
-                call.put("items", proposal.items().size());
-                held.add(call);
-            }
-        }
-        all.put("change", replica.lastChange());
-        all.put("total", replica.committed().size());
-        all.put("held", held);
-        all.put("entries", entries);
-        all.put("next", more);
+        return entries;
     }
 }
--- a/src/main/java/reedmux/control/store/package-info.java
+++ b/src/main/java/reedmux/control/store/package-info.java
@@ -1,4 +1,7 @@
 /**
- * The program that keeps the configuration on disk and, with its like, decides on the operator's calls.
+ * The store program ({@link reedmux.control.store.StoreServer}): it keeps the configuration on disk ({@link
+ * reedmux.control.store.ReplicaStorage}), decides with the other stores on changes, and publishes what is committed
+ * ({@link reedmux.control.store.ChangePublisher}). Sockets, timers and the protocol's state belong to the reactor's
+ * thread; one more thread waits for the disk.
  */
 package reedmux.control.store;
--- a/src/test/java/reedmux/common/eventloop/ScriptedEnvironment.java
+++ b/src/test/java/reedmux/common/eventloop/ScriptedEnvironment.java
@@ -14,8 +14,11 @@
 import reedmux.common.disk.Volume;
 import reedmux.common.logging.RingBufferLogger;
 
-/** Sockets whose other side is a test: each step of theirs is one call, and time stands still between. */
-public final class ScriptedEnvironment implements Environment {
+/**
+ * Sockets whose other side is a test: each step of theirs is one call, and time stands still between. A subclass may
+ * add a disk.
+ */
+public class ScriptedEnvironment implements Environment {
     /** Connections that were opened or accepted, in their order. */
     public final List<ScriptedSocket> sockets = new ArrayList<>();
 
@@ -25,10 +28,16 @@
 
     private final Deque<Runnable> tasks = new ArrayDeque<>();
     private final Reactor reactor;
-    private long now = 1_000_000;
+    private long now;
 
     public ScriptedEnvironment() {
-        reactor = new Reactor(new RingBufferLogger("test", 50, logLines::add, () -> now * 1000), this);
+        this(1_000_000);
+    }
+
+    /** Begins at a time, in microseconds. */
+    protected ScriptedEnvironment(long now) {
+        this.now = now;
+        reactor = new Reactor(new RingBufferLogger("test", 50, logLines::add, () -> this.now * 1000), this);
     }
 
     public Reactor reactor() {
@@ -191,6 +200,11 @@
         }
     }
 
+    /** Time passes, and the reactor does not run: it sees that in its next turn. */
+    public final void advanceClockMicros(long micros) {
+        now += micros;
+    }
+
     @Override
     public void execute(Runnable task) {
         tasks.add(task);
--- a/src/test/java/reedmux/control/registry/RegistryFixtures.java
+++ b/src/test/java/reedmux/control/registry/RegistryFixtures.java
@@ -3,7 +3,6 @@
 import java.nio.file.Path;
 import java.util.List;
 import reedmux.common.disk.FileSystemVolume;
-import reedmux.common.eventloop.Reactor;
 import reedmux.control.instances.CheckerIncarnation;
 import reedmux.control.instances.InstanceDirectory;
 import reedmux.control.rpc.MessageCodec;
@@ -33,21 +32,15 @@
     static final class Life {
         final DiskEnvironment environment;
         final InstanceDirectory fleet = new InstanceDirectory();
-        private final Reactor reactor;
 
         Life(Path folder) {
             environment = new DiskEnvironment(new FileSystemVolume(folder));
-            reactor = environment.reactor();
-            new IncarnationStorage(folder, reactor, new MessageCodec(), fleet);
+            new IncarnationStorage(folder, environment.reactor(), new MessageCodec(), fleet);
         }
 
         void keep() {
-            environment.now += LATER_MICROS;
-            reactor.runOnce();
-            while (!environment.diskTasks.isEmpty()) {
-                environment.diskTasks.poll().run();
-                reactor.runOnce();
-            }
+            environment.advanceClockMicros(LATER_MICROS);
+            environment.runUntilIdle();
         }
     }
 
--- a/src/test/java/reedmux/control/store/DiskEnvironment.java
+++ b/src/test/java/reedmux/control/store/DiskEnvironment.java
@@ -1,51 +1,40 @@
 package reedmux.control.store;
 
-import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Deque;
-import java.util.List;
 import java.util.concurrent.Executor;
 import reedmux.common.disk.Volume;
-import reedmux.common.eventloop.Environment;
-import reedmux.common.eventloop.Reactor;
-import reedmux.common.logging.RingBufferLogger;
+import reedmux.common.eventloop.ScriptedEnvironment;
 
-/** A process that has a disk and a clock and nothing else; its disk's tasks run when the test says so. */
-public final class DiskEnvironment implements Environment {
-    private final Volume volume;
-    private final Deque<Runnable> reactorTasks = new ArrayDeque<>();
+/** A scripted environment with a disk, whose tasks run when the test says so. */
+public final class DiskEnvironment extends ScriptedEnvironment {
+    /** What the process has given to the thread of its disk, the oldest first. */
     public final Deque<Runnable> diskTasks = new ArrayDeque<>();
-    public final List<String> logLines = new ArrayList<>();
-    public long now;
 
+    private final Volume volume;
+
+    /** Its clock begins at 0. */
     public DiskEnvironment(Volume volume) {
+        super(0);
         this.volume = volume;
     }
 
-    public Reactor reactor() {
-        return new Reactor(new RingBufferLogger("store", 10, logLines::add, () -> now * 1000), this);
-    }
-
-    @Override
-    public long now() {
-        return now;
-    }
-
-    @Override
-    public long newIncarnationId() {
-        return 1;
+    /** Runs the oldest task of the disk, if there is one, and what the reactor is told of it. */
+    public void runDiskTask() {
+        Runnable task = diskTasks.poll();
+        if (task != null) {
+            task.run();
+        }
+        runReactorOnce();
     }
 
-    @Override
-    public void execute(Runnable task) {
-        reactorTasks.add(task);
-    }
-
-    @Override
-    public Runnable pollTask() {
-        return reactorTasks.poll();
+    /** Runs the reactor and the disk until neither has anything to do. */
+    public void runUntilIdle() {
+        runReactorOnce();
+        while (!diskTasks.isEmpty()) {
+            runDiskTask();
+        }
     }
 
     @Override
@@ -54,32 +43,7 @@
     }
 
     @Override
-    public Executor newWorker(String name, int most) {
+    public Executor newWorker(String name, int maxQueued) {
         return diskTasks::add;
     }
-
-    @Override
-    public TcpSocket connect(InetSocketAddress to, InetSocketAddress local) {
-        throw new UnsupportedOperationException();
-    }
-
-    @Override
-    public TcpServerSocket listen(InetSocketAddress at, int backlog) {
-        throw new UnsupportedOperationException();
-    }
-
-    @Override
-    public UdpSocket bindDatagram(InetSocketAddress at) {
-        throw new UnsupportedOperationException();
-    }
-
-    @Override
-    public void awaitReadiness(long until) {
-        throw new UnsupportedOperationException();
-    }
-
-    @Override
-    public void close() {
-        // nothing is held
-    }
 }
--- a/src/test/java/reedmux/control/store/StoreFixtures.java
+++ b/src/test/java/reedmux/control/store/StoreFixtures.java
@@ -6,7 +6,6 @@
 import java.util.List;
 import java.util.Map;
 import reedmux.common.disk.FileSystemVolume;
-import reedmux.common.eventloop.Reactor;
 import reedmux.control.configuration.ConfigurationItem;
 import reedmux.control.consensus.Ballot;
 import reedmux.control.consensus.CoreMembers;
@@ -77,22 +76,12 @@
         final boolean complete;
         private final Replica replica = new Replica();
         private final ReplicaStorage storage;
-        private final Reactor reactor;
 
         Life(Path folder, boolean firstStart) {
             environment = new DiskEnvironment(new FileSystemVolume(folder));
-            reactor = environment.reactor();
-            storage = new ReplicaStorage(folder, reactor, new MessageCodec(), replica);
+            storage = new ReplicaStorage(folder, environment.reactor(), new MessageCodec(), replica);
             complete = storage.load(firstStart, CORE);
-            settle();
-        }
-
-        private void settle() {
-            reactor.runOnce();
-            while (!environment.diskTasks.isEmpty()) {
-                environment.diskTasks.poll().run();
-                reactor.runOnce();
-            }
+            environment.runUntilIdle();
         }
 
         private static void written(boolean safe) {
@@ -160,15 +149,15 @@
         life.decide(DROPPED_CALL, false);
         life.merge(DROPPED);
         life.mark(List.of(TAKEN, FLOOR));
-        life.settle();
+        life.environment.runUntilIdle();
         life.storage.compact();
-        life.settle();
+        life.environment.runUntilIdle();
         life.merge(NEW_ROUTE);
         life.decide(PRECOMMITTED, true);
         life.mark(List.of(LATE_MARK));
         life.storage.persistCore(SECOND_GENERATION.core, Life::written);
         life.hold(LAST);
-        life.settle();
+        life.environment.runUntilIdle();
         return life.digests();
     }
 }
