--- a/src/main/java/reedmux/common/quota/HeapCounter.java
+++ b/src/main/java/reedmux/common/quota/HeapCounter.java
@@ -1,26 +1,31 @@
 package reedmux.common.quota;
 
 /**
- * One customer's counters at one member of DESIGN's heap: one for each neighbour, of what that has still to
- * be told, and {@code localCount}, of what is used over all members. What one neighbour tells enters all
- * counters but the one facing it. Shared by the gatekeeper and the proxy; pure.
+ * The counters of one customer at one member of a quota heap. The members form a binary heap by their index, so that
+ * each has a parent and two children at most, and the links between them form a tree of degree three.
+ *
+ * <p>There are four counters: {@code localCount}, of all units that this member knows to be used anywhere, and one for
+ * each neighbour, of units that it has still to be sent. A unit that is used here enters all four; a unit that a
+ * neighbour sends enters all but the one that faces it. As a tree has no cycles, every member counts each unit once.
+ *
+ * <p>Shared by the gatekeeper and the proxy. Deterministic; for one thread.
  */
 public class HeapCounter {
-    /** In place of a neighbour: what comes from ourselves. */
+    /** In place of a neighbour's index: units that were used at this member. */
     public static final int LOCAL = -2;
-    /** A number beyond all members, for one that is none any more. */
+    /** Parent, left child and right child, which is the order of their slots. */
+    public static final int NEIGHBOUR_COUNT = 3;
+    /** Beyond all indexes: stands for a neighbour that has left, until the counters are rewired. */
     private static final int DEPARTED_INDEX = 1_000_000;
 
-    private static final int NEIGHBOUR_COUNT = 3;
-
-    /** The numbers of parent, left and right, each below nought where there is none. */
+    /** The members' indexes of parent, left and right child, each -1 where there is none. */
     public int[] neighbours = {-1, -1, -1};
-    /** What each of them has still to be told. */
+    /** By slot, the units that the neighbour has still to be sent. */
     public double[] pending = new double[NEIGHBOUR_COUNT];
-
+    /** All units that are known here and have not drained; never below zero after a drain. */
     public double localCount;
 
-    /** Adds to all counters but the one facing {@code from}. */
+    /** Counts units and queues them for all neighbours but {@code from}, an index or {@link #LOCAL}. */
     public void add(double units, int from) {
         localCount += units;
         for (int i = 0; i < NEIGHBOUR_COUNT; i++) {
@@ -28,52 +33,58 @@
         }
     }
 
-    /** Counts what goes no further. */
+    /** Counts units without queueing them for any neighbour. */
     public void addWithoutForwarding(double units) {
         localCount += units;
     }
 
-    /** What has drained; never below nought. */
+    /** Takes units off the count, down to zero. */
     public void drain(double units) {
         localCount = Math.max(0, localCount - units);
     }
 
-    /** Somebody who knows more counts so much. */
+    /** Raises the count to that of a member that knows more. */
     public void raiseTo(double count) {
         localCount = Math.max(localCount, count);
     }
 
-    /** No more is counted than that. */
+    /** Lowers the count to a maximum; what is queued for neighbours stays. */
     public void capAt(double count) {
         localCount = Math.min(localCount, count);
     }
 
+    /** All units that are known here and have not drained. */
     public double localCount() {
         return localCount;
     }
 
-    /** Takes all that a neighbour has still to be told. */
+    /** Removes and returns all units that wait for a neighbour. */
     public double takePending(int slot) {
         double units = pending[slot];
         pending[slot] = 0;
         return units;
     }
 
-    /** Nobody is told what waits. */
+    /** Drops what waits for all neighbours. */
     public void clearPending() {
         pending = new double[NEIGHBOUR_COUNT];
     }
 
+    /** The index of the neighbour in a slot, -1 for none. */
     public int neighbour(int slot) {
         return neighbours[slot];
     }
 
-    /** The link that leads to a member, or -1. */
+    /** The slot of a member that is a neighbour, else -1. */
     public int slotOf(int peer) {
         return neighbours[0] == peer ? 0 : neighbours[1] == peer ? 1 : neighbours[2] == peer ? 2 : -1;
     }
 
-    /** The members are numbered anew: {@code next} has the new number of each neighbour, -1 if it left. */
+    /**
+     * Follows a change of the members' indexes; {@link #rewire} is to be called next.
+     *
+     * @param next by slot, the neighbour's new index, -1 if it left
+     */
     public void renumber(int[] next) {
         for (int i = 0; i < NEIGHBOUR_COUNT; i++) {
             neighbours[i] = neighbours[i] < 0 ? -1 : next[i] < 0 ? DEPARTED_INDEX + i : next[i];
@@ -81,27 +92,30 @@
     }
 
     /**
-     * Carries the counters over to new neighbours; what waited for former ones waits for the new. Of what
-     * waited for two that went at once most is the same units, and counts once.
+     * Carries the counters over to new neighbours. Units that wait for a member that stays a neighbour go on waiting
+     * for it; units that waited for one that is none any more wait for each new neighbour instead. Where two went at
+     * once, most of what waited for both is the same units, so the larger amount stands for both.
+     *
+     * @param next by slot, the new neighbour's index, -1 for none
      */
     public void rewire(int[] next) {
         int[] old = neighbours;
-        double[] oldTo = pending;
+        double[] oldPending = pending;
         neighbours = next.clone();
         pending = new double[NEIGHBOUR_COUNT];
         double stranded = 0;
         for (int i = 0; i < NEIGHBOUR_COUNT; i++) {
-            if (old[i] >= 0 && slotOf(old[i]) < 0 && Math.abs(oldTo[i]) > Math.abs(stranded)) {
-                stranded = oldTo[i];
+            if (old[i] >= 0 && slotOf(old[i]) < 0 && Math.abs(oldPending[i]) > Math.abs(stranded)) {
+                stranded = oldPending[i];
             }
         }
         for (int i = 0; i < NEIGHBOUR_COUNT; i++) {
             int before = slotIn(old, neighbours[i]);
-            pending[i] = neighbours[i] < 0 ? 0 : before >= 0 ? oldTo[before] : stranded;
+            pending[i] = neighbours[i] < 0 ? 0 : before >= 0 ? oldPending[before] : stranded;
         }
     }
 
-    /** The link that led to a member before, or -1. */
+    /** The slot in which {@code old} has a member, or -1. */
     public static int slotIn(int[] old, int peer) {
         return peer < 0 ? -1 : peer == old[0] ? 0 : peer == old[1] ? 1 : peer == old[2] ? 2 : -1;
     }
--- a/src/main/java/reedmux/proxy/quota/QuotaTracker.java
+++ b/src/main/java/reedmux/proxy/quota/QuotaTracker.java
@@ -11,56 +11,74 @@
 import reedmux.control.session.SessionView;
 
 /**
- * The tenants' counts at one proxy: DESIGN's heap over all members, with four counters a tenant, a periodic
- * send and reset, a count that drains at the quota's rate, and refusal on arrival past the burst. What is
- * told to a neighbour is a running total for that link in that view, so that a lost message heals with the
- * next and a repeated one changes nothing. Pure; times are microseconds.
+ * Admits the requests of tenants at one proxy, as one of many that enforce each quota together.
+ *
+ * <p>The members of the session view form a binary heap, so that each has at most three neighbours. A proxy keeps four
+ * counters a tenant: one for each neighbour, of units that it has still to be sent, and one of all units that are
+ * counted anywhere. A unit that comes from one neighbour enters the counters that face the other two, and so crosses
+ * the heap once and reaches every member.
+ *
+ * <ol>
+ *   <li>Admission: a request passes while its unit fits into the burst; the count drains at the quota's rate, as a
+ *       leaky bucket.
+ *   <li>Exchange: periodically each neighbour is sent what waits for it, as a running total of its link in the view. A
+ *       lost datagram is made good by the next one, and a repeated one changes nothing.
+ *   <li>Partition: a proxy uses the fraction of the rate that belongs to the members it can reach, and sets the others'
+ *       part of the burst aside, until the view changes or they are heard again.
+ * </ol>
+ *
+ * <p>Deterministic: it is told the time, in microseconds, and returns what is to be sent. For one thread.
  */
 public final class QuotaTracker {
-    /** How often the counters are sent while nobody is near its burst, and while somebody is. */
+    /** Between two sends. Shorter keeps the counts closer to each other and costs datagrams. */
     private static final long SEND_INTERVAL_MICROS = 50_000;
-
+    /** The same while some tenant is near its burst, where late counts let too much through. */
     private static final long FAST_SEND_INTERVAL_MICROS = 20_000;
+    /** The fraction of a burst from which sends are fast: lower means more datagrams for tenants far from a limit. */
     private static final double NEAR_BURST_FRACTION = 0.1;
+    /**
+     * The fraction of a burst from which an unheard neighbour is given up soon: lower gives up part of the quota for
+     * links that are only busy, higher lets both sides of a partition use all of it for longer.
+     */
     private static final double SURGE_BURST_FRACTION = 0.3;
-    /** What a message takes from one member to the next at the most, but for its waiting to be sent. */
+    /** The longest that a datagram is on its way to a neighbour, without waiting for its send. */
     private static final long MAX_TRANSIT_MICROS = 20_000;
 
     private static final double MICROS_PER_SECOND = 1e6;
-    /** A total is told so often after its last change, as datagrams are lost now and then. */
-    private static final int SENDS_PER_CHANGE = 3;
     /**
-     * Of the burst, the most that is ever counted: what was let through too much, as counts are late where
-     * proxies or links are busy, is paid back within a few seconds, and no longer.
+     * The most that is ever counted, in bursts. Counts are late where proxies or links are busy, and what was admitted
+     * too much is paid back by refusing more: higher pays back all of it, lower refuses for a shorter time.
      */
     private static final double MAX_COUNT_BURSTS = 3.5;
-    /** How often a neighbour hears from us without news: usually, and while a tenant is near its burst. */
-    private static final long HEARTBEAT_INTERVAL_MICROS = 200_000;
-
-    private static final long FAST_HEARTBEAT_INTERVAL_MICROS = 40_000;
-    /** A neighbour that says nothing for so long is cut off, with all who are behind it. */
-    private static final long NEIGHBOUR_TIMEOUT_MICROS = 500_000;
-
-    private static final long FAST_NEIGHBOUR_TIMEOUT_MICROS = 160_000;
     /**
-     * The same by how long a count takes to cross the heap: so much of a surge is let through before all know
-     * of it, and if it were forgotten it would not be paid back.
+     * The same beyond one burst, in propagation times at the quota's rate: as much of a surge is admitted before all
+     * members know of it, and what is not counted is not paid back.
      */
     private static final double MAX_COUNT_PROPAGATION_TIMES = 3;
-    /** How long a member that went away may still go on by itself with its part. */
+    /** Between two updates to a neighbour where there is nothing to report. */
+    private static final long HEARTBEAT_INTERVAL_MICROS = 200_000;
+    /** The same while some tenant is near its burst; several of them fit into a neighbour's short timeout. */
+    private static final long FAST_HEARTBEAT_INTERVAL_MICROS = 40_000;
+    /** How long a member that left the view may still serve clients, with its share of the rate. */
     private static final long DEPARTED_RETENTION_MICROS = 10_000_000;
-    /** Without a registry we go on as a member only as long as others tell us as one. */
+    /** Without a registry this proxy counts as a member only while others of its view send to it. */
     private static final long VIEW_CONTACT_TIMEOUT_MICROS = 300_000;
-    /** Of the burst, what a tenant has used as far as a restarted process can know. */
+    /**
+     * The fraction of a burst that a restarted proxy takes as used: more refuses requests that had room, less admits
+     * once more what it admitted before its restart.
+     */
     private static final double RESTART_USED_FRACTION = 0.2;
+    /** The least rate by which a wait is computed, in requests a second. */
+    private static final double MIN_RATE_FOR_WAIT = 0.01;
 
     /**
-     * What one member tells a neighbour.
+     * What one member sends to a neighbour.
      *
-     * @param life       drawn at the start of its process
-     * @param generation rises whenever its totals begin anew, as with each of its views, also one that
-     *                   comes back
-     * @param reach      how many members it can reach without the receiver, itself among them
+     * @param sender           the sender's node
+     * @param incarnation      drawn at the start of the sender's process
+     * @param generation       rises with each view of the sender, whose totals then begin at zero
+     * @param viewTag          the digest of the sender's view
+     * @param reachableMembers how many members the sender reaches without the receiver, itself included
      */
     public record QuotaUpdate(
             String sender,
@@ -70,70 +88,54 @@
             int reachableMembers,
             ArrayList<TenantTotal> entries) {}
 
-    /** {@code counterOf} is below nought unless the receiver is new and is told what the sender counts. */
+    /**
+     * One tenant's entry.
+     *
+     * @param total       the units that the link has carried in this generation
+     * @param senderCount what the sender counts, for a receiver that is new; else below zero
+     */
     public record TenantTotal(String tenant, double total, double senderCount) {}
 
-    /** Where a packet goes. */
+    /** An update and the index in the view of the member that it goes to. */
     public record OutgoingUpdate(int receiver, QuotaUpdate update) {}
 
-    private static final class TenantCounter extends HeapCounter {
-        private double rate;
-        private double burst;
-        private final double[] linkTotals = new double[3];
-        private final int[] sendsLeft = new int[3];
-        private long drainedAt;
-        private long seenAt;
-        private double admittedAtStart;
-        /** Of the burst, what is left to those that we cannot reach, in this view and in those before it. */
-        private double reservedForUnreachable;
-
-        private double reservedInFormerViews;
-        /** What did not drain since then for the sake of those that we cannot reach. */
-        private double deferredDrain;
-    }
-
-    /** The totals of one sender's last generation; {@code ended}: its incarnation before this one. */
-    private record SenderTotals(
-            long incarnation, long generation, long previousIncarnation, Map<String, Double> totals) {}
-
     private final String self;
+    private final long incarnation;
     private final boolean restarted;
     private final long startedAt;
     private final Map<String, TenantCounter> counters = new LinkedHashMap<>();
-    /** Totals heard, by the sender's node. */
-    private final Map<String, SenderTotals> receivedTotals = new HashMap<>();
+    private final ReceivedTotals receivedTotals = new ReceivedTotals();
+    private final HeapNeighbours neighbours = new HeapNeighbours();
+    /** The members that left the view, and when. */
+    private final Map<String, Long> departedMembers = new HashMap<>();
 
-    private final long incarnation;
     private long generation;
     private SessionView view = SessionView.of(List.of());
     private int selfIndex = -1;
     private long viewChangedAt;
-    /** By link: when we said and heard something last, and how many the other side can reach. */
-    private final long[] lastSentAt = new long[3];
-
-    private final long[] lastHeardAt = new long[3];
-    private final int[] reachableBehind = new int[3];
-    private final boolean[] timedOut = new boolean[3];
-    /** Whether a tenant has used so much that a silent neighbour matters at once, and since when. */
-    private boolean surge;
-
-    private long surgeSince;
     private int reachableMembers = 1;
     private boolean registriesUnreachable;
-    /** When somebody with our view told us something last. */
+    /** When a member of the same view was last heard. */
     private long viewContactAt;
 
-    private final Map<String, Long> departedMembers = new HashMap<>();
-
-    /** {@code incarnation}: of this process; {@code restarted}: others may remember what we no longer do. */
-    public QuotaTracker(String self, long life, boolean restarted, long now) {
+    /**
+     * A tracker without a view.
+     *
+     * @param self        this proxy's node
+     * @param incarnation of this process
+     * @param restarted   whether an earlier process of the node may have admitted requests shortly before
+     * @param now         in microseconds
+     */
+    public QuotaTracker(String self, long incarnation, boolean restarted, long now) {
         this.self = self;
-        this.incarnation = life;
+        this.incarnation = incarnation;
         this.restarted = restarted;
         startedAt = now;
     }
 
-    /** The members have changed. */
+    // ---- Members and their reachability ------------------------------------------------------------
+
+    /** Takes over the members as they are now; a view that is the same changes nothing. */
     public void onViewChange(SessionView next, long now) {
         if (next.digest() == view.digest() && next.size() == view.size()) {
             return;
@@ -142,316 +144,252 @@
         view = next;
         selfIndex = next.indexOf(self);
         viewChangedAt = now;
-        surgeSince = now;
-        int[] links = view.heapNeighbours(selfIndex);
-        for (int i = 0; i < 3; i++) {
-            lastHeardAt[i] = now;
-            timedOut[i] = false;
-            lastSentAt[i] = 0;
-            reachableBehind[i] =
-                    links[i] < 0 ? 0 : i == 0 ? memberCount() - subtreeSize(selfIndex) : subtreeSize(links[i]);
-        }
-        reachableMembers = memberCount();
+        neighbours.onViewChange(next, selfIndex, now);
+        reachableMembers = neighbours.memberCount();
         generation++;
         before.members().stream()
                 .filter(member -> next.indexOf(member.node()) < 0)
                 .forEach(member -> departedMembers.put(member.node(), now));
         next.members().forEach(member -> departedMembers.remove(member.node()));
-        counters.values().forEach(count -> rewireCounter(count, before));
+        counters.values().forEach(counter -> rewire(counter, before));
     }
 
-    /** Links begin anew; what waits to be told to a member that is still a neighbour goes on waiting. */
-    private void rewireCounter(TenantCounter count, SessionView before) {
-        int[] was = new int[3];
-        for (int i = 0; i < 3; i++) {
-            int old = count.neighbour(i);
-            was[i] = old < 0 || old >= before.size()
-                    ? -1
-                    : view.indexOf(before.member(old).node());
+    private void rewire(TenantCounter counter, SessionView before) {
+        int[] renumbered = new int[HeapNeighbours.COUNT];
+        for (int link = 0; link < HeapNeighbours.COUNT; link++) {
+            int index = counter.neighbour(link);
+            boolean known = index >= 0 && index < before.size();
+            renumbered[link] = known ? view.indexOf(before.member(index).node()) : -1;
         }
-        count.renumber(was);
-        count.rewire(view.heapNeighbours(selfIndex));
-        // What another part of a former view has used it does not tell in this one.
-        count.reservedInFormerViews = Math.max(count.reservedInFormerViews, count.reservedForUnreachable);
-        count.reservedForUnreachable = 0;
-        count.deferredDrain = 0;
-        java.util.Arrays.fill(count.linkTotals, 0);
-        java.util.Arrays.fill(count.sendsLeft, 0);
+        counter.onViewChange(renumbered, neighbours.indexes());
     }
 
-    /** Whether no registry can be heard. */
-    public void setRegistriesUnreachable(boolean isAlone) {
-        registriesUnreachable = isAlone;
+    /** Whether no registry can be reached, so that the view is no longer updated. */
+    public void setRegistriesUnreachable(boolean unreachable) {
+        registriesUnreachable = unreachable;
     }
 
     /**
-     * Whether we have to do with our own part: nobody tells us anything as a member of our view, so that
-     * the others have gone on without us and do with theirs. Where it is the registries that are gone, the
-     * heap goes on.
+     * Whether this proxy is partitioned from the registries and from its view: the others have gone on without it, and
+     * all that is left to it is one member's share. Where only the registries are gone, members of the view are still
+     * heard and the heap works on.
      */
     private boolean usesOwnShareOnly(long now) {
         return registriesUnreachable && now - viewContactAt > VIEW_CONTACT_TIMEOUT_MICROS;
     }
 
-    private int memberCount() {
-        return Math.max(1, view.size());
-    }
-
-    /** How many are in the heap from a place on downwards. */
-    private int subtreeSize(int from) {
-        int sum = 0;
-        int width = 1;
-        for (int at = from; at >= 0 && at < view.size(); at = 2 * at + 1) {
-            sum += Math.min(width, view.size() - at);
-            width *= 2;
-        }
-        return sum;
-    }
-
-    /** Who was counted out is so until it is heard, also if it matters less or more by then. */
-    private boolean isNeighbourAlive(int link, long now) {
-        timedOut[link] |= now - lastHeardAt[link] > NEIGHBOUR_TIMEOUT_MICROS
-                || surge && now - Math.max(lastHeardAt[link], surgeSince) > FAST_NEIGHBOUR_TIMEOUT_MICROS;
-        return view.heapNeighbours(selfIndex)[link] >= 0 && !timedOut[link];
-    }
-
-    /** How many we can reach, ourselves among them, but for those behind a link. */
-    private int reachableWithout(int without, long now) {
-        int sum = 1;
-        for (int i = 0; i < 3; i++) {
-            sum += i != without && isNeighbourAlive(i, now) ? reachableBehind[i] : 0;
-        }
-        return Math.min(memberCount(), sum);
-    }
-
-    /**
-     * Who we cannot reach goes on by itself until the registries know of it: each side does with its part
-     * of the quota, by its number of members. Who comes back in the same view tells all that it used
-     * meanwhile, so what did not drain for its sake does so then.
-     */
+    /** Sets shares aside for members that have become unreachable, or settles with those that are back. */
     private void updateReachableMembers(long now) {
-        int next = selfIndex < 0 ? memberCount() : reachableWithout(-1, now);
-        if (next == reachableMembers) {
+        int members = neighbours.memberCount();
+        int next = selfIndex < 0 ? members : neighbours.reachableMembers(-1, now);
+        int before = reachableMembers;
+        if (next == before) {
             return;
         }
-        counters.values().forEach(count -> drain(count, now)); // up to now by what was reached before
-        double still =
-                next < reachableMembers ? 1 : (double) (memberCount() - next) / (memberCount() - reachableMembers);
-        boolean fewer = next < reachableMembers;
+        counters.values().forEach(counter -> drain(counter, now)); // until now by the members reachable before
         reachableMembers = next;
-        for (TenantCounter count : counters.values()) {
-            if (fewer) {
-                double room = Math.max(0, count.burst - count.localCount());
-                count.reservedForUnreachable = Math.max(count.reservedForUnreachable, room * (1 - reachableFraction()));
+        for (TenantCounter counter : counters.values()) {
+            if (next < before) {
+                counter.onMembersLost(1 - reachableFraction());
             } else {
-                count.drain(count.deferredDrain * (1 - still));
-                count.deferredDrain *= still;
-                count.reservedForUnreachable *= still;
+                counter.onMembersRestored((double) (members - next) / (members - before));
             }
         }
     }
 
     private double reachableFraction() {
-        return (double) reachableMembers / memberCount();
+        return (double) reachableMembers / neighbours.memberCount();
     }
 
-    private TenantCounter counterOf(TenantItem tenant, long now) {
-        TenantCounter count = counters.get(tenant.name());
-        if (count == null) {
-            count = new TenantCounter();
-            count.drainedAt = now;
-            count.seenAt = now;
-            if (restarted && now - startedAt < DEPARTED_RETENTION_MICROS) {
-                count.add(RESTART_USED_FRACTION * tenant.burst(), HeapCounter.LOCAL);
-                count.clearPending();
-            }
-            count.rewire(view.heapNeighbours(selfIndex));
-            count.reservedForUnreachable = tenant.burst() * (1 - reachableFraction());
-            counters.put(tenant.name(), count);
-        }
-        count.rate = tenant.requestsPerSecond();
-        count.burst = tenant.burst();
-        drain(count, now);
-        return count;
-    }
+    // ---- Admission ---------------------------------------------------------------------------------
 
-    private void drain(TenantCounter count, long now) {
-        double passed = (now - count.drainedAt) / MICROS_PER_SECOND;
-        count.drainedAt = now;
-        departedMembers.values().removeIf(since -> now - since > DEPARTED_RETENTION_MICROS);
-        boolean apart = usesOwnShareOnly(now);
-        double there =
-                apart ? 1.0 / memberCount() : (double) reachableMembers / (memberCount() + departedMembers.size());
-        double units = count.rate * there * passed;
-        count.deferredDrain += apart ? 0 : units / reachableMembers * (memberCount() - reachableMembers);
-        double back = Math.min(count.reservedInFormerViews, units / 2);
-        count.reservedInFormerViews -= back;
-        units -= back;
-        count.drain(units);
-    }
-
-    /** Worst time for a count to cross the heap: 2(log2(N+1)-1)(Δs+Δt), with whole levels. */
-    private long propagationTimeMicros() {
-        int depth = 32 - Integer.numberOfLeadingZeros(memberCount());
-        return 2L * Math.max(1, depth - 1) * (FAST_SEND_INTERVAL_MICROS + MAX_TRANSIT_MICROS);
-    }
-
-    /** Counts one request of a tenant, or says that there is no room for it. */
+    /** Counts one request of a tenant if it fits into the quota, and returns whether it does. */
     public boolean admit(TenantItem tenant, long now) {
         if (tenant.requestsPerSecond() <= 0) {
             return true;
         }
-        TenantCounter count = counterOf(tenant, now);
+        TenantCounter counter = counterOf(tenant, now);
         updateReachableMembers(now);
-        double burst = usesOwnShareOnly(now)
-                ? Math.max(1, tenant.burst()) / memberCount()
-                : Math.max(1, tenant.burst() - Math.max(count.reservedForUnreachable, count.reservedInFormerViews));
-        boolean sight = now - startedAt < propagationTimeMicros();
-        if (count.localCount() + 1 > burst
-                || sight && count.admittedAtStart >= Math.max(1, tenant.burst() / memberCount())) {
+        // Until every member's counts have had time to come in, a new process admits one member's share at most.
+        boolean starting = now - startedAt < propagationTimeMicros();
+        if (counter.localCount() + 1 > usableBurst(tenant, counter, now)
+                || starting && counter.admittedAtStart() >= startBurst(tenant)) {
             return false;
         }
-        count.admittedAtStart += sight ? 1 : 0;
-        spend(count, 1);
+        if (starting) {
+            counter.countAdmittedAtStart();
+        }
+        counter.add(1, HeapCounter.LOCAL);
         return true;
     }
 
-    /** A request that was counted has never run. */
+    private double usableBurst(TenantItem tenant, TenantCounter counter, long now) {
+        return usesOwnShareOnly(now)
+                ? Math.max(1, tenant.burst()) / neighbours.memberCount()
+                : Math.max(1, tenant.burst() - counter.reserved());
+    }
+
+    private double startBurst(TenantItem tenant) {
+        return Math.max(1, tenant.burst() / neighbours.memberCount());
+    }
+
+    /** Takes back the unit of a request that was admitted and never executed. */
     public void refund(TenantItem tenant, long now) {
         if (tenant.requestsPerSecond() > 0) {
-            spend(counterOf(tenant, now), -1);
+            counterOf(tenant, now).add(-1, HeapCounter.LOCAL);
         }
     }
 
-    private static void spend(TenantCounter count, double units) {
-        count.add(units, HeapCounter.LOCAL);
+    /** How long until one request of the tenant fits, in microseconds. */
+    public long retryAfterMicros(TenantItem tenant, long now) {
+        TenantCounter counter = counterOf(tenant, now);
+        double excess = Math.max(1, counter.localCount() + 1 - tenant.burst());
+        return (long) (excess / Math.max(MIN_RATE_FOR_WAIT, tenant.requestsPerSecond()) * MICROS_PER_SECOND);
     }
 
-    /** How long until one request has room. */
-    public long retryAfterMicros(TenantItem tenant, long now) {
-        TenantCounter count = counterOf(tenant, now);
-        double over = Math.max(1, count.localCount() + 1 - tenant.burst());
-        return (long) (over / Math.max(0.01, tenant.requestsPerSecond()) * MICROS_PER_SECOND);
+    /** The requests that are counted for a tenant here; for tests and diagnosis. */
+    public double countedUnits(TenantItem tenant, long now) {
+        return counterOf(tenant, now).localCount();
     }
 
-    /** How long until {@link #collectUpdates} is to be called again. */
+    private TenantCounter counterOf(TenantItem tenant, long now) {
+        TenantCounter counter = counters.get(tenant.name());
+        if (counter == null) {
+            counter = newCounter(tenant, now);
+            counters.put(tenant.name(), counter);
+        }
+        counter.setLimits(tenant.requestsPerSecond(), tenant.burst());
+        drain(counter, now);
+        return counter;
+    }
+
+    private TenantCounter newCounter(TenantItem tenant, long now) {
+        TenantCounter counter = new TenantCounter(now);
+        if (restarted && now - startedAt < DEPARTED_RETENTION_MICROS) {
+            counter.add(RESTART_USED_FRACTION * tenant.burst(), HeapCounter.LOCAL);
+            counter.clearPending();
+        }
+        counter.rewire(neighbours.indexes());
+        counter.setReservedForUnreachable(tenant.burst() * (1 - reachableFraction()));
+        return counter;
+    }
+
+    /** Drains a count by this side's share of the rate since it was drained last. */
+    private void drain(TenantCounter counter, long now) {
+        departedMembers.values().removeIf(since -> now - since > DEPARTED_RETENTION_MICROS);
+        int members = neighbours.memberCount();
+        if (usesOwnShareOnly(now)) {
+            counter.drainAfterFormerReserve(counter.elapsedUnits(1.0 / members, now));
+            return;
+        }
+        double share = (double) reachableMembers / (members + departedMembers.size());
+        double units = counter.elapsedUnits(share, now);
+        counter.deferDrain(units / reachableMembers * (members - reachableMembers));
+        counter.drainAfterFormerReserve(units);
+    }
+
+    /** The longest for a count to reach all members: 2(log2(N+1)-1) links, each with a send and a transit. */
+    private long propagationTimeMicros() {
+        int depth = Integer.SIZE - Integer.numberOfLeadingZeros(neighbours.memberCount());
+        return 2L * Math.max(1, depth - 1) * (FAST_SEND_INTERVAL_MICROS + MAX_TRANSIT_MICROS);
+    }
+
+    // ---- Exchange with the neighbours --------------------------------------------------------------
+
+    /** How long until {@link #collectUpdates} is to be called again, in microseconds. */
     public long sendIntervalMicros() {
         return anyTenantAbove(NEAR_BURST_FRACTION) ? FAST_SEND_INTERVAL_MICROS : SEND_INTERVAL_MICROS;
     }
 
-    private boolean anyTenantAbove(double part) {
-        for (TenantCounter count : counters.values()) {
-            if (count.burst > 0 && count.localCount() > part * count.burst) {
+    private boolean anyTenantAbove(double fractionOfBurst) {
+        for (TenantCounter counter : counters.values()) {
+            if (counter.isAbove(fractionOfBurst)) {
                 return true;
             }
         }
         return false;
     }
 
-    /**
-     * Sends each neighbour the counter facing it, skipping zeros, and resets it. Who has not heard from us
-     * for a while hears that we are there.
-     */
+    /** The updates that are due: to each neighbour what has changed for it, or a heartbeat. */
     public List<OutgoingUpdate> collectUpdates(long now) {
-        List<OutgoingUpdate> letters = new ArrayList<>();
-        boolean wasHot = surge;
-        surge = anyTenantAbove(SURGE_BURST_FRACTION);
-        surgeSince = surge && !wasHot ? now : surgeSince;
+        neighbours.setSurge(anyTenantAbove(SURGE_BURST_FRACTION), now);
         updateReachableMembers(now);
-        long beat = anyTenantAbove(NEAR_BURST_FRACTION) ? FAST_HEARTBEAT_INTERVAL_MICROS : HEARTBEAT_INTERVAL_MICROS;
-        int[] links = view.heapNeighbours(selfIndex);
-        boolean tellCounts = now - viewChangedAt < propagationTimeMicros();
-        for (int i = 0; i < 3; i++) {
-            ArrayList<TenantTotal> entries = new ArrayList<>();
-            for (Map.Entry<String, TenantCounter> entry : counters.entrySet()) {
-                TenantCounter count = entry.getValue();
-                double news = count.takePending(i);
-                if (news != 0) {
-                    count.linkTotals[i] += news;
-                    count.sendsLeft[i] = SENDS_PER_CHANGE;
-                }
-                if (links[i] >= 0 && (count.sendsLeft[i] > 0 || tellCounts && count.localCount() > 0)) {
-                    count.sendsLeft[i] = Math.max(0, count.sendsLeft[i] - 1);
-                    entries.add(
-                            new TenantTotal(entry.getKey(), count.linkTotals[i], tellCounts ? count.localCount() : -1));
-                }
+        long heartbeatInterval =
+                anyTenantAbove(NEAR_BURST_FRACTION) ? FAST_HEARTBEAT_INTERVAL_MICROS : HEARTBEAT_INTERVAL_MICROS;
+        // After a view change neighbours may be new and are sent the counts themselves.
+        boolean sendsCounts = now - viewChangedAt < propagationTimeMicros();
+        List<OutgoingUpdate> updates = new ArrayList<>();
+        for (int link = 0; link < HeapNeighbours.COUNT; link++) {
+            ArrayList<TenantTotal> entries = collectEntries(link, sendsCounts);
+            boolean due = !entries.isEmpty() || now - neighbours.lastSentAt(link) >= heartbeatInterval;
+            if (neighbours.index(link) >= 0 && due) {
+                neighbours.onSent(link, now);
+                int reachable = neighbours.reachableMembers(link, now);
+                updates.add(new OutgoingUpdate(
+                        neighbours.index(link),
+                        new QuotaUpdate(self, incarnation, generation, view.digest(), reachable, entries)));
             }
-            if (links[i] >= 0 && (!entries.isEmpty() || now - lastSentAt[i] >= beat)) {
-                lastSentAt[i] = now;
-                letters.add(new OutgoingUpdate(
-                        links[i],
-                        new QuotaUpdate(
-                                self, incarnation, generation, view.digest(), reachableWithout(i, now), entries)));
+        }
+        return updates;
+    }
+
+    private ArrayList<TenantTotal> collectEntries(int link, boolean sendsCounts) {
+        ArrayList<TenantTotal> entries = new ArrayList<>();
+        boolean hasNeighbour = neighbours.index(link) >= 0;
+        for (Map.Entry<String, TenantCounter> entry : counters.entrySet()) {
+            TenantCounter counter = entry.getValue();
+            counter.advanceTotal(link);
+            if (hasNeighbour && (counter.hasTotalToSend(link) || sendsCounts && counter.localCount() > 0)) {
+                double count = sendsCounts ? counter.localCount() : -1;
+                entries.add(new TenantTotal(entry.getKey(), counter.sendTotal(link), count));
             }
         }
-        return letters;
+        return entries;
     }
 
     /**
-     * Takes in what a member tells: into every counter but the one facing it. Where it has another view, or
-     * is no neighbour in ours, its units are counted here and go no further, so that nothing can go round.
+     * Counts what a member reports. Units of a neighbour in the same view are passed on to the other neighbours; those
+     * of anybody else are counted here only, so that none can go round while views differ.
+     *
+     * @param tenants finds a tenant by its name, null where there is none
      */
-    public void onUpdate(QuotaUpdate packet, Function<String, TenantItem> tenants, long now) {
-        int from = view.indexOf(packet.sender());
-        viewContactAt = packet.viewTag() == view.digest() ? now : viewContactAt;
-        int[] links = view.heapNeighbours(selfIndex);
-        for (int i = 0; i < 3 && packet.viewTag() == view.digest(); i++) {
-            if (links[i] >= 0 && links[i] == from) {
-                lastHeardAt[i] = now;
-                timedOut[i] = false;
-                reachableBehind[i] = packet.reachableMembers();
-            }
-        }
-        SenderTotals before = receivedTotals.get(packet.sender());
-        boolean sameLife = before != null && before.incarnation() == packet.incarnation();
-        if (before != null && before.previousIncarnation() == packet.incarnation()) {
-            return; // of the incarnation before, whose totals would be counted again
+    public void onUpdate(QuotaUpdate update, Function<String, TenantItem> tenants, long now) {
+        int senderIndex = view.indexOf(update.sender());
+        boolean sameView = update.viewTag() == view.digest();
+        if (sameView) {
+            viewContactAt = now;
+            neighbours.onHeard(senderIndex, update.reachableMembers(), now);
         }
-        if (sameLife && packet.generation() < before.generation()) {
-            return; // overtaken by one whose totals began anew
-        } else if (!sameLife || packet.generation() > before.generation()) {
-            before = new SenderTotals(
-                    packet.incarnation(),
-                    packet.generation(),
-                    before == null
-                            ? packet.incarnation() - 1
-                            : sameLife ? before.previousIncarnation() : before.incarnation(),
-                    new HashMap<>());
-            receivedTotals.put(packet.sender(), before);
+        Map<String, Double> totals = receivedTotals.baselineOf(update);
+        if (totals == null) {
+            return;
         }
-        Map<String, Double> totals = before.totals();
-        for (TenantTotal entry : packet.entries()) {
+        for (TenantTotal entry : update.entries()) {
             TenantItem tenant = tenants.apply(entry.tenant());
             if (tenant == null || tenant.requestsPerSecond() <= 0) {
                 continue;
             }
-            TenantCounter count = counterOf(tenant, now);
-            double delta = entry.total() - totals.getOrDefault(entry.tenant(), 0.0);
-            boolean passes = packet.viewTag() == view.digest() && count.slotOf(from) >= 0;
-            if (delta != 0) {
+            TenantCounter counter = counterOf(tenant, now);
+            double units = entry.total() - totals.getOrDefault(entry.tenant(), 0.0);
+            if (units != 0) {
                 totals.put(entry.tenant(), entry.total());
-                if (passes) {
-                    count.add(delta, from);
+                if (sameView && counter.slotOf(senderIndex) >= 0) {
+                    counter.add(units, senderIndex);
                 } else {
-                    count.addWithoutForwarding(delta);
+                    counter.addWithoutForwarding(units);
                 }
             }
-            count.capAt(count.deferredDrain
-                    + Math.max(
-                            MAX_COUNT_BURSTS * tenant.burst(),
-                            tenant.burst()
-                                    + tenant.requestsPerSecond()
-                                            * MAX_COUNT_PROPAGATION_TIMES
-                                            * propagationTimeMicros()
-                                            / MICROS_PER_SECOND));
+            counter.capAt(counter.deferredDrain() + maxCount(tenant));
+            // A process that is new may take over what its neighbours count.
             if (entry.senderCount() >= 0 && now - startedAt < 2 * propagationTimeMicros()) {
-                count.raiseTo(entry.senderCount());
+                counter.raiseTo(entry.senderCount());
             }
         }
     }
 
-    /** What a tenant is counted with here, for operators and tests. */
-    public double countedUnits(TenantItem tenant, long now) {
-        return counterOf(tenant, now).localCount();
+    private double maxCount(TenantItem tenant) {
+        double surge =
+                tenant.requestsPerSecond() * MAX_COUNT_PROPAGATION_TIMES * propagationTimeMicros() / MICROS_PER_SECOND;
+        return Math.max(MAX_COUNT_BURSTS * tenant.burst(), tenant.burst() + surge);
     }
 }
