--- a/src/main/java/reedmux/control/instances/CheckerIncarnation.java
+++ b/src/main/java/reedmux/control/instances/CheckerIncarnation.java
@@ -1,11 +1,18 @@
 package reedmux.control.instances;
 
 /**
- * What is known of one life of a checker. Of two accounts of one life the later phase holds, and of the
- * rest the higher {@code sequence}.
+ * What is known of one incarnation of an instance: one run of a process that serves requests. Each start is another
+ * incarnation, with an id of its own. The phase only ever rises, so of two reports on one incarnation the higher phase
+ * counts; of everything else, the report with the higher sequence.
  *
- * @param coldMs how much longer it is slow from its start, as of when this is told
- * @param silent whether nobody has heard from it for a while
+ * @param service the service that the instance belongs to
+ * @param address {@code ip:port}, where requests are sent
+ * @param zone the instance's failure domain
+ * @param capacity how many requests it serves at a time
+ * @param phase {@link #READY}, {@link #DRAINING} or {@link #GONE}
+ * @param sequence the number of the heartbeat that reported this
+ * @param slowStartMillis how much longer its slow start lasts, as of the report
+ * @param unresponsive whether its heartbeats have timed out
  */
 public record CheckerIncarnation(
         String id,
@@ -17,11 +24,15 @@
         long sequence,
         long slowStartMillis,
         boolean unresponsive) {
+    /** Serves requests. */
     public static final int READY = 0;
+    /** Completes the requests that it has, and gets no others. */
     public static final int DRAINING = 1;
+    /** Has ended, or was replaced at its address. */
     public static final int GONE = 2;
 
-    CheckerIncarnation withPhase(int nextPhase, boolean isSilent, long cold) {
-        return new CheckerIncarnation(id, service, address, zone, capacity, nextPhase, sequence, cold, isSilent);
+    CheckerIncarnation with(int newPhase, boolean newUnresponsive, long newSlowStartMillis) {
+        return new CheckerIncarnation(
+                id, service, address, zone, capacity, newPhase, sequence, newSlowStartMillis, newUnresponsive);
     }
 }
--- a/src/main/java/reedmux/control/instances/InstanceDirectory.java
+++ b/src/main/java/reedmux/control/instances/InstanceDirectory.java
@@ -9,71 +9,80 @@
 import java.util.Map;
 import reedmux.control.changes.ChangeCounter;
 import reedmux.control.changes.ChangeList;
+import reedmux.control.changes.ChangeList.ChangeListNode;
+import reedmux.control.instances.RegistryHeartbeatTable.RegistryProcess;
 
 /**
- * The lives of all checkers, as one process knows them. The phase of a life is a ratchet: ready, draining,
- * gone, whoever tells of it and in whatever order. Pure; times are microseconds that the caller tells.
+ * The incarnations of all instances, as one process knows them. Registries and proxies each have a directory, and
+ * replicate it by merging reports, which may come in any order and more than once:
+ *
+ * <ul>
+ *   <li>Phases are a ratchet: an incarnation goes from ready to draining to gone, and no report takes it back.
+ *   <li>The registry that an instance sends its heartbeats to is its owner, and only that one says from the heartbeats
+ *       whether the instance is responsive. Everybody else takes an instance for responsive as long as its owner sends
+ *       heartbeats itself, so that the heartbeats of instances need not be replicated.
+ *   <li>An owner that hears somebody else call its instance unresponsive refutes it by reporting the instance again.
+ *   <li>An address has one incarnation at a time. A heartbeat claims its address; the previous incarnation there is gone
+ *       once it has missed its heartbeats for {@link #ADDRESS_HOLD_MICROS}. Reports of others claim no address, as they
+ *       may be older than the incarnation that has it.
+ * </ul>
+ *
+ * <p>Changes are numbered by the process's {@link ChangeCounter}. Pure; times are microseconds of the caller's clock.
+ * Not thread-safe.
  */
 public final class InstanceDirectory {
+    /** How long what has ended is kept, so that no late report brings it back. */
+    static final long RETENTION_MICROS = 600_000_000;
+
     private static final long MICROS_PER_MILLI = 1000;
-    /** Lives that have ended are remembered for so long, so that nothing late brings them back. */
-    private static final long RETENTION_MICROS = 600_000_000;
-    /** Who has called within this still has its address, whoever else says so: over two usual periods. */
+    /** More than two of the usual heartbeat intervals. */
     private static final long ADDRESS_HOLD_MICROS = 4_000_000;
-    /** Registries that were heard of within this are told on. */
-    private static final long HEARTBEAT_FORWARD_MICROS = 3_000_000;
 
-    /** One life here. */
+    private static final long NO_SEQUENCE = -1;
+
+    private final Map<String, InstanceEntry> entries = new LinkedHashMap<>();
+    private final Map<String, String> idByAddress = new HashMap<>();
+    private final ChangeList<InstanceEntry> changeOrder = new ChangeList<>();
+    private final ChangeList<InstanceEntry> ownerChangeOrder = new ChangeList<>();
+    private final RegistryHeartbeatTable registries;
+    private final ChangeCounter counter;
+    private final long localProcessId;
+
+    /** One incarnation here. */
     private static final class InstanceEntry {
         private CheckerIncarnation incarnation;
+        /** When a report with a higher sequence came last. */
         private long lastHeardMicros;
+
         private long slowStartEndMicros;
-        private final ChangeList.ChangeListNode<InstanceEntry> changeNode = new ChangeList.ChangeListNode<>(this);
-        /** The registry that it calls, with the number of the call that says so; null if unknown. */
+        private final ChangeListNode<InstanceEntry> changeNode = new ChangeListNode<>(this);
+        /** Null while it is not known. */
         private RegistryProcess owner;
-
+        /** Of the heartbeat by which the owner is known to be it. */
         private long ownerSequence;
-        private ChangeList.ChangeListNode<InstanceEntry> ownerChangeNode;
-        /** Who says that it has this one's address now. */
+        /** Null as long as the owner is. */
+        private ChangeListNode<InstanceEntry> ownerChangeNode;
+        /** The incarnation that was reported to have this one's address now, or null. */
         private String addressClaimantId;
-    }
-
-    /** A process of a registry, by the number that was drawn at its start. */
-    private static final class RegistryProcess {
-        private final long processId;
-        private long heartbeatCount;
-        private long lastAdvanceMicros;
 
-        private RegistryProcess(long process) {
-            this.processId = process;
+        private boolean isGone() {
+            return incarnation.phase() == CheckerIncarnation.GONE;
         }
     }
 
-    /** That a checker has called a registry's process, with the number of that call. */
-    public record InstanceOwner(String instanceId, long sequence, long processId) {}
-
-    /** That a registry's process has come so far in counting, as it does while it lives. */
-    public record RegistryHeartbeat(long processId, long count) {}
-
-    private final Map<String, InstanceEntry> entries = new LinkedHashMap<>();
-    private final Map<String, String> idByAddress = new HashMap<>();
-    private final ChangeList<InstanceEntry> changeOrder = new ChangeList<>();
-    private final ChangeList<InstanceEntry> ownerChangeOrder = new ChangeList<>();
-    private final Map<Long, RegistryProcess> registryProcesses = new HashMap<>();
-    private final ChangeCounter counter;
-    private final long localProcessId;
-
     /**
-     * A registry's.
+     * Creates the directory of a registry.
      *
-     * @param self    its process, which owns the checkers that call it
-     * @param counter numbers what is told to others
+     * @param localProcessId the registry's incarnation; it owns the instances whose heartbeats it receives
+     * @param counter numbers the changes
      */
-    public InstanceDirectory(long self, ChangeCounter counter) {
-        this.localProcessId = self;
+    public InstanceDirectory(long localProcessId, ChangeCounter counter) {
+        this.localProcessId = localProcessId;
         this.counter = counter;
+        registries = new RegistryHeartbeatTable(localProcessId);
     }
 
+    /** Creates the directory of a process that receives no heartbeats and that nobody pulls from. */
     public InstanceDirectory() {
         this(0, new ChangeCounter());
     }
@@ -82,245 +91,240 @@
         changeOrder.moveToNewest(entry.changeNode, counter.next());
     }
 
-    /**
-     * Takes in a checker's own call: with it, it holds its address. Returns whether there was any news in it
-     * for others.
-     */
-    public boolean onHeartbeat(CheckerIncarnation told, long now) {
-        boolean news = merge(told, now);
-        InstanceEntry entry = entries.get(told.id());
-        if (entry.owner == null || entry.owner.processId != localProcessId && told.sequence() >= entry.ownerSequence) {
-            setOwner(entry, registryProcess(localProcessId, now), told.sequence());
-        } else if (entry.owner.processId == localProcessId) {
-            entry.ownerSequence = Math.max(entry.ownerSequence, told.sequence());
+    // ---- Reports on instances -----------------------------------------------------------------------
+
+    /** Applies a heartbeat that an instance has sent to this registry; returns whether others need to know. */
+    public boolean onHeartbeat(CheckerIncarnation reported, long now) {
+        boolean changed = merge(reported, now);
+        InstanceEntry entry = entries.get(reported.id());
+        if (isOwnedHere(entry)) {
+            entry.ownerSequence = Math.max(entry.ownerSequence, reported.sequence());
+        } else if (entry.owner == null || reported.sequence() >= entry.ownerSequence) {
+            setOwner(entry, registries.process(localProcessId, now), reported.sequence());
         }
-        return claimAddress(entry.incarnation, now) | news;
+        return claimAddress(entry, now) | changed;
     }
 
-    /** Takes in what somebody else tells; returns whether there was any news in it for others. */
-    public boolean merge(CheckerIncarnation told, long now) {
-        InstanceEntry entry = entries.get(told.id());
+    /** Applies what somebody else reports; returns whether others need to know. */
+    public boolean merge(CheckerIncarnation reported, long now) {
+        InstanceEntry entry = entries.get(reported.id());
         if (entry == null) {
-            entry = new InstanceEntry();
-            entries.put(told.id(), entry);
-            entry.incarnation = told;
-            entry.lastHeardMicros = now;
-            entry.slowStartEndMicros = now + told.slowStartMillis() * MICROS_PER_MILLI;
-            markChanged(entry);
-            if (told.phase() != CheckerIncarnation.GONE) {
-                String holder = idByAddress.putIfAbsent(told.address(), told.id());
-                if (holder != null && entries.containsKey(holder)) {
-                    entries.get(holder).addressClaimantId = told.id();
-                }
-            }
+            add(reported, now);
             return true;
         }
-        CheckerIncarnation had = entry.incarnation;
-        boolean newer = told.sequence() > had.sequence();
-        CheckerIncarnation base = newer ? told : had;
+        return update(entry, reported, now);
+    }
+
+    private void add(CheckerIncarnation reported, long now) {
+        InstanceEntry entry = new InstanceEntry();
+        entries.put(reported.id(), entry);
+        entry.incarnation = reported;
+        entry.lastHeardMicros = now;
+        entry.slowStartEndMicros = now + reported.slowStartMillis() * MICROS_PER_MILLI;
+        markChanged(entry);
+        if (!entry.isGone()) {
+            String holderId = idByAddress.putIfAbsent(reported.address(), reported.id());
+            InstanceEntry holder = holderId == null ? null : entries.get(holderId);
+            if (holder != null) {
+                holder.addressClaimantId = reported.id();
+            }
+        }
+    }
+
+    private boolean update(InstanceEntry entry, CheckerIncarnation reported, long now) {
+        CheckerIncarnation known = entry.incarnation;
+        boolean newer = reported.sequence() > known.sequence();
         if (newer) {
             entry.lastHeardMicros = now;
-            entry.slowStartEndMicros = now + told.slowStartMillis() * MICROS_PER_MILLI;
+            entry.slowStartEndMicros = now + reported.slowStartMillis() * MICROS_PER_MILLI;
         }
-        int phase = Math.max(had.phase(), told.phase());
-        boolean silent = told.sequence() >= had.sequence() ? told.unresponsive() : had.unresponsive();
-        entry.incarnation = base.withPhase(phase, silent, 0);
-        boolean news = phase != had.phase()
-                || silent != had.unresponsive()
-                || !base.address().equals(had.address())
-                || base.capacity() != had.capacity();
-        if (news || told.unresponsive() && !silent && entry.owner != null && entry.owner.processId == localProcessId) {
-            markChanged(entry); // also where we know better than who told
+        CheckerIncarnation latest = newer ? reported : known;
+        int phase = Math.max(known.phase(), reported.phase());
+        boolean unresponsive = reported.sequence() >= known.sequence() ? reported.unresponsive() : known.unresponsive();
+        entry.incarnation = latest.with(phase, unresponsive, 0);
+        boolean changed = phase != known.phase()
+                || unresponsive != known.unresponsive()
+                || !latest.address().equals(known.address())
+                || latest.capacity() != known.capacity();
+        boolean refutes = reported.unresponsive() && !unresponsive && isOwnedHere(entry);
+        if (changed || refutes) {
+            markChanged(entry);
         }
-        return news;
+        return changed;
     }
 
-    /**
-     * An address has one incarnation at a time: who had it before and has not called for a while is gone. By
-     * its own calls alone: what others tell comes in any order, and must not end one that lives for one that
-     * had its address before.
-     */
-    private boolean claimAddress(CheckerIncarnation holder, long now) {
-        if (holder.phase() == CheckerIncarnation.GONE) {
+    // ---- Addresses ----------------------------------------------------------------------------------
+
+    /** Returns whether this ends the previous incarnation at the address. */
+    private boolean claimAddress(InstanceEntry claimant, long now) {
+        if (claimant.isGone()) {
             return false;
         }
-        String before = idByAddress.get(holder.address());
-        InstanceEntry old = before == null || before.equals(holder.id()) ? null : entries.get(before);
-        if (old != null
-                && old.incarnation.phase() != CheckerIncarnation.GONE
-                && !old.incarnation.unresponsive()
-                && now - lastHeardMicros(old) <= ADDRESS_HOLD_MICROS) {
+        String id = claimant.incarnation.id();
+        String address = claimant.incarnation.address();
+        String holderId = idByAddress.get(address);
+        InstanceEntry holder = holderId == null || holderId.equals(id) ? null : entries.get(holderId);
+        boolean held = holder != null && !holder.isGone();
+        if (held && !holder.incarnation.unresponsive() && now - lastHeardMicros(holder) <= ADDRESS_HOLD_MICROS) {
             return false;
         }
-        idByAddress.put(holder.address(), holder.id());
-        if (old == null || old.incarnation.phase() == CheckerIncarnation.GONE) {
-            return false;
+        idByAddress.put(address, id);
+        if (held) {
+            markGone(holder);
         }
-        old.incarnation = old.incarnation.withPhase(CheckerIncarnation.GONE, old.incarnation.unresponsive(), 0);
-        markChanged(old);
-        return true;
+        return held;
     }
 
-    // ---- Owners ------------------------------------------------------------------------------------
-    private RegistryProcess registryProcess(long process, long now) {
-        RegistryProcess owner = registryProcesses.get(process);
-        if (owner == null) {
-            owner = new RegistryProcess(process);
-            owner.lastAdvanceMicros = now;
-            registryProcesses.put(process, owner);
+    /** Ends an instance of ours whose address another one claims elsewhere, once it has missed its heartbeats. */
+    private void resolveAddressClaim(InstanceEntry entry, long now) {
+        InstanceEntry claimant = entries.get(entry.addressClaimantId);
+        if (claimant == null || claimant.isGone() || claimant.incarnation.unresponsive()) {
+            entry.addressClaimantId = null;
+        } else if (!entry.isGone() && isOwnedHere(entry) && now - entry.lastHeardMicros > ADDRESS_HOLD_MICROS) {
+            idByAddress.put(claimant.incarnation.address(), claimant.incarnation.id());
+            markGone(entry);
         }
-        return owner;
     }
 
-    private void setOwner(InstanceEntry entry, RegistryProcess owner, long seq) {
+    private void markGone(InstanceEntry entry) {
+        entry.incarnation = entry.incarnation.with(CheckerIncarnation.GONE, entry.incarnation.unresponsive(), 0);
+        markChanged(entry);
+    }
+
+    // ---- Owners -------------------------------------------------------------------------------------
+
+    private boolean isOwnedHere(InstanceEntry entry) {
+        return entry.owner != null && entry.owner.id() == localProcessId;
+    }
+
+    private void setOwner(InstanceEntry entry, RegistryProcess owner, long sequence) {
         if (entry.ownerChangeNode == null) {
-            entry.ownerChangeNode = new ChangeList.ChangeListNode<>(entry);
+            entry.ownerChangeNode = new ChangeListNode<>(entry);
         }
         entry.owner = owner;
-        entry.ownerSequence = seq;
+        entry.ownerSequence = sequence;
         ownerChangeOrder.moveToNewest(entry.ownerChangeNode, counter.next());
     }
 
-    /** A registry says whom a checker called under that number; of two the higher one holds. */
-    public void mergeOwner(InstanceOwner told, long now) {
-        InstanceEntry entry = entries.get(told.instanceId());
+    /** Applies what another registry states about an instance's owner; without effect for unknown instances. */
+    public void mergeOwner(InstanceOwner stated, long now) {
+        InstanceEntry entry = entries.get(stated.instanceId());
         if (entry == null) {
             return;
         }
-        long had = entry.owner == null ? -1 : entry.ownerSequence;
-        if (told.sequence() > had || told.sequence() == had && told.processId() > entry.owner.processId) {
-            setOwner(entry, registryProcess(told.processId(), now), told.sequence());
-        } else if (told.processId() != entry.owner.processId) {
-            setOwner(entry, entry.owner, had); // whoever said so is to hear who knows better
+        long knownSequence = entry.owner == null ? NO_SEQUENCE : entry.ownerSequence;
+        boolean supersedes = stated.sequence() > knownSequence
+                || stated.sequence() == knownSequence && stated.processId() > entry.owner.id();
+        if (supersedes) {
+            setOwner(entry, registries.process(stated.processId(), now), stated.sequence());
+        } else if (stated.processId() != entry.owner.id()) {
+            setOwner(entry, entry.owner, knownSequence); // a change, so that the sender hears who the owner is
         }
     }
 
-    /** Whose owner has changed since. */
+    /** Returns the owners that have changed after a change. */
     public List<InstanceOwner> ownersChangedSince(long change) {
-        List<InstanceOwner> all = new ArrayList<>();
-        ChangeList.ChangeListNode<InstanceEntry> at = ownerChangeOrder.firstAfterChange(change);
-        for (; at != null; at = ownerChangeOrder.nextNewer(at)) {
-            InstanceEntry entry = at.value();
-            all.add(new InstanceOwner(entry.incarnation.id(), entry.ownerSequence, entry.owner.processId));
+        List<InstanceOwner> owners = new ArrayList<>();
+        ChangeListNode<InstanceEntry> listNode = ownerChangeOrder.firstAfterChange(change);
+        while (listNode != null) {
+            InstanceEntry entry = listNode.value();
+            owners.add(new InstanceOwner(entry.incarnation.id(), entry.ownerSequence, entry.owner.id()));
+            listNode = ownerChangeOrder.nextNewer(listNode);
         }
-        return all;
+        return owners;
     }
 
-    /** Somebody has heard a registry count so far: that is news of it only if it is further than before. */
-    public void onRegistryHeartbeat(RegistryHeartbeat told, long now) {
-        RegistryProcess owner = registryProcess(told.processId(), now);
-        if (told.count() > owner.heartbeatCount) {
-            owner.heartbeatCount = told.count();
-            owner.lastAdvanceMicros = now;
-        }
+    /** Applies a heartbeat of a registry, from itself or forwarded. */
+    public void onRegistryHeartbeat(RegistryHeartbeat heartbeat, long now) {
+        registries.onHeartbeat(heartbeat, now);
     }
 
-    /** How far we have heard registries count lately, ourselves first, who count on with each call. */
+    /** Counts on for this registry; returns its heartbeat, and behind it those of others to forward. */
     public List<RegistryHeartbeat> nextHeartbeats(long now) {
-        registryProcess(localProcessId, now).heartbeatCount++;
-        List<RegistryHeartbeat> all = new ArrayList<>();
-        all.add(new RegistryHeartbeat(localProcessId, registryProcess(localProcessId, now).heartbeatCount));
-        for (Iterator<RegistryProcess> at = registryProcesses.values().iterator(); at.hasNext(); ) {
-            RegistryProcess owner = at.next();
-            if (owner.processId != localProcessId && now - owner.lastAdvanceMicros <= HEARTBEAT_FORWARD_MICROS) {
-                all.add(new RegistryHeartbeat(owner.processId, owner.heartbeatCount));
-            } else if (owner.processId != localProcessId && now - owner.lastAdvanceMicros > RETENTION_MICROS) {
-                at.remove();
-            }
-        }
-        return all;
+        return registries.nextHeartbeats(now);
     }
 
-    /** When somebody heard of it last: who has an owner is heard of as long as that one is. */
+    // ---- Time-outs ----------------------------------------------------------------------------------
+
+    /** When an instance counts as heard of: by its own heartbeats, or by those of an owner elsewhere. */
     private long lastHeardMicros(InstanceEntry entry) {
-        return entry.owner == null || entry.owner.processId == localProcessId
+        return entry.owner == null || isOwnedHere(entry)
                 ? entry.lastHeardMicros
-                : Math.max(entry.lastHeardMicros, entry.owner.lastAdvanceMicros);
+                : Math.max(entry.lastHeardMicros, entry.owner.lastAdvanceMicros());
     }
 
     /**
-     * Notes who has not been heard of for {@code silence}, and forgets whose end is long ago. Returns how
-     * many have fallen silent.
+     * Marks the instances that were not heard of for {@code timeoutMicros} as unresponsive, and forgets those that have
+     * ended long ago. Returns how many have become unresponsive.
      */
-    public int detectTimeouts(long now, long silence) {
-        int fell = 0;
-        for (Iterator<InstanceEntry> all = entries.values().iterator(); all.hasNext(); ) {
-            InstanceEntry entry = all.next();
-            if (entry.incarnation.phase() == CheckerIncarnation.GONE
-                    && now - entry.lastHeardMicros > RETENTION_MICROS) {
-                all.remove();
-                changeOrder.remove(entry.changeNode);
-                if (entry.ownerChangeNode != null) {
-                    ownerChangeOrder.remove(entry.ownerChangeNode);
-                }
-                idByAddress.remove(entry.incarnation.address(), entry.incarnation.id());
-            }
-        }
+    public int detectTimeouts(long now, long timeoutMicros) {
+        forgetEnded(now);
+        int timedOut = 0;
         for (InstanceEntry entry : entries.values()) {
             if (entry.addressClaimantId != null) {
                 resolveAddressClaim(entry, now);
             }
-            if (!entry.incarnation.unresponsive()
-                    && entry.incarnation.phase() != CheckerIncarnation.GONE
-                    && now - lastHeardMicros(entry) > silence) {
-                entry.incarnation = entry.incarnation.withPhase(entry.incarnation.phase(), true, 0);
+            CheckerIncarnation incarnation = entry.incarnation;
+            if (!incarnation.unresponsive() && !entry.isGone() && now - lastHeardMicros(entry) > timeoutMicros) {
+                entry.incarnation = incarnation.with(incarnation.phase(), true, 0);
                 markChanged(entry);
-                fell++;
+                timedOut++;
             }
         }
-        return fell;
+        return timedOut;
     }
 
-    /** Whom we hear ourselves has lost its address to another once it has not called for a while. */
-    private void resolveAddressClaim(InstanceEntry entry, long now) {
-        InstanceEntry rival = entries.get(entry.addressClaimantId);
-        if (rival == null || rival.incarnation.phase() == CheckerIncarnation.GONE || rival.incarnation.unresponsive()) {
-            entry.addressClaimantId = null;
-        } else if (entry.incarnation.phase() != CheckerIncarnation.GONE
-                && entry.owner != null
-                && entry.owner.processId == localProcessId
-                && now - entry.lastHeardMicros > ADDRESS_HOLD_MICROS) {
-            idByAddress.put(rival.incarnation.address(), rival.incarnation.id());
-            entry.incarnation =
-                    entry.incarnation.withPhase(CheckerIncarnation.GONE, entry.incarnation.unresponsive(), 0);
-            markChanged(entry);
+    private void forgetEnded(long now) {
+        for (Iterator<InstanceEntry> iterator = entries.values().iterator(); iterator.hasNext(); ) {
+            InstanceEntry entry = iterator.next();
+            if (entry.isGone() && now - entry.lastHeardMicros > RETENTION_MICROS) {
+                iterator.remove();
+                changeOrder.remove(entry.changeNode);
+                if (entry.ownerChangeNode != null) {
+                    ownerChangeOrder.remove(entry.ownerChangeNode);
+                }
+                idByAddress.remove(entry.incarnation.address(), entry.incarnation.id());
+            }
         }
     }
 
+    // ---- Queries ------------------------------------------------------------------------------------
+
+    /** Returns the incarnation with an id, or null where it is not known. */
     public CheckerIncarnation get(String id, long now) {
         InstanceEntry entry = entries.get(id);
-        return entry == null ? null : current(entry, now);
+        return entry == null ? null : asOf(entry, now);
     }
 
-    /** How long ago it was heard of, in milliseconds, or -1 where it is not known. */
+    /** How many milliseconds ago an instance was last heard of; -1 where it is not known. */
     public long millisSinceHeard(String id, long now) {
         InstanceEntry entry = entries.get(id);
         return entry == null ? -1 : (now - lastHeardMicros(entry)) / MICROS_PER_MILLI;
     }
 
-    private static CheckerIncarnation current(InstanceEntry entry, long now) {
-        return entry.incarnation.withPhase(
-                entry.incarnation.phase(),
-                entry.incarnation.unresponsive(),
-                Math.max(0, (entry.slowStartEndMicros - now) / MICROS_PER_MILLI));
+    private static CheckerIncarnation asOf(InstanceEntry entry, long now) {
+        CheckerIncarnation incarnation = entry.incarnation;
+        long slowStartMillis = Math.max(0, (entry.slowStartEndMicros - now) / MICROS_PER_MILLI);
+        return incarnation.with(incarnation.phase(), incarnation.unresponsive(), slowStartMillis);
     }
 
-    /** The number of the last change. */
+    /** The number of the last change of an instance; 0 before the first one. */
     public long lastChange() {
         return changeOrder.lastChange();
     }
 
-    /** What has changed since. */
+    /** Returns the incarnations that have changed after a change, the oldest change first. */
     public List<CheckerIncarnation> changedSince(long change, long now) {
-        List<CheckerIncarnation> news = new ArrayList<>();
-        for (ChangeList.ChangeListNode<InstanceEntry> at = changeOrder.firstAfterChange(change);
-                at != null;
-                at = changeOrder.nextNewer(at)) {
-            news.add(current(at.value(), now));
+        List<CheckerIncarnation> changed = new ArrayList<>();
+        ChangeListNode<InstanceEntry> listNode = changeOrder.firstAfterChange(change);
+        while (listNode != null) {
+            changed.add(asOf(listNode.value(), now));
+            listNode = changeOrder.nextNewer(listNode);
         }
-        return news;
+        return changed;
     }
 
+    /** Returns all incarnations, also those that are gone and still kept, the oldest change first. */
     public Collection<CheckerIncarnation> all(long now) {
         return changedSince(0, now);
     }
--- a/src/main/java/reedmux/control/instances/package-info.java
+++ b/src/main/java/reedmux/control/instances/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The lives of checkers. A phase is a ratchet, whoever tells of it and in whatever order. Pure.
+ * The instances that serve requests: their incarnations, phases and owners, replicated by merging reports in any order.
+ * Pure.
  */
 package reedmux.control.instances;
--- a/src/main/java/reedmux/control/registry/Registry.java
+++ b/src/main/java/reedmux/control/registry/Registry.java
@@ -14,9 +14,9 @@
 import reedmux.common.settings.Program;
 import reedmux.common.settings.SettingKeys;
 import reedmux.control.changes.ChangeCounter;
-import reedmux.control.changes.ChangePosition;
 import reedmux.control.instances.InstanceDirectory;
-import reedmux.control.instances.InstanceDirectory.RegistryHeartbeat;
+import reedmux.control.instances.RegistryHeartbeat;
+import reedmux.control.replication.ReplicationPosition;
 import reedmux.control.rpc.MessageCodec;
 import reedmux.control.rpc.Messages;
 import reedmux.control.rpc.Messages.ChangesRequest;
@@ -74,7 +74,7 @@
     private final InstanceCalls instanceCalls;
     private final StoreRequests storeRequests;
     /** How far the updates of each other registry have been taken in, by its node. */
-    private final Map<String, ChangePosition> positionByNode = new HashMap<>();
+    private final Map<String, ReplicationPosition> positionByNode = new HashMap<>();
 
     /**
      * Starts the program: it listens and connects to the other machines of the core once the reactor runs.
@@ -177,7 +177,7 @@
         Hello peer = connection.peer();
         core.addMachines(peer.coreIps());
         if (peer.program().equals(PROGRAM_NAME) && core.isToRegistry(connection)) {
-            ChangePosition position = positionByNode.getOrDefault(peer.node(), ChangePosition.START);
+            ReplicationPosition position = positionByNode.getOrDefault(peer.node(), ReplicationPosition.NONE);
             if (position.incarnation() == peer.incarnation()) {
                 sessions.onSourceRestored(peer.node());
             }
@@ -233,7 +233,7 @@
     /** Takes in another registry's changes and asks for those behind them. */
     private void onMembershipUpdate(RpcConnection connection, MembershipUpdate update) {
         String node = connection.peer().node();
-        positionByNode.put(node, new ChangePosition(update.incarnation(), update.upToChange()));
+        positionByNode.put(node, new ReplicationPosition(update.incarnation(), update.upToChange()));
         update.instances().forEach(instance -> directory.merge(instance, reactor.now()));
         update.owners().forEach(owner -> directory.mergeOwner(owner, reactor.now()));
         sessions.merge(node, update.sessions(), reactor.now());
--- a/src/main/java/reedmux/control/rpc/Messages.java
+++ b/src/main/java/reedmux/control/rpc/Messages.java
@@ -9,7 +9,8 @@
 import reedmux.control.consensus.CoreMembership;
 import reedmux.control.consensus.Proposal;
 import reedmux.control.instances.CheckerIncarnation;
-import reedmux.control.instances.InstanceDirectory;
+import reedmux.control.instances.InstanceOwner;
+import reedmux.control.instances.RegistryHeartbeat;
 import reedmux.control.replication.Watermark;
 import reedmux.control.session.SessionChanges;
 
@@ -208,7 +209,7 @@
             long incarnation,
             long upToChange,
             List<CheckerIncarnation> instances,
-            List<InstanceDirectory.InstanceOwner> owners,
+            List<InstanceOwner> owners,
             SessionChanges sessions) {
         /** Copies the lists. */
         public MembershipUpdate {
@@ -229,7 +230,7 @@
     public record IncarnationAck(long id) {}
 
     /** The heartbeat counters of registry processes, as far as the sender has seen them; proxies forward them. */
-    public record RegistryHeartbeats(List<InstanceDirectory.RegistryHeartbeat> heartbeats) {
+    public record RegistryHeartbeats(List<RegistryHeartbeat> heartbeats) {
         /** Copies the list. */
         public RegistryHeartbeats {
             heartbeats = new ArrayList<>(heartbeats);
--- a/src/main/java/reedmux/control/session/ProxySession.java
+++ b/src/main/java/reedmux/control/session/ProxySession.java
@@ -1,13 +1,14 @@
 package reedmux.control.session;
 
 /**
- * A proxy that holds a session with a registry.
+ * The session of a proxy with a registry.
  *
- * @param life drawn anew at each start of its process
+ * @param node the name of the proxy's machine; a node has one session at a time
+ * @param incarnation drawn at the start of the proxy's process
  */
 public record ProxySession(String node, String ip, String zone, long incarnation) implements Comparable<ProxySession> {
 
-    // Written out, as what a record brings is linked at run time, in the middle of a start.
+    // Written out, as the generated methods of records are linked at run time, which delays the start of a program.
     @Override
     public boolean equals(Object other) {
         return other instanceof ProxySession session
--- a/src/main/java/reedmux/control/session/SessionChangeLog.java
+++ b/src/main/java/reedmux/control/session/SessionChangeLog.java
@@ -6,24 +6,29 @@
 import java.util.Map;
 import reedmux.control.changes.ChangeCounter;
 import reedmux.control.changes.ChangeList;
+import reedmux.control.changes.ChangeList.ChangeListNode;
 
 /**
- * Sessions by node, each with the number of its last change, so that who knows an earlier state is told what
- * differs. Of those that have ended the latest are kept; who knows only what was before is told the whole.
+ * One session a node, in the order of their last changes, so that a reader is sent what has changed since it read last.
+ * The latest of the nodes whose session has ended are kept for that; a reader from before the oldest change of an end
+ * that was forgotten gets the complete state.
  */
 final class SessionChangeLog {
     private static final int MAX_ENDED_ENTRIES = 2048;
     private final ChangeCounter counter;
-    private final Map<String, ChangeList.ChangeListNode<SessionEntry>> entries = new HashMap<>();
+    private final Map<String, ChangeListNode<SessionEntry>> entries = new HashMap<>();
     private final ChangeList<SessionEntry> changeOrder = new ChangeList<>();
+    /** The entries without a session, in the order in which the sessions ended. */
     private final ChangeList<SessionEntry> endOrder = new ChangeList<>();
+
     private int endedCount;
-    private long oldestKnownChange;
+    /** Ends up to this change may be forgotten. */
+    private long forgottenUpTo;
 
-    /** A node, and its session if it has one. */
+    /** A node, and its session or null. */
     private static final class SessionEntry {
         private final String node;
-        private final ChangeList.ChangeListNode<SessionEntry> endNode = new ChangeList.ChangeListNode<>(this);
+        private final ChangeListNode<SessionEntry> endNode = new ChangeListNode<>(this);
         private ProxySession session;
 
         private SessionEntry(String node) {
@@ -35,59 +40,63 @@
         this.counter = counter;
     }
 
-    /** Returns whether that is news. */
+    /** Sets the session of its node; returns whether that is a change. */
     boolean start(ProxySession session) {
-        ChangeList.ChangeListNode<SessionEntry> place = entries.get(session.node());
-        if (place == null) {
-            place = new ChangeList.ChangeListNode<>(new SessionEntry(session.node()));
-            entries.put(session.node(), place);
-        } else if (session.equals(place.value().session)) {
+        ChangeListNode<SessionEntry> listNode = entries.get(session.node());
+        if (listNode == null) {
+            listNode = new ChangeListNode<>(new SessionEntry(session.node()));
+            entries.put(session.node(), listNode);
+        } else if (session.equals(listNode.value().session)) {
             return false;
-        } else if (place.value().session == null) {
+        } else if (listNode.value().session == null) {
+            endOrder.remove(listNode.value().endNode);
             endedCount--;
-            endOrder.remove(place.value().endNode);
         }
-        place.value().session = session;
-        changeOrder.moveToNewest(place, counter.next());
+        listNode.value().session = session;
+        changeOrder.moveToNewest(listNode, counter.next());
         return true;
     }
 
+    /** Ends the session of a node; returns whether there was one. */
     boolean end(String node) {
-        ChangeList.ChangeListNode<SessionEntry> place = entries.get(node);
-        if (place == null || place.value().session == null) {
+        ChangeListNode<SessionEntry> listNode = entries.get(node);
+        if (listNode == null || listNode.value().session == null) {
             return false;
         }
-        place.value().session = null;
-        changeOrder.moveToNewest(place, counter.next());
-        endOrder.moveToNewest(place.value().endNode, counter.last());
-        if (++endedCount > MAX_ENDED_ENTRIES) {
-            ChangeList.ChangeListNode<SessionEntry> oldest = endOrder.oldest();
-            oldestKnownChange = oldest.change();
-            endedCount--;
-            endOrder.remove(oldest);
-            changeOrder.remove(entries.remove(oldest.value().node));
+        SessionEntry entry = listNode.value();
+        entry.session = null;
+        changeOrder.moveToNewest(listNode, counter.next());
+        endOrder.moveToNewest(entry.endNode, counter.last());
+        endedCount++;
+        if (endedCount > MAX_ENDED_ENTRIES) {
+            forgetOldestEnd();
         }
         return true;
     }
 
-    ProxySession get(String node) {
-        ChangeList.ChangeListNode<SessionEntry> place = entries.get(node);
-        return place == null ? null : place.value().session;
+    private void forgetOldestEnd() {
+        ChangeListNode<SessionEntry> oldest = endOrder.oldest();
+        forgottenUpTo = oldest.change();
+        endedCount--;
+        endOrder.remove(oldest);
+        changeOrder.remove(entries.remove(oldest.value().node));
     }
 
-    /** What has changed since; the whole for who knows nothing, {@code change < 0}. */
+    /** Returns the changes behind a change; negative stands for a reader that has nothing. */
     SessionChanges changesSince(long change) {
-        boolean whole = change < oldestKnownChange;
-        List<ProxySession> begun = new ArrayList<>();
-        List<String> gone = new ArrayList<>();
-        ChangeList.ChangeListNode<SessionEntry> at = changeOrder.firstAfterChange(whole ? -1 : change);
-        for (; at != null; at = changeOrder.nextNewer(at)) {
-            if (at.value().session != null) {
-                begun.add(at.value().session);
-            } else if (!whole) {
-                gone.add(at.value().node);
+        boolean complete = change < forgottenUpTo;
+        List<ProxySession> started = new ArrayList<>();
+        List<String> ended = new ArrayList<>();
+        ChangeListNode<SessionEntry> listNode = changeOrder.firstAfterChange(complete ? -1 : change);
+        while (listNode != null) {
+            SessionEntry entry = listNode.value();
+            if (entry.session != null) {
+                started.add(entry.session);
+            } else if (!complete) {
+                ended.add(entry.node);
             }
+            listNode = changeOrder.nextNewer(listNode);
         }
-        return new SessionChanges(whole, begun, gone);
+        return new SessionChanges(complete, started, ended);
     }
 }
--- a/src/main/java/reedmux/control/session/SessionTable.java
+++ b/src/main/java/reedmux/control/session/SessionTable.java
@@ -3,69 +3,69 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.TreeMap;
 import reedmux.control.changes.ChangeCounter;
 
 /**
- * Who holds a session, as one process knows it: with whom it has sessions itself, and what others have
- * told. A source that is lost counts on for a while, as it is more often cut off than its members are. Pure.
+ * Which proxies hold a session, as one process knows it. A registry has sessions of its own, with the proxies that are
+ * connected to it, and those that other registries report; a proxy has only reported ones. Both together are the
+ * {@link SessionView}.
+ *
+ * <ul>
+ *   <li>A session starts with a connection and ends with the last connection of its node.
+ *   <li>Where sources report different incarnations of a node, the one that was first reported last counts; a session
+ *       of our own counts before any reported one.
+ *   <li>The sessions of a source that cannot be reached count for a grace period, as the source is more often
+ *       partitioned than its proxies are gone. After that they count only as long as no source can be reached: a
+ *       process that is partitioned from all of them goes on with what it knew last.
+ * </ul>
+ *
+ * <p>Changes are numbered by the process's {@link ChangeCounter}, those of its own sessions and those of the view
+ * separately. Pure; times are microseconds of the caller's clock. Not thread-safe.
  */
 public final class SessionTable {
     private final long lostSourceGraceMicros;
     private final Map<String, SessionSource> sources = new HashMap<>();
-    /** By node the sessions of its links with us, which may overlap, in the order in which they began. */
+    /** By node; the connections of one node may overlap, and are in the order in which they were established. */
     private final Map<String, List<ProxySession>> localSessions = new TreeMap<>();
 
     private final ChangeCounter counter;
     private final SessionChangeLog localChanges;
     private final SessionChangeLog viewChanges;
+    /** Null after a change. */
     private SessionView view;
-    /** The view that the numbers are of. */
-    private SessionView recordedView = SessionView.of(List.of());
-    /** When the next source that is lost ceases to count. */
+    /** Until when the view is right if nothing changes: the next lost source's grace period ends then. */
     private long viewValidUntilMicros;
-
-    private static final class SessionSource {
-        private final Map<String, ProxySession> sessions = new TreeMap<>();
-        /** When each was told first. */
-        private final Map<String, Long> firstReportedMicros = new HashMap<>();
-
-        private long lostAtMicros = -1;
-
-        private void put(ProxySession session, long now) {
-            if (!session.equals(sessions.put(session.node(), session))) {
-                firstReportedMicros.put(session.node(), now);
-            }
-        }
-
-        private void remove(String node) {
-            sessions.remove(node);
-            firstReportedMicros.remove(node);
-        }
-    }
+    /** The view whose changes were numbered last. */
+    private SessionView recordedView = SessionView.of(List.of());
 
     /**
-     * One that tells others.
+     * Creates a table whose changes others pull.
      *
-     * @param linger how long a lost source still counts, in microseconds
-     * @param counter numbers what is told
+     * @param lostSourceGraceMicros how long the sessions of a lost source still count
+     * @param counter numbers the changes
      */
-    public SessionTable(long linger, ChangeCounter counter) {
-        this.lostSourceGraceMicros = linger;
+    public SessionTable(long lostSourceGraceMicros, ChangeCounter counter) {
+        this.lostSourceGraceMicros = lostSourceGraceMicros;
         this.counter = counter;
         localChanges = new SessionChangeLog(counter);
         viewChanges = new SessionChangeLog(counter);
     }
 
-    public SessionTable(long linger) {
-        this(linger, new ChangeCounter());
+    /**
+     * Creates a table that nobody pulls from.
+     *
+     * @param lostSourceGraceMicros how long the sessions of a lost source still count
+     */
+    public SessionTable(long lostSourceGraceMicros) {
+        this(lostSourceGraceMicros, new ChangeCounter());
     }
 
-    /** A link of a node with us stands from now on. */
+    // ---- Local sessions -----------------------------------------------------------------------------
+
+    /** A connection of a proxy is established. */
     public void start(ProxySession session) {
         localSessions
                 .computeIfAbsent(session.node(), node -> new ArrayList<>(1))
@@ -75,103 +75,123 @@
         }
     }
 
-    /** A link has ended; another one of its node, of the same incarnation or the next, may stand. */
+    /** A connection has ended; the node may have others, of the same incarnation or of another one. */
     public void end(ProxySession session) {
-        List<ProxySession> links = localSessions.get(session.node());
-        if (links == null || !links.remove(session)) {
+        List<ProxySession> connections = localSessions.get(session.node());
+        if (connections == null || !connections.remove(session)) {
             return;
         }
-        if (links.isEmpty()) {
+        if (connections.isEmpty()) {
             localSessions.remove(session.node());
             localChanges.end(session.node());
             view = null;
-        } else if (localChanges.start(links.get(links.size() - 1))) {
+        } else if (localChanges.start(latest(connections))) {
             view = null;
         }
     }
 
-    /** One session for each node that has any with us. */
+    private static ProxySession latest(List<ProxySession> connections) {
+        return connections.get(connections.size() - 1);
+    }
+
+    /** Returns one session for each connected node: that of its latest connection. */
     public Collection<ProxySession> localSessions() {
-        List<ProxySession> all = new ArrayList<>(localSessions.size());
-        for (List<ProxySession> links : localSessions.values()) {
-            all.add(links.get(links.size() - 1));
+        List<ProxySession> sessions = new ArrayList<>(localSessions.size());
+        for (List<ProxySession> connections : localSessions.values()) {
+            sessions.add(latest(connections));
         }
-        return all;
+        return sessions;
     }
 
-    /** A source tells how the sessions that it knows of have changed since it told last. */
-    public void merge(String source, SessionChanges news, long now) {
+    /** How many nodes are connected. */
+    public int localSessionCount() {
+        return localSessions.size();
+    }
+
+    // ---- Reported sessions --------------------------------------------------------------------------
+
+    /** Applies what a source reports to have changed since its last report; the source can be reached. */
+    public void merge(String source, SessionChanges changes, long now) {
         SessionSource entry = sources.computeIfAbsent(source, name -> new SessionSource());
-        if (news.complete()) {
-            Set<String> left = new HashSet<>(entry.sessions.keySet());
-            news.started().forEach(session -> left.remove(session.node()));
-            left.forEach(entry::remove);
-        }
-        news.started().forEach(session -> entry.put(session, now));
-        news.ended().forEach(entry::remove);
-        if (!news.isEmpty() || entry.lostAtMicros >= 0) {
+        entry.apply(changes, now);
+        if (!changes.isEmpty() || entry.isLost()) {
             view = null;
         }
-        entry.lostAtMicros = -1;
+        entry.markReachable();
     }
 
-    /** A source cannot be heard any more. */
+    /** A source cannot be reached any more. */
     public void onSourceLost(String source, long now) {
         SessionSource entry = sources.get(source);
-        if (entry != null && entry.lostAtMicros < 0) {
-            entry.lostAtMicros = now;
+        if (entry != null && !entry.isLost()) {
+            entry.markLost(now);
             view = null;
         }
     }
 
-    /** A source can be heard again, and has told all up to what it will tell from now on. */
+    /** A source can be reached again in the same incarnation, so what it has reported is still right. */
     public void onSourceRestored(String source) {
         SessionSource entry = sources.get(source);
-        if (entry != null && entry.lostAtMicros >= 0) {
-            entry.lostAtMicros = -1;
+        if (entry != null && entry.isLost()) {
+            entry.markReachable();
             view = null;
         }
     }
 
-    /**
-     * All members. A source that is lost counts until its time is over, and after that only where no other is
-     * left, as somebody who is cut off from all of them has to go on with what was last known.
-     */
+    /** Whether no source can be reached. */
+    public boolean isIsolated() {
+        return sources.values().stream().allMatch(SessionSource::isLost);
+    }
+
+    // ---- View ---------------------------------------------------------------------------------------
+
+    /** Returns the view of all sessions that count at a time. */
     public SessionView view(long now) {
-        if (view != null && now <= viewValidUntilMicros) {
-            return view;
+        if (view == null || now > viewValidUntilMicros) {
+            Map<String, ProxySession> sessions = mergeReported(countingSources(now));
+            localSessions().forEach(session -> sessions.put(session.node(), session));
+            view = SessionView.of(sessions.values());
         }
-        List<SessionSource> standing = new ArrayList<>();
-        List<SessionSource> lost = new ArrayList<>();
+        return view;
+    }
+
+    /** Returns the sources whose sessions count, and sets until when that holds. */
+    private List<SessionSource> countingSources(long now) {
+        List<SessionSource> counting = new ArrayList<>();
+        List<SessionSource> expired = new ArrayList<>();
         viewValidUntilMicros = Long.MAX_VALUE;
-        for (SessionSource entry : sources.values()) {
-            if (entry.lostAtMicros < 0) {
-                standing.add(entry);
-            } else if (now - entry.lostAtMicros <= lostSourceGraceMicros) {
-                standing.add(entry);
-                viewValidUntilMicros = Math.min(viewValidUntilMicros, entry.lostAtMicros + lostSourceGraceMicros);
+        for (SessionSource source : sources.values()) {
+            if (!source.isLost()) {
+                counting.add(source);
+            } else if (now - source.lostAtMicros() <= lostSourceGraceMicros) {
+                counting.add(source);
+                viewValidUntilMicros = Math.min(viewValidUntilMicros, source.lostAtMicros() + lostSourceGraceMicros);
             } else {
-                lost.add(entry);
+                expired.add(source);
             }
         }
-        List<SessionSource> counted = standing.isEmpty() ? lost : standing;
+        return counting.isEmpty() ? expired : counting;
+    }
+
+    /** Returns for each node the session that was first reported last. */
+    private static Map<String, ProxySession> mergeReported(List<SessionSource> counting) {
         Map<String, ProxySession> latest = new HashMap<>();
-        Map<String, Long> at = new HashMap<>();
-        for (SessionSource entry : counted) {
-            for (ProxySession session : entry.sessions.values()) {
-                long then = entry.firstReportedMicros.get(session.node());
-                if (then >= at.getOrDefault(session.node(), Long.MIN_VALUE)) {
-                    at.put(session.node(), then);
+        Map<String, Long> reportedMicros = new HashMap<>();
+        for (SessionSource source : counting) {
+            for (ProxySession session : source.sessions()) {
+                long reported = source.firstReportedMicros(session.node());
+                if (reported >= reportedMicros.getOrDefault(session.node(), Long.MIN_VALUE)) {
+                    reportedMicros.put(session.node(), reported);
                     latest.put(session.node(), session);
                 }
             }
         }
-        localSessions().forEach(session -> latest.put(session.node(), session));
-        view = SessionView.of(latest.values());
-        return view;
+        return latest;
     }
 
-    /** Numbers what has changed of the view, so that others are told. */
+    // ---- Changes ------------------------------------------------------------------------------------
+
+    /** Numbers the changes of the view since the last call, so that {@link #viewChangesSince} has them. */
     public void recordViewChanges(long now) {
         SessionView next = view(now);
         if (next == recordedView || next.digest() == recordedView.digest()) {
@@ -188,28 +208,18 @@
         recordedView = next;
     }
 
-    /** How many nodes have a session with us. */
-    public int localSessionCount() {
-        return localSessions.size();
-    }
-
     /** The number of the last change. */
     public long lastChange() {
         return counter.last();
     }
 
-    /** How our own sessions have changed since; for those who count them with others'. */
+    /** Returns how our own sessions have changed behind a change, for those who merge them with others'. */
     public SessionChanges localChangesSince(long change) {
         return localChanges.changesSince(change);
     }
 
-    /** How the view has changed since, as of the last look. */
+    /** Returns how the view has changed behind a change, as of the last {@link #recordViewChanges}. */
     public SessionChanges viewChangesSince(long change) {
         return viewChanges.changesSince(change);
     }
-
-    /** Whether no source can be heard. */
-    public boolean isIsolated() {
-        return sources.values().stream().allMatch(entry -> entry.lostAtMicros >= 0);
-    }
 }
--- a/src/main/java/reedmux/control/session/SessionView.java
+++ b/src/main/java/reedmux/control/session/SessionView.java
@@ -8,12 +8,16 @@
 import java.util.TreeMap;
 
 /**
- * The members that a process knows of, in the order that all agree on. Two views are the same if their tags
- * are.
+ * The proxies that a process knows of, in an order that is the same in every process: by node. The position in that
+ * order is also the position in a binary heap, by which the proxies exchange quota counts with their parent and
+ * children. Immutable.
  */
 public final class SessionView {
+    /** 2^64 divided by the golden ratio, as in Fibonacci hashing. */
     private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
-    private static final int HEAP_NEIGHBOURS = 3;
+
+    private static final int NONE = -1;
+
     private final List<ProxySession> members;
     private final Map<String, Integer> indexByNode = new HashMap<>();
     private final long digest;
@@ -22,49 +26,54 @@
         this.members = members;
         long hash = members.size();
         for (int i = 0; i < members.size(); i++) {
-            indexByNode.put(members.get(i).node(), i);
-            hash = (hash ^ members.get(i).node().hashCode()) * HASH_MULTIPLIER;
-            hash = (hash ^ hash >>> 29 ^ members.get(i).incarnation()) * HASH_MULTIPLIER;
+            ProxySession member = members.get(i);
+            indexByNode.put(member.node(), i);
+            hash = (hash ^ member.node().hashCode()) * HASH_MULTIPLIER;
+            hash = (hash ^ hash >>> 29 ^ member.incarnation()) * HASH_MULTIPLIER;
         }
         digest = hash;
     }
 
-    /** Of two lives of one node the one told later stands. */
+    /** Creates the view of some sessions; of two sessions of one node the later in the collection counts. */
     public static SessionView of(Collection<ProxySession> sessions) {
         Map<String, ProxySession> byNode = new TreeMap<>();
         sessions.forEach(session -> byNode.put(session.node(), session));
         return new SessionView(new ArrayList<>(byNode.values()));
     }
 
+    /** How many members there are. */
     public int size() {
         return members.size();
     }
 
-    public ProxySession member(int place) {
-        return members.get(place);
+    /** The member at an index, from 0. */
+    public ProxySession member(int index) {
+        return members.get(index);
     }
 
+    /** All members in their order; not to be changed. */
     public List<ProxySession> members() {
         return members;
     }
 
-    /** The place of a node in the order, or -1. */
+    /** The index of a node, or -1 where it is no member. */
     public int indexOf(String node) {
-        return indexByNode.getOrDefault(node, -1);
+        return indexByNode.getOrDefault(node, NONE);
     }
 
+    /** A hash of the members' nodes and incarnations: two processes have the same view if their digests are equal. */
     public long digest() {
         return digest;
     }
 
-    /** The places of parent, left and right child in the heap, each -1 where there is none. */
-    public int[] heapNeighbours(int place) {
-        int[] near = new int[HEAP_NEIGHBOURS];
-        near[0] = place <= 0 ? -1 : (place - 1) / 2;
-        for (int child = 1; child <= 2; child++) {
-            int at = 2 * place + child;
-            near[child] = place >= 0 && at < members.size() ? at : -1;
-        }
-        return near;
+    /** The indexes of the parent, the left and the right child in the heap, in this order; -1 where there is none. */
+    public int[] heapNeighbours(int index) {
+        int parent = index <= 0 ? NONE : (index - 1) / 2;
+        return new int[] {parent, childOf(index, 1), childOf(index, 2)};
+    }
+
+    private int childOf(int index, int which) {
+        int child = 2 * index + which;
+        return index >= 0 && child < members.size() ? child : NONE;
     }
 }
--- a/src/main/java/reedmux/control/session/package-info.java
+++ b/src/main/java/reedmux/control/session/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Who holds a session with a registry, and the view that follows: an order, neighbours in the heap, a tag.
- * Pure.
+ * The sessions of proxies with registries, and the view of all proxies that follows from them: an order, the neighbours
+ * in a heap and a digest. Pure.
  */
 package reedmux.control.session;
--- a/src/test/java/reedmux/control/registry/ControlCallParserTest.java
+++ b/src/test/java/reedmux/control/registry/ControlCallParserTest.java
@@ -11,7 +11,7 @@
 import reedmux.common.http1.MalformedMessageException;
 import reedmux.control.instances.CheckerIncarnation;
 
-/** Calls from outside as they should be, and as they should not. */
+/** Valid and invalid requests to the control API. */
 public class ControlCallParserTest {
     private static final String HEARTBEAT_JSON = "{\"plant\":\"desk\",\"address\":\"10.1.0.9:8080\","
             + "\"zone\":\"hall\",\"revision\":\"v1\",\"capacity\":6,"
@@ -67,7 +67,7 @@
         throw new AssertionError("taken: " + body);
     }
 
-    /** Cut at each byte, each bit flipped: refused with a line, or a call whose parts are within bounds. */
+    /** A heartbeat truncated at each byte, and with each of its bits flipped. */
     @Test
     public void rejectsOrBoundsTruncatedAndFlippedBodies() {
         byte[] whole = bytes(HEARTBEAT_JSON);
--- a/src/test/java/reedmux/control/registry/PendingRequestsTest.java
+++ b/src/test/java/reedmux/control/registry/PendingRequestsTest.java
@@ -8,13 +8,13 @@
 import org.testng.annotations.Test;
 import reedmux.testing.ScheduleExplorer;
 
-/** Questions, answers, and ends of links and of patience in all orders. */
+/** Responses, cancellations and lost connections in all orders. */
 public class PendingRequestsTest {
 
-    /** Two questions, to links a and b and to a's next; each has one end, and never another's answer. */
+    /** Two requests: one over connections a and b, and one over a2, which replaces a. */
     @Test
     public void eachRequestCompletesOnceWithItsOwnResponse() {
-        int plays = ScheduleExplorer.exploreAll(100_000, orders -> {
+        int orderings = ScheduleExplorer.exploreAll(100_000, orders -> {
             PendingRequests<String, String> pending = new PendingRequests<>();
             List<String> ends = new ArrayList<>();
             long one = pending.register(List.of("a", "b"), "one");
@@ -24,8 +24,8 @@
                     () -> recordEnd(ends, pending.complete(one, "b"), "one"),
                     () -> pending.onConnectionLost("a").forEach(who -> recordEnd(ends, who, "one")),
                     () -> pending.onConnectionLost("b").forEach(who -> recordEnd(ends, who, "one")),
-                    () -> assertNull(pending.complete(one, "a2")), // the next link of who was asked
-                    () -> assertNull(pending.complete(two, "a")), // a process that is gone
+                    () -> assertNull(pending.complete(one, "a2")), // the next connection to the same peer
+                    () -> assertNull(pending.complete(two, "a")), // the previous connection to the same peer
                     () -> recordEnd(ends, pending.complete(two, "a2"), "two"),
                     () -> recordEnd(ends, pending.cancel(two), "two")));
             while (!left.isEmpty()) {
@@ -34,7 +34,7 @@
             assertEquals(ends.stream().filter("one"::equals).count(), 1);
             assertEquals(ends.stream().filter("two"::equals).count(), 1);
         });
-        assertEquals(plays, 40_320);
+        assertEquals(orderings, 40_320);
     }
 
     private static void recordEnd(List<String> ends, String who, String expected) {
--- a/src/test/java/reedmux/control/rpc/MessageCodecTest.java
+++ b/src/test/java/reedmux/control/rpc/MessageCodecTest.java
@@ -18,13 +18,14 @@
 import reedmux.control.consensus.CoreMembership;
 import reedmux.control.consensus.Proposal;
 import reedmux.control.instances.CheckerIncarnation;
-import reedmux.control.instances.InstanceDirectory;
+import reedmux.control.instances.InstanceOwner;
+import reedmux.control.instances.RegistryHeartbeat;
 import reedmux.control.replication.Watermark;
 import reedmux.control.session.ProxySession;
 import reedmux.control.session.SessionChanges;
 import reedmux.proxy.quota.QuotaTracker;
 
-/** Each message there and back, and bytes that are none. */
+/** Every message encoded and decoded, and bytes that are no message. */
 public class MessageCodecTest {
     private static final ConfigurationItem ITEM = new ConfigurationItem("routes", "r", 7, "{\"host\":\"h\"}");
     private static final CheckerIncarnation INCARNATION =
@@ -43,7 +44,7 @@
                         1,
                         2,
                         List.of(INCARNATION),
-                        List.of(new InstanceDirectory.InstanceOwner("i-1", 9, -7)),
+                        List.of(new InstanceOwner("i-1", 9, -7)),
                         new SessionChanges(true, List.of(SESSION), List.of("edge-2"))),
                 new Messages.ConfigurationChangeRequest(5, "x"),
                 new Messages.ConfigurationReadRequest(6),
@@ -75,7 +76,7 @@
                 new Messages.StoreStatusRequest(5, "items", "", 7),
                 new Messages.IncarnationNotice(8, List.of(INCARNATION)),
                 new Messages.IncarnationAck(9),
-                new Messages.RegistryHeartbeats(List.of(new InstanceDirectory.RegistryHeartbeat(-3, 4))),
+                new Messages.RegistryHeartbeats(List.of(new RegistryHeartbeat(-3, 4))),
                 new QuotaTracker.QuotaUpdate(
                         "n", 1, 2, 3, 4, new ArrayList<>(List.of(new QuotaTracker.TenantTotal("t", 1.5, -1)))));
     }
@@ -119,7 +120,7 @@
         assertEquals(unknown.getMessage(), "at byte 1: no message has the id 99");
     }
 
-    /** Bytes in place of any text of a message that promise a text of any length, or none. */
+    /** A length of a string that the frame cannot hold, in place of the real one. */
     @Test
     public void rejectsStringLengthsBeyondTheFrame() {
         MessageCodec codec = new MessageCodec();
@@ -128,35 +129,35 @@
             out.writeByte(codec.encode(new Messages.ConfigurationChangeRequest(5, "x"))[0]);
             out.writeLong(5);
             out.writeVarIntFlag(true, length, true);
-            assertNull(codec.decodeOrNull(out.toBytes()), "a text of " + length);
+            assertNull(codec.decodeOrNull(out.toBytes()), "a string of " + length);
         }
     }
 
-    /** All flips of one bit in all messages: a message or none, and never more than that. */
+    /** Every flip of one bit in every message is rejected, or decoded to a message within its bounds. */
     @Test
     public void survivesEverySingleBitFlip() {
         MessageCodec codec = new MessageCodec();
-        int plays = 0;
+        int flips = 0;
         for (Object message : allMessages()) {
             byte[] bytes = codec.encode(message);
             for (int bit = 0; bit < 8 * bytes.length; bit++) {
                 byte[] flipped = bytes.clone();
                 flipped[bit / 8] ^= (byte) (1 << bit % 8);
                 Object read = codec.decodeOrNull(flipped);
-                if (read instanceof QuotaTracker.QuotaUpdate packet) {
-                    packet.entries().forEach(entry -> assertEquals(entry.total() - entry.total(), 0.0));
-                    assertEquals(packet.reachableMembers() < 0, false);
-                } else if (read instanceof Messages.IncarnationNotice tell) {
-                    tell.instances()
-                            .forEach(life -> assertEquals(
-                                    life.phase() >= CheckerIncarnation.READY
-                                            && life.phase() <= CheckerIncarnation.GONE
-                                            && life.capacity() > 0,
+                if (read instanceof QuotaTracker.QuotaUpdate update) {
+                    update.entries().forEach(entry -> assertEquals(entry.total() - entry.total(), 0.0));
+                    assertEquals(update.reachableMembers() < 0, false);
+                } else if (read instanceof Messages.IncarnationNotice notice) {
+                    notice.instances()
+                            .forEach(instance -> assertEquals(
+                                    instance.phase() >= CheckerIncarnation.READY
+                                            && instance.phase() <= CheckerIncarnation.GONE
+                                            && instance.capacity() > 0,
                                     true));
                 }
-                plays++;
+                flips++;
             }
         }
-        assertEquals(plays > 3000, true, plays + " flips");
+        assertEquals(flips > 3000, true, flips + " flips");
     }
 }
--- a/src/test/java/reedmux/control/rpc/RpcConnectionTest.java
+++ b/src/test/java/reedmux/control/rpc/RpcConnectionTest.java
@@ -14,7 +14,7 @@
 import reedmux.common.eventloop.ScriptedEnvironment;
 import reedmux.control.rpc.Messages.Hello;
 
-/** What comes from whoever opens a connection: messages, or bytes that are none. */
+/** Input of accepted connections: messages, and bytes that are none. */
 public class RpcConnectionTest {
     private static final Hello PEER_HELLO =
             new Hello(Messages.FORMAT_VERSION, "proxy", "edge-1", "10.1.0.1", "a", 5, List.of());
@@ -25,17 +25,17 @@
         int disconnects;
 
         @Override
-        public void onConnected(RpcConnection link) {
+        public void onConnected(RpcConnection connection) {
             connects++;
         }
 
         @Override
-        public void onMessage(RpcConnection link, Object message) {
+        public void onMessage(RpcConnection connection, Object message) {
             messages.add(message);
         }
 
         @Override
-        public void onDisconnected(RpcConnection link) {
+        public void onDisconnected(RpcConnection connection) {
             disconnects++;
         }
     }
@@ -72,7 +72,7 @@
         };
     }
 
-    /** A clear line, once, and an end; and the next link is heard. */
+    /** Three connections with the same input get one warning together, and the next connection works. */
     @Test(dataProvider = "bad")
     public void malformedInputClosesOnlyItsOwnConnection(String bytes, String line) throws IOException {
         ScriptedEnvironment sockets = new ScriptedEnvironment();
--- a/src/test/java/reedmux/control/rpc/RpcFixtures.java
+++ b/src/test/java/reedmux/control/rpc/RpcFixtures.java
@@ -13,7 +13,8 @@
 import reedmux.control.consensus.CoreMembership;
 import reedmux.control.consensus.Proposal;
 import reedmux.control.instances.CheckerIncarnation;
-import reedmux.control.instances.InstanceDirectory;
+import reedmux.control.instances.InstanceOwner;
+import reedmux.control.instances.RegistryHeartbeat;
 import reedmux.control.replication.Watermark;
 import reedmux.control.session.ProxySession;
 import reedmux.control.session.SessionChanges;
@@ -64,7 +65,7 @@
                         -13,
                         14,
                         List.of(DRAINING, READY, GONE),
-                        List.of(new InstanceDirectory.InstanceOwner("i-1", 900, -7)),
+                        List.of(new InstanceOwner("i-1", 900, -7)),
                         new SessionChanges(true, List.of(SESSION), List.of("edge-2", "edge-3"))));
         all.put("change-request", new Messages.ConfigurationChangeRequest(5, LONG_TEXT));
         all.put("read-request", new Messages.ConfigurationReadRequest(6));
@@ -120,9 +121,8 @@
         all.put("incarnations-known", new Messages.IncarnationAck(10));
         all.put(
                 "contacts",
-                new Messages.RegistryHeartbeats(List.of(
-                        new InstanceDirectory.RegistryHeartbeat(-3, 4_000_000),
-                        new InstanceDirectory.RegistryHeartbeat(5, 6))));
+                new Messages.RegistryHeartbeats(
+                        List.of(new RegistryHeartbeat(-3, 4_000_000), new RegistryHeartbeat(5, 6))));
         all.put(
                 "watermarks",
                 new Messages.WatermarkUpdate(List.of(
--- a/src/test/java/reedmux/control/session/SessionChangesTest.java
+++ b/src/test/java/reedmux/control/session/SessionChangesTest.java
@@ -9,7 +9,7 @@
 import reedmux.control.changes.ChangeCounter;
 import reedmux.testing.ScheduleExplorer;
 
-/** Sessions that are told as differences come to the same as those that are told whole. */
+/** Incremental changes of sessions lead to the same view as the complete state. */
 public class SessionChangesTest {
     private static final long GRACE_MICROS = 2_000_000;
 
@@ -17,10 +17,10 @@
         return new ProxySession("edge-" + node, "10.1.0." + node, "a", life);
     }
 
-    /** Two proxies that come, end and come back, and a puller that is told after any of the steps. */
+    /** Two proxies whose sessions start and end, and a reader that pulls after any of the steps. */
     @Test
     public void incrementalChangesEqualTheFullStateInAllOrders() {
-        int plays = ScheduleExplorer.exploreAll(1_000_000, orders -> {
+        int orderings = ScheduleExplorer.exploreAll(1_000_000, orders -> {
             ChangeCounter counter = new ChangeCounter();
             SessionTable registry = new SessionTable(GRACE_MICROS, counter);
             SessionTable proxy = new SessionTable(GRACE_MICROS);
@@ -44,7 +44,7 @@
                 }
             }
         });
-        assertEquals(plays, 32768);
+        assertEquals(orderings, 32768);
     }
 
     @Test
@@ -66,7 +66,7 @@
         assertTrue(registry.viewChangesSince(counter.last()).isEmpty());
     }
 
-    /** Ends are not kept for ever: who has missed too many is told the whole, and is right again. */
+    /** Only the latest ends are kept. */
     @Test
     public void readerBehindTheEndedEntriesGetsTheFullState() {
         ChangeCounter counter = new ChangeCounter();
@@ -88,7 +88,7 @@
         assertFalse(registry.localChangesSince(counter.last() - 2).complete());
     }
 
-    /** What a source repeats of a node does not outdo what another has told of its newer process since. */
+    /** What a source repeats does not replace a newer incarnation that another source has reported since. */
     @Test
     public void newerSessionWinsOverAnOlderOneReportedAgain() {
         for (String[] source : new String[][] {{"one", "two"}, {"two", "one"}}) {
@@ -100,7 +100,7 @@
         }
     }
 
-    /** A link that comes back finds nothing to tell; its source counts again all the same. */
+    /** A connection that is established again may have no change to report. */
     @Test
     public void restoredSourceCountsAgain() {
         SessionTable proxy = new SessionTable(GRACE_MICROS);
--- a/src/test/java/reedmux/control/session/SessionTableTest.java
+++ b/src/test/java/reedmux/control/session/SessionTableTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 import reedmux.testing.ScheduleExplorer;
 
-/** Links of one node that begin and end in every order: the newest that stands counts. */
+/** Connections of one node that start and end in every order. */
 public class SessionTableTest {
     private static final long NOW = 5_000_000;
 
@@ -15,7 +15,7 @@
         return new ProxySession("edge-1", "10.1.0.1", "a", life);
     }
 
-    /** Two links, each with its incarnation; the first ends for good, the second stands. */
+    /** Starts two connections and ends the first, in every order; returns the number of orders. */
     private static int endFirstInEveryOrder(long first, long second) {
         return ScheduleExplorer.exploreAll(1000, orders -> {
             SessionTable sessions = new SessionTable(2_000_000);
@@ -35,20 +35,20 @@
         });
     }
 
-    /** A proxy dials again before its registry has seen the end of the link before. */
+    /** A proxy reconnects before its registry has noticed the end of the previous connection. */
     @Test
     public void endOfAConnectionKeepsItsSuccessor() {
         assertEquals(endFirstInEveryOrder(7, 7), 3);
     }
 
-    /** A registry that was frozen reads the links of a proxy's two incarnations in any order. */
+    /** A registry that was suspended reads the connections of two incarnations in any order. */
     @Test
     public void endedIncarnationDoesNotReplaceTheNextOne() {
         assertEquals(endFirstInEveryOrder(7, 8), 3);
         assertEquals(endFirstInEveryOrder(8, 7), 3);
     }
 
-    /** While both seem to stand the one that began last counts, and others are told of each change. */
+    /** While both seem to be open, the one that started last counts, and each change is numbered. */
     @Test
     public void latestConnectionDeterminesTheSession() {
         SessionTable sessions = new SessionTable(2_000_000);
