--- a/src/main/java/reedmux/cli/GatekeeperProcess.java
+++ b/src/main/java/reedmux/cli/GatekeeperProcess.java
@@ -159,7 +159,7 @@
                 taking.setDaemon(true);
                 taking.start();
             }
-            pools.eventLoop().run(pools, this::afterTurn);
+            pools.eventLoop().run(pools.loopTasks(), this::afterTurn);
             log.accept("ended; datagrams dropped " + peers.droppedCount() + ", not sent " + peers.unsentCount());
         } finally {
             pools.close();
--- a/src/main/java/reedmux/gatekeeper/config/SettingsReader.java
+++ b/src/main/java/reedmux/gatekeeper/config/SettingsReader.java
@@ -13,8 +13,8 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.RequestClass;
 
 /**
- * Reads the policy's settings from flat keys such as {@code lanes.0.name}; unknown keys are ignored. Both the simulator's
- * adapter and the real gatekeeper read their settings here.
+ * Reads the policy's settings from flat keys such as {@code lanes.0.name}; unknown keys are ignored. Both the
+ * simulator's adapter and the real gatekeeper read their settings here.
  */
 public final class SettingsReader {
     /** The limit on the units of one request where none is set. */
--- a/src/main/java/reedmux/gatekeeper/http/ConsumerRequest.java
+++ b/src/main/java/reedmux/gatekeeper/http/ConsumerRequest.java
@@ -5,7 +5,7 @@
 /**
  * A request as it goes on to a provider: unchanged but for the headers that are ours to set.
  *
- * @param patience how long its consumer waits after its last byte, in microseconds
+ * @param timeoutMicros how long its consumer waits after its last byte, in microseconds
  */
 public record ConsumerRequest(
         String method, String target, String traceId, String contentType, RequestBody requestBody, long timeoutMicros)
--- a/src/main/java/reedmux/gatekeeper/http/RegionFrontend.java
+++ b/src/main/java/reedmux/gatekeeper/http/RegionFrontend.java
@@ -8,7 +8,6 @@
 import org.apache.hc.core5.http.HttpRequest;
 import reedmux.common.time.MonotonicClock;
 import reedmux.gatekeeper.failover.RegionPath;
-import reedmux.gatekeeper.http.ServiceFrontend.InvalidHeaderException;
 import reedmux.gatekeeper.policy.TrafficPolicy;
 import reedmux.gatekeeper.policy.TrafficPolicy.Idempotency;
 import reedmux.gatekeeper.policy.TrafficPolicy.IncomingRequest;
@@ -19,8 +18,9 @@
 import reedmux.gatekeeper.reducer.ReducerEvent;
 
 /**
- * Requests that other regions send, as docs/regions.md tells the form. All that certainly did not run here,
- * and only that, is told so; a request that makes no sense has not run either.
+ * Parses the requests that other regions forward; their form is described in docs/regions.md. Responses to requests
+ * that certainly did not run here, and only to these, have the header {@link #NEVER_RAN_HEADER}; an invalid request did
+ * not run either.
  */
 public final class RegionFrontend implements RequestFrontend {
     static final String REGION_PATH_HEADER = "X-Region-Path";
@@ -28,29 +28,28 @@
     static final String REGION_UNITS_HEADER = "X-Region-Units";
     static final String REGION_TOOK_HEADER = "X-Region-Took-Us";
     static final String NEVER_RAN_HEADER = "X-Never-Ran";
-    /** Advice to a region whose requests make no sense here, in microseconds: somebody must mend that. */
+    /** Advice to a region whose requests are invalid here: somebody has to correct the settings first. */
     private static final long MISCONFIGURATION_RETRY_AFTER_MICROS = 10_000_000;
 
-    private static final long MAX_TIMEOUT_MILLIS = 3_600_000;
-
     private final PolicySettings settings;
     private final MonotonicClock clock;
     private final Consumer<ReducerEvent> eventSink;
     private final Map<String, Integer> classes = new HashMap<>();
 
-    public RegionFrontend(PolicySettings settings, MonotonicClock clock, Consumer<ReducerEvent> home) {
-        this.eventSink = home;
+    /** A frontend for the requests of other regions; {@code eventSink} gets the events of all invocations. */
+    public RegionFrontend(PolicySettings settings, MonotonicClock clock, Consumer<ReducerEvent> eventSink) {
+        this.eventSink = eventSink;
         this.settings = settings;
         this.clock = clock;
-        List<RequestClass> kinds = settings.classes();
-        for (int i = 0; i < kinds.size(); i++) {
-            classes.put(kinds.get(i).name(), i);
+        List<RequestClass> requestClasses = settings.classes();
+        for (int i = 0; i < requestClasses.size(); i++) {
+            classes.put(requestClasses.get(i).name(), i);
         }
     }
 
-    /** The word by which the link tells what a repeat does. */
-    static String wireName(Idempotency repeat) {
-        return repeat.name().toLowerCase(Locale.ROOT);
+    /** The name of a class's idempotency in {@link #REGION_REPEAT_HEADER}. */
+    static String wireName(Idempotency idempotency) {
+        return idempotency.name().toLowerCase(Locale.ROOT);
     }
 
     @Override
@@ -69,54 +68,35 @@
     }
 
     @Override
-    public ParsedRequest parse(HttpRequest request, RequestBody body, long takenAt, Invocation.AnswerSink reply) {
+    public ParsedRequest parse(
+            HttpRequest request, RequestBody body, long receivedAt, Invocation.AnswerSink answerSink) {
         try {
-            if (!ServiceFrontend.isPlainTarget(request.getPath())) {
+            if (!RequestHeaders.isPlainTarget(request.getPath())) {
                 throw new InvalidHeaderException("the target holds a character that has no place there");
             }
-            RegionPath path = RegionPath.parse(ServiceFrontend.requiredHeader(request, REGION_PATH_HEADER));
-            if (path == null) {
-                throw new InvalidHeaderException(REGION_PATH_HEADER + " is no list of regions");
-            }
-            String name = ServiceFrontend.className(request.getPath());
-            Integer requestClass = classes.get(name);
-            if (requestClass == null) {
-                throw new InvalidHeaderException("no such class: " + name);
-            }
-            // What a repeat does must be the same in both regions: the one that thinks it harmless would
-            // else send again what the other must not have twice.
-            Idempotency repeat = settings.classes().get(requestClass).idempotency();
-            if (!ServiceFrontend.requiredHeader(request, REGION_REPEAT_HEADER).equals(wireName(repeat))
-                    || !request.getMethod().equals(repeat == Idempotency.SAFE ? "GET" : "POST")) {
-                throw new InvalidHeaderException("the class " + name + " is " + wireName(repeat) + " here");
-            }
-            String traceId = ServiceFrontend.hexHeader(request, "X-Trace-Id");
-            long left = ServiceFrontend.integerHeader(request, "X-Expires-In-Ms", MAX_TIMEOUT_MILLIS) * 1000;
-            double units = ServiceFrontend.parseDecimal(ServiceFrontend.requiredHeader(request, REGION_UNITS_HEADER));
-            if (!(units > 0) || units > settings.maxUnits()) {
-                throw new InvalidHeaderException(REGION_UNITS_HEADER + " is not what one request may take");
-            }
-            IncomingRequest decided = new IncomingRequest(
+            RegionPath path = parsePath(request);
+            int requestClass = parseClass(request);
+            Idempotency idempotency = checkIdempotency(request, requestClass);
+            String traceId = RequestHeaders.hex(request, RequestHeaders.TRACE_ID);
+            long timeoutMicros = RequestHeaders.expiresInMicros(request);
+            IncomingRequest incoming = new IncomingRequest(
                     traceId,
                     requestClass,
                     TrafficPolicy.REMOTE_REQUEST_PLAN,
                     TrafficPolicy.REMOTE_REQUEST_PLAN,
-                    takenAt + left,
-                    units,
+                    receivedAt + timeoutMicros,
+                    parseUnits(request),
                     1,
                     settings.self(),
                     false);
-            Invocation invocation = new Invocation(
-                    decided,
-                    repeat == Idempotency.SAFE,
-                    new ConsumerRequest(
-                            request.getMethod(),
-                            request.getPath(),
-                            traceId,
-                            ServiceFrontend.contentType(request),
-                            body,
-                            left),
-                    reply);
+            ConsumerRequest message = new ConsumerRequest(
+                    request.getMethod(),
+                    request.getPath(),
+                    traceId,
+                    RequestHeaders.contentType(request),
+                    body,
+                    timeoutMicros);
+            Invocation invocation = new Invocation(incoming, idempotency == Idempotency.SAFE, message, answerSink);
             return ParsedRequest.of(invocation, new ReducerEvent.RemoteInvocationAccepted(invocation, path), eventSink);
         } catch (InvalidHeaderException e) {
             return ParsedRequest.rejected(
@@ -124,16 +104,51 @@
         }
     }
 
+    private static RegionPath parsePath(HttpRequest request) throws InvalidHeaderException {
+        RegionPath path = RegionPath.parse(RequestHeaders.required(request, REGION_PATH_HEADER));
+        if (path == null) {
+            throw new InvalidHeaderException(REGION_PATH_HEADER + " is no list of regions");
+        }
+        return path;
+    }
+
+    private int parseClass(HttpRequest request) throws InvalidHeaderException {
+        String name = RequestHeaders.className(request.getPath());
+        Integer requestClass = classes.get(name);
+        if (requestClass == null) {
+            throw new InvalidHeaderException("no such class: " + name);
+        }
+        return requestClass;
+    }
+
+    /**
+     * A class must have the same idempotency in both regions: otherwise one of them would retry what the other must not
+     * run twice.
+     */
+    private Idempotency checkIdempotency(HttpRequest request, int requestClass) throws InvalidHeaderException {
+        RequestClass own = settings.classes().get(requestClass);
+        Idempotency idempotency = own.idempotency();
+        String method = idempotency == Idempotency.SAFE ? "GET" : "POST";
+        if (!RequestHeaders.required(request, REGION_REPEAT_HEADER).equals(wireName(idempotency))
+                || !request.getMethod().equals(method)) {
+            throw new InvalidHeaderException("the class " + own.name() + " is " + wireName(idempotency) + " here");
+        }
+        return idempotency;
+    }
+
+    private double parseUnits(HttpRequest request) throws InvalidHeaderException {
+        double units = RequestHeaders.parseDecimal(RequestHeaders.required(request, REGION_UNITS_HEADER));
+        if (!(units > 0) || units > settings.maxUnits()) {
+            throw new InvalidHeaderException(REGION_UNITS_HEADER + " is not what one request may take");
+        }
+        return units;
+    }
+
     @Override
     public GatewayResponse toResponse(FinalAnswer answer) {
-        if (answer instanceof FinalAnswer.Served served) {
-            return new GatewayResponse(
-                    200, served.result().contentType(), served.result().body(), -1, false, (BodyStream)
-                            served.result().remainingBody());
-        } else if (answer instanceof FinalAnswer.Rejected rejection) {
-            return GatewayResponse.text(503, "rejected", rejection.retryAfter(), rejection.neverRan());
+        if (answer instanceof FinalAnswer.Rejected rejected) {
+            return GatewayResponse.text(503, "rejected", rejected.retryAfter(), rejected.neverRan());
         }
-        boolean late = ((FinalAnswer.Failed) answer).deadlineExceeded();
-        return GatewayResponse.text(late ? 504 : 502, late ? "no answer in time" : "failed");
+        return GatewayResponse.of(answer);
     }
 }
--- a/src/main/java/reedmux/gatekeeper/http/RequestFrontend.java
+++ b/src/main/java/reedmux/gatekeeper/http/RequestFrontend.java
@@ -9,8 +9,8 @@
 import reedmux.gatekeeper.reducer.ReducerEvent;
 
 /**
- * What one listener makes of the requests that come in and of their answers. How connections are kept,
- * bounded and ended is the same for all of them and lies in {@link ConsumerServer}.
+ * Parses the requests of one listener and turns answers into responses. Connections are the same for all listeners and
+ * are handled by {@link ConsumerServer}. Called by the I/O thread; {@link #toResponse} also by the event loop.
  */
 public interface RequestFrontend {
 
@@ -24,19 +24,34 @@
         return HttpTransport.MAX_STREAMED_BODY_BYTES;
     }
 
-    /** Reads a request, the target of which is in origin form, and the body of which may still come in. */
-    ParsedRequest parse(HttpRequest request, RequestBody body, long takenAt, Invocation.AnswerSink reply);
+    /**
+     * Parses a request whose target is in origin form.
+     *
+     * @param body       may still be streamed in
+     * @param receivedAt microseconds of the program's clock
+     * @param answerSink where the answer to the request goes
+     */
+    ParsedRequest parse(HttpRequest request, RequestBody body, long receivedAt, Invocation.AnswerSink answerSink);
 
-    /** The response that an answer becomes. */
-    GatewayResponse toResponse(FinalAnswer answer);
+    /** Turns the answer to a request into a response. */
+    default GatewayResponse toResponse(FinalAnswer answer) {
+        return GatewayResponse.of(answer);
+    }
 
-    /** Whether a response tells how long we had the request. */
-    boolean reportsProcessingTime();
+    /** Whether responses have a header with the time that the request took here. */
+    default boolean reportsProcessingTime() {
+        return false;
+    }
 
     /**
-     * A request as it was read: an invocation with the event that tells of it and whom all events of it are
-     * told, or a refusal of it, which may be the connection's last answer. {@code intake} is null where
-     * nothing bounds what the connection's next request may meet, {@code counts} where nobody counts it.
+     * A parsed request: an invocation or a rejection.
+     *
+     * @param invocation       null if the request is rejected
+     * @param event            to be sent to {@code eventSink}, as all later events of the invocation
+     * @param rejection        null if the request is not rejected
+     * @param closesConnection whether nothing more is read from the connection after the rejection
+     * @param intakeLimiter    limits the connection's next request, if not null
+     * @param classMetrics     counts the request, if not null
      */
     record ParsedRequest(
             Invocation invocation,
@@ -47,31 +62,38 @@
             IntakeLimiter intakeLimiter,
             Metrics.ClassMetrics classMetrics) {
 
-        static ParsedRequest of(Invocation invocation, ReducerEvent event, Consumer<ReducerEvent> home) {
-            return new ParsedRequest(invocation, event, home, null, false, null, null);
+        static ParsedRequest of(Invocation invocation, ReducerEvent event, Consumer<ReducerEvent> eventSink) {
+            return new ParsedRequest(invocation, event, eventSink, null, false, null, null);
         }
 
-        public static ParsedRequest rejected(GatewayResponse refusal) {
-            return new ParsedRequest(null, null, null, refusal, false, null, null);
+        /** A request that is answered at once. */
+        public static ParsedRequest rejected(GatewayResponse rejection) {
+            return new ParsedRequest(null, null, null, rejection, false, null, null);
         }
 
-        /** A refusal after which nothing more is read from the connection. */
-        public static ParsedRequest last(int status, String problem) {
+        /** A request that is answered at once, after which nothing more is read from the connection. */
+        public static ParsedRequest rejectedAndClosed(int status, String problem) {
             return new ParsedRequest(null, null, null, GatewayResponse.text(status, problem), true, null, null);
         }
 
-        /** The same, of a connection whose further requests come in through this. */
-        public ParsedRequest withIntakeLimiter(IntakeLimiter next) {
-            return new ParsedRequest(invocation, event, eventSink, rejection, closesConnection, next, classMetrics);
+        /** The same, with a limiter of the connection's next request. */
+        public ParsedRequest withIntakeLimiter(IntakeLimiter limiter) {
+            return new ParsedRequest(invocation, event, eventSink, rejection, closesConnection, limiter, classMetrics);
         }
 
-        /** The same, counted there. */
-        ParsedRequest withMetrics(Metrics.ClassMetrics there) {
-            return new ParsedRequest(invocation, event, eventSink, rejection, closesConnection, intakeLimiter, there);
+        /** The same, with the metrics that count it. */
+        ParsedRequest withMetrics(Metrics.ClassMetrics metrics) {
+            return new ParsedRequest(invocation, event, eventSink, rejection, closesConnection, intakeLimiter, metrics);
         }
     }
 
-    /** A response; {@code retryAfter} in microseconds, below nought for none. */
+    /**
+     * A response.
+     *
+     * @param retryAfterMicros negative for none
+     * @param neverRan         whether the request certainly did not run
+     * @param bodyStream       the body if it is streamed, otherwise null
+     */
     record GatewayResponse(
             int status,
             String contentType,
@@ -79,31 +101,30 @@
             long retryAfterMicros,
             boolean neverRan,
             BodyStream bodyStream) {
-
-        public GatewayResponse(int status, String contentType, byte[] body, long retryAfter, boolean neverRan) {
-            this(status, contentType, body, retryAfter, neverRan, null);
-        }
+        private static final long NO_RETRY_AFTER = -1;
 
         /** The response to a consumer. */
         public static GatewayResponse of(FinalAnswer answer) {
             if (answer instanceof FinalAnswer.Served served) {
+                BodyStream stream = (BodyStream) served.result().remainingBody();
                 return new GatewayResponse(
-                        200, served.result().contentType(), served.result().body(), -1, false, (BodyStream)
-                                served.result().remainingBody());
-            } else if (answer instanceof FinalAnswer.Rejected rejection) {
-                return text(rejection.attempted() ? 503 : 429, "rejected", rejection.retryAfter(), false);
+                        200, served.result().contentType(), served.result().body(), NO_RETRY_AFTER, false, stream);
+            } else if (answer instanceof FinalAnswer.Rejected rejected) {
+                return text(rejected.attempted() ? 503 : 429, "rejected", rejected.retryAfter(), false);
             }
             boolean late = ((FinalAnswer.Failed) answer).deadlineExceeded();
             return text(late ? 504 : 502, late ? "no answer in time" : "failed");
         }
 
-        public static GatewayResponse text(int status, String line, long retryAfter, boolean neverRan) {
-            return new GatewayResponse(
-                    status, "text/plain", (line + '\n').getBytes(StandardCharsets.UTF_8), retryAfter, neverRan);
+        /** A response with one line of text. */
+        public static GatewayResponse text(int status, String line, long retryAfterMicros, boolean neverRan) {
+            byte[] body = (line + '\n').getBytes(StandardCharsets.UTF_8);
+            return new GatewayResponse(status, "text/plain", body, retryAfterMicros, neverRan, null);
         }
 
+        /** A response with one line of text and no advice when to retry. */
         public static GatewayResponse text(int status, String line) {
-            return text(status, line, -1, false);
+            return text(status, line, NO_RETRY_AFTER, false);
         }
     }
 }
--- a/src/main/java/reedmux/gatekeeper/http/UpstreamExchange.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamExchange.java
@@ -298,8 +298,7 @@
     /** A header's number in microseconds, -1 where there is none that makes sense. */
     private long numericHeader(String name, double unit) {
         Header header = response.getFirstHeader(name);
-        double value =
-                header == null || header.getValue() == null ? 0 : ServiceFrontend.parseDecimal(header.getValue());
+        double value = header == null || header.getValue() == null ? 0 : RequestHeaders.parseDecimal(header.getValue());
         return header == null || value < 0 ? -1 : (long) Math.min(value * unit, MAX_REPORTED_MICROS);
     }
 
--- a/src/main/java/reedmux/gatekeeper/service/AdmissionControl.java
+++ b/src/main/java/reedmux/gatekeeper/service/AdmissionControl.java
@@ -4,36 +4,40 @@
 import java.util.List;
 
 /**
- * Decides which requests of which pool are let in: of those in flight, and of the bytes that they hold, each
- * pool has a part by its weight, may borrow what the others leave, and has its own back at once. For that, a
- * pool that is within its own part is let in even while what it lent is still out: both numbers may so pass
- * their bound by as much as is lent, which is why the bounds are set at half of what there is room for.
+ * Admission control over several services. Of the requests in flight, and of the bytes that they buffer, each service
+ * has a share by its weight and may borrow what others leave unused. A service within its share is admitted at once,
+ * even while others have borrowed from it: so both totals can exceed their limit by what is lent, which is why the
+ * limits are set to half of what the process has memory for.
  *
- * <p>Times are microseconds. Owned by the thread that runs the turns.
+ * <p>Times are microseconds. Owned by the event loop's thread.
  */
 public final class AdmissionControl {
-    /** The share of a part that is not lent: what a pool can have without being over the bound. */
+    /** The fraction of a share that is never lent. */
     private static final double RESERVED_FRACTION = 0.5;
-    /** Advice to those who are turned away, before anything is known, and its bounds. */
+    /** Advice to rejected requests until a residence time has been measured. */
     private static final long INITIAL_RETRY_AFTER_MICROS = 100_000;
 
     private static final long MIN_RETRY_AFTER_MICROS = 20_000;
     private static final long MAX_RETRY_AFTER_MICROS = 5_000_000;
-    /** The weight of one more request in the mean time that requests stay. */
+    /** The weight of the last request in the mean residence time. */
     private static final double RESIDENCE_SMOOTHING = 0.05;
-    /** Bytes are lent by the block. */
+    /** Bytes are counted in blocks of this size. */
     private static final int BLOCK_BYTES = 1024;
 
-    /** A bound on pools' own, whatever is idle elsewhere. */
-    public record AdmissionLimits(int maxInFlight, long maxBytes) {}
+    /** A service's own limits, which hold whatever others leave unused. */
+    public record AdmissionLimits(int maxInFlight, long maxBytes) {
+        /** No limits but the shares. */
+        public static final AdmissionLimits UNLIMITED = new AdmissionLimits(Integer.MAX_VALUE, Long.MAX_VALUE);
+    }
 
-    /** What was decided of a request: let in, or turned away with advice when to come back. */
+    /** Whether a request is admitted; if not, after how long it may be sent again. */
     public record AdmissionDecision(boolean admitted, long retryAfterMicros) {}
 
     private static final AdmissionDecision ADMITTED = new AdmissionDecision(true, 0);
 
+    /** What one service uses. */
     private static final class AdmittedUsage {
-        AdmissionLimits limits = new AdmissionLimits(Integer.MAX_VALUE, Long.MAX_VALUE);
+        AdmissionLimits limits = AdmissionLimits.UNLIMITED;
         int inFlight;
         long usedBlocks;
         double meanResidenceMicros = INITIAL_RETRY_AFTER_MICROS;
@@ -46,107 +50,107 @@
     private final List<Integer> blockShares = new ArrayList<>();
     private long usedBlocks;
 
-    /** Bounds over all pools: requests in flight, and bytes that they hold. */
-    public AdmissionControl(int inFlight, long bytes) {
-        requestBudget = new SharedBudget(inFlight, RESERVED_FRACTION);
-        totalRequests = inFlight;
-        totalBlocks = (int) Math.max(1, bytes / BLOCK_BYTES);
+    /** Limits over all services: requests in flight, and the bytes that they buffer. */
+    public AdmissionControl(int maxInFlight, long maxBytes) {
+        requestBudget = new SharedBudget(maxInFlight, RESERVED_FRACTION);
+        totalRequests = maxInFlight;
+        totalBlocks = (int) Math.max(1, maxBytes / BLOCK_BYTES);
     }
 
-    /** Adds a pool without any part; returns its number. */
+    /** Adds a service without a share; returns its number. */
     public int addService() {
         services.add(new AdmittedUsage());
         blockShares.add(0);
         return requestBudget.addShare(0);
     }
 
-    /** Sets all pools' parts by their weights, nought for one that is leaving. */
-    public void setWeights(List<Double> weights, List<AdmissionLimits> most) {
+    /** Sets the shares of all services by their weights, 0 for one that drains, and their own limits. */
+    public void setWeights(List<Double> weights, List<AdmissionLimits> limits) {
         double sum = weights.stream().mapToDouble(Double::doubleValue).sum();
         for (boolean grow : new boolean[] {false, true}) {
             for (int i = 0; i < services.size(); i++) {
-                int own = sum > 0 ? (int) (totalRequests * weights.get(i) / sum) : 0;
-                if (own > requestBudget.guaranteed(i) == grow) {
-                    requestBudget.setGuaranteed(i, own);
+                int share = sum > 0 ? (int) (totalRequests * weights.get(i) / sum) : 0;
+                if (share > requestBudget.guaranteed(i) == grow) {
+                    requestBudget.setGuaranteed(i, share);
                 }
             }
         }
         for (int i = 0; i < services.size(); i++) {
             blockShares.set(i, sum > 0 ? (int) (totalBlocks * weights.get(i) / sum) : 0);
-            services.get(i).limits = most.get(i);
+            services.get(i).limits = limits.get(i);
         }
     }
 
-    /** Decides on a request of so many bytes. */
-    public AdmissionDecision admit(int pool, long bytes) {
-        AdmittedUsage member = services.get(pool);
+    /** Decides on a request that buffers so many bytes; {@link #onRequestEnded} has to follow if it is admitted. */
+    public AdmissionDecision admit(int service, long bytes) {
+        AdmittedUsage usage = services.get(service);
         long blocks = blocks(bytes);
-        boolean fits = member.inFlight < member.limits.maxInFlight()
-                && (member.usedBlocks + blocks) * BLOCK_BYTES <= Math.max(BLOCK_BYTES, member.limits.maxBytes())
-                && (member.usedBlocks + blocks <= blockShares.get(pool)
-                        || usedBlocks + blocks + blocksReservedForOthers(pool) <= totalBlocks);
-        if (!fits || !acquireRequest(pool)) {
-            return new AdmissionDecision(false, retryAfterMicros(member));
+        boolean fits = usage.inFlight < usage.limits.maxInFlight()
+                && (usage.usedBlocks + blocks) * BLOCK_BYTES <= Math.max(BLOCK_BYTES, usage.limits.maxBytes())
+                && (usage.usedBlocks + blocks <= blockShares.get(service)
+                        || usedBlocks + blocks + blocksReservedForOthers(service) <= totalBlocks);
+        if (!fits || !acquireRequest(service)) {
+            return new AdmissionDecision(false, retryAfterMicros(usage));
         }
-        member.inFlight++;
-        member.usedBlocks += blocks;
+        usage.inFlight++;
+        usage.usedBlocks += blocks;
         usedBlocks += blocks;
         return ADMITTED;
     }
 
-    private boolean acquireRequest(int pool) {
-        SharedBudget.BudgetResult answer = requestBudget.tryAcquire(pool);
-        if (answer.decision() == SharedBudget.BudgetDecision.RECLAIM) {
-            requestBudget.acquireBeyondTotal(pool);
+    private boolean acquireRequest(int service) {
+        SharedBudget.BudgetResult result = requestBudget.tryAcquire(service);
+        if (result.decision() == SharedBudget.BudgetDecision.RECLAIM) {
+            requestBudget.acquireBeyondTotal(service);
             return true;
         }
-        return answer.decision() == SharedBudget.BudgetDecision.GRANTED;
+        return result.decision() == SharedBudget.BudgetDecision.GRANTED;
     }
 
-    /** The verdict where a pool's queue is full. */
-    public AdmissionDecision rejectQueueFull(int pool) {
-        return new AdmissionDecision(false, retryAfterMicros(services.get(pool)));
+    /** The decision on a request for which the service's queue has no place. */
+    public AdmissionDecision rejectQueueFull(int service) {
+        return new AdmissionDecision(false, retryAfterMicros(services.get(service)));
     }
 
-    /** A request that had been let in is over. */
-    public void onRequestEnded(int pool, long bytes, long stayed) {
-        AdmittedUsage member = services.get(pool);
-        requestBudget.release(pool);
-        member.inFlight--;
-        member.usedBlocks -= blocks(bytes);
+    /** A request that had been admitted has ended, {@code residenceMicros} after that; 0 if it was never started. */
+    public void onRequestEnded(int service, long bytes, long residenceMicros) {
+        AdmittedUsage usage = services.get(service);
+        requestBudget.release(service);
+        usage.inFlight--;
+        usage.usedBlocks -= blocks(bytes);
         usedBlocks -= blocks(bytes);
-        if (stayed > 0) {
-            member.meanResidenceMicros += RESIDENCE_SMOOTHING * (stayed - member.meanResidenceMicros);
+        if (residenceMicros > 0) {
+            usage.meanResidenceMicros += RESIDENCE_SMOOTHING * (residenceMicros - usage.meanResidenceMicros);
         }
     }
 
-    /** When there is likely to be room again: about when half of those in flight are over. */
-    private static long retryAfterMicros(AdmittedUsage member) {
-        return (long) Math.max(MIN_RETRY_AFTER_MICROS, Math.min(MAX_RETRY_AFTER_MICROS, member.meanResidenceMicros));
+    /** After a mean residence time about half of the requests in flight have ended. */
+    private static long retryAfterMicros(AdmittedUsage usage) {
+        return (long) Math.max(MIN_RETRY_AFTER_MICROS, Math.min(MAX_RETRY_AFTER_MICROS, usage.meanResidenceMicros));
     }
 
     private static long blocks(long bytes) {
         return 1 + bytes / BLOCK_BYTES;
     }
 
-    /** Blocks that are kept for the other pools. */
-    private long blocksReservedForOthers(int but) {
-        long kept = 0;
+    /** Blocks that the other services have not used of what is never lent. */
+    private long blocksReservedForOthers(int service) {
+        long reserved = 0;
         for (int i = 0; i < services.size(); i++) {
-            if (i != but) {
-                kept += Math.max(0, (long) (RESERVED_FRACTION * blockShares.get(i)) - services.get(i).usedBlocks);
+            if (i != service) {
+                reserved += Math.max(0, (long) (RESERVED_FRACTION * blockShares.get(i)) - services.get(i).usedBlocks);
             }
         }
-        return kept;
+        return reserved;
     }
 
-    /** Requests of a pool that are in flight. */
-    public int inFlight(int pool) {
-        return services.get(pool).inFlight;
+    /** Requests of a service that are in flight. */
+    public int inFlight(int service) {
+        return services.get(service).inFlight;
     }
 
-    /** Bytes that a pool's requests hold, by the block. */
-    public long bytes(int pool) {
-        return services.get(pool).usedBlocks * BLOCK_BYTES;
+    /** Bytes that a service's requests buffer, rounded up to blocks. */
+    public long bytes(int service) {
+        return services.get(service).usedBlocks * BLOCK_BYTES;
     }
 }
--- a/src/main/java/reedmux/gatekeeper/service/DeficitRoundRobinQueue.java
+++ b/src/main/java/reedmux/gatekeeper/service/DeficitRoundRobinQueue.java
@@ -6,24 +6,23 @@
 import java.util.List;
 
 /**
- * Queues of work, one a pool, taken from by deficit round robin (Shreedhar and Varghese, 1995): each pool in
- * turn may spend a quantum by its weight, and what one piece of work leaves or lacks is carried over while
- * the pool has work. A flood to one pool makes its own queue long; another pool waits for at most one
- * quantum of each, however much is queued. Each queue is bounded, so that a flood costs bounded memory.
+ * Several queues, served by deficit round robin (Shreedhar and Varghese, 1995): in its turn each queue may spend its
+ * quantum, and the rest is carried over while it has work. A flood of one queue makes only that one long; any other
+ * waits for at most one quantum of each. All queues are bounded.
  *
- * <p>Round robin by pieces would let a pool of dear pieces take more; fair queueing by virtual time gives
- * tighter bounds for a logarithm of the pools at each piece. With costs that differ by a factor of ten and
- * pools by the dozen the constant cost was preferred.
+ * <p>Round robin by items would favour queues with expensive items; fair queueing by virtual time has tighter bounds,
+ * but costs a logarithm of the queues for each item. With costs that differ by a factor of ten, and dozens of queues,
+ * the constant cost was preferred.
  *
- * @param <E> a piece of work
+ * @param <E> an item of work
  */
 public final class DeficitRoundRobinQueue<E> {
-    /** A piece of work and the pool that it is for. */
+    /** An item and the queue that it comes from. */
     public record ScheduledWork<E>(int queue, E work) {}
 
     private record QueuedWork<E>(E work, long cost) {}
 
-    /** One pool's queue. */
+    /** One queue; what it has not spent of its quanta is its deficit counter. */
     private static final class WeightedQueue<E> {
         final Deque<QueuedWork<E>> items = new ArrayDeque<>();
         long quantum;
@@ -31,105 +30,107 @@
         long deficit;
         boolean active;
 
-        WeightedQueue(long quantum, int most) {
+        WeightedQueue(long quantum, int maxItems) {
             this.quantum = quantum;
-            this.maxItems = most;
+            this.maxItems = maxItems;
         }
     }
 
     private final List<WeightedQueue<E>> queues = new ArrayList<>();
-    /** Pools that have work, the one whose turn it is in front. */
+    /** The queues that have work, the one whose turn it is first. */
     private final Deque<Integer> activeQueues = new ArrayDeque<>();
 
     private int size;
 
     /**
-     * Adds a pool.
+     * Adds a queue.
      *
-     * @param quantum what it may spend in its turn, in the unit of the costs; at least the dearest piece
-     *                makes for a constant cost of {@link #poll}
-     * @param most    pieces that may wait
-     * @return the pool's number
+     * @param quantum  what it may spend in its turn, in the unit of the costs; {@link #poll} takes constant time if it
+     *                 is no less than the highest cost of an item
+     * @param maxItems items that it may hold
+     * @return the queue's number
      */
-    public int addQueue(long quantum, int most) {
-        if (quantum <= 0 || most <= 0) {
-            throw new IllegalArgumentException("a pool needs a quantum and room: " + quantum + ", " + most);
-        }
-        queues.add(new WeightedQueue<>(quantum, most));
+    public int addQueue(long quantum, int maxItems) {
+        checkPositive(quantum, maxItems);
+        queues.add(new WeightedQueue<>(quantum, maxItems));
         return queues.size() - 1;
     }
 
-    /** Sets a pool's quantum and room anew. */
-    public void configure(int pool, long quantum, int most) {
-        if (quantum <= 0 || most <= 0) {
-            throw new IllegalArgumentException("a pool needs a quantum and room: " + quantum + ", " + most);
+    /** Changes a queue's quantum and capacity. */
+    public void configure(int queue, long quantum, int maxItems) {
+        checkPositive(quantum, maxItems);
+        queues.get(queue).quantum = quantum;
+        queues.get(queue).maxItems = maxItems;
+    }
+
+    private static void checkPositive(long quantum, int maxItems) {
+        if (quantum <= 0 || maxItems <= 0) {
+            throw new IllegalArgumentException("a queue needs a quantum and a capacity: " + quantum + ", " + maxItems);
         }
-        queues.get(pool).quantum = quantum;
-        queues.get(pool).maxItems = most;
     }
 
-    /** Adds work, of a cost above nought; false where the pool's queue is full. */
-    public boolean offer(int pool, E work, long cost) {
+    /** Adds an item with a positive cost; returns false if the queue is full. */
+    public boolean offer(int queue, E work, long cost) {
         if (cost <= 0) {
-            throw new IllegalArgumentException("work has a cost above nought: " + cost);
+            throw new IllegalArgumentException("an item needs a positive cost: " + cost);
         }
-        if (queues.get(pool).items.size() >= queues.get(pool).maxItems) {
+        if (queues.get(queue).items.size() >= queues.get(queue).maxItems) {
             return false;
         }
-        offerUnbounded(pool, work, cost);
+        offerUnbounded(queue, work, cost);
         return true;
     }
 
-    /** Adds work that may not be turned away, such as the end of what was let in. */
-    public void offerUnbounded(int pool, E work, long cost) {
-        WeightedQueue<E> queue = queues.get(pool);
-        queue.items.add(new QueuedWork<>(work, cost));
+    /** Adds an item that must not be rejected, even if the queue is full. */
+    public void offerUnbounded(int queue, E work, long cost) {
+        WeightedQueue<E> target = queues.get(queue);
+        target.items.add(new QueuedWork<>(work, cost));
         size++;
-        if (!queue.active) {
-            queue.active = true;
-            queue.deficit = 0; // one that had nothing to do has saved up nothing
-            activeQueues.add(pool);
+        if (!target.active) {
+            target.active = true;
+            target.deficit = 0; // an idle queue saves nothing
+            activeQueues.add(queue);
         }
     }
 
-    /** The next piece of work, or null where there is none. */
+    /** The next item, or null if there is none. */
     public ScheduledWork<E> poll() {
         while (!activeQueues.isEmpty()) {
-            int pool = activeQueues.peek();
-            WeightedQueue<E> queue = queues.get(pool);
-            QueuedWork<E> piece = queue.items.peek();
-            if (queue.deficit < piece.cost) {
+            int number = activeQueues.peek();
+            WeightedQueue<E> queue = queues.get(number);
+            QueuedWork<E> next = queue.items.peek();
+            if (queue.deficit < next.cost) {
                 queue.deficit += queue.quantum;
-                if (queue.deficit < piece.cost) {
+                if (queue.deficit < next.cost) {
                     activeQueues.add(activeQueues.poll());
                     continue;
                 }
             }
             queue.items.poll();
-            queue.deficit -= piece.cost;
+            queue.deficit -= next.cost;
             size--;
             if (queue.items.isEmpty()) {
                 queue.active = false;
                 activeQueues.poll();
             } else if (queue.deficit < queue.items.peek().cost) {
-                activeQueues.add(activeQueues.poll()); // its turn is over
+                activeQueues.add(activeQueues.poll()); // its turn has ended
             }
-            return new ScheduledWork<>(pool, piece.work);
+            return new ScheduledWork<>(number, next.work);
         }
         return null;
     }
 
-    /** Pools that have been added. */
+    /** How many queues there are. */
     public int queueCount() {
         return queues.size();
     }
 
-    /** Pieces that wait for a pool. */
-    public int sizeOf(int pool) {
-        return queues.get(pool).items.size();
+    /** Items of one queue. */
+    public int sizeOf(int queue) {
+        return queues.get(queue).items.size();
     }
 
-    /** Pieces that wait in all. */
+    /** Items of all queues. */
     public int size() {
         return size;
     }
--- a/src/main/java/reedmux/gatekeeper/service/DescriptorBudget.java
+++ b/src/main/java/reedmux/gatekeeper/service/DescriptorBudget.java
@@ -6,10 +6,10 @@
 import reedmux.gatekeeper.http.UpstreamConnectionPool;
 
 /**
- * Divides the descriptors for connections to providers between the pools: what one does not use others may
- * borrow, and it has it back by the closing of an idle connection of the pool that has borrowed the most.
- * Where that has none idle there is nothing to be had before a call of its ends; for that a share of every
- * part is not lent. For all threads.
+ * Divides the descriptors for connections to providers between the services. What one leaves unused others may borrow;
+ * it is reclaimed by closing an idle connection of the service that has borrowed the most. If that one has no idle
+ * connection the service has to wait until a call ends, which is why a part of each share is never lent. For all
+ * threads.
  */
 public final class DescriptorBudget {
     private static final double RESERVED_FRACTION = 0.5;
@@ -18,23 +18,25 @@
     private final int total;
     private final Map<Integer, BooleanSupplier> evictors = new HashMap<>();
 
-    public DescriptorBudget(int all) {
-        budget = new SharedBudget(all, RESERVED_FRACTION);
-        this.total = all;
+    /** A budget of so many descriptors. */
+    public DescriptorBudget(int total) {
+        budget = new SharedBudget(total, RESERVED_FRACTION);
+        this.total = total;
     }
 
-    /** Adds a pool without any part. */
+    /** Adds a service without a share. */
     synchronized int addService() {
         return budget.addShare(0);
     }
 
     /**
-     * {@code setEvictor}: closes an idle connection of the pool and gives its place back, or tells there is none.
+     * Sets what closes an idle connection of a service and releases its descriptor; it returns false if none is idle.
      */
-    synchronized void setEvictor(int pool, BooleanSupplier giver) {
-        evictors.put(pool, giver);
+    synchronized void setEvictor(int service, BooleanSupplier evictor) {
+        evictors.put(service, evictor);
     }
 
+    /** Sets the shares by the services' weights. */
     synchronized void setWeights(double[] weights) {
         double sum = 0;
         for (double weight : weights) {
@@ -42,50 +44,50 @@
         }
         for (boolean grow : new boolean[] {false, true}) {
             for (int i = 0; i < weights.length; i++) {
-                int own = (int) (total * weights[i] / sum);
-                if (own > budget.guaranteed(i) == grow) {
-                    budget.setGuaranteed(i, own);
+                int share = (int) (total * weights[i] / sum);
+                if (share > budget.guaranteed(i) == grow) {
+                    budget.setGuaranteed(i, share);
                 }
             }
         }
     }
 
-    /** A pool's side of it. */
-    UpstreamConnectionPool.ConnectionPermits permitsOf(int pool) {
+    /** The permits of one service. */
+    UpstreamConnectionPool.ConnectionPermits permitsOf(int service) {
         return new UpstreamConnectionPool.ConnectionPermits() {
             @Override
             public boolean tryAcquire() {
-                return DescriptorBudget.this.tryAcquire(pool);
+                return DescriptorBudget.this.tryAcquire(service);
             }
 
             @Override
             public void release() {
                 synchronized (DescriptorBudget.this) {
-                    budget.release(pool);
+                    budget.release(service);
                 }
             }
         };
     }
 
-    private boolean tryAcquire(int pool) {
+    private boolean tryAcquire(int service) {
         while (true) {
-            BooleanSupplier giver;
+            BooleanSupplier evictor;
             synchronized (this) {
-                SharedBudget.BudgetResult answer = budget.tryAcquire(pool);
-                if (answer.decision() != SharedBudget.BudgetDecision.RECLAIM) {
-                    return answer.decision() == SharedBudget.BudgetDecision.GRANTED;
+                SharedBudget.BudgetResult result = budget.tryAcquire(service);
+                if (result.decision() != SharedBudget.BudgetDecision.RECLAIM) {
+                    return result.decision() == SharedBudget.BudgetDecision.GRANTED;
                 }
-                giver = evictors.get(answer.reclaimFrom());
+                evictor = evictors.get(result.reclaimFrom());
             }
-            // Not while we hold the lock: the giver takes its own one first, and then ours to give back.
-            if (giver == null || !giver.getAsBoolean()) {
+            // Without our lock: the evictor takes its pool's lock first, and then ours to release the descriptor.
+            if (evictor == null || !evictor.getAsBoolean()) {
                 return false;
             }
         }
     }
 
-    /** Descriptors that a pool uses. */
-    synchronized int used(int pool) {
-        return budget.used(pool);
+    /** Descriptors that a service uses. */
+    synchronized int used(int service) {
+        return budget.used(service);
     }
 }
--- a/src/main/java/reedmux/gatekeeper/service/RoutingFrontend.java
+++ b/src/main/java/reedmux/gatekeeper/service/RoutingFrontend.java
@@ -5,13 +5,12 @@
 import reedmux.common.time.MonotonicClock;
 import reedmux.gatekeeper.http.RequestBody;
 import reedmux.gatekeeper.http.RequestFrontend;
-import reedmux.gatekeeper.reducer.FinalAnswer;
 import reedmux.gatekeeper.reducer.Invocation;
 import reedmux.gatekeeper.routing.RouteTable;
 
 /**
- * The consumers' side of all pools: leads each request to its pool, which reads it by its own classes and
- * plans. What can be read in two ways is refused and ends the connection, and nothing of it is passed on.
+ * The frontend of all services: routes each request by host and path to its service, whose frontend parses it. A
+ * request whose host or path is ambiguous is rejected and its connection closed.
  */
 public final class RoutingFrontend implements RequestFrontend {
     private final MonotonicClock clock;
@@ -21,9 +20,9 @@
         this.clock = clock;
     }
 
-    /** Leads what is read from now on by this table. */
-    void setRouting(ServiceRouting now) {
-        routing = now;
+    /** Routes the requests that are parsed from now on. */
+    void setRouting(ServiceRouting newRouting) {
+        routing = newRouting;
     }
 
     ServiceRouting routing() {
@@ -36,33 +35,27 @@
     }
 
     @Override
-    public boolean reportsProcessingTime() {
-        return false;
-    }
-
-    @Override
-    public GatewayResponse toResponse(FinalAnswer answer) {
-        return GatewayResponse.of(answer);
-    }
-
-    @Override
-    public ParsedRequest parse(HttpRequest request, RequestBody body, long takenAt, Invocation.AnswerSink reply) {
-        ServiceRouting now = routing;
-        if (now.routes() == null) {
-            return now.defaultService().frontend().parse(request, body, takenAt, reply);
+    public ParsedRequest parse(
+            HttpRequest request, RequestBody body, long receivedAt, Invocation.AnswerSink answerSink) {
+        ServiceRouting current = routing;
+        if (current.routes() == null) {
+            return current.defaultService().frontend().parse(request, body, receivedAt, answerSink);
         }
-        Header host = request.getFirstHeader("Host");
-        boolean none = host == null || host.getValue().isEmpty();
-        int service = now.routes().find(none ? null : host.getValue(), request.getPath());
-        if (service == RouteTable.AMBIGUOUS) {
-            return ParsedRequest.last(400, "the host or the path can be read in two ways");
+        Header header = request.getFirstHeader("Host");
+        String host = header == null || header.getValue().isEmpty() ? null : header.getValue();
+        int index = current.routes().find(host, request.getPath());
+        if (index == RouteTable.AMBIGUOUS) {
+            return ParsedRequest.rejectedAndClosed(400, "the host or the path can be read in two ways");
         }
-        ServiceRuntime pool = service == RouteTable.NONE ? null : now.targets().get(service);
-        if (pool == null) {
+        ServiceRuntime service =
+                index == RouteTable.NONE ? null : current.targets().get(index);
+        if (service == null) {
             return ParsedRequest.rejected(GatewayResponse.text(404, "no service of this host and path"));
-        } else if (none && !pool.servesWithoutHost()) {
-            return ParsedRequest.last(400, "Host is missing");
+        } else if (host == null && !service.servesWithoutHost()) {
+            return ParsedRequest.rejectedAndClosed(400, "Host is missing");
         }
-        return pool.frontend().parse(request, body, takenAt, reply).withIntakeLimiter(pool.intakeLimiter());
+        return service.frontend()
+                .parse(request, body, receivedAt, answerSink)
+                .withIntakeLimiter(service.intakeLimiter());
     }
 }
--- a/src/main/java/reedmux/gatekeeper/service/ServiceRouting.java
+++ b/src/main/java/reedmux/gatekeeper/service/ServiceRouting.java
@@ -4,15 +4,15 @@
 import reedmux.gatekeeper.routing.RouteTable;
 
 /**
- * Where requests are led, replaced as a whole: a request that was read under one table stays with the pool
- * that it named.
+ * The routes and the services that they lead to. A reload replaces both at once; a request stays with the service that
+ * it was routed to.
  *
- * @param routes  null where there is one service, which takes all
- * @param targets the pools by the services' numbers in the routes; null for what is served by nobody
+ * @param routes  null if one service takes all requests
+ * @param targets the services by their indices in the routes; the last one is null, for requests that nobody serves
  */
 public record ServiceRouting(RouteTable routes, List<ServiceRuntime> targets) {
 
-    /** The pool of the platform's own service. */
+    /** The platform's own service. */
     ServiceRuntime defaultService() {
         return targets.get(0);
     }
--- a/src/main/java/reedmux/gatekeeper/service/ServiceRuntime.java
+++ b/src/main/java/reedmux/gatekeeper/service/ServiceRuntime.java
@@ -32,21 +32,20 @@
 import reedmux.gatekeeper.reducer.UpstreamCall;
 
 /**
- * One service's own side of the gatekeeper: its module and state, its provider list and watch, its
- * connections and calls. Nothing of it is another pool's, also where two name the same address. Events may be
- * posted by all threads; what reduces them is the thread that runs the turns.
+ * What one service has for itself: its policy and state, its provider list and discovery, its connections and calls.
+ * Services share none of it, even if their providers have the same addresses.
+ *
+ * <p>Any thread may {@link #post} events; they are reduced on the event loop, as the effects are executed.
  */
 public final class ServiceRuntime implements ReducerEffects {
-    /** The share of a provider's idle limit after which we close and no longer use a connection. */
+    /** We close idle connections after this fraction of the time after which a provider would close them. */
     private static final double IDLE_FRACTION = 0.5;
-
-    /** When one that came too late for a pool that has ended may come back, in microseconds. */
+    /** Advice to a request that was routed to a service just before that ended. */
     private static final long ENDED_RETRY_AFTER_MICROS = 100_000;
-
-    /** Requests that may be between the sockets and their decision while others wait to be read. */
+    /** Requests that may be read but not decided on; beyond that connections wait unread. */
     private static final int MAX_UNDECIDED = 8;
 
-    /** What all pools use together. */
+    /** What all services use together. */
     public record SharedResources(
             ConnectionInitiator reactor,
             MonotonicClock clock,
@@ -57,14 +56,14 @@
             BiConsumer<ServiceRuntime, Invocation> admittedEnded,
             Metrics metrics) {}
 
-    /** What the pool of the platform's own service has in addition: other regions. Null for all others. */
-    public record RegionForwarding(RegionCoordinator desk, BiConsumer<UpstreamCall, ForwardedRequest> sender) {}
+    /** The access to other regions, which only the platform's own service has. */
+    public record RegionForwarding(RegionCoordinator coordinator, BiConsumer<UpstreamCall, ForwardedRequest> sender) {}
 
     private final SharedResources resources;
     private final RegionForwarding regionForwarding;
     private final String logPrefix;
     private final int tag;
-    /** Its number among the pools, free for another one when it has ended. */
+    /** Its number among the services; free for another one when it has ended. */
     final int slot;
 
     private final Queue<ReducerEvent> postedEvents = new ConcurrentLinkedQueue<>();
@@ -80,7 +79,7 @@
     private volatile ServiceSetup setup;
     private volatile boolean peerMessagesMuted;
     private volatile boolean closed;
-    /** Since when no further request is led to it, or nought; used by the turns' thread alone. */
+    /** Since when no request is routed to it, or 0; for the event loop alone. */
     private long drainingSince;
 
     private long rejectedCount;
@@ -90,21 +89,22 @@
             ServiceSetup setup,
             int slot,
             long seed,
-            SharedResources shared,
-            UpstreamConnectionPool.ConnectionPermits room,
-            RegionForwarding away) {
+            SharedResources resources,
+            UpstreamConnectionPool.ConnectionPermits permits,
+            RegionForwarding forwarding) {
         this.setup = setup;
         this.slot = slot;
-        this.resources = shared;
-        this.regionForwarding = away;
-        boolean main = setup.name().equals(ServiceSetup.DEFAULT_SERVICE);
-        tag = main ? PoolTag.NONE : PoolTag.of(setup.name());
-        logPrefix = main ? "" : "service " + setup.name() + ": ";
-        ServiceConfig service = main ? setup.service() : setup.service().withSmallerPeerMessages(PoolTag.LENGTH_BYTES);
-        metrics = shared.metrics.forService(main ? "" : setup.name());
-        frontend = new ServiceFrontend(service.settings(), shared.clock, this::post, metrics);
+        this.resources = resources;
+        this.regionForwarding = forwarding;
+        boolean isDefault = setup.name().equals(ServiceSetup.DEFAULT_SERVICE);
+        tag = isDefault ? PoolTag.NONE : PoolTag.of(setup.name());
+        logPrefix = isDefault ? "" : "service " + setup.name() + ": ";
+        ServiceConfig service =
+                isDefault ? setup.service() : setup.service().withSmallerPeerMessages(PoolTag.LENGTH_BYTES);
+        metrics = resources.metrics.forService(isDefault ? "" : setup.name());
+        frontend = new ServiceFrontend(service.settings(), resources.clock, this::post, metrics);
         connectionPool = new UpstreamConnectionPool(
-                shared.reactor, shared.clock, room, (long) (service.connectionIdleMicros() * IDLE_FRACTION));
+                resources.reactor, resources.clock, permits, (long) (service.connectionIdleMicros() * IDLE_FRACTION));
         providerClient = new ProviderClient(connectionPool, this::post, metrics::onProviderCall);
         discoveryWatch = new DiscoveryWatch(
                 providerClient,
@@ -113,18 +113,18 @@
                 service.settings().pollsDiscovery() ? service.knownProviders() : null,
                 this::onProviderList,
                 this::log,
-                shared.timers);
+                resources.timers);
         policy = new GatekeeperPolicy(service.settings(), seed ^ tag);
         reducer = new Reducer(
                 policy,
                 service.settings().limits().maxAttempts(),
                 service.connectTimeoutMicros(),
                 this,
-                away == null ? null : away.desk);
+                forwarding == null ? null : forwarding.coordinator);
         postedEvents.add(new ReducerEvent.ProvidersUpdated(service.knownProviders()));
     }
 
-    /** Begins to watch discovery. */
+    /** Starts to watch discovery. */
     void startDiscovery() {
         discoveryWatch.sendRequest();
     }
@@ -134,7 +134,7 @@
         providersKnown.countDown();
     }
 
-    /** Waits until discovery has told of providers, or for so long; whether it has. */
+    /** Waits for the first list of discovery; returns false on a time-out. */
     public boolean awaitProviders(long millis) throws InterruptedException {
         return providersKnown.await(millis, TimeUnit.MILLISECONDS);
     }
@@ -167,34 +167,39 @@
         return connectionPool;
     }
 
-    /** Whether there is anyone to send to; may be asked from any thread. */
+    /** Whether there is a provider to send requests to; for all threads. */
     public boolean hasProvider() {
         return reducer.hasProviders();
     }
 
-    /** Whether the module has learnt that it went on from an earlier life. */
+    /** Whether the policy has found out, from its peers, that this process has been restarted. */
     public boolean restarted() {
         return policy.restartDetected();
     }
 
-    /** For the warm-up, which asks our own address. */
+    /** The client, for the warm-up, which sends requests to our own address. */
     public ProviderClient client() {
         return providerClient;
     }
 
-    /** Takes over what a reload sets anew; the rules are the same. */
-    void applySetup(ServiceSetup now) {
-        setup = now;
-        discoveryWatch.setDiscovery(now.service().discovery());
+    /** Whether this service can continue with another setup of the same name, keeping its state. */
+    boolean canContinueWith(ServiceSetup other) {
+        return tag == PoolTag.NONE || setup.service().hasSameRules(other.service());
+    }
+
+    /** Replaces the setup by one that it {@link #canContinueWith}. */
+    void applySetup(ServiceSetup newSetup) {
+        setup = newSetup;
+        discoveryWatch.setDiscovery(newSetup.service().discovery());
     }
 
-    /** Tells peers nothing any more, as another pool speaks under its name. */
+    /** Sends nothing to peers any more, since another service with the same name does. */
     void mutePeerMessages() {
         peerMessagesMuted = true;
     }
 
-    // ---- Posting, by all threads -------------------------------------------------------------------
-    /** Adds an event. One that has ended answers what still comes in. */
+    // ---- For all threads ---------------------------------------------------------------------------
+    /** Adds an event for the event loop. A service that has ended rejects requests at once. */
     public void post(ReducerEvent event) {
         if (event instanceof ReducerEvent.InvocationAccepted) {
             intakeLimiter.onRequestRead();
@@ -209,14 +214,16 @@
 
     private void rejectPosted() {
         for (ReducerEvent event = postedEvents.poll(); event != null; event = postedEvents.poll()) {
-            if (event instanceof ReducerEvent.InvocationAccepted taken) {
-                taken.invocation().answerSink().send(new FinalAnswer.Rejected(ENDED_RETRY_AFTER_MICROS, false, true));
+            if (event instanceof ReducerEvent.InvocationAccepted accepted) {
+                accepted.invocation()
+                        .answerSink()
+                        .send(new FinalAnswer.Rejected(ENDED_RETRY_AFTER_MICROS, false, true));
                 intakeLimiter.onRequestDecided();
             }
         }
     }
 
-    // ---- The turns, by their one thread ------------------------------------------------------------
+    // ---- For the event loop ------------------------------------------------------------------------
     ReducerEvent poll() {
         return postedEvents.poll();
     }
@@ -225,10 +232,10 @@
         return !postedEvents.isEmpty();
     }
 
-    /** Turns a request away before the module has seen it, as its part of what is shared is in use. */
-    void reject(Invocation invocation, long retryAfter) {
+    /** Rejects a request before the policy has seen it, as the service's share is used up. */
+    void reject(Invocation invocation, long retryAfterMicros) {
         rejectedCount++;
-        sendAnswer(invocation, new FinalAnswer.Rejected(retryAfter, false, true));
+        sendAnswer(invocation, new FinalAnswer.Rejected(retryAfterMicros, false, true));
         intakeLimiter.onRequestDecided();
     }
 
@@ -254,7 +261,7 @@
         return reducer.nextDue();
     }
 
-    /** Tells the figures of the list; by the thread that runs the turns. */
+    /** Updates the metrics of the provider list. */
     void recordHosts() {
         metrics.setHosts(reducer.providerCount(), policy.ejectedServers());
     }
@@ -263,12 +270,12 @@
         return reducer.unansweredCount();
     }
 
-    /** What another process that takes our place is told of this service; by the turns' thread. */
+    /** What is handed over to a process that replaces this one. */
     HandoverCounts handoverCounts() {
         return policy.handoverCounts();
     }
 
-    /** Sets the messages of peers that may come in each second. */
+    /** Limits the messages of peers that are processed in a second. */
     void setPeerMessageRate(double perSecond) {
         policy.setPeerMessageLimit(perSecond);
     }
@@ -277,21 +284,25 @@
         return setup.service().settings().limits().peerMessagesPerSecond();
     }
 
-    /** No further request is led here. */
+    /** No further request is routed here. */
     void drain(long now) {
         drainingSince = now;
     }
 
+    boolean isDraining() {
+        return drainingSince > 0;
+    }
+
     long drainingSince() {
         return drainingSince;
     }
 
-    /** Whether all that it took is answered and all its calls have ended. */
+    /** Whether all its requests are answered and all its calls have ended. */
     boolean isIdle() {
         return reducer.isIdle() && postedEvents.isEmpty();
     }
 
-    /** Ends it; connections that are in use end with their calls. */
+    /** Ends it; connections in use are closed when their calls end. */
     void close() {
         closed = true;
         metrics.setHosts(0, 0);
@@ -301,7 +312,7 @@
         intakeLimiter.resumeAll();
     }
 
-    // ---- Effects -----------------------------------------------------------------------------------
+    // ---- Effects of the reducer --------------------------------------------------------------------
     @Override
     public void sendAnswer(Invocation invocation, FinalAnswer answer) {
         invocation.answerSink().send(answer);
@@ -315,13 +326,13 @@
     }
 
     @Override
-    public void startCall(UpstreamCall call, long timeout) {
-        providerClient.call(call, timeout);
+    public void startCall(UpstreamCall call, long timeoutMicros) {
+        providerClient.call(call, timeoutMicros);
     }
 
     @Override
-    public void startForwardedCall(UpstreamCall call, ForwardedRequest departure) {
-        regionForwarding.sender.accept(call, departure);
+    public void startForwardedCall(UpstreamCall call, ForwardedRequest forwarded) {
+        regionForwarding.sender.accept(call, forwarded);
     }
 
     @Override
--- a/src/main/java/reedmux/gatekeeper/service/ServiceSetup.java
+++ b/src/main/java/reedmux/gatekeeper/service/ServiceSetup.java
@@ -3,13 +3,13 @@
 import reedmux.gatekeeper.config.ServiceConfig;
 
 /**
- * How one pool is set up.
+ * How one service is set up.
  *
- * @param name     its service's name, the same at all gatekeepers
- * @param weight   its part of what is shared, against the other pools' weights; above nought
- * @param queued   most of its requests and ends of calls that may wait for the one thread
- * @param most     bounds on its own, beside its part
- * @param hostless whether it serves requests without {@code Host}
+ * @param name              the same at all gatekeepers
+ * @param weight            its share of what the services share, relative to the others' weights; positive
+ * @param maxQueued         events that may wait for the event loop
+ * @param limits            its own limits, besides its share
+ * @param servesWithoutHost whether it serves requests without {@code Host}
  */
 public record ServiceSetup(
         String name,
@@ -18,19 +18,14 @@
         int maxQueued,
         AdmissionControl.AdmissionLimits limits,
         boolean servesWithoutHost) {
-    /** The pool of the platform's own service. */
+    /** The name of the platform's own service. */
     public static final String DEFAULT_SERVICE = "default";
-    /** Pieces that may wait where nothing is set. */
+    /** Events that may wait where nothing is set. */
     public static final int DEFAULT_MAX_QUEUED = 1_024;
 
-    /** The platform's own service, where the operators have set nothing of it. */
+    /** The platform's own service if the operators have set nothing about services. */
     public static ServiceSetup onlyService(ServiceConfig service) {
         return new ServiceSetup(
-                DEFAULT_SERVICE,
-                service,
-                1,
-                DEFAULT_MAX_QUEUED,
-                new AdmissionControl.AdmissionLimits(Integer.MAX_VALUE, Long.MAX_VALUE),
-                true);
+                DEFAULT_SERVICE, service, 1, DEFAULT_MAX_QUEUED, AdmissionControl.AdmissionLimits.UNLIMITED, true);
     }
 }
--- a/src/main/java/reedmux/gatekeeper/service/SharedBudget.java
+++ b/src/main/java/reedmux/gatekeeper/service/SharedBudget.java
@@ -4,36 +4,37 @@
 import java.util.List;
 
 /**
- * Divides something of which there is a fixed number, such as descriptors, between pools. Each has a part of
- * its own; what it does not use others may borrow, but for a reserve. Where a pool wants one of its own part
- * and all are out, the pool that has borrowed the most is named, to give one back at once.
+ * Divides a fixed number of things, such as descriptors, between users that each have a guaranteed share. What a user
+ * leaves unused others may borrow, except for a reserve. If a user wants one of its share and all are in use, the
+ * result names the user that has borrowed the most, which has to release one.
  */
 public final class SharedBudget {
-    /** What became of a wish for one more. */
+    /** The decision on a wish for one more. */
     public enum BudgetDecision {
-        /** It has one more. */
+        /** The user has one more. */
         GRANTED,
-        /** All that it may have is in use. */
+        /** The user has all that it may have. */
         REJECTED,
-        /** It has a right to one, and another pool must give one back first. */
+        /** It is one of the user's share, but another user must release one first. */
         RECLAIM
     }
 
-    /** A verdict, and for {@link BudgetDecision#RECLAIM} the pool that must give back; else -1. */
+    /** A decision; with {@link BudgetDecision#RECLAIM} the user that must release one, otherwise {@link #NOBODY}. */
     public record BudgetResult(BudgetDecision decision, int reclaimFrom) {}
 
-    private static final BudgetResult GRANTED = new BudgetResult(BudgetDecision.GRANTED, -1);
-    private static final BudgetResult REJECTED = new BudgetResult(BudgetDecision.REJECTED, -1);
+    private static final int NOBODY = -1;
+    private static final BudgetResult GRANTED = new BudgetResult(BudgetDecision.GRANTED, NOBODY);
+    private static final BudgetResult REJECTED = new BudgetResult(BudgetDecision.REJECTED, NOBODY);
 
-    /** One pool's part and use. */
+    /** One user's share, and how much of it is used. */
     private static final class BudgetShare {
         int guaranteed;
         int used;
-        /** It has a right to one more that was not there: the next that is free is kept for it. */
+        /** One of its share was not free; others may not borrow the next one that is. */
         boolean waiting;
 
-        BudgetShare(int own) {
-            this.guaranteed = own;
+        BudgetShare(int guaranteed) {
+            this.guaranteed = guaranteed;
         }
     }
 
@@ -44,55 +45,54 @@
     private int totalGuaranteed;
 
     /**
-     * A number to divide.
+     * A budget without users.
      *
-     * @param all     how many there are
-     * @param reserve the share of each pool's own part that is not lent while it lies idle, from 0 to 1: what
-     *                it can have without waiting for anybody
+     * @param total            how many things there are
+     * @param reservedFraction the fraction of each share that is never lent, from 0 to 1
      */
-    public SharedBudget(int all, double reserve) {
-        if (all <= 0 || !(reserve >= 0 && reserve <= 1)) {
-            throw new IllegalArgumentException("nothing to divide, or no share: " + all + ", " + reserve);
+    public SharedBudget(int total, double reservedFraction) {
+        if (total <= 0 || !(reservedFraction >= 0 && reservedFraction <= 1)) {
+            throw new IllegalArgumentException("nothing to divide, or no fraction: " + total + ", " + reservedFraction);
         }
-        this.total = all;
-        this.reservedFraction = reserve;
+        this.total = total;
+        this.reservedFraction = reservedFraction;
     }
 
-    /** Adds a pool with its own part; all parts together are at most the whole. */
-    public int addShare(int own) {
-        if (own < 0 || totalGuaranteed + own > total) {
-            throw new IllegalArgumentException("the parts come to " + (totalGuaranteed + own) + " of " + total);
+    /** Adds a user with its share and returns its number; the shares must not exceed the total. */
+    public int addShare(int guaranteed) {
+        if (guaranteed < 0 || totalGuaranteed + guaranteed > total) {
+            throw new IllegalArgumentException("the shares come to " + (totalGuaranteed + guaranteed) + " of " + total);
         }
-        totalGuaranteed += own;
-        shares.add(new BudgetShare(own));
+        totalGuaranteed += guaranteed;
+        shares.add(new BudgetShare(guaranteed));
         return shares.size() - 1;
     }
 
     /**
-     * Sets a pool's own part anew; what it uses beyond that is borrowed from then on. Parts that shrink must
-     * be set before those that grow.
+     * Changes a user's share; what it uses beyond that is borrowed from then on. Shares that shrink have to be set
+     * before those that grow.
      */
-    public void setGuaranteed(int pool, int own) {
-        BudgetShare share = shares.get(pool);
-        if (own < 0 || totalGuaranteed - share.guaranteed + own > total) {
+    public void setGuaranteed(int user, int guaranteed) {
+        BudgetShare share = shares.get(user);
+        if (guaranteed < 0 || totalGuaranteed - share.guaranteed + guaranteed > total) {
             throw new IllegalArgumentException(
-                    "the parts come to " + (totalGuaranteed - share.guaranteed + own) + " of " + total);
+                    "the shares come to " + (totalGuaranteed - share.guaranteed + guaranteed) + " of " + total);
         }
-        totalGuaranteed += own - share.guaranteed;
-        share.guaranteed = own;
+        totalGuaranteed += guaranteed - share.guaranteed;
+        share.guaranteed = guaranteed;
     }
 
-    /** Takes one for a pool, or says why not. */
-    public BudgetResult tryAcquire(int pool) {
-        BudgetShare share = shares.get(pool);
+    /** Acquires one for a user, or says why not. */
+    public BudgetResult tryAcquire(int user) {
+        BudgetShare share = shares.get(user);
         if (share.used < reserved(share) && totalUsed < total) {
-            // It is there: nobody else was given the last ones.
+            // One of the reserve, which nobody else can have borrowed.
         } else if (share.used < share.guaranteed) {
-            if (totalUsed + reservedForOthers(pool, false) >= total) {
+            if (totalUsed + reservedForOthers(user, false) >= total) {
                 share.waiting = true;
-                return new BudgetResult(BudgetDecision.RECLAIM, largestBorrower(pool));
+                return new BudgetResult(BudgetDecision.RECLAIM, largestBorrower(user));
             }
-        } else if (totalUsed + reservedForOthers(pool, true) >= total) {
+        } else if (totalUsed + reservedForOthers(user, true) >= total) {
             return REJECTED;
         }
         share.used++;
@@ -101,21 +101,21 @@
         return GRANTED;
     }
 
-    /** Takes one for a pool that has a right to it and cannot wait until it is given back; all may be out. */
-    public void acquireBeyondTotal(int pool) {
-        shares.get(pool).used++;
-        shares.get(pool).waiting = false;
+    /** Acquires one of a user's share without waiting for one to be released; exceeds the total if all are in use. */
+    public void acquireBeyondTotal(int user) {
+        shares.get(user).used++;
+        shares.get(user).waiting = false;
         totalUsed++;
     }
 
-    /** Gives one back. */
-    public void release(int pool) {
-        BudgetShare share = shares.get(pool);
+    /** Releases one. */
+    public void release(int user) {
+        BudgetShare share = shares.get(user);
         if (share.used == 0) {
-            throw new IllegalStateException("pool " + pool + " has nothing to give back");
+            throw new IllegalStateException("user " + user + " has nothing to release");
         }
         share.used--;
-        share.waiting = false; // it has one itself now
+        share.waiting = false; // the one released is free for it
         totalUsed--;
     }
 
@@ -123,45 +123,43 @@
         return (int) Math.ceil(reservedFraction * share.guaranteed);
     }
 
-    /** What is kept for the others, beyond what they use. */
-    private int reservedForOthers(int but, boolean borrows) {
-        int kept = 0;
+    /** What others have not used of their reserves, and one for each that waits if {@code borrows}. */
+    private int reservedForOthers(int user, boolean borrows) {
+        int reserved = 0;
         for (int i = 0; i < shares.size(); i++) {
             BudgetShare share = shares.get(i);
-            if (i != but) {
-                kept += Math.max(borrows && share.waiting ? 1 : 0, reserved(share) - share.used);
+            if (i != user) {
+                reserved += Math.max(borrows && share.waiting ? 1 : 0, reserved(share) - share.used);
             }
         }
-        return kept;
+        return reserved;
     }
 
-    /**
-     * The pool that is furthest over its own part. Where one lacks of its part and all are out, there is
-     * one.
-     */
-    private int largestBorrower(int but) {
-        int deepest = -1;
+    /** The user that has borrowed the most; exists if all are in use and {@code user} is below its share. */
+    private int largestBorrower(int user) {
+        int borrower = NOBODY;
         int most = 0;
         for (int i = 0; i < shares.size(); i++) {
-            int over = shares.get(i).used - shares.get(i).guaranteed;
-            if (i != but && over > most) {
-                most = over;
-                deepest = i;
+            int borrowed = shares.get(i).used - shares.get(i).guaranteed;
+            if (i != user && borrowed > most) {
+                most = borrowed;
+                borrower = i;
             }
         }
-        return deepest;
+        return borrower;
     }
 
-    /** How many a pool may have whatever the others do. */
-    public int guaranteed(int pool) {
-        return shares.get(pool).guaranteed;
+    /** A user's share. */
+    public int guaranteed(int user) {
+        return shares.get(user).guaranteed;
     }
 
-    public int used(int pool) {
-        return shares.get(pool).used;
+    /** How many a user has. */
+    public int used(int user) {
+        return shares.get(user).used;
     }
 
-    /** How many are out in all. */
+    /** How many are in use in all. */
     public int used() {
         return totalUsed;
     }
