--- a/src/main/java/reedmux/control/consensus/Ballot.java
+++ b/src/main/java/reedmux/control/consensus/Ballot.java
@@ -1,12 +1,14 @@
 package reedmux.control.consensus;
 
 /**
- * The number of an attempt to decide on a proposal, and whose attempt it is: of two attempts the one with the
- * higher number goes before, and of two with one number that of the node whose name comes last.
+ * The number of an attempt to decide. Ballots are ordered by number, and those with the same number by the name of the
+ * proposer, so that two proposers never have the same one.
+ *
+ * @param proposer the ip of the node whose attempt it is
  */
 public record Ballot(long number, String proposer) implements Comparable<Ballot> {
 
-    // Written out, as what a record brings is linked at run time, in the middle of a start.
+    // Written out: the generated methods of a record are linked on first use, which delays a start.
     @Override
     public boolean equals(Object other) {
         return other instanceof Ballot ballot && number == ballot.number && proposer.equals(ballot.proposer);
--- a/src/main/java/reedmux/control/consensus/CoreMembers.java
+++ b/src/main/java/reedmux/control/consensus/CoreMembers.java
@@ -5,10 +5,10 @@
 import java.util.TreeMap;
 
 /**
- * The item of kind {@code core}: the machines whose stores decide. Its revision is the epoch, and it is
- * changed by {@link CoreMembership} alone.
+ * The core: the machines whose stores decide. It is changed by {@link CoreMembership} alone.
  *
- * @param nodes the names of the members' machines by ip, empty where one is not known yet
+ * @param epoch how many changes led to it
+ * @param nodeNames the names of the machines by ip; a name is empty where it is not known yet
  */
 public record CoreMembers(long epoch, Map<String, String> nodeNames) {
     public CoreMembers {
@@ -17,49 +17,57 @@
 
     /** The first core of a system that starts for the first time. */
     public static CoreMembers initial(Collection<String> ips) {
-        Map<String, String> nodes = new TreeMap<>();
-        ips.forEach(ip -> nodes.put(ip, ""));
-        return new CoreMembers(0, nodes);
+        Map<String, String> nodeNames = new TreeMap<>();
+        for (String ip : ips) {
+            nodeNames.put(ip, "");
+        }
+        return new CoreMembers(0, nodeNames);
     }
 
     public boolean contains(String ip) {
         return nodeNames.containsKey(ip);
     }
 
-    /** All ips, in the order of turns. */
+    /** All ips in ascending order, which is the order in which members become the leader. */
     public Collection<String> ips() {
         return nodeNames.keySet();
     }
 
-    /** The ip of the member with that name, or with that ip; null where there is none. */
-    public String findIp(String node) {
+    /** The ip of the member with that name or ip; null where there is none. */
+    public String findIp(String nodeOrIp) {
         for (Map.Entry<String, String> member : nodeNames.entrySet()) {
-            if (member.getValue().equals(node) || member.getKey().equals(node)) {
+            if (member.getValue().equals(nodeOrIp) || member.getKey().equals(nodeOrIp)) {
                 return member.getKey();
             }
         }
         return null;
     }
 
-    /** Under the next epoch, without one ip and with another; null for none. */
-    CoreMembers successor(String without, String with, String node) {
-        Map<String, String> after = new TreeMap<>(nodeNames);
-        if (without != null) {
-            after.remove(without);
+    /**
+     * The core of the next epoch.
+     *
+     * @param removedIp who is no member any more, or null
+     * @param addedIp who becomes one, or null
+     * @param addedNode the name of its machine
+     */
+    CoreMembers successor(String removedIp, String addedIp, String addedNode) {
+        Map<String, String> next = new TreeMap<>(nodeNames);
+        if (removedIp != null) {
+            next.remove(removedIp);
         }
-        if (with != null) {
-            after.put(with, node);
+        if (addedIp != null) {
+            next.put(addedIp, addedNode);
         }
-        return new CoreMembers(epoch + 1, after);
+        return new CoreMembers(epoch + 1, next);
     }
 
-    /** With a name that was not known; a member has one name as long as it is one. */
+    /** The same core with a name that was not known yet; a member never changes its name. */
     CoreMembers withNodeName(String ip, String node) {
         if (node.isEmpty() || !"".equals(nodeNames.get(ip))) {
             return this;
         }
-        Map<String, String> after = new TreeMap<>(nodeNames);
-        after.put(ip, node);
-        return new CoreMembers(epoch, after);
+        Map<String, String> named = new TreeMap<>(nodeNames);
+        named.put(ip, node);
+        return new CoreMembers(epoch, named);
     }
 }
--- a/src/main/java/reedmux/control/consensus/CoreMembership.java
+++ b/src/main/java/reedmux/control/consensus/CoreMembership.java
@@ -1,588 +1,292 @@
 package reedmux.control.consensus;
 
-import java.util.ArrayList;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
-import java.util.Set;
-import java.util.TreeSet;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
 /**
- * One store's part in changing the core. The successor of each epoch is one decision by Paxos: prepared by
- * a quorum of the members, accepted by a quorum of them and one of those after it. Who has accepted is
- * fenced: it takes no new call under the old epoch, so that what a quorum of fenced members has is all that
- * the old epoch can ever decide; who is to be a member afterwards says that it has accepted only once it has
- * that on its own disk. One change at a time is proposed by the first live member in the order of ips. Pure:
- * what is to be done is told to {@link CoreMembershipPort}.
+ * One node's part in changing the core, the machines whose stores decide.
+ *
+ * <p>Cores are numbered by epochs. The successor of each epoch is one decision by Paxos ({@link EpochProposer},
+ * {@link EpochAcceptor}); the first live member in the order of ips proposes it ({@link CoreLeader}). A change goes
+ * through these phases: <em>prepare</em> (a quorum promises), <em>accept and fence</em> (who accepts prepares nothing
+ * new under the old epoch), <em>fetch</em> (the next members take over what a quorum of fenced ones has),
+ * <em>install</em> (once a quorum of both cores has accepted, the next epoch begins and is announced to all).
+ *
+ * <p>Invariants: for each epoch there is one core. When an epoch begins, a quorum of its members has everything that
+ * was acknowledged under the epochs before. A node counts votes under its own epoch alone ({@link #acceptsEpoch}).
+ *
+ * <p>It differs from Raft's joint consensus in that the old core stops deciding during a change, which takes a few
+ * round trips, and in that no log carries the membership.
+ *
+ * <p>Pure: no I/O, no clock; what is to be done goes to the {@link CoreMembershipPort}. Confined to one thread. Times
+ * are in microseconds of a monotonic clock and never go back.
  */
 public final class CoreMembership {
-    /** A step that was not answered is said again after so long, and a round given up, in microseconds. */
-    private static final long RESEND_INTERVAL_MICROS = 125_000;
-
-    private static final long ROUND_TIMEOUT_MICROS = 2_000_000;
-    /** A joiner has everything for so long before it is proposed. */
-    private static final long JOINER_STABLE_MICROS = 1_000_000;
-    /** A store that has lost its disk accepts nothing before all that it was sent earlier has come in. */
-    private static final long DISK_LOSS_DELAY_MICROS = 4_000_000;
-    /** An order to leave that could not be carried out is forgotten after so long. */
-    private static final long REMOVAL_TIMEOUT_MICROS = 30_000_000;
-
-    private static final int STATUS_OK = 200;
-    private static final int STATUS_CONFLICT = 409;
-    private static final int STATUS_UNAVAILABLE = 503;
-
-    /** What a step of a round is. */
-    public enum EpochMessageType {
-        PREPARE,
-        PROMISE,
-        ACCEPT,
-        ACCEPTED,
-        REJECTED
-    }
-
     /**
-     * One message of a round.
-     *
-     * @param epoch the one whose successor is decided on
-     * @param under with a promise, the ballot of what was accepted before, else null
-     * @param value what is to be accepted, or was; else null
+     * How long a node that has recovered from the loss of its disk doesn't vote yet: all that it was sent before the
+     * loss, and might answer in contradiction to what it has forgotten, has come in by then.
      */
-    public record EpochMessage(
-            EpochMessageType type, long epoch, Ballot ballot, Ballot acceptedBallot, CoreMembers value) {}
+    private static final long DISK_LOSS_DELAY_MICROS = 4_000_000;
+
+    private final CoreContext context;
+    private final EpochAcceptor acceptor;
+    private final CoreChangePlanner planner;
+    private final EpochProposer proposer;
+    private CoreLeader leader = new CoreLeader("", -1, 0);
 
     /**
-     * What has to outlive the process.
+     * Begins with what was found on the disk.
      *
-     * @param left it was a member once and is none now, so that it does not ask to join
+     * @param minimumReplicas on how many disks a decision has to be, whatever the size of the core
+     * @param found what was on the disk; null where nothing was and the peers are to tell of the core
+     * @param diskIntact whether nothing of it was lost
      */
-    public record PersistentCoreState(
-            CoreMembers core, Ballot promised, Ballot accepted, CoreMembers value, boolean removed) {}
-
-    /** Who carries changes through, under which epoch, and since when by this store's clock. */
-    public record CoreLeader(String ip, long epoch, long since) {}
-
-    /** What is to be done. */
-    public interface CoreMembershipPort {
-
-        void sendEpochMessage(String to, EpochMessage step);
-
-        /** Tells another store of the core that is known here. */
-        void announceCore(String to);
-
-        /** Asks a member for all that it has under the epoch that it is fenced from. */
-        void requestHandover(String from, long epoch);
-
-        /**
-         * Whether all that those have told is clear: what they hold is held here, or was never decided
-         * on.
-         */
-        boolean resolvesDoubts(Set<String> handed);
-
-        void persistCore(PersistentCoreState state, Consumer<Boolean> done);
-
-        /** Another core holds from now on, or another fence. */
-        void coreChanged();
-
-        void log(String line);
+    public CoreMembership(
+            String self, int minimumReplicas, PersistentCoreState found, boolean diskIntact, CoreMembershipPort port) {
+        context = new Context(self, minimumReplicas, port);
+        context.mayVoteFrom = diskIntact ? Long.MIN_VALUE : Long.MAX_VALUE;
+        if (found != null) {
+            context.core = found.core();
+            context.removed = found.removed();
+        }
+        acceptor = new EpochAcceptor(context, found);
+        planner = new CoreChangePlanner(context);
+        proposer = new EpochProposer(context, acceptor, planner);
     }
 
-    private final String self;
-    private final int minimumReplicas;
-    private final CoreMembershipPort port;
-    private CoreMembers core;
-    private Ballot promised;
-    private Ballot accepted;
-    private CoreMembers value;
-    private boolean removed;
-    /** What was accepted is on disk. */
-    private boolean acceptedPersisted;
-    /** Fenced members whose items and calls we have, and whether these are on our disk. */
-    private final Set<String> handedOver = new HashSet<>();
-
-    private boolean handoverPersisting;
-    private boolean handoverPersisted;
-    /** From when on this store may promise and accept as a member; it had lost its disk before. */
-    private long mayVoteFrom;
-
-    private final Map<String, CorePeer> peers = new LinkedHashMap<>();
-    private final Map<String, PendingRemoval> pendingRemovals = new LinkedHashMap<>();
-    private EpochRound round;
-    private long lastBallotNumber;
-    private long backoffUntil;
-    private CoreLeader leader = new CoreLeader("", -1, 0);
-    private long now;
-
-    /** Another store that is in touch. */
-    private static final class CorePeer {
-        final String node;
-        long readySince = Long.MAX_VALUE;
-        boolean fenced;
+    private final class Context extends CoreContext {
+        private Context(String self, int minimumReplicas, CoreMembershipPort port) {
+            super(self, minimumReplicas, port);
+        }
 
-        CorePeer(String node) {
-            this.node = node;
+        @Override
+        void send(String to, EpochMessage message) {
+            if (to.equals(self)) {
+                onEpochMessage(now, self, message);
+            } else {
+                port.sendEpochMessage(to, message);
+            }
         }
-    }
 
-    private record PendingRemoval(long requestedAt, List<BiConsumer<Integer, String>> replies) {}
-
-    /** One attempt of ours. */
-    private static final class EpochRound {
-        final Ballot ballot;
-        final long startedAt;
-        final Set<String> respondents = new HashSet<>();
-        CoreMembers value;
-        Ballot highestAccepted;
-        boolean accepting;
-        long sentAt;
-
-        EpochRound(Ballot ballot, CoreMembers value, long since) {
-            this.ballot = ballot;
-            this.value = value;
-            this.startedAt = since;
+        @Override
+        void persist(Consumer<Boolean> onDone) {
+            port.persistCore(persistentState(), onDone);
         }
-    }
 
-    /** {@code found}: what was on disk; null where nothing was and others are to tell of the core. */
-    public CoreMembership(
-            String self, int copies, PersistentCoreState found, boolean sound, CoreMembershipPort effects) {
-        this.self = self;
-        this.minimumReplicas = copies;
-        this.port = effects;
-        mayVoteFrom = sound ? Long.MIN_VALUE : Long.MAX_VALUE;
-        if (found != null) {
-            core = found.core;
-            promised = found.promised;
-            accepted = found.accepted;
-            value = found.value;
-            removed = found.removed;
-            acceptedPersisted = accepted != null;
+        @Override
+        void install(CoreMembers next) {
+            CoreMembership.this.install(next);
         }
     }
 
-    /** The core that holds; null where it is not known yet. */
+    // ---- State -------------------------------------------------------------------------------------
+
+    /** The core of the latest epoch that is known; null where none is known yet. */
     public CoreMembers core() {
-        return core;
+        return context.core;
     }
 
+    /** The latest epoch that is known; negative where none is known yet. */
     public long epoch() {
-        return core == null ? -1 : core.epoch();
+        return context.epoch();
     }
 
+    /** Who decides on changes of the configuration under this epoch. */
     public Quorum quorum() {
-        return Quorum.of(core == null ? List.of() : core.ips(), minimumReplicas);
+        return context.quorum();
     }
 
     public boolean isMember() {
-        return core != null && core.contains(self);
+        return context.isMember();
     }
 
-    /** Whether a successor has been accepted here, so that nothing new is taken under this epoch. */
+    /** Whether a successor was accepted here, so that nothing new is prepared under this epoch. */
     public boolean isFenced() {
-        return accepted != null;
+        return acceptor.isFenced();
     }
 
-    /** Whether it would join, if it were whole. */
+    /** Whether this node would join the core, once it is current. */
     public boolean isCandidate() {
-        return core != null && !isMember() && !removed;
+        return context.core != null && !isMember() && !context.removed;
     }
 
+    /** What has to be on the disk. */
     public PersistentCoreState persistentState() {
-        return new PersistentCoreState(core, promised, accepted, value, removed);
+        return acceptor.persistentState();
     }
 
+    /** Who proposes changes of the core, as far as is known here. */
     public CoreLeader leader() {
         return leader;
     }
 
-    /** Whether we carry changes through, as far as we know. */
     public boolean isLeader() {
-        return leader.ip.equals(self);
+        return leader.ip().equals(context.self);
     }
 
-    // ---- The others --------------------------------------------------------------------------------
+    // ---- Peers -------------------------------------------------------------------------------------
+
+    /** A connection with another node is up; {@code node} is the name of its machine. */
     public void onPeerConnected(long time, String ip, String node) {
-        now = time;
-        peers.put(ip, new CorePeer(node));
+        context.now = time;
+        context.peers.put(ip, new CoreContext.CorePeer(node));
         learnNodeNames(Map.of(ip, node));
         updateLeader();
     }
 
     public void onPeerDisconnected(long time, String ip) {
-        now = time;
-        peers.remove(ip);
-        if (round != null) {
-            round.respondents.remove(ip); // it may come back without what it has said
-        }
+        context.now = time;
+        context.peers.remove(ip);
+        proposer.onPeerDisconnected(ip);
         updateLeader();
     }
 
-    /** This store has made up for the loss of its disk. */
+    /** This node has recovered from the loss of its disk; may be told again. */
     public void onDiskRecovered(long time) {
-        mayVoteFrom = Math.min(mayVoteFrom, time + DISK_LOSS_DELAY_MICROS);
+        context.mayVoteFrom = Math.min(context.mayVoteFrom, time + DISK_LOSS_DELAY_MICROS);
     }
 
-    /** Another process tells of the core; of a store also whether it would join, and whether it is fenced. */
-    public void onCoreAnnounced(long time, String ip, CoreMembers other, boolean ready, boolean isFenced) {
-        now = time;
-        CorePeer peer = peers.get(ip);
+    /**
+     * Another process announces the core that it knows.
+     *
+     * @param announced null where it knows none
+     * @param ready whether it would join the core
+     * @param fenced whether it has accepted a successor of that core
+     */
+    public void onCoreAnnounced(long time, String ip, CoreMembers announced, boolean ready, boolean fenced) {
+        context.now = time;
+        CoreContext.CorePeer peer = context.peers.get(ip);
         if (peer != null) {
-            peer.readySince = !ready ? Long.MAX_VALUE : Math.min(peer.readySince, now);
-            peer.fenced = isFenced && other != null && other.epoch() == epoch();
+            peer.readySince = ready ? Math.min(peer.readySince, time) : Long.MAX_VALUE;
+            peer.fenced = fenced && announced != null && announced.epoch() == epoch();
         }
-        if (other == null) {
+        if (announced == null) {
             return;
-        } else if (other.epoch() > epoch()) {
-            install(other);
-        } else if (other.epoch() < epoch()) {
-            port.announceCore(ip);
+        }
+        if (announced.epoch() > epoch()) {
+            install(announced);
+        } else if (announced.epoch() < epoch()) {
+            context.port.announceCore(ip);
         } else {
-            learnNodeNames(other.nodeNames());
+            learnNodeNames(announced.nodeNames());
         }
     }
 
-    private void learnNodeNames(Map<String, String> nodes) {
-        CoreMembers before = core;
-        if (core != null) {
-            nodes.forEach((ip, node) -> core = core.withNodeName(ip, node));
+    private void learnNodeNames(Map<String, String> namesByIp) {
+        if (context.core == null) {
+            return;
+        }
+        CoreMembers before = context.core;
+        for (Map.Entry<String, String> name : namesByIp.entrySet()) {
+            context.core = context.core.withNodeName(name.getKey(), name.getValue());
         }
-        if (core != before) {
-            persist(done -> {});
+        if (context.core != before) {
+            context.persist(done -> {});
         }
     }
 
-    /** Whether somebody acts under our epoch; who does not is told of ours, and tells of a newer one. */
-    public boolean acceptsEpoch(String by, long epoch) {
-        if (core != null && epoch != core.epoch()) {
-            port.announceCore(by);
+    /**
+     * Whether a message was sent under this node's epoch. Who acts under another one is told of the core known here,
+     * and tells of its own if that is newer.
+     */
+    public boolean acceptsEpoch(String from, long epoch) {
+        if (context.core == null) {
+            return false;
         }
-        return core != null && epoch == core.epoch();
+        if (epoch != epoch()) {
+            context.port.announceCore(from);
+        }
+        return epoch == epoch();
     }
 
+    /** Begins the epoch of a core that is decided on. */
     private void install(CoreMembers next) {
-        removed = (removed || isMember()) && !next.contains(self);
-        port.log("core of epoch " + next.epoch() + ": " + next.nodeNames());
-        core = next;
-        promised = null;
-        accepted = null;
-        value = null;
-        acceptedPersisted = false;
-        handedOver.clear();
-        handoverPersisting = false;
-        handoverPersisted = false;
-        round = null;
-        peers.values().forEach(peer -> peer.fenced = false);
-        peers.forEach((ip, peer) -> core = core.withNodeName(ip, peer.node));
-        persist(done -> {});
-        port.coreChanged();
+        context.removed = (context.removed || isMember()) && !next.contains(context.self);
+        context.port.log("core of epoch " + next.epoch() + ": " + next.nodeNames());
+        context.core = next;
+        acceptor.reset();
+        proposer.reset();
+        for (Map.Entry<String, CoreContext.CorePeer> peer : context.peers.entrySet()) {
+            peer.getValue().fenced = false;
+            context.core = context.core.withNodeName(peer.getKey(), peer.getValue().node);
+        }
+        context.persist(done -> {});
+        context.port.coreChanged();
         updateLeader();
-        for (String node : List.copyOf(pendingRemovals.keySet())) {
-            if (core.findIp(node) == null) {
-                pendingRemovals.remove(node).replies.forEach(reply -> reply.accept(STATUS_OK, "{}"));
-            }
-        }
-    }
-
-    private void persist(Consumer<Boolean> done) {
-        port.persistCore(persistentState(), done);
+        planner.onInstalled();
     }
 
     private void updateLeader() {
-        String holder = "";
-        if (core != null) {
-            for (String ip : core.ips()) {
-                if (ip.equals(self) || peers.containsKey(ip)) {
-                    holder = ip;
+        String first = "";
+        if (context.core != null) {
+            for (String ip : context.core.ips()) {
+                if (context.isUp(ip)) {
+                    first = ip;
                     break;
                 }
             }
         }
-        if (!holder.equals(leader.ip) || leader.epoch != epoch()) {
-            leader = new CoreLeader(holder, epoch(), now);
+        if (!first.equals(leader.ip()) || leader.epoch() != epoch()) {
+            leader = new CoreLeader(first, epoch(), context.now);
         }
     }
 
-    // ---- What is wanted ----------------------------------------------------------------------------
-    /** The operator orders a member out; to be asked of the one on duty. */
-    public void requestRemoval(long time, String node, BiConsumer<Integer, String> reply) {
-        now = time;
-        if (core == null || !isLeader() || !quorum().isReachedBy(livePeers())) {
-            reply.accept(STATUS_UNAVAILABLE, "too few of the core can be reached");
-            return;
-        }
-        String ip = core.findIp(node);
-        if (ip == null) {
-            reply.accept(STATUS_OK, "{}");
-            return;
-        }
-        int rest = core.nodeNames().size() - 1;
-        boolean up = ip.equals(self) || peers.containsKey(ip);
-        int needed = up ? 2 * minimumReplicas - 1 : minimumReplicas;
-        if (rest < needed) {
-            reply.accept(
-                    STATUS_CONFLICT,
-                    node + " cannot leave: of " + rest + " members too few could be lost, " + needed + " are needed");
-            return;
-        }
-        pendingRemovals
-                .computeIfAbsent(node, name -> new PendingRemoval(now, new ArrayList<>()))
-                .replies
-                .add(reply);
-        onTick(time);
-    }
-
-    private Set<String> livePeers() {
-        Set<String> live = new HashSet<>(peers.keySet());
-        live.add(self);
-        return live;
-    }
+    // ---- Changes -----------------------------------------------------------------------------------
 
-    /** The change that is to be made next; null for none, or where too few could make it. */
-    private CoreMembers nextChange() {
-        for (String node : pendingRemovals.keySet()) {
-            String ip = core.findIp(node);
-            if (ip != null && isReachable(core.successor(ip, null, null))) {
-                return core.successor(ip, null, null);
-            }
-        }
-        for (Map.Entry<String, CorePeer> one : peers.entrySet()) {
-            CorePeer peer = one.getValue();
-            if (!core.contains(one.getKey()) && peer.readySince <= now - JOINER_STABLE_MICROS) {
-                String before = peer.node.isEmpty() ? null : core.findIp(peer.node);
-                boolean twice = before != null && (before.equals(self) || peers.containsKey(before));
-                CoreMembers next = core.successor(before, one.getKey(), peer.node);
-                if (!twice && isReachable(next)) {
-                    return next;
-                }
-            }
+    /**
+     * The operator removes a member; to be asked of the leader.
+     *
+     * @param node the name or the ip of its machine
+     * @param reply is told once an {@link OperationStatus} and a line, or JSON, for the operator
+     */
+    public void requestRemoval(long time, String node, BiConsumer<Integer, String> reply) {
+        context.now = time;
+        if (context.core == null || !isLeader() || !quorum().isReachedBy(context.live())) {
+            reply.accept(OperationStatus.UNAVAILABLE, "too few of the core can be reached");
+        } else if (planner.requestRemoval(node, reply)) {
+            onTick(time);
         }
-        return null;
     }
 
-    private boolean isReachable(CoreMembers next) {
-        return Quorum.joint(core.ips(), next.ips(), minimumReplicas).isReachedBy(livePeers());
-    }
-
-    // ---- Proposing ---------------------------------------------------------------------------------
-    /** Goes on with what is half done, and begins what is wanted. */
+    /** To be called several times a second: goes on with what is half done, and begins what is wanted. */
     public void onTick(long time) {
-        now = time;
+        context.now = time;
         updateLeader();
-        pendingRemovals.values().removeIf(one -> now - one.requestedAt > REMOVAL_TIMEOUT_MICROS);
-        if (core == null) {
-            return;
-        }
-        requestHandovers();
-        if (round != null && now - round.startedAt > ROUND_TIMEOUT_MICROS) {
-            round = null;
-        }
-        if (round != null) {
-            if (now - round.sentAt >= RESEND_INTERVAL_MICROS) {
-                sendRoundMessages();
-            }
-        } else if (isLeader() && now >= backoffUntil && now >= mayVoteFrom) {
-            boolean half = isFenced();
-            for (CorePeer peer : peers.values()) {
-                half |= peer.fenced;
-            }
-            CoreMembers next = nextChange();
-            if (half || next != null) {
-                lastBallotNumber = Math.max(lastBallotNumber, promised == null ? 0 : promised.number()) + 1;
-                round = new EpochRound(new Ballot(lastBallotNumber, self), next, now);
-                sendRoundMessages();
-            }
+        planner.expireRemovals();
+        if (context.core != null) {
+            acceptor.requestHandovers();
+            proposer.onTick(isLeader());
         }
     }
 
-    private void sendRoundMessages() {
-        EpochRound mine = round;
-        mine.sentAt = now;
-        Set<String> to = new TreeSet<>(core.ips());
-        if (mine.accepting) {
-            to.addAll(mine.value.ips());
-        }
-        if (!mine.accepting && !mine.respondents.contains(self)) {
-            to.retainAll(Set.of(self)); // a ballot that others have seen is on our own disk first
-        }
-        to.removeAll(mine.respondents);
-        EpochMessage step = new EpochMessage(
-                mine.accepting ? EpochMessageType.ACCEPT : EpochMessageType.PREPARE,
-                core.epoch(),
-                mine.ballot,
-                null,
-                mine.accepting ? mine.value : null);
-        for (String each : to) {
-            send(each, step);
-        }
-    }
-
-    private void send(String to, EpochMessage step) {
-        if (to.equals(self)) {
-            onEpochMessage(now, self, step);
-        } else {
-            port.sendEpochMessage(to, step);
-        }
-    }
-
-    /** A step of a round has come in. */
-    public void onEpochMessage(long time, String from, EpochMessage step) {
-        now = time;
-        if (!acceptsEpoch(from, step.epoch)) {
+    /** A message of a round has come in. */
+    public void onEpochMessage(long time, String from, EpochMessage message) {
+        context.now = time;
+        if (!acceptsEpoch(from, message.epoch())) {
             return;
         }
-        switch (step.type) {
-            case PREPARE -> onPrepare(from, step);
-            case ACCEPT -> onAccept(from, step);
-            case PROMISE -> onPromise(from, step);
-            case ACCEPTED -> accepted(from, step);
-            default -> {
-                lastBallotNumber = Math.max(lastBallotNumber, step.ballot.number());
-                if (round != null && round.ballot.compareTo(step.ballot) < 0) {
-                    port.log("another has acted on the core since: " + step.ballot);
-                    round = null;
-                    backoffUntil = now + 2 * RESEND_INTERVAL_MICROS;
-                }
-            }
+        switch (message.type()) {
+            case PREPARE -> acceptor.onPrepare(from, message);
+            case ACCEPT -> acceptor.onAccept(from, message);
+            case PROMISE -> proposer.onPromise(from, message);
+            case ACCEPTED -> proposer.onAccepted(from, message);
+            default -> proposer.onRejected(message.ballot());
         }
     }
 
-    private void onPromise(String from, EpochMessage step) {
-        if (round == null || round.accepting || !round.ballot.equals(step.ballot)) {
-            return;
-        }
-        if (step.acceptedBallot != null
-                && (round.highestAccepted == null || step.acceptedBallot.compareTo(round.highestAccepted) > 0)) {
-            round.highestAccepted = step.acceptedBallot;
-            round.value = step.value;
-        }
-        round.respondents.add(from);
-        if (quorum().isReachedBy(round.respondents)) {
-            if (round.value == null) {
-                round = null; // what was wanted, or half done, is not any more
-                return;
-            }
-            round.accepting = true;
-            round.respondents.clear();
-            sendRoundMessages();
-        } else if (from.equals(self)) {
-            sendRoundMessages();
-        }
-    }
+    // ---- Handover ----------------------------------------------------------------------------------
 
-    private void accepted(String from, EpochMessage step) {
-        if (round == null || !round.accepting || !round.ballot.equals(step.ballot)) {
-            return;
-        }
-        round.respondents.add(from);
-        if (Quorum.joint(core.ips(), round.value.ips(), minimumReplicas).isReachedBy(round.respondents)) {
-            install(round.value);
-        }
-    }
-
-    // ---- Accepting ---------------------------------------------------------------------------------
-    private boolean rejectIfSuperseded(String from, Ballot ballot) {
-        if (promised != null && ballot.compareTo(promised) < 0) {
-            send(from, new EpochMessage(EpochMessageType.REJECTED, core.epoch(), promised, null, null));
-            return true;
-        }
-        return false;
-    }
-
-    private void onPrepare(String from, EpochMessage step) {
-        if (!isMember() || now < mayVoteFrom || rejectIfSuperseded(from, step.ballot)) {
-            return;
-        }
-        promised = step.ballot;
-        PersistentCoreState kept = persistentState();
-        port.persistCore(kept, done -> {
-            if (done && epoch() == step.epoch && kept.promised.equals(promised)) {
-                send(
-                        from,
-                        new EpochMessage(EpochMessageType.PROMISE, step.epoch, step.ballot, kept.accepted, kept.value));
-            }
-        });
-    }
-
-    private void onAccept(String from, EpochMessage step) {
-        if (!isMember() && !step.value.contains(self)
-                || isMember() && now < mayVoteFrom
-                || rejectIfSuperseded(from, step.ballot)) {
-            return;
-        }
-        if (acceptedPersisted && step.ballot.equals(accepted)) {
-            accepted();
-            return;
-        }
-        promised = step.ballot;
-        accepted = step.ballot;
-        value = step.value;
-        acceptedPersisted = false;
-        port.coreChanged();
-        persist(done -> {
-            if (done && step.ballot.equals(accepted)) {
-                acceptedPersisted = true;
-                requestHandovers();
-                accepted();
-            }
-        });
-    }
-
-    /** Says that we have accepted, once we are fit for what we are to be afterwards. */
-    private void accepted() {
-        if (!acceptedPersisted || value.contains(self) && !handoverPersisted) {
-            return;
-        }
-        send(accepted.proposer(), new EpochMessage(EpochMessageType.ACCEPTED, core.epoch(), accepted, null, null));
-    }
-
-    // ---- Handing over ------------------------------------------------------------------------------
-    private void requestHandovers() {
-        if (acceptedPersisted && value.contains(self) && !handoverPersisted) {
-            if (isMember()) {
-                handedOver.add(self);
-            }
-            for (String each : core.ips()) {
-                if (!handedOver.contains(each)) {
-                    port.requestHandover(each, core.epoch());
-                }
-            }
-            completeHandover();
-        }
-    }
-
-    /**
-     * Whether what we have may be handed over to who is to be a member: nothing is added under that
-     * epoch.
-     */
+    /** Whether this node's state under that epoch is final and may be handed over to a member of the next core. */
     public boolean maySendHandover(String to, long epoch) {
-        return acceptsEpoch(to, epoch) && isMember() && acceptedPersisted && now >= mayVoteFrom;
+        return acceptsEpoch(to, epoch) && isMember() && acceptor.isFencedOnDisk() && context.mayVote();
     }
 
-    /** All that a fenced member has is here now, what it holds among it. */
+    /** All that a fenced member had under that epoch is here now, its pending proposals among it. */
     public void onHandover(long time, String from, long epoch) {
-        now = time;
-        if (epoch == epoch() && core.contains(from)) {
-            handedOver.add(from);
-            completeHandover();
-        }
-    }
-
-    private void completeHandover() {
-        if (acceptedPersisted
-                && !handoverPersisting
-                && quorum().isReachedBy(handedOver)
-                && port.resolvesDoubts(handedOver)) {
-            handoverPersisting = true;
-            long epoch = core.epoch();
-            persist(done -> {
-                if (epoch == epoch()) {
-                    handoverPersisting = done;
-                    handoverPersisted = done;
-                    accepted();
-                }
-            });
+        context.now = time;
+        if (epoch == epoch() && context.core.contains(from)) {
+            acceptor.onHandover(from);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/reedmux/control/consensus/Learner.java
@@ -0,0 +1,51 @@
+package reedmux.control.consensus;
+
+import java.util.List;
+import reedmux.control.configuration.ConfigurationItem;
+
+/**
+ * The learner of a node: carries out decisions, whoever has made them.
+ *
+ * <p>A commit holds under any ballot. A drop holds only under the highest ballot seen: a higher attempt may be counting
+ * this node's vote.
+ */
+final class Learner {
+    private final ConsensusContext context;
+    private final BallotHistory ballots;
+    private final Acceptor acceptor;
+    private final InDoubtProposals inDoubt;
+    private final QuorumContacts contacts;
+
+    Learner(
+            ConsensusContext context,
+            BallotHistory ballots,
+            Acceptor acceptor,
+            InDoubtProposals inDoubt,
+            QuorumContacts contacts) {
+        this.context = context;
+        this.ballots = ballots;
+        this.acceptor = acceptor;
+        this.inDoubt = inDoubt;
+        this.contacts = contacts;
+    }
+
+    /** Commits a proposal, or drops it where {@code committed} is false. */
+    void onDecision(String proposalId, Ballot ballot, boolean committed, List<ConfigurationItem> items) {
+        if (!committed && ballots.isSuperseded(proposalId, ballot)) {
+            return;
+        }
+        ballots.record(proposalId, ballot);
+        acceptor.remove(proposalId);
+        inDoubt.remove(proposalId);
+        long before = context.replica.lastChange();
+        context.replica.resolvePending(proposalId, committed, items);
+        if (!committed) {
+            ballots.recordDropped(proposalId);
+        }
+        context.port.persistDecision(proposalId, ballot, committed, items);
+        if (context.replica.lastChange() != before) {
+            context.port.notifyConfigurationChanged();
+        }
+        contacts.onProposalResolved(proposalId);
+    }
+}
--- /dev/null
+++ b/src/main/java/reedmux/control/consensus/OperatorRequests.java
@@ -0,0 +1,143 @@
+package reedmux.control.consensus;
+
+import java.util.List;
+import java.util.function.BiConsumer;
+import reedmux.control.configuration.ConfigurationChangeFormat;
+import reedmux.control.configuration.ConfigurationItem;
+import reedmux.control.configuration.InvalidConfigurationException;
+import reedmux.control.replication.Replica.ProposalVerdict;
+
+/**
+ * The operator's changes and reads, from the request to the answer.
+ *
+ * <p>A change that is valid and new here is proposed at once. Whatever is answered without a decision of its own (a
+ * read, a change that is committed already, a rejection) is answered only after a settled contact with a quorum, so
+ * that it rests on everything that was acknowledged before.
+ */
+final class OperatorRequests {
+    /** How often a change is proposed where it is dropped for what contended with it or was missing. */
+    private static final int MAX_ATTEMPTS = 3;
+
+    private static final String NO_QUORUM = "too few of the others can be reached";
+    private static final String NO_CONTACT = "too few of the others can be reached, or a change is being made";
+    private static final String NOT_DECIDED = "too few stores could keep the change";
+    private static final String NO_CONTENT = "{}";
+
+    private final ConsensusContext context;
+    private final PeerSynchronization peers;
+    private final QuorumContacts contacts;
+    private final Proposer proposer;
+    /** Tells the proposals of this process from those of the earlier ones of this node. */
+    private final long incarnation;
+
+    private long lastProposalNumber;
+
+    OperatorRequests(
+            ConsensusContext context,
+            long incarnation,
+            PeerSynchronization peers,
+            QuorumContacts contacts,
+            Proposer proposer) {
+        this.context = context;
+        this.incarnation = incarnation;
+        this.peers = peers;
+        this.contacts = contacts;
+        this.proposer = proposer;
+    }
+
+    /** A change on its way; its attempts follow one another. */
+    private final class PendingChange implements RoundListener {
+        private final List<ConfigurationItem> items;
+        private final BiConsumer<Integer, String> reply;
+        private final long receivedAt;
+        private int attempt = 1;
+
+        private PendingChange(List<ConfigurationItem> items, BiConsumer<Integer, String> reply, long receivedAt) {
+            this.items = items;
+            this.reply = reply;
+            this.receivedAt = receivedAt;
+        }
+
+        @Override
+        public void onCommitted() {
+            reply.accept(OperationStatus.OK, NO_CONTENT);
+        }
+
+        @Override
+        public void onDropped() {
+            if (attempt < MAX_ATTEMPTS) {
+                attempt++;
+                retryAfterContact(this); // what contended with it or was missing is known then
+            } else {
+                onAbandoned();
+            }
+        }
+
+        @Override
+        public void onAbandoned() {
+            reply.accept(OperationStatus.UNAVAILABLE, NOT_DECIDED);
+        }
+    }
+
+    /** A change of the configuration. */
+    void onChange(String body, BiConsumer<Integer, String> reply) {
+        List<ConfigurationItem> items;
+        try {
+            items = ConfigurationChangeFormat.parse(body);
+        } catch (InvalidConfigurationException e) {
+            reply.accept(OperationStatus.INVALID, e.getMessage());
+            return;
+        }
+        if (peers.isCurrent()) {
+            attempt(new PendingChange(items, reply, context.now), false);
+        } else {
+            reply.accept(OperationStatus.UNAVAILABLE, NO_QUORUM);
+        }
+    }
+
+    /** {@code settled}: everything that was acknowledged before the change was received is committed here. */
+    private void attempt(PendingChange change, boolean settled) {
+        List<ConfigurationItem> newItems = context.replica.unrecordedItems(change.items);
+        ProposalVerdict verdict = context.replica.validate("", change.items);
+        if (verdict == ProposalVerdict.VALID && !newItems.isEmpty()) {
+            String id = context.self + '/' + incarnation + '/' + ++lastProposalNumber;
+            Proposal proposal = new Proposal(id, new Ballot(1, context.self), newItems);
+            proposer.propose(proposal, change, change.receivedAt);
+        } else if (!settled || verdict == ProposalVerdict.CONFLICTS_WITH_PENDING) {
+            retryAfterContact(change);
+        } else {
+            answer(change, verdict);
+        }
+    }
+
+    private void retryAfterContact(PendingChange change) {
+        contacts.begin(change.receivedAt, true, reached -> {
+            if (reached) {
+                attempt(change, true);
+            } else {
+                change.reply.accept(OperationStatus.UNAVAILABLE, NO_CONTACT);
+            }
+        });
+    }
+
+    private void answer(PendingChange change, ProposalVerdict verdict) {
+        switch (verdict) {
+            case VALID -> change.reply.accept(OperationStatus.OK, NO_CONTENT); // committed already, or superseded
+            case REVISION_EXPIRED ->
+                change.reply.accept(OperationStatus.UNAVAILABLE, "a revision is too old to be known");
+            case REVISION_REUSED -> change.reply.accept(OperationStatus.CONFLICT, context.replica.problem());
+            default -> change.reply.accept(OperationStatus.INVALID, context.replica.problem());
+        }
+    }
+
+    /** A read of all committed items. */
+    void onRead(BiConsumer<Integer, String> reply) {
+        contacts.begin(context.now, true, reached -> {
+            if (reached) {
+                reply.accept(OperationStatus.OK, ConfigurationChangeFormat.write(context.replica.committed()));
+            } else {
+                reply.accept(OperationStatus.UNAVAILABLE, NO_CONTACT);
+            }
+        });
+    }
+}
--- a/src/main/java/reedmux/control/consensus/Proposal.java
+++ b/src/main/java/reedmux/control/consensus/Proposal.java
@@ -5,21 +5,23 @@
 import reedmux.control.configuration.ConfigurationItem;
 
 /**
- * A call of the operator that is held until it is known whether it comes into force.
+ * A change of the configuration that is to be decided: all of its items are committed together, or none.
  *
- * @param ballot of the last attempt to decide on it that its holder has taken part in
- * @param precommitted whether a quorum was found to hold it: it comes into force once a quorum holds it so
+ * @param id unique in the whole system
+ * @param ballot of the last attempt to decide on it that the node which has it took part in
+ * @param precommitted whether a quorum is known to have prepared it; it is committed once a quorum has it marked so
  */
 public record Proposal(String id, Ballot ballot, List<ConfigurationItem> items, boolean precommitted) {
     public Proposal {
         items = new ArrayList<>(items);
     }
 
-    public Proposal(String call, Ballot ballot, List<ConfigurationItem> items) {
-        this(call, ballot, items, false);
+    /** A proposal that is not precommitted. */
+    public Proposal(String id, Ballot ballot, List<ConfigurationItem> items) {
+        this(id, ballot, items, false);
     }
 
-    // Written out, as what a record brings is linked at run time, in the middle of a start.
+    // Written out: the generated methods of a record are linked on first use, which delays a start.
     @Override
     public boolean equals(Object other) {
         return other instanceof Proposal proposal
@@ -34,11 +36,12 @@
         return id.hashCode();
     }
 
-    /** The same under a further ballot. */
+    /** The same proposal in another attempt. */
     Proposal withBallot(Ballot next) {
         return new Proposal(id, next, items, precommitted);
     }
 
+    /** The same proposal, marked as prepared by a quorum. */
     Proposal asPrecommitted() {
         return new Proposal(id, ballot, items, true);
     }
--- a/src/main/java/reedmux/control/consensus/Quorum.java
+++ b/src/main/java/reedmux/control/consensus/Quorum.java
@@ -1,70 +1,72 @@
 package reedmux.control.consensus;
 
 import java.util.Collection;
-import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
 
 /**
- * Which sets of stores decide: more than half of the members, and at least so many copies as may be lost and
- * one. While a change of the members is under way, that many of those before and of those after. Any two sets
- * that decide share a store. Stores are named by their ip.
+ * Which sets of nodes decide: a majority of the members, and at least a given number of them, so that a decision
+ * outlives the loss of all disks but one of that number. While the members are being changed, that of the members
+ * before and of those after.
+ *
+ * <p>Invariant: any two sets that decide share a node.
  */
 public final class Quorum {
     private final Set<String> members;
+    /** Empty where no change is under way. */
     private final Set<String> nextMembers;
+
     private final int minimumSize;
 
-    private Quorum(Set<String> members, Set<String> next, int copies) {
+    private Quorum(Set<String> members, Set<String> nextMembers, int minimumSize) {
         this.members = members;
-        this.nextMembers = next;
-        this.minimumSize = copies;
-    }
-
-    public static Quorum of(Collection<String> members, int copies) {
-        return new Quorum(new TreeSet<>(members), Set.of(), copies);
+        this.nextMembers = nextMembers;
+        this.minimumSize = minimumSize;
     }
 
-    /** While {@code members} are being changed to {@code nextMembers}. */
-    public static Quorum joint(Collection<String> members, Collection<String> next, int copies) {
-        return new Quorum(new TreeSet<>(members), new TreeSet<>(next), copies);
+    /**
+     * The quorum of members that are not being changed.
+     *
+     * @param members their ips
+     */
+    public static Quorum of(Collection<String> members, int minimumSize) {
+        return new Quorum(new TreeSet<>(members), Set.of(), minimumSize);
     }
 
-    /** All that have a vote, in the order of their turns. */
-    public List<String> members() {
-        Set<String> all = new TreeSet<>(members);
-        all.addAll(nextMembers);
-        return List.copyOf(all);
+    /** The quorum while {@code members} are being changed to {@code nextMembers}. */
+    public static Quorum joint(Collection<String> members, Collection<String> nextMembers, int minimumSize) {
+        return new Quorum(new TreeSet<>(members), new TreeSet<>(nextMembers), minimumSize);
     }
 
-    public boolean contains(String store) {
-        return members.contains(store) || nextMembers.contains(store);
+    /** Whether these nodes decide. */
+    public boolean isReachedBy(Collection<String> nodes) {
+        return isReachedIn(members, nodes) && (nextMembers.isEmpty() || isReachedIn(nextMembers, nodes));
     }
 
-    /** Whether these decide. */
-    public boolean isReachedBy(Collection<String> stores) {
-        return hasEnough(members, stores) && (nextMembers.isEmpty() || hasEnough(nextMembers, stores));
+    /** Whether no set that decides is without one of these nodes. */
+    public boolean isBlockedBy(Collection<String> nodes) {
+        return isBlockedIn(members, nodes) || isBlockedIn(nextMembers, nodes);
     }
 
-    /** Whether no set that decides is without one of these. */
-    public boolean isBlockedBy(Collection<String> stores) {
-        return !members.isEmpty() && countWithout(members, stores) < requiredSize(members)
-                || !nextMembers.isEmpty() && countWithout(nextMembers, stores) < requiredSize(nextMembers);
+    private boolean isReachedIn(Set<String> group, Collection<String> nodes) {
+        return group.size() - countWithout(group, nodes) >= requiredSize(group);
     }
 
-    private boolean hasEnough(Set<String> of, Collection<String> stores) {
-        return of.size() - countWithout(of, stores) >= requiredSize(of);
+    private boolean isBlockedIn(Set<String> group, Collection<String> nodes) {
+        return !group.isEmpty() && countWithout(group, nodes) < requiredSize(group);
     }
 
-    private static int countWithout(Set<String> of, Collection<String> without) {
-        int rest = 0;
-        for (String store : of) {
-            rest += without.contains(store) ? 0 : 1;
+    private static int countWithout(Set<String> group, Collection<String> excluded) {
+        int count = 0;
+        for (String node : group) {
+            if (!excluded.contains(node)) {
+                count++;
+            }
         }
-        return rest;
+        return count;
     }
 
-    private int requiredSize(Set<String> of) {
-        return Math.max(of.size() / 2 + 1, minimumSize);
+    private int requiredSize(Set<String> group) {
+        return Math.max(group.size() / 2 + 1, minimumSize);
     }
 }
--- a/src/main/java/reedmux/control/rpc/Messages.java
+++ b/src/main/java/reedmux/control/rpc/Messages.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import reedmux.control.configuration.ConfigurationItem;
 import reedmux.control.consensus.Ballot;
-import reedmux.control.consensus.ConsensusNode.Vote;
 import reedmux.control.consensus.CoreMembers;
-import reedmux.control.consensus.CoreMembership;
+import reedmux.control.consensus.PersistentCoreState;
 import reedmux.control.consensus.Proposal;
+import reedmux.control.consensus.Vote;
 import reedmux.control.instances.CheckerIncarnation;
 import reedmux.control.instances.InstanceOwner;
 import reedmux.control.instances.RegistryHeartbeat;
@@ -185,7 +185,7 @@
     public record CoreMembershipNotice(CoreMembers core, boolean ready, boolean fenced) {}
 
     /** What a store keeps of the core on its disk. */
-    public record CoreStateRecord(CoreMembership.PersistentCoreState state) {}
+    public record CoreStateRecord(PersistentCoreState state) {}
 
     /** Asks a fenced store for everything that it has behind a change of its incarnation. */
     public record StateTransferRequest(long epoch, long incarnation, long sinceChange) {}
--- a/src/main/java/reedmux/control/store/ReplicaState.java
+++ b/src/main/java/reedmux/control/store/ReplicaState.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.NoSuchElementException;
 import reedmux.control.configuration.ConfigurationItem;
-import reedmux.control.consensus.CoreMembership;
+import reedmux.control.consensus.PersistentCoreState;
 import reedmux.control.consensus.Proposal;
 import reedmux.control.replication.Replica;
 import reedmux.control.replication.Watermark;
@@ -22,7 +22,7 @@
  * @param complete whether nothing that was ever acknowledged with this store's vote is missing
  */
 record ReplicaState(
-        CoreMembership.PersistentCoreState core,
+        PersistentCoreState core,
         boolean complete,
         List<ConfigurationItem> items,
         List<Watermark> watermarks,
@@ -32,7 +32,7 @@
     /** A record of items ends with the first one that takes their bodies, in characters, to this. */
     private static final int MAX_BODY_CHARS_PER_RECORD = 256 * 1024;
 
-    static ReplicaState of(Replica replica, CoreMembership.PersistentCoreState core, boolean complete) {
+    static ReplicaState of(Replica replica, PersistentCoreState core, boolean complete) {
         return new ReplicaState(
                 core,
                 complete,
--- a/src/main/java/reedmux/control/store/ReplicaStorage.java
+++ b/src/main/java/reedmux/control/store/ReplicaStorage.java
@@ -7,7 +7,7 @@
 import reedmux.common.eventloop.Reactor;
 import reedmux.control.configuration.ConfigurationItem;
 import reedmux.control.consensus.CoreMembers;
-import reedmux.control.consensus.CoreMembership;
+import reedmux.control.consensus.PersistentCoreState;
 import reedmux.control.replication.Replica;
 import reedmux.control.replication.Watermark;
 import reedmux.control.rpc.MessageCodec;
@@ -72,7 +72,7 @@
     /** Whether the current generation says that it is complete. */
     private boolean completeOnDisk;
 
-    private CoreMembership.PersistentCoreState core;
+    private PersistentCoreState core;
 
     ReplicaStorage(Path directory, Reactor reactor, MessageCodec codec, Replica replica) {
         this.reactor = reactor;
@@ -105,7 +105,7 @@
         }
         if (firstStart && !journal.foundFiles()) {
             complete = true;
-            core = new CoreMembership.PersistentCoreState(firstCore, null, null, null, false);
+            core = new PersistentCoreState(firstCore, null, null, null, false);
         }
         complete &= !journal.mayHaveLostRecords();
         writer.startFirstGeneration(currentState().encodeWith(diskCodec));
@@ -134,14 +134,14 @@
     }
 
     /** What is known of the core; null for nothing. */
-    CoreMembership.PersistentCoreState core() {
+    PersistentCoreState core() {
         return core;
     }
 
     // ---- Writes ------------------------------------------------------------------------------------
 
     /** Persists the state of the core's membership; {@code onOutcome} hears whether it is durable. */
-    void persistCore(CoreMembership.PersistentCoreState state, Consumer<Boolean> onOutcome) {
+    void persistCore(PersistentCoreState state, Consumer<Boolean> onOutcome) {
         core = state;
         append(new CoreStateRecord(state), onOutcome);
     }
--- a/src/main/java/reedmux/control/store/StoreServer.java
+++ b/src/main/java/reedmux/control/store/StoreServer.java
@@ -15,8 +15,13 @@
 import reedmux.control.configuration.ConfigurationItem;
 import reedmux.control.consensus.Ballot;
 import reedmux.control.consensus.ConsensusNode;
+import reedmux.control.consensus.ConsensusPort;
 import reedmux.control.consensus.CoreMembership;
+import reedmux.control.consensus.CoreMembershipPort;
+import reedmux.control.consensus.EpochMessage;
+import reedmux.control.consensus.PersistentCoreState;
 import reedmux.control.consensus.Proposal;
+import reedmux.control.consensus.Vote;
 import reedmux.control.replication.Replica;
 import reedmux.control.rpc.MessageCodec;
 import reedmux.control.rpc.Messages;
@@ -59,10 +64,7 @@
  * <p>Everything runs on the reactor's thread; only the storage has a thread of its own.
  */
 public final class StoreServer
-        implements Program,
-                RpcConnection.RpcConnectionHandler,
-                ConsensusNode.ConsensusPort,
-                CoreMembership.CoreMembershipPort {
+        implements Program, RpcConnection.RpcConnectionHandler, ConsensusPort, CoreMembershipPort {
     /** By this name a process introduces itself as a store. */
     static final String PROGRAM_NAME = "store";
 
@@ -257,7 +259,7 @@
         String from = connection.peer().ip();
         if (message instanceof CoreMembershipNotice notice) {
             membership.onCoreAnnounced(now, from, notice.core(), notice.ready(), notice.fenced());
-        } else if (message instanceof CoreMembership.EpochMessage epochMessage) {
+        } else if (message instanceof EpochMessage epochMessage) {
             peers.onProposalFrom(connection);
             membership.onEpochMessage(now, from, epochMessage);
         } else if (message instanceof StateTransferRequest request) {
@@ -310,7 +312,7 @@
     // ---- Port of the membership --------------------------------------------------------------------
 
     @Override
-    public void sendEpochMessage(String to, CoreMembership.EpochMessage message) {
+    public void sendEpochMessage(String to, EpochMessage message) {
         RpcConnection connection = peers.anyTo(to);
         if (connection != null) {
             connection.sendMessage(message);
@@ -343,7 +345,7 @@
     }
 
     @Override
-    public void persistCore(CoreMembership.PersistentCoreState state, Consumer<Boolean> onOutcome) {
+    public void persistCore(PersistentCoreState state, Consumer<Boolean> onOutcome) {
         storage.persistCore(state, onOutcome);
     }
 
@@ -375,7 +377,7 @@
     }
 
     @Override
-    public void sendVote(String to, String proposalId, Ballot ballot, ConsensusNode.Vote vote) {
+    public void sendVote(String to, String proposalId, Ballot ballot, Vote vote) {
         RpcConnection connection = peers.proposalConnection(to);
         if (connection != null) {
             connection.sendMessage(new VoteResponse(proposalId, ballot, vote));
--- a/src/main/java/reedmux/control/store/StoreStatus.java
+++ b/src/main/java/reedmux/control/store/StoreStatus.java
@@ -9,6 +9,7 @@
 import reedmux.control.configuration.ConfigurationItem;
 import reedmux.control.configuration.ItemJson;
 import reedmux.control.consensus.ConsensusNode;
+import reedmux.control.consensus.CoreLeader;
 import reedmux.control.consensus.CoreMembers;
 import reedmux.control.consensus.CoreMembership;
 import reedmux.control.consensus.Proposal;
@@ -110,7 +111,7 @@
 
     /** The leader, which makes changes of the core. */
     private Map<String, Object> coreChangesRoleEntry() {
-        CoreMembership.CoreLeader leader = membership.leader();
+        CoreLeader leader = membership.leader();
         Map<String, Object> entry = new LinkedHashMap<>();
         entry.put("duty", "core changes");
         entry.put("holder", leader.ip());
--- a/src/test/java/reedmux/control/consensus/ConsensusNodeTest.java
+++ b/src/test/java/reedmux/control/consensus/ConsensusNodeTest.java
@@ -59,7 +59,7 @@
             meet();
             adjust(0, 3, call(PLANT));
             drain();
-            assertEquals(answers[3], ConsensusNode.STATUS_OK);
+            assertEquals(answers[3], OperationStatus.OK);
         }
 
         void start(int i, boolean whole, Replica replica) {
@@ -129,7 +129,7 @@
             return all;
         }
 
-        private final class Effects implements ConsensusNode.ConsensusPort {
+        private final class Effects implements ConsensusPort {
             private final int self;
 
             Effects(int self) {
@@ -152,7 +152,7 @@
             }
 
             @Override
-            public void sendVote(String to, String call, Ballot ballot, ConsensusNode.Vote vote) {
+            public void sendVote(String to, String call, Ballot ballot, Vote vote) {
                 int other = to.charAt(1) - '0';
                 send(other, () -> agreements[other].onVote(now, "s" + self, call, ballot, vote));
             }
@@ -232,11 +232,10 @@
             world.deliver(orders::choose);
             world.settle();
             assertAgreed(world);
-            assertFalse(world.answers[0] == ConsensusNode.STATUS_OK && world.answers[1] == ConsensusNode.STATUS_OK);
-            both[0] +=
-                    world.answers[0] == ConsensusNode.STATUS_OK || world.answers[1] == ConsensusNode.STATUS_OK ? 1 : 0;
+            assertFalse(world.answers[0] == OperationStatus.OK && world.answers[1] == OperationStatus.OK);
+            both[0] += world.answers[0] == OperationStatus.OK || world.answers[1] == OperationStatus.OK ? 1 : 0;
             for (int i = 0; i < 2; i++) {
-                if (world.answers[i] == ConsensusNode.STATUS_OK) {
+                if (world.answers[i] == OperationStatus.OK) {
                     assertTrue(has(world, 2, i == 0 ? "routes/one" : "routes/two", 2));
                 }
             }
@@ -253,7 +252,7 @@
             world.deliver(orders::choose);
             world.settle();
             assertAgreed(world);
-            assertFalse(world.answers[0] == ConsensusNode.STATUS_OK && world.answers[1] == ConsensusNode.STATUS_OK);
+            assertFalse(world.answers[0] == OperationStatus.OK && world.answers[1] == OperationStatus.OK);
         });
     }
 
@@ -266,7 +265,7 @@
                 world.deliver(many -> {
                     // The store that was asked may die before any message comes in, and takes those it has
                     // sent along.
-                    if (world.answers[0] == ConsensusNode.STATUS_OK && world.dead.isEmpty()) {
+                    if (world.answers[0] == OperationStatus.OK && world.dead.isEmpty()) {
                         world.dead.add(0);
                         if (orders.choose(2) == 0) {
                             world.mail.clear();
@@ -278,7 +277,7 @@
                     }
                     return orders.choose(many);
                 });
-                boolean acknowledged = world.answers[0] == ConsensusNode.STATUS_OK;
+                boolean acknowledged = world.answers[0] == OperationStatus.OK;
                 world.dead.add(0);
                 world.now += SECOND;
                 world.agreements[1].onPeerDisconnected("s0");
@@ -304,7 +303,7 @@
         world.adjust(1, 0, call(route("one", 2, "h.example")));
         world.dead.add(2); // so that only the wiped one could make up the number
         world.drain();
-        assertNotEquals(world.answers[0], ConsensusNode.STATUS_OK);
+        assertNotEquals(world.answers[0], OperationStatus.OK);
         world.dead.clear();
         world.settle();
         assertAgreed(world);
@@ -320,7 +319,7 @@
         assertEquals(world.answers[0], 0);
         world.now += SECOND;
         world.agreements[0].onTick(world.now);
-        assertEquals(world.answers[0], ConsensusNode.STATUS_UNAVAILABLE);
+        assertEquals(world.answers[0], OperationStatus.UNAVAILABLE);
     }
 
     @Test
@@ -345,7 +344,7 @@
                 why.append(line);
             });
             world.drain();
-            assertEquals(world.answers[0], ConsensusNode.STATUS_INVALID, body);
+            assertEquals(world.answers[0], OperationStatus.INVALID, body);
             assertTrue(why.length() > 10, body);
             world.settle();
             assertEquals(world.inForce(2), before);
@@ -362,9 +361,9 @@
         world.adjust(2, 2, call(route("one", 4, "third.example")));
         world.adjust(1, 0, call(route("one", 5, "h.example")));
         world.drain();
-        assertEquals(world.answers[1], ConsensusNode.STATUS_CONFLICT);
-        assertEquals(world.answers[2], ConsensusNode.STATUS_OK);
-        assertEquals(world.answers[0], ConsensusNode.STATUS_OK);
+        assertEquals(world.answers[1], OperationStatus.CONFLICT);
+        assertEquals(world.answers[2], OperationStatus.OK);
+        assertEquals(world.answers[0], OperationStatus.OK);
         world.settle();
         assertEquals(world.inForce(1), before);
     }
@@ -387,7 +386,7 @@
     }
 
     /** One store of the three, whose votes are collected; its disk keeps all. */
-    private static final class SingleConsensusNode implements ConsensusNode.ConsensusPort {
+    private static final class SingleConsensusNode implements ConsensusPort {
         final Replica replica = new Replica();
         final List<String> votes = new ArrayList<>();
         final ConsensusNode agreement = new ConsensusNode("s0", 1, replica, true, this);
@@ -409,7 +408,7 @@
         public void broadcastProposal(Proposal proposal) {}
 
         @Override
-        public void sendVote(String to, String call, Ballot ballot, ConsensusNode.Vote vote) {
+        public void sendVote(String to, String call, Ballot ballot, Vote vote) {
             votes.add(vote + " under " + ballot);
         }
 
@@ -441,8 +440,8 @@
     @Test
     public void aDropUnderALowerBallotLeavesWhatIsHeld() throws InvalidConfigurationException {
         SingleConsensusNode store = new SingleConsensusNode();
-        assertEquals(store.asked("s1", 1, "x", route("one", 2, "h.example")), "HELD under 1 of s1");
-        assertEquals(store.asked("s2", 2, "x", route("one", 2, "h.example")), "HELD under 2 of s2");
+        assertEquals(store.asked("s1", 1, "x", route("one", 2, "h.example")), "PREPARED under 1 of s1");
+        assertEquals(store.asked("s2", 2, "x", route("one", 2, "h.example")), "PREPARED under 2 of s2");
         store.agreement.onDecision(SECOND, "x", new Ballot(1, "s1"), false, List.of());
         assertTrue(store.replica.isPending("x"));
         assertEquals(store.asked("s3", 1, "z", route("two", 2, "h.example")), "BUSY under 1 of s3");
@@ -457,8 +456,8 @@
         store.asked("s3", 1, "z", route("two", 2, "h.example"));
         assertEquals(store.asked("s2", 2, "x", route("one", 2, "h.example")), "BUSY under 2 of s2");
         store.agreement.onDecision(SECOND, "z", new Ballot(1, "s3"), false, List.of());
-        assertEquals(store.asked("s1", 1, "x", route("one", 2, "h.example")), "PASSED under 1 of s1");
-        assertEquals(store.asked("s1", 3, "x", route("one", 2, "h.example")), "HELD under 3 of s1");
+        assertEquals(store.asked("s1", 1, "x", route("one", 2, "h.example")), "SUPERSEDED under 1 of s1");
+        assertEquals(store.asked("s1", 3, "x", route("one", 2, "h.example")), "PREPARED under 3 of s1");
     }
 
     /** A vote for a call may have gone with the disk: what others hold stands in the way of what contends. */
@@ -489,9 +488,9 @@
     @Test
     public void aFencedStoreTakesNothingNew() throws InvalidConfigurationException {
         SingleConsensusNode store = new SingleConsensusNode();
-        assertEquals(store.asked("s1", 1, "x", route("one", 2, "h.example")), "HELD under 1 of s1");
+        assertEquals(store.asked("s1", 1, "x", route("one", 2, "h.example")), "PREPARED under 1 of s1");
         store.agreement.setFenced(true);
-        assertEquals(store.asked("s2", 2, "x", route("one", 2, "h.example")), "HELD under 2 of s2");
+        assertEquals(store.asked("s2", 2, "x", route("one", 2, "h.example")), "PREPARED under 2 of s2");
         assertEquals(store.asked("s2", 1, "y", route("three", 2, "three.example")), "BUSY under 1 of s2");
         assertEquals(new java.util.TreeSet<>(store.agreement.proposersVotedFor("x")).toString(), "[s1, s2]");
     }
--- a/src/test/java/reedmux/control/consensus/ContendingProposalsTest.java
+++ b/src/test/java/reedmux/control/consensus/ContendingProposalsTest.java
@@ -111,7 +111,7 @@
             ConsensusTestCluster world = play.world;
             play.by(1, () -> world.adjust(1, 1, contending));
             play.by(0, () -> world.adjust(0, 0, acknowledged));
-            while (world.answers[0] != ConsensusNode.STATUS_OK) {
+            while (world.answers[0] != OperationStatus.OK) {
                 if (!play.next()) {
                     return;
                 }
@@ -179,8 +179,8 @@
                     }
                 }
                 assertEquals(
-                        (world.answers[0] == ConsensusNode.STATUS_OK ? 1 : 0)
-                                + (world.answers[1] == ConsensusNode.STATUS_OK ? 1 : 0),
+                        (world.answers[0] == OperationStatus.OK ? 1 : 0)
+                                + (world.answers[1] == OperationStatus.OK ? 1 : 0),
                         1,
                         world.answers[0] + " and " + world.answers[1]);
                 assertTrue(world.replicas[0].pending().isEmpty()
--- a/src/test/java/reedmux/control/consensus/CoreMembershipTest.java
+++ b/src/test/java/reedmux/control/consensus/CoreMembershipTest.java
@@ -62,8 +62,7 @@
                 nodes.put("s" + i, new CoreTestNode("s" + i, "n" + i));
             }
             for (CoreTestNode node : nodes.values()) {
-                node.core = new CoreMembership.PersistentCoreState(
-                        CoreMembers.initial(nodes.keySet()), null, null, null, false);
+                node.core = new PersistentCoreState(CoreMembers.initial(nodes.keySet()), null, null, null, false);
                 node.start(true);
             }
             settle(2);
@@ -198,12 +197,12 @@
             assertEquals(answers.get(route("last", "last.example")), (Integer) 200);
         }
 
-        public final class CoreTestNode implements ConsensusNode.ConsensusPort, CoreMembership.CoreMembershipPort {
+        public final class CoreTestNode implements ConsensusPort, CoreMembershipPort {
             final String ip;
             final String name;
             final Set<String> links = new TreeSet<>();
             Replica replica = new Replica();
-            CoreMembership.PersistentCoreState core;
+            PersistentCoreState core;
             ConsensusNode agreement;
             CoreMembership membership;
             boolean up;
@@ -272,7 +271,7 @@
             }
 
             @Override
-            public void sendVote(String to, String call, Ballot ballot, ConsensusNode.Vote vote) {
+            public void sendVote(String to, String call, Ballot ballot, Vote vote) {
                 carry(ip, to, () -> nodes.get(to).agreement.onVote(now, ip, call, ballot, vote));
             }
 
@@ -315,7 +314,7 @@
             public void log(String line) {}
 
             @Override
-            public void sendEpochMessage(String to, CoreMembership.EpochMessage step) {
+            public void sendEpochMessage(String to, EpochMessage step) {
                 carry(ip, to, () -> nodes.get(to).membership.onEpochMessage(now, ip, step));
             }
 
@@ -356,7 +355,7 @@
             }
 
             @Override
-            public void persistCore(CoreMembership.PersistentCoreState state, Consumer<Boolean> done) {
+            public void persistCore(PersistentCoreState state, Consumer<Boolean> done) {
                 core = state;
                 done.accept(true);
             }
@@ -580,8 +579,7 @@
                     world.nodes.get("s1").membership.requestRemoval(world.now, "n3", (status, line) -> {});
                     world.settle(4);
                     long epoch = world.core("s1").epoch();
-                    CoreMembership.CoreLeader duty =
-                            world.nodes.get("s1").membership.leader();
+                    CoreLeader duty = world.nodes.get("s1").membership.leader();
                     assertEquals(duty.ip(), "s1");
                     assertEquals(duty.epoch(), epoch);
                     world.cut.clear();
@@ -715,7 +713,7 @@
     }
 
     /** One member of three, whose steps are collected; its disk keeps what it is told to while it works. */
-    private static final class SingleCoreMember implements CoreMembership.CoreMembershipPort {
+    private static final class SingleCoreMember implements CoreMembershipPort {
         final List<String> said = new ArrayList<>();
         final CoreMembership membership;
         boolean disk = true;
@@ -723,21 +721,17 @@
         SingleCoreMember(Ballot accepted, CoreMembers value, boolean sound) {
             CoreMembers core = CoreMembers.initial(List.of("s0", "s1", "s2"));
             membership = new CoreMembership(
-                    "s0",
-                    2,
-                    new CoreMembership.PersistentCoreState(core, accepted, accepted, value, false),
-                    sound,
-                    this);
+                    "s0", 2, new PersistentCoreState(core, accepted, accepted, value, false), sound, this);
             membership.onPeerConnected(SECOND, "s1", "n1");
             membership.onPeerConnected(SECOND, "s2", "n2");
         }
 
-        void step(String from, CoreMembership.EpochMessageType kind, Ballot ballot, Ballot under, CoreMembers value) {
-            membership.onEpochMessage(SECOND, from, new CoreMembership.EpochMessage(kind, 0, ballot, under, value));
+        void step(String from, EpochMessageType kind, Ballot ballot, Ballot under, CoreMembers value) {
+            membership.onEpochMessage(SECOND, from, new EpochMessage(kind, 0, ballot, under, value));
         }
 
         @Override
-        public void sendEpochMessage(String to, CoreMembership.EpochMessage step) {
+        public void sendEpochMessage(String to, EpochMessage step) {
             said.add(step.type() + " to " + to
                     + (step.value() == null ? "" : " " + step.value().ips()));
         }
@@ -756,7 +750,7 @@
         }
 
         @Override
-        public void persistCore(CoreMembership.PersistentCoreState state, Consumer<Boolean> done) {
+        public void persistCore(PersistentCoreState state, Consumer<Boolean> done) {
             done.accept(disk);
         }
 
@@ -784,8 +778,7 @@
         store.membership.onTick(2 * SECOND);
         Ballot mine = new Ballot(2, "s0");
         store.said.clear();
-        store.step(
-                "s2", CoreMembership.EpochMessageType.PROMISE, mine, new Ballot(1, "s1"), with("s0", "s1", "s2", "s4"));
+        store.step("s2", EpochMessageType.PROMISE, mine, new Ballot(1, "s1"), with("s0", "s1", "s2", "s4"));
         assertEquals(
                 store.said,
                 List.of(
@@ -801,10 +794,10 @@
             SingleCoreMember store = new SingleCoreMember(new Ballot(1, "s0"), with("s1", "s3", "s4"), true);
             store.membership.onTick(2 * SECOND);
             Ballot mine = new Ballot(2, "s0");
-            store.step("s2", CoreMembership.EpochMessageType.PROMISE, mine, null, null);
+            store.step("s2", EpochMessageType.PROMISE, mine, null, null);
             for (int i = 0; i < order.length; i++) {
                 assertEquals(store.membership.epoch(), 0, "after " + i + " of " + List.of(order));
-                store.step(order[i], CoreMembership.EpochMessageType.ACCEPTED, mine, null, null);
+                store.step(order[i], EpochMessageType.ACCEPTED, mine, null, null);
                 if (store.membership.epoch() == 1) {
                     assertTrue(i >= 2);
                     break;
@@ -831,8 +824,8 @@
     @Test
     public void withoutItsDiskAMemberPromisesAndAcceptsNothing() {
         SingleCoreMember store = new SingleCoreMember(null, null, false);
-        store.step("s1", CoreMembership.EpochMessageType.PREPARE, SECOND_OF_1, null, null);
-        store.step("s1", CoreMembership.EpochMessageType.ACCEPT, SECOND_OF_1, null, with("s0", "s1", "s3"));
+        store.step("s1", EpochMessageType.PREPARE, SECOND_OF_1, null, null);
+        store.step("s1", EpochMessageType.ACCEPT, SECOND_OF_1, null, with("s0", "s1", "s3"));
         assertEquals(store.said, List.of());
         assertFalse(store.membership.isFenced());
     }
@@ -842,8 +835,8 @@
         SingleCoreMember store = new SingleCoreMember(SECOND_OF_1, with("s0", "s1", "s3"), true);
         store.disk = false;
         store.membership.onTick(2 * SECOND);
-        store.step("s1", CoreMembership.EpochMessageType.PREPARE, new Ballot(9, "s1"), null, null);
-        store.step("s1", CoreMembership.EpochMessageType.ACCEPT, new Ballot(9, "s1"), null, with("s1", "s2", "s3"));
+        store.step("s1", EpochMessageType.PREPARE, new Ballot(9, "s1"), null, null);
+        store.step("s1", EpochMessageType.ACCEPT, new Ballot(9, "s1"), null, with("s1", "s2", "s3"));
         assertEquals(store.said, List.of());
     }
 }
--- a/src/test/java/reedmux/control/consensus/QuorumContactTest.java
+++ b/src/test/java/reedmux/control/consensus/QuorumContactTest.java
@@ -103,17 +103,16 @@
                             case WIPE -> () -> restart(world, orders.choose(3), true);
                         });
                 world.settle();
-                assertFalse(world.answers[0] == ConsensusNode.STATUS_OK && world.answers[1] == ConsensusNode.STATUS_OK);
-                refused[0] += world.answers[0] == ConsensusNode.STATUS_CONFLICT ? 1 : 0;
-                refused[0] += world.answers[1] == ConsensusNode.STATUS_CONFLICT ? 1 : 0;
+                assertFalse(world.answers[0] == OperationStatus.OK && world.answers[1] == OperationStatus.OK);
+                refused[0] += world.answers[0] == OperationStatus.CONFLICT ? 1 : 0;
+                refused[0] += world.answers[1] == OperationStatus.CONFLICT ? 1 : 0;
                 // Sent again, and elsewhere, until the answer is clear: for ever the same.
                 int one = answer(world, orders.choose(3), ONE);
                 int other = answer(world, 2, OTHER);
-                assertEquals(
-                        one + other, ConsensusNode.STATUS_OK + ConsensusNode.STATUS_CONFLICT, one + " and " + other);
-                boolean holds = one == ConsensusNode.STATUS_OK;
-                assertNotEquals(world.answers[0], holds ? ConsensusNode.STATUS_CONFLICT : ConsensusNode.STATUS_OK);
-                assertNotEquals(world.answers[1], holds ? ConsensusNode.STATUS_OK : ConsensusNode.STATUS_CONFLICT);
+                assertEquals(one + other, OperationStatus.OK + OperationStatus.CONFLICT, one + " and " + other);
+                boolean holds = one == OperationStatus.OK;
+                assertNotEquals(world.answers[0], holds ? OperationStatus.CONFLICT : OperationStatus.OK);
+                assertNotEquals(world.answers[1], holds ? OperationStatus.OK : OperationStatus.CONFLICT);
                 assertAgreed(world);
             }));
             assertTrue(trouble != ContactFault.NONE || refused[0] > 0);
@@ -129,7 +128,7 @@
                 ConsensusTestCluster world = new ConsensusTestCluster();
                 world.adjust(0, 0, ONE);
                 world.deliver(many -> {
-                    if (world.answers[0] == ConsensusNode.STATUS_OK && world.dead.isEmpty()) {
+                    if (world.answers[0] == OperationStatus.OK && world.dead.isEmpty()) {
                         world.dead.add(0);
                     }
                     return orders.choose(many);
@@ -138,14 +137,14 @@
                 world.agreements[1].onPeerDisconnected("s0");
                 world.agreements[2].onPeerDisconnected("s0");
                 world.settle();
-                boolean taken = world.answers[0] == ConsensusNode.STATUS_OK;
+                boolean taken = world.answers[0] == OperationStatus.OK;
                 int newer = orders.choose(3);
                 if (newer > 0) {
-                    assertEquals(answer(world, 1, call(route("one", 7, "h.example"))), ConsensusNode.STATUS_OK);
+                    assertEquals(answer(world, 1, call(route("one", 7, "h.example"))), OperationStatus.OK);
                 }
                 if (newer > 1) {
                     String drop = "{\"remove\":{\"routes\":[{\"name\":\"one\",\"revision\":9}]}}";
-                    assertEquals(answer(world, 2, drop), ConsensusNode.STATUS_OK);
+                    assertEquals(answer(world, 2, drop), OperationStatus.OK);
                 }
                 world.start(2, true, compacted(world.replicas[2]));
                 world.settle();
@@ -154,10 +153,9 @@
                 int other = answer(world, 1, OTHER);
                 one = first ? one : answer(world, 2, ONE);
                 if (taken) {
-                    assertEquals(one, ConsensusNode.STATUS_OK);
+                    assertEquals(one, OperationStatus.OK);
                 }
-                assertEquals(
-                        one + other, ConsensusNode.STATUS_OK + ConsensusNode.STATUS_CONFLICT, one + " and " + other);
+                assertEquals(one + other, OperationStatus.OK + OperationStatus.CONFLICT, one + " and " + other);
                 world.dead.clear();
                 world.start(0, !wiped, wiped ? new Replica() : world.replicas[0]);
                 world.settle();
@@ -191,7 +189,7 @@
                 ConsensusTestCluster world = new ConsensusTestCluster();
                 world.adjust(0, 0, SHELF);
                 world.deliver(many -> {
-                    if (world.answers[0] == ConsensusNode.STATUS_OK && world.answers[1] == 0) {
+                    if (world.answers[0] == OperationStatus.OK && world.answers[1] == 0) {
                         world.answers[1] = -1;
                         if (dies) {
                             world.dead.add(0);
@@ -204,13 +202,12 @@
                 world.agreements[2].onPeerDisconnected("s0");
                 world.settle();
                 assertTrue(
-                        world.answers[1] == ConsensusNode.STATUS_OK
-                                || world.answers[1] == ConsensusNode.STATUS_UNAVAILABLE,
+                        world.answers[1] == OperationStatus.OK || world.answers[1] == OperationStatus.UNAVAILABLE,
                         "answered " + world.answers[1]);
-                good[0] += world.answers[1] == ConsensusNode.STATUS_OK ? 1 : 0;
+                good[0] += world.answers[1] == OperationStatus.OK ? 1 : 0;
                 world.dead.clear();
                 world.settle();
-                assertEquals(answer(world, 0, NEEDS), ConsensusNode.STATUS_OK);
+                assertEquals(answer(world, 0, NEEDS), OperationStatus.OK);
             }));
             assertTrue(good[0] > 0);
         }
@@ -225,7 +222,7 @@
             List<String> told = new ArrayList<>();
             world.adjust(0, 0, ONE);
             world.deliver(many -> {
-                if (world.answers[0] == ConsensusNode.STATUS_OK && world.answers[1] == 0) {
+                if (world.answers[0] == OperationStatus.OK && world.answers[1] == 0) {
                     world.answers[1] = -1;
                     world.agreements[1 + orders.choose(2)].onReadRequest(
                             world.now, (status, text) -> told.add(status + text));
@@ -250,7 +247,7 @@
             world.drain();
             world.adjust(1, 0, ONE);
             world.drain();
-            assertEquals(world.answers[0], ConsensusNode.STATUS_OK);
+            assertEquals(world.answers[0], OperationStatus.OK);
             world.dead.clear();
             List<Integer> told = new ArrayList<>();
             List<String> asked = List.of(
@@ -291,7 +288,7 @@
         world.dead.add(2);
         world.adjust(0, 0, ONE);
         world.drain();
-        assertEquals(world.answers[0], ConsensusNode.STATUS_OK);
+        assertEquals(world.answers[0], OperationStatus.OK);
         world.dead.clear();
         restart(world, 0, true);
         world.dead.add(1);
@@ -315,7 +312,7 @@
                 world.adjust(0, 0, ONE);
                 world.deliver(orders::choose);
                 assertTrue(reached[0]);
-                assertEquals(world.answers[0], ConsensusNode.STATUS_OK);
+                assertEquals(world.answers[0], OperationStatus.OK);
                 world.settle();
                 assertAgreed(world);
             });
@@ -343,18 +340,17 @@
     public void whatIsBelowTheFloorHasNoClearAnswer() {
         ConsensusTestCluster world = new ConsensusTestCluster();
         for (int i = 1; i <= WatermarkTable.MAX_REVISIONS_PER_ITEM + 20; i++) {
-            assertEquals(answer(world, i % 3, call(route("one", i, "h" + i + ".example"))), ConsensusNode.STATUS_OK);
+            assertEquals(answer(world, i % 3, call(route("one", i, "h" + i + ".example"))), OperationStatus.OK);
         }
         world.settle();
-        assertEquals(answer(world, 0, call(route("one", 19, "h19.example"))), ConsensusNode.STATUS_UNAVAILABLE);
-        assertEquals(answer(world, 0, call(route("one", 19, "other.example"))), ConsensusNode.STATUS_UNAVAILABLE);
+        assertEquals(answer(world, 0, call(route("one", 19, "h19.example"))), OperationStatus.UNAVAILABLE);
+        assertEquals(answer(world, 0, call(route("one", 19, "other.example"))), OperationStatus.UNAVAILABLE);
         for (int i = 20; i < 24; i++) {
-            assertEquals(answer(world, 1, call(route("one", i, "h" + i + ".example"))), ConsensusNode.STATUS_OK);
-            assertEquals(answer(world, 2, call(route("one", i, "other.example"))), ConsensusNode.STATUS_CONFLICT);
+            assertEquals(answer(world, 1, call(route("one", i, "h" + i + ".example"))), OperationStatus.OK);
+            assertEquals(answer(world, 2, call(route("one", i, "other.example"))), OperationStatus.CONFLICT);
         }
         assertEquals(world.replicas[0].watermarks().size(), WatermarkTable.MAX_REVISIONS_PER_ITEM + 1);
-        assertEquals(
-                answer(world, 1, call(route("one", 999, "a"), route("one", 999, "b"))), ConsensusNode.STATUS_INVALID);
+        assertEquals(answer(world, 1, call(route("one", 999, "a"), route("one", 999, "b"))), OperationStatus.INVALID);
     }
 
     /** What was dropped and answered by 503 does not come into force after its content was refused. */
--- a/src/test/java/reedmux/control/rpc/MessageCodecTest.java
+++ b/src/test/java/reedmux/control/rpc/MessageCodecTest.java
@@ -13,10 +13,12 @@
 import org.testng.annotations.Test;
 import reedmux.control.configuration.ConfigurationItem;
 import reedmux.control.consensus.Ballot;
-import reedmux.control.consensus.ConsensusNode.Vote;
 import reedmux.control.consensus.CoreMembers;
-import reedmux.control.consensus.CoreMembership;
+import reedmux.control.consensus.EpochMessage;
+import reedmux.control.consensus.EpochMessageType;
+import reedmux.control.consensus.PersistentCoreState;
 import reedmux.control.consensus.Proposal;
+import reedmux.control.consensus.Vote;
 import reedmux.control.instances.CheckerIncarnation;
 import reedmux.control.instances.InstanceOwner;
 import reedmux.control.instances.RegistryHeartbeat;
@@ -59,10 +61,8 @@
                 new Messages.ProposeRequest(3, PROPOSAL),
                 new Messages.CoreMembershipNotice(null, true, false),
                 new Messages.CoreMembershipNotice(CORE, false, true),
-                new Messages.CoreStateRecord(
-                        new CoreMembership.PersistentCoreState(CORE, PROPOSAL.ballot(), null, null, true)),
-                new CoreMembership.EpochMessage(
-                        CoreMembership.EpochMessageType.ACCEPT, 4, PROPOSAL.ballot(), null, CORE),
+                new Messages.CoreStateRecord(new PersistentCoreState(CORE, PROPOSAL.ballot(), null, null, true)),
+                new EpochMessage(EpochMessageType.ACCEPT, 4, PROPOSAL.ballot(), null, CORE),
                 new Messages.StateTransferRequest(4, -5, 6),
                 new Messages.StateTransferResponse(
                         4,
@@ -100,8 +100,8 @@
         assertNull(codec.decodeOrNull(new byte[] {99, 1, 2}));
         assertNull(codec.decodeOrNull(codec.encode(
                 new Messages.CoreMembershipNotice(new CoreMembers(1, Map.of("nowhere", "")), false, false))));
-        assertNull(codec.decodeOrNull(codec.encode(new CoreMembership.EpochMessage(
-                CoreMembership.EpochMessageType.ACCEPT, 4, PROPOSAL.ballot(), null, null))));
+        assertNull(codec.decodeOrNull(
+                codec.encode(new EpochMessage(EpochMessageType.ACCEPT, 4, PROPOSAL.ballot(), null, null))));
     }
 
     @Test
--- a/src/test/java/reedmux/control/rpc/RpcFixtures.java
+++ b/src/test/java/reedmux/control/rpc/RpcFixtures.java
@@ -8,10 +8,12 @@
 import java.util.Map;
 import reedmux.control.configuration.ConfigurationItem;
 import reedmux.control.consensus.Ballot;
-import reedmux.control.consensus.ConsensusNode.Vote;
 import reedmux.control.consensus.CoreMembers;
-import reedmux.control.consensus.CoreMembership;
+import reedmux.control.consensus.EpochMessage;
+import reedmux.control.consensus.EpochMessageType;
+import reedmux.control.consensus.PersistentCoreState;
 import reedmux.control.consensus.Proposal;
+import reedmux.control.consensus.Vote;
 import reedmux.control.instances.CheckerIncarnation;
 import reedmux.control.instances.InstanceOwner;
 import reedmux.control.instances.RegistryHeartbeat;
@@ -73,11 +75,11 @@
         all.put("outcome", new Messages.OperatorResponse(7, 409, LONG_TEXT));
         all.put("propose", new Messages.ProposalRecord(HELD));
         all.put("propose-precommitted", new Messages.ProposalRecord(PRECOMMITTED));
-        all.put("vote-held", new Messages.VoteResponse("call-1", BALLOT, Vote.HELD));
+        all.put("vote-held", new Messages.VoteResponse("call-1", BALLOT, Vote.PREPARED));
         all.put("vote-invalid", new Messages.VoteResponse("call-1", BALLOT, Vote.INVALID));
         all.put("vote-busy", new Messages.VoteResponse("call-1", BALLOT, Vote.BUSY));
         all.put("vote-unable", new Messages.VoteResponse("call-1", BALLOT, Vote.UNAVAILABLE));
-        all.put("vote-passed", new Messages.VoteResponse("call-1", BALLOT, Vote.PASSED));
+        all.put("vote-passed", new Messages.VoteResponse("call-1", BALLOT, Vote.SUPERSEDED));
         all.put("vote-conflict", new Messages.VoteResponse("call-1", BALLOT, Vote.CONFLICT));
         all.put("vote-precommitted", new Messages.VoteResponse("call-1", BALLOT, Vote.PRECOMMITTED));
         all.put("decided-in-force", new Messages.DecisionNotice("call-1", BALLOT, true, ITEMS));
@@ -88,27 +90,15 @@
         all.put("core-unknown", new Messages.CoreMembershipNotice(null, true, true));
         all.put(
                 "core-state",
-                new Messages.CoreStateRecord(
-                        new CoreMembership.PersistentCoreState(CORE, LATER_BALLOT, BALLOT, NEXT_CORE, true)));
+                new Messages.CoreStateRecord(new PersistentCoreState(CORE, LATER_BALLOT, BALLOT, NEXT_CORE, true)));
         all.put(
                 "core-state-first",
-                new Messages.CoreStateRecord(new CoreMembership.PersistentCoreState(CORE, null, null, null, false)));
-        all.put(
-                "step-prepare",
-                new CoreMembership.EpochMessage(CoreMembership.EpochMessageType.PREPARE, 4, BALLOT, null, null));
-        all.put(
-                "step-promise",
-                new CoreMembership.EpochMessage(
-                        CoreMembership.EpochMessageType.PROMISE, 4, LATER_BALLOT, BALLOT, NEXT_CORE));
-        all.put(
-                "step-accept",
-                new CoreMembership.EpochMessage(CoreMembership.EpochMessageType.ACCEPT, 4, BALLOT, null, NEXT_CORE));
-        all.put(
-                "step-accepted",
-                new CoreMembership.EpochMessage(CoreMembership.EpochMessageType.ACCEPTED, 4, BALLOT, null, null));
-        all.put(
-                "step-passed",
-                new CoreMembership.EpochMessage(CoreMembership.EpochMessageType.REJECTED, 4, BALLOT, null, null));
+                new Messages.CoreStateRecord(new PersistentCoreState(CORE, null, null, null, false)));
+        all.put("step-prepare", new EpochMessage(EpochMessageType.PREPARE, 4, BALLOT, null, null));
+        all.put("step-promise", new EpochMessage(EpochMessageType.PROMISE, 4, LATER_BALLOT, BALLOT, NEXT_CORE));
+        all.put("step-accept", new EpochMessage(EpochMessageType.ACCEPT, 4, BALLOT, null, NEXT_CORE));
+        all.put("step-accepted", new EpochMessage(EpochMessageType.ACCEPTED, 4, BALLOT, null, null));
+        all.put("step-passed", new EpochMessage(EpochMessageType.REJECTED, 4, BALLOT, null, null));
         all.put("fetch", new Messages.StateTransferRequest(4, -5, 6));
         all.put(
                 "fetched",
--- a/src/test/java/reedmux/control/store/StoreFixtures.java
+++ b/src/test/java/reedmux/control/store/StoreFixtures.java
@@ -9,7 +9,7 @@
 import reedmux.control.configuration.ConfigurationItem;
 import reedmux.control.consensus.Ballot;
 import reedmux.control.consensus.CoreMembers;
-import reedmux.control.consensus.CoreMembership;
+import reedmux.control.consensus.PersistentCoreState;
 import reedmux.control.consensus.Proposal;
 import reedmux.control.replication.Replica;
 import reedmux.control.replication.Watermark;
@@ -48,13 +48,13 @@
 
     /** What the folder holds before its first compaction. */
     static final Contents FIRST_GENERATION = new Contents(
-            new CoreMembership.PersistentCoreState(CORE, LATER_BALLOT, BALLOT, NEXT_CORE, false),
+            new PersistentCoreState(CORE, LATER_BALLOT, BALLOT, NEXT_CORE, false),
             List.of(POOL, ROUTE, DROPPED),
             List.of(TAKEN, FLOOR),
             List.of(HELD, PRECOMMITTED));
     /** What it holds in the end, without the record that is cut in the torn variant. */
     static final Contents TORN = new Contents(
-            new CoreMembership.PersistentCoreState(NEXT_CORE, null, null, null, true),
+            new PersistentCoreState(NEXT_CORE, null, null, null, true),
             List.of(POOL, NEW_ROUTE, DROPPED, WAITING),
             List.of(TAKEN, FLOOR, OVERTAKEN, LATE_MARK),
             List.of(HELD));
@@ -65,10 +65,7 @@
 
     /** All that a start finds: items by key, watermarks, held proposals in their order. */
     public record Contents(
-            CoreMembership.PersistentCoreState core,
-            List<ConfigurationItem> items,
-            List<Watermark> marks,
-            List<Proposal> held) {}
+            PersistentCoreState core, List<ConfigurationItem> items, List<Watermark> marks, List<Proposal> held) {}
 
     /** A store's replica and its storage over one folder. */
     static final class Life {
