--- a/src/main/java/reedmux/cli/GatekeeperProcess.java
+++ b/src/main/java/reedmux/cli/GatekeeperProcess.java
@@ -6,7 +6,6 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
@@ -17,58 +16,62 @@
 import reedmux.gatekeeper.admin.AdminServer;
 import reedmux.gatekeeper.admin.LifeCycle;
 import reedmux.gatekeeper.admin.Metrics;
-import reedmux.gatekeeper.config.ConfigException;
 import reedmux.gatekeeper.config.GatekeeperConfig;
 import reedmux.gatekeeper.handover.HandoverCoordinator;
-import reedmux.gatekeeper.handover.HandoverFrame;
 import reedmux.gatekeeper.http.ConnectionAcceptor;
 import reedmux.gatekeeper.http.ConsumerServer;
 import reedmux.gatekeeper.http.HttpTransport;
 import reedmux.gatekeeper.peer.PeerSocket;
-import reedmux.gatekeeper.policy.HandoverCounts;
 import reedmux.gatekeeper.reducer.GatekeeperLoop;
 import reedmux.gatekeeper.service.ServiceManager;
 import reedmux.gatekeeper.service.ServiceRuntime;
 import reedmux.gatekeeper.settings.RegionSettings;
 
-/** One gatekeeper, put together: the reducer in the middle, and round it what reads and writes for it. */
+/**
+ * One gatekeeper: the services' reducers on the event loop's thread, and around them what does their I/O. The process
+ * may take over from a running one of the same gatekeeper ({@link HandoverCoordinator}); then it warms up first, takes
+ * the counts, and listens beside it until that one ends.
+ */
 public final class GatekeeperProcess implements AutoCloseable {
     /**
-     * Shares of the descriptors. Usual consumers hold up to a third of them and must not be closed for want
-     * of room. What is left is for the JVM's own files, discovery and peers, about 20, and for connections
-     * that are accepted before there is time to close others for them.
+     * Shares of the file descriptors. Well-behaved consumers hold up to a third of all and must not be closed for want
+     * of room. What neither share takes is for the JVM's files, discovery and peers, about 20, and for connections that
+     * are accepted before others could be closed for them.
      */
     private static final double CONSUMERS_SHARE = 0.42;
 
     private static final double PROVIDERS_SHARE = 0.25;
-    /** Bytes that requests in flight may hold over all pools; twice that where all that is lent is out. */
+    /** Bytes of requests in flight over all services; twice that while every service uses what it may borrow. */
     private static final long MAX_BUFFERED_BYTES = 12L * 1024 * 1024;
-    /** Between looks for connections whose time is up: a bad consumer is owed its end within 3 s. */
+    /** Between checks for connections whose time is up; a consumer that stalls is to be closed within 3 s. */
     private static final long SWEEP_INTERVAL_MICROS = TimeUnit.MILLISECONDS.toMicros(250);
-    /** Between words to another process that is this gatekeeper too. */
+    /** Between exchanges of usage with another process of this gatekeeper, during a hand-over. */
     private static final long EXCHANGE_INTERVAL_MICROS = TimeUnit.MILLISECONDS.toMicros(50);
 
     private final GatekeeperConfig config;
     private final MonotonicClock clock;
     private final Consumer<String> log;
     private final PeerSocket peers;
-    private final ServiceManager pools;
+    private final ServiceManager services;
+    private final ConfigurationReloader reloader;
     private final List<Thread> reactorThreads = new ArrayList<>(2);
     private final DefaultListeningIOReactor reactor;
     private final ConsumerServer consumers;
     private final RegionConnector regionConnector;
     private final CountDownLatch ended = new CountDownLatch(1);
     private final CountDownLatch listening = new CountDownLatch(1);
-    /** Open once discovery has been asked for the first time. */
+    /** Open once discovery has been queried for the first time. */
     private final CountDownLatch discoveryQueried = new CountDownLatch(1);
 
     private volatile boolean serving;
     private final LifeCycle lifeCycle = new LifeCycle();
     private final Metrics metrics = new Metrics();
     private final AdminServer adminServer;
-    /** Null where no other process may take our place. */
-    private final HandoverCoordinator succession;
-    /** Whether another process of this gatekeeper ran at our start. */
+    /** Null where no other process may take over. */
+    private final HandoverCoordinator handover;
+
+    private final HandoverCallbacks handoverCallbacks;
+    /** Whether another process of this gatekeeper was running when this one started. */
     private final boolean replacesRunningProcess;
 
     private volatile boolean failed;
@@ -76,12 +79,11 @@
     private volatile ConnectionAcceptor acceptor;
     private volatile SocketAddress listenAddress;
     private boolean accepting = true;
-    private boolean peerSocketPending;
     private long firstEndpointListMillis;
     private long exchangedAt;
     private long sweptAt;
 
-    /** A gatekeeper for which the operators have set nothing of their own. */
+    /** A gatekeeper without settings of the operators and without a hand-over. */
     public GatekeeperProcess(GatekeeperConfig config, MonotonicClock clock, Consumer<String> log) throws IOException {
         this(LoadedConfiguration.platformOnly(config), clock, log);
     }
@@ -90,99 +92,125 @@
         this(loaded, clock, log, null);
     }
 
-    /** {@code meeting}: where processes of this gatekeeper meet, or null. */
-    GatekeeperProcess(LoadedConfiguration loaded, MonotonicClock clock, Consumer<String> log, Path meeting)
+    /**
+     * A gatekeeper that may take over from another process of its own.
+     *
+     * @param handoverSocket the socket at which processes of this gatekeeper meet, or null for no hand-over
+     * @throws IOException if a socket cannot be opened
+     */
+    GatekeeperProcess(LoadedConfiguration loaded, MonotonicClock clock, Consumer<String> log, Path handoverSocket)
             throws IOException {
         config = loaded.config();
-        RegionSettings region = loaded.settings().region();
         this.clock = clock;
         this.log = log;
         peers = new PeerSocket(config.peerListen(), config.peers(), config.peerBroadcast());
-        int consumerConnections = (int) (config.maxDescriptors() * CONSUMERS_SHARE);
-        succession = meeting == null
+        handoverCallbacks = new HandoverCallbacks(peers, lifeCycle, clock, log);
+        handover = handoverSocket == null
                 ? null
-                : new HandoverCoordinator(meeting, config.countingRules(), new HandoverCallbacks(), log);
+                : new HandoverCoordinator(handoverSocket, config.countingRules(), handoverCallbacks, log);
         replacesRunningProcess = findRunningProcess();
         if (!replacesRunningProcess) {
             peers.open();
         }
-        pools = new ServiceManager(
-                loaded.services().sharing(consumerConnections, MAX_BUFFERED_BYTES, (int)
-                        (config.maxDescriptors() * PROVIDERS_SHARE)),
+        int consumerConnections = (int) (config.maxDescriptors() * CONSUMERS_SHARE);
+        services = newServices(loaded, consumerConnections);
+        handoverCallbacks.attach(services);
+        consumers = new ConsumerServer(services.frontend(), this::canServe, lifeCycle, consumerConnections);
+        regionConnector = newRegionConnector(loaded.settings().region());
+        reactor = HttpTransport.createReactor(
+                local -> regionConnector == null ? consumers : regionConnector.serverOf(local, consumers),
+                log,
+                reactorThreads);
+        openServices(loaded);
+        reloader = new ConfigurationReloader(config, services, regionConnector, log);
+        AdminCommands commands = new AdminCommands(lifeCycle, metrics, this::canServe, clock::now, log);
+        adminServer =
+                config.adminListen() == null ? null : new AdminServer(config.adminListen(), commands::execute, log);
+    }
+
+    private ServiceManager newServices(LoadedConfiguration loaded, int consumerConnections) {
+        int providerDescriptors = (int) (config.maxDescriptors() * PROVIDERS_SHARE);
+        return new ServiceManager(
+                loaded.services().sharing(consumerConnections, MAX_BUFFERED_BYTES, providerDescriptors),
                 clock,
                 peers,
                 peers,
                 config.seed(),
                 log,
                 metrics);
-        consumers = new ConsumerServer(pools.frontend(), this::canServe, lifeCycle, consumerConnections);
-        regionConnector = region == null
+    }
+
+    /** Null where the operators have set no region. */
+    private RegionConnector newRegionConnector(RegionSettings region) {
+        return region == null
                 ? null
                 : new RegionConnector(
                         region,
                         config,
                         clock,
-                        event -> pools.defaultService().post(event),
+                        event -> services.defaultService().post(event),
                         this::canServe,
                         lifeCycle,
                         log);
-        reactor = HttpTransport.createReactor(
-                local -> regionConnector == null ? consumers : regionConnector.serverOf(local, consumers),
-                log,
-                reactorThreads);
+    }
+
+    private void openServices(LoadedConfiguration loaded) throws IOException {
+        ServiceRuntime.RegionForwarding forwarding = null;
         if (regionConnector != null) {
             regionConnector.connect(
-                    reactor, config, clock, event -> pools.defaultService().post(event));
+                    reactor, config, clock, event -> services.defaultService().post(event));
+            forwarding = new ServiceRuntime.RegionForwarding(regionConnector.coordinator(), regionConnector::call);
         }
-        pools.open(
-                reactor,
-                loaded.services().pools(),
-                loaded.services().routes(),
-                regionConnector == null
-                        ? null
-                        : new ServiceRuntime.RegionForwarding(regionConnector.desk(), regionConnector::call));
-        AdminCommands calls = new AdminCommands(lifeCycle, metrics, this::canServe, clock::now, log);
-        adminServer = config.adminListen() == null ? null : new AdminServer(config.adminListen(), calls::execute, log);
+        services.open(reactor, loaded.services().pools(), loaded.services().routes(), forwarding);
     }
 
-    /** Listens, and serves until {@link #beginShutdown}; the calling thread owns the reducer. */
+    /**
+     * Listens, and serves until the shutdown is over. The calling thread runs the event loop and owns the reducer.
+     *
+     * @throws IOException           if the consumers' or the regions' address cannot be bound
+     * @throws IllegalStateException if the process cannot go on and has to be restarted
+     */
     public void run() throws IOException, InterruptedException {
         reactor.start();
-        pools.start();
+        services.start();
         discoveryQueried.countDown();
         try {
             if (!replacesRunningProcess) {
                 awaitFirstEndpointList();
                 startServing();
-            } else if (warmedUp) { // nobody warms up who would do it after that
-                Thread taking = new Thread(this::takeOver, "reedmux-take-over");
-                taking.setDaemon(true);
-                taking.start();
+            } else if (warmedUp) { // else the warm-up's thread takes over once it is done
+                Thread takeOver = new Thread(this::takeOver, "reedmux-take-over");
+                takeOver.setDaemon(true);
+                takeOver.start();
             }
-            pools.eventLoop().run(pools.loopTasks(), this::afterTurn);
+            services.eventLoop().run(services.loopTasks(), this::afterTurn);
             log.accept("ended; datagrams dropped " + peers.droppedCount() + ", not sent " + peers.unsentCount());
         } finally {
-            pools.close();
-            if (succession != null) {
-                succession.close();
-            }
-            if (adminServer != null) {
-                adminServer.close();
-            }
-            if (acceptor != null) {
-                acceptor.close();
-            }
-            if (regionConnector != null) {
-                regionConnector.logReport();
-                regionConnector.close();
-            }
-            reactor.close(CloseMode.IMMEDIATE);
-            ended.countDown();
+            closeAll();
+        }
+    }
+
+    private void closeAll() throws IOException {
+        services.close();
+        if (handover != null) {
+            handover.close();
+        }
+        if (adminServer != null) {
+            adminServer.close();
+        }
+        if (acceptor != null) {
+            acceptor.close();
+        }
+        if (regionConnector != null) {
+            regionConnector.logReport();
+            regionConnector.close();
         }
+        reactor.close(CloseMode.IMMEDIATE);
+        ended.countDown();
     }
 
     private void awaitFirstEndpointList() throws InterruptedException {
-        if (firstEndpointListMillis > 0 && !pools.defaultService().awaitProviders(firstEndpointListMillis)) {
+        if (firstEndpointListMillis > 0 && !services.defaultService().awaitProviders(firstEndpointListMillis)) {
             log.accept("discovery: nothing told in " + firstEndpointListMillis + " ms; the known list serves");
         }
     }
@@ -190,7 +218,7 @@
     private void startServing() throws IOException {
         acceptor = newAcceptor();
         if (regionConnector != null) {
-            regionConnector.listen(reactor, succession != null);
+            regionConnector.listen(reactor, handover != null);
         }
         listenAddress = acceptor.address();
         serving = true;
@@ -201,222 +229,134 @@
     }
 
     private void markReady() {
-        if (lifeCycle.phase() == LifeCycle.LifeCyclePhase.STARTING && succession != null) {
-            succession.onServing();
+        if (lifeCycle.phase() == LifeCycle.LifeCyclePhase.STARTING && handover != null) {
+            handover.onServing();
         }
         lifeCycle.onReady(clock.now());
     }
 
     private boolean findRunningProcess() {
         try {
-            return succession != null && succession.connectToPredecessor();
+            return handover != null && handover.connectToPredecessor();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
         }
     }
 
-    /** What a hand-over asks of us. */
-    private final class HandoverCallbacks implements HandoverCoordinator.HandoverHost {
-        @Override
-        public void runOnLoop(Runnable task) {
-            pools.runInEventLoop(task);
-        }
-
-        @Override
-        public List<HandoverFrame.ServiceSnapshot> releaseAndSnapshot() {
-            try {
-                peers.release();
-            } catch (IOException e) {
-                log.accept("hand-over: the peers' socket: " + e.getMessage());
-            }
-            List<HandoverFrame.ServiceSnapshot> all = new ArrayList<>();
-            Map<String, HandoverCounts> twins = pools.handoverCounts();
-            twins.forEach((name, twin) -> all.add(new HandoverFrame.ServiceSnapshot(
-                    name, twin.snapshot(clock.now()), all.size() == twins.size() - 1)));
-            return all;
-        }
-
-        @Override
-        public void restoreAndOpen(List<HandoverFrame.ServiceSnapshot> counted) {
-            Map<String, HandoverCounts> twins = pools.handoverCounts();
-            for (HandoverFrame.ServiceSnapshot service : counted) {
-                HandoverCounts twin = twins.get(service.service());
-                if (twin != null) {
-                    twin.restore(clock.now(), service.accounts());
-                }
-            }
-            openPeerSocket();
-        }
-
-        @Override
-        public void addUsage(String service, List<HandoverCounts.AccountUsage> spent) {
-            HandoverCounts twin = pools.handoverCounts().get(service);
-            if (twin != null) {
-                twin.addUsage(clock.now(), spent);
-            }
-        }
-
-        @Override
-        public List<HandoverFrame.ServiceUsage> takeUsage() {
-            List<HandoverFrame.ServiceUsage> all = new ArrayList<>();
-            pools.handoverCounts().forEach((name, twin) -> {
-                List<HandoverCounts.AccountUsage> spent = twin.takeUsage();
-                if (!spent.isEmpty()) {
-                    all.add(new HandoverFrame.ServiceUsage(name, spent));
-                }
-            });
-            return all;
-        }
-
-        @Override
-        public void onOtherProcessGone(boolean elder) {
-            pools.handoverCounts().values().forEach(HandoverCounts::endSharing);
-            if (elder) {
-                openPeerSocket();
-            }
-        }
-
-        @Override
-        public void setSucceeded(boolean now) {
-            lifeCycle.setSuccessor(now);
-        }
-    }
-
-    /** Takes the peers' socket, or tries again later while another process has it. */
-    private void openPeerSocket() {
-        boolean before = peerSocketPending;
-        peerSocketPending = false;
-        try {
-            peers.open();
-        } catch (IOException e) {
-            peerSocketPending = true;
-            if (!before) {
-                log.accept("hand-over: the peers' socket is not free yet: " + e.getMessage());
-            }
-        }
-    }
-
     private ConnectionAcceptor newAcceptor() throws IOException {
         try {
             return new ConnectionAcceptor(
-                    config.listen(), succession != null, reactor, consumers.connectionPermits(), log);
+                    config.listen(), handover != null, reactor, consumers.connectionPermits(), log);
         } catch (IOException e) {
             throw new IOException("cannot listen on " + config.listen() + ": " + e.getMessage());
         }
     }
 
     private boolean canServe() {
-        return lifeCycle.acceptsClients() && pools.defaultService().hasProvider();
+        return lifeCycle.acceptsClients() && services.defaultService().hasProvider();
     }
 
     /**
-     * Has it listen only after discovery's first list, or after so many milliseconds without one. Whoever
-     * comes back with an old list would send to providers that drain, as all of it counts as told that
-     * discovery's agent holds; consumers find others meanwhile. To be called before a run.
+     * Sets for how long to wait for discovery's first endpoint list before listening; 0 for not at all. A process that
+     * listens with a list from before its restart would send requests to providers that are draining, while consumers
+     * find other gatekeepers meanwhile. To be called before {@link #run}.
      */
-    void setFirstEndpointListTimeout(long mostMillis) {
-        firstEndpointListMillis = mostMillis;
+    void setFirstEndpointListTimeout(long millis) {
+        firstEndpointListMillis = millis;
     }
 
-    /** Something to wait for. */
+    /** A task that may wait. */
     interface InterruptibleTask {
         void run() throws InterruptedException;
     }
 
     /**
-     * After {@code first}, runs the program's own paths; until that is done the gatekeeper is not ready, but
-     * serves what comes all the same. To be called before a run.
+     * Starts a thread that warms up the process after {@code first}. Until it is done the gatekeeper serves, but does
+     * not call itself ready. To be called before {@link #run}.
      */
     Thread warmUpAfter(InterruptibleTask first) {
         warmedUp = false;
+        Thread thread = new Thread(() -> warmUp(first), "reedmux-warm-up");
+        thread.setDaemon(true);
+        thread.start();
+        return thread;
+    }
+
+    private void warmUp(InterruptibleTask first) {
         WarmUp warmUp = new WarmUp(
                 config,
                 clock,
                 log,
-                () -> replacesRunningProcess || pools.defaultService().restarted());
-        Thread thread = new Thread(
-                () -> {
-                    try {
-                        first.run();
-                        discoveryQueried
-                                .await(); // what the warm-up takes of the core before that, the first list comes later
-                        if (replacesRunningProcess) {
-                            warmUpOnPrivatePort(warmUp);
-                        } else {
-                            warmUp.run(
-                                    pools.defaultService().client(),
-                                    millis -> isListeningWithin(millis) ? (InetSocketAddress) listenAddress : null);
-                        }
-                    } catch (InterruptedException | IOException | RuntimeException e) {
-                        log.accept("warm-up: " + e); // it then starts cold, which is slower and no worse
-                    } finally {
-                        warmedUp = true;
-                        if (replacesRunningProcess) {
-                            takeOver();
-                        } else if (serving) {
-                            markReady();
-                        }
-                    }
-                },
-                "reedmux-warm-up");
-        thread.setDaemon(true);
-        thread.start();
-        return thread;
+                () -> replacesRunningProcess || services.defaultService().restarted());
+        try {
+            first.run();
+            discoveryQueried.await(); // CPU that the warm-up takes earlier would delay the first endpoint list
+            if (replacesRunningProcess) {
+                warmUpOnPrivatePort(warmUp);
+            } else {
+                warmUp.run(
+                        services.defaultService().client(),
+                        millis -> isListeningWithin(millis) ? (InetSocketAddress) listenAddress : null);
+            }
+        } catch (InterruptedException | IOException | RuntimeException e) {
+            log.accept("warm-up: " + e); // it serves without, only slower at first
+        } finally {
+            warmedUp = true;
+            if (replacesRunningProcess) {
+                takeOver();
+            } else if (serving) {
+                markReady();
+            }
+        }
     }
 
-    /** Warms up at a port of our own: at the consumers' one the other process would answer half of it. */
+    /** At the consumers' port the process that is still running would answer half of the requests. */
     private void warmUpOnPrivatePort(WarmUp warmUp) throws IOException, InterruptedException {
-        try (ConnectionAcceptor aside = new ConnectionAcceptor(
+        try (ConnectionAcceptor privateAcceptor = new ConnectionAcceptor(
                 new InetSocketAddress(config.listen().getAddress(), 0),
                 false,
                 reactor,
                 consumers.connectionPermits(),
                 log)) {
-            InetSocketAddress here = (InetSocketAddress) aside.address();
-            warmUp.run(pools.defaultService().client(), millis -> here);
+            InetSocketAddress own = (InetSocketAddress) privateAcceptor.address();
+            warmUp.run(services.defaultService().client(), millis -> own);
         }
     }
 
-    /** Takes another process's place, or starts beside it from nothing where that fails. */
+    /** Takes over the other process's counts, or starts beside it without them where that fails. */
     private void takeOver() {
         try {
-            awaitFirstEndpointList(); // while the other one still serves and has the counts
-            if (!succession.takeOverCounts()) {
-                pools.runInEventLoop(this::openPeerSocket);
+            awaitFirstEndpointList(); // the other process serves meanwhile
+            if (!handover.takeOverCounts()) {
+                services.runInEventLoop(handoverCallbacks::openPeerSocket);
             }
             startServing();
         } catch (IOException e) {
             log.accept(e.getMessage());
             failed = true;
-            pools.eventLoop().wake();
+            services.eventLoop().wake();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
+    /** What the event loop calls after each turn; returns when it is to be called again, in microseconds. */
     private long afterTurn(long now) {
         if (failed) {
             throw new IllegalStateException("cannot take the place of the process that runs");
         }
-        if (succession != null && succession.isExchanging() && now - exchangedAt >= EXCHANGE_INTERVAL_MICROS) {
+        if (handover != null && handover.isExchanging() && now - exchangedAt >= EXCHANGE_INTERVAL_MICROS) {
             exchangedAt = now;
-            succession.exchangeUsage();
+            handover.exchangeUsage();
         }
         if (now - sweptAt >= SWEEP_INTERVAL_MICROS) {
             sweptAt = now;
-            if (peerSocketPending) {
-                openPeerSocket();
-            }
-            pools.sweep(now);
-            consumers.sweep();
-            if (regionConnector != null) {
-                regionConnector.sweep(now);
-            }
+            sweep(now);
         }
         if (lifeCycle.phase() != LifeCycle.LifeCyclePhase.LEAVING) {
-            // A reactor whose thread has died closes its sockets and says nothing. To go on without
-            // sockets would look alive and serve nobody, so the program ends and is started again.
+            // A reactor whose thread has died closes its sockets without an error. A process without sockets would
+            // look alive and serve nobody, so it ends and the platform restarts it.
             if (!reactorThreads.stream().allMatch(Thread::isAlive)) {
                 throw new IllegalStateException("the reactor has ended");
             }
@@ -429,14 +369,23 @@
         }
         return lifeCycle.mayTerminate(
                         now,
-                        pools.unanswered() + consumers.connectionsWithPendingResponses(),
+                        services.unanswered() + consumers.connectionsWithPendingResponses(),
                         consumers.hasConnections())
                 ? GatekeeperLoop.STOP
                 : Math.min(lifeCycle.nextCheck(now), nextSweepAt());
     }
 
+    private void sweep(long now) {
+        handoverCallbacks.retryPeerSocket();
+        services.sweep(now);
+        consumers.sweep();
+        if (regionConnector != null) {
+            regionConnector.sweep(now);
+        }
+    }
+
     private long nextSweepAt() {
-        return succession != null && succession.isExchanging()
+        return handover != null && handover.isExchanging()
                 ? exchangedAt + EXCHANGE_INTERVAL_MICROS
                 : sweptAt + SWEEP_INTERVAL_MICROS;
     }
@@ -446,68 +395,49 @@
             acceptor.close();
         }
         if (regionConnector != null) {
-            regionConnector.stopListening();
+            regionConnector.close();
         }
     }
 
-    /** Stops taking in new work a little later, answers all that was taken, and ends. */
+    /**
+     * Begins a graceful shutdown: accepts for a little longer, answers what was accepted, and ends {@link #run}. May be
+     * called from any thread.
+     */
     public void beginShutdown() {
         lifeCycle.startShutdown(clock.now());
-        pools.eventLoop().wake();
+        services.eventLoop().wake();
     }
 
     /**
-     * Takes over what a new configuration says of discovery and keeps all else; may be called by any thread
-     * but the I/O thread, which has no time for files. One that cannot be read changes nothing.
+     * Takes up a changed configuration as far as that is possible without a restart; one that cannot be read is logged
+     * and changes nothing. Not for an I/O thread, as it reads files.
      */
-    void reload(ConfigurationSource reading) {
-        try {
-            LoadedConfiguration loaded = reading.read();
-            GatekeeperConfig told = loaded.config();
-            List<String> kept = config.fixedAtStart(told);
-            if (!kept.isEmpty()) {
-                log.accept("configuration: a change takes a restart: " + String.join(", ", kept));
-            }
-            pools.reload(loaded.services().pools(), loaded.services().routes());
-            RegionSettings region = loaded.settings().region();
-            if (regionConnector != null) {
-                pools.defaultService().post(regionConnector.reload(region));
-            } else if (region != null) {
-                log.accept("settings: a change takes a restart: region");
-            }
-        } catch (ConfigException e) {
-            log.accept("configuration: " + e.getMessage() + "; the old settings stay");
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-    }
-
-    /** Reads a configuration, or says which key is at fault. */
-    interface ConfigurationSource {
-        LoadedConfiguration read() throws ConfigException;
+    void reload(ConfigurationReloader.ConfigurationSource source) {
+        reloader.reload(source);
     }
 
+    /** Waits for the end of {@link #run}; returns whether it came within so many milliseconds. */
     public boolean awaitEnd(long millis) throws InterruptedException {
         return ended.await(millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Whether consumers can connect, or can within so many milliseconds. */
+    /** Waits until consumers can connect; returns whether they can within so many milliseconds. */
     boolean isListeningWithin(long millis) throws InterruptedException {
         return listening.await(millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Where consumers connect, once they can; what was configured, or the port that port 0 brought. */
+    /** Waits until consumers can connect; returns the address that is bound, with the port that was chosen for 0. */
     public SocketAddress awaitListening() throws InterruptedException {
         listening.await();
         return listenAddress;
     }
 
-    /** Where operators connect; null where no place for them is named. */
+    /** Where operators connect, or null if no address is configured for them. */
     public InetSocketAddress adminAddress() throws IOException {
         return adminServer == null ? null : adminServer.address();
     }
 
-    /** Where other regions connect, once they can; null where they may not. */
+    /** Waits until consumers can connect; returns where other regions connect, or null if they may not. */
     public InetSocketAddress awaitRegionAddress() throws InterruptedException, IOException {
         listening.await();
         return regionConnector == null ? null : regionConnector.address();
--- /dev/null
+++ b/src/main/java/reedmux/cli/HandoverCallbacks.java
@@ -0,0 +1,125 @@
+package reedmux.cli;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import reedmux.common.time.MonotonicClock;
+import reedmux.gatekeeper.admin.LifeCycle;
+import reedmux.gatekeeper.handover.HandoverCoordinator;
+import reedmux.gatekeeper.handover.HandoverFrame;
+import reedmux.gatekeeper.peer.PeerSocket;
+import reedmux.gatekeeper.policy.HandoverCounts;
+import reedmux.gatekeeper.service.ServiceManager;
+
+/**
+ * What a hand-over needs of a gatekeeper's process: the counts of its services, its life cycle, and the peers' socket,
+ * which only one of two processes can have. Except {@link #runOnLoop}, for the event loop's thread.
+ */
+final class HandoverCallbacks implements HandoverCoordinator.HandoverHost {
+    private final PeerSocket peers;
+    private final LifeCycle lifeCycle;
+    private final MonotonicClock clock;
+    private final Consumer<String> log;
+    private volatile ServiceManager services;
+    /** Whether the peers' socket is to be opened as soon as the other process has released it. */
+    private boolean peerSocketPending;
+
+    HandoverCallbacks(PeerSocket peers, LifeCycle lifeCycle, MonotonicClock clock, Consumer<String> log) {
+        this.peers = peers;
+        this.lifeCycle = lifeCycle;
+        this.clock = clock;
+        this.log = log;
+    }
+
+    /** Sets the services, which are created later; to be called before the event loop runs. */
+    void attach(ServiceManager newServices) {
+        services = newServices;
+    }
+
+    @Override
+    public void runOnLoop(Runnable task) {
+        services.runInEventLoop(task);
+    }
+
+    @Override
+    public List<HandoverFrame.ServiceSnapshot> releaseAndSnapshot() {
+        try {
+            peers.release();
+        } catch (IOException e) {
+            log.accept("hand-over: the peers' socket: " + e.getMessage());
+        }
+        List<HandoverFrame.ServiceSnapshot> snapshots = new ArrayList<>();
+        Map<String, HandoverCounts> counts = services.handoverCounts();
+        counts.forEach((name, each) -> snapshots.add(new HandoverFrame.ServiceSnapshot(
+                name, each.snapshot(clock.now()), snapshots.size() == counts.size() - 1)));
+        return snapshots;
+    }
+
+    @Override
+    public void restoreAndOpen(List<HandoverFrame.ServiceSnapshot> snapshots) {
+        Map<String, HandoverCounts> counts = services.handoverCounts();
+        for (HandoverFrame.ServiceSnapshot snapshot : snapshots) {
+            HandoverCounts restored = counts.get(snapshot.service());
+            if (restored != null) {
+                restored.restore(clock.now(), snapshot.accounts());
+            }
+        }
+        openPeerSocket();
+    }
+
+    @Override
+    public void addUsage(String service, List<HandoverCounts.AccountUsage> usage) {
+        HandoverCounts counts = services.handoverCounts().get(service);
+        if (counts != null) {
+            counts.addUsage(clock.now(), usage);
+        }
+    }
+
+    @Override
+    public List<HandoverFrame.ServiceUsage> takeUsage() {
+        List<HandoverFrame.ServiceUsage> usages = new ArrayList<>();
+        services.handoverCounts().forEach((name, counts) -> {
+            List<HandoverCounts.AccountUsage> usage = counts.takeUsage();
+            if (!usage.isEmpty()) {
+                usages.add(new HandoverFrame.ServiceUsage(name, usage));
+            }
+        });
+        return usages;
+    }
+
+    @Override
+    public void onOtherProcessGone(boolean elder) {
+        services.handoverCounts().values().forEach(HandoverCounts::endSharing);
+        if (elder) {
+            openPeerSocket();
+        }
+    }
+
+    @Override
+    public void setSucceeded(boolean succeeded) {
+        lifeCycle.setSuccessor(succeeded);
+    }
+
+    /** Opens the peers' socket, or leaves it to {@link #retryPeerSocket} while the other process has it. */
+    void openPeerSocket() {
+        boolean retried = peerSocketPending;
+        peerSocketPending = false;
+        try {
+            peers.open();
+        } catch (IOException e) {
+            peerSocketPending = true;
+            if (!retried) {
+                log.accept("hand-over: the peers' socket is not free yet: " + e.getMessage());
+            }
+        }
+    }
+
+    /** Tries again to open the peers' socket if that has failed. */
+    void retryPeerSocket() {
+        if (peerSocketPending) {
+            openPeerSocket();
+        }
+    }
+}
--- a/src/main/java/reedmux/cli/LoadedConfiguration.java
+++ b/src/main/java/reedmux/cli/LoadedConfiguration.java
@@ -9,7 +9,13 @@
 import reedmux.gatekeeper.script.ScriptException;
 import reedmux.gatekeeper.settings.OperatorSettings;
 
-/** All that a gatekeeper is told, by the platform and by its operators, read together or not at all. */
+/**
+ * A gatekeeper's complete configuration: the platform's and the operators', loaded together or not at all.
+ *
+ * @param config   the platform's configuration
+ * @param settings the operators' settings; {@link OperatorSettings#NONE} if they have none
+ * @param services the services that follow from both
+ */
 public record LoadedConfiguration(GatekeeperConfig config, OperatorSettings settings, ServiceCatalog services) {
 
     /** The platform's configuration alone. */
@@ -17,13 +23,13 @@
         return new LoadedConfiguration(config, OperatorSettings.NONE, ServiceCatalog.platformOnly(config));
     }
 
-    /** Reads the platform's configuration and, where {@code file} is not null, the operators' file. */
+    /** Loads the platform's configuration and, if {@code file} is not null, the operators' settings. */
     static LoadedConfiguration load(Map<String, String> environment, Path file, MonotonicClock clock)
             throws ConfigException {
         return withOperatorSettings(GatekeeperConfig.load(environment, clock), file, clock);
     }
 
-    /** Reads both anew. */
+    /** Loads both again, as far as a running process can change them. */
     static LoadedConfiguration reload(Map<String, String> environment, Path file, MonotonicClock clock)
             throws ConfigException {
         return withOperatorSettings(GatekeeperConfig.reload(environment, clock), file, clock);
@@ -41,15 +47,20 @@
         }
     }
 
-    /** Both, with the documents that the operators' settings name beside {@code file}. */
+    /**
+     * Combines both.
+     *
+     * @param file the operators' file; documents that it names are resolved beside it
+     * @throws ConfigException if the settings do not fit the platform, or a document cannot be used
+     */
     static LoadedConfiguration of(GatekeeperConfig config, OperatorSettings settings, Path file, MonotonicClock clock)
             throws ConfigException {
-        List<String> misfits = settings.platformConflicts(
+        List<String> conflicts = settings.platformConflicts(
                 config.settings().groupSize(),
                 config.settings().maxUnits() >= 1e9 ? 1 : config.settings().maxUnits(),
                 config.maxDescriptors());
-        if (!misfits.isEmpty()) {
-            throw new ConfigException(file + ": " + String.join("; ", misfits));
+        if (!conflicts.isEmpty()) {
+            throw new ConfigException(file + ": " + String.join("; ", conflicts));
         }
         return new LoadedConfiguration(
                 config,
--- a/src/main/java/reedmux/cli/RegionConnector.java
+++ b/src/main/java/reedmux/cli/RegionConnector.java
@@ -27,22 +27,22 @@
 import reedmux.gatekeeper.settings.RegionSettings;
 
 /**
- * A gatekeeper's link to other regions: a listener of its own for what they send, and connections of its own
- * for what goes there, so that neither takes descriptors from consumers or providers.
+ * A gatekeeper's connections with other regions: an acceptor for what they forward, and connections for what is forwarded
+ * there. Both have descriptors of their own, so that failover takes none from consumers or providers.
  */
 final class RegionConnector {
-    /** Half of the time after which the other side closes idle connections, in microseconds. */
+    /** Half of the time after which the other side closes idle connections. */
     private static final long MAX_IDLE_MICROS = TimeUnit.MILLISECONDS.toMicros(7_500);
-    /** Between lines in the log, while there is news. */
+    /** Between two reports in the log while the counts change. */
     private static final long REPORT_INTERVAL_MICROS = TimeUnit.SECONDS.toMicros(10);
 
     private final RegionSettings settings;
     private final Consumer<String> log;
     private final ConsumerServer server;
-    private final RegionCoordinator desk;
+    private final RegionCoordinator coordinator;
     private UpstreamConnectionPool httpClient;
     private RegionClient regionClient;
-    private ConnectionAcceptor listener;
+    private ConnectionAcceptor acceptor;
     private volatile int port = -1;
     private String lastReport = "";
     private long lastReportAt;
@@ -59,7 +59,7 @@
         this.log = log;
         server = new ConsumerServer(
                 new RegionFrontend(config.settings(), clock, events), ready, life, settings.maxInboundConnections());
-        desk = new RegionCoordinator(
+        coordinator = new RegionCoordinator(
                 new FailoverPolicy(settings.rules(), config.settings().groupSize(), clock.now(), config.seed()),
                 settings.gateways(),
                 config.settings().classes().stream()
@@ -67,7 +67,7 @@
                         .toArray());
     }
 
-    /** Makes the calls' side, once there is a reactor. */
+    /** Creates the outbound side; to be called once, when there is a reactor. */
     void connect(
             DefaultListeningIOReactor reactor,
             GatekeeperConfig config,
@@ -82,40 +82,51 @@
                 httpClient, events, config.settings(), settings.rules().name());
     }
 
+    /**
+     * Accepts other regions' connections where an address is set for them.
+     *
+     * @param shared whether another process of this gatekeeper may listen at the same address
+     */
     void listen(DefaultListeningIOReactor reactor, boolean shared) throws IOException {
         if (settings.listen() == null) {
             return;
         }
         try {
-            listener = new ConnectionAcceptor(settings.listen(), shared, reactor, server.connectionPermits(), log);
+            acceptor = new ConnectionAcceptor(settings.listen(), shared, reactor, server.connectionPermits(), log);
         } catch (IOException e) {
             throw new IOException("cannot listen for regions on " + settings.listen() + ": " + e.getMessage());
         }
-        port = ((InetSocketAddress) listener.address()).getPort();
+        port = ((InetSocketAddress) acceptor.address()).getPort();
     }
 
-    /** Where other regions connect, or null where they may not. */
+    /** Where other regions connect, or null if they may not. */
     InetSocketAddress address() throws IOException {
-        return listener == null ? null : (InetSocketAddress) listener.address();
+        return acceptor == null ? null : (InetSocketAddress) acceptor.address();
     }
 
-    /** Whose connection it is that was accepted at this address of ours. */
+    /** The server of a connection that was accepted at a local address: that of other regions or of consumers. */
     ConsumerServer serverOf(SocketAddress local, ConsumerServer consumers) {
         return local instanceof InetSocketAddress address && address.getPort() == port ? server : consumers;
     }
 
-    RegionCoordinator desk() {
-        return desk;
+    /** Decides what is forwarded and accepted. */
+    RegionCoordinator coordinator() {
+        return coordinator;
     }
 
-    void call(UpstreamCall call, ForwardedRequest departure) {
-        regionClient.call(call, departure);
+    /** Forwards a request to another region. */
+    void call(UpstreamCall call, ForwardedRequest request) {
+        regionClient.call(call, request);
     }
 
-    /** What a reload sets now, as an event; what takes a restart is told in the log. */
+    /**
+     * The event by which the reducer takes up changed settings. What takes a restart is logged.
+     *
+     * @param now the new settings, or null if the operators have removed the region
+     */
     ReducerEvent reload(RegionSettings now) {
         if (now == null) {
-            // All that is out comes back, nothing more goes or comes in; the listener stays until a restart.
+            // Forwarded requests still come back; nothing more is forwarded or accepted. The acceptor stays open.
             return new ReducerEvent.RegionRulesUpdated(
                     new FailoverRules(
                             settings.rules().name(), Set.of(), settings.rules().remoteLimits(), null),
@@ -130,7 +141,7 @@
                 now.gateways());
     }
 
-    /** Closes what has been idle for too long, and tells what has happened; on the reducer's thread. */
+    /** Closes idle connections and reports the counts; on the reducer's thread. */
     void sweep(long now) {
         httpClient.sweep();
         server.sweep();
@@ -140,25 +151,22 @@
         }
     }
 
+    /** Logs the counts if they have changed since the last report. */
     void logReport() {
-        String counts = desk.regions().summary();
+        String counts = coordinator.regions().summary();
         if (!counts.equals(lastReport)) {
             lastReport = counts;
-            log.accept("regions: " + counts + "; now away " + desk.regions().forwardedInFlight() + ", visitors "
-                    + desk.regions().remoteInFlight() + ", link "
-                    + desk.regions().linkLatencyMicros() / 1000 + " ms");
-        }
-    }
-
-    void stopListening() {
-        if (listener != null) {
-            listener.close();
+            log.accept(
+                    "regions: " + counts + "; now away " + coordinator.regions().forwardedInFlight() + ", visitors "
+                            + coordinator.regions().remoteInFlight() + ", link "
+                            + coordinator.regions().linkLatencyMicros() / 1000 + " ms");
         }
     }
 
+    /** Stops accepting; established connections go on. */
     void close() {
-        if (listener != null) {
-            listener.close();
+        if (acceptor != null) {
+            acceptor.close();
         }
     }
 }
--- a/src/main/java/reedmux/cli/SelfCheckCommand.java
+++ b/src/main/java/reedmux/cli/SelfCheckCommand.java
@@ -16,9 +16,9 @@
 import reedmux.gatekeeper.config.GatekeeperConfig;
 
 /**
- * Starts a gatekeeper from the sample configuration on a free loopback port, sends it one request for which
- * there is no provider, and ends it: shows that the program works on this machine. The build runs it to
- * record the classes that a start needs.
+ * Starts a gatekeeper from the sample configuration on a free loopback port, sends it one request for which there is no
+ * provider, and shuts it down: shows that the program works on this machine. The build records the class archive of the
+ * gatekeeper from it.
  */
 public final class SelfCheckCommand extends Main.GatekeeperCommand {
 
--- a/src/main/java/reedmux/cli/ServiceCatalog.java
+++ b/src/main/java/reedmux/cli/ServiceCatalog.java
@@ -16,12 +16,12 @@
 import reedmux.gatekeeper.settings.ServicesSettings;
 
 /**
- * The services that a gatekeeper serves, read whole: the platform's, and those that the operators have set
- * with the documents that they name.
+ * The services that a gatekeeper serves: the platform's, and those that the operators have set, with the documents that
+ * these name.
  *
- * @param pools   the platform's own in front
- * @param routes  null where there is no other
- * @param settled what is shared, as it was set
+ * @param pools             the services' setups, the platform's first
+ * @param routes            which request goes to which service; null if there is only the platform's
+ * @param configuredSharing the limits that all services share, 0 where none is set
  */
 public record ServiceCatalog(
         List<ServiceSetup> pools, RouteTable routes, ServicesSettings.SharingSettings configuredSharing) {
@@ -34,47 +34,53 @@
                 new ServicesSettings.SharingSettings(true, 0, 0));
     }
 
-    /** Reads what is set; paths of documents begin at {@code folder}. */
+    /**
+     * The services of the operators' settings, or the platform's alone if they set none.
+     *
+     * @param folder where relative paths of documents begin
+     * @throws ConfigException if a document cannot be read or used
+     */
     static ServiceCatalog of(GatekeeperConfig config, ServicesSettings services, Path folder, MonotonicClock clock)
             throws ConfigException {
         if (services.routes() == null) {
             return platformOnly(config);
         }
-        List<ServiceSetup> pools = new ArrayList<>();
-        for (ServicesSettings.ServiceSettings told : services.services()) {
-            pools.add(new ServiceSetup(
-                    told.name(),
-                    service(config, told, folder, clock),
-                    told.weight(),
-                    told.maxQueued(),
+        List<ServiceSetup> setups = new ArrayList<>();
+        for (ServicesSettings.ServiceSettings settings : services.services()) {
+            setups.add(new ServiceSetup(
+                    settings.name(),
+                    service(config, settings, folder, clock),
+                    settings.weight(),
+                    settings.maxQueued(),
                     new AdmissionLimits(
-                            told.maxInFlight() == 0 ? Integer.MAX_VALUE : told.maxInFlight(),
-                            told.maxBufferedBytes() == 0 ? Long.MAX_VALUE : told.maxBufferedBytes()),
-                    told.servesWithoutHost()));
+                            settings.maxInFlight() == 0 ? Integer.MAX_VALUE : settings.maxInFlight(),
+                            settings.maxBufferedBytes() == 0 ? Long.MAX_VALUE : settings.maxBufferedBytes()),
+                    settings.servesWithoutHost()));
         }
-        return new ServiceCatalog(pools, services.routes(), services.sharing());
+        return new ServiceCatalog(setups, services.routes(), services.sharing());
     }
 
     private static ServiceConfig service(
-            GatekeeperConfig config, ServicesSettings.ServiceSettings told, Path folder, MonotonicClock clock)
+            GatekeeperConfig config, ServicesSettings.ServiceSettings settings, Path folder, MonotonicClock clock)
             throws ConfigException {
-        if (told.name().equals(ServicesSettings.DEFAULT_SERVICE)) {
+        if (settings.name().equals(ServicesSettings.DEFAULT_SERVICE)) {
             return config.service();
-        } else if (told.config() == null) {
-            return config.service(told.discovery());
+        } else if (settings.config() == null) {
+            return config.service(settings.discovery());
         }
-        Path file = folder.resolve(told.config());
-        String where = "service." + told.name() + " in line " + told.position().line() + ": " + file + ": ";
+        Path file = folder.resolve(settings.config());
+        String position =
+                "service." + settings.name() + " in line " + settings.position().line() + ": " + file + ": ";
         try {
-            return config.service(Files.readAllBytes(file), told.discovery(), clock);
+            return config.service(Files.readAllBytes(file), settings.discovery(), clock);
         } catch (IOException e) {
-            throw new ConfigException(where + "cannot be read: " + e);
+            throw new ConfigException(position + "cannot be read: " + e);
         } catch (ConfigException e) {
-            throw new ConfigException(where + e.getMessage());
+            throw new ConfigException(position + e.getMessage());
         }
     }
 
-    /** What the pools share; what is not set is what the program has room for. */
+    /** The limits that all services share; the arguments apply where none is set. */
     ServiceManager.SharedCapacity sharing(int inFlight, long bytes, int descriptors) {
         return new ServiceManager.SharedCapacity(
                 configuredSharing.maxInFlight() == 0 ? inFlight : configuredSharing.maxInFlight(),
--- a/src/main/java/reedmux/cli/WarmUp.java
+++ b/src/main/java/reedmux/cli/WarmUp.java
@@ -35,36 +35,36 @@
 import reedmux.gatekeeper.reducer.UpstreamCall;
 
 /**
- * Runs the program's own paths some hundred times before it calls itself ready, so that they are compiled by
- * then. On a third of a core a fresh JVM needs all of it for its first five seconds, and answered one request
- * in five in time. Decisions are practised by modules of their own, with calls that are made up; sockets by
- * asking our own address for its health. No provider, peer or consumer notices any of it.
+ * Executes the gatekeeper's hot paths some hundred times before it calls itself ready, so that they are compiled by
+ * then. On a third of a core a fresh JVM needs all of it for its first five seconds, and answered one request in five in
+ * time without this. Decisions run on reducers of their own with made-up calls, sockets on health checks of the
+ * process's own address; providers, peers and consumers notice nothing.
  */
 public final class WarmUp {
     private static final int ROUNDS = 600;
-    /** Of the rounds, how many are made of one kind before it is the other's turn. */
+    /** How many rounds of one kind are run before it is the other kind's turn. */
     private static final int ROUNDS_PER_TURN = 50;
 
     private static final int MAX_CONCURRENT_REQUESTS = 4;
     /**
-     * Decisions in a row, and the gap after them. On a part of one core the sockets' thread else waits for
-     * all of them: discovery's first list was read up to 1.0 s late, and until then nobody heeds it.
+     * Decisions in a row, and the pause after them. Without pauses the sockets' thread waits for all of them on a part of
+     * a core: discovery's first list was read up to 1.0 s late, and the process accepts no requests before it.
      */
     private static final int DECISIONS_BETWEEN_PAUSES = 5;
 
     private static final long PAUSE_NANOS = TimeUnit.MICROSECONDS.toNanos(50);
     private static final int PROVIDERS = 8;
     private static final long ROUND_MICROS = TimeUnit.MILLISECONDS.toMicros(5);
-    /** The most time for it; at a restart the others bear our load meanwhile, and every second counts. */
+    /** At a restart the other gatekeepers carry this one's load meanwhile, so the limit is lower. */
     private static final long TIME_LIMIT_NANOS = TimeUnit.MILLISECONDS.toNanos(4_000);
 
     private static final long TIME_LIMIT_AT_RESTART_NANOS = TimeUnit.MILLISECONDS.toNanos(2_000);
     private static final long REQUEST_TIMEOUT_MILLIS = 500;
-    /** Between looks whether our address is open and whether the time is over. */
+    /** How long to wait at once for the own address, so that the time limit is checked in between. */
     private static final long POLL_INTERVAL_MILLIS = 50;
 
     private static final byte[] BODY = new byte[200];
-    /** A body that is passed on as it comes, and one request in how many has it. */
+    /** Long enough to be streamed; one request in {@link #LONG_BODY_INTERVAL} has it. */
     private static final byte[] LONG_BODY = new byte[100_000];
 
     private static final int LONG_BODY_INTERVAL = 25;
@@ -75,7 +75,11 @@
     private final BooleanSupplier restarted;
     private long startNanos;
 
-    /** {@code restarted}: whether others bear our load meanwhile, so that time presses. */
+    /**
+     * A warm-up that has not begun.
+     *
+     * @param restarted whether other gatekeepers carry this one's load meanwhile
+     */
     WarmUp(GatekeeperConfig config, MonotonicClock clock, Consumer<String> log, BooleanSupplier restarted) {
         this.restarted = restarted;
         this.config = config;
@@ -83,30 +87,30 @@
         this.log = log;
     }
 
-    /** Our own address. */
+    /** The address at which this process accepts connections. */
     interface OwnAddress {
-        /** Null where nobody can connect there within so many milliseconds. */
+        /** Waits for the address; returns null if nobody can connect within so many milliseconds. */
         InetSocketAddress awaitMillis(long millis) throws InterruptedException;
     }
 
     /**
-     * Runs all rounds, or as many as there is time for. Decisions need no socket, so they go first where
-     * discovery's list is still waited for, before which nobody can connect.
+     * Runs all rounds, or as many as the time limit allows. Decisions need no socket, so they go first while discovery's
+     * first list is awaited, before which nobody can connect.
      */
     void run(ProviderClient client, OwnAddress self) throws InterruptedException {
         startNanos = System.nanoTime();
-        PracticePair sparring = new PracticePair();
+        PracticePair practice = new PracticePair();
         int decided = 0;
-        int asked = 0;
-        while ((decided < ROUNDS || asked < ROUNDS) && !isTimeUp()) {
+        int requested = 0;
+        while ((decided < ROUNDS || requested < ROUNDS) && !isTimeUp()) {
             InetSocketAddress here = self.awaitMillis(decided < ROUNDS ? 0 : POLL_INTERVAL_MILLIS);
-            if (here != null && asked < ROUNDS && (asked < decided || decided == ROUNDS)) {
-                asked += requestOwnHealth(client, here);
+            if (here != null && requested < ROUNDS && (requested < decided || decided == ROUNDS)) {
+                requested += requestOwnHealth(client, here);
             } else if (decided < ROUNDS) {
-                decided += sparring.decisions(decided);
+                decided += practice.decisions(decided);
             }
         }
-        log.accept("warmed up with " + decided + " decisions and " + asked + " requests to itself");
+        log.accept("warmed up with " + decided + " decisions and " + requested + " requests to itself");
     }
 
     private boolean isTimeUp() {
@@ -114,14 +118,14 @@
                 > (restarted.getAsBoolean() ? TIME_LIMIT_AT_RESTART_NANOS : TIME_LIMIT_NANOS);
     }
 
-    /** Asks for health over and over, with and without a body or with a long one, first over new ones. */
+    /** Requests the own health with no, short and long bodies, the first ones over new connections. */
     private int requestOwnHealth(ProviderClient client, InetSocketAddress self) throws InterruptedException {
         Semaphore free = new Semaphore(MAX_CONCURRENT_REQUESTS);
         client.closeIdle(self);
         int i = 0;
         for (; i < ROUNDS_PER_TURN && !isTimeUp(); i++) {
             if (!free.tryAcquire(REQUEST_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
-                return i; // whatever holds it up, consumers wait
+                return i; // it hangs; consumers must not wait for it
             }
             if (i % LONG_BODY_INTERVAL == 0) {
                 client.sendStreamed(self, "/healthz", LONG_BODY, result -> free.release());
@@ -132,7 +136,7 @@
         return i;
     }
 
-    /** One gatekeeper's decisions, whose calls are answered by us and whose datagrams reach the other. */
+    /** A reducer whose calls and datagrams are collected instead of sent. */
     private final class PracticeGatekeeper implements ReducerEffects {
         private final Reducer reducer;
         private final Deque<UpstreamCall> pendingCalls = new ArrayDeque<>();
@@ -177,7 +181,7 @@
         }
     }
 
-    /** Two modules that take in requests, answers and each other's datagrams, on a clock of their own. */
+    /** Two reducers that process requests, responses and each other's datagrams, on a clock of their own. */
     private final class PracticePair {
         private final PracticeGatekeeper here = new PracticeGatekeeper(1);
         private final PracticeGatekeeper there = new PracticeGatekeeper(2);
--- a/src/main/java/reedmux/cli/WorldCommand.java
+++ b/src/main/java/reedmux/cli/WorldCommand.java
@@ -5,18 +5,18 @@
 import com.github.rvesse.airline.annotations.Command;
 import com.github.rvesse.airline.annotations.Option;
 import java.util.concurrent.Callable;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
 import reedmux.simulation.cluster.DayRunner;
 import reedmux.simulation.cluster.SimulatedDay;
 
-/** Plays drawn days of a whole deployment in virtual time, against the rules. */
+/**
+ * Simulates days of a whole deployment in virtual time, each with traffic and faults drawn from its seed, and checks the
+ * invariants from outside.
+ */
 @Command(name = "world", description = "plays drawn days of a whole deployment in virtual time, against the rules")
 public final class WorldCommand implements Callable<Integer> {
-    private static final Pattern SEEDS = Pattern.compile("([0-9]{1,9})(?:\\.\\.([0-9]{1,9}))?");
-    private static final int INVARIANTS_VIOLATED = 1;
-    private static final int BAD_USAGE = 2;
     private static final int LAST_POINT = 5;
+    /** Of a day that violates invariants, how many of the violations are printed. */
+    private static final int MAX_PRINTED_VIOLATIONS = 6;
 
     @AirlineModule
     private HelpOption<WorldCommand> help;
@@ -54,45 +54,42 @@
     @Override
     public Integer call() throws InterruptedException {
         if (help != null && help.showHelpIfRequested()) {
-            return 0;
+            return ExitCode.OK;
         }
-        Matcher range = SEEDS.matcher(seeds);
-        if (!range.matches()
-                || proxies < 1
-                || cores < 1
-                || jobs < 1
-                || !(pace > 0)
-                || point < 0
-                || point > LAST_POINT) {
-            System.err.println("reedmux: world: --seeds is A..B, --point 1 to 5, the others are numbers" + " above 0");
-            return BAD_USAGE;
+        SeedRange range = SeedRange.parse(seeds);
+        if (range == null || proxies < 1 || cores < 1 || jobs < 1 || !(pace > 0) || point < 0 || point > LAST_POINT) {
+            System.err.println("reedmux: world: --seeds is A..B, --point 1 to 5, the others are numbers above 0");
+            return ExitCode.BAD_USAGE;
         }
-        long first = Long.parseLong(range.group(1));
-        long last = range.group(2) == null ? first : Long.parseLong(range.group(2));
-        long begin = System.nanoTime();
-        DayRunner days = new DayRunner(new SimulatedDay.DayOptions(proxies, cores, pace, storm, point, !sameAddresses));
-        DayRunner.DayTotals sum = days.play(
-                first, last, log ? 1 : jobs, log ? System.out::println : line -> {}, WorldCommand::printViolations);
-        double wall = (System.nanoTime() - begin) / 1e9;
+        long startNanos = System.nanoTime();
+        DayRunner runner =
+                new DayRunner(new SimulatedDay.DayOptions(proxies, cores, pace, storm, point, !sameAddresses));
+        DayRunner.DayTotals totals = runner.play(
+                range.first(),
+                range.last(),
+                log ? 1 : jobs,
+                log ? System.out::println : line -> {},
+                WorldCommand::printViolations);
+        double wallSeconds = (System.nanoTime() - startNanos) / 1e9;
         System.out.printf(
                 "%d days with %d proxies and %d core machines, %d broken; %.0f simulated seconds, "
                         + "%.1f a wall second; %d of %d requests served; digest %016x%n",
-                sum.days(),
+                totals.days(),
                 proxies,
                 cores,
-                sum.violatedDays(),
-                sum.simulatedMicros() / 1e6,
-                sum.simulatedMicros() / 1e6 / wall,
-                sum.served(),
-                sum.requests(),
-                sum.digest());
-        return sum.violatedDays() == 0 ? 0 : INVARIANTS_VIOLATED;
+                totals.violatedDays(),
+                totals.simulatedMicros() / 1e6,
+                totals.simulatedMicros() / 1e6 / wallSeconds,
+                totals.served(),
+                totals.requests(),
+                totals.digest());
+        return totals.violatedDays() == 0 ? ExitCode.OK : ExitCode.FAILED;
     }
 
     private static void printViolations(SimulatedDay.DayOutcome day) {
         if (!day.violations().isEmpty()) {
             System.out.printf("seed %d breaks rules (digest %016x)%n", day.seed(), day.digest());
-            day.violations().stream().limit(6).forEach(line -> System.out.println("    " + line));
+            day.violations().stream().limit(MAX_PRINTED_VIOLATIONS).forEach(line -> System.out.println("    " + line));
             day.faults().forEach(line -> System.out.println("        " + line));
         }
     }
