--- a/src/main/java/reedmux/proxy/CheckerConnection.java
+++ b/src/main/java/reedmux/proxy/CheckerConnection.java
@@ -14,29 +14,49 @@
 import reedmux.proxy.request.ProxyResponse;
 import reedmux.proxy.request.RequestAttempt;
 
-/** A connection to a checker, which carries one request at a time. */
-public final class CheckerConnection implements Connection.ConnectionHandler {
+/**
+ * A connection to a checker, which carries one request at a time. Its states: connecting, with a request that waits
+ * for it; active, from the first byte of a request to the last one of its response; idle, in the pool; closed. Whether
+ * it may become idle after a response, or must be closed, is decided in {@link #onResponse()}: a second response on
+ * the wire could otherwise be taken for that of the next request. For the reactor's thread.
+ */
+final class CheckerConnection implements Connection.ConnectionHandler {
     private static final int MAX_HEAD_BYTES = 64 * 1024;
     private static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
-    /** Bytes of a body that wait here to be taken by the checker. */
+    /** Bytes of a request that wait here until the checker takes them. */
     private static final int MAX_WRITE_QUEUE_BYTES = 128 * 1024;
-
+    /** Responses to earlier requests that are skipped in front of the one that is awaited. */
     private static final int MAX_STALE_RESPONSES = 4;
+
+    private static final int MIN_RESPONSE_BUFFER_BYTES = 32;
     private static final long DEFAULT_IDLE_TIMEOUT_MICROS = 8_000_000;
+    private static final String TIMEOUT_PARAMETER = "timeout=";
+    private static final int MAX_TIMEOUT_DIGITS = 6;
+    /** Of a checker's own idle timeout in seconds, how long we use a connection: 80%, so that we close it first. */
+    private static final long IDLE_MICROS_PER_ANNOUNCED_SECOND = 800_000;
+
+    private static final int STATUS_FIRST_FINAL = 200;
+    private static final int STATUS_FIRST_REDIRECT = 300;
+    private static final int STATUS_MISDIRECTED = 421;
+    private static final int STATUS_BAD_GATEWAY = 502;
+    private static final byte[] CRLF = {'\r', '\n'};
     private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
-    /** Whom the ends of tries and of connections are told. */
+    /** Hears of the ends of attempts and of connections. */
     interface CheckerConnectionListener {
+
+        /** An attempt has ended; {@code response} is null where none came. */
         void onAttemptEnded(
-                CheckerConnection wire,
-                RequestAttempt what,
-                ExecutionStatus verdict,
-                ProxyResponse.CheckerResponse answer);
+                CheckerConnection connection,
+                RequestAttempt attempt,
+                ExecutionStatus execution,
+                ProxyResponse.CheckerResponse response);
 
-        /** It may carry another request. */
-        void onIdle(CheckerConnection wire);
+        /** The connection may carry another request. */
+        void onIdle(CheckerConnection connection);
 
-        void onClosed(CheckerConnection wire);
+        /** The connection is closed; called once. */
+        void onClosed(CheckerConnection connection);
     }
 
     private final Reactor reactor;
@@ -44,34 +64,40 @@
     private final CheckerConnectionListener listener;
     private final Connection connection;
     private final Http1HeadReader headReader = new Http1HeadReader(false);
+    /** What is under way; both null while the connection is idle. */
     private RequestAttempt attempt;
+
     private ClientRequest request;
+    /** How far the request's body is written. */
     private int nextChunk;
+
     private boolean chunked;
     private boolean requestWritten;
     private long bytesBeforeRequest;
+    /** The response that is being read; null in front of a head. */
     private Http1Head responseHead;
+
     private Http1BodyReader bodyReader;
     private ByteArrayOutputStream responseBody;
-    private boolean notReusable;
     private int staleResponses;
+    private boolean notReusable;
     private long idleSince;
     private long idleTimeoutMicros = DEFAULT_IDLE_TIMEOUT_MICROS;
-    private boolean listed;
+    private boolean closeReported;
 
-    CheckerConnection(Reactor reactor, CheckerStats checker, CheckerConnectionListener owner) throws IOException {
+    /** Opens a connection; {@link #start} is to be called at once. */
+    CheckerConnection(Reactor reactor, CheckerStats checker, CheckerConnectionListener listener) throws IOException {
         this.reactor = reactor;
         this.checker = checker;
-        this.listener = owner;
+        this.listener = listener;
         connection = Connection.connect(reactor, checker.address(), null, this);
-        listed = true;
     }
 
     CheckerStats checker() {
         return checker;
     }
 
-    /** Whether it is idle and good for one more request. */
+    /** Whether it is idle and may carry one more request: nothing unexpected has come in, and it is still in time. */
     boolean isReusable(long now) {
         return attempt == null
                 && connection.isConnected()
@@ -80,15 +106,16 @@
                 && connection.isQuiescent();
     }
 
+    /** Whether it has been idle for too long, or was closed meanwhile. */
     boolean isExpired(long now) {
         return attempt == null && (!connection.isOpen() || now - idleSince >= idleTimeoutMicros);
     }
 
-    /** Takes a request, which is sent once the connection is up. */
-    void start(RequestAttempt what, ClientRequest told) {
-        attempt = what;
-        request = told;
-        what.connection(this);
+    /** Takes a request, which is written once the connection is up. */
+    void start(RequestAttempt nextAttempt, ClientRequest nextRequest) {
+        attempt = nextAttempt;
+        request = nextRequest;
+        nextAttempt.setConnection(this);
         nextChunk = 0;
         requestWritten = false;
         staleResponses = 0;
@@ -107,48 +134,48 @@
     private void writeHead() {
         attempt.onConnected();
         bytesBeforeRequest = connection.sentBytes() + connection.queuedBytes();
-        ClientRequestBody upload = request.body();
-        byte[] first = request.headFor(attempt, reactor.now());
-        chunked = upload != null && upload.length() < 0;
-        connection.write(first);
-        if (upload == null) {
+        ClientRequestBody body = request.body();
+        byte[] head = request.headFor(attempt, reactor.now());
+        chunked = body != null && body.length() < 0;
+        connection.write(head);
+        if (body == null) {
             requestWritten = true;
         } else {
-            upload.setChunkListener(this::writeBody);
+            body.setChunkListener(this::writeBody);
             writeBody();
         }
     }
 
-    /** Passes on as much of the body as is here and the checker takes. */
+    /** Writes as much of the body as has come in and as the checker takes. */
     private void writeBody() {
         if (attempt == null || requestWritten || !connection.isOpen()) {
             return;
         }
-        ClientRequestBody upload = request.body();
+        ClientRequestBody body = request.body();
         while (connection.queuedBytes() < MAX_WRITE_QUEUE_BYTES) {
-            byte[] piece = upload.chunk(nextChunk);
-            if (piece == null) {
+            byte[] chunk = body.chunk(nextChunk);
+            if (chunk == null) {
                 break;
             }
             nextChunk++;
-            if (chunked) {
-                write((Integer.toHexString(piece.length) + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
-            }
-            write(piece);
-            if (chunked) {
-                write(new byte[] {'\r', '\n'});
-            }
+            writeChunk(chunk);
         }
-        if (!requestWritten && upload.isExhausted(nextChunk)) {
+        if (!requestWritten && body.isExhausted(nextChunk)) {
             if (chunked) {
-                write(LAST_CHUNK);
+                connection.write(LAST_CHUNK);
             }
             requestWritten = true;
         }
     }
 
-    private void write(byte[] some) {
-        connection.write(some);
+    private void writeChunk(byte[] chunk) {
+        if (!chunked) {
+            connection.write(chunk);
+            return;
+        }
+        connection.write((Integer.toHexString(chunk.length) + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+        connection.write(chunk);
+        connection.write(CRLF);
     }
 
     @Override
@@ -168,80 +195,105 @@
         }
         if (attempt == null) {
             if (connection.available() > 0 || connection.isInputEnded()) {
-                close(); // nobody has asked for these bytes
+                close(); // bytes that belong to no request, or the checker has closed it
             }
         } else if (connection.isInputEnded()) {
             onBroken();
         }
     }
 
-    /** Reads on; true once an answer is whole. */
+    /** Reads on; returns whether a response is complete. */
     private boolean readResponse() throws MalformedMessageException {
         while (responseHead == null) {
             responseHead = headReader.read(connection, MAX_HEAD_BYTES);
             if (responseHead == null) {
                 return false;
-            } else if (responseHead.status() < 200) {
+            } else if (responseHead.status() < STATUS_FIRST_FINAL) {
                 responseHead = null;
                 continue;
             }
             bodyReader = Http1BodyReader.ofResponse(responseHead, request.method());
             if (bodyReader == null || bodyReader.declaredLength() > MAX_BODY_BYTES) {
-                throw new MalformedMessageException(502, "the answer has no end, or one too far");
+                throw new MalformedMessageException(STATUS_BAD_GATEWAY, "a response without an end, or one too large");
             }
-            responseBody = new ByteArrayOutputStream((int) Math.max(32, bodyReader.declaredLength()));
+            responseBody =
+                    new ByteArrayOutputStream((int) Math.max(MIN_RESPONSE_BUFFER_BYTES, bodyReader.declaredLength()));
         }
         bodyReader.read(connection, piece -> responseBody.write(piece, 0, piece.length));
         if (responseBody.size() > MAX_BODY_BYTES) {
-            throw new MalformedMessageException(502, "the answer is too long");
+            throw new MalformedMessageException(STATUS_BAD_GATEWAY, "a response that is too large");
         }
         return bodyReader.isComplete();
     }
 
-    /** An answer is whole: it is the one that is awaited, or belongs to an earlier request. */
+    /**
+     * Handles a complete response: the one that is awaited ends the attempt, one that repeats an earlier request's is
+     * skipped.
+     *
+     * @throws MalformedMessageException if it can be neither
+     */
     private void onResponse() throws MalformedMessageException {
-        Http1Head told = responseHead;
+        Http1Head head = responseHead;
         byte[] content = responseBody.toByteArray();
         responseHead = null;
         responseBody = null;
-        notReusable |= told.closesConnection();
-        String id = told.get("Reedmux-Attempt-Id");
-        boolean good = told.status() < 300;
-        if (id != null && !id.equals(request.attemptId()) || id == null && good) {
+        String attemptId = head.get(RequestAdmission.ATTEMPT_ID);
+        boolean successful = head.status() < STATUS_FIRST_REDIRECT;
+        if (attemptId == null && successful) {
+            throw new MalformedMessageException(STATUS_BAD_GATEWAY, "a successful response without an attempt's id");
+        }
+        if (attemptId != null && !attemptId.equals(request.attemptId())) {
+            // The checker repeats itself: more copies may come, also behind the awaited response.
             notReusable = true;
-            if (++staleResponses > MAX_STALE_RESPONSES || id == null) {
-                throw new MalformedMessageException(502, "an answer to nobody");
+            if (++staleResponses > MAX_STALE_RESPONSES) {
+                throw new MalformedMessageException(STATUS_BAD_GATEWAY, "too many responses to other requests");
             }
-            return; // a late one: ours comes behind it
+            return;
         }
-        if (good && (told.get("Reedmux-Server-Seal") == null || told.get("Content-Encoding") != null)) {
-            throw new MalformedMessageException(502, "an answer that is not the checker's own");
+        if (successful && (head.get("Reedmux-Server-Seal") == null || head.get("Content-Encoding") != null)) {
+            throw new MalformedMessageException(STATUS_BAD_GATEWAY, "a response that is not the checker's own");
         }
-        boolean notRun = told.get("Reedmux-Not-Executed") != null || told.status() == 421;
-        // Nothing tells another answer without an id from a late copy of this one.
-        notReusable |= notRun || id == null || !requestWritten || connection.queuedBytes() > 0;
-        readIdleTimeout(told);
+        boolean notExecuted = head.get("Reedmux-Not-Executed") != null || head.status() == STATUS_MISDIRECTED;
+        notReusable |= mayNotBeReused(head, attemptId, notExecuted);
+        readIdleTimeout(head);
         endAttempt(
-                notRun ? ExecutionStatus.NOT_EXECUTED : ExecutionStatus.EXECUTED,
-                new ProxyResponse.CheckerResponse(told, content, notRun));
+                notExecuted ? ExecutionStatus.NOT_EXECUTED : ExecutionStatus.EXECUTED,
+                new ProxyResponse.CheckerResponse(head, content, notExecuted));
     }
 
-    private void readIdleTimeout(Http1Head told) {
-        String keepAlive = told.get("Keep-Alive");
-        int at = keepAlive == null ? -1 : keepAlive.indexOf("timeout=");
-        if (at >= 0) {
-            int end = at + 8;
-            while (end < keepAlive.length() && Character.isDigit(keepAlive.charAt(end)) && end < at + 14) {
-                end++;
-            }
-            if (end > at + 8) {
-                idleTimeoutMicros = Long.parseLong(keepAlive.substring(at + 8, end)) * 800_000;
-            }
+    private boolean mayNotBeReused(Http1Head head, String attemptId, boolean notExecuted) {
+        // The checker closes it.
+        return head.closesConnection()
+                // The checker is overloaded or leaving, or its address is another's.
+                || notExecuted
+                // A late copy of this response could not be told from that of the next request, which may lack an id.
+                || attemptId == null
+                // The rest of this request would be written in front of the next one.
+                || !requestWritten
+                || connection.queuedBytes() > 0;
+    }
+
+    /** Follows a {@code Keep-Alive: timeout=SECONDS}; anything else in it is ignored. */
+    private void readIdleTimeout(Http1Head head) {
+        String keepAlive = head.get("Keep-Alive");
+        int at = keepAlive == null ? -1 : keepAlive.indexOf(TIMEOUT_PARAMETER);
+        if (at < 0) {
+            return;
+        }
+        int start = at + TIMEOUT_PARAMETER.length();
+        int end = start;
+        while (end < keepAlive.length()
+                && Character.isDigit(keepAlive.charAt(end))
+                && end < start + MAX_TIMEOUT_DIGITS) {
+            end++;
+        }
+        if (end > start) {
+            idleTimeoutMicros = Long.parseLong(keepAlive.substring(start, end)) * IDLE_MICROS_PER_ANNOUNCED_SECOND;
         }
     }
 
-    private void endAttempt(ExecutionStatus verdict, ProxyResponse.CheckerResponse answer) {
-        RequestAttempt what = attempt;
+    private void endAttempt(ExecutionStatus execution, ProxyResponse.CheckerResponse response) {
+        RequestAttempt endedAttempt = attempt;
         attempt = null;
         idleSince = reactor.now();
         if (request.body() != null) {
@@ -249,40 +301,39 @@
         }
         request = null;
         if (connection.available() > 0 || connection.isInputEnded()) {
-            notReusable = true;
+            notReusable = true; // something behind the response that no request has asked for, or the end
         }
         if (notReusable || !connection.isOpen()) {
             close();
         } else {
             listener.onIdle(this);
         }
-        listener.onAttemptEnded(this, what, verdict, answer);
+        listener.onAttemptEnded(this, endedAttempt, execution, response);
     }
 
     /**
-     * It has ended with no whole answer. Only a request of which no byte went out has certainly not run:
-     * whether a checker begins with one that has not come whole is its own affair.
+     * Ends the connection without a complete response. Only a request of which no byte went out has certainly not been
+     * executed: a checker may begin with one that it has received in part.
      */
     private void onBroken() {
-        RequestAttempt what = attempt;
-        boolean out = what != null && what.isConnected() && connection.sentBytes() > bytesBeforeRequest;
+        boolean bytesSent = attempt != null && attempt.isConnected() && connection.sentBytes() > bytesBeforeRequest;
         connection.close();
         notReusable = true;
-        if (what != null) {
-            endAttempt(out ? ExecutionStatus.MAY_HAVE_EXECUTED : ExecutionStatus.NOT_EXECUTED, null);
+        if (attempt != null) {
+            endAttempt(bytesSent ? ExecutionStatus.MAY_HAVE_EXECUTED : ExecutionStatus.NOT_EXECUTED, null);
         } else {
             close();
         }
     }
 
     @Override
-    public void onClosed(String why) {
+    public void onClosed(String reason) {
         onBroken();
     }
 
-    /** Gives up a request, if it is still under way here. */
-    void cancel(RequestAttempt what) {
-        if (what == attempt) {
+    /** Cancels an attempt by closing the connection, if it is still under way here. */
+    void cancel(RequestAttempt cancelled) {
+        if (cancelled == attempt) {
             onBroken();
         }
     }
@@ -290,8 +341,8 @@
     void close() {
         connection.close();
         notReusable = true;
-        if (listed) {
-            listed = false;
+        if (!closeReported) {
+            closeReported = true;
             listener.onClosed(this);
         }
     }
--- a/src/main/java/reedmux/proxy/CheckerConnectionPool.java
+++ b/src/main/java/reedmux/proxy/CheckerConnectionPool.java
@@ -16,72 +16,75 @@
 import reedmux.proxy.request.RequestTracker;
 
 /**
- * The connections to checkers: each belongs to one incarnation of a checker and carries one request at a
- * time; one whose answer came whole, with its id and nothing behind it, carries the next.
+ * The idle connections to checkers. Each belongs to one incarnation of a checker; the one that was used last is used
+ * first, so that the others can expire. For the reactor's thread.
  */
 final class CheckerConnectionPool implements CheckerConnection.CheckerConnectionListener {
     private final Reactor reactor;
     private final RequestTracker tracker;
     private final Map<CheckerStats, Deque<CheckerConnection>> idle = new LinkedHashMap<>();
 
-    CheckerConnectionPool(Reactor reactor, RequestTracker requests) {
+    CheckerConnectionPool(Reactor reactor, RequestTracker tracker) {
         this.reactor = reactor;
-        this.tracker = requests;
+        this.tracker = tracker;
     }
 
-    void send(RequestAttempt what, ClientRequest request) {
-        Deque<CheckerConnection> kept = idle.get(what.checker());
-        while (kept != null && !kept.isEmpty()) {
-            CheckerConnection wire = kept.pollLast();
-            if (wire.isReusable(reactor.now())) {
-                wire.start(what, request);
+    /** Sends an attempt of a {@link ClientRequest} over an idle connection or a new one. */
+    void send(RequestAttempt attempt) {
+        ClientRequest request = (ClientRequest) attempt.request().source();
+        Deque<CheckerConnection> connections = idle.get(attempt.checker());
+        while (connections != null && !connections.isEmpty()) {
+            CheckerConnection connection = connections.pollLast();
+            if (connection.isReusable(reactor.now())) {
+                connection.start(attempt, request);
                 return;
             }
-            wire.close();
+            connection.close();
         }
         try {
-            new CheckerConnection(reactor, what.checker(), this).start(what, request);
+            new CheckerConnection(reactor, attempt.checker(), this).start(attempt, request);
         } catch (IOException e) {
-            reactor.execute(() -> tracker.onEvent(
-                    reactor.now(), new RequestEvent.AttemptFinished(what, ExecutionStatus.NOT_EXECUTED, null)));
+            reactor.execute(() -> onAttemptEnded(null, attempt, ExecutionStatus.NOT_EXECUTED, null));
         }
     }
 
-    void cancel(RequestAttempt what) {
-        if (what.connection() instanceof CheckerConnection wire) {
-            wire.cancel(what);
+    /** Cancels an attempt, if it is still under way; its end is reported as of any other. */
+    void cancel(RequestAttempt attempt) {
+        if (attempt.connection() instanceof CheckerConnection connection) {
+            connection.cancel(attempt);
         }
     }
 
     @Override
     public void onAttemptEnded(
-            CheckerConnection wire,
-            RequestAttempt what,
-            ExecutionStatus verdict,
-            ProxyResponse.CheckerResponse answer) {
-        tracker.onEvent(reactor.now(), new RequestEvent.AttemptFinished(what, verdict, answer));
+            CheckerConnection connection,
+            RequestAttempt attempt,
+            ExecutionStatus execution,
+            ProxyResponse.CheckerResponse response) {
+        tracker.onEvent(reactor.now(), new RequestEvent.AttemptFinished(attempt, execution, response));
     }
 
     @Override
-    public void onIdle(CheckerConnection wire) {
-        idle.computeIfAbsent(wire.checker(), checker -> new ArrayDeque<>()).add(wire);
+    public void onIdle(CheckerConnection connection) {
+        idle.computeIfAbsent(connection.checker(), checker -> new ArrayDeque<>())
+                .add(connection);
     }
 
     @Override
-    public void onClosed(CheckerConnection wire) {
-        Deque<CheckerConnection> kept = idle.get(wire.checker());
-        if (kept != null) {
-            kept.remove(wire);
+    public void onClosed(CheckerConnection connection) {
+        Deque<CheckerConnection> connections = idle.get(connection.checker());
+        if (connections != null) {
+            connections.remove(connection);
         }
     }
 
-    /** Closes what has rested for too long, or belongs to a checker that is not to be used any more. */
+    /** Closes connections that have expired, or whose checker takes no more requests. */
     void closeUnusable() {
-        for (Deque<CheckerConnection> kept : List.copyOf(idle.values())) {
-            for (CheckerConnection wire : List.copyOf(kept)) {
-                if (wire.isExpired(reactor.now())
-                        || wire.checker().incarnation().phase() != CheckerIncarnation.READY) {
-                    wire.close();
+        for (Deque<CheckerConnection> connections : List.copyOf(idle.values())) {
+            for (CheckerConnection connection : List.copyOf(connections)) {
+                boolean checkerReady = connection.checker().incarnation().phase() == CheckerIncarnation.READY;
+                if (connection.isExpired(reactor.now()) || !checkerReady) {
+                    connection.close();
                 }
             }
         }
--- a/src/main/java/reedmux/proxy/ClientConnection.java
+++ b/src/main/java/reedmux/proxy/ClientConnection.java
@@ -1,6 +1,6 @@
 package reedmux.proxy;
 
-import java.util.Arrays;
+import java.nio.charset.StandardCharsets;
 import reedmux.common.eventloop.Connection;
 import reedmux.common.http1.Http1BodyReader;
 import reedmux.common.http1.Http1Head;
@@ -9,105 +9,140 @@
 import reedmux.control.configuration.RequestLimits;
 import reedmux.proxy.request.ProxyResponse;
 
-/** A client's connection, which has one request at a time. */
-public final class ClientConnection implements Connection.ConnectionHandler {
+/**
+ * A client's connection, which carries one request at a time; see {@link State} for its way. A response may come at
+ * any time after a request was admitted, also while its body is still being read. For the reactor's thread.
+ */
+final class ClientConnection implements Connection.ConnectionHandler {
     private static final long MICROS_PER_SECOND = 1_000_000;
-    /** A last answer has so long to be read before the connection is closed all the same. */
+    /** How long a last response has to be read before the connection is closed; and where it is not all sent yet. */
     private static final long LAST_RESPONSE_LINGER_MICROS = MICROS_PER_SECOND / 2;
-    /** Of a body that nobody wants so much is read and thrown away; a longer one ends the connection. */
+
+    private static final long UNSENT_RESPONSE_LINGER_MICROS = 10 * MICROS_PER_SECOND;
+    /** What is read and dropped of a body whose request has its response; a longer one ends the connection. */
     private static final long MAX_DISCARDED_BODY_BYTES = 1024 * 1024;
+    /** Bytes of later requests that are read while one is in flight. */
+    private static final int MAX_PIPELINED_BYTES = 64 * 1024;
 
     private static final int STATUS_REQUEST_TIMEOUT = 408;
     private static final int STATUS_CONTENT_TOO_LARGE = 413;
+    private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     /** What a connection needs to know, and where its requests go. */
     interface ClientRequestHandler {
+
+        /** The time in microseconds. */
         long now();
 
-        /** Has something done in a later turn. */
+        /** Runs a task in a later turn of the reactor. */
         void executeLater(Runnable task);
 
-        RequestLimits bounds();
+        RequestLimits requestLimits();
 
-        /** Whether answers are the last ones on their connections. */
+        /** Whether each response is the last one on its connection. */
         boolean isDraining();
 
-        /** Whether a request is to wait for the end of a start; then {@link #resumeDeferred()} follows. */
+        /** Whether a request is held until the proxy has started; then {@link #resumeDeferred()} is called. */
         boolean deferUntilStarted(ClientConnection client, Http1Head head);
 
-        Proxy.AdmissionResult admit(ClientConnection client, Http1Head head, ClientRequestBody upload);
+        /** Admits or rejects a request; {@code body} is null where it has none. */
+        RequestAdmission.AdmissionResult admit(ClientConnection client, Http1Head head, ClientRequestBody body);
 
+        /** Takes an admitted request, whose response comes by {@link #respond(ClientRequest, ProxyResponse)}. */
         void dispatch(ClientRequest request);
 
-        /** Nobody waits for a request any more; {@code dispatched}: it was sent on, perhaps. */
-        void onRequestAbandoned(ClientRequest request, boolean launched);
+        /** Nobody waits for the response of an admitted request any more. */
+        void onRequestAbandoned(ClientRequest request, boolean dispatched);
 
         void onClientClosed(ClientConnection client);
     }
 
+    private enum State {
+        /** Between requests, with no byte of the next one. */
+        IDLE,
+        /** A head has come in in part. */
+        READING_HEAD,
+        /** A head is complete and waits for the start of the proxy. */
+        DEFERRED,
+        /** A body is coming in; its request is dispatched as soon as it can be sent. */
+        READING_BODY,
+        /** A request is complete and dispatched. */
+        AWAITING_RESPONSE,
+        /** The response went out before all of the body came in; the rest is dropped. */
+        DISCARDING_BODY,
+        /** The last response is out, and the client is to read it before the connection is closed. */
+        CLOSING
+    }
+
     private final ClientRequestHandler handler;
     private final Connection connection;
     private final Http1HeadReader headReader = new Http1HeadReader(true);
-    private ClientRequest request;
-    private Http1BodyReader bodyReader;
-    private ClientRequestBody requestBody;
-    private boolean dispatched;
-    private boolean responded;
-    private boolean keepAlive = true;
+    private boolean readingHead;
     private boolean closing;
     /** Since when it has been idle, reading a head, or closing. */
     private long stateSince;
 
-    private boolean readingHead;
     private long lastProgressAt;
-    /** How long it may rest, as its client was told: a bound that falls holds from the next answer on. */
+    /** What the client was told: limits that fall hold from the next response on. */
     private long announcedIdleMicros;
-    /** A request that waits for what the proxy has to know, and when its head was whole. */
-    private Http1Head deferredHead;
 
+    private Http1Head deferredHead;
     private long headReceivedAt;
+    /** The request that is under way; null also for one that was rejected by its head. */
+    private ClientRequest request;
+
+    private Http1BodyReader bodyReader;
+    private ClientRequestBody requestBody;
+    private boolean keepAlive = true;
+    private boolean dispatched;
+    private boolean responded;
 
-    ClientConnection(ClientRequestHandler proxy, Connection wire) {
-        this.handler = proxy;
-        this.connection = wire;
-        stateSince = proxy.now();
+    /** Serves an accepted connection, whose handler it becomes. */
+    ClientConnection(ClientRequestHandler handler, Connection connection) {
+        this.handler = handler;
+        this.connection = connection;
+        stateSince = handler.now();
         lastProgressAt = stateSince;
-        announcedIdleMicros = proxy.bounds().idleTimeoutMicros();
-        wire.setHandler(this);
+        announcedIdleMicros = handler.requestLimits().idleTimeoutMicros();
+        connection.setHandler(this);
     }
 
-    /** Whether no request is under way here. */
+    private State state() {
+        if (closing) {
+            return State.CLOSING;
+        } else if (bodyReader != null) {
+            return responded ? State.DISCARDING_BODY : State.READING_BODY;
+        } else if (request != null) {
+            return State.AWAITING_RESPONSE;
+        } else if (deferredHead != null) {
+            return State.DEFERRED;
+        }
+        return readingHead ? State.READING_HEAD : State.IDLE;
+    }
+
+    /** Whether no request is under way. */
     boolean isIdle() {
-        return request == null && bodyReader == null && deferredHead == null && !closing;
+        State state = state();
+        return state == State.IDLE || state == State.READING_HEAD;
     }
 
-    /** When the head of the request that is under way was whole. */
+    /** When the head of the request that is under way was complete. */
     long headReceivedAt() {
         return headReceivedAt;
     }
 
-    /** Goes on with a request that was parked, whether or not there is news. */
-    void resumeDeferred() {
-        Http1Head head = deferredHead;
-        if (head == null || !connection.isOpen()) {
-            return;
-        }
-        deferredHead = null;
-        try {
-            beginRequest(head);
-        } catch (MalformedMessageException e) {
-            rejectMalformed(e);
-            return;
-        }
-        onInput();
+    int bufferedBodyBytes() {
+        return requestBody == null ? 0 : requestBody.bufferedBytes();
     }
 
+    // ---- Reading -----------------------------------------------------------------------------------
+
     @Override
     public void onInput() {
         lastProgressAt = handler.now();
         try {
             while (connection.isOpen() && readNextPart()) {
-                // one part of a message after the other
+                // each turn reads one head or one body
             }
         } catch (MalformedMessageException e) {
             rejectMalformed(e);
@@ -117,17 +152,23 @@
         }
     }
 
+    /** Reads what the state calls for; returns whether there may be more to read. */
     private boolean readNextPart() throws MalformedMessageException {
-        if (closing) {
+        State state = state();
+        if (state == State.CLOSING) {
             connection.skip(connection.available());
             return false;
-        } else if (bodyReader != null) {
+        } else if (state == State.READING_BODY || state == State.DISCARDING_BODY) {
             return readBody();
-        } else if (request != null || deferredHead != null) {
-            connection.setReadPaused(connection.available() > 64 * 1024); // what comes now is for later
+        } else if (state == State.AWAITING_RESPONSE || state == State.DEFERRED) {
+            connection.setReadPaused(connection.available() > MAX_PIPELINED_BYTES);
             return false;
         }
-        Http1Head head = headReader.read(connection, handler.bounds().maxHeaderBytes());
+        return readHead();
+    }
+
+    private boolean readHead() throws MalformedMessageException {
+        Http1Head head = headReader.read(connection, handler.requestLimits().maxHeaderBytes());
         if (head == null) {
             if (!readingHead && connection.available() > 0) {
                 readingHead = true;
@@ -145,31 +186,47 @@
         return true;
     }
 
+    /** Goes on with a request that was held for the start, whether or not the proxy can serve it by now. */
+    void resumeDeferred() {
+        Http1Head head = deferredHead;
+        if (head == null || !connection.isOpen()) {
+            return;
+        }
+        deferredHead = null;
+        try {
+            beginRequest(head);
+        } catch (MalformedMessageException e) {
+            rejectMalformed(e);
+            return;
+        }
+        onInput();
+    }
+
     private void beginRequest(Http1Head head) throws MalformedMessageException {
         bodyReader = Http1BodyReader.ofRequest(head);
         keepAlive = !head.closesConnection();
         responded = false;
         dispatched = false;
-        requestBody = bodyReader.isComplete() && head.get("Content-Length") == null
-                ? null
-                : new ClientRequestBody(bodyReader.declaredLength());
-        Proxy.AdmissionResult read = handler.admit(this, head, requestBody);
-        request = read.request();
+        boolean hasBody = !bodyReader.isComplete() || head.get("Content-Length") != null;
+        requestBody = hasBody ? new ClientRequestBody(bodyReader.declaredLength()) : null;
+        RequestAdmission.AdmissionResult result = handler.admit(this, head, requestBody);
+        request = result.request();
         if (request == null) {
             requestBody = null;
-            if (bodyReader.declaredLength() < 0 || bodyReader.declaredLength() > MAX_DISCARDED_BODY_BYTES) {
+            long length = bodyReader.declaredLength();
+            if (length < 0 || length > MAX_DISCARDED_BODY_BYTES) {
                 keepAlive = false;
             }
-            respond(read.rejection());
+            respond(result.rejection());
         } else if (head.hasListToken("Expect", "100-continue") && !bodyReader.isComplete()) {
-            connection.write("HTTP/1.1 100 Continue\r\n\r\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
+            connection.write(CONTINUE);
         }
         if (requestBody != null) {
             requestBody.setCapacityListener(this::resumeReading);
         }
     }
 
-    /** There is room for more of the body; until now it was we who held it up. */
+    /** The body has capacity again; until now the client was held up by us and is not late by that. */
     private void resumeReading() {
         lastProgressAt = handler.now();
         connection.setReadPaused(false);
@@ -177,92 +234,76 @@
 
     private boolean readBody() throws MalformedMessageException {
         Http1BodyReader reader = bodyReader;
-        ClientRequestBody to = requestBody;
-        reader.read(connection, piece -> {
-            if (to != null && !responded) {
-                to.append(piece);
+        ClientRequestBody body = requestBody;
+        reader.read(connection, chunk -> {
+            if (body != null && !responded) {
+                body.append(chunk);
             }
         });
-        if (reader.bytesRead() > handler.bounds().maxBodyBytes()) {
+        if (reader.bytesRead() > handler.requestLimits().maxBodyBytes()) {
             throw new MalformedMessageException(
                     STATUS_CONTENT_TOO_LARGE,
-                    "the body is larger than " + handler.bounds().maxBodyBytes() + " bytes");
+                    "the body is larger than " + handler.requestLimits().maxBodyBytes() + " bytes");
         } else if (responded && reader.bytesRead() > MAX_DISCARDED_BODY_BYTES && !reader.isComplete()) {
             closeAfterResponse();
             return false;
         }
         if (reader.isComplete()) {
-            bodyReader = null;
-            if (to != null && !responded) {
-                to.finish();
-            }
-            if (responded) {
-                awaitNextRequest();
-            }
-        } else if (to != null && !responded && to.isFull()) {
+            onBodyComplete(body);
+        } else if (body != null && !responded && body.isFull()) {
             connection.setReadPaused(true);
         }
-        if (request != null && !dispatched && !responded && (to == null || to.isReadyToSend())) {
+        if (request != null && !dispatched && !responded && (body == null || body.isReadyToSend())) {
             dispatched = true;
             handler.dispatch(request);
         }
         return reader.isComplete();
     }
 
-    /** The one answer to a request, if it is still the one that is under way here. */
-    void respond(ClientRequest to, ProxyResponse answer) {
+    private void onBodyComplete(ClientRequestBody body) {
+        bodyReader = null;
+        if (body != null && !responded) {
+            body.finish();
+        }
+        if (responded) {
+            awaitNextRequest();
+        }
+    }
+
+    /** A request cannot be read: the connection ends behind its response. */
+    private void rejectMalformed(MalformedMessageException malformed) {
+        ClientRequest abandoned = responded ? null : request;
+        boolean wasDispatched = dispatched;
+        keepAlive = false;
+        respond(new ProxyResponse.LocalResponse(malformed.status(), malformed.getMessage(), -1));
+        if (!closing) {
+            close();
+        }
+        if (abandoned != null) {
+            handler.onRequestAbandoned(abandoned, wasDispatched);
+        }
+    }
+
+    // ---- Responding --------------------------------------------------------------------------------
+
+    /** Sends the response to a request, if that is still the one that is under way here and has none. */
+    void respond(ClientRequest to, ProxyResponse response) {
         if (to == request) {
-            respond(answer);
+            respond(response);
         }
     }
 
-    private void respond(ProxyResponse answer) {
+    private void respond(ProxyResponse response) {
         if (responded || !connection.isOpen() || closing) {
             return;
         }
         responded = true;
         boolean last = !keepAlive || handler.isDraining();
-        byte[] content;
-        Http1Head out;
-        boolean headOnly = request != null && request.method().equals("HEAD");
-        if (answer instanceof ProxyResponse.CheckerResponse told) {
-            out = Http1Head.response(told.head().status());
-            for (int i = 0; i < told.head().size(); i++) {
-                if (!told.head().isHopByHop(told.head().name(i))) {
-                    out.add(told.head().name(i), told.head().value(i));
-                }
-            }
-            content = told.body();
-            String length = told.head().get("Content-Length");
-            if (headOnly && length != null) {
-                out.add("Content-Length", length);
-            }
-        } else {
-            ProxyResponse.LocalResponse own = (ProxyResponse.LocalResponse) answer;
-            out = Http1Head.response(own.status()).add("Content-Type", "text/plain");
-            if (own.retryAfterMicros() >= 0) {
-                out.add("Retry-After", formatSeconds(own.retryAfterMicros()));
-            }
-            if (request != null) {
-                out.add("Reedmux-Attempt-Id", request.attemptId());
-            }
-            content = (own.text() + '\n').getBytes(java.nio.charset.StandardCharsets.UTF_8);
-        }
-        if (!headOnly && out.status() != 204 && out.status() != 304) {
-            out.add("Content-Length", Integer.toString(content.length));
+        if (!last) {
+            announcedIdleMicros = handler.requestLimits().idleTimeoutMicros();
         }
-        if (last) {
-            out.add("Connection", "close");
-        } else {
-            announcedIdleMicros = handler.bounds().idleTimeoutMicros();
-            out.add("Keep-Alive", "timeout=" + Math.max(1, announcedIdleMicros / MICROS_PER_SECOND - 1));
-        }
-        byte[] first = out.encode();
-        byte[] all = headOnly ? first : Arrays.copyOf(first, first.length + content.length);
-        if (!headOnly) {
-            System.arraycopy(content, 0, all, first.length, content.length);
-        }
-        connection.write(all);
+        connection.write(ClientResponseEncoder.encode(
+                response, request, last ? ClientResponseEncoder.CLOSES : announcedIdleMicros));
         requestBody = null;
         if (last) {
             closeAfterResponse();
@@ -273,13 +314,6 @@
         }
     }
 
-    /** Seconds with three decimals, rounded up. */
-    private static String formatSeconds(long micros) {
-        long millis = (micros + 999) / 1000;
-        return millis / 1000 + "." + Long.toString(1000 + millis % 1000).substring(1);
-    }
-
-    /** The answer is out and its request read: on to the next one. */
     private void awaitNextRequest() {
         request = null;
         requestBody = null;
@@ -295,6 +329,8 @@
         }
     }
 
+    // ---- Closing -----------------------------------------------------------------------------------
+
     private void closeAfterResponse() {
         closing = true;
         request = null;
@@ -314,70 +350,58 @@
         }
     }
 
-    private void rejectMalformed(MalformedMessageException bad) {
-        ClientRequest was = responded ? null : request; // one that has its answer has its end
-        boolean out = dispatched;
-        keepAlive = false;
-        respond(new ProxyResponse.LocalResponse(bad.status(), bad.getMessage(), -1));
-        if (!closing) {
-            connection.close();
-            handler.onClientClosed(this);
-        }
-        if (was != null) {
-            handler.onRequestAbandoned(was, out);
-        }
-    }
-
-    /** The client has ended the connection. */
+    /** The client is gone, or is given up without a response. */
     private void disconnect() {
-        ClientRequest was = request;
-        boolean out = dispatched && !responded;
+        ClientRequest abandoned = responded ? null : request;
         deferredHead = null;
-        connection.close();
-        handler.onClientClosed(this);
-        if (was != null && !responded) {
-            handler.onRequestAbandoned(was, out);
+        close();
+        if (abandoned != null) {
+            handler.onRequestAbandoned(abandoned, dispatched);
         }
     }
 
     @Override
-    public void onClosed(String why) {
+    public void onClosed(String reason) {
         disconnect();
     }
 
-    /** Closes it if its time is up; {@code closesIdle}: at once where it waits for nothing. */
-    void checkTimeouts(long now, boolean closesIdle) {
-        RequestLimits bounds = handler.bounds();
-        if (closing) {
-            if (now - stateSince > LAST_RESPONSE_LINGER_MICROS
-                    && (connection.queuedBytes() == 0 || now - stateSince > 10 * MICROS_PER_SECOND)) {
-                connection.close();
-                handler.onClientClosed(this);
+    private void close() {
+        connection.close();
+        handler.onClientClosed(this);
+    }
+
+    /** Closes the connection if its state has taken too long, or if it is idle and {@code closeIdle}. */
+    void checkTimeouts(long now, boolean closeIdle) {
+        RequestLimits limits = handler.requestLimits();
+        State state = state();
+        long inState = now - stateSince;
+        if (state == State.CLOSING) {
+            boolean sent = connection.queuedBytes() == 0;
+            if (inState > LAST_RESPONSE_LINGER_MICROS && (sent || inState > UNSENT_RESPONSE_LINGER_MICROS)) {
+                close();
             }
-        } else if (readingHead) {
-            if (now - stateSince > bounds.headerTimeoutMicros()) {
+        } else if (state == State.READING_HEAD) {
+            if (inState > limits.headerTimeoutMicros()) {
                 rejectMalformed(new MalformedMessageException(STATUS_REQUEST_TIMEOUT, "the head has not come in time"));
             }
-        } else if (bodyReader != null && !responded) {
-            if (now - lastProgressAt > bounds.idleTimeoutMicros() && !(requestBody != null && requestBody.isFull())) {
-                if (dispatched) {
-                    disconnect();
-                } else {
-                    rejectMalformed(
-                            new MalformedMessageException(STATUS_REQUEST_TIMEOUT, "the body has not come in time"));
-                }
+        } else if (state == State.READING_BODY) {
+            boolean heldUpByUs = requestBody != null && requestBody.isFull();
+            if (now - lastProgressAt > limits.idleTimeoutMicros() && !heldUpByUs) {
+                onBodyTimeout();
+            }
+        } else if (state == State.IDLE) {
+            boolean expired = inState > Math.max(announcedIdleMicros, limits.idleTimeoutMicros());
+            if (expired || closeIdle && connection.available() == 0) {
+                close();
             }
-        } else if (request == null
-                && bodyReader == null
-                && deferredHead == null
-                && (now - stateSince > Math.max(announcedIdleMicros, bounds.idleTimeoutMicros())
-                        || closesIdle && connection.available() == 0)) {
-            connection.close();
-            handler.onClientClosed(this);
         }
     }
 
-    int bufferedBodyBytes() {
-        return requestBody == null ? 0 : requestBody.bufferedBytes();
+    private void onBodyTimeout() {
+        if (dispatched) {
+            disconnect();
+        } else {
+            rejectMalformed(new MalformedMessageException(STATUS_REQUEST_TIMEOUT, "the body has not come in time"));
+        }
     }
 }
--- /dev/null
+++ b/src/main/java/reedmux/proxy/ClientFrontend.java
@@ -0,0 +1,149 @@
+package reedmux.proxy;
+
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import reedmux.common.eventloop.Connection;
+import reedmux.common.eventloop.Reactor;
+import reedmux.common.http1.Http1Head;
+import reedmux.control.configuration.RequestLimits;
+import reedmux.proxy.request.RequestEvent;
+import reedmux.proxy.request.RequestPort;
+import reedmux.proxy.request.RequestTracker;
+
+/**
+ * The clients' connections: accepts them, bounds their number and time, and hands their requests to admission and
+ * from there to the {@link RequestTracker}. For the reactor's thread.
+ */
+final class ClientFrontend implements ClientConnection.ClientRequestHandler {
+    /** After a change of the limits clients may go by the former ones for this long. */
+    private static final long LIMITS_TRANSITION_MICROS = 5_000_000;
+    /** Beyond the time of any client: closes whatever is idle. */
+    private static final long END_OF_TIME = Long.MAX_VALUE / 2;
+
+    private final Reactor reactor;
+    private final ControlPlaneClient controlPlane;
+    private final StartupGate startup;
+    private final RequestAdmission admission;
+    private final RequestTracker tracker;
+    private final RequestPort port;
+    private final int maxClients;
+    private final Set<ClientConnection> clients = new LinkedHashSet<>();
+    /** The limits as configured now, and what clients may do until the end of a transition. */
+    private RequestLimits limits;
+
+    private RequestLimits transitionLimits;
+    private long transitionEndsAt;
+    private boolean draining;
+
+    ClientFrontend(
+            Reactor reactor,
+            ControlPlaneClient controlPlane,
+            StartupGate startup,
+            RequestAdmission admission,
+            RequestTracker tracker,
+            RequestPort port,
+            int maxClients) {
+        this.reactor = reactor;
+        this.controlPlane = controlPlane;
+        this.startup = startup;
+        this.admission = admission;
+        this.tracker = tracker;
+        this.port = port;
+        this.maxClients = maxClients;
+    }
+
+    /** Serves a connection; where there are too many, the oldest idle one is closed for it, or else the new one. */
+    void onAccepted(Connection connection) {
+        if (clients.size() >= maxClients) {
+            clients.stream()
+                    .filter(ClientConnection::isIdle)
+                    .findFirst()
+                    .ifPresent(oldest -> oldest.checkTimeouts(END_OF_TIME, true));
+        }
+        if (clients.size() >= maxClients) {
+            connection.close();
+        } else {
+            clients.add(new ClientConnection(this, connection));
+        }
+    }
+
+    /** From now on every response is the last one on its connection. */
+    void startDraining() {
+        draining = true;
+    }
+
+    boolean hasClients() {
+        return !clients.isEmpty();
+    }
+
+    /** Closes the connections whose time is over, and those that are idle if {@code closeIdle}. */
+    void checkTimeouts(boolean closeIdle) {
+        for (ClientConnection client : List.copyOf(clients)) {
+            client.checkTimeouts(reactor.now(), closeIdle);
+        }
+    }
+
+    @Override
+    public long now() {
+        return reactor.now();
+    }
+
+    @Override
+    public void executeLater(Runnable task) {
+        reactor.execute(task);
+    }
+
+    @Override
+    public RequestLimits requestLimits() {
+        RequestLimits next = controlPlane.table() == null
+                ? RequestLimits.DEFAULTS
+                : controlPlane.table().requestLimits();
+        if (next != limits) {
+            RequestLimits before = now() < transitionEndsAt ? transitionLimits : limits;
+            transitionLimits = before == null ? next : before.mostPermissive(next);
+            transitionEndsAt = now() + LIMITS_TRANSITION_MICROS;
+            limits = next;
+        }
+        return now() < transitionEndsAt ? transitionLimits : next;
+    }
+
+    @Override
+    public boolean isDraining() {
+        return draining;
+    }
+
+    @Override
+    public boolean deferUntilStarted(ClientConnection client, Http1Head head) {
+        return startup.defer(client, head);
+    }
+
+    @Override
+    public RequestAdmission.AdmissionResult admit(ClientConnection client, Http1Head head, ClientRequestBody body) {
+        return admission.admit(client, head, body, requestLimits(), body == null ? 0 : bufferedBodyBytes());
+    }
+
+    private long bufferedBodyBytes() {
+        return clients.stream().mapToLong(ClientConnection::bufferedBodyBytes).sum();
+    }
+
+    @Override
+    public void dispatch(ClientRequest request) {
+        tracker.onEvent(now(), new RequestEvent.RequestAccepted(request.proxyRequest()));
+    }
+
+    @Override
+    public void onRequestAbandoned(ClientRequest request, boolean dispatched) {
+        if (dispatched) {
+            tracker.onEvent(now(), new RequestEvent.ClientDisconnected(request.proxyRequest()));
+        } else {
+            port.refundQuota(request.proxyRequest());
+        }
+    }
+
+    @Override
+    public void onClientClosed(ClientConnection client) {
+        clients.remove(client);
+        startup.onClientClosed(client);
+    }
+}
--- a/src/main/java/reedmux/proxy/ClientRequest.java
+++ b/src/main/java/reedmux/proxy/ClientRequest.java
@@ -4,12 +4,17 @@
 import reedmux.proxy.request.ProxyRequest;
 import reedmux.proxy.request.RequestAttempt;
 
-/** A client's request, as it goes on to checkers. */
-public final class ClientRequest implements ProxyRequest.RequestSource {
-    /** What the checker is told to have is a little less, for the way back. */
+/** A client's HTTP request, in the form in which it is forwarded to checkers. For the reactor's thread. */
+final class ClientRequest implements ProxyRequest.RequestSource {
+    /** Taken off the time left that is sent to a checker, for the way back. */
     private static final long RETURN_PATH_MICROS = 2_000;
 
+    /** From here on the transfer of a body matters for the choice of a checker. */
     private static final int LARGE_BODY_BYTES = 20_000;
+
+    private static final String TENANT = "Reedmux-Tenant";
+    private static final String TARGET_INSTANCE = "Reedmux-Target-Instance";
+
     private final Http1Head head;
     private final String attemptId;
     private final String tenant;
@@ -17,17 +22,17 @@
     private final ClientConnection client;
     private ProxyRequest proxyRequest;
 
-    /** {@code tenant} is null for a request without key, {@code body} for one without body. */
-    ClientRequest(ClientConnection client, Http1Head head, String attempt, String tenant, ClientRequestBody upload) {
+    /** {@code tenant} is null for a request without a key, {@code body} for one without a body. */
+    ClientRequest(ClientConnection client, Http1Head head, String attemptId, String tenant, ClientRequestBody body) {
         this.client = client;
         this.head = head;
-        this.attemptId = attempt;
+        this.attemptId = attemptId;
         this.tenant = tenant;
-        this.body = upload;
+        this.body = body;
     }
 
-    void proxyRequest(ProxyRequest told) {
-        proxyRequest = told;
+    void setProxyRequest(ProxyRequest next) {
+        proxyRequest = next;
     }
 
     ProxyRequest proxyRequest() {
@@ -65,8 +70,8 @@
         return body != null && (body.length() < 0 || body.length() > LARGE_BODY_BYTES);
     }
 
-    /** The head for one checker. */
-    byte[] headFor(RequestAttempt what, long now) {
+    /** The head that an attempt sends: without hop-by-hop fields, and with the proxy's own. */
+    byte[] headFor(RequestAttempt attempt, long now) {
         Http1Head out = Http1Head.request(head.method(), head.target());
         for (int i = 0; i < head.size(); i++) {
             String name = head.name(i);
@@ -74,11 +79,11 @@
                 out.add(name, head.value(i));
             }
         }
-        long left = Math.max(1, (what.request().deadline() - now - RETURN_PATH_MICROS) / 1000);
-        out.add("Reedmux-Time-Left-Ms", Long.toString(left));
-        out.add("Reedmux-Target-Instance", what.checker().id());
+        long timeLeftMillis = Math.max(1, (attempt.request().deadline() - now - RETURN_PATH_MICROS) / 1000);
+        out.add(RequestAdmission.TIME_LEFT_MS, Long.toString(timeLeftMillis));
+        out.add(TARGET_INSTANCE, attempt.checker().id());
         if (tenant != null) {
-            out.add("Reedmux-Tenant", tenant);
+            out.add(TENANT, tenant);
         }
         if (body != null && body.length() < 0) {
             out.add("Transfer-Encoding", "chunked");
@@ -89,9 +94,9 @@
     }
 
     private boolean isReplacedHeader(String name) {
-        return name.equalsIgnoreCase("Reedmux-Time-Left-Ms")
-                || name.equalsIgnoreCase("Reedmux-Tenant")
-                || name.equalsIgnoreCase("Reedmux-Target-Instance")
+        return name.equalsIgnoreCase(RequestAdmission.TIME_LEFT_MS)
+                || name.equalsIgnoreCase(TENANT)
+                || name.equalsIgnoreCase(TARGET_INSTANCE)
                 || tenant != null && name.equalsIgnoreCase("Authorization");
     }
 }
--- a/src/main/java/reedmux/proxy/ClientRequestBody.java
+++ b/src/main/java/reedmux/proxy/ClientRequestBody.java
@@ -4,16 +4,17 @@
 import java.util.List;
 
 /**
- * A request's body on its way. A small one is gathered whole and may be sent more than once; of a large one
- * what has been passed on is not kept. For the reactor's thread.
+ * The body of a client's request. It has two modes: a body that is complete before it is first read is buffered and
+ * can be sent more than once; one that is read while it still comes in is streamed, and a chunk is dropped once it has
+ * been read, so that it can be sent only once. For the reactor's thread.
  */
 final class ClientRequestBody {
-    /** Up to here a body is gathered; a larger one goes on as it comes. */
-    static final int MAX_REPLAYABLE_BYTES = 512 * 1024;
-    /** Bytes of a large one that may wait here. */
+    /** A body up to this size is buffered before it is sent; a larger one is streamed. */
+    private static final int MAX_REPLAYABLE_BYTES = 512 * 1024;
+    /** Bytes that may wait here to be read, before the client is held up. */
     private static final int MAX_BUFFERED_BYTES = 512 * 1024;
 
-    /** The length that was told, or -1. */
+    /** The Content-Length, or -1 for a chunked body. */
     private final long declaredLength;
 
     private final List<byte[]> chunks = new ArrayList<>();
@@ -24,23 +25,24 @@
     private Runnable onChunk = () -> {};
     private Runnable onCapacity = () -> {};
 
-    ClientRequestBody(long length) {
-        this.declaredLength = length;
+    ClientRequestBody(long declaredLength) {
+        this.declaredLength = declaredLength;
     }
 
-    void append(byte[] piece) {
-        chunks.add(piece);
-        bufferedBytes += piece.length;
-        receivedBytes += piece.length;
+    void append(byte[] chunk) {
+        chunks.add(chunk);
+        bufferedBytes += chunk.length;
+        receivedBytes += chunk.length;
         onChunk.run();
     }
 
+    /** All of it has come in. */
     void finish() {
         complete = true;
         onChunk.run();
     }
 
-    /** Whether it can be sent now, as it is whole or is too large to wait for. */
+    /** Whether it can be sent now: it is complete, or too large to wait for the rest. */
     boolean isReadyToSend() {
         return complete || bufferedBytes >= MAX_REPLAYABLE_BYTES;
     }
@@ -49,11 +51,12 @@
         return complete;
     }
 
-    /** Whether all of it is here from its first byte. */
+    /** Whether no chunk has been dropped, so that it can be sent from its start. */
     boolean isReplayable() {
         return !streaming;
     }
 
+    /** Whether the client is to be held up until {@link #setCapacityListener} hears. */
     boolean isFull() {
         return bufferedBytes > MAX_BUFFERED_BYTES;
     }
@@ -62,41 +65,41 @@
         return bufferedBytes;
     }
 
-    /** The length to be told: known once it is whole. */
+    /** The length in bytes, or -1 while it is not known. */
     long length() {
         return complete ? receivedBytes : declaredLength;
     }
 
-    /** Whom more is told, and whom that there is room again. */
-    void setChunkListener(Runnable onMore) {
-        onChunk = onMore;
+    /** Sets who is called when a chunk or the end has come in; replaces the one before. */
+    void setChunkListener(Runnable listener) {
+        onChunk = listener;
     }
 
-    void setCapacityListener(Runnable onRoom) {
-        onCapacity = onRoom;
+    /** Sets who is called when half of the buffer is free again. */
+    void setCapacityListener(Runnable listener) {
+        onCapacity = listener;
     }
 
-    /**
-     * The piece of that number, or null while it has not come. One that flows keeps none that was asked for.
-     */
-    byte[] chunk(int number) {
+    /** The chunk of an index, or null while it has not come in; in a stream, each can be read once. */
+    byte[] chunk(int index) {
         if (complete && !streaming) {
-            return number < chunks.size() ? chunks.get(number) : null;
+            return index < chunks.size() ? chunks.get(index) : null;
         }
         streaming = true;
-        if (number >= chunks.size()) {
+        if (index >= chunks.size()) {
             return null;
         }
-        byte[] piece = chunks.get(number);
-        chunks.set(number, null);
-        bufferedBytes -= piece.length;
+        byte[] chunk = chunks.get(index);
+        chunks.set(index, null);
+        bufferedBytes -= chunk.length;
         if (bufferedBytes < MAX_BUFFERED_BYTES / 2) {
             onCapacity.run();
         }
-        return piece;
+        return chunk;
     }
 
-    boolean isExhausted(int number) {
-        return complete && number >= chunks.size();
+    /** Whether there is no chunk at an index, and never will be. */
+    boolean isExhausted(int index) {
+        return complete && index >= chunks.size();
     }
 }
--- /dev/null
+++ b/src/main/java/reedmux/proxy/QuotaExchange.java
@@ -0,0 +1,84 @@
+package reedmux.proxy;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import reedmux.common.eventloop.Reactor;
+import reedmux.common.eventloop.UdpEndpoint;
+import reedmux.common.net.SocketAddresses;
+import reedmux.common.settings.ProcessSettings;
+import reedmux.control.rpc.MessageCodec;
+import reedmux.control.session.SessionView;
+import reedmux.proxy.quota.QuotaTracker;
+import reedmux.proxy.quota.QuotaTracker.OutgoingUpdate;
+import reedmux.proxy.quota.QuotaTracker.QuotaUpdate;
+import reedmux.proxy.quota.QuotaTracker.TenantTotal;
+
+/** Exchanges the quota counters with other proxies, as datagrams. For the reactor's thread. */
+final class QuotaExchange {
+    /** Keeps a datagram below the size that networks carry in one packet. */
+    private static final int MAX_ENTRIES_PER_DATAGRAM = 24;
+
+    private final Reactor reactor;
+    private final MessageCodec codec;
+    private final QuotaTracker quotas;
+    private final ControlPlaneClient controlPlane;
+    private final int peerPort;
+    private final UdpEndpoint socket;
+    private SessionView view = SessionView.of(List.of());
+
+    QuotaExchange(
+            ProcessSettings settings,
+            Reactor reactor,
+            MessageCodec codec,
+            QuotaTracker quotas,
+            ControlPlaneClient controlPlane)
+            throws IOException {
+        this.reactor = reactor;
+        this.codec = codec;
+        this.quotas = quotas;
+        this.controlPlane = controlPlane;
+        peerPort = settings.peerPort();
+        socket = new UdpEndpoint(reactor, SocketAddresses.parse(settings.ip() + ':' + peerPort), this::onDatagram);
+    }
+
+    void onViewChange(SessionView next) {
+        view = next;
+        quotas.onViewChange(next, reactor.now());
+    }
+
+    /** Sends what is due, now and from now on. */
+    void sendUpdates() {
+        for (OutgoingUpdate update : quotas.collectUpdates(reactor.now())) {
+            InetSocketAddress receiver =
+                    SocketAddresses.parse(view.member(update.receiver()).ip() + ':' + peerPort);
+            send(receiver, update.update());
+        }
+        reactor.scheduleAfter(quotas.sendIntervalMicros(), this::sendUpdates);
+    }
+
+    /** Sends an update in as many datagrams as it needs; one without entries is a heartbeat. */
+    private void send(InetSocketAddress receiver, QuotaUpdate update) {
+        List<TenantTotal> entries = update.entries();
+        int from = 0;
+        do {
+            int to = Math.min(entries.size(), from + MAX_ENTRIES_PER_DATAGRAM);
+            QuotaUpdate part = new QuotaUpdate(
+                    update.sender(),
+                    update.incarnation(),
+                    update.generation(),
+                    update.viewTag(),
+                    update.reachableMembers(),
+                    new ArrayList<>(entries.subList(from, to)));
+            socket.send(receiver, codec.encode(part));
+            from = to;
+        } while (from < entries.size());
+    }
+
+    private void onDatagram(InetSocketAddress from, byte[] bytes) {
+        if (codec.decodeOrNull(bytes) instanceof QuotaUpdate update && controlPlane.table() != null) {
+            quotas.onUpdate(update, name -> controlPlane.table().tenant(name), reactor.now());
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/reedmux/proxy/RequestAdmission.java
@@ -0,0 +1,128 @@
+package reedmux.proxy;
+
+import reedmux.common.eventloop.Reactor;
+import reedmux.common.http1.Http1Head;
+import reedmux.control.configuration.ConfigurationTable;
+import reedmux.control.configuration.RequestLimits;
+import reedmux.control.configuration.RouteItem;
+import reedmux.control.configuration.TenantItem;
+import reedmux.proxy.quota.QuotaTracker;
+import reedmux.proxy.request.ProxyRequest;
+import reedmux.proxy.request.ProxyResponse;
+
+/**
+ * Decides on a request by its head: whether the proxy can serve at all, which route and tenant it belongs to, whether
+ * it is well-formed and within the limits, and last whether it fits into the tenant's quota, which it then uses.
+ * Nothing is refused for good by a configuration that may be old. For the reactor's thread.
+ */
+final class RequestAdmission {
+    static final String ATTEMPT_ID = "Reedmux-Attempt-Id";
+    static final String TIME_LEFT_MS = "Reedmux-Time-Left-Ms";
+    private static final String BEARER = "Bearer ";
+    /** Bodies in memory of all clients together; beyond it no further body is accepted. */
+    private static final int MAX_BUFFERED_BODY_BYTES = 24 * 1024 * 1024;
+    /** When to come back where it is not the client's own quota that is used up. */
+    private static final long RETRY_AFTER_MICROS = 250_000;
+    /** A request that waits here for the start is late; one that comes back soon after it is new. */
+    private static final long MIN_RETRY_AFTER_START_MICROS = RETRY_AFTER_MICROS / 2;
+
+    private static final long MIN_RETRY_AFTER_QUOTA_MICROS = RETRY_AFTER_MICROS / 4;
+    private static final long NO_RETRY_AFTER = -1;
+    /** The time that a request has which names none: an hour. */
+    private static final long DEFAULT_TIME_LEFT_MILLIS = 3_600_000;
+    /** More digits are no sensible time and might overflow. */
+    private static final int MAX_TIME_LEFT_DIGITS = 9;
+
+    private final Reactor reactor;
+    private final ControlPlaneClient controlPlane;
+    private final StartupGate startup;
+    private final QuotaTracker quotas;
+
+    /** A request that is admitted, or else the response that rejects it; the other one is null. */
+    record AdmissionResult(ClientRequest request, ProxyResponse rejection) {}
+
+    RequestAdmission(Reactor reactor, ControlPlaneClient controlPlane, StartupGate startup, QuotaTracker quotas) {
+        this.reactor = reactor;
+        this.controlPlane = controlPlane;
+        this.startup = startup;
+        this.quotas = quotas;
+    }
+
+    /**
+     * Admits or rejects a request.
+     *
+     * @param body          null for a request without one
+     * @param bufferedBytes of the bodies of all clients
+     */
+    AdmissionResult admit(
+            ClientConnection client, Http1Head head, ClientRequestBody body, RequestLimits limits, long bufferedBytes) {
+        ConfigurationTable table = controlPlane.table();
+        if (!startup.canServe()) {
+            return reject(
+                    503, "not ready yet", Math.max(MIN_RETRY_AFTER_START_MICROS, startup.expectedRemainingMicros()));
+        }
+        RouteItem route = table.matchRoute(head.get("Host"), head.path());
+        if (route == null) {
+            return rejectByConfiguration(404, "no route leads there");
+        }
+        TenantItem tenant = null;
+        if (table.requiresKey() && !route.keyOptional()) {
+            tenant = authenticate(table, head);
+            if (tenant == null) {
+                return rejectByConfiguration(401, "the key is not known");
+            }
+        }
+        String attemptId = head.get(ATTEMPT_ID);
+        long timeLeftMillis = timeLeftMillis(head);
+        if (attemptId == null || attemptId.isEmpty() || head.count(ATTEMPT_ID) > 1 || timeLeftMillis < 0) {
+            return reject(
+                    400, "Reedmux-Attempt-Id is missing, or Reedmux-Time-Left-Ms is no whole number", NO_RETRY_AFTER);
+        }
+        if (body != null && body.length() > limits.maxBodyBytes()) {
+            return reject(413, "the body is larger than " + limits.maxBodyBytes() + " bytes", NO_RETRY_AFTER);
+        }
+        if (body != null && bufferedBytes > MAX_BUFFERED_BODY_BYTES) {
+            return reject(503, "too many bodies are coming in", RETRY_AFTER_MICROS);
+        }
+        if (tenant != null && !quotas.admit(tenant, reactor.now())) {
+            long retryAfterMicros = quotas.retryAfterMicros(tenant, reactor.now());
+            return reject(429, "the quota is used up", Math.max(MIN_RETRY_AFTER_QUOTA_MICROS, retryAfterMicros));
+        }
+        ClientRequest request = new ClientRequest(client, head, attemptId, tenant == null ? null : tenant.name(), body);
+        long deadline = client.headReceivedAt() + Math.min(timeLeftMillis * 1000, route.timeoutMicros());
+        request.setProxyRequest(new ProxyRequest(route, tenant, request, deadline));
+        return new AdmissionResult(request, null);
+    }
+
+    /** The tenant whose key the request carries, or null. */
+    private static TenantItem authenticate(ConfigurationTable table, Http1Head head) {
+        String authorization = head.count("Authorization") == 1 ? head.get("Authorization") : null;
+        if (authorization == null || !authorization.regionMatches(true, 0, BEARER, 0, BEARER.length())) {
+            return null;
+        }
+        return table.tenantByKey(authorization.substring(BEARER.length()).trim());
+    }
+
+    private AdmissionResult rejectByConfiguration(int status, String text) {
+        return controlPlane.isConfigurationCurrent()
+                ? reject(status, text, NO_RETRY_AFTER)
+                : reject(503, "the configuration may be old", RETRY_AFTER_MICROS);
+    }
+
+    private static AdmissionResult reject(int status, String text, long retryAfterMicros) {
+        return new AdmissionResult(null, new ProxyResponse.LocalResponse(status, text, retryAfterMicros));
+    }
+
+    /** The time that a request has left when it comes in, in milliseconds; -1 where the header is malformed. */
+    static long timeLeftMillis(Http1Head head) {
+        String text = head.get(TIME_LEFT_MS);
+        if (text == null) {
+            return DEFAULT_TIME_LEFT_MILLIS;
+        }
+        return text.isEmpty()
+                        || text.length() > MAX_TIME_LEFT_DIGITS
+                        || !text.chars().allMatch(c -> c >= '0' && c <= '9')
+                ? -1
+                : Long.parseLong(text);
+    }
+}
--- a/src/main/java/reedmux/proxy/request/ExecutionStatus.java
+++ b/src/main/java/reedmux/proxy/request/ExecutionStatus.java
@@ -1,15 +1,15 @@
 package reedmux.proxy.request;
 
-/** What is known of whether a request has run at a checker that it was sent to. */
+/** What is known of whether a checker has executed a request that was sent to it. */
 public enum ExecutionStatus {
-    /** It has not run there and never will: it never came up, was never whole, or the checker says so. */
+    /** It was not executed and never will be: no byte of it went out, or the checker says so. */
     NOT_EXECUTED,
-    /** It went out, and nothing clear came back. */
+    /** It went out at least in part, and no usable response came back. */
     MAY_HAVE_EXECUTED,
-    /** Its answer has come. */
+    /** Its response has come. */
     EXECUTED;
 
-    /** Whether the request may go to another checker without any risk that it runs twice. */
+    /** Whether the request may go to another checker without the risk that it is executed twice. */
     public boolean isSafeToRetry() {
         return this == NOT_EXECUTED;
     }
--- a/src/main/java/reedmux/proxy/request/ProxyRequest.java
+++ b/src/main/java/reedmux/proxy/request/ProxyRequest.java
@@ -7,52 +7,60 @@
 import reedmux.control.configuration.RouteItem;
 import reedmux.control.configuration.TenantItem;
 
-/** One request and what has become of it. Its state changes in {@link RequestTracker} alone. */
+/** A client's request and its state, which is changed by {@link RequestTracker} alone. */
 public final class ProxyRequest {
 
     enum RequestState {
         NEW,
+        /** No checker could take it; it is in the tracker's queue. */
         QUEUED,
+        /** It was sent to a checker at least once, and has no response yet. */
         IN_FLIGHT,
+        /** It has its response, or its client is gone. */
         COMPLETED
     }
 
-    /** What only those who read and write it need to know. */
+    /** The request as it was received; the tracker needs to know no more of it. */
     public interface RequestSource {
 
-        /** Whether it can still be sent as a whole. */
+        /** Whether all bytes are still here that an attempt would have to send. */
         boolean isReplayable();
 
+        /** Whether its transfer takes long enough to prefer a checker in the same zone. */
         boolean isLarge();
 
-        /** Whether all of it has come in from its client. */
+        /** Whether all of it has been received from its client. */
         boolean isFullyReceived();
     }
 
     private final RouteItem route;
     private final TenantItem tenant;
     private final RequestSource source;
-    private final long acceptedAt;
     private final long deadline;
     RequestState state = RequestState.NEW;
-    /** Its place in the queue while it waits. */
+    /** Orders requests of the same priority while they are queued. */
     long queueNumber;
-
-    String plant;
-    /** Sendings that may have arrived at a checker, and those that certainly did not. */
+    /** The service that was drawn for it. */
+    String service;
+    /** Attempts that a checker may have received, and those that certainly reached none. */
     int sentAttempts;
 
     int unreachedAttempts;
     boolean mayHaveExecuted;
     final List<RequestAttempt> pendingAttempts = new ArrayList<>();
+    /** The ids of checkers that it was sent to. */
     final Set<String> triedCheckers = new HashSet<>();
 
-    /** {@code tenant} is null where nobody is counted. */
-    public ProxyRequest(RouteItem route, TenantItem tenant, RequestSource source, long takenAt, long deadline) {
+    /**
+     * A request that is new.
+     *
+     * @param tenant   null where no quota is charged
+     * @param deadline in microseconds
+     */
+    public ProxyRequest(RouteItem route, TenantItem tenant, RequestSource source, long deadline) {
         this.route = route;
         this.tenant = tenant;
         this.source = source;
-        this.acceptedAt = takenAt;
         this.deadline = deadline;
     }
 
@@ -60,6 +68,7 @@
         return route;
     }
 
+    /** Whose quota it is charged to, or null. */
     public TenantItem tenant() {
         return tenant;
     }
@@ -68,29 +77,27 @@
         return source;
     }
 
+    /** When its client stops waiting, in microseconds. */
     public long deadline() {
         return deadline;
     }
 
-    public boolean isCompleted() {
-        return state == RequestState.COMPLETED;
-    }
-
-    /** Whether it is certain that it never ran. */
-    public boolean neverExecuted() {
+    /** Whether it was certainly not executed, and no attempt of it can be any more. */
+    boolean neverExecuted() {
         return sentAttempts == 0 && !mayHaveExecuted;
     }
 
-    /** Whether it is at no checker, and nothing of it may be. */
+    /** Whether no checker can have received anything of it so far. */
     boolean neverReachedChecker() {
-        for (RequestAttempt one : pendingAttempts) {
-            if (one.isConnected()) {
+        for (RequestAttempt attempt : pendingAttempts) {
+            if (attempt.isConnected()) {
                 return false;
             }
         }
         return !mayHaveExecuted;
     }
 
+    /** Lower ones go first; a tenant's own priority stands before the route's. */
     int priority() {
         return tenant != null && tenant.priority() >= 0 ? tenant.priority() : route.priority();
     }
--- a/src/main/java/reedmux/proxy/request/ProxyResponse.java
+++ b/src/main/java/reedmux/proxy/request/ProxyResponse.java
@@ -2,12 +2,12 @@
 
 import reedmux.common.http1.Http1Head;
 
-/** A checker's answer, whole, or one of ours. */
+/** The response to a client's request. */
 public sealed interface ProxyResponse {
 
-    /** What a checker has said; {@code notRun}: that it has not run the request. */
+    /** A checker's complete response; {@code notExecuted}: it says that it has not executed the request. */
     record CheckerResponse(Http1Head head, byte[] body, boolean notExecuted) implements ProxyResponse {}
 
-    /** Ours; {@code retryAfter} in microseconds, below nought for none. */
+    /** The proxy's own response; {@code retryAfterMicros} is below zero where it has no Retry-After. */
     record LocalResponse(int status, String text, long retryAfterMicros) implements ProxyResponse {}
 }
--- a/src/main/java/reedmux/proxy/request/RequestAttempt.java
+++ b/src/main/java/reedmux/proxy/request/RequestAttempt.java
@@ -2,20 +2,20 @@
 
 import reedmux.proxy.loadbalancer.CheckerStats;
 
-/** One sending of a request to a checker. */
+/** One sending of a request to a checker. Ended by {@link RequestTracker}, the rest is for whoever sends it. */
 public final class RequestAttempt {
     private final ProxyRequest request;
     private final CheckerStats checker;
     private final long startedAt;
     private boolean ended;
     private boolean connected;
-    /** What carries it; for whoever does the sending. */
+    /** The sender's connection for it; opaque here. */
     private Object connection;
 
-    RequestAttempt(ProxyRequest exchange, CheckerStats checker, long begunAt) {
-        this.request = exchange;
+    RequestAttempt(ProxyRequest request, CheckerStats checker, long startedAt) {
+        this.request = request;
         this.checker = checker;
-        this.startedAt = begunAt;
+        this.startedAt = startedAt;
     }
 
     public ProxyRequest request() {
@@ -26,6 +26,7 @@
         return checker;
     }
 
+    /** When it was handed to the sender, in microseconds. */
     public long startedAt() {
         return startedAt;
     }
@@ -38,7 +39,7 @@
         ended = true;
     }
 
-    /** Its connection is up, so that bytes of it may have arrived. */
+    /** Its connection is up, so that from now on the checker may receive bytes of it. */
     public void onConnected() {
         connected = true;
     }
@@ -47,11 +48,12 @@
         return connected;
     }
 
+    /** What {@link #setConnection} was called with last, or null. */
     public Object connection() {
         return connection;
     }
 
-    public void connection(Object by) {
-        connection = by;
+    public void setConnection(Object next) {
+        connection = next;
     }
 }
--- a/src/main/java/reedmux/proxy/request/RequestEvent.java
+++ b/src/main/java/reedmux/proxy/request/RequestEvent.java
@@ -1,36 +1,36 @@
 package reedmux.proxy.request;
 
-/** What {@link RequestTracker} is told. */
+/** The inputs of {@link RequestTracker}. */
 public sealed interface RequestEvent {
 
-    /** A request may be sent on. */
+    /** A request was admitted and its body can be sent. */
     record RequestAccepted(ProxyRequest request) implements RequestEvent {}
 
-    /** A sending has ended; {@code answer} is null where none came. */
+    /** An attempt has ended; {@code response} is null where none came. */
     record AttemptFinished(RequestAttempt attempt, ExecutionStatus execution, ProxyResponse.CheckerResponse response)
             implements RequestEvent {}
 
-    /** A sending's connection should be up by now. */
+    /** An attempt's connection should be up by now. */
     record ConnectTimeout(RequestAttempt attempt) implements RequestEvent {}
 
-    /** A repeatable request has waited for its answer for longer than usual. */
+    /** An idempotent request has waited for its response so long that a hedged attempt may help. */
     record HedgeDelayElapsed(ProxyRequest request) implements RequestEvent {}
 
-    /** A request has waited for a checker for as long as it may. */
+    /** A request has been queued for as long as it may. */
     record QueueTimeout(ProxyRequest request) implements RequestEvent {}
 
-    /** A sending has had no end long after its request's. */
+    /** An attempt has not ended long after the deadline of its request. */
     record AttemptTimeout(RequestAttempt attempt) implements RequestEvent {}
 
     /** The time that a request may take is over. */
     record DeadlineExceeded(ProxyRequest request) implements RequestEvent {}
 
-    /** Nobody waits for the answer any more. */
+    /** Nobody waits for the response any more. */
     record ClientDisconnected(ProxyRequest request) implements RequestEvent {}
 
-    /** The process ends: who still waits for a checker is told so. */
+    /** The process ends: requests that are still queued are rejected. */
     record ProxyShutdown() implements RequestEvent {}
 
-    /** There may be room at a checker. */
+    /** A checker may have become available. */
     record CapacityAvailable() implements RequestEvent {}
 }
--- a/src/main/java/reedmux/proxy/request/package-info.java
+++ b/src/main/java/reedmux/proxy/request/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One request's state: where it waits, where it was sent, what is known of whether it ran, its one answer.
- * Pure.
+ * The life cycle of a client's request: where it is queued, to which checkers it was sent, what is known of whether it
+ * was executed, and its one response. Deterministic; knows no socket and no clock.
  */
 package reedmux.proxy.request;
--- a/src/main/java/reedmux/proxy/retry/package-info.java
+++ b/src/main/java/reedmux/proxy/retry/package-info.java
@@ -1,4 +1,2 @@
-/**
- * How many further tries one proxy may make, as its part of what all may make together. Pure.
- */
+/** The budget of retries and hedged attempts, shared by all proxies. Deterministic. */
 package reedmux.proxy.retry;
--- a/src/test/java/reedmux/proxy/CheckerConnectionTest.java
+++ b/src/test/java/reedmux/proxy/CheckerConnectionTest.java
@@ -19,6 +19,7 @@
 import reedmux.proxy.request.ProxyResponse;
 import reedmux.proxy.request.RequestAttempt;
 import reedmux.proxy.request.RequestEvent;
+import reedmux.proxy.request.RequestPort;
 import reedmux.proxy.request.RequestTracker;
 import reedmux.proxy.retry.RetryBudget;
 import reedmux.testing.ScheduleExplorer;
@@ -33,7 +34,7 @@
     private static final String ATTEMPT_ID_HEADER = "Reedmux-Attempt-Id: ";
 
     /** The world round them: two checkers, whose sides of the connections are the test's. */
-    private static final class CheckerHarness implements RequestTracker.RequestPort {
+    private static final class CheckerHarness implements RequestPort {
         final ScriptedEnvironment sockets = new ScriptedEnvironment();
         final LoadBalancer loadBalancer = new LoadBalancer("me", "here", 1);
         final RequestTracker tracker = new RequestTracker(this, loadBalancer, new RetryBudget(1, 100, false), 1);
@@ -87,32 +88,31 @@
                     attempt,
                     null,
                     upload);
-            request.proxyRequest(
-                    new ProxyRequest(route, null, request, sockets.now(), sockets.now() + 400 * MICROS_PER_MILLI));
+            request.setProxyRequest(new ProxyRequest(route, null, request, sockets.now() + 400 * MICROS_PER_MILLI));
             tracker.onEvent(sockets.now(), new RequestEvent.RequestAccepted(request.proxyRequest()));
             sockets.runReactorOnce();
         }
 
         @Override
-        public void send(RequestAttempt what) {
-            pool.send(what, (ClientRequest) what.request().source());
+        public void send(RequestAttempt attempt) {
+            pool.send(attempt);
         }
 
         @Override
-        public void cancel(RequestAttempt what) {
-            pool.cancel(what);
+        public void cancel(RequestAttempt attempt) {
+            pool.cancel(attempt);
         }
 
         @Override
-        public void respond(ProxyRequest exchange, ProxyResponse answer) {
-            String attempt = ((ClientRequest) exchange.source()).attemptId();
-            assertFalse(responses.containsKey(attempt), "answered twice");
-            responses.put(attempt, answer);
+        public void respond(ProxyRequest request, ProxyResponse response) {
+            String attemptId = ((ClientRequest) request.source()).attemptId();
+            assertFalse(responses.containsKey(attemptId), "answered twice");
+            responses.put(attemptId, response);
         }
 
         @Override
-        public void refundQuota(ProxyRequest exchange) {
-            quotaRefunds.add(((ClientRequest) exchange.source()).attemptId());
+        public void refundQuota(ProxyRequest request) {
+            quotaRefunds.add(((ClientRequest) request.source()).attemptId());
         }
 
         @Override
--- a/src/test/java/reedmux/proxy/ClientConnectionTest.java
+++ b/src/test/java/reedmux/proxy/ClientConnectionTest.java
@@ -21,7 +21,7 @@
         final ScriptedEnvironment sockets = new ScriptedEnvironment();
         final List<ClientRequest> dispatched = new ArrayList<>();
         final List<ClientRequest> abandoned = new ArrayList<>();
-        RequestLimits bounds = new RequestLimits(300, 8 << 20, 3 * MICROS_PER_SECOND, 15 * MICROS_PER_SECOND);
+        RequestLimits limits = new RequestLimits(300, 8 << 20, 3 * MICROS_PER_SECOND, 15 * MICROS_PER_SECOND);
         int closed;
 
         ScriptedEnvironment.ScriptedSocket socket;
@@ -51,8 +51,8 @@
         }
 
         @Override
-        public RequestLimits bounds() {
-            return bounds;
+        public RequestLimits requestLimits() {
+            return limits;
         }
 
         @Override
@@ -66,9 +66,9 @@
         }
 
         @Override
-        public Proxy.AdmissionResult admit(ClientConnection who, Http1Head head, ClientRequestBody upload) {
+        public RequestAdmission.AdmissionResult admit(ClientConnection who, Http1Head head, ClientRequestBody upload) {
             String attempt = head.get("Reedmux-Attempt-Id");
-            return new Proxy.AdmissionResult(new ClientRequest(who, head, attempt, null, upload), null);
+            return new RequestAdmission.AdmissionResult(new ClientRequest(who, head, attempt, null, upload), null);
         }
 
         @Override
@@ -135,7 +135,7 @@
             ClientHarness front = new ClientHarness();
             front.socket.receive(get("one"));
             front.client.respond(front.dispatched.get(0), localResponse(404));
-            front.bounds = new RequestLimits(300, 8 << 20, MICROS_PER_SECOND, next);
+            front.limits = new RequestLimits(300, 8 << 20, MICROS_PER_SECOND, next);
             front.pass(Math.max(12 * MICROS_PER_SECOND, next / 5 * 4));
             assertFalse(front.socket.isClosed(), "rests, " + next);
             front.socket.receive(get("two"));
--- a/src/test/java/reedmux/proxy/request/RequestTrackerTest.java
+++ b/src/test/java/reedmux/proxy/request/RequestTrackerTest.java
@@ -21,7 +21,7 @@
 
     private record ScheduledEvent(long at, int number, RequestEvent event) {}
 
-    private static final class TrackerHarness implements RequestTracker.RequestPort {
+    private static final class TrackerHarness implements RequestPort {
         final LoadBalancer loadBalancer = new LoadBalancer("me", "here", 1);
         final RetryBudget budget;
         final RequestTracker tracker;
@@ -89,7 +89,6 @@
                             return fullyReceived;
                         }
                     },
-                    now,
                     now + millis * MICROS_PER_MILLI);
             tracker.onEvent(now, new RequestEvent.RequestAccepted(exchange));
             return exchange;
