--- a/src/main/java/reedmux/simulation/invariants/HistoryChecker.java
+++ b/src/main/java/reedmux/simulation/invariants/HistoryChecker.java
@@ -1,9 +1,5 @@
 package reedmux.simulation.invariants;
 
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Deque;
-import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
@@ -11,19 +7,26 @@
 import java.util.TreeMap;
 
 /**
- * Says which of the brief's rules a history breaks. It is told of events in the order of their times, in
- * microseconds of one clock; a group is a set of gatekeepers with quotas of their own. For one thread.
+ * Finds which of the platform's rules a history breaks. Events come in the order of their times, in microseconds of one
+ * clock; a group is a set of gatekeepers with quotas of their own. For one thread.
  */
 public final class HistoryChecker {
 
-    /** The rules, and the budget of what another region may be sent. */
+    /** The rules, by the names that histories use. */
     public enum HistoryRule {
+        /** Each request has one final answer in time. */
         ANSWER,
+        /** A request is sent again only where that has no second effect, and not too often. */
         REPEAT,
+        /** A provider that is not ready is sent nothing after a grace time. */
         DRAIN,
+        /** A provider that warms up is not overloaded. */
         COLD,
+        /** A customer never passes its plan's rate limit. */
         CEILING,
+        /** A customer passes its plan's quota by a tolerance at most. */
         QUOTA,
+        /** A request is forwarded once, within its group's budget. */
         AWAY
     }
 
@@ -35,16 +38,16 @@
     }
 
     /**
-     * The figures of the rules, times in microseconds.
+     * The parameters of the rules, times in microseconds.
      *
-     * @param answerSlack    how far behind its deadline an answer still counts
-     * @param drainGrace     how long new calls may go on after the word that a provider drains or is gone
-     * @param fallMultiple   of a cold provider's capacity, which may not be sent within any fall time
-     * @param fallTime       that window
-     * @param ceilingTime    what the ceiling's rate gives in this time is added to its slack
-     * @param calls          most calls of one request
-     * @param copies         whether two calls of one request may be out at once
-     * @param quotaTolerance by how many bursts, and how many microseconds of the rate, quotas may be passed
+     * @param deadlineSlack        how far behind its deadline an answer still counts
+     * @param drainGrace           how long new calls may go on after the notice that a provider drains or is gone
+     * @param coldOverloadMultiple of a cold provider's capacity, which may not be sent within the window
+     * @param coldOverloadWindow   that window
+     * @param rateLimitSlackTime   what the rate limit gives in this time is added to its slack
+     * @param maxCalls             calls of one request at most
+     * @param hedging              whether two calls of one request may be in flight at once
+     * @param quotaTolerance       how far quotas may be passed
      */
     public record RuleParameters(
             long deadlineSlack,
@@ -56,14 +59,14 @@
             boolean hedging,
             QuotaTolerance quotaTolerance) {}
 
-    /** See {@link RuleParameters}. */
+    /** How far quotas may be passed: bursts, and microseconds of the rate. */
     public record QuotaTolerance(double bursts, long time) {}
 
-    /** A plan's quota and ceiling in units and units a second; a rate of nought for none. */
+    /** A plan's quota and rate limit in units and units a second; a rate of 0 for none. */
     public record PlanLimits(
             double quotaRate, double quotaBurst, double rateLimit, double rateLimitBurst, double rateLimitSlack) {}
 
-    /** What a group may send to other regions: a share of its requests, and a rate with a burst. */
+    /** What a group may forward to other regions: a share of its requests, and units a second with a burst. */
     public record ForwardingBudget(double share, double rate, double burst) {}
 
     /** A rule that is broken. */
@@ -101,14 +104,14 @@
 
         CheckedRequest(
                 String group,
-                String keeper,
+                String gatekeeper,
                 boolean repeatable,
                 PlanLimits plan,
                 long customer,
                 double units,
                 long deadline) {
             this.group = group;
-            this.gatekeeper = keeper;
+            this.gatekeeper = gatekeeper;
             this.repeatable = repeatable;
             this.plan = plan;
             this.customer = group + '/' + customer;
@@ -117,352 +120,223 @@
         }
     }
 
-    /** What a customer has had sent on: a level over the quota's drain, and the ceiling's store. */
-    private static final class CustomerUsage {
-        double level;
-        double tokens;
-        long at;
-    }
-
-    private record TimedAmount(long at, double amount) {}
+    /** An amount at a time. */
+    record TimedAmount(long at, double amount) {}
 
-    private static final class CheckedProvider {
-        long startedAt = Long.MIN_VALUE;
-        double capacity;
-        double coldCapacityShare = 1;
-        long warmUpTime;
-        final Deque<TimedAmount> sent = new ArrayDeque<>();
-    }
+    static final double MICROS_PER_SECOND = 1e6;
+    /** What sums of floating-point numbers may differ by. */
+    static final double ROUNDING_TOLERANCE = 1e-6;
 
-    private static final int MAX_VIOLATIONS = 20;
-    private static final double MICROS_PER_SECOND = 1e6;
-    private static final double ROUNDING_TOLERANCE = 1e-6;
     private final RuleParameters parameters;
+    private final HistoryTranscript transcript = new HistoryTranscript();
+    private final ViolationLog log = new ViolationLog();
+    private final QuotaInvariant quotas;
+    private final ColdLoadInvariant coldLoad;
+    private final ForwardingInvariant forwarding = new ForwardingInvariant(log);
     private final Map<String, CheckedRequest> requests = new HashMap<>();
-    private final Map<String, CustomerUsage> usageOfCustomer = new HashMap<>();
+    /** When a gatekeeper was first notified that a provider is not ready, by the names of both. */
     private final Map<String, Long> notReadySince = new HashMap<>();
-    private final Map<String, CheckedProvider> providers = new HashMap<>();
-    private final Map<String, List<TimedAmount>> forwardsOfGroup = new TreeMap<>();
-    private final Map<String, Integer> acceptedOfGroup = new TreeMap<>();
-    private final Map<HistoryRule, Integer> checks = new EnumMap<>(HistoryRule.class);
-    private final List<Violation> violations = new ArrayList<>();
-    private QuotaTolerance quotaTolerance;
-    private StringBuilder transcript;
-
-    public HistoryChecker(RuleParameters figures) {
-        this.parameters = figures;
-        quotaTolerance = figures.quotaTolerance;
+
+    /** A checker that knows of no event yet. */
+    public HistoryChecker(RuleParameters parameters) {
+        this.parameters = parameters;
+        quotas = new QuotaInvariant(parameters, log);
+        coldLoad = new ColdLoadInvariant(parameters, log);
     }
 
     /** Sets how far quotas may be passed in what follows. */
     public void setQuotaTolerance(QuotaTolerance tolerance) {
-        quotaTolerance = tolerance;
-        if (transcript != null) {
-            transcript
-                    .append("tolerance ")
-                    .append(tolerance.bursts)
-                    .append(' ')
-                    .append(tolerance.time)
-                    .append('\n');
-        }
+        quotas.setTolerance(tolerance);
+        transcript.tolerance(tolerance);
     }
 
-    /** From now on keeps all that it is told, in the form that {@link HistoryReader} reads. */
+    /** From now on writes all events down, in the form that {@link HistoryReader} reads. */
     public void startTranscript() {
-        transcript = new StringBuilder();
+        transcript.start();
     }
 
-    /** What it has been told since {@link #startTranscript}. */
+    /** All events since {@link #startTranscript}. */
     public String transcript() {
-        return transcript.toString();
-    }
-
-    private void record(long at, String line, Object... values) {
-        if (transcript != null) {
-            transcript
-                    .append(at)
-                    .append(' ')
-                    .append(String.format(Locale.ROOT, line, values))
-                    .append('\n');
-        }
-    }
-
-    private void violation(HistoryRule rule, long at, String what) {
-        if (violations.size() < MAX_VIOLATIONS) {
-            violations.add(new Violation(rule, at, what));
-        }
-    }
-
-    private void countCheck(HistoryRule rule) {
-        checks.merge(rule, 1, Integer::sum);
+        return transcript.text();
     }
 
     // ---- Consumers ---------------------------------------------------------------------------------
-    /** A request's last byte has come in at a gatekeeper; {@code plan} is null where nothing is counted. */
+    /** A request's last byte has come in at a gatekeeper; {@code plan} is null where no quota is checked. */
     public void onAccepted(
             long at,
             String group,
-            String keeper,
+            String gatekeeper,
             String id,
             boolean repeatable,
             PlanLimits plan,
             long customer,
             double units,
             long deadline) {
-        record(
+        transcript.event(
                 at,
                 "taken %s %s %s %s %s %d %s %d",
                 group,
-                keeper,
+                gatekeeper,
                 id,
                 repeatable ? "safe" : "unsafe",
-                planName(plan),
+                HistoryTranscript.form(plan),
                 customer,
                 units,
                 deadline);
-        countCheck(HistoryRule.ANSWER);
-        requests.put(id, new CheckedRequest(group, keeper, repeatable, plan, customer, units, deadline));
-        acceptedOfGroup.merge(group, 1, Integer::sum);
-    }
-
-    private static String planName(PlanLimits plan) {
-        return plan == null
-                ? "-"
-                : plan.quotaRate + "/" + plan.quotaBurst + "/" + plan.rateLimit + "/" + plan.rateLimitBurst + "/"
-                        + plan.rateLimitSlack;
+        log.countCheck(HistoryRule.ANSWER);
+        requests.put(id, new CheckedRequest(group, gatekeeper, repeatable, plan, customer, units, deadline));
+        forwarding.onAccepted(group);
     }
 
-    /** Nobody waits for it any more: its consumer has left, or the gatekeeper that took it has died. */
+    /** Nobody waits for an answer any more: the consumer has left, or the gatekeeper that accepted it has died. */
     public void onExcused(long at, String id) {
-        record(at, "excused %s", id);
+        transcript.event(at, "excused %s", id);
         requests.get(id).excused = true;
     }
 
     /** The last byte of a final answer has gone out. */
     public void onAnswered(long at, String id, AnswerKind kind) {
-        record(at, "answered %s %s", id, kind.name().toLowerCase(Locale.ROOT));
-        CheckedRequest entry = requests.get(id);
-        if (entry.answer != null) {
-            violation(HistoryRule.ANSWER, at, id + " is answered twice");
-        } else if (at > entry.deadline + parameters.deadlineSlack) {
-            violation(HistoryRule.ANSWER, at, id + " is answered " + (at - entry.deadline) + " us late");
+        transcript.event(at, "answered %s %s", id, kind.name().toLowerCase(Locale.ROOT));
+        CheckedRequest request = requests.get(id);
+        if (request.answer != null) {
+            log.add(HistoryRule.ANSWER, at, id + " is answered twice");
+        } else if (at > request.deadline + parameters.deadlineSlack) {
+            log.add(HistoryRule.ANSWER, at, id + " is answered " + (at - request.deadline) + " us late");
         }
-        entry.answer = kind;
+        request.answer = kind;
         if (kind == AnswerKind.REFUSED
-                && !entry.repeatable
-                && (entry.executions > 0 || entry.calls.values().stream().anyMatch(CheckedCall::mayHaveRun))) {
-            violation(HistoryRule.REPEAT, at, id + " is rejected, but has run or may have");
+                && !request.repeatable
+                && (request.executions > 0 || request.calls.values().stream().anyMatch(CheckedCall::mayHaveRun))) {
+            log.add(HistoryRule.REPEAT, at, id + " is rejected, but has run or may have");
         }
     }
 
     // ---- Calls -------------------------------------------------------------------------------------
-    private CheckedCall call(CheckedRequest entry, String keeper, int number) {
-        return entry.calls.computeIfAbsent(keeper + '#' + number, key -> new CheckedCall());
+    private CheckedCall call(CheckedRequest request, String gatekeeper, int number) {
+        return request.calls.computeIfAbsent(gatekeeper + '#' + number, key -> new CheckedCall());
     }
 
     /** The first byte of a gatekeeper's call goes out. */
-    public void onCallStarted(long at, String keeper, String id, int number, String provider) {
-        record(at, "begins %s %s %d %s", keeper, id, number, provider);
-        CheckedRequest entry = requests.get(id);
-        call(entry, keeper, number);
-        if (keeper.equals(entry.gatekeeper) && entry.answer != null) {
-            violation(HistoryRule.ANSWER, at, id + " is sent after its final answer");
+    public void onCallStarted(long at, String gatekeeper, String id, int number, String provider) {
+        transcript.event(at, "begins %s %s %d %s", gatekeeper, id, number, provider);
+        CheckedRequest request = requests.get(id);
+        call(request, gatekeeper, number);
+        if (gatekeeper.equals(request.gatekeeper) && request.answer != null) {
+            log.add(HistoryRule.ANSWER, at, id + " is sent after its final answer");
         }
         if (number >= parameters.maxCalls) {
-            violation(HistoryRule.REPEAT, at, id + " is sent more than " + parameters.maxCalls + " times");
+            log.add(HistoryRule.REPEAT, at, id + " is sent more than " + parameters.maxCalls + " times");
         }
-        Long since = notReadySince.get(keeper + ' ' + provider);
+        Long since = notReadySince.get(gatekeeper + ' ' + provider);
         if (since != null && at - since > parameters.drainGrace) {
-            violation(
+            log.add(
                     HistoryRule.DRAIN,
                     at,
                     id + " goes to " + provider + " " + (at - since) + " us after the word that it is not ready");
         }
     }
 
-    /** Its last byte has come to the provider; {@code work} in microseconds of one core. */
-    public void onRequestDelivered(long at, String keeper, String id, int number, String provider, double work) {
-        record(at, "whole %s %s %d %s %s", keeper, id, number, provider, work);
-        CheckedRequest entry = requests.get(id);
-        CheckedCall call = call(entry, keeper, number);
-        for (CheckedCall other : entry.calls.values()) {
+    /** A call's last byte has come to the provider; {@code work} in microseconds of one core. */
+    public void onRequestDelivered(long at, String gatekeeper, String id, int number, String provider, double work) {
+        transcript.event(at, "whole %s %s %d %s %s", gatekeeper, id, number, provider, work);
+        CheckedRequest request = requests.get(id);
+        CheckedCall call = call(request, gatekeeper, number);
+        for (CheckedCall other : request.calls.values()) {
             if (other == call || !other.delivered) {
                 continue;
             }
-            countCheck(HistoryRule.REPEAT);
-            if (!entry.repeatable && other.mayHaveRun()) {
-                violation(HistoryRule.REPEAT, at, id + " is sent again and may have run");
+            log.countCheck(HistoryRule.REPEAT);
+            if (!request.repeatable && other.mayHaveRun()) {
+                log.add(HistoryRule.REPEAT, at, id + " is sent again and may have run");
             } else if (!parameters.hedging && !other.ended) {
-                violation(HistoryRule.REPEAT, at, id + " is out twice at once");
+                log.add(HistoryRule.REPEAT, at, id + " is out twice at once");
             }
         }
-        if (!entry.repeatable && entry.answer == AnswerKind.REFUSED) {
-            violation(HistoryRule.REPEAT, at, id + " comes to a provider after its rejection");
+        if (!request.repeatable && request.answer == AnswerKind.REFUSED) {
+            log.add(HistoryRule.REPEAT, at, id + " comes to a provider after its rejection");
         }
         call.delivered = true;
-        if (!entry.charged && entry.plan != null) {
-            entry.charged = true;
-            checkQuota(at, id, entry);
-        }
-        checkColdLoad(at, id, providers.computeIfAbsent(provider, name -> new CheckedProvider()), provider, work);
-    }
-
-    private void checkQuota(long at, String id, CheckedRequest entry) {
-        PlanLimits plan = entry.plan;
-        CustomerUsage use = usageOfCustomer.computeIfAbsent(entry.customer, customer -> {
-            CustomerUsage fresh = new CustomerUsage();
-            fresh.tokens = plan.rateLimitBurst;
-            fresh.at = at;
-            return fresh;
-        });
-        double passed = (at - use.at) / MICROS_PER_SECOND;
-        use.at = at;
-        if (plan.quotaRate > 0) {
-            countCheck(HistoryRule.QUOTA);
-            use.level = Math.max(0, use.level - plan.quotaRate * passed) + entry.units;
-            double over = use.level - plan.quotaBurst;
-            double most =
-                    quotaTolerance.bursts * plan.quotaBurst + plan.quotaRate * quotaTolerance.time / MICROS_PER_SECOND;
-            if (over > most + ROUNDING_TOLERANCE) {
-                violation(
-                        HistoryRule.QUOTA,
-                        at,
-                        id + " lifts " + entry.customer + " " + over + " units over its quota, at most " + most);
-            }
-        }
-        if (plan.rateLimit > 0) {
-            countCheck(HistoryRule.CEILING);
-            use.tokens = Math.min(plan.rateLimitBurst, use.tokens + plan.rateLimit * passed) - entry.units;
-            double least = -plan.rateLimitSlack - plan.rateLimit * parameters.rateLimitSlackTime / MICROS_PER_SECOND;
-            if (use.tokens < least - ROUNDING_TOLERANCE) {
-                violation(
-                        HistoryRule.CEILING,
-                        at,
-                        id + " leaves " + entry.customer + " " + use.tokens + " units of its ceiling, at least "
-                                + least);
-            }
-        }
-    }
-
-    private void checkColdLoad(long at, String id, CheckedProvider provider, String name, double work) {
-        provider.sent.add(new TimedAmount(at, work));
-        while (provider.sent.peek().at <= at - parameters.coldOverloadWindow) {
-            provider.sent.poll();
-        }
-        long age = at - provider.startedAt;
-        if (provider.startedAt == Long.MIN_VALUE || age >= provider.warmUpTime) {
-            return;
-        }
-        countCheck(HistoryRule.COLD);
-        double share = provider.coldCapacityShare + (1 - provider.coldCapacityShare) * age / provider.warmUpTime;
-        double most = parameters.coldOverloadMultiple
-                * share
-                * provider.capacity
-                * parameters.coldOverloadWindow
-                / MICROS_PER_SECOND;
-        double sum = provider.sent.stream().mapToDouble(TimedAmount::amount).sum();
-        if (sum > most) {
-            violation(HistoryRule.COLD, at, id + " brings " + name + " to " + sum + " us of work, at most " + most);
+        if (!request.charged && request.plan != null) {
+            request.charged = true;
+            quotas.onDelivered(at, id, request.customer, request.plan, request.units);
         }
+        coldLoad.onDelivered(at, id, provider, work);
     }
 
-    /** What a gatekeeper was told of a call's end, or that it closed it itself, which proves nothing. */
-    public void onCallEnded(long at, String keeper, String id, int number, boolean neverRan) {
-        record(at, "ended %s %s %d %s", keeper, id, number, neverRan ? "never-ran" : "may-have-run");
-        CheckedCall call = call(requests.get(id), keeper, number);
+    /** A call has ended for its gatekeeper; one that the gatekeeper closed itself may have run. */
+    public void onCallEnded(long at, String gatekeeper, String id, int number, boolean neverRan) {
+        transcript.event(at, "ended %s %s %d %s", gatekeeper, id, number, neverRan ? "never-ran" : "may-have-run");
+        CheckedCall call = call(requests.get(id), gatekeeper, number);
         call.ended = true;
         call.neverRan = neverRan;
     }
 
     /** A provider begins to run it. */
     public void onExecuted(long at, String id) {
-        record(at, "runs %s", id);
-        CheckedRequest entry = requests.get(id);
-        countCheck(HistoryRule.REPEAT);
-        if (++entry.executions > 1 && !entry.repeatable) {
-            violation(HistoryRule.REPEAT, at, id + " runs a second time and must not");
+        transcript.event(at, "runs %s", id);
+        CheckedRequest request = requests.get(id);
+        log.countCheck(HistoryRule.REPEAT);
+        if (++request.executions > 1 && !request.repeatable) {
+            log.add(HistoryRule.REPEAT, at, id + " runs a second time and must not");
         }
-        if (entry.answer == AnswerKind.REFUSED && !entry.repeatable) {
-            violation(HistoryRule.REPEAT, at, id + " runs after its rejection");
+        if (request.answer == AnswerKind.REFUSED && !request.repeatable) {
+            log.add(HistoryRule.REPEAT, at, id + " runs after its rejection");
         }
     }
 
     // ---- Providers and other regions ---------------------------------------------------------------
-    /** Discovery has told a gatekeeper whether a provider may have new work. */
-    public void onProviderStatus(long at, String keeper, String provider, boolean ready) {
-        record(at, "told %s %s %s", keeper, provider, ready ? "ready" : "not-ready");
+    /** Discovery has notified a gatekeeper of whether a provider may be sent requests. */
+    public void onProviderStatus(long at, String gatekeeper, String provider, boolean ready) {
+        transcript.event(at, "told %s %s %s", gatekeeper, provider, ready ? "ready" : "not-ready");
         if (ready) {
-            notReadySince.remove(keeper + ' ' + provider);
+            notReadySince.remove(gatekeeper + ' ' + provider);
         } else {
-            countCheck(HistoryRule.DRAIN);
-            notReadySince.putIfAbsent(keeper + ' ' + provider, at);
+            log.countCheck(HistoryRule.DRAIN);
+            notReadySince.putIfAbsent(gatekeeper + ' ' + provider, at);
         }
     }
 
-    /** A gatekeeper has died; a new one under its name has been told nothing yet. */
-    public void onGatekeeperRestarted(long at, String keeper) {
-        record(at, "restarted %s", keeper);
-        notReadySince.keySet().removeIf(key -> key.startsWith(keeper + ' '));
+    /** A gatekeeper has died; a new one under its name has been notified of nothing yet. */
+    public void onGatekeeperRestarted(long at, String gatekeeper) {
+        transcript.event(at, "restarted %s", gatekeeper);
+        notReadySince.keySet().removeIf(key -> key.startsWith(gatekeeper + ' '));
     }
 
     /** A provider has started; {@code capacity} in microseconds of work a second once it is warm. */
-    public void onProviderStarted(long at, String provider, double capacity, double coldFrom, long coldTime) {
-        record(at, "started %s %s %s %d", provider, capacity, coldFrom, coldTime);
-        CheckedProvider now = providers.computeIfAbsent(provider, name -> new CheckedProvider());
-        now.startedAt = at;
-        now.capacity = capacity;
-        now.coldCapacityShare = coldFrom;
-        now.warmUpTime = coldTime;
-        now.sent.clear();
+    public void onProviderStarted(
+            long at, String provider, double capacity, double coldCapacityShare, long warmUpTime) {
+        transcript.event(at, "started %s %s %s %d", provider, capacity, coldCapacityShare, warmUpTime);
+        coldLoad.onStarted(at, provider, capacity, coldCapacityShare, warmUpTime);
     }
 
-    /** A request has gone from one region towards another, whether or not it gets there. */
+    /** A request was forwarded from one region to another, whether or not it arrives. */
     public void onForwarded(long at, String from, String id, double units) {
-        record(at, "crossed %s %s %s", from, id, units);
-        CheckedRequest entry = requests.get(id);
-        countCheck(HistoryRule.AWAY);
-        if (++entry.forwards > 1) {
-            violation(HistoryRule.AWAY, at, id + " travels twice");
+        transcript.event(at, "crossed %s %s %s", from, id, units);
+        CheckedRequest request = requests.get(id);
+        log.countCheck(HistoryRule.AWAY);
+        if (++request.forwards > 1) {
+            log.add(HistoryRule.AWAY, at, id + " travels twice");
         }
-        if (!entry.group.equals(from)) {
-            violation(HistoryRule.AWAY, at, id + " of " + entry.group + " is sent on by " + from);
+        if (!request.group.equals(from)) {
+            log.add(HistoryRule.AWAY, at, id + " of " + request.group + " is sent on by " + from);
         }
-        forwardsOfGroup.computeIfAbsent(from, group -> new ArrayList<>()).add(new TimedAmount(at, units));
+        forwarding.onForwarded(at, from, units);
     }
 
     // ---- The verdict -------------------------------------------------------------------------------
-    /** Looks at what only the end shows; returns all that is wrong, or nothing. */
+    /** Checks what only the end of the history shows; returns all violations. */
     public List<Violation> violations(long at, Map<String, ForwardingBudget> budgets) {
-        requests.forEach((id, entry) -> {
-            if (entry.answer == null && !entry.excused && entry.deadline + parameters.deadlineSlack < at) {
-                violation(HistoryRule.ANSWER, at, id + " is never answered");
+        requests.forEach((id, request) -> {
+            if (request.answer == null && !request.excused && request.deadline + parameters.deadlineSlack < at) {
+                log.add(HistoryRule.ANSWER, at, id + " is never answered");
             }
         });
-        budgets.forEach((group, budget) -> checkBudget(at, group, budget));
-        return List.copyOf(violations);
-    }
-
-    private void checkBudget(long at, String group, ForwardingBudget budget) {
-        List<TimedAmount> sent = forwardsOfGroup.getOrDefault(group, List.of());
-        if (sent.size() > budget.share * acceptedOfGroup.getOrDefault(group, 0) + ROUNDING_TOLERANCE) {
-            violation(HistoryRule.AWAY, at, group + " sent " + sent.size() + " away of " + acceptedOfGroup.get(group));
-        }
-        double level = 0;
-        for (int i = 0; i < sent.size(); i++) {
-            long passed = i == 0 ? 0 : sent.get(i).at - sent.get(i - 1).at;
-            level = Math.max(0, level - budget.rate * passed / MICROS_PER_SECOND) + sent.get(i).amount;
-            if (level > budget.burst + ROUNDING_TOLERANCE) {
-                violation(
-                        HistoryRule.AWAY,
-                        sent.get(i).at,
-                        group + " sent " + level + " units away in a burst, at most " + budget.burst);
-                return;
-            }
-        }
+        budgets.forEach((group, budget) -> forwarding.check(at, group, budget));
+        return log.violations();
     }
 
-    /** How many events spoke of each rule: one that nothing spoke of was not checked. */
+    /** How many events were checked against each rule: one that is not in it was not checked at all. */
     public Map<HistoryRule, Integer> checks() {
-        return Map.copyOf(checks);
+        return log.checks();
     }
 }
--- a/src/main/java/reedmux/simulation/invariants/HistoryReader.java
+++ b/src/main/java/reedmux/simulation/invariants/HistoryReader.java
@@ -12,116 +12,138 @@
 import reedmux.simulation.invariants.HistoryChecker.Violation;
 
 /**
- * A history as text, an event a line in the order of their times: {@code TIME WHAT ...}, with the words of
- * {@link HistoryChecker}'s methods; {@code #} begins a comment, {@code budget GROUP SHARE RATE BURST} bounds
- * what a group sends away, {@code tolerance BURSTS MICROS} is that of the quotas, and {@code end TIME} is the
- * last line.
+ * Reads a history as text, an event a line in the order of their times: {@code TIME EVENT ...}, where the values are
+ * the parameters of the {@link HistoryChecker}'s method for that event. {@code #} begins a comment, {@code budget GROUP
+ * SHARE RATE BURST} bounds what a group forwards, {@code tolerance BURSTS MICROS} is that of the quotas, and {@code end
+ * TIME} is the last line.
  */
 public final class HistoryReader {
     private final HistoryChecker checker;
     private final Map<String, ForwardingBudget> budgets = new HashMap<>();
     private List<Violation> violations;
 
-    private HistoryReader(RuleParameters figures) {
-        checker = new HistoryChecker(figures);
+    private HistoryReader(RuleParameters parameters) {
+        checker = new HistoryChecker(parameters);
     }
 
     /**
      * Reads and checks a history.
      *
-     * @throws IllegalArgumentException with the line that cannot be read, or where there is no end
+     * @throws MalformedHistoryException at the first line that cannot be read, or where there is no end
      */
-    public static HistoryReader check(RuleParameters figures, List<String> lines) {
-        HistoryReader history = new HistoryReader(figures);
+    public static HistoryReader check(RuleParameters parameters, List<String> lines) {
+        HistoryReader history = new HistoryReader(parameters);
+        int lineNumber = 0;
         for (String line : lines) {
+            lineNumber++;
             if (line.isBlank() || line.startsWith("#")) {
                 continue;
             } else if (history.violations != null) {
-                throw new IllegalArgumentException("behind the end: " + line);
+                throw new MalformedHistoryException(lineNumber, "after the end: " + line, null);
             }
             try {
                 history.readLine(line.split(" "));
             } catch (RuntimeException e) {
-                throw new IllegalArgumentException("cannot be read: " + line, e);
+                throw new MalformedHistoryException(lineNumber, "cannot be read: " + line, e);
             }
         }
         if (history.violations == null) {
-            throw new IllegalArgumentException("the history has no end");
+            throw new MalformedHistoryException(lineNumber, "the history has no end", null);
         }
         return history;
     }
 
-    /** What is broken. */
+    /** The violations that were found. */
     public List<Violation> violations() {
         return violations;
     }
 
+    /** The checker, with all that it has counted. */
     public HistoryChecker checker() {
         return checker;
     }
 
-    private void readLine(String[] f) {
-        if (f[0].equals("end")) {
-            violations = checker.violations(Long.parseLong(f[1]), budgets);
+    private void readLine(String[] fields) {
+        if (fields[0].equals("end")) {
+            violations = checker.violations(Long.parseLong(fields[1]), budgets);
             return;
-        } else if (f[0].equals("tolerance")) {
-            checker.setQuotaTolerance(new QuotaTolerance(Double.parseDouble(f[1]), Long.parseLong(f[2])));
+        } else if (fields[0].equals("tolerance")) {
+            checker.setQuotaTolerance(new QuotaTolerance(Double.parseDouble(fields[1]), Long.parseLong(fields[2])));
             return;
-        } else if (f[0].equals("budget")) {
+        } else if (fields[0].equals("budget")) {
             budgets.put(
-                    f[1],
-                    new ForwardingBudget(Double.parseDouble(f[2]), Double.parseDouble(f[3]), Double.parseDouble(f[4])));
+                    fields[1],
+                    new ForwardingBudget(
+                            Double.parseDouble(fields[2]),
+                            Double.parseDouble(fields[3]),
+                            Double.parseDouble(fields[4])));
             return;
         }
-        long at = Long.parseLong(f[0]);
-        switch (f[1]) {
+        long at = Long.parseLong(fields[0]);
+        switch (fields[1]) {
             case "taken" ->
                 checker.onAccepted(
                         at,
-                        f[2],
-                        f[3],
-                        f[4],
-                        readChoice(f[5], "safe", "unsafe"),
-                        readPlan(f[6]),
-                        Long.parseLong(f[7]),
-                        Double.parseDouble(f[8]),
-                        Long.parseLong(f[9]));
-            case "excused" -> checker.onExcused(at, f[2]);
-            case "answered" -> checker.onAnswered(at, f[2], AnswerKind.valueOf(f[3].toUpperCase(Locale.ROOT)));
-            case "begins" -> checker.onCallStarted(at, f[2], f[3], Integer.parseInt(f[4]), f[5]);
+                        fields[2],
+                        fields[3],
+                        fields[4],
+                        readChoice(fields[5], "safe", "unsafe"),
+                        readPlan(fields[6]),
+                        Long.parseLong(fields[7]),
+                        Double.parseDouble(fields[8]),
+                        Long.parseLong(fields[9]));
+            case "excused" -> checker.onExcused(at, fields[2]);
+            case "answered" ->
+                checker.onAnswered(at, fields[2], AnswerKind.valueOf(fields[3].toUpperCase(Locale.ROOT)));
+            case "begins" -> checker.onCallStarted(at, fields[2], fields[3], Integer.parseInt(fields[4]), fields[5]);
             case "whole" ->
-                checker.onRequestDelivered(at, f[2], f[3], Integer.parseInt(f[4]), f[5], Double.parseDouble(f[6]));
+                checker.onRequestDelivered(
+                        at,
+                        fields[2],
+                        fields[3],
+                        Integer.parseInt(fields[4]),
+                        fields[5],
+                        Double.parseDouble(fields[6]));
             case "ended" ->
                 checker.onCallEnded(
-                        at, f[2], f[3], Integer.parseInt(f[4]), readChoice(f[5], "never-ran", "may-have-run"));
-            case "runs" -> checker.onExecuted(at, f[2]);
-            case "told" -> checker.onProviderStatus(at, f[2], f[3], readChoice(f[4], "ready", "not-ready"));
-            case "restarted" -> checker.onGatekeeperRestarted(at, f[2]);
+                        at,
+                        fields[2],
+                        fields[3],
+                        Integer.parseInt(fields[4]),
+                        readChoice(fields[5], "never-ran", "may-have-run"));
+            case "runs" -> checker.onExecuted(at, fields[2]);
+            case "told" ->
+                checker.onProviderStatus(at, fields[2], fields[3], readChoice(fields[4], "ready", "not-ready"));
+            case "restarted" -> checker.onGatekeeperRestarted(at, fields[2]);
             case "started" ->
                 checker.onProviderStarted(
-                        at, f[2], Double.parseDouble(f[3]), Double.parseDouble(f[4]), Long.parseLong(f[5]));
-            case "crossed" -> checker.onForwarded(at, f[2], f[3], Double.parseDouble(f[4]));
-            default -> throw new IllegalArgumentException("no such event: " + f[1]);
+                        at,
+                        fields[2],
+                        Double.parseDouble(fields[3]),
+                        Double.parseDouble(fields[4]),
+                        Long.parseLong(fields[5]));
+            case "crossed" -> checker.onForwarded(at, fields[2], fields[3], Double.parseDouble(fields[4]));
+            default -> throw new IllegalArgumentException("no such event: " + fields[1]);
         }
     }
 
-    private static boolean readChoice(String told, String yes, String no) {
-        if (!told.equals(yes) && !told.equals(no)) {
-            throw new IllegalArgumentException(told + " is neither " + yes + " nor " + no);
+    private static boolean readChoice(String word, String yes, String no) {
+        if (!word.equals(yes) && !word.equals(no)) {
+            throw new IllegalArgumentException(word + " is neither " + yes + " nor " + no);
         }
-        return told.equals(yes);
+        return word.equals(yes);
     }
 
-    private static PlanLimits readPlan(String told) {
-        if (told.equals("-")) {
+    private static PlanLimits readPlan(String word) {
+        if (word.equals("-")) {
             return null;
         }
-        String[] f = told.split("/");
+        String[] fields = word.split("/");
         return new PlanLimits(
-                Double.parseDouble(f[0]),
-                Double.parseDouble(f[1]),
-                Double.parseDouble(f[2]),
-                Double.parseDouble(f[3]),
-                Double.parseDouble(f[4]));
+                Double.parseDouble(fields[0]),
+                Double.parseDouble(fields[1]),
+                Double.parseDouble(fields[2]),
+                Double.parseDouble(fields[3]),
+                Double.parseDouble(fields[4]));
     }
 }
--- /dev/null
+++ b/src/main/java/reedmux/simulation/invariants/HistoryTranscript.java
@@ -0,0 +1,45 @@
+package reedmux.simulation.invariants;
+
+import java.util.Locale;
+import reedmux.simulation.invariants.HistoryChecker.PlanLimits;
+import reedmux.simulation.invariants.HistoryChecker.QuotaTolerance;
+
+/** Writes events down in the form that {@link HistoryReader} reads, once it is started. */
+final class HistoryTranscript {
+    private StringBuilder text;
+
+    void start() {
+        text = new StringBuilder();
+    }
+
+    /** An event; {@code line} is a format of its words. */
+    void event(long at, String line, Object... values) {
+        if (text != null) {
+            text.append(at)
+                    .append(' ')
+                    .append(String.format(Locale.ROOT, line, values))
+                    .append('\n');
+        }
+    }
+
+    void tolerance(QuotaTolerance tolerance) {
+        if (text != null) {
+            text.append("tolerance ")
+                    .append(tolerance.bursts())
+                    .append(' ')
+                    .append(tolerance.time())
+                    .append('\n');
+        }
+    }
+
+    static String form(PlanLimits plan) {
+        return plan == null
+                ? "-"
+                : plan.quotaRate() + "/" + plan.quotaBurst() + "/" + plan.rateLimit() + "/" + plan.rateLimitBurst()
+                        + "/" + plan.rateLimitSlack();
+    }
+
+    String text() {
+        return text.toString();
+    }
+}
--- /dev/null
+++ b/src/main/java/reedmux/simulation/invariants/ViolationLog.java
@@ -0,0 +1,36 @@
+package reedmux.simulation.invariants;
+
+import java.util.ArrayList;
+import java.util.EnumMap;
+import java.util.List;
+import java.util.Map;
+import reedmux.simulation.invariants.HistoryChecker.HistoryRule;
+import reedmux.simulation.invariants.HistoryChecker.Violation;
+
+/** The violations that were found, and how often each rule was checked. */
+final class ViolationLog {
+    /** More than these say nothing new. */
+    private static final int MAX_VIOLATIONS = 20;
+
+    private final Map<HistoryRule, Integer> checks = new EnumMap<>(HistoryRule.class);
+    private final List<Violation> violations = new ArrayList<>();
+
+    void add(HistoryRule rule, long at, String what) {
+        if (violations.size() < MAX_VIOLATIONS) {
+            violations.add(new Violation(rule, at, what));
+        }
+    }
+
+    /** An event was checked against a rule. */
+    void countCheck(HistoryRule rule) {
+        checks.merge(rule, 1, Integer::sum);
+    }
+
+    List<Violation> violations() {
+        return List.copyOf(violations);
+    }
+
+    Map<HistoryRule, Integer> checks() {
+        return Map.copyOf(checks);
+    }
+}
