--- a/src/main/java/reedmux/simulation/region/ConcurrencyLimitScenarios.java
+++ b/src/main/java/reedmux/simulation/region/ConcurrencyLimitScenarios.java
@@ -4,7 +4,6 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 import java.util.stream.LongStream;
-import reedmux.simulation.region.RegionWorld.RegionSetup;
 import reedmux.simulation.region.RequestLedger.RegionService;
 import reedmux.simulation.scenario.ScenarioChecks;
 
@@ -40,7 +39,7 @@
         int consumers = Math.min(MAX_CONSUMERS, (int) (CORES * providers * CONSUMERS_PER_CORE));
         long until = RegionWorld.BEGIN_MICROS + Math.max(2 * RegionWorld.SECOND, 20 * work);
         for (int i = 0; i < consumers; i++) {
-            world.startClosedLoopConsumer(world.regions.get("pool"), i, until);
+            world.traffic.startClosedLoopConsumer(world.regions.get("pool"), i, until);
         }
         world.timeline.runUntil(until + 20 * RegionWorld.SECOND);
         RegionService service = world.ledger.service("pool", RegionWorld.BEGIN_MICROS);
--- a/src/main/java/reedmux/simulation/region/InvariantScenarios.java
+++ b/src/main/java/reedmux/simulation/region/InvariantScenarios.java
@@ -10,7 +10,6 @@
 import reedmux.simulation.invariants.HistoryChecker;
 import reedmux.simulation.invariants.HistoryChecker.QuotaTolerance;
 import reedmux.simulation.invariants.HistoryChecker.Violation;
-import reedmux.simulation.region.RegionWorld.RegionSetup;
 
 /**
  * One group of gatekeepers through whatever a seed draws: lost datagrams, cuts with and without a restart,
--- a/src/main/java/reedmux/simulation/region/RegionScenarios.java
+++ b/src/main/java/reedmux/simulation/region/RegionScenarios.java
@@ -10,7 +10,6 @@
 import reedmux.gatekeeper.failover.FailoverRules.FailoverTarget;
 import reedmux.gatekeeper.failover.FailoverRules.RemoteRequestLimits;
 import reedmux.simulation.invariants.HistoryChecker.ForwardingBudget;
-import reedmux.simulation.region.RegionWorld.RegionSetup;
 import reedmux.simulation.region.RequestLedger.RegionService;
 
 /** Scenes of regions in virtual time, for tests and for measurements. */
@@ -51,12 +50,12 @@
     /**
      * What a run shows.
      *
-     * @param name     the scene
-     * @param seed     its only chance
-     * @param services by region
-     * @param faults   rules broken, or nothing
-     * @param rejects  requests that must not run twice
-     * @param copies   second runs of such
+     * @param name           the scenario
+     * @param seed           its only source of randomness
+     * @param services       by region
+     * @param violations     of the rules
+     * @param unsafeRequests requests that must not run twice
+     * @param duplicateRuns  second runs of such
      */
     public record RegionRun(
             String name,
@@ -234,7 +233,7 @@
             SimulatedProvider.ProviderBehavior mood = SimulatedProvider.ProviderBehavior.values()[random.nextInt(6)];
             long away = 300 * RegionWorld.MILLISECOND + random.nextLong(2 * RegionWorld.SECOND);
             world.timeline.at(at, () -> {
-                RegionWorld.SimulatedRegion of = world.regions.get(region);
+                SimulatedRegion of = world.regions.get(region);
                 if (what < 5) {
                     world.setBehavior(region, 3, SimulatedProvider.ProviderBehavior.WELL);
                     world.setBehavior(region, count, mood);
--- a/src/main/java/reedmux/simulation/region/RequestLedger.java
+++ b/src/main/java/reedmux/simulation/region/RequestLedger.java
@@ -10,16 +10,16 @@
 import reedmux.simulation.invariants.HistoryChecker.AnswerKind;
 
 /**
- * Sees all that crosses, tells the checker of rules, and counts how regions are served. It knows nothing of
- * how the gatekeepers decide.
+ * Is notified of all that happens to requests, passes it on to the checker of rules, and counts how regions are served.
+ * It knows nothing of how the gatekeepers decide. Times are in microseconds.
  */
 public final class RequestLedger {
-    /** Microseconds by which an answer may come behind the deadline. */
+    /** By how much an answer may come after the deadline. */
     static final long DEADLINE_SLACK_MICROS = 8_000;
     /** Longest time for a count to cross a heap of a few gatekeepers, with a lost packet on the way. */
     private static final long COUNT_PROPAGATION_MICROS = 2_000_000;
 
-    /** One request as the world knows it. */
+    /** One request. */
     private static final class LedgerRequest {
         final String home;
         final boolean repeatable;
@@ -38,7 +38,7 @@
         }
     }
 
-    /** One crossing of a link. */
+    /** One forward of a request. */
     private record RegionCrossing(long at, double units) {}
 
     private final VirtualTimeline time;
@@ -47,7 +47,7 @@
     final HistoryChecker rules;
     private long duplicateRuns;
 
-    /** For groups of so many gatekeepers at most. */
+    /** A ledger for groups of so many gatekeepers at most. */
     RequestLedger(VirtualTimeline time, int gatekeepers) {
         this.time = time;
         rules = new HistoryChecker(new HistoryChecker.RuleParameters(
@@ -61,7 +61,7 @@
                 new HistoryChecker.QuotaTolerance(gatekeepers - 1, gatekeepers * COUNT_PROPAGATION_MICROS)));
     }
 
-    /** A gatekeeper of a region has taken a consumer's request. */
+    /** A gatekeeper of a region has accepted a consumer's request. */
     void onAccepted(
             String region,
             String keeper,
@@ -100,14 +100,14 @@
         rules.onExecuted(time.now(), id);
     }
 
-    /** It has gone from one region towards another, whether or not it gets there. */
+    /** It was forwarded from one region to another, whether or not it arrives. */
     void onForwarded(String from, String id, double units) {
         entries.get(id).forwarded = true;
         rules.onForwarded(time.now(), from, id, units);
         crossings.computeIfAbsent(from, region -> new ArrayList<>()).add(new RegionCrossing(time.now(), units));
     }
 
-    /** Looks at what only the end shows; returns all that is wrong, or nothing. */
+    /** Checks what only the end shows; returns all violations. */
     List<String> violations(Map<String, HistoryChecker.ForwardingBudget> budgets) {
         return rules.violations(time.now(), budgets).stream()
                 .map(HistoryChecker.Violation::toString)
@@ -117,13 +117,13 @@
     /** What became of one region's requests. */
     public record RegionService(
             int accepted, int inTime, int served, int rejected, int failed, int forwarded, double maxUnitsPerSecond) {
-        /** Share answered well within the wanted time. */
+        /** The share that was served within the latency target. */
         double share() {
             return accepted == 0 ? 0 : (double) inTime / accepted;
         }
     }
 
-    /** Counts a region's requests taken from a time on. */
+    /** Counts a region's requests that were accepted from a time on. */
     RegionService service(String region, long from) {
         int[] n = new int[6];
         for (LedgerRequest entry : entries.values()) {
@@ -151,21 +151,21 @@
         return new RegionService(n[0], n[1], n[2], n[3], n[4], n[5], most);
     }
 
-    /** Units of a region's requests that crossed. */
+    /** Units of a region's requests that were forwarded. */
     double unitsForwarded(String region) {
         return crossings.getOrDefault(region, List.of()).stream()
                 .mapToDouble(RegionCrossing::units)
                 .sum();
     }
 
-    /** When requests of a region crossed, in microseconds. */
+    /** When requests of a region were forwarded. */
     List<Long> forwardTimes(String region) {
         return crossings.getOrDefault(region, List.of()).stream()
                 .map(RegionCrossing::at)
                 .toList();
     }
 
-    /** Requests that must not run twice: taken in all, and second runs. */
+    /** Requests that must not run twice. */
     long unsafeRequests() {
         return entries.values().stream().filter(entry -> !entry.repeatable).count();
     }
--- a/src/main/java/reedmux/simulation/region/ScaleScenarios.java
+++ b/src/main/java/reedmux/simulation/region/ScaleScenarios.java
@@ -10,7 +10,6 @@
 import reedmux.simulation.invariants.HistoryChecker.QuotaTolerance;
 import reedmux.simulation.invariants.HistoryChecker.Violation;
 import reedmux.simulation.region.RegionWorld.InjectedFault;
-import reedmux.simulation.region.RegionWorld.RegionSetup;
 import reedmux.simulation.scenario.ScenarioChecks;
 
 /**
--- a/src/main/java/reedmux/simulation/region/SimulatedProvider.java
+++ b/src/main/java/reedmux/simulation/region/SimulatedProvider.java
@@ -6,9 +6,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import reedmux.gatekeeper.reducer.CallResult;
 
-/** A provider as a model: some cores, a waiting room, and the ways in which it fails. */
+/** A model of a provider: some cores, a queue, and the ways in which it fails. Times are in microseconds. */
 final class SimulatedProvider {
-    /** What it does with a request just now. */
+    /** What it does with requests at present. */
     enum ProviderBehavior {
         WELL,
         GONE,
@@ -18,7 +18,7 @@
         RESETS
     }
 
-    /** One request in work. */
+    /** One request that it has. */
     static final class ProviderJob {
         final String id;
         final Consumer<CallResult> answer;
@@ -77,7 +77,7 @@
         return behavior != ProviderBehavior.GONE;
     }
 
-    /** A request has arrived whole; {@code broken} is run where the connection breaks under it. */
+    /** A request has come in as a whole; {@code broken} is run where the connection breaks under it. */
     ProviderJob accept(String request, Consumer<CallResult> answer, Runnable broken) {
         ProviderJob job = new ProviderJob(request, answer);
         switch (behavior) {
@@ -119,7 +119,7 @@
         });
     }
 
-    /** Starts anew: cold, and with nothing of what it had. */
+    /** Its process restarts: cold, and with nothing of what it had. */
     void restart() {
         startedAt = time.now();
         queue.clear();
@@ -140,7 +140,7 @@
         }
     }
 
-    /** The connection has gone: what waits is dropped, what runs goes on. */
+    /** The connection was closed: what is queued is dropped, what runs goes on. */
     void abort(ProviderJob job) {
         job.aborted = true;
     }
--- a/src/main/java/reedmux/simulation/region/VirtualTimeline.java
+++ b/src/main/java/reedmux/simulation/region/VirtualTimeline.java
@@ -2,7 +2,7 @@
 
 import java.util.PriorityQueue;
 
-/** Virtual time: what is due next happens next, and of things due together what was asked for first. */
+/** Virtual time, in microseconds: tasks run in the order of their times, equal ones in that of their scheduling. */
 public final class VirtualTimeline {
     private record TimelineTask(long at, long order, Runnable what) implements Comparable<TimelineTask> {
         @Override
@@ -20,7 +20,7 @@
         return now;
     }
 
-    /** Has something happen at a time, or now if that has passed. */
+    /** Schedules a task for a time, or for now if that has passed. */
     void at(long when, Runnable what) {
         tasks.add(new TimelineTask(Math.max(now, when), ++order, what));
     }
@@ -29,7 +29,7 @@
         at(now + micros, what);
     }
 
-    /** Lets happen what is due until then. */
+    /** Runs all tasks that are due until a time, which is the present one then. */
     void runUntil(long until) {
         while (!tasks.isEmpty() && tasks.peek().at <= until) {
             TimelineTask task = tasks.poll();
--- a/src/test/java/reedmux/simulation/region/RegionScenariosTest.java
+++ b/src/test/java/reedmux/simulation/region/RegionScenariosTest.java
@@ -21,7 +21,6 @@
 import reedmux.simulation.region.RegionScenarios.RegionRun;
 import reedmux.simulation.region.RegionWorld.InjectedFault;
 import reedmux.simulation.region.RegionWorld.LinkFault;
-import reedmux.simulation.region.RegionWorld.RegionSetup;
 import reedmux.simulation.region.RequestLedger.RegionService;
 
 /** Whole regions in virtual time: the hard cases of a last resort, each brought about. */
