--- a/src/main/java/reedmux/control/changes/ChangeList.java
+++ b/src/main/java/reedmux/control/changes/ChangeList.java
@@ -1,8 +1,8 @@
 package reedmux.control.changes;
 
 /**
- * Values in the order of their last change: a doubly linked list, so that moving a value to the end takes constant time,
- * and reading what is newer than a change takes time in proportion to what there is.
+ * Values in the order of their last change: a doubly linked list, so that moving a value to the end takes constant
+ * time, and reading what is newer than a change takes time in proportion to what there is.
  *
  * @param <T> the type of the values
  */
--- a/src/main/java/reedmux/control/instances/InstanceDirectory.java
+++ b/src/main/java/reedmux/control/instances/InstanceDirectory.java
@@ -22,9 +22,9 @@
  *       whether the instance is responsive. Everybody else takes an instance for responsive as long as its owner sends
  *       heartbeats itself, so that the heartbeats of instances need not be replicated.
  *   <li>An owner that hears somebody else call its instance unresponsive refutes it by reporting the instance again.
- *   <li>An address has one incarnation at a time. A heartbeat claims its address; the previous incarnation there is gone
- *       once it has missed its heartbeats for {@link #ADDRESS_HOLD_MICROS}. Reports of others claim no address, as they
- *       may be older than the incarnation that has it.
+ *   <li>An address has one incarnation at a time. A heartbeat claims its address; the previous incarnation there is
+ *       gone once it has missed its heartbeats for {@link #ADDRESS_HOLD_MICROS}. Reports of others claim no address, as
+ *       they may be older than the incarnation that has it.
  * </ul>
  *
  * <p>Changes are numbered by the process's {@link ChangeCounter}. Pure; times are microseconds of the caller's clock.
--- a/src/main/java/reedmux/control/registry/InstanceCalls.java
+++ b/src/main/java/reedmux/control/registry/InstanceCalls.java
@@ -11,9 +11,9 @@
 import reedmux.control.rpc.RpcDialer;
 
 /**
- * Carries out the calls of instances. A heartbeat of a ready instance is acknowledged at once, as a lost one is followed
- * by the next. That an instance drains or leaves is acknowledged only once another registry knows it, too, so that a
- * loss of this machine does not bring it back.
+ * Carries out the calls of instances. A heartbeat of a ready instance is acknowledged at once, as a lost one is
+ * followed by the next. That an instance drains or leaves is acknowledged only once another registry knows it, too, so
+ * that a loss of this machine does not bring it back.
  */
 final class InstanceCalls {
     /** Callers wait for a second. */
--- a/src/main/java/reedmux/control/registry/Registry.java
+++ b/src/main/java/reedmux/control/registry/Registry.java
@@ -52,6 +52,9 @@
 public final class Registry implements Program, RpcConnection.RpcConnectionHandler {
     static final String PROGRAM_NAME = "registry";
     private static final String PROXY_PROGRAM_NAME = "proxy";
+    /** Below the data directory; the name is older than the term, and stays as disks have it. */
+    private static final String INSTANCES_FOLDER = "lives";
+
     private static final long HEARTBEAT_INTERVAL_MICROS = 1_000_000;
     /** How long the sessions of a registry that cannot be reached still count: it is more often cut off than gone. */
     private static final long LOST_REGISTRY_GRACE_MICROS = 2_000_000;
@@ -98,7 +101,7 @@
                 + ':'
                 + settings.socketAddress(SettingKeys.CONTROL_SOCKET).getPort();
         if (settings.dataDir() != null) {
-            new IncarnationStorage(settings.dataDir().resolve("lives"), reactor, codec, directory);
+            new IncarnationStorage(settings.dataDir().resolve(INSTANCES_FOLDER), reactor, codec, directory);
         }
         publisher = new UpdatePublisher(reactor, codec, localHello.incarnation(), counter, directory, sessions);
         core = new CoreConnections(settings, addresses, reactor, codec, localHello, this);
@@ -131,7 +134,7 @@
     private void onHeartbeatTick(long timeoutMicros) {
         int timedOut = directory.detectTimeouts(reactor.now(), timeoutMicros);
         if (timedOut > 0) {
-            reactor.warnRateLimited("silent", timedOut + " checkers have fallen silent");
+            reactor.warnRateLimited("silent", timedOut + " instances became unresponsive");
         }
         List<RegistryHeartbeat> heartbeats = directory.nextHeartbeats(reactor.now());
         boolean allReached = core.sendToRegistries(codec.encode(new RegistryHeartbeats(heartbeats)));
--- a/src/main/java/reedmux/control/rpc/ConsensusSerializer.java
+++ b/src/main/java/reedmux/control/rpc/ConsensusSerializer.java
@@ -27,12 +27,12 @@
             ConfigurationSerializer.writeProposal(request.proposal(), out);
         } else if (message instanceof VoteResponse response) {
             out.writeByte(MessageIds.VOTE_RESPONSE);
-            out.writeString(response.callId());
+            out.writeString(response.proposalId());
             ConfigurationSerializer.writeBallot(response.ballot(), out);
             out.writeByte(response.vote().ordinal());
         } else if (message instanceof DecisionNotice decision) {
             out.writeByte(MessageIds.DECISION_NOTICE);
-            out.writeString(decision.callId());
+            out.writeString(decision.proposalId());
             ConfigurationSerializer.writeBallot(decision.ballot(), out);
             out.writeBoolean(decision.committed());
             ConfigurationSerializer.writeItems(decision.items(), out);
--- a/src/main/java/reedmux/control/rpc/Messages.java
+++ b/src/main/java/reedmux/control/rpc/Messages.java
@@ -146,14 +146,14 @@
     public record ProposeRequest(long epoch, Proposal proposal) {}
 
     /** The vote of one store on a proposal under one ballot. */
-    public record VoteResponse(String callId, Ballot ballot, Vote vote) {}
+    public record VoteResponse(String proposalId, Ballot ballot, Vote vote) {}
 
     /**
      * The outcome of a proposal, also as it is kept on disk.
      *
      * @param committed the items are committed; else the proposal is dropped, unless a higher ballot has been accepted
      */
-    public record DecisionNotice(String callId, Ballot ballot, boolean committed, List<ConfigurationItem> items) {
+    public record DecisionNotice(String proposalId, Ballot ballot, boolean committed, List<ConfigurationItem> items) {
         /** Copies the list. */
         public DecisionNotice {
             items = new ArrayList<>(items);
--- a/src/main/java/reedmux/control/store/ReplicaStorage.java
+++ b/src/main/java/reedmux/control/store/ReplicaStorage.java
@@ -124,7 +124,7 @@
         } else if (record instanceof ProposalRecord proposalRecord) {
             replica.addPending(proposalRecord.proposal());
         } else if (record instanceof DecisionNotice decision) {
-            replica.resolvePending(decision.callId(), decision.committed(), decision.items());
+            replica.resolvePending(decision.proposalId(), decision.committed(), decision.items());
         } else if (record instanceof CoreStateRecord coreRecord) {
             core = coreRecord.state();
         } else {
--- a/src/main/java/reedmux/control/store/StoreServer.java
+++ b/src/main/java/reedmux/control/store/StoreServer.java
@@ -236,9 +236,9 @@
                 consensus.onProposal(now, from, request.proposal());
             }
         } else if (message instanceof VoteResponse response) {
-            consensus.onVote(now, from, response.callId(), response.ballot(), response.vote());
+            consensus.onVote(now, from, response.proposalId(), response.ballot(), response.vote());
         } else if (message instanceof DecisionNotice notice) {
-            consensus.onDecision(now, notice.callId(), notice.ballot(), notice.committed(), notice.items());
+            consensus.onDecision(now, notice.proposalId(), notice.ballot(), notice.committed(), notice.items());
         } else if (message instanceof QuorumContactRequest request) {
             peers.onContactRequestFrom(connection);
             // While this store is fenced the next core may be deciding already.
--- a/src/main/java/reedmux/simulation/cluster/CatchUpExperiment.java
+++ b/src/main/java/reedmux/simulation/cluster/CatchUpExperiment.java
@@ -101,7 +101,7 @@
                 replica.merge(items.items());
                 whole |= items.complete();
             } else if (told instanceof DecisionNotice decided) {
-                replica.resolvePending(decided.callId(), decided.committed(), decided.items());
+                replica.resolvePending(decided.proposalId(), decided.committed(), decided.items());
             }
         }
         return new DiskContent(replica.committed().size(), whole);
