--- a/src/test/java/reedmux/gatekeeper/handover/HandoverFrameCodecTest.java
+++ b/src/test/java/reedmux/gatekeeper/handover/HandoverFrameCodecTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    public void comesBackAsItWas() throws IOException {
+    public void decodedFrameEqualsTheEncodedOne() throws IOException {
         for (HandoverFrame frame : ALL) {
             HandoverFrame back = HandoverFrameCodec.decode(body(frame));
             if (frame instanceof HandoverFrame.ServiceSnapshot counted
@@ -73,7 +73,7 @@
     }
 
     @Test
-    public void oneThatIsCutAtAnyByteIsNone() {
+    public void frameTruncatedAtAnyByteIsRejected() {
         for (HandoverFrame frame : ALL) {
             byte[] whole = body(frame);
             for (int length = 0; length < whole.length; length++) {
@@ -86,7 +86,7 @@
 
     /** Whatever stands there is a frame or an error, and no count that is no number gets through. */
     @Test
-    public void noiseIsAnErrorAndNothingElse() {
+    public void noiseIsRejectedOrDecoded() {
         SplittableRandom random = new SplittableRandom(5);
         int errors = 0;
         for (int run = 0; run < 3_000; run++) {
--- a/src/test/java/reedmux/gatekeeper/peer/PoolTagTest.java
+++ b/src/test/java/reedmux/gatekeeper/peer/PoolTagTest.java
@@ -47,7 +47,7 @@
     }
 
     @Example
-    void marksGoByNameAlone() {
+    void tagsDependOnTheNameAlone() {
         assertEquals(PoolTag.of("print"), PoolTag.of("print"));
         assertNotEquals(PoolTag.of("print"), PoolTag.of("archive"));
         assertEquals(PoolTag.NONE, PoolTag.read(new byte[3]));
--- a/src/test/java/reedmux/gatekeeper/policy/HandoverCountsTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/HandoverCountsTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aQuotaIsHeldOverBoth() {
+    void quotaHoldsOverBothProcesses() {
         SimulatedGroup group = processes(SimulatedGroup.quotaPlan(0.001, 20));
         assertEquals(12, ask(group, 0, 12));
         group.run(STEP);
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void whatIsSpentElsewhereComesBackOnce() {
+    void usageOfTheOtherProcessIsNotEchoed() {
         SimulatedGroup group = processes(SimulatedGroup.quotaPlan(0.001, 20));
         group.policies[1]
                 .handoverCounts()
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aCeilingIsNeverPassedByTheTwoTogether() {
+    void rateLimitHoldsOverBothProcesses() {
         CustomerPlan ceiling = new CustomerPlan("plan", 0, 0, 0, 10, 20, 0, 1, 0, 1);
         SimulatedGroup group = processes(ceiling);
         ask(group, 0, 1);
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void peersHoldTheQuotaThroughAHandOver() {
+    void quotaHoldsAtPeersDuringAHandover() {
         CustomerPlan plan = SimulatedGroup.quotaPlan(0.001, 40);
         SimulatedGroup group = SimulatedGroup.of(3, plan);
         int sent = 0;
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void whatDoesNotFitIsPassedOver() {
+    void invalidUsageIsIgnored() {
         SimulatedGroup group = processes(SimulatedGroup.quotaPlan(1, 20));
         HandoverCounts twin = group.policies[1].handoverCounts();
         twin.addUsage(
--- a/src/test/java/reedmux/gatekeeper/policy/PeerLossTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/PeerLossTest.java
@@ -70,7 +70,7 @@
 
     /** Forty that each take the last of the room at one moment; 560 go through where no lot is drawn. */
     @Test
-    void theLastOfTheRoomGoesByLotWhereManyRaceForIt() {
+    void lastUnitsAreAllottedAtRandomWhenManyGatewaysRace() {
         SimulatedGroup group = SimulatedGroup.of(40, SimulatedGroup.quotaPlan(10, 30));
         group.run(10 * SimulatedGroup.SECOND);
         for (int surge = 0; surge < 20; surge++) {
@@ -122,7 +122,7 @@
 
     /** Deltas go up but nothing comes down for long: what was told before and since adds up, once. */
     @Test
-    void aLinkThatCarriesOneWayOnlyMiscountsNothingOnceItIsWhole() {
+    void oneWayLinkMiscountsNothingOnceItIsRestored() {
         SimulatedGroup group = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(0.001, 30));
         for (int gateway = 0; gateway < 3; gateway++) {
             group.request(gateway, SimulatedGroup.SAFE, CUSTOMER, 0, 3);
@@ -187,7 +187,7 @@
 
     /** A slow plan's customer had its whole burst again after a minute's silence. */
     @Test
-    void whoHasSpentMoreThanAMinutesWorthIsNotForgottenByThen() {
+    void accountWithUndrainedCountIsNotForgotten() {
         SimulatedGroup group = SimulatedGroup.of(1, SimulatedGroup.quotaPlan(0.01, 10));
         assertEquals(10, group.traffic(0, CUSTOMER, 1, 60 * SimulatedGroup.MS, SimulatedGroup.SECOND));
         for (int i = 0; i < 9; i++) {
@@ -299,7 +299,7 @@
 
     /** It leaves while its call is not up yet; what comes of that call keeps nothing and tells nobody. */
     @Test
-    void aConsumerWhoLeavesBeforeItsCallIsUpTakesNoUnitsAndLeavesNothingOpen() {
+    void consumerThatLeavesBeforeItsCallConnectsIsNotCharged() {
         PolicySettings told = SimulatedGroup.settings(0, 2, SimulatedGroup.quotaPlan(0.001, 10));
         SimulatedGroup group = new SimulatedGroup(
                 new PolicySettings(
--- a/src/test/java/reedmux/gatekeeper/policy/PeerPacketTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/PeerPacketTest.java
@@ -14,7 +14,7 @@
 class PeerPacketTest {
 
     @Test
-    void whatIsWrittenIsRead() {
+    void packetIsReadAsWritten() {
         List<PeerPacket.MemberVersion> news = List.of(new PeerPacket.MemberVersion(300, 1200));
         PeerPacketWriter writer =
                 new PeerPacketWriter(new CustomerAliases(), 65000, 9, 0x8001, 1000, 77, true, 200, news, 256);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aCutOrChangedPacketIsNone() {
+    void truncatedOrChangedPacketIsRejected() {
         PeerPacketWriter writer = new PeerPacketWriter(new CustomerAliases(), 1, 2, 3, 4, 5, false, 40, List.of(), 256);
         writer.add(new PeerPacket.AccountEntry(77, 0, 0, 2, 1, null, null, 0));
         byte[] bytes = writer.finish();
--- a/src/test/java/reedmux/gatekeeper/policy/PolicySourceTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/PolicySourceTest.java
@@ -48,16 +48,20 @@
     /** The formatter breaks code at that width; this sees what it leaves alone: comments and long strings. */
     @Test
     void linesKeepWithinTheFormattersWidth() throws IOException {
+        List<String> tooLong = new ArrayList<>();
         try (Stream<Path> files = Files.walk(Path.of("src"))) {
             for (Path file :
                     files.filter(path -> path.toString().endsWith(".java")).toList()) {
                 int number = 0;
                 for (String line : Files.readAllLines(file)) {
                     number++;
-                    assertTrue(line.length() <= MAX_COLUMNS, file + ":" + number);
+                    if (line.length() > MAX_COLUMNS) {
+                        tooLong.add(file + ":" + number);
+                    }
                 }
             }
         }
+        assertEquals(List.of(), tooLong);
     }
 
     @Test
--- a/src/test/java/reedmux/gatekeeper/policy/PolicyStateTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/PolicyStateTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    public void attemptsAtAServerThatStartsAnewAreNotOutAtItsNewLife() {
+    public void attemptsAtARestartedServerAreNotInFlightAtTheNewProcess() {
         ServerState old = told(ServerListScope.FULL, "s", 0);
         old.inFlight += 3;
         ServerState fresh = told(ServerListScope.CHANGES, "s", 7);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    public void attemptsAtAServerThatIsGoneLeaveTheSumsAlone() {
+    public void attemptsAtARemovedServerDoNotCountInTheSums() {
         ServerState old = told(ServerListScope.FULL, "s", 0);
         old.inFlight += 3;
         told(ServerListScope.FULL, "other", 0);
@@ -48,7 +48,7 @@
     }
 
     @Test
-    public void aModuleLearnsFromItsPeersThatItHadALifeBefore() {
+    public void policyDetectsItsRestartFromPeers() {
         SimulatedGroup group = SimulatedGroup.of(2, SimulatedGroup.quotaPlan(10, 100));
         group.request(0, SimulatedGroup.SAFE, 1, 0, 2);
         group.run(SimulatedGroup.SECOND);
@@ -62,7 +62,7 @@
 
     /** It answers at once and never has anything of ours out, so by these alone it is the best of all. */
     @Test
-    public void aServerThatTurnsAllAwayIsLeftAlone() {
+    public void serverThatRejectsEverythingIsAvoided() {
         SimulatedGroup group = SimulatedGroup.of(1, SimulatedGroup.quotaPlan(1000, 1000));
         String away = "10.0.0.0:80";
         group.outcomeOf = sent -> sent.server().equals(away) ? AttemptOutcome.OVERLOADED : AttemptOutcome.OK;
@@ -90,7 +90,7 @@
     }
 
     @Test
-    public void shortNamesOfCustomersAreUnderstoodAndBounded() {
+    public void customerAliasesAreResolvedAndBounded() {
         CustomerAliases ours = new CustomerAliases();
         CustomerAliases theirs = new CustomerAliases();
         int packets = 5 * CustomerAliases.MAX_ALIASES;
--- a/src/test/java/reedmux/gatekeeper/policy/QuotaCountingTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/QuotaCountingTest.java
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void setsOfAllSizesAreShallowTrees() {
+    void heapsOfAllSizesAreShallow() {
         for (int group : new int[] {1, 2, 3, 7, 64, 100, 440}) {
             for (int spread = 1; spread <= group; spread += 1 + spread / 3) {
                 for (int first : new int[] {0, group / 3, group - 1}) { // the last ones wrap round
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void theTreesOfManySetsShareTheirEdges() {
+    void heapsOfManyCustomersShareTheirEdges() {
         Map<Integer, Set<Integer>> met = new HashMap<>();
         for (int i = 0; i < 150; i++) {
             depthOfTree(440, i * 37 % 440, 20 + i * 11 % 170, met);
@@ -74,14 +74,14 @@
     }
 
     @Test
-    void aloneItSpendsTheBurstThenTheRate() {
+    void singleGatewayAllowsTheBurstThenTheRate() {
         SimulatedGroup group = SimulatedGroup.of(1, SimulatedGroup.quotaPlan(5, 10));
         assertEquals(10, group.traffic(0, CUSTOMER, 1, 1, 100));
         assertEquals(50, group.traffic(0, CUSTOMER, 1, 10 * SimulatedGroup.MS, 10 * SimulatedGroup.SECOND), 2);
     }
 
     @Test
-    void trueUnitsFollowWithTheAnswer() {
+    void actualUnitsReplaceTheEstimateWithTheAnswer() {
         for (double[] trueUnitsAndRoom : new double[][] {{5, 5}, {0.5, 9}}) {
             SimulatedGroup group = SimulatedGroup.of(1, SimulatedGroup.quotaPlan(0.001, 10));
             group.outcomeOf = sent -> null;
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void refusalsComeWithAdvice() {
+    void rejectionsCarryRetryAfter() {
         SimulatedGroup group = SimulatedGroup.of(1, SimulatedGroup.quotaPlan(5, 10));
         group.traffic(0, CUSTOMER, 1, 1, 100);
         assertEquals(0.2 * SimulatedGroup.SECOND, group.rejected.get(0).retryAfter(), 1000);
@@ -112,7 +112,7 @@
 
     /** A client told to come back too early only adds load, and one refused has its answer at once. */
     @Test
-    void adviceIsTheRealWaitAndComesAtOnce() {
+    void retryAfterIsTheTimeUntilThereIsRoom() {
         CustomerPlan ceiling = new CustomerPlan("plan", 100, 100, 0, 10, 4, 2, 1, 0, 1);
         for (CustomerPlan plan :
                 List.of(ceiling, SimulatedGroup.quotaPlan(0.5, 3))) { // the second: first sight, of three members
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void firstSightIsLimitedToAShareOfTheBurst() {
+    void newCustomerIsLimitedToItsEvenShareOfTheBurst() {
         SimulatedGroup group = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(5, 12));
         assertEquals(4, group.traffic(0, CUSTOMER, 3, 1, 50));
         group.run(SimulatedGroup.SECOND);
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void whatOneGatewaySpendsAllOthersCount() {
+    void unitsSpentAtOneGatewayAreCountedAtAllOthers() {
         for (int size = 2; size <= 7; size++) {
             SimulatedGroup group = SimulatedGroup.of(size, SimulatedGroup.quotaPlan(0.01, 20));
             group.request(size - 1, SimulatedGroup.SAFE, CUSTOMER, 0, size);
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void garbledOrCutMessagesAreIgnoredWhole() {
+    void garbledOrTruncatedPacketsAreIgnoredAsAWhole() {
         SimulatedGroup group = SimulatedGroup.of(2, SimulatedGroup.quotaPlan(0.01, 10));
         group.traffic(0, CUSTOMER, 2, 50 * SimulatedGroup.MS, 500 * SimulatedGroup.MS);
         for (byte[] good : group.peerMessages.toArray(new byte[0][])) {
@@ -206,7 +206,7 @@
     }
 
     @Test
-    void messagesOfAnOlderLifeChangeNothing() {
+    void packetsOfAnEarlierIncarnationChangeNothing() {
         SimulatedGroup group = SimulatedGroup.of(2, SimulatedGroup.quotaPlan(0.001, 20));
         group.request(1, SimulatedGroup.SAFE, CUSTOMER, 0, 2);
         group.run(SimulatedGroup.SECOND);
@@ -228,7 +228,7 @@
     }
 
     @Test
-    void aDeadRootDoesNotSilenceItsBranches() {
+    void deadRootDoesNotDisconnectItsSubtrees() {
         SimulatedGroup group = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(0.01, 20));
         group.request(1, SimulatedGroup.SAFE, CUSTOMER, 0, 3);
         group.request(2, SimulatedGroup.SAFE, CUSTOMER, 0, 3);
@@ -241,7 +241,7 @@
     }
 
     @Test
-    void aHealedCutCountsNothingTwice() {
+    void healedPartitionCountsNothingTwice() {
         SimulatedGroup group = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(0.01, 30));
         for (int gateway = 0; gateway < 3; gateway++) {
             group.request(gateway, SimulatedGroup.SAFE, CUSTOMER, 0, 3);
@@ -272,7 +272,7 @@
 
     /** A gateway told that it is silent once refuted its own refutation without end. */
     @Test
-    void aGatewayCalledSilentSaysOnceThatItIsNot() {
+    void gatewayRefutesThatItIsSilentOnce() {
         SimulatedGroup group = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(1, 20));
         group.run(SimulatedGroup.SECOND);
         for (int version = 1; version < 4; version++) {
@@ -315,7 +315,7 @@
     }
 
     @Test
-    void noGatewaysMailPassesItsLimit() {
+    void peerMessagesStayWithinTheirLimit() {
         SimulatedGroup group = SimulatedGroup.of(60, SimulatedGroup.quotaPlan(5, 10));
         group.run(SimulatedGroup.SECOND);
         for (int i = 0; i < 1500; i++) {
@@ -349,7 +349,7 @@
 
     /** Gateways that stand still take in late what waited for them; it was sent round them as well. */
     @Test
-    void whatAStalledNeighbourTakesInLateCountsOnce() {
+    void unitsThatAStalledNeighbourReceivesLateCountOnce() {
         SimulatedGroup group = SimulatedGroup.of(15, SimulatedGroup.quotaPlan(0.001, 60));
         for (int gateway = 0; gateway < 15; gateway++) {
             group.request(gateway, SimulatedGroup.SAFE, CUSTOMER, 0, 15);
@@ -370,7 +370,7 @@
 
     /** A count below nought let a customer's surge through that much longer. */
     @Test
-    void afterAQuietTimeABurstGoesThroughAndNoMore() {
+    void quietTimeSavesUpNoMoreThanABurst() {
         SimulatedGroup group = new SimulatedGroup(
                 SimulatedGroup.servers(30),
                 IntStream.range(0, 15)
@@ -382,7 +382,7 @@
     }
 
     @Test
-    void sameEventsSameActions() {
+    void sameEventsGiveTheSameActions() {
         SimulatedGroup one = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(5, 20));
         SimulatedGroup two = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(5, 20));
         for (SimulatedGroup group : new SimulatedGroup[] {one, two}) {
@@ -400,7 +400,7 @@
     }
 
     @Test
-    void everyMessageFits() {
+    void everyPacketFitsIntoADatagram() {
         SimulatedGroup group = SimulatedGroup.of(2, SimulatedGroup.quotaPlan(5, 20));
         for (int i = 0; i < 300; i++) {
             group.request(0, SimulatedGroup.SAFE, (1L << 32) + i, 0, 2);
--- a/src/test/java/reedmux/gatekeeper/policy/ServerSelectionTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/ServerSelectionTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void anUnsafeRequestThatMayHaveRunIsFailedNotRepeatedNorRefused() {
+    void unsafeRequestThatMayHaveRunFailsWithoutRetryOrRejection() {
         for (AttemptOutcome outcome : List.of(AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMEOUT)) {
             SimulatedGroup group = SimulatedGroup.of(1, WIDE);
             group.outcomeOf = sent -> outcome;
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void anUnsafeRequestThatNeverRanIsTriedElsewhere() {
+    void unsafeRequestThatNeverRanIsRetriedAtAnotherServer() {
         SimulatedGroup group = SimulatedGroup.of(1, WIDE);
         group.outcomeOf = sent -> group.sent.size() == 1 ? AttemptOutcome.OVERLOADED : AttemptOutcome.OK;
         String id = group.request(0, SimulatedGroup.UNSAFE, 1, 0, 1);
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void aKeyedRequestStaysInTheCellThatDropsItsRepeats() {
+    void keyedRequestIsRetriedWithinItsDeduplicationScope() {
         for (int i = 0; i < 20; i++) {
             SimulatedGroup group = SimulatedGroup.of(1, WIDE);
             group.run(i * SimulatedGroup.MS);
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void drainingAndGoneServersGetNothing() {
+    void drainingAndRemovedServersReceiveNoRequests() {
         SimulatedGroup group = SimulatedGroup.of(1, WIDE);
         group.deliver(
                 0,
@@ -125,13 +125,13 @@
     }
 
     @Test
-    void withNoServerRequestsAreRefusedAtOnce() {
+    void requestsAreRejectedAtOnceWithoutServers() {
         SimulatedGroup group = new SimulatedGroup(List.of(), SimulatedGroup.settings(0, 1, WIDE));
         assertTrue(group.wasRejected(group.request(0, SimulatedGroup.UNSAFE, 1, 0, 1)));
     }
 
     @Test
-    void aColdServerGetsLessThanItsBudgetInEveryWindow() {
+    void coldServerStaysWithinItsLoadBound() {
         List<ListedServer> servers = new ArrayList<>(SimulatedGroup.servers(3));
         SimulatedGroup group = new SimulatedGroup(servers, SimulatedGroup.settings(0, 1, WIDE));
         group.traffic(0, 1, 1, 5 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void theCeilingHoldsWithoutAWord() {
+    void rateLimitHoldsWithoutPeerMessages() {
         CustomerPlan plan = new CustomerPlan("plan", 100, 100, 0, 10, 20, 2, 1, 0, 1);
         SimulatedGroup group = SimulatedGroup.of(2, plan);
         group.isLost = (from, to) -> true;
@@ -161,7 +161,7 @@
 
     /** Traffic gathers on one gateway: spare units follow, and the sum stays under the ceiling. */
     @Test
-    void spareUnitsOfTheCeilingFollowTheirUseAndTheSumHolds() {
+    void spareRateLimitTokensMoveToWhereTheyAreUsed() {
         CustomerPlan plan = new CustomerPlan("plan", 100, 100, 0, 10, 20, 2, 1, 0, 1);
         SimulatedGroup group = SimulatedGroup.of(4, plan);
         int[] messages = {0};
@@ -174,7 +174,7 @@
 
     /** Hundreds of gateways each sent a fresh server their first request at once. */
     @Test
-    void theFirstRequestsOfManyGatewaysToAColdServerAreSpread() {
+    void firstRequestsOfManyGatewaysToAColdServerAreSpreadOverTime() {
         SimulatedGroup group = SimulatedGroup.of(60, WIDE);
         group.run(10 * SimulatedGroup.MS);
         for (int i = 0; i < 1500; i++) {
@@ -255,7 +255,7 @@
     }
 
     @Test
-    void theCapCountsAttemptsOfAllGateways() {
+    void concurrencyCapCountsAttemptsOfAllGateways() {
         CustomerPlan plan = new CustomerPlan("plan", 0, 0, 4, 0, 0, 0, 1, 0, 1);
         SimulatedGroup group = SimulatedGroup.of(2, plan);
         group.outcomeOf = sent -> null;
@@ -290,7 +290,7 @@
     }
 
     @Test
-    void aClassThatHungIsNotRefusedForGood() {
+    void classOfRequestsRecoversAfterItsServersHung() {
         SimulatedGroup group = SimulatedGroup.of(1, WIDE);
         boolean[] sick = {true};
         group.outcomeOf = s -> sick[0] ? null : AttemptOutcome.OK;
@@ -309,7 +309,7 @@
     }
 
     @Test
-    void inOverloadTheLeastWorthIsRefusedFirst() {
+    void overloadRejectsTheLeastValuableRequestsFirst() {
         SimulatedGroup group = SimulatedGroup.of(1, WIDE);
         group.outcomeOf = sent -> null;
         List<String> least = new ArrayList<>();
@@ -324,7 +324,7 @@
     }
 
     @Test
-    void aStreamThatHasStartedIsLeftToItsClient() {
+    void startedStreamIsNeitherRetriedNorAnsweredAgain() {
         SimulatedGroup group = SimulatedGroup.of(1, WIDE);
         group.outcomeOf = sent -> null;
         String id = group.request(0, SimulatedGroup.SAFE, 1, 0, 1);
@@ -343,7 +343,7 @@
     }
 
     @Test
-    void whenAllServersFailMostStayIn() {
+    void ejectionStopsWhenMostServersFail() {
         SimulatedGroup group = SimulatedGroup.of(1, WIDE);
         group.outcomeOf = sent -> AttemptOutcome.ERROR;
         group.traffic(0, 1, 1, 20 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
@@ -356,7 +356,7 @@
     }
 
     @Test
-    void whenServersStopAnsweringOnlyABoundedNumberIsOut() {
+    void attemptsInFlightAreBoundedWhenServersHang() {
         SimulatedGroup group = new SimulatedGroup(SimulatedGroup.servers(2), SimulatedGroup.settings(0, 1, WIDE));
         group.outcomeOf = sent -> null;
         IntStream.range(0, 200).forEach(i -> group.request(0, SimulatedGroup.UNSAFE, i, 0, 1));
@@ -365,7 +365,7 @@
     }
 
     @Test
-    void askedDiscoveryIsWatchedAndAskedAgainAfterAFailure() {
+    void polledDiscoveryIsPolledAgainAfterAFailure() {
         TrafficPolicy.PolicySettings push = SimulatedGroup.settings(0, 1, WIDE);
         TrafficPolicy.PolicySettings ask = new TrafficPolicy.PolicySettings(
                 0,
@@ -391,7 +391,7 @@
      * sending nearly all until each of many servers was known as slow, and then refused for long after.
      */
     @Test
-    void whenMostAnswersStayAwayFewRequestsGoOnAndAllAgainSoonAfter() {
+    void throttleBoundsSendsDuringAnOutageAndRecoversSoonAfter() {
         SimulatedGroup group = new SimulatedGroup(SimulatedGroup.servers(70), SimulatedGroup.settings(0, 1, WIDE));
         group.traffic(0, 1, 1, 100 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
         group.outcomeOf = sent -> AttemptOutcome.TIMEOUT;
@@ -407,7 +407,7 @@
 
     /** With servers by the dozen, and a request now and then, a gateway never learnt which of them hang. */
     @Test
-    void gatewaysWithFewRequestsKeepToAFewServersEachAndToAllTogether() {
+    void gatewaysWithFewRequestsEachUseAFewServersThatTogetherAreAll() {
         PolicySettings[] settings = IntStream.range(0, 60)
                 .mapToObj(i -> SimulatedGroup.settings(i, 60, WIDE))
                 .toArray(PolicySettings[]::new);
@@ -432,7 +432,7 @@
     }
 
     @Test
-    void aGatewayWhoseFewServersHangTakesOthers() {
+    void gatewayWhoseFewServersFailUsesOthers() {
         DeploymentLimits alone =
                 new DeploymentLimits(true, false, false, false, false, 3, SimulatedGroup.SECOND, 60, 256, 0);
         SimulatedGroup group =
@@ -451,7 +451,7 @@
 
     /** With an answer a second, a class's mean took 20 s to fall after a jam, and nearly all was refused. */
     @Test
-    void slowAnswersOfAJamAreForgottenByAFewGoodOnes() {
+    void latencyEstimateRecoversQuicklyAfterCongestion() {
         SimulatedGroup group = new SimulatedGroup(SimulatedGroup.servers(70), SimulatedGroup.settings(0, 1, WIDE));
         group.traffic(0, 1, 1, 200 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
         group.extraLatency = 450 * SimulatedGroup.MS;
@@ -464,7 +464,7 @@
 
     /** It looked stuck: with one call out that said nothing, others were expected to be late there. */
     @Test
-    void aBodyThatStillComesInIsNoLoadAtItsServer() {
+    void incompleteRequestBodyIsNoLoadAtItsServer() {
         SimulatedGroup group = new SimulatedGroup(
                 SimulatedGroup.servers(1), SimulatedGroup.settings(0, 1, SimulatedGroup.quotaPlan(0, 0)));
         group.outcomeOf = sent -> null; // answered by the test, or never
--- a/src/test/java/reedmux/gatekeeper/reducer/ReducerTest.java
+++ b/src/test/java/reedmux/gatekeeper/reducer/ReducerTest.java
@@ -144,7 +144,7 @@
 
     /** It used to wait for its deadline, 3 s here, though nobody would decide on it any more. */
     @Test
-    void whoseDecisionThrowsOnArrivalIsTurnedAwayAtOnceWithAdvice() {
+    void exceptionOnArrivalRejectsAtOnce() {
         policy.failAtRequest = true;
         accept("a", false);
         FinalAnswer.Rejected answer = (FinalAnswer.Rejected) effects.answers.get(0);
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void whoseDecisionThrowsAfterTheSendHasTheAnswerOfItsCall() {
+    void exceptionAfterTheSendLeavesTheAnswerOfTheCall() {
         policy.failAfterSend = true;
         accept("a", false);
         assertEquals(List.of(), effects.answers);
@@ -165,7 +165,7 @@
 
     /** One that may have run is never called a rejection, one that cannot have run always is. */
     @Test
-    void whoseDecisionThrewIsAnsweredWhenItsLastCallEnds() {
+    void invocationIsAnsweredAfterAnExceptionWhenItsLastCallEnds() {
         policy.failAfterSend = true;
         accept("a", false);
         endCall(effects.calls.get(0), brokenAt(CallResult.CallStage.ON_WIRE));
@@ -178,7 +178,7 @@
 
     /** Also where the module throws at everything; an answered one was kept for ever then. */
     @Test
-    void aThrowAtACallsEndKeepsNothing() {
+    void exceptionAtTheEndOfACallLeaksNothing() {
         policy.failAtAttemptEnd = true;
         policy.failAtWithdrawal = true;
         accept("a", true);
@@ -192,7 +192,7 @@
 
     /** A call whose start throws had no time limits yet, and its end then failed for want of them. */
     @Test
-    void aCallThatCannotStartEndsAsNeverRun() {
+    void callThatCannotStartEndsAsNeverRun() {
         effects.cannotStart = true;
         accept("a", false);
         reducer.reduceDue(DEADLINE);
@@ -211,7 +211,7 @@
     }
 
     @Test
-    void whatTheModuleHoldsIsAnsweredAtItsDeadlineWithAdvice() {
+    void undecidedInvocationIsRejectedAtItsDeadline() {
         accept("a", true);
         reducer.reduceDue(DEADLINE);
         assertTrue(((FinalAnswer.Rejected) effects.answers.get(0)).retryAfter() > 0);
--- a/src/test/java/reedmux/gatekeeper/reducer/StreamingReducerTest.java
+++ b/src/test/java/reedmux/gatekeeper/reducer/StreamingReducerTest.java
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void anAnswerThatHasBegunIsFinalAndItsRestHasNoDeadline() {
+    void startedResponseIsFinalAndHasNoDeadline() {
         accept(new Invocation.RequestMessage() {}, 4 * SECOND);
         UpstreamCall call = effects.calls.get(0);
         reduceAt(SECOND + 30 * MS, new ReducerEvent.ResponseStarted(call, STARTED_RESPONSE));
@@ -101,7 +101,7 @@
 
     /** The module used to take a provider that writes slowly for one that is full, and turned others away. */
     @Test
-    void anAnswerThatCameInSlowlyIsJudgedByItsHead() {
+    void slowResponseBodyDoesNotCountAsLatency() {
         accept(new Invocation.RequestMessage() {}, 4 * SECOND);
         reduceAt(
                 2 * SECOND,
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void oneThatBreaksAfterItsBeginIsNotTriedAgain() {
+    void startedResponseThatBreaksIsNotRetried() {
         accept(new Invocation.RequestMessage() {}, 4 * SECOND);
         UpstreamCall call = effects.calls.get(0);
         reduceAt(SECOND + 30 * MS, new ReducerEvent.ResponseStarted(call, STARTED_RESPONSE));
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void aConsumerWhoLeavesInTheMiddleEndsTheCallWithoutBlame() {
+    void disconnectDuringAResponseCancelsTheCall() {
         Invocation taken = accept(new Invocation.RequestMessage() {}, 4 * SECOND);
         UpstreamCall call = effects.calls.get(0);
         reduceAt(SECOND + 30 * MS, new ReducerEvent.ResponseStarted(call, STARTED_RESPONSE));
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void anAnswerThatBeginsWhenNobodyWaitsIsStopped() {
+    void responseThatStartsAfterADisconnectIsAborted() {
         Invocation taken = accept(new Invocation.RequestMessage() {}, 4 * SECOND);
         UpstreamCall call = effects.calls.get(0);
         reduceAt(SECOND, new ReducerEvent.ConsumerDisconnected(taken));
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void theTimeOfALongBodyRunsFromItsLastByte() {
+    void timeOfAStreamedBodyRunsFromItsLastByte() {
         Invocation taken = accept(message, 600 * SECOND);
         UpstreamCall call = effects.calls.get(0);
         reduceAt(20 * SECOND, new ReducerEvent.RequestBodyCompleted(taken, 2 * SECOND));
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void itsDeadlineAndItsCallsEndWithThatTime() {
+    void deadlineOfAStreamedBodyRunsFromItsLastByte() {
         Invocation taken = accept(message, 600 * SECOND);
         reduceAt(20 * SECOND, new ReducerEvent.RequestBodyCompleted(taken, 2 * SECOND));
         reducer.reduceDue(22 * SECOND);
@@ -180,7 +180,7 @@
     }
 
     @Test
-    void whatWasPassedOnIsNotSentAgainAndWhatWasNotMayBe() {
+    void streamedBodyIsRetriedOnlyWhileNothingOfItWasSent() {
         accept(message, 600 * SECOND);
         reduceAt(
                 SECOND,
@@ -200,7 +200,7 @@
     }
 
     @Test
-    void aBodyThatItsConsumerBreaksOffBlamesNoProvider() {
+    void bodyThatItsConsumerAbortsIsNotSent() {
         Invocation taken = accept(message, 600 * SECOND);
         message.unsent = false;
         UpstreamCall call = effects.calls.get(0);
--- a/src/test/java/reedmux/gatekeeper/simulator/SimulatorSessionTest.java
+++ b/src/test/java/reedmux/gatekeeper/simulator/SimulatorSessionTest.java
@@ -45,13 +45,13 @@
     }
 
     @Test
-    void anEmptyBatchIsAnsweredEmpty() {
+    void emptyBatchHasAnEmptyReply() {
         assertEquals(0, serveBatches("", ""));
         assertEquals("FINISHED\nFINISHED\n", output());
     }
 
     @Test
-    void aRequestIsSentOnAndItsEndTakenIn() {
+    void requestIsForwardedAndItsEndProcessed() {
         assertEquals(
                 0,
                 serveBatches(
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void malformedInputIsOnePlainLineAndANonZeroExit() {
+    void malformedInputIsReportedInOneLineWithAnExitCode() {
         List<String> bad = List.of(
                 REQUEST,
                 "NOISE\t3\n",
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void aContradictionNamesItsKey() {
+    void contradictorySettingNamesItsKey() {
         serveBatches(CONFIGURE.replace("targetUs=500000", "targetUs=5000000"));
         assertTrue(err.toString(StandardCharsets.UTF_8).contains("lanes.0.targetUs"));
     }
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void theModulesExceptionIsTheInstancesFault() throws IOException, MalformedFrameException {
+    void exceptionOfThePolicyIsReportedForItsInstance() throws IOException, MalformedFrameException {
         SimulatorSession drill = new SimulatorSession((settings, seed) -> (now, event, act) -> {
             throw new IllegalStateException("broken\there");
         });
