--- a/src/main/java/reedmux/gatekeeper/http/ConsumerExchange.java
+++ b/src/main/java/reedmux/gatekeeper/http/ConsumerExchange.java
@@ -10,7 +10,6 @@
 import org.apache.hc.core5.http.HttpException;
 import org.apache.hc.core5.http.HttpRequest;
 import org.apache.hc.core5.http.HttpResponse;
-import org.apache.hc.core5.http.HttpVersion;
 import org.apache.hc.core5.http.impl.BasicEntityDetails;
 import org.apache.hc.core5.http.message.BasicHttpResponse;
 import org.apache.hc.core5.http.nio.AsyncServerExchangeHandler;
@@ -19,16 +18,31 @@
 import org.apache.hc.core5.http.nio.ResponseChannel;
 import org.apache.hc.core5.http.protocol.HttpContext;
 import reedmux.gatekeeper.admin.Metrics;
+import reedmux.gatekeeper.http.RequestFrontend.GatewayResponse;
+import reedmux.gatekeeper.http.RequestFrontend.ParsedRequest;
 import reedmux.gatekeeper.reducer.FinalAnswer;
 import reedmux.gatekeeper.reducer.Invocation;
 import reedmux.gatekeeper.reducer.ReducerEvent;
 
-/** One request of a consumer and its one answer. */
+/**
+ * One request of a consumer and its response. The request is buffered up to {@link
+ * HttpTransport#MAX_BUFFERED_BODY_BYTES}; a longer body is streamed, and the request is parsed as soon as that is
+ * known. A response is sent once, whatever else happens.
+ *
+ * <p>The library calls on the I/O thread; the answer of an invocation comes from the event loop.
+ */
 public final class ConsumerExchange implements AsyncServerExchangeHandler, Invocation.AnswerSink {
     private static final String BODY_TOO_LONG = "the body is too long";
+    private static final int STATUS_CONTINUE = 100;
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_BAD_REQUEST = 400;
+    private static final int STATUS_REQUEST_TIMEOUT = 408;
+    private static final int STATUS_CONTENT_TOO_LARGE = 413;
+    private static final int STATUS_UNAVAILABLE = 503;
+    private static final long NOT_REPORTED = -1;
 
     private final ConsumerServer server;
-    private final ConsumerServer.ConsumerConnection connection;
+    private final ConsumerConnection connection;
     private final boolean onlyExchange;
     private final AtomicBoolean answered = new AtomicBoolean();
     private HttpRequest request;
@@ -40,62 +54,70 @@
     private volatile Invocation invocation;
     private volatile Metrics.ClassMetrics classMetrics;
     private volatile BufferedBody.OutboundBody bufferedResponse;
-    /** A long body that comes in, and a long answer that goes out; or null. */
+    /** The request's body if it is streamed, otherwise null. */
     private volatile BodyStream requestStream;
-
+    /** The response's body if it is streamed, otherwise null. */
     private volatile BodyStream responseStream;
+    /** Whether the streamed response has been written, or has failed. */
     private volatile boolean streamEnded;
+    /** Bytes of the body that the library may have read so far. */
     private long grantedBytes = HttpTransport.INITIAL_WINDOW_BYTES;
-    /** From when on, and from which byte, a slow body is judged. */
+    /** Since when the rate of the body is measured; 0 for the begin of the request. */
     private long rateMeasuredSince;
-
+    /** The bytes that had been received then. */
     private long rateMeasuredFromBytes;
+    /** When the request was received, if the response reports the time that it took; otherwise 0. */
     private long receivedAt;
 
-    /** {@code onlyExchange}: no request is open before it on its connection. */
-    ConsumerExchange(ConsumerServer server, ConsumerServer.ConsumerConnection link, boolean alone) {
+    /** An exchange; {@code onlyExchange} is false if another one is still open on its connection. */
+    ConsumerExchange(ConsumerServer server, ConsumerConnection connection, boolean onlyExchange) {
         this.server = server;
-        this.connection = link;
-        this.onlyExchange = alone;
+        this.connection = connection;
+        this.onlyExchange = onlyExchange;
     }
 
     boolean isAnswered() {
         return answered.get();
     }
 
-    /** Whether its request's body is still coming in. */
+    /** Whether the request's body is still being received. */
     boolean isReadingBody() {
         return readingBody && !isAnswered();
     }
 
-    /** Whether it has been passed on, whole or not. */
+    /** Whether the request has become an invocation, be its body complete or not. */
     boolean isForwarded() {
         return invocation != null;
     }
 
-    /** Whether its body comes in too slowly; in {@code headLimit} microseconds a head must be whole. */
-    boolean isBodyTooSlow(long now, long begunAt, long headLimit) {
-        BodyStream flow = requestStream;
+    /**
+     * Whether the body is received too slowly. Time in which we do not ask for more does not count.
+     *
+     * @param startedAt         when the request began
+     * @param headTimeoutMicros how long a head may take
+     */
+    boolean isBodyTooSlow(long now, long startedAt, long headTimeoutMicros) {
+        BodyStream stream = requestStream;
         if (!isReadingBody()) {
             return false;
-        } else if (flow == null) {
+        } else if (stream == null) {
             return MinimumRateGuard.isTooSlow(
-                    now - begunAt, headLimit, bufferedRequest == null ? 0 : bufferedRequest.size());
-        } else if (!flow.awaitsSource()) { // it waits for us
+                    now - startedAt, headTimeoutMicros, bufferedRequest == null ? 0 : bufferedRequest.size());
+        } else if (!stream.awaitsSource()) {
             rateMeasuredSince = now;
-            rateMeasuredFromBytes = flow.bytesReceived();
+            rateMeasuredFromBytes = stream.bytesReceived();
             return false;
         }
         return MinimumRateGuard.isTooSlow(
-                now - (rateMeasuredSince == 0 ? begunAt : rateMeasuredSince),
-                headLimit,
-                flow.bytesReceived() - rateMeasuredFromBytes);
+                now - (rateMeasuredSince == 0 ? startedAt : rateMeasuredSince),
+                headTimeoutMicros,
+                stream.bytesReceived() - rateMeasuredFromBytes);
     }
 
-    /** Whether something of its answer waits for the consumer to read on. */
+    /** Whether the response waits for the consumer to parsed. */
     boolean awaitsConsumer() {
-        BodyStream flow = responseStream;
-        return isAnswered() && (flow == null || streamEnded || flow.awaitsSink());
+        BodyStream stream = responseStream;
+        return isAnswered() && (stream == null || streamEnded || stream.awaitsSink());
     }
 
     // ---- The request -------------------------------------------------------------------------------
@@ -108,16 +130,16 @@
         if (connection.headError() != null) {
             rejectAndClose(connection.headErrorStatus(), connection.headError());
         } else if (!onlyExchange) {
-            rejectAndClose(400, "one request at a time on a connection");
+            rejectAndClose(STATUS_BAD_REQUEST, "one request at a time on a connection");
         } else if (entity == null) {
             dispatch(RequestBody.buffered(BufferedBody.EMPTY));
         } else if (entity.getContentLength() > server.frontend().maxBodyBytes()) {
-            rejectAndClose(413, BODY_TOO_LONG); // told at once: to read 60 MB first would only cost
+            rejectAndClose(STATUS_CONTENT_TOO_LARGE, BODY_TOO_LONG); // without reading the body first
         } else {
             bufferedRequest = new BufferedBody.InboundBody(entity);
             readingBody = true;
-            if (request.containsHeader("Expect")) { // some consumers hold the body back until told to go on
-                channel.sendInformation(new BasicHttpResponse(100), context);
+            if (request.containsHeader("Expect")) { // the consumer may hold the body back until then
+                channel.sendInformation(new BasicHttpResponse(STATUS_CONTINUE), context);
             }
             if (entity.getContentLength() > HttpTransport.MAX_BUFFERED_BODY_BYTES) {
                 startStreaming(entity.getContentLength());
@@ -127,45 +149,45 @@
 
     @Override
     public void updateCapacity(CapacityChannel channel) throws IOException {
-        BodyStream flow = requestStream;
+        BodyStream stream = requestStream;
         if (isAnswered()) {
-            channel.update(Integer.MAX_VALUE); // thrown away
-        } else if (flow != null) {
-            flow.attachSource(channel);
+            channel.update(Integer.MAX_VALUE); // the rest is discarded
+        } else if (stream != null) {
+            stream.attachSource(channel);
         } else {
             grantedBytes += HttpTransport.MAX_BUFFERED_BODY_BYTES;
             channel.update(HttpTransport.MAX_BUFFERED_BODY_BYTES);
         }
     }
 
-    /** Its body is read on as it comes, and goes on the same way. */
+    /** Makes the body a stream, and an invocation of the request before the body is complete. */
     private void startStreaming(long length) throws HttpException, IOException {
-        BodyStream flow = new BodyStream(length, server.frontend().maxBodyBytes(), grantedBytes);
-        flow.receive(ByteBuffer.wrap(bufferedRequest.bytes()));
-        requestStream = flow;
+        BodyStream stream = new BodyStream(length, server.frontend().maxBodyBytes(), grantedBytes);
+        stream.receive(ByteBuffer.wrap(bufferedRequest.bytes()));
+        requestStream = stream;
         bufferedRequest = null;
-        dispatch(new RequestBody(BufferedBody.EMPTY, flow));
+        dispatch(new RequestBody(BufferedBody.EMPTY, stream));
         if (isAnswered()) {
-            flow.discardRest();
+            stream.discardRest();
         }
     }
 
     @Override
     public void consume(ByteBuffer source) throws IOException {
-        BodyStream flow = requestStream;
+        BodyStream stream = requestStream;
         if (isAnswered()) {
             source.position(source.limit());
-            connection.onResponseProgress(); // what is thrown away is a sign of life too
-        } else if (flow != null) {
-            if (!flow.receive(source)) {
-                tryRejectAndClose(413, BODY_TOO_LONG);
+            connection.onResponseProgress(); // what is discarded shows that the consumer is alive, too
+        } else if (stream != null) {
+            if (!stream.receive(source)) {
+                tryRejectAndClose(STATUS_CONTENT_TOO_LARGE, BODY_TOO_LONG);
             }
         } else {
             ByteBuffer same = source.duplicate();
             bufferedRequest.append(source);
             if (bufferedRequest.isTooLong()
                     && server.frontend().maxBodyBytes() <= HttpTransport.MAX_BUFFERED_BODY_BYTES) {
-                tryRejectAndClose(413, BODY_TOO_LONG);
+                tryRejectAndClose(STATUS_CONTENT_TOO_LARGE, BODY_TOO_LONG);
             } else if (bufferedRequest.isTooLong()) {
                 try {
                     startStreaming(-1);
@@ -179,11 +201,11 @@
 
     @Override
     public void streamEnd(List<? extends Header> trailers) throws HttpException, IOException {
-        BodyStream flow = requestStream;
-        if (flow != null) {
+        BodyStream stream = requestStream;
+        if (stream != null) {
             readingBody = false;
             connection.onRequestReceived();
-            flow.complete();
+            stream.complete();
             if (invocation != null && !isAnswered()) {
                 eventSink.accept(
                         new ReducerEvent.RequestBodyCompleted(invocation, ServiceFrontend.timeoutMicros(request)));
@@ -193,19 +215,19 @@
         }
     }
 
-    /** The body cannot be read on; returns whether that could be told. */
+    /** Rejects a request whose body is malformed; returns whether a response could be sent. */
     boolean rejectUnreadable(String problem) {
-        return !isAnswered() && tryRejectAndClose(400, problem);
+        return !isAnswered() && tryRejectAndClose(STATUS_BAD_REQUEST, problem);
     }
 
-    /** The request did not come in whole in time; returns whether that could be told. */
+    /** Rejects a request that is not complete in time; returns whether a response could be sent. */
     boolean rejectTimedOut() {
-        return !isAnswered() && tryRejectAndClose(408, "the request did not come in whole in time");
+        return !isAnswered() && tryRejectAndClose(STATUS_REQUEST_TIMEOUT, "the request did not come in whole in time");
     }
 
-    private boolean tryRejectAndClose(int status, String why) {
+    private boolean tryRejectAndClose(int status, String problem) {
         try {
-            rejectAndClose(status, why);
+            rejectAndClose(status, problem);
             return true;
         } catch (HttpException | IOException e) {
             connection.abort();
@@ -213,112 +235,89 @@
         }
     }
 
-    /** An answer after which the connection is closed, as what comes behind it makes no sense. */
-    private void rejectAndClose(int status, String why) throws HttpException, IOException {
+    /** Sends a response after which the connection is closed, since what follows cannot be read as a request. */
+    private void rejectAndClose(int status, String problem) throws HttpException, IOException {
         connection.stopReading();
-        sendResponse(RequestFrontend.GatewayResponse.text(status, why));
-        if (invocation != null) { // what was passed on of it will never be whole
+        sendResponse(GatewayResponse.text(status, problem));
+        if (invocation != null) { // its body will never be complete
             eventSink.accept(new ReducerEvent.ConsumerDisconnected(invocation));
             requestStream.fail();
         }
     }
 
-    private void dispatch(RequestBody content) throws HttpException, IOException {
-        if (content.stream() == null) {
+    /** Responds to a health check, or has the frontend make an invocation or a rejection of the request. */
+    private void dispatch(RequestBody body) throws HttpException, IOException {
+        if (body.stream() == null) {
             readingBody = false;
             connection.onRequestReceived();
         }
-        long takenAt = server.frontend().now();
+        long parsedAt = server.frontend().now();
         if (!RequestTarget.toOriginForm(request)) {
-            rejectAndClose(400, "the target is not of this host");
+            rejectAndClose(STATUS_BAD_REQUEST, "the target is not of this host");
             return;
         }
         if (request.getPath().equals("/healthz")) {
             boolean ready = server.isReady();
-            sendResponse(RequestFrontend.GatewayResponse.text(ready ? 200 : 503, ready ? "ready" : "not ready"));
+            sendResponse(GatewayResponse.text(ready ? STATUS_OK : STATUS_UNAVAILABLE, ready ? "ready" : "not ready"));
             return;
         }
         receivedAt =
                 server.frontend().reportsProcessingTime() ? server.frontend().now() : 0;
-        RequestFrontend.ParsedRequest read = server.frontend().parse(request, content, takenAt, this);
-        connection.intakeLimiter = read.intakeLimiter();
-        classMetrics = read.classMetrics();
-        if (read.invocation() == null) {
-            if (read.closesConnection()) {
+        ParsedRequest parsed = server.frontend().parse(request, body, parsedAt, this);
+        connection.limitNextRequest(parsed.intakeLimiter());
+        classMetrics = parsed.classMetrics();
+        if (parsed.invocation() == null) {
+            if (parsed.closesConnection()) {
                 connection.stopReading();
             }
-            sendResponse(read.rejection());
+            sendResponse(parsed.rejection());
         } else {
-            eventSink = read.eventSink();
-            invocation = read.invocation();
+            eventSink = parsed.eventSink();
+            invocation = parsed.invocation();
             if (classMetrics != null) {
                 classMetrics.onStarted();
             }
-            eventSink.accept(read.event());
+            eventSink.accept(parsed.event());
         }
     }
 
-    // ---- The answer --------------------------------------------------------------------------------
+    // ---- The response ------------------------------------------------------------------------------
     @Override
     public void send(FinalAnswer answer) {
         try {
             sendResponse(server.frontend().toResponse(answer));
         } catch (HttpException | IOException | RuntimeException e) {
-            // The consumer's connection broke just now, and nobody is left to be told. Anything thrown on
-            // from here would come out in the middle of a decision.
+            // The consumer's connection has just broken, and nobody is left to be answered. An exception that left
+            // this method would interrupt the reducer in the middle of a decision.
             connection.abort();
         }
     }
 
-    private void sendResponse(RequestFrontend.GatewayResponse told) throws HttpException, IOException {
+    private void sendResponse(GatewayResponse response) throws HttpException, IOException {
         if (!answered.compareAndSet(false, true)) {
             return;
         }
-        BodyStream flow = told.bodyStream();
-        if (flow == null) {
-            recordOutcome(told.status());
+        BodyStream stream = response.bodyStream();
+        if (stream == null) {
+            recordOutcome(response.status());
         }
         BodyStream unread = requestStream;
         if (unread != null && !connection.hasStoppedReading()) {
-            unread.discardRest(); // the rest is read and thrown away
-        }
-        byte[] bytes = told.body();
-        HttpResponse response = new BasicHttpResponse(told.status());
-        if (told.contentType() != null) {
-            response.addHeader("Content-Type", told.contentType());
-        }
-        boolean old = request.getVersion() != null && request.getVersion().lessEquals(HttpVersion.HTTP_1_0);
-        if (flow == null || flow.length() >= 0) {
-            response.addHeader("Content-Length", Long.toString(flow == null ? bytes.length : flow.length()));
-        } else if (!old) {
-            response.addHeader("Transfer-Encoding", "chunked");
-        }
-        if (told.retryAfterMicros() >= 0) {
-            response.addHeader("Retry-After", formatSeconds(told.retryAfterMicros()));
-        }
-        if (told.neverRan()) {
-            response.addHeader(RegionFrontend.NEVER_RAN_HEADER, "1");
-        }
-        if (receivedAt > 0) {
-            response.addHeader(
-                    RegionFrontend.REGION_TOOK_HEADER,
-                    Long.toString(server.frontend().now() - receivedAt));
-        }
-        if (told.status() == 405) {
-            response.addHeader("Allow", request.getMethod().equals("GET") ? "POST" : "GET");
-        }
-        if (server.closesAfterResponse() || connection.hasStoppedReading()) {
-            response.addHeader("Connection", "close");
+            unread.discardRest();
         }
+        boolean closes = server.lifeCycle().closesAfterResponse() || connection.hasStoppedReading();
+        long tookMicros = receivedAt > 0 ? server.frontend().now() - receivedAt : NOT_REPORTED;
+        HttpResponse head = ResponseHead.of(response, request, tookMicros, closes);
         connection.onResponseProgress();
-        if (flow != null) {
-            responseStream = flow;
-            flow.onFailure(this::onResponseStreamFailed);
-            channel.sendResponse(response, new BasicEntityDetails(flow.length(), null), context);
+        if (stream != null) {
+            responseStream = stream;
+            stream.onFailure(this::onResponseStreamFailed);
+            channel.sendResponse(head, new BasicEntityDetails(stream.length(), null), context);
             return;
         }
-        bufferedResponse = new BufferedBody.OutboundBody(bytes);
-        channel.sendResponse(response, bytes.length == 0 ? null : new BasicEntityDetails(bytes.length, null), context);
+        bufferedResponse = new BufferedBody.OutboundBody(response.body());
+        int length = response.body().length;
+        channel.sendResponse(head, length == 0 ? null : new BasicEntityDetails(length, null), context);
     }
 
     private void recordOutcome(int status) {
@@ -330,7 +329,7 @@
         }
     }
 
-    /** The rest of the answer will never come: the consumer can tell by the end of its connection. */
+    /** The rest of the response will never come; the consumer sees that its connection ends too early. */
     private void onResponseStreamFailed() {
         if (!streamEnded) {
             streamEnded = true;
@@ -342,44 +341,37 @@
         connection.abort();
     }
 
-    /** Seconds with three decimals, rounded up: to come back a little early would be to come in vain. */
-    static String formatSeconds(long micros) {
-        long millis = (micros + 999) / 1000;
-        String decimals = Long.toString(1000 + millis % 1000);
-        return millis / 1000 + "." + decimals.substring(1);
-    }
-
     @Override
     public int available() {
-        BodyStream flow = responseStream;
-        return flow != null ? flow.available() : bufferedResponse == null ? 0 : bufferedResponse.available();
+        BodyStream stream = responseStream;
+        return stream != null ? stream.available() : bufferedResponse == null ? 0 : bufferedResponse.available();
     }
 
     @Override
-    public void produce(DataStreamChannel stream) throws IOException {
-        BodyStream flow = responseStream;
-        if (flow == null) {
-            bufferedResponse.writeTo(stream);
+    public void produce(DataStreamChannel sink) throws IOException {
+        BodyStream stream = responseStream;
+        if (stream == null) {
+            bufferedResponse.writeTo(sink);
             connection.onResponseProgress();
             return;
         }
-        long before = flow.bytesMoved();
-        if (flow.writeTo(stream) && !streamEnded) {
+        long before = stream.bytesMoved();
+        if (stream.writeTo(sink) && !streamEnded) {
             streamEnded = true;
-            recordOutcome(200);
+            recordOutcome(STATUS_OK);
         }
-        if (flow.bytesMoved() != before) {
+        if (stream.bytesMoved() != before) {
             connection.onResponseProgress();
         }
     }
 
     // ---- The end -----------------------------------------------------------------------------------
-    /** The connection has ended; without an answer that means the consumer went away. */
+    /** The connection has been closed. Without a response that means that the consumer does not wait any more. */
     void onConsumerDisconnected() {
-        BodyStream going = responseStream;
-        if (going != null && !streamEnded) {
+        BodyStream unfinished = responseStream;
+        if (unfinished != null && !streamEnded) {
             streamEnded = true;
-            going.discardRest();
+            unfinished.discardRest();
             if (classMetrics != null) {
                 classMetrics.onEnded();
             }
@@ -391,9 +383,9 @@
             }
             eventSink.accept(new ReducerEvent.ConsumerDisconnected(invocation));
         }
-        BodyStream flow = requestStream;
-        if (flow != null) {
-            flow.fail();
+        BodyStream stream = requestStream;
+        if (stream != null) {
+            stream.fail();
         }
     }
 
--- a/src/main/java/reedmux/gatekeeper/http/UpstreamConnection.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamConnection.java
@@ -65,7 +65,7 @@
     synchronized IOEventHandler createEventHandler(ProtocolIOSession made) {
         ClientHttp1StreamDuplexer client = new ClientHttp1StreamDuplexer(
                 made,
-                ConsumerServer.NO_ADDED_HEADERS,
+                HttpTransport.NO_ADDED_HEADERS,
                 HttpTransport.HTTP1_CONFIG,
                 null,
                 null,
