--- a/src/main/java/reedmux/common/disk/GenerationReader.java
+++ b/src/main/java/reedmux/common/disk/GenerationReader.java
@@ -6,7 +6,8 @@
 
 /**
  * Reads one file of a {@link Journal}. Unsynced writes survive a crash one by one, so that a valid record may stand
- * behind a damaged one: a record with a wrong checksum is skipped, and reading goes on as long as the lengths make sense.
+ * behind a damaged one: a record with a wrong checksum is skipped, and reading goes on as long as the lengths make
+ * sense.
  */
 final class GenerationReader {
     private final String file;
--- a/src/main/java/reedmux/common/disk/Journal.java
+++ b/src/main/java/reedmux/common/disk/Journal.java
@@ -7,8 +7,9 @@
 import java.util.TreeMap;
 
 /**
- * A write-ahead log in the files of one folder. Each file is a generation: it begins with a complete state, behind which
- * records are appended. The owner starts a new generation from time to time, so that the files stay small (compaction).
+ * A write-ahead log in the files of one folder. Each file is a generation: it begins with a complete state, behind
+ * which records are appended. The owner starts a new generation from time to time, so that the files stay small
+ * (compaction).
  *
  * <table>
  *   <caption>A file {@code items-<generation>}, in the order of its bytes; numbers are big-endian</caption>
@@ -33,9 +34,9 @@
  * are deleted: that one is read where the newest turns out to be damaged.
  *
  * <p><b>Durability.</b> When {@link #startGeneration} returns, its state survives a loss of power; an appended record
- * does once {@link #sync} has returned. Unsynced records may be missing, torn or complete, each by itself. After a failed
- * sync, or a generation that has failed from its rename on, nothing is appended any more ({@link #isBroken}), as it
- * could stand where a start does not read it, until a new generation was started.
+ * does once {@link #sync} has returned. Unsynced records may be missing, torn or complete, each by itself. After a
+ * failed sync, or a generation that has failed from its rename on, nothing is appended any more ({@link #isBroken}), as
+ * it could stand where a start does not read it, until a new generation was started.
  *
  * <p><b>Recovery</b> reads generations from the newest on until one has its whole state, and returns their records the
  * oldest first. Whatever can't be read is told by {@link #problems()} and otherwise skipped.
@@ -230,8 +231,8 @@
     /**
      * Appends a record to the current generation; it is durable once {@link #sync()} has returned.
      *
-     * @throws IOException if the disk refuses it, the journal {@link #isBroken}, or the record is empty or too large; no
-     *     part of it is left then
+     * @throws IOException if the disk refuses it, the journal {@link #isBroken}, or the record is empty or too large;
+     *     what it has left is never read in front of a later record
      */
     public void append(byte[] record) throws IOException {
         if (broken) {
--- a/src/main/java/reedmux/control/configuration/ConfigurationItem.java
+++ b/src/main/java/reedmux/control/configuration/ConfigurationItem.java
@@ -1,9 +1,9 @@
 package reedmux.control.configuration;
 
 /**
- * One named part of the configuration at one revision, or its deletion. Items are replicated one by one: of two with the
- * same key the one with the higher revision wins, and of two with the same revision, too, the one with the greater body,
- * so that replicas end with the same items whatever the order in which these come.
+ * One named part of the configuration at one revision, or its deletion. Items are replicated one by one: of two with
+ * the same key the one with the higher revision wins, and of two with the same revision, too, the one with the greater
+ * body, so that replicas end with the same items whatever the order in which these come.
  *
  * @param kind {@code routes}, {@code plants} (services), {@code tenants} or {@code saturation} (limits of requests)
  * @param name unique within the kind; empty for {@code saturation}
--- a/src/main/java/reedmux/control/configuration/ConfigurationTable.java
+++ b/src/main/java/reedmux/control/configuration/ConfigurationTable.java
@@ -9,8 +9,8 @@
 /**
  * A set of items in the form in which it is used, and the one place that says what is valid: each item by itself
  * ({@link ParsedItem}); every service that a route names is there; no two routes have the same host and prefix; no two
- * tenants share a key. What is not valid is counted as items come and go, so that a change costs what it changes and not
- * what there is. For one thread.
+ * tenants share a key. What is not valid is counted as items come and go, so that a change costs what it changes and
+ * not what there is. For one thread.
  */
 public final class ConfigurationTable {
     private final RouteIndex routes = new RouteIndex();
--- a/src/main/java/reedmux/control/replication/DigestTree.java
+++ b/src/main/java/reedmux/control/replication/DigestTree.java
@@ -5,9 +5,9 @@
 
 /**
  * Digests by which two replicas find the keys in which they differ without sending everything: a Merkle tree of two
- * levels. A key is in one of {@link #FINE_RANGES} fine ranges by its hash, and {@link #RANGES_PER_LEVEL} fine ranges are
- * one coarse range. The digest of a range is the exclusive or of the digests of its entries, so that an entry is added or
- * removed at the same cost whatever there is. The digests are compared between versions, and may never change.
+ * levels. A key is in one of {@link #FINE_RANGES} fine ranges by its hash, and {@link #RANGES_PER_LEVEL} fine ranges
+ * are one coarse range. The digest of a range is the exclusive or of the digests of its entries, so that an entry is
+ * added or removed at the same cost whatever there is. The digests are compared between versions, and may never change.
  */
 public final class DigestTree {
     /** How many coarse ranges there are, and how many fine ones in each of these. */
--- a/src/main/java/reedmux/control/replication/Replica.java
+++ b/src/main/java/reedmux/control/replication/Replica.java
@@ -12,10 +12,10 @@
 import reedmux.control.consensus.Proposal;
 
 /**
- * What one store has of the configuration: the committed items, the proposals that are pending until it is known whether
- * they are committed, and watermarks of the revisions that were overtaken. A proposal's items become pending, are
- * committed or are dropped together. Everything that is committed, and every watermark, gets a change number, by which
- * followers continue. No I/O, threads or clocks.
+ * What one store has of the configuration: the committed items, the proposals that are pending until it is known
+ * whether they are committed, and watermarks of the revisions that were overtaken. A proposal's items become pending,
+ * are committed or are dropped together. Everything that is committed, and every watermark, gets a change number, by
+ * which followers continue. No I/O, threads or clocks.
  */
 public final class Replica {
 
--- a/src/main/java/reedmux/control/replication/ReplicationPosition.java
+++ b/src/main/java/reedmux/control/replication/ReplicationPosition.java
@@ -1,8 +1,8 @@
 package reedmux.control.replication;
 
 /**
- * How far a follower has applied the changes of one source. Change numbers belong to one run of the source's process, so
- * that a position says nothing about another incarnation.
+ * How far a follower has applied the changes of one source. Change numbers belong to one run of the source's process,
+ * so that a position says nothing about another incarnation.
  *
  * @param incarnation the incarnation of the source; 0 for none
  * @param change the last change of that incarnation that was applied; 0 for none
--- a/src/main/java/reedmux/control/replication/Watermark.java
+++ b/src/main/java/reedmux/control/replication/Watermark.java
@@ -3,8 +3,8 @@
 import reedmux.control.configuration.ConfigurationItem;
 
 /**
- * A record that a revision of an item was committed and has been overtaken since: of its body a digest is left. With it a
- * store tells an operator's repetition of a change (the same digest) from a revision that is used for another body.
+ * A record that a revision of an item was committed and has been overtaken since: of its body a digest is left. With it
+ * a store tells an operator's repetition of a change (the same digest) from a revision that is used for another body.
  *
  * @param key of the item
  * @param digest of the body; or {@link #LOW_WATERMARK}, which says that nothing is known any more of this revision and
--- a/src/main/java/reedmux/control/replication/WatermarkTable.java
+++ b/src/main/java/reedmux/control/replication/WatermarkTable.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * The watermarks that one store has: for each item its latest overtaken revisions, and below these a low watermark, under
- * which nothing is known. Two tables are merged as a union, so that all stores end with the same one.
+ * The watermarks that one store has: for each item its latest overtaken revisions, and below these a low watermark,
+ * under which nothing is known. Two tables are merged as a union, so that all stores end with the same one.
  */
 public final class WatermarkTable {
     /** Beyond this the low watermark of an item is raised; operators repeat changes of the last few revisions only. */
--- /dev/null
+++ b/src/main/java/reedmux/control/store/MessageDispatcher.java
@@ -0,0 +1,164 @@
+package reedmux.control.store;
+
+import reedmux.common.eventloop.Reactor;
+import reedmux.control.consensus.ConsensusNode;
+import reedmux.control.consensus.CoreMembership;
+import reedmux.control.consensus.EpochMessage;
+import reedmux.control.rpc.Messages.ChangesRequest;
+import reedmux.control.rpc.Messages.ConfigurationChangeRequest;
+import reedmux.control.rpc.Messages.ConfigurationReadRequest;
+import reedmux.control.rpc.Messages.ConfigurationUpdate;
+import reedmux.control.rpc.Messages.CoreMembershipNotice;
+import reedmux.control.rpc.Messages.CoreRemovalRequest;
+import reedmux.control.rpc.Messages.DecisionNotice;
+import reedmux.control.rpc.Messages.DigestMismatch;
+import reedmux.control.rpc.Messages.DigestRequest;
+import reedmux.control.rpc.Messages.OperatorResponse;
+import reedmux.control.rpc.Messages.ProposeRequest;
+import reedmux.control.rpc.Messages.QuorumContactRequest;
+import reedmux.control.rpc.Messages.QuorumContactResponse;
+import reedmux.control.rpc.Messages.SnapshotChunk;
+import reedmux.control.rpc.Messages.SnapshotChunkRequest;
+import reedmux.control.rpc.Messages.StateTransferRequest;
+import reedmux.control.rpc.Messages.StateTransferResponse;
+import reedmux.control.rpc.Messages.StoreStatusRequest;
+import reedmux.control.rpc.Messages.VoteResponse;
+import reedmux.control.rpc.Messages.WatermarkUpdate;
+import reedmux.control.rpc.RpcConnection;
+
+/**
+ * Hands each message that a {@link StoreServer} receives to the part that it is for. Messages of other stores are
+ * trusted as they are, but for the epoch: a store of another core may neither propose nor count on this one. For the
+ * reactor's thread.
+ */
+final class MessageDispatcher {
+    private final Reactor reactor;
+    private final PeerConnections peers;
+    private final ChangePublisher publisher;
+    private final PeerSynchronizer synchronizer;
+    private final ConsensusNode consensus;
+    private final CoreMembership membership;
+    private final RemovalForwarder removals;
+    private final StoreServer server;
+
+    MessageDispatcher(
+            Reactor reactor,
+            PeerConnections peers,
+            ChangePublisher publisher,
+            PeerSynchronizer synchronizer,
+            ConsensusNode consensus,
+            CoreMembership membership,
+            StoreServer server) {
+        this.reactor = reactor;
+        this.peers = peers;
+        this.publisher = publisher;
+        this.synchronizer = synchronizer;
+        this.consensus = consensus;
+        this.membership = membership;
+        this.server = server;
+        removals = new RemovalForwarder(reactor, membership, peers);
+    }
+
+    /** Hands a message to its part. What is of no kind that a store takes is ignored. */
+    void dispatch(RpcConnection connection, Object message) {
+        if (!onReplicationMessage(connection, message)
+                && !onConsensusMessage(connection, message)
+                && !onMembershipMessage(connection, message)) {
+            onOperatorMessage(connection, message);
+        }
+    }
+
+    /** Returns whether the message is one of replication. */
+    private boolean onReplicationMessage(RpcConnection connection, Object message) {
+        if (message instanceof ChangesRequest request) {
+            publisher.onChangesRequest(connection, request);
+        } else if (message instanceof SnapshotChunkRequest request) {
+            publisher.onSnapshotChunkRequest(connection, request);
+        } else if (message instanceof DigestRequest request) {
+            publisher.onDigestRequest(connection, request);
+        } else if (message instanceof DigestMismatch mismatch) {
+            synchronizer.onDigestMismatch(connection, mismatch);
+        } else if (message instanceof SnapshotChunk chunk) {
+            synchronizer.onSnapshotChunk(connection, chunk);
+        } else if (message instanceof WatermarkUpdate update) {
+            synchronizer.onWatermarkUpdate(update);
+        } else if (message instanceof ConfigurationUpdate update) {
+            synchronizer.onConfigurationUpdate(connection, update);
+            publisher.startProxyContact(); // this store may be current only now
+        } else {
+            return false;
+        }
+        return true;
+    }
+
+    /** Returns whether the message is one of the consensus on the operator's changes. */
+    private boolean onConsensusMessage(RpcConnection connection, Object message) {
+        long now = reactor.now();
+        String from = connection.peer().ip();
+        if (message instanceof ProposeRequest request) {
+            peers.onProposalFrom(connection);
+            if (membership.acceptsEpoch(from, request.epoch())) {
+                consensus.onProposal(now, from, request.proposal());
+            }
+        } else if (message instanceof VoteResponse response) {
+            consensus.onVote(now, from, response.proposalId(), response.ballot(), response.vote());
+        } else if (message instanceof DecisionNotice notice) {
+            consensus.onDecision(now, notice.proposalId(), notice.ballot(), notice.committed(), notice.items());
+        } else if (message instanceof QuorumContactRequest request) {
+            peers.onContactRequestFrom(connection);
+            // While this store is fenced the next core may be deciding already.
+            if (membership.acceptsEpoch(from, request.epoch()) && !membership.isFenced()) {
+                consensus.onContactRequest(now, from, request.id(), request.afterPendingDecisions());
+            }
+        } else if (message instanceof QuorumContactResponse response) {
+            consensus.onContactConfirmation(now, from, response.id());
+        } else {
+            return false;
+        }
+        return true;
+    }
+
+    /** Returns whether the message is one of the core's membership. */
+    private boolean onMembershipMessage(RpcConnection connection, Object message) {
+        long now = reactor.now();
+        String from = connection.peer().ip();
+        if (message instanceof CoreMembershipNotice notice) {
+            membership.onCoreAnnounced(now, from, notice.core(), notice.ready(), notice.fenced());
+        } else if (message instanceof EpochMessage epochMessage) {
+            peers.onProposalFrom(connection);
+            membership.onEpochMessage(now, from, epochMessage);
+        } else if (message instanceof StateTransferRequest request) {
+            if (membership.maySendHandover(from, request.epoch())) {
+                publisher.onStateTransferRequest(connection, request);
+            }
+        } else if (message instanceof StateTransferResponse response) {
+            synchronizer.onStateTransferResponse(connection, response);
+        } else {
+            return false;
+        }
+        return true;
+    }
+
+    /** Requests that a registry forwards for an operator, and the leader's answer to one that was forwarded to it. */
+    private void onOperatorMessage(RpcConnection connection, Object message) {
+        long now = reactor.now();
+        if (message instanceof ConfigurationChangeRequest request) {
+            consensus.onChangeRequest(
+                    now, request.body(), (status, text) -> respond(connection, request.id(), status, text));
+        } else if (message instanceof ConfigurationReadRequest request) {
+            consensus.onReadRequest(now, (status, text) -> respond(connection, request.id(), status, text));
+        } else if (message instanceof CoreRemovalRequest request) {
+            removals.requestRemoval(request.node(), (status, text) -> respond(connection, request.id(), status, text));
+        } else if (message instanceof StoreStatusRequest request) {
+            StatusRequest pending = new StatusRequest(connection, request, now, server::status);
+            reactor.scheduleAfter(StatusRequest.TIMEOUT_MICROS, () -> pending.accept(false));
+            consensus.contactQuorum(now, false, pending);
+        } else if (message instanceof OperatorResponse response) {
+            removals.onResponse(response);
+        }
+    }
+
+    private static void respond(RpcConnection connection, long requestId, int status, String text) {
+        connection.sendMessage(new OperatorResponse(requestId, status, text));
+    }
+}
--- a/src/main/java/reedmux/control/store/ReplicaStorage.java
+++ b/src/main/java/reedmux/control/store/ReplicaStorage.java
@@ -85,8 +85,8 @@
     // ---- Start -------------------------------------------------------------------------------------
 
     /**
-     * Brings the replica up to what can be read of the disk, and starts a new generation with that. Where nothing can be
-     * written the store starts all the same, and refuses what it can't persist. Waits for the disk.
+     * Brings the replica up to what can be read of the disk, and starts a new generation with that. Where nothing can
+     * be written the store starts all the same, and refuses what it can't persist. Waits for the disk.
      *
      * @param firstStart whether the whole system starts for the first time, so that an empty disk has lost nothing
      * @param firstCore the core of such a system
--- a/src/main/java/reedmux/control/store/StatusRequest.java
+++ b/src/main/java/reedmux/control/store/StatusRequest.java
@@ -2,6 +2,7 @@
 
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import reedmux.control.consensus.OperationStatus;
 import reedmux.control.rpc.Messages.OperatorResponse;
 import reedmux.control.rpc.Messages.StoreStatusRequest;
 import reedmux.control.rpc.RpcConnection;
@@ -14,8 +15,6 @@
     /** How long an operator is kept waiting for contact with a quorum. */
     static final long TIMEOUT_MICROS = 500_000;
 
-    private static final int STATUS_OK = 200;
-
     private final RpcConnection connection;
     private final StoreStatusRequest request;
     private final long receivedAt;
@@ -44,6 +43,6 @@
         }
         answered = true;
         String body = status.get().toJson(request, quorumReached, receivedAt);
-        connection.sendMessage(new OperatorResponse(request.id(), STATUS_OK, body));
+        connection.sendMessage(new OperatorResponse(request.id(), OperationStatus.OK, body));
     }
 }
--- a/src/main/java/reedmux/control/store/StoreServer.java
+++ b/src/main/java/reedmux/control/store/StoreServer.java
@@ -25,28 +25,13 @@
 import reedmux.control.replication.Replica;
 import reedmux.control.rpc.MessageCodec;
 import reedmux.control.rpc.Messages;
-import reedmux.control.rpc.Messages.ChangesRequest;
-import reedmux.control.rpc.Messages.ConfigurationChangeRequest;
-import reedmux.control.rpc.Messages.ConfigurationReadRequest;
-import reedmux.control.rpc.Messages.ConfigurationUpdate;
 import reedmux.control.rpc.Messages.CoreMembershipNotice;
-import reedmux.control.rpc.Messages.CoreRemovalRequest;
 import reedmux.control.rpc.Messages.DecisionNotice;
-import reedmux.control.rpc.Messages.DigestMismatch;
-import reedmux.control.rpc.Messages.DigestRequest;
 import reedmux.control.rpc.Messages.Hello;
-import reedmux.control.rpc.Messages.OperatorResponse;
 import reedmux.control.rpc.Messages.ProposalRecord;
 import reedmux.control.rpc.Messages.ProposeRequest;
 import reedmux.control.rpc.Messages.QuorumContactRequest;
-import reedmux.control.rpc.Messages.QuorumContactResponse;
-import reedmux.control.rpc.Messages.SnapshotChunk;
-import reedmux.control.rpc.Messages.SnapshotChunkRequest;
-import reedmux.control.rpc.Messages.StateTransferRequest;
-import reedmux.control.rpc.Messages.StateTransferResponse;
-import reedmux.control.rpc.Messages.StoreStatusRequest;
 import reedmux.control.rpc.Messages.VoteResponse;
-import reedmux.control.rpc.Messages.WatermarkUpdate;
 import reedmux.control.rpc.RpcConnection;
 
 /**
@@ -58,7 +43,7 @@
  *   <li>{@link ReplicaStorage} makes the {@link Replica} durable;
  *   <li>{@link ChangePublisher} answers followers, {@link PeerSynchronizer} follows other stores;
  *   <li>{@link PeerConnections} holds the connections with other stores;
- *   <li>{@link RemovalForwarder} and {@link StatusRequest} serve operators.
+ *   <li>{@link MessageDispatcher} hands each message that comes in to its part.
  * </ul>
  *
  * <p>Everything runs on the reactor's thread; only the storage has a thread of its own.
@@ -82,7 +67,7 @@
     private final PeerConnections peers;
     private final ChangePublisher publisher;
     private final PeerSynchronizer synchronizer;
-    private final RemovalForwarder removals;
+    private final MessageDispatcher dispatcher;
     /** All established connections, with other stores and with registries and proxies. */
     private final Set<RpcConnection> connections = new LinkedHashSet<>();
     /** The epoch of the core whose quorums the consensus uses. */
@@ -124,7 +109,7 @@
         peers = new PeerConnections(reactor, codec, self, this);
         publisher = new ChangePublisher(reactor, codec, self.incarnation(), replica, consensus);
         synchronizer = new PeerSynchronizer(reactor, replica, storage, consensus, membership);
-        removals = new RemovalForwarder(reactor, membership, peers);
+        dispatcher = new MessageDispatcher(reactor, peers, publisher, synchronizer, consensus, membership, this);
         coreAddresses.restore(membership.core());
         peers.dial(coreAddresses.others(settings.storePort()));
         coreChanged();
@@ -196,108 +181,11 @@
 
     @Override
     public void onMessage(RpcConnection connection, Object message) {
-        if (!onReplicationMessage(connection, message)
-                && !onConsensusMessage(connection, message)
-                && !onMembershipMessage(connection, message)) {
-            onOperatorMessage(connection, message);
-        }
-    }
-
-    /** Returns whether the message is one of replication. */
-    private boolean onReplicationMessage(RpcConnection connection, Object message) {
-        if (message instanceof ChangesRequest request) {
-            publisher.onChangesRequest(connection, request);
-        } else if (message instanceof SnapshotChunkRequest request) {
-            publisher.onSnapshotChunkRequest(connection, request);
-        } else if (message instanceof DigestRequest request) {
-            publisher.onDigestRequest(connection, request);
-        } else if (message instanceof DigestMismatch mismatch) {
-            synchronizer.onDigestMismatch(connection, mismatch);
-        } else if (message instanceof SnapshotChunk chunk) {
-            synchronizer.onSnapshotChunk(connection, chunk);
-        } else if (message instanceof WatermarkUpdate update) {
-            synchronizer.onWatermarkUpdate(update);
-        } else if (message instanceof ConfigurationUpdate update) {
-            synchronizer.onConfigurationUpdate(connection, update);
-            publisher.startProxyContact(); // this store may be current only now
-        } else {
-            return false;
-        }
-        return true;
-    }
-
-    /** Returns whether the message is one of the consensus on the operator's changes. */
-    private boolean onConsensusMessage(RpcConnection connection, Object message) {
-        long now = reactor.now();
-        String from = connection.peer().ip();
-        if (message instanceof ProposeRequest request) {
-            peers.onProposalFrom(connection);
-            if (membership.acceptsEpoch(from, request.epoch())) {
-                consensus.onProposal(now, from, request.proposal());
-            }
-        } else if (message instanceof VoteResponse response) {
-            consensus.onVote(now, from, response.proposalId(), response.ballot(), response.vote());
-        } else if (message instanceof DecisionNotice notice) {
-            consensus.onDecision(now, notice.proposalId(), notice.ballot(), notice.committed(), notice.items());
-        } else if (message instanceof QuorumContactRequest request) {
-            peers.onContactRequestFrom(connection);
-            // While this store is fenced the next core may be deciding already.
-            if (membership.acceptsEpoch(from, request.epoch()) && !membership.isFenced()) {
-                consensus.onContactRequest(now, from, request.id(), request.afterPendingDecisions());
-            }
-        } else if (message instanceof QuorumContactResponse response) {
-            consensus.onContactConfirmation(now, from, response.id());
-        } else {
-            return false;
-        }
-        return true;
-    }
-
-    /** Returns whether the message is one of the core's membership. */
-    private boolean onMembershipMessage(RpcConnection connection, Object message) {
-        long now = reactor.now();
-        String from = connection.peer().ip();
-        if (message instanceof CoreMembershipNotice notice) {
-            membership.onCoreAnnounced(now, from, notice.core(), notice.ready(), notice.fenced());
-        } else if (message instanceof EpochMessage epochMessage) {
-            peers.onProposalFrom(connection);
-            membership.onEpochMessage(now, from, epochMessage);
-        } else if (message instanceof StateTransferRequest request) {
-            if (membership.maySendHandover(from, request.epoch())) {
-                publisher.onStateTransferRequest(connection, request);
-            }
-        } else if (message instanceof StateTransferResponse response) {
-            synchronizer.onStateTransferResponse(connection, response);
-        } else {
-            return false;
-        }
-        return true;
-    }
-
-    /** Requests that a registry forwards for an operator, and the leader's answer to one that was forwarded to it. */
-    private void onOperatorMessage(RpcConnection connection, Object message) {
-        long now = reactor.now();
-        if (message instanceof ConfigurationChangeRequest request) {
-            consensus.onChangeRequest(
-                    now, request.body(), (status, text) -> respond(connection, request.id(), status, text));
-        } else if (message instanceof ConfigurationReadRequest request) {
-            consensus.onReadRequest(now, (status, text) -> respond(connection, request.id(), status, text));
-        } else if (message instanceof CoreRemovalRequest request) {
-            removals.requestRemoval(request.node(), (status, text) -> respond(connection, request.id(), status, text));
-        } else if (message instanceof StoreStatusRequest request) {
-            StatusRequest pending = new StatusRequest(connection, request, now, this::status);
-            reactor.scheduleAfter(StatusRequest.TIMEOUT_MICROS, () -> pending.accept(false));
-            consensus.contactQuorum(now, false, pending);
-        } else if (message instanceof OperatorResponse response) {
-            removals.onResponse(response);
-        }
-    }
-
-    private static void respond(RpcConnection connection, long requestId, int status, String text) {
-        connection.sendMessage(new OperatorResponse(requestId, status, text));
+        dispatcher.dispatch(connection, message);
     }
 
-    private StoreStatus status() {
+    /** What is known here, as of now. */
+    StoreStatus status() {
         return new StoreStatus(
                 settings,
                 self.incarnation(),
--- a/src/main/java/reedmux/control/store/StoreStatus.java
+++ b/src/main/java/reedmux/control/store/StoreStatus.java
@@ -17,8 +17,8 @@
 import reedmux.control.rpc.Messages.StoreStatusRequest;
 
 /**
- * What an operator is shown of one store, as JSON: what it knows, as of when, and whether a quorum is reachable. The keys
- * and their values are an interface of the command line, and stay as they are.
+ * What an operator is shown of one store, as JSON: what it knows, as of when, and whether a quorum is reachable. The
+ * keys and their values are an interface of the command line, and stay as they are.
  */
 final class StoreStatus {
     private static final long MICROS_PER_MILLI = 1000;
--- a/src/test/java/reedmux/common/disk/CrashSimulatingVolume.java
+++ b/src/test/java/reedmux/common/disk/CrashSimulatingVolume.java
@@ -15,18 +15,26 @@
 import java.util.function.Consumer;
 
 /**
- * A folder in memory that tells of each of its steps, so that all disks are tried which a kill or a loss of
- * power after any of them may leave: each unsynced write kept, lost or torn, each unsynced name kept or lost
- * by itself.
+ * A folder in memory that enumerates what a crash may leave. After each of its steps a listener may ask for the image
+ * after a kill of the process, which has everything, and for all images after a loss of power: each unsynced write is
+ * kept, lost or torn, and each unsynced name is kept or lost, each by itself.
  */
 public final class CrashSimulatingVolume implements Volume {
+    /** Of a file's unsynced writes so many last ones are varied, and all before them are kept. */
     private static final int MAX_VARIED_WRITES = 4;
 
-    /** A file, whatever its name; {@code pending}: what no sync has covered. */
+    /** What a loss of power may do to an unsynced write. */
+    private static final int KEPT = 0;
+
+    private static final int LOST = 1;
+    private static final int TORN = 2;
+    private static final int FATES = 3;
+
+    /** A file, whatever its names; {@code unsynced}: the writes that no sync has covered. */
     private static final class SimulatedFile {
         private byte[] bytes = {};
         private byte[] synced = {};
-        private final List<UnsyncedWrite> pending = new ArrayList<>();
+        private final List<UnsyncedWrite> unsynced = new ArrayList<>();
 
         private SimulatedFile() {}
 
@@ -36,19 +44,19 @@
         }
     }
 
-    /** {@code bytes} is null for a cut of the file. */
+    /** A write at an offset; {@code bytes} is null where the file was cut there. */
     private record UnsyncedWrite(int offset, byte[] bytes) {}
 
     private final Map<String, SimulatedFile> names = new TreeMap<>();
     private final Map<String, SimulatedFile> syncedNames = new TreeMap<>();
-    /** What a name has meant since the last sync of the folder. */
+    /** The files that a name was given to since the last sync of the folder; null for none. */
     private final Map<String, Set<SimulatedFile>> unsyncedBindings = new LinkedHashMap<>();
 
     private boolean full;
     private boolean unreadable;
-    /** Hears of each step that is over. */
     private Runnable stepListener = () -> {};
 
+    /** An empty folder. */
     public CrashSimulatingVolume() {}
 
     private CrashSimulatingVolume(Map<String, SimulatedFile> names) {
@@ -56,15 +64,17 @@
         syncedNames.putAll(names);
     }
 
-    /** From now on {@code heard} is told of each step that is over, and may ask what a crash would leave. */
-    public void onStep(Runnable heard) {
-        stepListener = heard;
+    /** From now on {@code listener} runs after each step, and may ask what a crash would leave. */
+    public void onStep(Runnable listener) {
+        stepListener = listener;
     }
 
+    /** Whether everything that takes space fails from now on. */
     public void setFull(boolean isFull) {
         full = isFull;
     }
 
+    /** Whether reading fails from now on. */
     public void setUnreadable(boolean isUnreadable) {
         unreadable = isUnreadable;
     }
@@ -75,92 +85,105 @@
         }
     }
 
-    // ---- What a crash may leave ----------------------------------------------------------------------
+    // ---- What a crash may leave --------------------------------------------------------------------
+
     /** What is there after the process was killed. */
     public CrashSimulatingVolume imageAfterKill() {
         Map<SimulatedFile, SimulatedFile> copies = new HashMap<>();
-        Map<String, SimulatedFile> left = new TreeMap<>();
+        Map<String, SimulatedFile> image = new TreeMap<>();
         names.forEach((name, file) ->
-                left.put(name, copies.computeIfAbsent(file, f -> new SimulatedFile(f.bytes.clone()))));
-        return new CrashSimulatingVolume(left);
+                image.put(name, copies.computeIfAbsent(file, f -> new SimulatedFile(f.bytes.clone()))));
+        return new CrashSimulatingVolume(image);
     }
 
-    /** All that may be there after the power was lost; returns how many that were. */
-    public int forEachImageAfterPowerLoss(Consumer<CrashSimulatingVolume> left) {
+    /** Hands on every image that may be there after a loss of power; returns how many these were. */
+    public int forEachImageAfterPowerLoss(Consumer<CrashSimulatingVolume> consumer) {
         List<String> open = new ArrayList<>(unsyncedBindings.keySet());
-        return names(new TreeMap<>(syncedNames), open, 0, left);
+        return enumerateNames(new TreeMap<>(syncedNames), open, 0, consumer);
     }
 
-    private int names(
-            Map<String, SimulatedFile> chosen, List<String> open, int at, Consumer<CrashSimulatingVolume> left) {
-        if (at == open.size()) {
-            List<SimulatedFile> files = new ArrayList<>(new HashSet<>(chosen.values()));
-            return enumerateContents(chosen, files, 0, new HashMap<>(), left);
+    /** Binds the names of {@code open} from {@code index} on in all ways, beside those that {@code bound} has. */
+    private int enumerateNames(
+            Map<String, SimulatedFile> bound, List<String> open, int index, Consumer<CrashSimulatingVolume> consumer) {
+        if (index == open.size()) {
+            List<SimulatedFile> files = new ArrayList<>(new HashSet<>(bound.values()));
+            return enumerateContents(bound, files, 0, new HashMap<>(), consumer);
         }
-        int many = 0;
-        String name = open.get(at);
-        Set<SimulatedFile> may = new HashSet<>(unsyncedBindings.get(name));
-        may.add(syncedNames.get(name));
-        for (SimulatedFile one : may) {
-            Map<String, SimulatedFile> next = new TreeMap<>(chosen);
+        int images = 0;
+        String name = open.get(index);
+        Set<SimulatedFile> candidates = new HashSet<>(unsyncedBindings.get(name));
+        candidates.add(syncedNames.get(name));
+        for (SimulatedFile candidate : candidates) {
+            Map<String, SimulatedFile> next = new TreeMap<>(bound);
             next.remove(name);
-            if (one != null) {
-                next.put(name, one);
+            if (candidate != null) {
+                next.put(name, candidate);
             }
-            many += names(next, open, at + 1, left);
+            images += enumerateNames(next, open, index + 1, consumer);
         }
-        return many;
+        return images;
     }
 
+    /** Varies the contents of {@code files} from {@code index} on, beside those that {@code contents} has. */
     private int enumerateContents(
-            Map<String, SimulatedFile> chosen,
+            Map<String, SimulatedFile> bound,
             List<SimulatedFile> files,
-            int at,
-            Map<SimulatedFile, SimulatedFile> drawn,
-            Consumer<CrashSimulatingVolume> left) {
-        if (at == files.size()) {
+            int index,
+            Map<SimulatedFile, SimulatedFile> contents,
+            Consumer<CrashSimulatingVolume> consumer) {
+        if (index == files.size()) {
             Map<String, SimulatedFile> image = new TreeMap<>();
-            chosen.forEach((name, file) -> image.put(name, drawn.get(file)));
-            left.accept(new CrashSimulatingVolume(image));
+            bound.forEach((name, file) -> image.put(name, contents.get(file)));
+            consumer.accept(new CrashSimulatingVolume(image));
             return 1;
         }
-        SimulatedFile file = files.get(at);
-        int writes = file.pending.size();
-        int free = Math.min(MAX_VARIED_WRITES, writes);
-        int many = 0;
-        for (int fates = 0; fates < Math.pow(3, free); fates++) {
-            byte[] bytes = file.synced;
-            int rest = fates;
-            for (int i = 0; i < writes; i++) {
-                int fate = 0;
-                if (i >= writes - free) {
-                    fate = rest % 3;
-                    rest /= 3;
-                }
-                bytes = applyFate(bytes, file.pending.get(i), fate);
+        SimulatedFile file = files.get(index);
+        int varied = Math.min(MAX_VARIED_WRITES, file.unsynced.size());
+        int images = 0;
+        for (int fates = 0; fates < Math.pow(FATES, varied); fates++) {
+            contents.put(file, new SimulatedFile(bytesAfter(file, varied, fates)));
+            images += enumerateContents(bound, files, index + 1, contents, consumer);
+        }
+        return images;
+    }
+
+    /** A file's bytes after a loss of power; {@code fates} has a digit to the base of {@link #FATES} a varied write. */
+    private static byte[] bytesAfter(SimulatedFile file, int varied, int fates) {
+        byte[] bytes = file.synced;
+        int rest = fates;
+        int firstVaried = file.unsynced.size() - varied;
+        for (int i = 0; i < file.unsynced.size(); i++) {
+            int fate = KEPT;
+            if (i >= firstVaried) {
+                fate = rest % FATES;
+                rest /= FATES;
             }
-            drawn.put(file, new SimulatedFile(bytes));
-            many += enumerateContents(chosen, files, at + 1, drawn, left);
+            bytes = applyFate(bytes, file.unsynced.get(i), fate);
         }
-        return many;
+        return bytes;
     }
 
     private static byte[] applyFate(byte[] before, UnsyncedWrite write, int fate) {
-        if (write.bytes == null) {
-            return fate == 1 ? before : Arrays.copyOf(before, write.offset);
+        if (fate == LOST) {
+            return before;
+        } else if (write.bytes == null) {
+            return Arrays.copyOf(before, write.offset);
         }
-        byte[] some = write.bytes.clone();
-        Arrays.fill(some, fate == 2 ? some.length / 2 : some.length, some.length, (byte) 0);
-        return fate == 1 ? before : overwrite(before, write.offset, some);
+        byte[] written = write.bytes.clone();
+        if (fate == TORN) {
+            Arrays.fill(written, written.length / 2, written.length, (byte) 0);
+        }
+        return overwrite(before, write.offset, written);
     }
 
-    private static byte[] overwrite(byte[] before, int at, byte[] some) {
-        byte[] after = Arrays.copyOf(before, Math.max(before.length, at + some.length));
-        System.arraycopy(some, 0, after, at, some.length);
+    private static byte[] overwrite(byte[] before, int offset, byte[] written) {
+        byte[] after = Arrays.copyOf(before, Math.max(before.length, offset + written.length));
+        System.arraycopy(written, 0, after, offset, written.length);
         return after;
     }
 
-    // ---- The folder ------------------------------------------------------------------------------------
+    // ---- The folder --------------------------------------------------------------------------------
+
     private void bindName(String name, SimulatedFile file) {
         unsyncedBindings.computeIfAbsent(name, n -> new HashSet<>()).add(file);
         if (file == null) {
@@ -201,7 +224,7 @@
             bindName(name, file);
         } else { // the same file, which another name may have, too
             file.bytes = new byte[0];
-            file.pending.add(new UnsyncedWrite(0, null));
+            file.unsynced.add(new UnsyncedWrite(0, null));
         }
         stepListener.run();
         return new SimulatedFileHandle(file);
@@ -244,11 +267,11 @@
         @Override
         public void write(ByteBuffer bytes) throws IOException {
             checkSpace();
-            byte[] some = new byte[bytes.remaining()];
-            bytes.get(some);
-            file.bytes = overwrite(file.bytes, position, some);
-            file.pending.add(new UnsyncedWrite(position, some));
-            position += some.length;
+            byte[] written = new byte[bytes.remaining()];
+            bytes.get(written);
+            file.bytes = overwrite(file.bytes, position, written);
+            file.unsynced.add(new UnsyncedWrite(position, written));
+            position += written.length;
             stepListener.run();
         }
 
@@ -256,14 +279,14 @@
         public void sync() throws IOException {
             checkSpace();
             file.synced = file.bytes;
-            file.pending.clear();
+            file.unsynced.clear();
             stepListener.run();
         }
 
         @Override
         public void truncate(long length) {
             file.bytes = Arrays.copyOf(file.bytes, (int) length);
-            file.pending.add(new UnsyncedWrite((int) length, null));
+            file.unsynced.add(new UnsyncedWrite((int) length, null));
             position = (int) length;
             stepListener.run();
         }
--- a/src/test/java/reedmux/common/disk/JournalTest.java
+++ b/src/test/java/reedmux/common/disk/JournalTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What is found again of a journal whose last writes are missing, cut or torn. */
+/** What a journal recovers after its last writes were lost, cut or torn. */
 public class JournalTest {
     private Path dir;
 
@@ -46,8 +46,9 @@
     }
 
     /**
-     * The file ends at every byte, or has one that is wrong there: what comes before is found, and what is
-     * whole behind it, but nothing that was never written; and it is told where something is wrong.
+     * The file ends at every byte behind the last sync, or has a wrong one there: all records before that are
+     * recovered, and intact ones behind it, but nothing that was never written; and the problems say where something is
+     * wrong.
      */
     @Test
     public void syncedRecordsSurviveTruncationOrCorruptionBehindThem() throws IOException {
@@ -87,7 +88,7 @@
         }
     }
 
-    /** A generation that did not get whole gives way to the one before. */
+    /** A generation whose state is not complete gives way to the one before it. */
     @Test
     public void previousGenerationIsReadUntilTheNextIsComplete() throws IOException {
         try (Journal journal = new Journal(new FileSystemVolume(dir))) {
@@ -105,8 +106,8 @@
     }
 
     /**
-     * A start may find a generation that was renamed, though its folder's sync has failed: nothing may be
-     * added to the one before, where that start would not read it.
+     * A start may find a generation that was renamed although the sync of its folder has failed: nothing may be
+     * appended to the one before it, where that start would not read it.
      */
     @Test
     public void nothingIsAppendedAfterAFailedGeneration() throws IOException {
--- a/src/test/java/reedmux/control/store/ReplicaStorageTest.java
+++ b/src/test/java/reedmux/control/store/ReplicaStorageTest.java
@@ -109,7 +109,9 @@
         assertRecovers(volume.imageAfterKill(), store.durable);
     }
 
-    /** The disk is full when the store becomes complete: it says so on disk later, and not before its items are there. */
+    /**
+     * The disk is full when the store becomes complete: it says so on disk later, and not before its items are there.
+     */
     @Test
     public void completenessIsPersistedOnceTheDiskHasSpace() {
         CrashSimulatingVolume volume = new CrashSimulatingVolume();
