--- a/src/main/java/reedmux/cli/RegionConnector.java
+++ b/src/main/java/reedmux/cli/RegionConnector.java
@@ -27,8 +27,8 @@
 import reedmux.gatekeeper.settings.RegionSettings;
 
 /**
- * A gatekeeper's connections with other regions: an acceptor for what they forward, and connections for what is forwarded
- * there. Both have descriptors of their own, so that failover takes none from consumers or providers.
+ * A gatekeeper's connections with other regions: an acceptor for what they forward, and connections for what is
+ * forwarded there. Both have descriptors of their own, so that failover takes none from consumers or providers.
  */
 final class RegionConnector {
     /** Half of the time after which the other side closes idle connections. */
--- a/src/main/java/reedmux/cli/ShowCommand.java
+++ b/src/main/java/reedmux/cli/ShowCommand.java
@@ -19,8 +19,8 @@
 import reedmux.control.configuration.InvalidConfigurationException;
 
 /**
- * Shows what one control machine knows, with its age and whether that machine is in contact with a majority; one that is
- * partitioned shows what it has.
+ * Shows what one control machine knows, with its age and whether that machine is in contact with a majority; one that
+ * is partitioned shows what it has.
  */
 @Command(
         name = "show",
--- a/src/main/java/reedmux/cli/WarmUp.java
+++ b/src/main/java/reedmux/cli/WarmUp.java
@@ -36,8 +36,8 @@
 
 /**
  * Executes the gatekeeper's hot paths some hundred times before it calls itself ready, so that they are compiled by
- * then. On a third of a core a fresh JVM needs all of it for its first five seconds, and answered one request in five in
- * time without this. Decisions run on reducers of their own with made-up calls, sockets on health checks of the
+ * then. On a third of a core a fresh JVM needs all of it for its first five seconds, and answered one request in five
+ * in time without this. Decisions run on reducers of their own with made-up calls, sockets on health checks of the
  * process's own address; providers, peers and consumers notice nothing.
  */
 public final class WarmUp {
@@ -47,8 +47,8 @@
 
     private static final int MAX_CONCURRENT_REQUESTS = 4;
     /**
-     * Decisions in a row, and the pause after them. Without pauses the sockets' thread waits for all of them on a part of
-     * a core: discovery's first list was read up to 1.0 s late, and the process accepts no requests before it.
+     * Decisions in a row, and the pause after them. Without pauses the sockets' thread waits for all of them on a part
+     * of a core: discovery's first list was read up to 1.0 s late, and the process accepts no requests before it.
      */
     private static final int DECISIONS_BETWEEN_PAUSES = 5;
 
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Runs all rounds, or as many as the time limit allows. Decisions need no socket, so they go first while discovery's
-     * first list is awaited, before which nobody can connect.
+     * Runs all rounds, or as many as the time limit allows. Decisions need no socket, so they go first while
+     * discovery's first list is awaited, before which nobody can connect.
      */
     void run(ProviderClient client, OwnAddress self) throws InterruptedException {
         startNanos = System.nanoTime();
--- a/src/main/java/reedmux/cli/WorldCommand.java
+++ b/src/main/java/reedmux/cli/WorldCommand.java
@@ -9,8 +9,8 @@
 import reedmux.simulation.cluster.SimulatedDay;
 
 /**
- * Simulates days of a whole deployment in virtual time, each with traffic and faults drawn from its seed, and checks the
- * invariants from outside.
+ * Simulates days of a whole deployment in virtual time, each with traffic and faults drawn from its seed, and checks
+ * the invariants from outside.
  */
 @Command(name = "world", description = "plays drawn days of a whole deployment in virtual time, against the rules")
 public final class WorldCommand implements Callable<Integer> {
--- a/src/main/java/reedmux/common/eventloop/Reactor.java
+++ b/src/main/java/reedmux/common/eventloop/Reactor.java
@@ -158,8 +158,8 @@
     }
 
     /**
-     * Logs a line about a peer's behaviour, at most one of a kind each {@value #WARNING_INTERVAL_MICROS} microseconds, as
-     * a peer may repeat it at will. The others go to the ring buffer.
+     * Logs a line about a peer's behaviour, at most one of a kind each {@value #WARNING_INTERVAL_MICROS} microseconds,
+     * as a peer may repeat it at will. The others go to the ring buffer.
      */
     public void warnRateLimited(String kind, String line) {
         Long before = lastWarningAt.get(kind);
--- a/src/main/java/reedmux/common/http1/Http1BodyReader.java
+++ b/src/main/java/reedmux/common/http1/Http1BodyReader.java
@@ -4,8 +4,8 @@
 
 /**
  * Reads one message's body from a connection, framed by its head: a length, or chunks (RFC 9112, sections 6 and 7.1).
- * The states of a chunked body: chunk size, data, chunk end, and so on, then trailers. Trailers are checked and dropped.
- * For the reactor's thread.
+ * The states of a chunked body: chunk size, data, chunk end, and so on, then trailers. Trailers are checked and
+ * dropped. For the reactor's thread.
  */
 public final class Http1BodyReader {
     private static final int MAX_LINE_BYTES = 1024;
