--- a/src/main/java/reedmux/proxy/package-info.java
+++ b/src/main/java/reedmux/proxy/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The program on edge machines: clients on one side, checkers on the other, what it has to know pulled
- * from the core.
+ * The proxy program, on edge machines: receives the requests of clients and forwards them to checkers, by what it pulls
+ * from the control plane. Everything runs on one reactor's thread; what decides is in the packages below, which know no
+ * socket and no clock.
  */
 package reedmux.proxy;
