--- a/src/main/java/reedmux/gatekeeper/admin/AdminCommands.java
+++ b/src/main/java/reedmux/gatekeeper/admin/AdminCommands.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** What the calls at the door ask for, and what is answered; any thread may call, and none waits. */
+/** The commands of operators: {@code check}, {@code vars}, {@code drain-on} and {@code drain-off}. For all threads. */
 public final class AdminCommands {
     private final LifeCycle lifeCycle;
     private final Metrics metrics;
@@ -14,21 +14,25 @@
     private final Consumer<String> log;
 
     /**
-     * The calls of one gatekeeper.
+     * The commands of one gatekeeper.
      *
-     * @param takesClients whether clients may be sent here now
+     * @param acceptsClients whether clients may be sent here now
      * @param clock        microseconds of the program's clock
      */
     public AdminCommands(
-            LifeCycle life, Metrics figures, BooleanSupplier takesClients, LongSupplier clock, Consumer<String> log) {
-        this.lifeCycle = life;
-        this.metrics = figures;
-        this.acceptsClients = takesClients;
+            LifeCycle lifeCycle,
+            Metrics metrics,
+            BooleanSupplier acceptsClients,
+            LongSupplier clock,
+            Consumer<String> log) {
+        this.lifeCycle = lifeCycle;
+        this.metrics = metrics;
+        this.acceptsClients = acceptsClients;
         this.clock = clock;
         this.log = log;
     }
 
-    /** The whole answer to one line, which came without its end; its last line is ended. */
+    /** The reply to a line, which is given without its end; the reply's last line is terminated. */
     public String execute(String line) {
         return switch (line) {
             case "check" -> check();
@@ -63,7 +67,7 @@
         return "+OK " + phase.name().toLowerCase(Locale.ROOT) + '\n';
     }
 
-    /** The answer to what is no call. */
+    /** The reply to what is no command. */
     public static String error(String why) {
         return "-ERR " + why + '\n';
     }
--- a/src/main/java/reedmux/gatekeeper/admin/AdminServer.java
+++ b/src/main/java/reedmux/gatekeeper/admin/AdminServer.java
@@ -16,14 +16,14 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The operators' listener: each connection brings one line and takes one answer. It has a thread of its own
- * that does nothing else, so that no work of the gatekeeper's can hold an answer up. Descriptors and memory
- * are bounded: of more connections than {@link #MAX_CONNECTIONS} the one that has been silent the longest gives way.
+ * The operators' listener: each connection sends one line and gets one reply. It has a thread of its own, so that
+ * nothing that the gatekeeper does can delay a reply. Descriptors and memory are bounded: beyond {@link
+ * #MAX_CONNECTIONS} the oldest connection is closed.
  */
 public final class AdminServer implements AutoCloseable {
     /** Connections open at once. */
     public static final int MAX_CONNECTIONS = 24;
-    /** Bytes of a line, its end included; no call is nearly as long. */
+    /** The longest line, its end included; no command is nearly as long. */
     static final int MAX_LINE_BYTES = 128;
 
     private static final long CONNECTION_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
@@ -34,23 +34,24 @@
     private final Selector selector;
     private final UnaryOperator<String> commands;
     private final Consumer<String> log;
-    /** Those that came first in front; the thread's own. */
+    /** The open connections, the oldest first; for the server's thread alone. */
     private final Deque<AdminConnection> connections = new ArrayDeque<>();
 
-    /** Listens at once; {@code commands} gives the answer to a line, or to null for a line that is none. */
-    public AdminServer(InetSocketAddress at, UnaryOperator<String> calls, Consumer<String> log) throws IOException {
-        this.commands = calls;
+    /** Listens at once; {@code commands} gives the reply to a line. */
+    public AdminServer(InetSocketAddress address, UnaryOperator<String> commands, Consumer<String> log)
+            throws IOException {
+        this.commands = commands;
         this.log = log;
         selector = Selector.open();
         server = ServerSocketChannel.open();
         try {
             server.socket().setReuseAddress(true);
-            server.bind(at, ACCEPT_BACKLOG);
+            server.bind(address, ACCEPT_BACKLOG);
             server.configureBlocking(false);
             server.register(selector, SelectionKey.OP_ACCEPT);
         } catch (IOException e) {
             close();
-            throw new IOException("operator: cannot listen on " + at + ": " + e.getMessage(), e);
+            throw new IOException("operator: cannot listen on " + address + ": " + e.getMessage(), e);
         }
         Thread thread = new Thread(this::run, "reedmux-operator");
         thread.setDaemon(true);
@@ -96,7 +97,7 @@
         SocketChannel channel;
         try {
             channel = server.accept();
-        } catch (IOException e) { // no descriptor is left just now, or it has gone again
+        } catch (IOException e) { // no descriptor is left, or the client has gone
             log.accept("operator: cannot accept: " + e.getMessage());
             if (!connections.isEmpty()) {
                 connections.peek().close();
@@ -109,17 +110,17 @@
         if (connections.size() >= MAX_CONNECTIONS) {
             connections.peek().close();
         }
-        AdminConnection caller = new AdminConnection(channel);
-        connections.add(caller);
+        AdminConnection connection = new AdminConnection(channel);
+        connections.add(connection);
         try {
             channel.configureBlocking(false);
-            caller.key = channel.register(selector, SelectionKey.OP_READ, caller);
+            connection.key = channel.register(selector, SelectionKey.OP_READ, connection);
         } catch (IOException e) {
-            caller.close();
+            connection.close();
         }
     }
 
-    /** One connection: its line, then its answer, then a look for the other side's end. */
+    /** One connection: reads a line, writes the reply, and waits until the other side closes. */
     private final class AdminConnection {
         private final SocketChannel channel;
         private final ByteBuffer input = ByteBuffer.allocate(MAX_LINE_BYTES);
@@ -132,7 +133,7 @@
             this.channel = channel;
         }
 
-        /** Whatever goes wrong here is this caller's alone. */
+        /** Something can be read or written; an error closes this connection alone. */
         void onReady() {
             try {
                 if (reply == null) {
@@ -151,7 +152,7 @@
         }
 
         private void readCommand() throws IOException {
-            boolean over = channel.read(input) < 0;
+            boolean inputEnded = channel.read(input) < 0;
             int end = 0;
             while (end < input.position() && input.get(end) != '\n') {
                 end++;
@@ -161,9 +162,9 @@
                 reply = encode(commands.apply(new String(input.array(), 0, length, StandardCharsets.ISO_8859_1)));
             } else if (!input.hasRemaining()) {
                 reply = encode(AdminCommands.error("the line is over " + MAX_LINE_BYTES + " bytes"));
-            } else if (over && input.position() > 0) {
+            } else if (inputEnded && input.position() > 0) {
                 reply = encode(AdminCommands.error("the line has no end"));
-            } else if (over) {
+            } else if (inputEnded) {
                 close();
             }
         }
@@ -180,7 +181,7 @@
             }
             replied = true;
             channel.shutdownOutput();
-            key.interestOps(SelectionKey.OP_READ); // closed with bytes unread, the answer could be lost
+            key.interestOps(SelectionKey.OP_READ); // closing with unread bytes would reset the connection
         }
 
         void close() {
--- a/src/main/java/reedmux/gatekeeper/admin/LifeCycle.java
+++ b/src/main/java/reedmux/gatekeeper/admin/LifeCycle.java
@@ -3,13 +3,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The life of one gatekeeper: starting, serving, draining, leaving. It is told events with their times, in
- * microseconds of the program's clock, and says what that means for clients; it does nothing itself. Events
- * and questions may come from any thread.
+ * The life cycle of one gatekeeper: starting, serving, draining, leaving. Events go in with their times, in
+ * microseconds of the program's clock; what follows for clients and connections is queried. Does nothing itself; for
+ * all threads.
  */
 public final class LifeCycle {
 
-    /** Where it stands. From leaving no way leads back. */
+    /** The phases; LEAVING is final. Operators read the names. */
     public enum LifeCyclePhase {
         STARTING,
         SERVING,
@@ -18,40 +18,40 @@
     }
 
     /**
-     * After the call to drain, new connections arrive for a moment and kept ones carry on: closed before that
-     * has calmed down, an idle one would cross the next request on it.
+     * How long idle connections stay open while draining: clients need a moment to notice it, and would otherwise send
+     * their next request on a connection that is being closed.
      */
     static final long DRAIN_IDLE_GRACE_MICROS = TimeUnit.MILLISECONDS.toMicros(1_000);
-    /** After a SIGTERM new connections come for a while yet, and are served. */
+    /** How long connections are accepted after a SIGTERM. */
     static final long ACCEPT_GRACE_MICROS = TimeUnit.MILLISECONDS.toMicros(600);
-    /** The same where a successor has taken over the address: what is on its way comes within this. */
+    /** The same if a successor listens on the address: only connections on their way are left. */
     static final long ACCEPT_GRACE_WITH_SUCCESSOR_MICROS = TimeUnit.MILLISECONDS.toMicros(20);
-    /** How long after a SIGTERM with a successor idle connections may carry one more request. */
+    /** How long idle connections stay open after a SIGTERM with a successor. */
     static final long IDLE_GRACE_WITH_SUCCESSOR_MICROS = TimeUnit.MILLISECONDS.toMicros(1_000);
-    /** Time for the last answers to leave. */
+    /** Time to write the last responses. */
     static final long FINAL_WRITE_GRACE_MICROS = TimeUnit.MILLISECONDS.toMicros(50);
 
-    /** One state, replaced as a whole; {@code since} when this phase began. */
+    /** The state, replaced as a whole; {@code since} is the begin of the phase. */
     private record LifeCycleState(LifeCyclePhase phase, long since, boolean ready, boolean hasSuccessor) {}
 
     private volatile LifeCycleState state = new LifeCycleState(LifeCyclePhase.STARTING, 0, false, false);
     private long quietSince = Long.MAX_VALUE;
 
-    /** It listens and has warmed up. Where it was told to drain meanwhile it drains on. */
+    /** It listens and has warmed up; if it drains it goes on draining. */
     public synchronized void onReady(long now) {
-        LifeCycleState is = state;
-        LifeCyclePhase next = is.phase == LifeCyclePhase.STARTING ? LifeCyclePhase.SERVING : is.phase;
-        state = new LifeCycleState(next, next == is.phase ? is.since : now, true, is.hasSuccessor);
+        LifeCycleState current = state;
+        LifeCyclePhase next = current.phase == LifeCyclePhase.STARTING ? LifeCyclePhase.SERVING : current.phase;
+        state = new LifeCycleState(next, next == current.phase ? current.since : now, true, current.hasSuccessor);
     }
 
-    /** To be emptied; a repeat changes nothing, and a program that leaves is emptied anyway. */
+    /** Starts draining; no effect if it drains or leaves already. */
     public synchronized void startDraining(long now) {
         if (state.phase == LifeCyclePhase.STARTING || state.phase == LifeCyclePhase.SERVING) {
             state = new LifeCycleState(LifeCyclePhase.DRAINING, now, state.ready, state.hasSuccessor);
         }
     }
 
-    /** To take clients again. */
+    /** Stops draining. */
     public synchronized void stopDraining(long now) {
         if (state.phase == LifeCyclePhase.DRAINING) {
             state = new LifeCycleState(
@@ -62,56 +62,58 @@
         }
     }
 
-    /** Another process has taken over our address and what we knew, or it has ended again. */
-    public synchronized void setSuccessor(boolean now) {
-        state = new LifeCycleState(state.phase, state.since, state.ready, now);
+    /** Sets whether another process has taken over our address and state. */
+    public synchronized void setSuccessor(boolean present) {
+        state = new LifeCycleState(state.phase, state.since, state.ready, present);
     }
 
-    /** To answer what was taken, and to end; only the first of several counts. */
+    /** Starts the graceful shutdown; only the first call counts. */
     public synchronized void startShutdown(long now) {
         if (state.phase != LifeCyclePhase.LEAVING) {
             state = new LifeCycleState(LifeCyclePhase.LEAVING, now, state.ready, state.hasSuccessor);
         }
     }
 
+    /** The phase now. */
     public LifeCyclePhase phase() {
         return state.phase;
     }
 
-    /** Whether clients are to be sent here, as far as the life cycle says. */
+    /** Whether clients may be sent here. */
     public boolean acceptsClients() {
         return state.phase == LifeCyclePhase.SERVING;
     }
 
-    /** Whether each answer is its connection's last, so that clients move on. */
+    /** Whether connections are closed after each response, so that clients go elsewhere. */
     public boolean closesAfterResponse() {
         return state.phase == LifeCyclePhase.DRAINING || state.phase == LifeCyclePhase.LEAVING;
     }
 
-    /** Whether connections without a request are closed now. */
+    /** Whether idle connections are closed now. */
     public boolean closesIdleConnections(long now) {
-        LifeCycleState is = state;
-        return switch (is.phase) {
+        LifeCycleState current = state;
+        return switch (current.phase) {
             case STARTING, SERVING -> false;
-            case DRAINING -> now - is.since >= DRAIN_IDLE_GRACE_MICROS;
+            case DRAINING -> now - current.since >= DRAIN_IDLE_GRACE_MICROS;
             case LEAVING ->
-                now - is.since >= (is.hasSuccessor ? IDLE_GRACE_WITH_SUCCESSOR_MICROS : ACCEPT_GRACE_MICROS);
+                now - current.since >= (current.hasSuccessor ? IDLE_GRACE_WITH_SUCCESSOR_MICROS : ACCEPT_GRACE_MICROS);
         };
     }
 
     /** Whether new connections are accepted. */
     public boolean acceptsConnections(long now) {
-        LifeCycleState is = state;
-        return is.phase != LifeCyclePhase.LEAVING
-                || now - is.since < (is.hasSuccessor ? ACCEPT_GRACE_WITH_SUCCESSOR_MICROS : ACCEPT_GRACE_MICROS);
+        LifeCycleState current = state;
+        return current.phase != LifeCyclePhase.LEAVING
+                || now - current.since
+                        < (current.hasSuccessor ? ACCEPT_GRACE_WITH_SUCCESSOR_MICROS : ACCEPT_GRACE_MICROS);
     }
 
     /**
-     * Whether the program may end; to be asked after each turn by the one thread that runs them. An answer
-     * has still to be written when the reducer has done with it, so it stays quiet for a moment first.
+     * Whether the program may end; for the event loop, after each turn. Responses may still have to be written after
+     * the last request was answered, so it waits a moment without requests first.
      *
-     * @param unanswered requests that still wait for their answer
-     * @param connected  whether clients still hold connections that could bring one more
+     * @param unanswered requests without an answer
+     * @param connected  whether clients have connections open
      */
     public boolean mayTerminate(long now, int unanswered, boolean connected) {
         boolean quiet = state.phase == LifeCyclePhase.LEAVING
@@ -122,13 +124,14 @@
         return quiet && now - quietSince >= FINAL_WRITE_GRACE_MICROS;
     }
 
-    /** When to ask again at the latest. */
+    /** When to call {@link #mayTerminate} again at the latest. */
     public long nextCheck(long now) {
-        LifeCycleState is = state;
-        return is.phase != LifeCyclePhase.LEAVING
+        LifeCycleState current = state;
+        return current.phase != LifeCyclePhase.LEAVING
                 ? Long.MAX_VALUE
                 : acceptsConnections(now)
-                        ? is.since + (is.hasSuccessor ? ACCEPT_GRACE_WITH_SUCCESSOR_MICROS : ACCEPT_GRACE_MICROS)
+                        ? current.since
+                                + (current.hasSuccessor ? ACCEPT_GRACE_WITH_SUCCESSOR_MICROS : ACCEPT_GRACE_MICROS)
                         : now + FINAL_WRITE_GRACE_MICROS;
     }
 }
--- a/src/main/java/reedmux/gatekeeper/admin/Metrics.java
+++ b/src/main/java/reedmux/gatekeeper/admin/Metrics.java
@@ -7,16 +7,15 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * The figures that operators read, from this process's start on. Each is counted where the thing happens and
- * read by whoever asks, without a lock and without waiting for any other thread. A service that has ended
- * keeps its counts, as a counter never falls.
+ * The metrics that operators read, since the start of this process. They are counted where things happen and read
+ * without a lock. A service that has ended keeps its counts, since a counter never decreases.
  */
 public final class Metrics {
     private static final String METRIC_PREFIX = "svc.";
 
     private final Map<String, ServiceMetrics> services = new ConcurrentSkipListMap<>();
 
-    /** The counts of one class of requests; for all threads. */
+    /** The counters of one request class; for all threads. */
     public static final class ClassMetrics {
         private static final int STATUS_OK = 200;
         private static final int STATUS_TOO_MANY_REQUESTS = 429;
@@ -27,17 +26,17 @@
         private final LongAdder started = new LongAdder();
         private final LongAdder ended = new LongAdder();
 
-        /** A request has been taken; it is in flight until {@link #ended}. */
+        /** A request is in flight from now on, until {@link #onEnded}. */
         public void onStarted() {
             started.increment();
         }
 
-        /** One that was taken has ended, whoever ended it. */
+        /** A request that was in flight has ended. */
         public void onEnded() {
             ended.increment();
         }
 
-        /** A request has its final answer of this status. */
+        /** A request has got its response. */
         public void onAnswered(int status) {
             (status == STATUS_OK
                             ? success
@@ -45,47 +44,47 @@
                     .increment();
         }
 
-        /** A request's answer was cut off after its head had gone out. */
+        /** A response was truncated after its head had been written. */
         public void onResponseTruncated() {
             failure.increment();
         }
 
         private long inFlight() {
-            long over = ended.sum(); // first, so that one that is taken meanwhile never makes it negative
-            return Math.max(0, started.sum() - over);
+            long alreadyEnded = ended.sum(); // read first, so that the difference is not negative
+            return Math.max(0, started.sum() - alreadyEnded);
         }
     }
 
-    /** The figures of one service. */
+    /** The metrics of one service. */
     public static final class ServiceMetrics {
         private final Map<String, ClassMetrics> classes = new ConcurrentHashMap<>();
         private final LongAdder calls = new LongAdder();
         private volatile int listed;
         private volatile int down;
 
-        /** The counts of a class, which are told from now on, be they nought. */
+        /** The counters of a class, which are listed from now on even if they are 0. */
         public ClassMetrics forClass(String name) {
             return classes.computeIfAbsent(name, made -> new ClassMetrics());
         }
 
-        /** A call has been written whole to a provider; for all threads. */
+        /** A call has been written to a provider; for all threads. */
         public void onProviderCall() {
             calls.increment();
         }
 
-        /** Providers in the list, and those of them that are avoided; told by one thread. */
-        public void setHosts(int inList, int avoided) {
-            listed = inList;
-            down = avoided;
+        /** Sets how many providers are listed, and how many of them are ejected; for one thread. */
+        public void setHosts(int listedHosts, int ejectedHosts) {
+            listed = listedHosts;
+            down = ejectedHosts;
         }
     }
 
-    /** The figures of a service; the platform's own has the empty name. */
+    /** The metrics of a service; the platform's own has the empty name. */
     public ServiceMetrics forService(String name) {
         return services.computeIfAbsent(name, made -> new ServiceMetrics());
     }
 
-    /** All of them, a line each, each line ended. */
+    /** All metrics, a terminated line each. */
     public String render() {
         StringBuilder text = new StringBuilder(512);
         long open = 0;
@@ -93,18 +92,18 @@
         int listed = 0;
         int down = 0;
         for (Map.Entry<String, ServiceMetrics> service : services.entrySet()) {
-            String of = service.getKey().isEmpty() ? "" : service.getKey() + '.';
-            ServiceMetrics figures = service.getValue();
-            for (Map.Entry<String, ClassMetrics> entry : new TreeMap<>(figures.classes).entrySet()) {
+            String prefix = service.getKey().isEmpty() ? "" : service.getKey() + '.';
+            ServiceMetrics metrics = service.getValue();
+            for (Map.Entry<String, ClassMetrics> entry : new TreeMap<>(metrics.classes).entrySet()) {
                 ClassMetrics counts = entry.getValue();
-                appendLine(text, "success." + of + entry.getKey(), counts.success.sum(), 'c');
-                appendLine(text, "busy." + of + entry.getKey(), counts.busy.sum(), 'c');
-                appendLine(text, "failure." + of + entry.getKey(), counts.failure.sum(), 'c');
+                appendLine(text, "success." + prefix + entry.getKey(), counts.success.sum(), 'c');
+                appendLine(text, "busy." + prefix + entry.getKey(), counts.busy.sum(), 'c');
+                appendLine(text, "failure." + prefix + entry.getKey(), counts.failure.sum(), 'c');
                 open += counts.inFlight();
             }
-            calls += figures.calls.sum();
-            listed += figures.listed;
-            down += figures.down;
+            calls += metrics.calls.sum();
+            listed += metrics.listed;
+            down += metrics.down;
         }
         appendLine(text, "backend_calls", calls, 'c');
         appendLine(text, "inflight", open, 'g');
--- a/src/main/java/reedmux/gatekeeper/admin/package-info.java
+++ b/src/main/java/reedmux/gatekeeper/admin/package-info.java
@@ -1,8 +1,6 @@
 /**
- * What the operators' staff use day to day: the door with its line protocol, the figures that it tells, and
- * the life cycle that its calls and signals move. {@link reedmux.gatekeeper.admin.LifeCycle} and
- * {@link reedmux.gatekeeper.admin.AdminCommands} decide and know no socket;
- * {@link reedmux.gatekeeper.admin.AdminServer} is all I/O
- * of the package.
+ * What operators use: the admin listener with its line protocol, the metrics, and the life cycle that commands and
+ * signals drive. {@link reedmux.gatekeeper.admin.LifeCycle} and {@link reedmux.gatekeeper.admin.AdminCommands} decide
+ * without I/O; {@link reedmux.gatekeeper.admin.AdminServer} does all I/O of the package.
  */
 package reedmux.gatekeeper.admin;
--- a/src/main/java/reedmux/gatekeeper/http/BodyStream.java
+++ b/src/main/java/reedmux/gatekeeper/http/BodyStream.java
@@ -10,20 +10,22 @@
 import reedmux.gatekeeper.reducer.CallResult;
 
 /**
- * A long body on its way from one connection, its source, to another, its sink. It holds what the sink has
- * not taken yet, and has the source bring no more than {@link #MAX_BUFFERED_BYTES} of that. Either side may end it. For
- * all threads; neither connection is called with the flow locked but to be written to.
+ * A body that is streamed from one connection, its source, to another, its sink, with flow control: it buffers what the
+ * sink has not taken yet, and grants the source no more than {@link #MAX_BUFFERED_BYTES} of that. Either side may end
+ * it.
+ *
+ * <p>For all threads. The source's and the sink's connections are not called with the monitor held, except to write.
  */
 public final class BodyStream implements CallResult.RemainingBody {
-    /** Bytes that one flow may hold, and one beside too many others; a read may bring a little more. */
+    /** Bytes that one stream may buffer; a read may add a little more. */
     static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
     static final int MAX_BUFFERED_BYTES_UNDER_PRESSURE = 8 * 1024;
-    /** Bytes in all flows from which on each holds less. */
+    /** Bytes in all streams from which on each may buffer less. */
     private static final long PRESSURE_THRESHOLD_BYTES = 8L * 1024 * 1024;
 
     private static final int CHUNK_BYTES = 8 * 1024;
-    /** Less than this is not worth asking for. */
+    /** The source is not granted less than this. */
     private static final int MIN_GRANT_BYTES = 4 * 1024;
 
     private static final AtomicLong TOTAL_BUFFERED = new AtomicLong();
@@ -42,16 +44,16 @@
     private boolean closed;
 
     /**
-     * A flow.
+     * A stream of which nothing has been received yet.
      *
-     * @param length  of the whole body, -1 where that is not told
-     * @param most    bytes that it may have
-     * @param granted bytes that the source has been asked for so far
+     * @param length       of the body, -1 if it is not known
+     * @param maxBytes     that the body may have
+     * @param grantedBytes that the source may send so far
      */
-    BodyStream(long length, long most, long granted) {
+    BodyStream(long length, long maxBytes, long grantedBytes) {
         this.length = length;
-        this.maxBytes = most;
-        this.grantedBytes = granted;
+        this.maxBytes = maxBytes;
+        this.grantedBytes = grantedBytes;
     }
 
     @Override
@@ -60,7 +62,7 @@
     }
 
     // ---- The source --------------------------------------------------------------------------------
-    /** Takes what has come in; false where it is more than may be, and the flow has failed. */
+    /** Receives bytes of the source; returns false if the body is too long, with which the stream has failed. */
     boolean receive(ByteBuffer bytes) {
         DataStreamChannel wake;
         synchronized (this) {
@@ -101,7 +103,7 @@
         }
     }
 
-    /** The source will bring nothing until it is asked for more. */
+    /** Sets where the source is granted further bytes. */
     void attachSource(CapacityChannel channel) throws IOException {
         synchronized (this) {
             source = channel;
@@ -123,13 +125,13 @@
             }
             grantedBytes += more;
             if (closed) {
-                source = null; // all of the rest has been asked for, and is thrown away
+                source = null; // the rest has been granted, and is discarded
             }
         }
         channel.update((int) more);
     }
 
-    /** All has come in. */
+    /** The source has sent the whole body. */
     void complete() {
         DataStreamChannel wake;
         synchronized (this) {
@@ -141,7 +143,7 @@
         }
     }
 
-    /** The rest will never come. */
+    /** The source has failed. */
     void fail() {
         Runnable tell;
         synchronized (this) {
@@ -156,24 +158,24 @@
     }
 
     // ---- The sink ----------------------------------------------------------------------------------
-    /** Whom a failure is told, at once where it has failed already. */
-    void onFailure(Runnable told) {
+    /** Sets what is run when the source fails; it is run at once if the source has failed already. */
+    void onFailure(Runnable listener) {
         boolean already;
         synchronized (this) {
-            failureListener = told;
+            failureListener = listener;
             already = failed;
         }
         if (already) {
-            told.run();
+            listener.run();
         }
     }
 
-    /** Bytes that wait for the sink, or one where it has to be told of the end. */
+    /** Bytes that wait for the sink; 1 if there are none but the end. */
     synchronized int available() {
         return closed ? 0 : bufferedBytes() > 0 ? (int) bufferedBytes() : complete ? 1 : 0;
     }
 
-    /** Writes what the sink takes; returns whether that was the last of it. */
+    /** Writes as much as the sink takes; returns whether the body has been written completely. */
     boolean writeTo(DataStreamChannel channel) throws IOException {
         boolean last = false;
         synchronized (this) {
@@ -191,7 +193,7 @@
                 if (chunk.limit() == chunk.capacity() || chunks.size() > 1 || complete) {
                     chunks.poll();
                 } else {
-                    chunk.limit(0); // it is filled anew
+                    chunk.limit(0); // refilled by the next read
                     break;
                 }
             }
@@ -207,7 +209,7 @@
         return last;
     }
 
-    /** The sink takes no more: what comes yet is thrown away. */
+    /** The sink takes no more; what is still received is discarded. */
     void discardRest() {
         synchronized (this) {
             if (closed) {
@@ -220,36 +222,36 @@
         try {
             grantCapacity();
         } catch (IOException e) {
-            // the source has gone too
+            // the source's connection has been closed, too
         }
     }
 
-    // ---- What can be seen --------------------------------------------------------------------------
+    // ---- State -------------------------------------------------------------------------------------
     private long bufferedBytes() {
         return Math.min(receivedBytes, maxBytes) - sentBytes;
     }
 
-    /** Whether no sink has had a byte of it, so that another one could have it all. */
+    /** Whether nothing has been written yet, so that another sink can have the whole body. */
     synchronized boolean isUnread() {
         return sentBytes == 0 && !closed;
     }
 
-    /** Whether all of it has come in. */
+    /** Whether the whole body has been received. */
     synchronized boolean isComplete() {
         return complete;
     }
 
-    /** Whether more is waited for from the source. */
+    /** Whether the source may send more. */
     synchronized boolean awaitsSource() {
         return !closed && !complete && grantedBytes - receivedBytes >= MIN_GRANT_BYTES;
     }
 
-    /** Whether something waits for the sink. */
+    /** Whether the sink has something to take. */
     synchronized boolean awaitsSink() {
         return !closed && bufferedBytes() > 0;
     }
 
-    /** Bytes that have come in and gone out, together: as long as it grows, something moves. */
+    /** Bytes received plus bytes written; as long as it grows there is progress. */
     synchronized long bytesMoved() {
         return receivedBytes + sentBytes;
     }
@@ -258,7 +260,7 @@
         return receivedBytes;
     }
 
-    /** Bytes that all flows hold now. */
+    /** Bytes that all streams buffer now. */
     static long totalBufferedBytes() {
         return TOTAL_BUFFERED.get();
     }
--- a/src/main/java/reedmux/gatekeeper/http/BufferedBody.java
+++ b/src/main/java/reedmux/gatekeeper/http/BufferedBody.java
@@ -6,11 +6,11 @@
 import org.apache.hc.core5.http.EntityDetails;
 import org.apache.hc.core5.http.nio.DataStreamChannel;
 
-/** The body of one message: gathered from a connection up to the bound, or written to one. */
+/** Bodies that are held in memory: {@link InboundBody} is received, {@link OutboundBody} is sent. */
 final class BufferedBody {
     static final byte[] EMPTY = {};
 
-    /** Gathers a body; past the bound it is thrown away, as there is no use for a part. */
+    /** Collects a body up to {@link HttpTransport#MAX_BUFFERED_BODY_BYTES}; what exceeds that is dropped. */
     static final class InboundBody {
         private final ByteArrayOutputStream bytes;
         private boolean tooLong;
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Writes a body as far as the connection takes it. */
+    /** Writes a body, as much at a time as the connection takes. */
     static final class OutboundBody {
         private final ByteBuffer bytes;
 
--- a/src/main/java/reedmux/gatekeeper/http/ConnectionAcceptor.java
+++ b/src/main/java/reedmux/gatekeeper/http/ConnectionAcceptor.java
@@ -14,12 +14,11 @@
 import org.apache.hc.core5.reactor.DefaultListeningIOReactor;
 
 /**
- * Accepts consumers' connections as long as there is room for them; those beyond wait in the system's queue,
- * where they cost no descriptor, until others have been closed. At the end it first accepts what waits there:
- * a socket that is closed with connections in its queue resets them.
+ * Accepts connections while there are permits for them. Others wait in the system's backlog, where they need no
+ * descriptor. Before it closes it accepts the whole backlog: connections in the backlog of a closed socket are reset.
  */
 public final class ConnectionAcceptor implements AutoCloseable {
-    /** Connections that may wait to be accepted. */
+    /** Connections that the system holds until they are accepted. */
     private static final int ACCEPT_BACKLOG = 512;
 
     private static final long RETRY_DELAY_MILLIS = 50;
@@ -34,18 +33,18 @@
     /**
      * Listens at once.
      *
-     * @param shared whether another process may listen there too, as one that takes our place does
-     * @param room   has a permit for each connection that there is still room for
+     * @param shared            whether another process may listen on the address, such as one that replaces ours
+     * @param connectionPermits acquired for each connection
      */
     public ConnectionAcceptor(
             SocketAddress listen,
             boolean shared,
             DefaultListeningIOReactor reactor,
-            Semaphore room,
+            Semaphore connectionPermits,
             Consumer<String> log)
             throws IOException {
         this.reactor = reactor;
-        this.connectionPermits = room;
+        this.connectionPermits = connectionPermits;
         this.log = log;
         selector = Selector.open();
         server = ServerSocketChannel.open();
@@ -103,7 +102,7 @@
                 }
                 AcceptedChannels.hand(reactor, accepted);
                 used = true;
-            } catch (IOException | RuntimeException e) { // no descriptor left, or gone before its turn
+            } catch (IOException | RuntimeException e) { // no descriptor is left, or the client has gone
                 log.accept("cannot accept: " + e.getMessage());
                 TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MILLIS);
                 if (closing) {
@@ -117,7 +116,7 @@
         }
     }
 
-    /** Has the thread that accepts take what waits, and then close; returns at once. */
+    /** Has the accepting thread accept the backlog and close; does not wait for it. */
     @Override
     public void close() {
         closing = true;
--- a/src/main/java/reedmux/gatekeeper/http/ConsumerRequest.java
+++ b/src/main/java/reedmux/gatekeeper/http/ConsumerRequest.java
@@ -3,9 +3,9 @@
 import reedmux.gatekeeper.reducer.Invocation;
 
 /**
- * A request as it goes on to a provider: unchanged but for the headers that are ours to set.
+ * A consumer's request as it is forwarded to a provider; other headers are not forwarded.
  *
- * @param timeoutMicros how long its consumer waits after its last byte, in microseconds
+ * @param timeoutMicros how long the consumer waits after the last byte of the request
  */
 public record ConsumerRequest(
         String method, String target, String traceId, String contentType, RequestBody requestBody, long timeoutMicros)
--- a/src/main/java/reedmux/gatekeeper/http/IntakeLimiter.java
+++ b/src/main/java/reedmux/gatekeeper/http/IntakeLimiter.java
@@ -6,22 +6,22 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Bounds how many requests of one service may be between the socket and their decision. Where there are as
- * many, further connections that are known to ask for it wait unread, in the order of their coming, so that a
- * service with hundreds of them takes up no more of the I/O thread's round than another with one. It bounds
- * nothing that is slow by itself: a request that is decided on, whatever becomes of it, lets the next one in.
- * For all threads.
+ * Limits how many requests of one service may have been read but not decided on. Beyond that the connections whose last
+ * request was for this service wait unread, in the order of their arrival, so that a service with hundreds of
+ * connections takes no more of the I/O thread's time than one with a single connection. Requests in flight are not
+ * limited: the next one is read as soon as one has been decided on, whatever the decision. For all threads.
  */
 public final class IntakeLimiter {
     private final int maxUndecided;
     private final AtomicInteger undecided = new AtomicInteger();
     private final Queue<BooleanSupplier> waitingConnections = new ConcurrentLinkedQueue<>();
 
-    public IntakeLimiter(int most) {
-        this.maxUndecided = most;
+    /** A limiter of so many undecided requests. */
+    public IntakeLimiter(int maxUndecided) {
+        this.maxUndecided = maxUndecided;
     }
 
-    /** Whether a connection with a further request has to wait. */
+    /** Whether a connection with a next request has to wait. */
     boolean isFull() {
         return undecided.get() >= maxUndecided;
     }
@@ -31,34 +31,34 @@
         undecided.incrementAndGet();
     }
 
-    /** A request has been decided on: let in, turned away, or given up. */
+    /** A request has been admitted, rejected or cancelled. */
     public void onRequestDecided() {
-        // The last one lets in as many as there is room for: those let in before may have had nothing to say.
+        // The last one resumes as many as allowed: those resumed before may have had no request at all.
         resume(undecided.decrementAndGet() == 0 ? maxUndecided : 1);
     }
 
-    /** Has a connection wait; {@code goOn} has it read, and returns false where it has closed meanwhile. */
-    void enqueue(BooleanSupplier goOn) {
-        waitingConnections.add(goOn);
+    /** Has a connection wait; {@code resume} has it read, and returns false if it has been closed. */
+    void enqueue(BooleanSupplier resume) {
+        waitingConnections.add(resume);
         if (undecided.get() == 0) {
-            resume(maxUndecided); // all have been decided on since it was found full
+            resume(maxUndecided); // all have been decided on in the meantime
         }
     }
 
-    /** Lets in whoever waits while nothing is on its way; to be called now and then. */
+    /** Resumes waiting connections if nothing is undecided; to be called now and then. */
     public void sweep() {
         if (undecided.get() == 0) {
             resume(maxUndecided);
         }
     }
 
-    /** Lets all in. */
+    /** Resumes all waiting connections. */
     public void resumeAll() {
         resume(Integer.MAX_VALUE);
     }
 
-    private void resume(int many) {
-        for (int left = many; left > 0; left--) {
+    private void resume(int count) {
+        for (int left = count; left > 0; left--) {
             BooleanSupplier next = waitingConnections.poll();
             if (next == null) {
                 return;
--- a/src/main/java/reedmux/gatekeeper/http/LineCheckingBuffer.java
+++ b/src/main/java/reedmux/gatekeeper/http/LineCheckingBuffer.java
@@ -9,8 +9,8 @@
 import reedmux.common.http1.Http1Grammar;
 
 /**
- * A connection's input as the library's parsers see it, with a look at each line before they do. The library
- * reads the lines, bounds them and makes messages of them; what it would let through is stopped here.
+ * A connection's input buffer for the library's parsers, which checks each line before they see it: the library accepts
+ * lines that the standard does not allow, and that another reader might read differently.
  */
 abstract class LineCheckingBuffer implements SessionInputBuffer {
     private SessionInputBuffer delegate;
@@ -20,7 +20,7 @@
         return this;
     }
 
-    /** Looks at a whole line; where it is at fault, whatever this throws ends the parsing. */
+    /** Checks a complete line; an exception ends the parsing. */
     abstract void checkLine(CharArrayBuffer line) throws IOException;
 
     @Override
@@ -74,7 +74,7 @@
 
     /** The lines of a request's head. */
     static final class HeadLineChecker extends LineCheckingBuffer {
-        /** A line that is at fault. */
+        /** A line that violates the grammar; the message says how. */
         static final class MalformedLineException extends IOException {
             private static final long serialVersionUID = 1;
 
@@ -92,7 +92,7 @@
         @Override
         void checkLine(CharArrayBuffer line) throws MalformedLineException {
             if (line.isEmpty()) {
-                return; // the head's end, or one of the few that may come before it
+                return; // the end of the head, or one of the empty lines that may precede it
             }
             String problem = firstLine ? Http1Grammar.checkRequestLine(line) : Http1Grammar.checkFieldLine(line);
             firstLine = false;
@@ -102,7 +102,7 @@
         }
     }
 
-    /** The lines of a chunked body. One at fault ends the reading; nothing behind it is read as anything. */
+    /** Checks the lines of a chunked body; after an error everything is discarded. */
     static final class ChunkLineChecker extends LineCheckingBuffer {
         private enum ChunkState {
             SIZE,
@@ -111,7 +111,7 @@
             FAILED
         }
 
-        /** Hears what is wrong, once. */
+        /** Is called once, for the first error. */
         interface ChunkErrorListener {
             void onChunkError(String problem);
         }
@@ -132,7 +132,7 @@
             boolean whole = false;
             try {
                 whole = super.readLine(line, endOfStream);
-            } catch (IOException e) { // it is longer than any line may be
+            } catch (IOException e) { // longer than a line may be
                 reportError("a line between chunks is too long");
             }
             if (state == ChunkState.FAILED) {
--- a/src/main/java/reedmux/gatekeeper/http/MinimumRateGuard.java
+++ b/src/main/java/reedmux/gatekeeper/http/MinimumRateGuard.java
@@ -3,27 +3,29 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The line between a slow consumer and one that is up to no good: by when how much of a request must have
- * come in. Times are microseconds.
+ * The minimum rate at which a request has to be received: it tells slow consumers from those that occupy connections on
+ * purpose. Times are microseconds.
  */
 final class MinimumRateGuard {
-    /** Usual consumers bring 64 kB a second at least; somewhat less is borne. */
+    /** Usual consumers send at least 64 kB a second; somewhat less is tolerated. */
     private static final double MIN_BYTES_PER_MICRO = 0.06;
-    /** What a body has for its first bytes, beside what its head may take. */
+    /** The time for the first bytes of a body, besides the time of the head. */
     private static final long BODY_GRACE_MICROS = TimeUnit.MILLISECONDS.toMicros(400);
 
     private MinimumRateGuard() {}
 
     /**
-     * Whether a request that began so long ago should have more of its body here than it has.
+     * Whether less of a body has been received than the rate requires.
      *
-     * @param headLimit what a head may take
+     * @param elapsed     since the request began
+     * @param headTimeout how long a head may take
+     * @param bytes       received of the body
      */
-    static boolean isTooSlow(long begunAgo, long headLimit, long bytes) {
-        return begunAgo > headLimit + BODY_GRACE_MICROS + (long) (bytes / MIN_BYTES_PER_MICRO);
+    static boolean isTooSlow(long elapsed, long headTimeout, long bytes) {
+        return elapsed > headTimeout + BODY_GRACE_MICROS + (long) (bytes / MIN_BYTES_PER_MICRO);
     }
 
-    /** The longest that a body of this length may take, or one of unknown length where it is below nought. */
+    /** How long a body of this length may take at most; a negative length is unknown. */
     static long maxDurationMicros(long length) {
         return (long) ((length < 0 ? HttpTransport.MAX_STREAMED_BODY_BYTES : length) / MIN_BYTES_PER_MICRO)
                 + TimeUnit.MINUTES.toMicros(1);
--- a/src/main/java/reedmux/gatekeeper/http/ProviderClient.java
+++ b/src/main/java/reedmux/gatekeeper/http/ProviderClient.java
@@ -8,23 +8,25 @@
 import reedmux.gatekeeper.reducer.ReducerEvent;
 import reedmux.gatekeeper.reducer.UpstreamCall;
 
-/** Invoker calls and probes, in HTTP. */
+/** Sends calls and health checks to providers, and requests to discovery and to ourselves. */
 public final class ProviderClient {
-    /** In place of a provider's id where it is discovery that is called, or ourselves. */
+    /** The provider id of what is no provider. */
     private static final String NO_PROVIDER_ID = "";
 
     private final UpstreamConnectionPool pool;
     private final Consumer<ReducerEvent> eventSink;
     private final Runnable writtenListener;
 
-    /** {@code writtenListener} hears of each invoker call that has been written whole. */
-    public ProviderClient(UpstreamConnectionPool calls, Consumer<ReducerEvent> events, Runnable written) {
-        this.writtenListener = written;
-        this.pool = calls;
-        this.eventSink = events;
+    /**
+     * A client whose results go to {@code eventSink}; {@code writtenListener} is run for each call that was written.
+     */
+    public ProviderClient(UpstreamConnectionPool pool, Consumer<ReducerEvent> eventSink, Runnable writtenListener) {
+        this.writtenListener = writtenListener;
+        this.pool = pool;
+        this.eventSink = eventSink;
     }
 
-    /** Starts a call; the provider is told that we wait for {@code timeout} microseconds. */
+    /** Starts a call with a time-out in microseconds; that of a streamed request begins with its last byte. */
     public void call(UpstreamCall call, long timeout) {
         ConsumerRequest message = (ConsumerRequest) call.invocation().message();
         long told = message.stream() == null ? timeout : message.timeoutMicros(); // it begins with the last byte
@@ -60,13 +62,13 @@
                 result -> eventSink.accept(new ReducerEvent.HealthCheckCompleted(provider, askedAt, result)));
     }
 
-    /** Fetches a document; the handle given back ends the call when run. */
+    /** Fetches a document; the returned handle aborts the call. */
     public Runnable fetch(InetSocketAddress from, String target, Consumer<CallResult> done) {
         return pool.execute(
                 new UpstreamEndpoint(NO_PROVIDER_ID, from), UpstreamRequest.get(target, authority(from)), done)::abort;
     }
 
-    /** Sends a body, or none, and hears of the end. */
+    /** Sends a POST with a body, or a GET without one. */
     public void send(InetSocketAddress from, String target, byte[] body, Consumer<CallResult> done) {
         String method = body.length > 0 ? "POST" : "GET";
         pool.execute(
@@ -75,7 +77,7 @@
                 done);
     }
 
-    /** Sends a long body, as it would be passed on, and hears of the end. */
+    /** Sends a POST whose body is streamed. */
     public void sendStreamed(InetSocketAddress from, String target, byte[] body, Consumer<CallResult> done) {
         BodyStream flow = new BodyStream(body.length, body.length, body.length);
         flow.receive(ByteBuffer.wrap(body));
@@ -91,7 +93,7 @@
         pool.closeIdle(new UpstreamEndpoint(provider, address));
     }
 
-    /** Closes the idle connections to whoever is no provider. */
+    /** Closes the idle connections to an address that is no provider's. */
     public void closeIdle(InetSocketAddress address) {
         closeIdle(NO_PROVIDER_ID, address);
     }
--- a/src/main/java/reedmux/gatekeeper/http/RegionClient.java
+++ b/src/main/java/reedmux/gatekeeper/http/RegionClient.java
@@ -8,23 +8,23 @@
 import reedmux.gatekeeper.reducer.ReducerEvent;
 import reedmux.gatekeeper.reducer.UpstreamCall;
 
-/** Calls to another region's gateways, over connections of their own; each is written once and no more. */
+/** Sends forwarded requests to the gateways of another region, over connections of their own. */
 public final class RegionClient {
     private final UpstreamConnectionPool pool;
     private final Consumer<ReducerEvent> eventSink;
     private final PolicySettings settings;
     private final String ownRegion;
 
-    /** {@code ownRegion}: our own name, which the requests carry as the place that they have passed. */
+    /** A client; {@code ownRegion} is the name that the requests carry as the region that they have passed. */
     public RegionClient(
-            UpstreamConnectionPool calls, Consumer<ReducerEvent> events, PolicySettings settings, String region) {
-        this.pool = calls;
-        this.eventSink = events;
+            UpstreamConnectionPool pool, Consumer<ReducerEvent> eventSink, PolicySettings settings, String ownRegion) {
+        this.pool = pool;
+        this.eventSink = eventSink;
         this.settings = settings;
-        this.ownRegion = region;
+        this.ownRegion = ownRegion;
     }
 
-    /** Starts a call; the other region is told the time that the decision leaves it. */
+    /** Starts a call, with the time-out that the decision grants the other region. */
     public void call(UpstreamCall call, ForwardedRequest departure) {
         ConsumerRequest message = (ConsumerRequest) call.invocation().message();
         UpstreamRequest.RegionHop hop = new UpstreamRequest.RegionHop(
--- a/src/main/java/reedmux/gatekeeper/http/RequestBody.java
+++ b/src/main/java/reedmux/gatekeeper/http/RequestBody.java
@@ -1,9 +1,10 @@
 package reedmux.gatekeeper.http;
 
 /**
- * The body of a request: whole, or still on its way where {@code stream} is not null.
+ * The body of a request, buffered or streamed.
  *
- * @param bytes nothing where it flows
+ * @param bytes  empty if it is streamed
+ * @param stream null if it is buffered
  */
 public record RequestBody(byte[] bytes, BodyStream stream) {
 
--- a/src/main/java/reedmux/gatekeeper/http/RequestTarget.java
+++ b/src/main/java/reedmux/gatekeeper/http/RequestTarget.java
@@ -11,8 +11,8 @@
     private RequestTarget() {}
 
     /**
-     * Puts a target in absolute form into origin form, which is all that is read from then on. False where it
-     * is of another scheme, or names another host than {@code Host} does: of two hosts none is believed.
+     * Converts a target in absolute form into origin form. Returns false if it has another scheme, or another host than
+     * the header {@code Host}.
      */
     static boolean toOriginForm(HttpRequest request) {
         String target = request.getPath();
--- a/src/main/java/reedmux/gatekeeper/http/StrictHeadParsers.java
+++ b/src/main/java/reedmux/gatekeeper/http/StrictHeadParsers.java
@@ -24,9 +24,9 @@
 import reedmux.common.http1.Http1Grammar;
 
 /**
- * The library's parsers of heads, made strict. On its own the library takes a head that was cut off by the
- * end of the connection for a whole one, prefers one of two contradicting lengths, and reads what it could
- * not frame as the next message; each of these would let one message pass for another.
+ * Strict variants of the library's parsers of heads. The library itself takes a head that the end of the connection
+ * truncated for a complete one, prefers one of two contradicting lengths, and reads what follows a body that it could
+ * not delimit as the next message: each of these allows request smuggling.
  */
 final class StrictHeadParsers {
     private static final DefaultHttpRequestParserFactory REQUEST_PARSERS =
@@ -40,8 +40,8 @@
     private StrictHeadParsers() {}
 
     /**
-     * A request whose path is the target as it came. The library's own would take {@code //a/b} for the path
-     * {@code /b} of a host a, drop fragments, and read a path where there is none.
+     * A request whose path is the target as it was received. The library's own would take {@code //a/b} for the path
+     * {@code /b} of the host a, drop fragments, and invent a path where there is none.
      */
     static HttpRequest requestWithRawTarget(String method, String target) {
         return new BasicHttpRequest(method, (HttpHost) null, target);
@@ -59,7 +59,7 @@
         }
     }
 
-    /** What is wrong with how the end of the message's body is told, or with its headers' names, or null. */
+    /** What is wrong with the headers that delimit the body, or with the headers' names; null if nothing is. */
     private static String findFramingError(HttpMessage message) {
         int lengths = 0;
         int codings = 0;
@@ -88,8 +88,8 @@
     }
 
     /**
-     * RFC 9112, section 3.2: one host, and one that can be read in one way only. A missing or empty one is
-     * let pass, as the platform's own consumers are served without.
+     * RFC 9112, section 3.2: a single host that is not ambiguous. A missing or empty one is accepted, since the
+     * platform's own consumers send none.
      */
     private static String findHostError(HttpRequest request) {
         int hosts = request.countHeaders("Host");
@@ -116,8 +116,8 @@
     }
 
     /**
-     * Reads a consumer's heads. The first that cannot be read is handed on as a request that says so, to be
-     * told; nothing behind it is read, as nobody can tell where the next request would begin.
+     * Parses the heads of a consumer's requests. The first malformed one becomes a dummy request, so that it can be
+     * rejected; nothing after it is read, since nobody can tell where the next request would begin.
      */
     static final class StrictRequestParser implements NHttpMessageParser<HttpRequest> {
         private final NHttpMessageParser<HttpRequest> parser = REQUEST_PARSERS.create();
@@ -126,7 +126,7 @@
         private int errorStatus = STATUS_BAD_REQUEST;
         private String error;
 
-        /** From now on whatever comes in is thrown away. */
+        /** Discards all further input. */
         void stop() {
             stopped = true;
         }
@@ -135,7 +135,7 @@
             return stopped;
         }
 
-        /** What was wrong with the head that could not be read, or null. */
+        /** What is wrong with the malformed head, or null. */
         String error() {
             return error;
         }
@@ -173,7 +173,7 @@
             }
             if (error == null) {
                 if (endOfStream && request == null) {
-                    discard(in); // half a request is none, and would keep the connection from ending
+                    discard(in); // an incomplete head would keep the connection open
                 }
                 return request;
             }
@@ -183,7 +183,7 @@
         }
     }
 
-    /** Whether the provider has said that the connection's end is the answer's, RFC 9112, section 6.3. */
+    /** Whether the end of the connection delimits the body, RFC 9112, section 6.3. */
     private static boolean endsWithConnection(HttpResponse response) {
         for (Iterator<Header> all = response.headerIterator("Connection"); all.hasNext(); ) {
             for (String token : all.next().getValue().split(",")) {
@@ -195,19 +195,19 @@
         return false;
     }
 
-    /** Reads a provider's heads; those that cannot be read, or that nobody asked for, end the connection. */
+    /** Parses the heads of responses; a malformed or unsolicited one ends the connection. */
     static final class StrictResponseParser implements NHttpMessageParser<HttpResponse> {
         private static final int MAX_STATUS = 599;
         private final NHttpMessageParser<HttpResponse> parser = RESPONSE_PARSERS.create();
         private final BooleanSupplier responseExpected;
         private boolean inputEnded;
 
-        /** {@code expected}: whether an answer is due on the connection. */
+        /** A parser; {@code responseExpected} says whether a request is waiting for its response. */
         StrictResponseParser(BooleanSupplier expected) {
             this.responseExpected = expected;
         }
 
-        /** Whether the provider has ended the connection. */
+        /** Whether the end of the input has been read. */
         boolean hasInputEnded() {
             return inputEnded;
         }
@@ -234,8 +234,8 @@
             if (problem == null && response.getCode() > MAX_STATUS) {
                 problem = "there is no such status";
             }
-            // Without a length only the connection's end would tell where the body ends, and a break looks
-            // just like it: half an answer would be passed on as a whole one.
+            // Without a length only the end of the connection would delimit the body, and a broken connection looks
+            // the same: a truncated response would be forwarded as a complete one.
             if (problem == null
                     && response.getCode() >= 200
                     && !response.containsHeader("Content-Length")
--- a/src/main/java/reedmux/gatekeeper/http/UpstreamConnection.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamConnection.java
@@ -17,20 +17,26 @@
 import org.apache.hc.core5.reactor.IOSession;
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
-/** A connection of ours to a provider or to discovery; it carries one call at a time. */
+/**
+ * A connection to a provider, to discovery or to another region; it carries one call at a time.
+ *
+ * <p>A pooled connection may be used for a further call only if nothing was read after its last response and if it is
+ * still open when the I/O thread is about to write the request ({@link #isStale}). Until then nothing of the call has
+ * been written, so it moves to another connection without being a retry.
+ */
 public final class UpstreamConnection {
     private static final DefaultHttpRequestWriterFactory REQUEST_WRITERS =
             new DefaultHttpRequestWriterFactory(HttpTransport.HTTP1_CONFIG);
 
-    /** Whom it leads to: at one address a provider may follow another, which knows nothing of its calls. */
+    /** Whom a connection leads to. An address alone is not enough, since another provider may reuse it. */
     public record UpstreamEndpoint(String providerId, InetSocketAddress address) {
 
-        // Written out, as what a record brings is linked at run time, in the middle of a start.
+        // Written out: the generated methods of a record are linked at run time, which slows a start down.
         @Override
         public boolean equals(Object other) {
-            return other instanceof UpstreamEndpoint origin
-                    && providerId.equals(origin.providerId)
-                    && address.equals(origin.address);
+            return other instanceof UpstreamEndpoint endpoint
+                    && providerId.equals(endpoint.providerId)
+                    && address.equals(endpoint.address);
         }
 
         @Override
@@ -44,27 +50,28 @@
     private final StrictHeadParsers.StrictResponseParser responseParser =
             new StrictHeadParsers.StrictResponseParser(this::isResponseExpected);
     private final ByteBuffer unsolicited = ByteBuffer.allocate(1);
-    /** A call that is to be written next. */
+    /** The call that is to be written next. */
     private final AtomicReference<UpstreamExchange> pendingExchange = new AtomicReference<>();
 
     private volatile ClientHttp1StreamDuplexer duplexer;
     private volatile ProtocolIOSession session;
     private volatile boolean responseExpected;
-    private boolean abandoned;
+    private boolean aborted;
     private boolean holdsPermit = true;
-    /** The call that has it, since when it waits for one, in microseconds; guarded by the pool. */
+    /** The call that has the connection; guarded by the pool. */
     UpstreamExchange currentExchange;
-
+    /** Since when it is idle; guarded by the pool. */
     long idleSinceMicros;
 
-    UpstreamConnection(UpstreamEndpoint origin, UpstreamConnectionPool calls) {
-        this.endpoint = origin;
-        this.pool = calls;
+    UpstreamConnection(UpstreamEndpoint endpoint, UpstreamConnectionPool pool) {
+        this.endpoint = endpoint;
+        this.pool = pool;
     }
 
-    synchronized IOEventHandler createEventHandler(ProtocolIOSession made) {
+    /** The connection is up. */
+    synchronized IOEventHandler createEventHandler(ProtocolIOSession created) {
         ClientHttp1StreamDuplexer client = new ClientHttp1StreamDuplexer(
-                made,
+                created,
                 HttpTransport.NO_ADDED_HEADERS,
                 HttpTransport.HTTP1_CONFIG,
                 null,
@@ -75,16 +82,16 @@
                 null,
                 null);
         duplexer = client;
-        session = made;
-        if (abandoned) { // given up just while it came up
-            made.close(CloseMode.IMMEDIATE);
+        session = created;
+        if (aborted) {
+            created.close(CloseMode.IMMEDIATE);
         }
         return new UpstreamEventHandler(client);
     }
 
-    /** Gives it up while it is coming up. */
+    /** Aborts it while it is being connected. */
     synchronized void abortConnect() {
-        abandoned = true;
+        aborted = true;
         if (session == null) {
             releasePermit();
         } else {
@@ -99,12 +106,12 @@
         }
     }
 
-    /** Whether a call may still be written to it, as far as we have heard. */
+    /** Whether a call may be written to it, as far as is known. */
     boolean isOpen() {
         return session.isOpen() && duplexer.isOpen();
     }
 
-    /** Closes it, and counts it no more from now on, not only when the I/O thread has seen to it. */
+    /** Closes it and returns its permit at once, not only when the I/O thread has closed it. */
     void closeAndReleasePermit() {
         synchronized (this) {
             releasePermit();
@@ -113,9 +120,9 @@
     }
 
     void close() {
-        ProtocolIOSession made = session;
-        if (made != null) {
-            made.close(CloseMode.IMMEDIATE);
+        ProtocolIOSession current = session;
+        if (current != null) {
+            current.close(CloseMode.IMMEDIATE);
         }
     }
 
@@ -123,29 +130,29 @@
         return responseExpected;
     }
 
-    /** A call's request is being written, so that bytes that come in belong to its answer. */
+    /** A request is being written; what is read from now on is its response. */
     void onRequestStarted() {
         responseExpected = true;
     }
 
-    /** The answer is whole: whatever follows belongs to nobody. */
+    /** The response is complete; nothing may be read until the next request. */
     void onResponseComplete() {
         responseExpected = false;
     }
 
-    /** Carries a call over a connection that has just come up. */
+    /** Executes a call on a connection that has just come up, or is known to be usable. */
     void execute(UpstreamExchange exchange) {
         session.enqueue(
                 new RequestExecutionCommand(exchange, null, null, HttpCoreContext.create()),
                 Command.Priority.IMMEDIATE);
     }
 
-    /** Carries a call over a kept connection, if on the I/O thread it still proves good. */
+    /** Executes a call on an idle connection if it is usable when the I/O thread comes to it. */
     void executeIfStillUsable(UpstreamExchange exchange) {
         pendingExchange.set(exchange);
         session.setEvent(SelectionKey.OP_WRITE);
         if (!session.isOpen()) {
-            moveToAnotherConnection(); // it has closed, and nobody may ever call us again
+            moveToAnotherConnection(); // the I/O thread may not come to it any more
         }
     }
 
@@ -157,9 +164,8 @@
     }
 
     /**
-     * Bytes that nobody asked for, as a provider may send behind its answer, would be taken for the answer
-     * to what we write now; and what is written to a connection that has ended is lost. Nothing has been
-     * written yet, so the call goes elsewhere, which is no second copy.
+     * Whether anything can be read, be it the end of the input. Unsolicited bytes, which a provider may send after its
+     * response, would be taken for the response to the next request; what is written to a closed connection is lost.
      */
     private boolean isStale() {
         try {
@@ -169,7 +175,7 @@
         }
     }
 
-    /** The library's handler, round which we look for what it would let pass. */
+    /** The library's event handler, with the checks that it lacks. */
     private final class UpstreamEventHandler extends ClientHttp1IOEventHandler {
         private final ClientHttp1StreamDuplexer client;
 
@@ -183,7 +189,7 @@
             try {
                 super.inputReady(ioSession, source);
                 if (responseParser.hasInputEnded() && client.isOpen()) {
-                    client.onException(new ConnectionClosedException()); // in the middle of a head
+                    client.onException(new ConnectionClosedException()); // within a head
                 }
             } finally {
                 UpstreamExchange exchange = pool.exchangeOn(UpstreamConnection.this);
@@ -207,12 +213,12 @@
                 }
             }
             super.outputReady(ioSession);
-            UpstreamExchange user = pool.exchangeOn(UpstreamConnection.this);
-            if (user != null) {
-                user.reportIfWritten();
+            UpstreamExchange current = pool.exchangeOn(UpstreamConnection.this);
+            if (current != null) {
+                current.reportIfWritten();
             }
             if (pendingExchange.get() != null) {
-                ioSession.setEvent(SelectionKey.OP_WRITE); // one that came while the library cleared it
+                ioSession.setEvent(SelectionKey.OP_WRITE); // assigned while the library cleared the event
             }
         }
 
--- a/src/main/java/reedmux/gatekeeper/http/UpstreamConnectionPool.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamConnectionPool.java
@@ -21,8 +21,9 @@
 import reedmux.gatekeeper.reducer.CallResult.CallStage;
 
 /**
- * Calls to providers and to discovery, over kept connections. Each call is written to one connection once;
- * nothing is ever sent again here, since every send is the module's decision.
+ * Sends calls to providers, discovery and other regions over pooled connections. A call is written to one connection
+ * and never sent again here: whether it is retried is the policy's decision. For all threads; the monitor guards the
+ * connections.
  */
 public final class UpstreamConnectionPool {
     private final ConnectionInitiator reactor;
@@ -30,21 +31,22 @@
     private final ConnectionPermits permits;
     private final long maxIdleMicros;
     private final Map<UpstreamEndpoint, Deque<UpstreamConnection>> idleConnections = new HashMap<>();
-    /** Calls with bodies that are passed on as they come. */
+    /** Calls whose request or response is streamed. */
     private final Set<UpstreamExchange> streamingExchanges = ConcurrentHashMap.newKeySet();
 
     private boolean shutDown;
 
-    /** Places for connections; called by all threads. */
+    /** Limits the number of connections; for all threads. */
     public interface ConnectionPermits {
-        /** Takes one; false where none is to be had. */
+        /** Acquires a permit; returns false if there is none. */
         boolean tryAcquire();
 
+        /** Returns a permit. */
         void release();
 
-        /** So many, for nobody else. */
-        static ConnectionPermits fixed(int most) {
-            AtomicInteger left = new AtomicInteger(most);
+        /** A fixed number of permits. */
+        static ConnectionPermits fixed(int count) {
+            AtomicInteger left = new AtomicInteger(count);
             return new ConnectionPermits() {
                 @Override
                 public boolean tryAcquire() {
@@ -59,31 +61,38 @@
         }
     }
 
-    /** Connections idle for {@code maxIdleMicros} microseconds are closed, and never used after that. */
+    /**
+     * A pool that closes connections which have been idle for {@code maxIdleMicros}, and does not use them after that.
+     */
     public UpstreamConnectionPool(
-            ConnectionInitiator reactor, MonotonicClock clock, ConnectionPermits room, long mostIdle) {
+            ConnectionInitiator reactor, MonotonicClock clock, ConnectionPermits permits, long maxIdleMicros) {
         this.reactor = reactor;
         this.clock = clock;
-        this.permits = room;
-        this.maxIdleMicros = mostIdle;
+        this.permits = permits;
+        this.maxIdleMicros = maxIdleMicros;
     }
 
-    /** Starts a call; {@code done} hears of its end exactly once, on whatever thread that happens. */
-    UpstreamExchange execute(UpstreamEndpoint to, UpstreamRequest request, Consumer<CallResult> done) {
-        return execute(to, request, () -> {}, null, done);
+    /** Starts a call; {@code completionListener} gets its result exactly once, on any thread. */
+    UpstreamExchange execute(
+            UpstreamEndpoint endpoint, UpstreamRequest request, Consumer<CallResult> completionListener) {
+        return execute(endpoint, request, () -> {}, null, completionListener);
     }
 
     /**
-     * The same; {@code written} hears once it has been written whole, if it ever is, and {@code begun} of an
-     * answer that is passed on before it is whole; where that is null none is.
+     * Starts a call.
+     *
+     * @param writtenListener    is run once if the request has been written completely
+     * @param streamingListener  gets a response that is streamed, before it is complete; null to have none streamed
+     * @param completionListener gets the result exactly once, on any thread
      */
     UpstreamExchange execute(
-            UpstreamEndpoint to,
+            UpstreamEndpoint endpoint,
             UpstreamRequest request,
-            Runnable written,
-            Consumer<CallResult.ResponseReceived> begun,
-            Consumer<CallResult> done) {
-        UpstreamExchange exchange = new UpstreamExchange(this, to, request, written, begun, done);
+            Runnable writtenListener,
+            Consumer<CallResult.ResponseReceived> streamingListener,
+            Consumer<CallResult> completionListener) {
+        UpstreamExchange exchange =
+                new UpstreamExchange(this, endpoint, request, writtenListener, streamingListener, completionListener);
         if (request.stream() != null) {
             streamingExchanges.add(exchange);
         }
@@ -91,11 +100,11 @@
         return exchange;
     }
 
-    /** Finds a connection for a call of which nothing has been written yet. */
+    /** Finds or opens a connection for a call of which nothing has been written yet. */
     void assignConnection(UpstreamExchange exchange) {
-        UpstreamConnection kept = leaseIdle(exchange);
-        if (kept != null) {
-            kept.executeIfStillUsable(exchange);
+        UpstreamConnection idle = leaseIdle(exchange);
+        if (idle != null) {
+            idle.executeIfStillUsable(exchange);
         } else if (exchange.isAborted()) {
             exchange.finish(new CallResult.ConnectionBroken(CallStage.CONNECTING, "given up"));
         } else if (acquirePermit()) {
@@ -106,63 +115,62 @@
     }
 
     private void connect(UpstreamExchange exchange) {
-        UpstreamEndpoint to = exchange.upstream();
-        UpstreamConnection connection = new UpstreamConnection(to, this);
+        InetSocketAddress address = exchange.upstream().address();
+        UpstreamConnection connection = new UpstreamConnection(exchange.upstream(), this);
         try {
             Future<IOSession> future = reactor.connect(
-                    httpHost(to.address()), to.address(), null, Timeout.DISABLED, connection, new FutureCallback<>() {
+                    httpHost(address), address, null, Timeout.DISABLED, connection, new FutureCallback<>() {
                         @Override
                         public void completed(IOSession session) {
                             if (tryAssign(connection, exchange)) {
                                 connection.execute(exchange);
                             } else {
-                                neverUp("given up");
+                                connectFailed("given up");
                             }
                         }
 
                         @Override
                         public void failed(Exception cause) {
-                            neverUp(String.valueOf(cause.getMessage()));
+                            connectFailed(String.valueOf(cause.getMessage()));
                         }
 
                         @Override
                         public void cancelled() {
-                            neverUp("given up");
+                            connectFailed("given up");
                         }
 
-                        private void neverUp(String reason) {
+                        private void connectFailed(String reason) {
                             connection.abortConnect();
                             exchange.finish(new CallResult.ConnectionBroken(CallStage.CONNECTING, reason));
                         }
                     });
             exchange.setConnectFuture(future);
             if (exchange.isAborted()) {
-                future.cancel(true); // given up just before there was something to cancel
+                future.cancel(true); // aborted before the future was set
             }
-        } catch (RuntimeException e) { // the reactor has been shut down, as at the very end of leaving
+        } catch (RuntimeException e) { // the reactor has been shut down
             connection.abortConnect();
             exchange.finish(new CallResult.ConnectionBroken(CallStage.CONNECTING, String.valueOf(e.getMessage())));
         }
     }
 
     /**
-     * The library's name for an address, spelt out by us: left to itself it asks name resolution for it on
-     * the calling thread, and where that never answers, as there is no DNS, each first call stands still
-     * for 20 s.
+     * The library's form of an address, with the host name given. Otherwise the library would look the name up on the
+     * calling thread, which without DNS blocks each first call for 20 s.
      */
     private static HttpHost httpHost(InetSocketAddress address) {
         return new HttpHost(null, address.getAddress(), address.getAddress().getHostAddress(), address.getPort());
     }
 
     private synchronized UpstreamConnection leaseIdle(UpstreamExchange exchange) {
-        exchange.connection = null; // a kept one that proved spoilt must not hide that a new one is coming up
-        Deque<UpstreamConnection> kept = exchange.isAborted() ? null : idleConnections.get(exchange.upstream());
-        long usable = clock.now() - maxIdleMicros;
-        while (kept != null && !kept.isEmpty()) {
-            UpstreamConnection connection = kept.pollLast();
-            // One that is near the provider's own limit may be closed there while our request is on its
-            // way; that would be a reset, and a call that must not run twice could not be made again.
-            if (connection.isOpen() && connection.idleSinceMicros > usable) {
+        exchange.connection = null; // a stale connection that it had before does not count any more
+        Deque<UpstreamConnection> idle = exchange.isAborted() ? null : idleConnections.get(exchange.upstream());
+        long oldest = clock.now() - maxIdleMicros;
+        while (idle != null && !idle.isEmpty()) {
+            UpstreamConnection connection = idle.pollLast();
+            // The provider may close a connection that it has idle for long while our request is on the way to it.
+            // The reset would not tell whether the request ran, so a non-idempotent one could not be retried.
+            if (connection.isOpen() && connection.idleSinceMicros > oldest) {
                 tryAssign(connection, exchange);
                 return connection;
             }
@@ -171,7 +179,7 @@
         return null;
     }
 
-    /** Gives a connection to a call, unless that has been given up. */
+    /** Assigns a connection to a call, unless the call has been aborted. */
     private synchronized boolean tryAssign(UpstreamConnection connection, UpstreamExchange exchange) {
         if (exchange.isAborted()) {
             return false;
@@ -186,31 +194,29 @@
     }
 
     /**
-     * Closes the connection of a call that is given up, but only as long as that call has it: one that has
-     * just been answered has left it to the next.
+     * Closes the connection of a call that is aborted, but only while the call still has it: after its response the
+     * connection may already belong to the next call.
      */
     synchronized void abort(UpstreamExchange exchange) {
-        UpstreamConnection on = exchange.connection;
-        if (on != null && on.currentExchange == exchange) {
-            on.close();
-        } else if (on == null) {
+        UpstreamConnection connection = exchange.connection;
+        if (connection != null && connection.currentExchange == exchange) {
+            connection.close();
+        } else if (connection == null) {
             exchange.abortConnect();
         }
     }
 
-    /** Takes a place for one more connection; where there is none, the one idle the longest goes. */
+    /** Acquires a permit for a connection, evicting an idle one if there is none left. */
     private boolean acquirePermit() {
         return permits.tryAcquire() || evictLongestIdle() && permits.tryAcquire();
     }
 
-    /**
-     * Closes the connection that has been idle the longest, whose place is free at once; false if none is.
-     */
+    /** Closes the connection that has been idle the longest and returns its permit at once; false if none is idle. */
     public synchronized boolean evictLongestIdle() {
         Deque<UpstreamConnection> longest = null;
-        for (Deque<UpstreamConnection> kept : idleConnections.values()) {
-            if (!kept.isEmpty() && (longest == null || kept.peek().idleSinceMicros < longest.peek().idleSinceMicros)) {
-                longest = kept;
+        for (Deque<UpstreamConnection> idle : idleConnections.values()) {
+            if (!idle.isEmpty() && (longest == null || idle.peek().idleSinceMicros < longest.peek().idleSinceMicros)) {
+                longest = idle;
             }
         }
         if (longest == null) {
@@ -220,35 +226,36 @@
         return true;
     }
 
-    /** Keeps no connection any more: those that are idle are closed now, the others with their calls. */
+    /** Closes idle connections now, and the others when their calls end. */
     public synchronized void shutDown() {
         shutDown = true;
-        idleConnections.values().forEach(kept -> kept.forEach(UpstreamConnection::close));
+        idleConnections.values().forEach(idle -> idle.forEach(UpstreamConnection::close));
         idleConnections.clear();
     }
 
+    /** A connection has been closed and does not need its permit any more. */
     void onConnectionClosed() {
         permits.release();
     }
 
-    /** Takes a connection back from a call that has ended; {@code good}: it may carry a further one. */
-    synchronized void release(UpstreamConnection connection, boolean good) {
+    /** Returns the connection of a call that has ended; it is closed unless {@code reusable}. */
+    synchronized void release(UpstreamConnection connection, boolean reusable) {
         connection.currentExchange = null;
-        if (good && !shutDown) {
+        if (reusable && !shutDown) {
             connection.idleSinceMicros = clock.now();
             idleConnections
-                    .computeIfAbsent(connection.endpoint, origin -> new ArrayDeque<>())
+                    .computeIfAbsent(connection.endpoint, endpoint -> new ArrayDeque<>())
                     .add(connection);
         } else {
             connection.close();
         }
     }
 
-    /** Closes idle connections. */
-    synchronized void closeIdle(UpstreamEndpoint origin) {
-        Deque<UpstreamConnection> kept = idleConnections.remove(origin);
-        if (kept != null) {
-            kept.forEach(UpstreamConnection::close);
+    /** Closes the idle connections to an endpoint. */
+    synchronized void closeIdle(UpstreamEndpoint endpoint) {
+        Deque<UpstreamConnection> idle = idleConnections.remove(endpoint);
+        if (idle != null) {
+            idle.forEach(UpstreamConnection::close);
         }
     }
 
@@ -265,7 +272,10 @@
         streamingExchanges.remove(exchange);
     }
 
-    /** Closes what has been idle for too long, and gives up long bodies that have come to a halt. */
+    /**
+     * Closes connections that have been idle for too long, and aborts streams that have stalled; to be called now and
+     * then.
+     */
     public void sweep() {
         long now = clock.now();
         streamingExchanges.forEach(exchange -> exchange.abortIfStalled(now));
@@ -273,14 +283,14 @@
     }
 
     private synchronized void sweepIdle() {
-        long usable = clock.now() - maxIdleMicros;
-        for (Deque<UpstreamConnection> kept : idleConnections.values()) {
-            kept.removeIf(connection -> {
-                boolean over = connection.idleSinceMicros <= usable || !connection.isOpen();
-                if (over) {
+        long oldest = clock.now() - maxIdleMicros;
+        for (Deque<UpstreamConnection> idle : idleConnections.values()) {
+            idle.removeIf(connection -> {
+                boolean expired = connection.idleSinceMicros <= oldest || !connection.isOpen();
+                if (expired) {
                     connection.close();
                 }
-                return over;
+                return expired;
             });
         }
         idleConnections.values().removeIf(Deque::isEmpty);
--- a/src/main/java/reedmux/gatekeeper/http/UpstreamExchange.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamExchange.java
@@ -23,21 +23,24 @@
 import reedmux.gatekeeper.reducer.CallResult;
 import reedmux.gatekeeper.reducer.CallResult.CallStage;
 
-/** One request of ours and what came of it. */
+/**
+ * One call: its request, its response and its result.
+ *
+ * <p>The result is reported once. It says how far a broken call had come ({@link CallStage}), which decides whether it
+ * may be retried: a request that was not sent completely cannot have run. A long or slow response is streamed: it is
+ * reported to the streaming listener before it is complete.
+ */
 final class UpstreamExchange implements AsyncClientExchangeHandler {
     private static final int STATUS_OK = 200;
-    /**
-     * An answer that does not tell its length is passed on once it has so many bytes and is so slow, in
-     * microseconds: it may be a long one, and its consumer waits for the first of it.
-     */
+    /** A response of unknown length is streamed if it has more bytes than this and takes longer than the time below. */
     private static final int STREAMING_THRESHOLD_BYTES = 4 * 1024;
 
     private static final long STREAMING_THRESHOLD_MICROS = TimeUnit.MILLISECONDS.toMicros(20);
-    /** How long a provider may neither take nor bring a byte in the middle of a long body. */
+    /** How long a provider may neither read nor write a byte of a streamed body. */
     private static final long STALL_TIMEOUT_MICROS = TimeUnit.SECONDS.toMicros(15);
 
     private static final double MICROS_PER_SECOND = 1e6;
-    /** Of times that another region tells, in microseconds. */
+    /** The longest time that the headers of another region may report. */
     private static final double MAX_REPORTED_MICROS = 3.6e9;
 
     private final UpstreamConnectionPool pool;
@@ -50,7 +53,7 @@
     private final AtomicBoolean finished = new AtomicBoolean();
     private volatile boolean aborted;
     private volatile Future<?> connectFuture;
-    /** The connection that carries it; set by the pool. */
+    /** The connection that it has; guarded by the pool. */
     volatile UpstreamConnection connection;
 
     private volatile EndpointDetails connectionDetails;
@@ -60,16 +63,16 @@
     private HttpRequest requestHead;
     private HttpResponse response;
     private long responseHeadAt;
-    /** Whether the answer does not tell its length. */
+    /** Whether the response has no length. */
     private boolean responseLengthUnknown;
 
     private BufferedBody.InboundBody responseBody;
-    /** The rest of an answer that is passed on as it comes, or null. */
+    /** The response if it is streamed, otherwise null. */
     private volatile BodyStream responseStream;
 
     private volatile boolean requestStreamed;
     private long grantedBytes = HttpTransport.INITIAL_WINDOW_BYTES;
-    /** What had moved when that was looked at last, and when; below nought before the first look. */
+    /** Bytes that both streams had moved when it was last checked; negative before the first check. */
     private long lastBytesMoved = -1;
 
     private long lastProgressAt;
@@ -102,10 +105,7 @@
         return aborted;
     }
 
-    /**
-     * Gives the call up. Only once the connection is closed is it certain how far the call had come, so its
-     * end is told from there, not from here.
-     */
+    /** Aborts the call. Its result follows when the connection is closed, since only then its stage is certain. */
     void abort() {
         aborted = true;
         pool.abort(this);
@@ -137,7 +137,7 @@
         connectionDetails = details;
         int bytes = request.body().length;
         if (request.stream() != null) {
-            request.stream().onFailure(this::abort); // what was sent of it is no request, and never runs
+            request.stream().onFailure(this::abort); // an incomplete request never runs
             channel.sendRequest(
                     requestHead, new BasicEntityDetails(request.stream().length(), null), context);
             return;
@@ -175,7 +175,7 @@
             onResponseComplete(BufferedBody.EMPTY);
         } else if (entity.getContentLength()
                 > (mayStream() ? HttpTransport.MAX_STREAMED_BODY_BYTES : HttpTransport.MAX_BUFFERED_BODY_BYTES)) {
-            throw new IOException("the answer is too long"); // it may go on for 3 GB
+            throw new IOException("the answer is too long");
         } else {
             responseBody = new BufferedBody.InboundBody(entity);
             responseLengthUnknown = entity.getContentLength() < 0;
@@ -210,9 +210,9 @@
                         || responseLengthUnknown
                                 && responseBody.size() > STREAMING_THRESHOLD_BYTES
                                 && pool.now() - responseHeadAt > STREAMING_THRESHOLD_MICROS)) {
-            boolean kept = !responseBody.isTooLong();
+            boolean buffered = !responseBody.isTooLong();
             startStreaming(-1, grantedBytes);
-            if (!kept) {
+            if (!buffered) {
                 responseStream.receive(same);
             }
         } else if (responseBody.isTooLong()) {
@@ -230,14 +230,14 @@
         }
     }
 
-    /** Whether an answer may be passed on before it is whole. */
+    /** Whether the response may be streamed. */
     private boolean mayStream() {
         return streamingListener != null && response.getCode() == STATUS_OK;
     }
 
-    /** Passes the answer on from here on, as it comes. */
-    private void startStreaming(long told, long granted) {
-        responseStream = new BodyStream(told, HttpTransport.MAX_STREAMED_BODY_BYTES, granted);
+    /** Streams the response from here on; {@code length} is -1 if it is not known. */
+    private void startStreaming(long length, long granted) {
+        responseStream = new BodyStream(length, HttpTransport.MAX_STREAMED_BODY_BYTES, granted);
         responseStream.receive(ByteBuffer.wrap(responseBody.bytes()));
         pool.addStreaming(this);
         Header type = response.getFirstHeader("Content-Type");
@@ -252,7 +252,7 @@
                 0));
     }
 
-    /** Gives it up where the provider neither takes nor brings anything, though it is waited for. */
+    /** Aborts it if the provider neither reads nor writes anything although it should. */
     void abortIfStalled(long now) {
         BodyStream up = request.stream();
         BodyStream down = responseStream;
@@ -283,8 +283,8 @@
     }
 
     /**
-     * Told by the connection when it has read what there was. Only now is it known whether more has come
-     * than the answer; then the answer still counts, but the connection must never carry another call.
+     * Reports a complete response. The connection calls this after it has read all input: only then is it known whether
+     * there was more than the response, in which case the connection must not be reused.
      */
     void finishIfAnswered(boolean good) {
         CallResult whole = pendingResult;
@@ -295,14 +295,14 @@
         }
     }
 
-    /** A header's number in microseconds, -1 where there is none that makes sense. */
+    /** A numeric header in microseconds; -1 if it is missing or invalid. */
     private long numericHeader(String name, double unit) {
         Header header = response.getFirstHeader(name);
         double value = header == null || header.getValue() == null ? 0 : RequestHeaders.parseDecimal(header.getValue());
         return header == null || value < 0 ? -1 : (long) Math.min(value * unit, MAX_REPORTED_MICROS);
     }
 
-    /** Counts it if it has gone out whole; to be asked whenever some of it may have. */
+    /** Reports, once, that the request has been written completely; called whenever something may have been written. */
     void reportIfWritten() {
         if (!writtenReported.get() && isFullySent() && writtenReported.compareAndSet(false, true)) {
             writtenListener.run();
@@ -315,7 +315,7 @@
         return last && details != null && details.getSentBytesCount() - bytesSentBefore >= requestLength;
     }
 
-    // ---- The end without an answer -----------------------------------------------------------------
+    // ---- Failures ----------------------------------------------------------------------------------
     @Override
     public void failed(Exception cause) {
         BodyStream broken = responseStream;
--- a/src/main/java/reedmux/gatekeeper/http/UpstreamRequest.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamRequest.java
@@ -4,8 +4,12 @@
 import org.apache.hc.core5.http.HttpRequest;
 
 /**
- * A request of ours; {@code traceId} may be null, and {@code expiresInMillis} below nought, to be left out.
- * {@code hop} is what another region is told beside, or null where it is no region that is called.
+ * A request that we send.
+ *
+ * @param traceId         null to leave the header out
+ * @param expiresInMillis negative to leave the header out
+ * @param stream          the body if it is streamed, otherwise null
+ * @param hop             the headers for another region, or null
  */
 public record UpstreamRequest(
         String method,
@@ -18,7 +22,7 @@
         BodyStream stream,
         RegionHop hop) {
 
-    /** The regions passed, what a repeat does, and the units that were counted at home. */
+    /** The headers for another region: the regions passed, the class's idempotency, and the units counted here. */
     public record RegionHop(String regionPath, String repeat, String units) {}
 
     UpstreamRequest(
@@ -68,8 +72,8 @@
     }
 
     /**
-     * Bytes of it on the wire, by which we know whether a broken call can have run; of a chunked body those
-     * of its head alone.
+     * The length of the request on the wire, from which we know whether a broken call can have run; of a chunked body
+     * only that of the head.
      */
     long lengthOnWire(HttpRequest head) {
         long length = REQUEST_LINE_OVERHEAD_BYTES
--- a/src/main/java/reedmux/gatekeeper/routing/InvalidRouteException.java
+++ b/src/main/java/reedmux/gatekeeper/routing/InvalidRouteException.java
@@ -1,6 +1,6 @@
 package reedmux.gatekeeper.routing;
 
-/** Routes that cannot be compiled; the message names the lines, and {@link #line} is the later one. */
+/** A route that is malformed or contradicts another one; the message names the lines. */
 public final class InvalidRouteException extends Exception {
     private static final long serialVersionUID = 1;
     private final int line;
@@ -10,6 +10,7 @@
         this.line = line;
     }
 
+    /** The line of the route, the later one of two. */
     public int line() {
         return line;
     }
--- a/src/main/java/reedmux/gatekeeper/routing/RouteTable.java
+++ b/src/main/java/reedmux/gatekeeper/routing/RouteTable.java
@@ -9,29 +9,28 @@
 import reedmux.common.http1.HostName;
 
 /**
- * Leads a host and a path to a service. Of hosts an exact one comes before {@code *.} ones, of these the
- * longest first, and {@code *} last; within the host that is found, the longest path wins. A host whose
- * routes do not cover a path has no match there, even where {@code *} has one: what is said of a host is all
- * that holds for it.
+ * Finds the service of a host and a path. An exact host takes precedence over {@code *.} patterns, a longer pattern
+ * over a shorter one, and {@code *} comes last; among the routes of the host found, the longest path prefix wins. If
+ * none of them matches there is no service, even if a route of {@code *} would match: a host has only its own routes.
  *
- * <p>Compiled once and never changed; a look-up reads the host from its end and the path from its beginning,
- * each character once, in two tables with open addressing, and allocates nothing. Safe for all threads.
+ * <p>Immutable. A look-up reads the host from its end and the path from its beginning, each character once, hashes the
+ * prefixes (FNV-1a) into two tables with open addressing, and allocates nothing. For all threads.
  */
 public final class RouteTable {
-    /** No route leads there. */
+    /** There is no route. */
     public static final int NONE = -1;
-    /** The host or the path can be read in two ways, or not at all. */
+    /** The host or the path is ambiguous or malformed. */
     public static final int AMBIGUOUS = -2;
 
     private static final int FNV_PRIME = 0x01000193;
     private static final int FNV_OFFSET_BASIS = 0x811C9DC5;
     private static final int ANY_HOST = 0;
 
-    /** Host patterns, lower case; a wildcard's without its {@code *}, so that it begins with the dot. */
+    /** Host patterns in lower case; a wildcard's without its {@code *}, so that it begins with a dot. */
     private final String[] hosts;
 
     private final int[] hostNumbers;
-    /** Paths without a slash at the end, each with the number of its host and its service. */
+    /** Paths without trailing slash, each with the number of its host and its service. */
     private final String[] paths;
 
     private final int[] pathHosts;
@@ -75,7 +74,7 @@
     /**
      * Compiles routes.
      *
-     * @throws RouteException where one is malformed, or two say the same of the same requests
+     * @throws InvalidRouteException if one is malformed, or can never be reached because of another one
      */
     public static RouteTable of(List<ServiceRoute> routes) throws InvalidRouteException {
         Map<String, Integer> numbers = new LinkedHashMap<>();
--- a/src/main/java/reedmux/gatekeeper/routing/ServiceRoute.java
+++ b/src/main/java/reedmux/gatekeeper/routing/ServiceRoute.java
@@ -1,11 +1,11 @@
 package reedmux.gatekeeper.routing;
 
 /**
- * One route of the operators.
+ * A route that the operators have set.
  *
- * @param host    a host's name or address, {@code *.} and a name for all below it, or {@code *} for any
- * @param path    a path, which stands for itself and all below it; {@code /} for any
- * @param service the number of the service that it leads to
- * @param line    where it is told, for messages
+ * @param host    a name or an address, {@code *.} and a name for its subdomains, or {@code *} for any
+ * @param path    a path prefix, of whole segments; {@code /} for any
+ * @param service the index of its service
+ * @param line    where it is declared, for errors
  */
 public record ServiceRoute(String host, String path, int service, int line) {}
--- a/src/main/java/reedmux/gatekeeper/routing/UnambiguousPath.java
+++ b/src/main/java/reedmux/gatekeeper/routing/UnambiguousPath.java
@@ -1,13 +1,12 @@
 package reedmux.gatekeeper.routing;
 
 /**
- * Looks whether a path can be read in one way only. Where routes go by path, one that another reader might
- * take for a shorter, longer or different one is refused: dot segments, plain or encoded, empty segments,
- * encoded slashes and backslashes, parameters of segments, backslashes, fragments, half escapes, and escapes
- * of what needs none.
+ * Checks that a path has only one interpretation. If routes depend on paths, a path that the provider might normalize
+ * to another one is rejected: dot segments, plain or encoded, empty segments, encoded slashes and backslashes, path
+ * parameters, backslashes, fragments, incomplete escapes, and escapes of characters that need none.
  */
 public final class UnambiguousPath {
-    /** The result for a path that might be read in two ways. */
+    /** The result for a path with more than one interpretation. */
     public static final int AMBIGUOUS = -1;
 
     private UnambiguousPath() {}
@@ -43,7 +42,7 @@
                 || to - from == 2 && target.charAt(from) == '.' && target.charAt(from + 1) == '.';
     }
 
-    /** Whether an escape stands for something that must be escaped and separates nothing. */
+    /** Whether an escape stands for a character that has to be escaped and is no separator. */
     private static boolean isNecessaryEscape(String target, int at) {
         if (at + 2 >= target.length()) {
             return false;
--- a/src/main/java/reedmux/simulation/scenario/Scenarios.java
+++ b/src/main/java/reedmux/simulation/scenario/Scenarios.java
@@ -24,11 +24,11 @@
     /**
      * How a scene is to be run.
      *
-     * @param first of the seeds
-     * @param last  of the seeds; a scene in real time plays the first only
+     * @param firstSeed the first of the seeds
+     * @param lastSeed  the last of the seeds; a scene in real time plays the first only
      * @param jar   the build to measure, or null for this one
-     * @param other the build to compare it with, or null for this one
-     * @param most  the largest size
+     * @param otherJar  the build to compare it with, or null for this one
+     * @param maxSize   the largest size
      * @param folder where tables are kept, or null
      */
     public record ScenarioOptions(long firstSeed, long lastSeed, Path jar, Path otherJar, int maxSize, Path folder) {}
--- a/src/main/java/reedmux/simulation/scenario/package-info.java
+++ b/src/main/java/reedmux/simulation/scenario/package-info.java
@@ -1,7 +1,6 @@
 /**
- * Stand-ins and scenes: what stands round a gatekeeper on loopback, scripted and with faults put in.
- *
- * <p>Every server listens on port 0 of a loopback address; loops are bounded in count and time. Written from
- * the published form of each protocol; nothing of the gatekeeper imports it.
+ * Scenarios: measurements and checks that are run from the command line, most of them with real gatekeepers on
+ * loopback. {@link reedmux.simulation.scenario.Scenarios} lists them;
+ * {@link reedmux.simulation.scenario.ScenarioChecks} collects what they found.
  */
 package reedmux.simulation.scenario;
--- a/src/main/java/reedmux/simulation/standin/ConsumerStandIn.java
+++ b/src/main/java/reedmux/simulation/standin/ConsumerStandIn.java
@@ -40,8 +40,8 @@
      * What came of one; times in nanoseconds of the system's monotonic clock.
      *
      * @param status     the answer's, or 0 where the connection was refused, -1 where it broke
-     * @param retryAfter seconds, or a number below nought where not told
-     * @param whole      whether the body was the one verdict that belongs to the request
+     * @param retryAfterSeconds seconds, or a number below nought where not told
+     * @param bodyMatches whether the body was the one verdict that belongs to the request
      */
     public record RequestOutcome(
             ScenarioRequest request,
