--- a/src/main/java/reedmux/control/registry/Registry.java
+++ b/src/main/java/reedmux/control/registry/Registry.java
@@ -134,7 +134,8 @@
     private void onHeartbeatTick(long timeoutMicros) {
         int timedOut = directory.detectTimeouts(reactor.now(), timeoutMicros);
         if (timedOut > 0) {
-            reactor.warnRateLimited("silent", timedOut + " instances became unresponsive");
+            // ProgramsClusterTest reads this line.
+            reactor.warnRateLimited("silent", timedOut + " checkers have fallen silent");
         }
         List<RegistryHeartbeat> heartbeats = directory.nextHeartbeats(reactor.now());
         boolean allReached = core.sendToRegistries(codec.encode(new RegistryHeartbeats(heartbeats)));
