--- a/src/main/java/reedmux/control/rpc/QuotaUpdateSerializer.java
+++ b/src/main/java/reedmux/control/rpc/QuotaUpdateSerializer.java
@@ -3,8 +3,8 @@
 import com.esotericsoftware.kryo.io.Input;
 import com.esotericsoftware.kryo.io.Output;
 import java.util.ArrayList;
-import reedmux.proxy.quota.QuotaTracker.QuotaUpdate;
-import reedmux.proxy.quota.QuotaTracker.TenantTotal;
+import reedmux.common.quota.QuotaUpdate;
+import reedmux.common.quota.QuotaUpdate.TenantTotal;
 
 /** The form of the datagrams by which proxies count the use of quotas together. */
 final class QuotaUpdateSerializer {
--- a/src/test/java/reedmux/control/rpc/RpcFixtures.java
+++ b/src/test/java/reedmux/control/rpc/RpcFixtures.java
@@ -6,6 +6,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import reedmux.common.quota.QuotaUpdate;
+import reedmux.common.quota.QuotaUpdate.TenantTotal;
 import reedmux.control.configuration.ConfigurationItem;
 import reedmux.control.consensus.Ballot;
 import reedmux.control.consensus.CoreMembers;
@@ -20,7 +22,6 @@
 import reedmux.control.replication.Watermark;
 import reedmux.control.session.ProxySession;
 import reedmux.control.session.SessionChanges;
-import reedmux.proxy.quota.QuotaTracker;
 
 /** One message of every type that the system's programs exchange, with no field at its default value. */
 public final class RpcFixtures {
@@ -127,15 +128,14 @@
         all.put("differ", new Messages.DigestMismatch(List.of(2, 63)));
         all.put(
                 "quota-packet",
-                new QuotaTracker.QuotaUpdate(
+                new QuotaUpdate(
                         "edge-1",
                         -21,
                         22,
                         -23,
                         24,
                         new ArrayList<>(List.of(
-                                new QuotaTracker.TenantTotal("tenant-1", 1234.5, -1),
-                                new QuotaTracker.TenantTotal("tenant-2", 0.1, 0.25)))));
+                                new TenantTotal("tenant-1", 1234.5, -1), new TenantTotal("tenant-2", 0.1, 0.25)))));
         return all;
     }
 
--- a/src/test/java/reedmux/proxy/quota/QuotaTrackerTest.java
+++ b/src/test/java/reedmux/proxy/quota/QuotaTrackerTest.java
@@ -10,6 +10,8 @@
 import java.util.Random;
 import java.util.Set;
 import org.testng.annotations.Test;
+import reedmux.common.quota.QuotaUpdate;
+import reedmux.common.quota.QuotaUpdate.TenantTotal;
 import reedmux.control.configuration.TenantItem;
 import reedmux.control.session.ProxySession;
 import reedmux.control.session.SessionView;
@@ -19,7 +21,7 @@
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final TenantItem TENANT = new TenantItem("t", List.of("k"), 0, 65, 65);
 
-    private record DelayedUpdate(long at, long number, int to, QuotaTracker.QuotaUpdate packet) {}
+    private record DelayedUpdate(long at, long number, int to, QuotaUpdate packet) {}
 
     /** Some members, a network that delays and loses, and one tenant. */
     private static final class QuotaCluster {
@@ -340,12 +342,9 @@
             QuotaCluster world = new QuotaCluster(3, 0, 0);
             QuotaTracker parent = world.members.get(0);
             for (int i : order) {
-                ArrayList<QuotaTracker.TenantTotal> entries =
-                        new ArrayList<>(List.of(new QuotaTracker.TenantTotal("t", totals[i], -1)));
+                ArrayList<TenantTotal> entries = new ArrayList<>(List.of(new TenantTotal("t", totals[i], -1)));
                 parent.onUpdate(
-                        new QuotaTracker.QuotaUpdate("n1", 2, 1, world.view.digest(), 1, entries),
-                        name -> TENANT,
-                        world.now);
+                        new QuotaUpdate("n1", 2, 1, world.view.digest(), 1, entries), name -> TENANT, world.now);
             }
             assertEquals(parent.countedUnits(TENANT, world.now), 5.0);
             // It goes on to the other child, and not back.
@@ -364,8 +363,7 @@
         QuotaCluster world = new QuotaCluster(3, 0, 0);
         QuotaTracker parent = world.members.get(0);
         parent.onUpdate(
-                new QuotaTracker.QuotaUpdate(
-                        "n1", 2, 1, 12345, 1, new ArrayList<>(List.of(new QuotaTracker.TenantTotal("t", 4, -1)))),
+                new QuotaUpdate("n1", 2, 1, 12345, 1, new ArrayList<>(List.of(new TenantTotal("t", 4, -1)))),
                 name -> TENANT,
                 world.now);
         assertEquals(parent.countedUnits(TENANT, world.now), 4.0);
--- a/src/test/java/reedmux/proxy/quota/QuotaUpdateOrderTest.java
+++ b/src/test/java/reedmux/proxy/quota/QuotaUpdateOrderTest.java
@@ -6,6 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
+import reedmux.common.quota.QuotaUpdate;
+import reedmux.common.quota.QuotaUpdate.TenantTotal;
 import reedmux.control.configuration.TenantItem;
 import reedmux.control.session.ProxySession;
 import reedmux.control.session.SessionView;
@@ -16,14 +18,9 @@
     private static final long NOW = 20_000_000;
     private static final TenantItem TENANT = new TenantItem("t", List.of("k"), 0, 65, 65);
 
-    private static QuotaTracker.QuotaUpdate update(long life, long generation, long view, double total) {
-        return new QuotaTracker.QuotaUpdate(
-                "n0",
-                life,
-                generation,
-                view,
-                1,
-                new ArrayList<>(List.of(new QuotaTracker.TenantTotal("t", total, -1))));
+    private static QuotaUpdate update(long life, long generation, long view, double total) {
+        return new QuotaUpdate(
+                "n0", life, generation, view, 1, new ArrayList<>(List.of(new TenantTotal("t", total, -1))));
     }
 
     @Test
@@ -33,9 +30,9 @@
         int plays = ScheduleExplorer.exploreAll(10_000, orders -> {
             QuotaTracker quotas = new QuotaTracker("n1", 1, false, 0);
             quotas.onViewChange(view, 0);
-            List<QuotaTracker.QuotaUpdate> old =
+            List<QuotaUpdate> old =
                     new ArrayList<>(List.of(update(1, 1, view.digest(), 3), update(1, 2, view.digest() + 1, 2)));
-            List<QuotaTracker.QuotaUpdate> next = new ArrayList<>(List.of(
+            List<QuotaUpdate> next = new ArrayList<>(List.of(
                     update(2, 1, view.digest() + 1, 4),
                     update(2, 2, view.digest(), 1),
                     update(2, 2, view.digest(), 1)));
