--- a/src/main/java/reedmux/common/quota/QuotaUpdate.java
+++ b/src/main/java/reedmux/common/quota/QuotaUpdate.java
@@ -3,13 +3,13 @@
 import java.util.ArrayList;
 
 /**
- * A datagram from one member of the proxies' heap to a neighbour: running totals of what tenants have used.
+ * A datagram from one member of the proxies' heap to a neighbour: running totals of the units that tenants have used.
  *
- * @param sender           the name of its node
+ * @param sender           the sender's node
  * @param incarnation      drawn at the start of the sender's process
- * @param generation       rises whenever its totals begin anew, as with each of its views, also one that comes back
- * @param viewTag          the view that the sender counts in; totals of another view go no further
- * @param reachableMembers how many members it can reach without the receiver, itself among them
+ * @param generation       rises with each view of the sender, whose totals then begin at zero
+ * @param viewTag          the digest of the sender's view
+ * @param reachableMembers how many members the sender reaches without the receiver, itself included
  * @param entries          one for each tenant that has news
  */
 public record QuotaUpdate(
@@ -21,10 +21,10 @@
         ArrayList<TenantTotal> entries) {
 
     /**
-     * What was used of one tenant's quota.
+     * One tenant's entry.
      *
-     * @param total       units that have passed the link from its sender since the generation began
-     * @param senderCount what the sender counts, for a receiver that is new; below nought otherwise
+     * @param total       the units that the link has carried in this generation
+     * @param senderCount what the sender counts, for a receiver that is new; else below zero
      */
     public record TenantTotal(String tenant, double total, double senderCount) {}
 }
--- a/src/main/java/reedmux/proxy/quota/QuotaTracker.java
+++ b/src/main/java/reedmux/proxy/quota/QuotaTracker.java
@@ -7,6 +7,8 @@
 import java.util.Map;
 import java.util.function.Function;
 import reedmux.common.quota.HeapCounter;
+import reedmux.common.quota.QuotaUpdate;
+import reedmux.common.quota.QuotaUpdate.TenantTotal;
 import reedmux.control.configuration.TenantItem;
 import reedmux.control.session.SessionView;
 
@@ -71,31 +73,6 @@
     /** The least rate by which a wait is computed, in requests a second. */
     private static final double MIN_RATE_FOR_WAIT = 0.01;
 
-    /**
-     * What one member sends to a neighbour.
-     *
-     * @param sender           the sender's node
-     * @param incarnation      drawn at the start of the sender's process
-     * @param generation       rises with each view of the sender, whose totals then begin at zero
-     * @param viewTag          the digest of the sender's view
-     * @param reachableMembers how many members the sender reaches without the receiver, itself included
-     */
-    public record QuotaUpdate(
-            String sender,
-            long incarnation,
-            long generation,
-            long viewTag,
-            int reachableMembers,
-            ArrayList<TenantTotal> entries) {}
-
-    /**
-     * One tenant's entry.
-     *
-     * @param total       the units that the link has carried in this generation
-     * @param senderCount what the sender counts, for a receiver that is new; else below zero
-     */
-    public record TenantTotal(String tenant, double total, double senderCount) {}
-
     /** An update and the index in the view of the member that it goes to. */
     public record OutgoingUpdate(int receiver, QuotaUpdate update) {}
 
--- a/src/main/java/reedmux/proxy/quota/ReceivedTotals.java
+++ b/src/main/java/reedmux/proxy/quota/ReceivedTotals.java
@@ -2,6 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import reedmux.common.quota.QuotaUpdate;
 
 /**
  * The totals received from each member, so that a repeated, late or lost datagram neither counts units twice nor loses
@@ -19,7 +20,7 @@
      * sender's totals have begun anew, null where the update is of an earlier generation or incarnation: its totals
      * have been counted already.
      */
-    Map<String, Double> baselineOf(QuotaTracker.QuotaUpdate update) {
+    Map<String, Double> baselineOf(QuotaUpdate update) {
         SenderTotals known = bySender.get(update.sender());
         if (known == null) {
             // No incarnation was seen before: any number but the sender's own will do.
@@ -37,7 +38,7 @@
         return update.generation() > known.generation() ? begin(update, known.previousIncarnation()) : known.totals();
     }
 
-    private Map<String, Double> begin(QuotaTracker.QuotaUpdate update, long previousIncarnation) {
+    private Map<String, Double> begin(QuotaUpdate update, long previousIncarnation) {
         Map<String, Double> totals = new HashMap<>();
         bySender.put(
                 update.sender(),
--- a/src/test/java/reedmux/control/rpc/MessageCodecTest.java
+++ b/src/test/java/reedmux/control/rpc/MessageCodecTest.java
@@ -11,6 +11,8 @@
 import java.util.List;
 import java.util.Map;
 import org.testng.annotations.Test;
+import reedmux.common.quota.QuotaUpdate;
+import reedmux.common.quota.QuotaUpdate.TenantTotal;
 import reedmux.control.configuration.ConfigurationItem;
 import reedmux.control.consensus.Ballot;
 import reedmux.control.consensus.CoreMembers;
@@ -25,7 +27,6 @@
 import reedmux.control.replication.Watermark;
 import reedmux.control.session.ProxySession;
 import reedmux.control.session.SessionChanges;
-import reedmux.proxy.quota.QuotaTracker;
 
 /** Every message encoded and decoded, and bytes that are no message. */
 public class MessageCodecTest {
@@ -77,8 +78,7 @@
                 new Messages.IncarnationNotice(8, List.of(INCARNATION)),
                 new Messages.IncarnationAck(9),
                 new Messages.RegistryHeartbeats(List.of(new RegistryHeartbeat(-3, 4))),
-                new QuotaTracker.QuotaUpdate(
-                        "n", 1, 2, 3, 4, new ArrayList<>(List.of(new QuotaTracker.TenantTotal("t", 1.5, -1)))));
+                new QuotaUpdate("n", 1, 2, 3, 4, new ArrayList<>(List.of(new TenantTotal("t", 1.5, -1)))));
     }
 
     @Test
@@ -144,7 +144,7 @@
                 byte[] flipped = bytes.clone();
                 flipped[bit / 8] ^= (byte) (1 << bit % 8);
                 Object read = codec.decodeOrNull(flipped);
-                if (read instanceof QuotaTracker.QuotaUpdate update) {
+                if (read instanceof QuotaUpdate update) {
                     update.entries().forEach(entry -> assertEquals(entry.total() - entry.total(), 0.0));
                     assertEquals(update.reachableMembers() < 0, false);
                 } else if (read instanceof Messages.IncarnationNotice notice) {
