--- a/src/main/java/reedmux/proxy/QuotaExchange.java
+++ b/src/main/java/reedmux/proxy/QuotaExchange.java
@@ -7,13 +7,13 @@
 import reedmux.common.eventloop.Reactor;
 import reedmux.common.eventloop.UdpEndpoint;
 import reedmux.common.net.SocketAddresses;
+import reedmux.common.quota.QuotaUpdate;
+import reedmux.common.quota.QuotaUpdate.TenantTotal;
 import reedmux.common.settings.ProcessSettings;
 import reedmux.control.rpc.MessageCodec;
 import reedmux.control.session.SessionView;
 import reedmux.proxy.quota.QuotaTracker;
 import reedmux.proxy.quota.QuotaTracker.OutgoingUpdate;
-import reedmux.proxy.quota.QuotaTracker.QuotaUpdate;
-import reedmux.proxy.quota.QuotaTracker.TenantTotal;
 
 /** Exchanges the quota counters with other proxies, as datagrams. For the reactor's thread. */
 final class QuotaExchange {
