--- a/src/main/java/reedmux/gatekeeper/policy/CustomerAccount.java
+++ b/src/main/java/reedmux/gatekeeper/policy/CustomerAccount.java
@@ -21,7 +21,7 @@
     int firstMember;
 
     int memberCount;
-    /** The most gateways that anybody has told of: a share is never larger than for all of these. */
+    /** The most gateways that were ever reported: a share is never larger than for all of these. */
     int maxMemberCount;
     /** Whether this gateway is one of them. */
     boolean member;
@@ -29,11 +29,11 @@
     double[] branchUnits = new double[SLOTS];
     /** Attempts in flight behind each neighbour, as it last reported. */
     int[] branchConcurrency = new int[SLOTS];
-    /** Attempts in flight that each neighbour was last told of; -1 where it has to be told again. */
+    /** Attempts in flight that were last reported to each neighbour; -1 where they have to be again. */
     int[] reportedConcurrency = new int[SLOTS];
     /** Tokens of the rate limit on their way to each neighbour. */
     double[] pendingGrant = new double[SLOTS];
-    /** Whether a neighbour has to be told the whole count. */
+    /** Whether all of the count has to be reported to a neighbour. */
     boolean[] countRequested = new boolean[SLOTS];
     /** The share of the customer's gateways that are silent. */
     double unreachableShare;
@@ -42,7 +42,7 @@
 
     double unitsSinceFirstSeen;
     double rateLimitTokens;
-    /** Units counted since the process that takes this one's place was last told. */
+    /** Units counted since the last report to the process that takes this one's place. */
     double unreportedToHandover;
     /** Attempts in flight here. */
     int inFlight;
@@ -105,7 +105,7 @@
         return Arrays.equals(neighbours, candidates);
     }
 
-    /** Units that a neighbour has still to be told. */
+    /** Units that are still to be reported to a neighbour. */
     double pending(int slot) {
         return pending[slot];
     }
--- a/src/main/java/reedmux/gatekeeper/policy/CustomerAccounts.java
+++ b/src/main/java/reedmux/gatekeeper/policy/CustomerAccounts.java
@@ -33,7 +33,7 @@
         return accounts.get(customer);
     }
 
-    /** An account that all requests of other regions have in common, whose peers are never told of it. */
+    /** An account that all requests of other regions have in common, which is never reported to peers. */
     CustomerAccount ofRemoteRequests(CustomerPlan plan) {
         int none = TrafficPolicy.REMOTE_REQUEST_PLAN;
         return new CustomerAccount(none, plan, none, context.settings.self(), 1, quotaShare, 0);
@@ -43,12 +43,13 @@
     CustomerAccount of(long customer, int plan, int firstMember, int memberCount) {
         CustomerAccount account = find(customer);
         if (account == null) {
-            CustomerPlan told = context.settings.plans().get(plan);
-            account = new CustomerAccount(customer, told, plan, firstMember, memberCount, quotaShare, context.now);
+            CustomerPlan configured = context.settings.plans().get(plan);
+            account =
+                    new CustomerAccount(customer, configured, plan, firstMember, memberCount, quotaShare, context.now);
             account.member = topology.includesSelf(firstMember, memberCount);
             account.rateLimitTokens = Math.min(
-                    account.share(told.rateLimitBurst()),
-                    account.share(told.rateLimit())
+                    account.share(configured.rateLimitBurst()),
+                    account.share(configured.rateLimit())
                             * (context.now - context.startedAt)
                             / PolicyContext.MICROS_PER_SECOND);
             accounts.put(customer, account);
--- a/src/main/java/reedmux/gatekeeper/policy/GatekeeperPolicy.java
+++ b/src/main/java/reedmux/gatekeeper/policy/GatekeeperPolicy.java
@@ -57,7 +57,7 @@
         return selector.ignoresEjections() ? 0 : pool.ejectedCount();
     }
 
-    /** What another process that takes this one's place is told, and tells. */
+    /** What is exchanged with another process that takes this one's place. */
     public HandoverCounts handoverCounts() {
         return new HandoverCounts(context, accounts, peers, quotas, exchange);
     }
--- a/src/main/java/reedmux/gatekeeper/policy/HandoverCounts.java
+++ b/src/main/java/reedmux/gatekeeper/policy/HandoverCounts.java
@@ -9,7 +9,7 @@
  * process as it would count a neighbour's units. Called by the thread that handles events.
  */
 public final class HandoverCounts {
-    /** Where units come from that the other process has counted: no neighbour, so that all of them are told. */
+    /** Where units come from that the other process has counted: no neighbour, so that they are reported to all. */
     static final int HANDOVER_SOURCE = -2;
     /** Of the rate limit's tokens and their refill, as long as there are two processes. */
     private static final double SHARE_DURING_HANDOVER = 0.5;
@@ -18,7 +18,7 @@
      * What was counted of a customer.
      *
      * @param knownFor   how long it has been known, in microseconds
-     * @param neighbours members that have not been told {@code unreportedUnits} yet; -1 for none
+     * @param neighbours members to which {@code unreportedUnits} have not been reported yet; -1 for none
      */
     public record AccountSnapshot(
             long customer,
@@ -86,10 +86,10 @@
     }
 
     /** Goes on from what another process has counted, which goes on beside this one. */
-    public void restore(long now, List<AccountSnapshot> told) {
+    public void restore(long now, List<AccountSnapshot> snapshots) {
         context.now = now;
         accounts.quotaShare().fraction = SHARE_DURING_HANDOVER;
-        for (AccountSnapshot snapshot : told) {
+        for (AccountSnapshot snapshot : snapshots) {
             if (isValid(snapshot.customer, snapshot.plan, snapshot.firstMember, snapshot.memberCount)) {
                 restore(now, snapshot);
             }
@@ -133,9 +133,9 @@
     }
 
     /** Counts what the other process has counted. */
-    public void addUsage(long now, List<AccountUsage> told) {
+    public void addUsage(long now, List<AccountUsage> usages) {
         context.now = now;
-        for (AccountUsage usage : told) {
+        for (AccountUsage usage : usages) {
             if (isValid(usage.customer, usage.plan, usage.firstMember, usage.memberCount)) {
                 CustomerAccount account =
                         quotas.refreshed(accounts.of(usage.customer, usage.plan, usage.firstMember, usage.memberCount));
--- a/src/main/java/reedmux/gatekeeper/policy/PeerExchange.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerExchange.java
@@ -198,7 +198,7 @@
         peer.queueAllMembers(topology);
     }
 
-    /** A peer that has restarted, or was silent and missed what went round it, is told what is counted. */
+    /** A peer that has restarted, or was silent and missed what went round it, is sent the counts. */
     private void requestReports(PeerState peer) {
         for (CustomerAccount account : accounts.all()) {
             peers.refresh(account);
--- a/src/main/java/reedmux/gatekeeper/policy/PeerFailureDetector.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerFailureDetector.java
@@ -92,7 +92,7 @@
     void synchronise(PeerExchange exchange) {
         adaptInterval();
         long sync = peers.syncInterval;
-        context.actions.setTimer(context.now + sync, SYNC_TIMER); // first: after a fault nobody is told again
+        context.actions.setTimer(context.now + sync, SYNC_TIMER); // first: a fault below must not end it
         silentTime = Math.max(MIN_SILENT_MICROS, silentTime * SILENT_TIME_DECAY);
         double intervals = 0;
         int heard = 0;
@@ -128,7 +128,7 @@
                 || peer.awaitingReplySince >= 0 && context.now - peer.sentAt >= ASK_AGAIN_INTERVALS * interval;
     }
 
-    /** The interval, which neighbours are told, follows the messages that come in towards the planned share. */
+    /** The interval, which is sent to neighbours, follows the messages that come in towards the planned share. */
     private void adaptInterval() {
         if (context.now - adaptedAt >= ADAPT_INTERVAL_MICROS) {
             double perSecond = messagesReceived * PolicyContext.MICROS_PER_SECOND / (context.now - adaptedAt);
--- a/src/main/java/reedmux/gatekeeper/policy/PeerState.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerState.java
@@ -9,9 +9,9 @@
 /** The exchange of packets with one peer; times in microseconds, -1 while there is nothing to wait for. */
 final class PeerState {
     final int peer;
-    /** Accounts of which the peer is to be told with the next packet. */
+    /** Accounts that are to be reported to the peer with the next packet. */
     final Set<CustomerAccount> pendingAccounts = new LinkedHashSet<>();
-    /** Members whose versions the peer is to be told. */
+    /** Members whose versions are to be sent to the peer. */
     final Set<Integer> pendingMembers = new LinkedHashSet<>();
 
     final CustomerAliases aliases = new CustomerAliases();
@@ -23,12 +23,12 @@
     long awaitingReplySince = -1;
     long replyOwedSince = -1;
     long lastSentNumber;
-    /** Nought until the first packet. */
+    /** 0 until the first packet. */
     int peerIncarnation;
 
     int previousIncarnation;
     long lastReceivedNumber;
-    /** An incarnation that one packet has told of, and none since. */
+    /** An incarnation that one packet has shown, and none since. */
     int unconfirmedIncarnation;
     /** Bit i tells whether the packet i before the last received one was accepted. */
     int acceptedBits;
@@ -81,7 +81,7 @@
         return all;
     }
 
-    /** Has the peer told all that is known of members. */
+    /** Queues all that is known of members for the peer. */
     void queueAllMembers(HeapTopology topology) {
         for (int member = 0; member < topology.size(); member++) {
             if (topology.version(member) > 0) {
--- a/src/main/java/reedmux/gatekeeper/policy/PeerTable.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerTable.java
@@ -37,7 +37,7 @@
         return byMember[member];
     }
 
-    /** Has the account's neighbours, all but one, told of it with the next packet. */
+    /** Queues the account to be reported to its neighbours, all but one, with the next packet. */
     void markPending(CustomerAccount account, int exceptFor) {
         for (int slot = 0; slot < CustomerAccount.SLOTS; slot++) {
             int peer = account.neighbour(slot);
--- a/src/main/java/reedmux/gatekeeper/policy/QuotaPolicy.java
+++ b/src/main/java/reedmux/gatekeeper/policy/QuotaPolicy.java
@@ -4,7 +4,7 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.IncomingRequest;
 
 /**
- * Quota counting: what each customer may still take, after the paper "Distributed rate-limiting POC" as told in
+ * Quota counting: what each customer may still take, after the paper "Distributed rate-limiting POC" as described in
  * docs/design.md. Units go along a heap over the customer's gateways and sum up in {@code localCount}, which the
  * quota's rate drains. Beside the quota stand a strict rate limit, split evenly, and a cap on attempts in flight.
  */
@@ -14,7 +14,7 @@
     private static final long PACKET_DELAY_MICROS = 15_000;
     /** When an idle account is forgotten: memory against another first sight. */
     private static final long ACCOUNT_IDLE_MICROS = 60_000_000;
-    /** The share of a burst below which a peer that is back is told no count: bytes against units let through. */
+    /** The share of a burst below which a peer that is back is sent no count: bytes against units let through. */
     private static final double REPORTED_COUNT_SHARE = 0.1;
     /** Bursts counted beyond the quota at most: what races let through takes nothing from what comes later. */
     private static final double MAX_OVERSHOOT_BURSTS = 0.75;
@@ -199,7 +199,7 @@
         }
     }
 
-    /** Whether a peer that knows nothing has to be told how much is counted. */
+    /** Whether the count has to be reported to a peer that knows nothing. */
     boolean reportsCount(CustomerAccount account) {
         return account.localCount() > REPORTED_COUNT_SHARE * account.plan.quotaBurst();
     }
--- a/src/main/java/reedmux/gatekeeper/policy/package-info.java
+++ b/src/main/java/reedmux/gatekeeper/policy/package-info.java
@@ -1,7 +1,7 @@
 /**
  * All decisions of one gateway, without I/O, threads and clock. {@link reedmux.gatekeeper.policy.TrafficPolicy} is what
- * it is told and what it may do; {@link reedmux.gatekeeper.policy.GatekeeperPolicy} routes each event to the class that
- * decides on it, which has its own constants:
+ * it is notified of and what it may do; {@link reedmux.gatekeeper.policy.GatekeeperPolicy} routes each event to the
+ * class that decides on it, which has its own constants:
  *
  * <ul>
  *   <li>{@code QuotaPolicy}: what each customer may still take
--- a/src/main/java/reedmux/gatekeeper/reducer/PolicyActionExecutor.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/PolicyActionExecutor.java
@@ -141,7 +141,7 @@
         context.effects.sendToPeer(peer, bytes);
     }
 
-    /** No counter service is reached from here: nothing is ever added, and the policy is told so. */
+    /** No counter service is reached from here: nothing is ever added, and the policy is notified of that. */
     @Override
     public void addToCounter(long name, double amount, long keep) {
         context.pendingEvents.add(new ReducerEvent.CounterUnavailable(name, AttemptOutcome.CONNECT_FAILED));
--- a/src/main/java/reedmux/gatekeeper/reducer/ProviderList.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/ProviderList.java
@@ -8,6 +8,6 @@
 /** A list of providers, or changes to one, with the addresses at which this gatekeeper reaches them. */
 public record ProviderList(ServerListScope scope, long revision, List<ListedProvider> providers) {
 
-    /** One provider; the server is what the module knows of it. */
+    /** One provider; the server is what the policy knows of it. */
     public record ListedProvider(ListedServer server, InetSocketAddress address) {}
 }
--- a/src/main/java/reedmux/gatekeeper/reducer/ReducerEffects.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/ReducerEffects.java
@@ -15,7 +15,7 @@
     /**
      * Starts a call to a provider; ends as {@link ReducerEvent.CallEnded}.
      *
-     * @param timeout how long the answer is waited for, in microseconds, which the provider is told
+     * @param timeout how long the answer is waited for, in microseconds; sent to the provider too
      */
     void startCall(UpstreamCall call, long timeout);
 
