--- a/src/main/java/reedmux/simulation/scenario/RegionScenario.java
+++ b/src/main/java/reedmux/simulation/scenario/RegionScenario.java
@@ -291,54 +291,78 @@
                 longest = Math.max(longest, took);
             }
         }
-        checkResults(claims, new long[] {calm, calmEnd, gone, restarted, back, backEnd, none, noneEnd, off, offEnd});
+        PhaseTimes times = new PhaseTimes(calm, calmEnd, gone, restarted, back, backEnd, none, noneEnd, off, offEnd);
+        List<LinkCrossing> fromEast = crossingsInto(west);
+        List<LinkCrossing> fromWest = crossingsInto(east);
+        checkPhases(claims, times, fromEast, fromWest);
+        checkCrossings(claims, fromEast, fromWest);
+        checkOutcomes(claims);
         claims.check("every consumer has its answer", all, true, all);
         claims.check("all end after SIGTERM, ms", ended ? longest : "never", "8000", ended && longest < 8_000);
         return claims;
     }
 
-    private void checkResults(ScenarioChecks claims, long[] at) {
-        List<LinkCrossing> fromEast = crossingsInto(west);
-        List<LinkCrossing> fromWest = crossingsInto(east);
+    /** When the phases began and ended, in nanoseconds of the system's monotonic clock. */
+    private record PhaseTimes(
+            long calm,
+            long calmEnd,
+            long eastGone,
+            long restarted,
+            long eastBack,
+            long eastBackEnd,
+            long bothGone,
+            long bothGoneEnd,
+            long off,
+            long offEnd) {}
+
+    /** How each phase went for the consumers, and when requests crossed. */
+    private void checkPhases(
+            ScenarioChecks claims, PhaseTimes at, List<LinkCrossing> fromEast, List<LinkCrossing> fromWest) {
         claims.check(
                 "requests that cross while all is well",
-                countBetween(fromEast, at[0], at[1]) + countBetween(fromWest, at[0], at[1]),
+                countBetween(fromEast, at.calm(), at.calmEnd()) + countBetween(fromWest, at.calm(), at.calmEnd()),
                 0,
-                countBetween(fromEast, at[0], at[1]) + countBetween(fromWest, at[0], at[1]) == 0);
-        double well = servedFraction(east, at[0], at[1]);
-        double away = servedFraction(east, at[2] + NANOS_PER_SECOND, at[2] + 6 * NANOS_PER_SECOND);
-        double without = servedFraction(east, at[8], at[9]);
+                countBetween(fromEast, at.calm(), at.calmEnd()) + countBetween(fromWest, at.calm(), at.calmEnd()) == 0);
+        double well = servedFraction(east, at.calm(), at.calmEnd());
+        double away = servedFraction(east, at.eastGone() + NANOS_PER_SECOND, at.eastGone() + 6 * NANOS_PER_SECOND);
+        double without = servedFraction(east, at.off(), at.offEnd());
         claims.check("east served in time while all is well", formatFraction(well), "0.98", well >= 0.98);
         claims.check("east served with no provider, west as last resort", formatFraction(away), "0.45", away >= 0.45);
         claims.check("east served with no provider, last resort off", formatFraction(without), 0, without == 0);
-        double westWell = servedFraction(west, at[2], at[2] + 6 * NANOS_PER_SECOND);
+        double westWell = servedFraction(west, at.eastGone(), at.eastGone() + 6 * NANOS_PER_SECOND);
         claims.check("west's own served meanwhile", formatFraction(westWell), "0.98", westWell >= 0.98);
-        double after = servedFraction(east, at[3] + NANOS_PER_SECOND, at[4]);
+        double after = servedFraction(east, at.restarted() + NANOS_PER_SECOND, at.eastBack());
         claims.check("east served after a west gatekeeper is back", formatFraction(after), "0.40", after >= 0.4);
         long last = Stream.of(fromEast, fromWest)
                 .flatMap(List::stream)
                 .mapToLong(LinkCrossing::atNanos)
-                .filter(when -> when >= at[4] && when < at[5])
+                .filter(when -> when >= at.eastBack() && when < at.eastBackEnd())
                 .max()
-                .orElse(at[4]);
+                .orElse(at.eastBack());
         claims.check(
                 "last crossing after east is back, s",
-                formatFraction((last - at[4]) / 1e9),
+                formatFraction((last - at.eastBack()) / 1e9),
                 "6",
-                last - at[4] < 6 * NANOS_PER_SECOND);
-        double returned = servedFraction(east, at[5] - NANOS_PER_SECOND, at[5] - NANOS_PER_SECOND / 5);
+                last - at.eastBack() < 6 * NANOS_PER_SECOND);
+        double returned =
+                servedFraction(east, at.eastBackEnd() - NANOS_PER_SECOND, at.eastBackEnd() - NANOS_PER_SECOND / 5);
         claims.check("east served by its own again", formatFraction(returned), "0.98", returned >= 0.98);
         double slowest = Stream.of(east, west)
                 .flatMap(ScenarioRegion::outcomes)
-                .filter(told -> told.sentAtNanos() >= at[6] + NANOS_PER_SECOND && told.sentAtNanos() < at[7])
+                .filter(told ->
+                        told.sentAtNanos() >= at.bothGone() + NANOS_PER_SECOND && told.sentAtNanos() < at.bothGoneEnd())
                 .mapToDouble(RequestOutcome::millis)
                 .max()
                 .orElse(-1);
         claims.check(
                 "both have none: slowest answer, ms", formatFraction(slowest), "500", slowest >= 0 && slowest < 500);
-        long offCrossed = countBetween(fromEast, at[8], at[9]) + countBetween(fromWest, at[8], at[9]);
+        long offCrossed = countBetween(fromEast, at.off(), at.offEnd()) + countBetween(fromWest, at.off(), at.offEnd());
         claims.check("crossings once it is off", offCrossed, 0, offCrossed == 0);
+    }
 
+    /** That no request crossed twice or by a wrong path, and that the budget held and was used. */
+    private static void checkCrossings(
+            ScenarioChecks claims, List<LinkCrossing> fromEast, List<LinkCrossing> fromWest) {
         Map<String, Long> often = Stream.of(fromEast, fromWest)
                 .flatMap(List::stream)
                 .collect(Collectors.groupingBy(LinkCrossing::id, Collectors.counting()));
@@ -353,7 +377,10 @@
         double over = Math.max(maxBudgetExcess(fromEast), maxBudgetExcess(fromWest));
         claims.check("most units sent beyond the budget, any stretch", formatFraction(over), 0, over <= 0);
         claims.check("so near the budget came to its bound", formatFraction(-over), "under 15", -over < 15);
+    }
 
+    /** That the responses of all requests are right, and that nothing ran that should not have. */
+    private void checkOutcomes(ScenarioChecks claims) {
         Map<String, Integer> runs = new HashMap<>();
         Stream.of(east, west)
                 .flatMap(region -> region.providers.stream())
