--- a/src/main/java/reedmux/simulation/cluster/SimulatedDay.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedDay.java
@@ -39,7 +39,7 @@
     /**
      * How a day went.
      *
-     * @param story the troubles, with seconds from the start of traffic
+     * @param faults the troubles, with seconds from the start of traffic
      */
     public record DayOutcome(
             long seed,
@@ -54,12 +54,12 @@
     /**
      * What all days of a run have in common.
      *
-     * @param pace  requests a second for each proxy
+     * @param requestsPerSecond  requests a second for each proxy
      * @param storm operators change things that cannot stand together, all the time, while the core is in
      *              trouble
      * @param point 1 to 5: a long day full of what the operators' point of that number tells of; 0: a day of
      *              the usual kind
-     * @param readdresses whether core machines are replaced at other addresses, too
+     * @param replacesAddresses whether core machines are replaced at other addresses, too
      */
     public record DayOptions(
             int proxies, int cores, double requestsPerSecond, boolean storm, int point, boolean replacesAddresses) {
