--- a/src/test/java/reedmux/simulation/invariants/HistoryCheckerTest.java
+++ b/src/test/java/reedmux/simulation/invariants/HistoryCheckerTest.java
@@ -33,7 +33,6 @@
             new RuleParameters(8_000, 250_000, 4, 1_000_000, 150_000, 4, true, new QuotaTolerance(1, 2_000_000));
 
     /** One history of a file, with the rule that it breaks. */
-    /** One history of a file, and the rule that it breaks, if any. */
     public record HistoryCase(String title, String verdict, List<String> lines) {
         @Override
         public String toString() {
