--- a/src/test/java/reedmux/control/consensus/CoreMembershipTest.java
+++ b/src/test/java/reedmux/control/consensus/CoreMembershipTest.java
@@ -5,782 +5,389 @@
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
+import static reedmux.control.consensus.ConfigurationRequests.change;
+import static reedmux.control.consensus.ConfigurationRequests.route;
+import static reedmux.control.consensus.VirtualCluster.SECOND_MICROS;
 
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Deque;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.TreeSet;
 import java.util.function.BiConsumer;
-import java.util.function.Consumer;
 import java.util.function.IntUnaryOperator;
+import org.testng.Reporter;
 import org.testng.annotations.Test;
-import reedmux.control.configuration.ConfigurationItem;
-import reedmux.control.replication.Replica;
 import reedmux.testing.ScheduleExplorer;
 
-/**
- * Changes of the core: links that keep their order among themselves, and messages in every order across
- * them.
- */
+/** Changes of the core, with messages in every order across connections; and single members, message by message. */
 public class CoreMembershipTest {
-    private static final long SECOND = 1_000_000;
-    private static final int ORDERS = 500;
-    private static final int DRAWN = 500;
+    private static final int EXPLORED_ORDERS = 500;
+    private static final int SAMPLED_ORDERS = 500;
 
-    private static String route(String name, String host) {
-        return "{\"apply\":{\"signals\":[{\"signalKind\":\"routes\",\"heading\":{\"name\":\"" + name
-                + "\",\"revision\":2},\"reference\":{\"host\":\"" + host + "\",\"prefix\":\"/a/\",\"kind\":"
-                + "\"effectful\",\"cutoffMs\":1000,\"setpointMs\":100,\"priority\":1,\"plant\":\"desk\","
-                + "\"attempts\":1}}]},\"remove\":{}}";
+    private static String routeChange(String name) {
+        return routeChange(name, name + ".example");
     }
 
-    private static final String PLANT = "{\"apply\":{\"signals\":[{\"signalKind\":\"plants\",\"heading\":{"
-            + "\"name\":\"desk\",\"revision\":1},\"reference\":{\"probe\":\"/h\",\"connCeiling\":9}}]},"
-            + "\"remove\":{}}";
-
-    /** Stores by ip, what is under way between them, and what the operator was told. */
-    private static final class CoreTestCluster {
-        final Map<String, CoreTestNode> nodes = new TreeMap<>();
-        final Map<String, Deque<Runnable>> mail = new TreeMap<>();
-        final Set<String> cut = new TreeSet<>();
-        final Map<String, Integer> answers = new HashMap<>();
-        /** Which members each epoch had, wherever it was known. */
-        final Map<Long, Set<String>> epochs = new TreeMap<>();
-
-        IntUnaryOperator pick = many -> 0;
-        long now = SECOND;
-        int lives;
-
-        CoreTestCluster(int members) {
-            for (int i = 0; i < members; i++) {
-                nodes.put("s" + i, new CoreTestNode("s" + i, "n" + i));
-            }
-            for (CoreTestNode node : nodes.values()) {
-                node.core = new PersistentCoreState(CoreMembers.initial(nodes.keySet()), null, null, null, false);
-                node.start(true);
-            }
-            settle(2);
-            adjust("s0", PLANT);
-            drain();
-            assertEquals(answers.get(PLANT), (Integer) 200);
-        }
-
-        CoreTestNode add(String ip, String name) {
-            CoreTestNode node = new CoreTestNode(ip, name);
-            nodes.put(ip, node);
-            node.start(false);
-            return node;
-        }
-
-        void adjust(String at, String body) {
-            nodes.get(at).agreement.onChangeRequest(now, body, (status, line) -> answers.put(body, status));
-        }
-
-        boolean linked(String one, String other) {
-            return nodes.get(one).up && nodes.get(other).up && !cut.contains(one + other) && !cut.contains(other + one);
-        }
+    private static String routeChange(String name, String host) {
+        return change(route(name, 2, host));
+    }
 
-        /** Links come up and down, and each store tells the others over them. */
-        void meet() {
-            for (CoreTestNode one : nodes.values()) {
-                for (CoreTestNode other : nodes.values()) {
-                    if (one == other || !one.up) {
-                        continue;
-                    } else if (!linked(one.ip, other.ip)) {
-                        if (one.links.remove(other.ip)) {
-                            one.agreement.onPeerDisconnected(other.ip);
-                            one.membership.onPeerDisconnected(now, other.ip);
-                        }
-                    } else if (one.links.add(other.ip)) {
-                        one.membership.onPeerConnected(now, other.ip, other.name);
-                        other.announceCore(one.ip);
-                    }
-                }
-            }
-            drain();
-            for (CoreTestNode one : nodes.values()) {
-                for (CoreTestNode other : nodes.values()) {
-                    if (one != other && linked(one.ip, other.ip)) {
-                        one.agreement.onPeerState(
-                                now,
-                                other.ip,
-                                other.agreement.isComplete(),
-                                List.copyOf(other.replica.committed()),
-                                List.copyOf(other.replica.pending().values()));
-                        other.announceCore(one.ip);
-                    }
-                }
-            }
+    /** All orders of the last messages, and as many drawn ones. */
+    private static int explore(String what, int members, BiConsumer<ChangingCoreCluster, IntUnaryOperator> play) {
+        int orders = ScheduleExplorer.exploreAll(
+                EXPLORED_ORDERS, schedule -> play.accept(new ChangingCoreCluster(members), schedule::choose));
+        for (int seed = 0; seed < SAMPLED_ORDERS; seed++) {
+            Random random = new Random(seed);
+            play.accept(new ChangingCoreCluster(members), random::nextInt);
         }
+        orders += SAMPLED_ORDERS;
+        Reporter.log(what + ": " + orders + " orders", true);
+        return orders;
+    }
 
-        void carry(String from, String to, Runnable message) {
-            if (nodes.containsKey(to)
-                    && linked(from, to)
-                    && nodes.get(from).links.contains(to)) {
-                CoreTestNode receiver = nodes.get(to);
-                int life = receiver.life;
-                mail.computeIfAbsent(from + '>' + to, name -> new ArrayDeque<>())
-                        .add(() -> {
-                            if (receiver.up && receiver.life == life) {
-                                message.run();
-                            }
-                        });
+    /** Where the change was acknowledged, all members that are up have its route. */
+    private static void assertCommittedIfAcknowledged(ChangingCoreCluster cluster, RecordedReply reply, String name) {
+        if (reply.isOk()) {
+            CoreMembers core = cluster.node("s0").up ? cluster.core("s0") : cluster.core("s1");
+            for (String ip : core.ips()) {
+                assertTrue(!cluster.node(ip).up || cluster.node(ip).hasRoute(name), name + " is missing at " + ip);
             }
         }
+    }
 
-        void drain() {
-            deliver(Integer.MAX_VALUE);
-        }
-
-        /** Delivers so many messages at the most; which link comes next is picked. */
-        void deliver(int most) {
-            for (int i = 0; i < most; i++) {
-                mail.values().removeIf(Deque::isEmpty);
-                List<String> ways = new ArrayList<>(mail.keySet());
-                ways.removeIf(way -> way.startsWith("frozen"));
-                if (ways.isEmpty()) {
-                    return;
+    /** Changes go on while one joins and one leaves; all end with one core and all that was acknowledged. */
+    @Test
+    public void membersJoinAndLeaveWhileTheConfigurationIsChanged() {
+        explore("join and leave", 3, (cluster, choice) -> {
+            cluster.join("s3", "n3");
+            cluster.settle(1);
+            cluster.links.choice = choice;
+            RecordedReply one = null;
+            RecordedReply two = null;
+            RecordedReply three = null;
+            for (int i = 0; i < 12; i++) {
+                cluster.tick();
+                cluster.links.deliver(14);
+                if (i == 3) {
+                    one = cluster.change(cluster.node("s0"), routeChange("one"));
+                    two = cluster.change(cluster.node("s1"), routeChange("two"));
+                } else if (i == 8) {
+                    three = cluster.change(cluster.node("s2"), routeChange("three"));
+                    cluster.node("s0").membership.requestRemoval(cluster.now, "n2", new RecordedReply());
                 }
-                mail.get(ways.get(pick.applyAsInt(ways.size()))).poll().run();
             }
-        }
+            cluster.links.deliverAll();
+            cluster.settleInOrder(6);
+            assertCommittedIfAcknowledged(cluster, one, "one");
+            assertCommittedIfAcknowledged(cluster, two, "two");
+            assertCommittedIfAcknowledged(cluster, three, "three");
+            assertTrue(cluster.core("s0").contains("s3"));
+            assertEquals(cluster.core("s0").contains("s2"), cluster.membersByEpoch.size() < 3);
+        });
+    }
 
-        void look() {
-            now += SECOND / 5;
-            meet();
-            for (CoreTestNode node : nodes.values()) {
-                if (node.up) {
-                    node.agreement.onTick(now);
-                    node.membership.onTick(now);
-                    node.keepCount();
+    /** What only the lost member and one other have is handed over first: then that other may be lost, too. */
+    @Test
+    public void secondLossRightAfterAReplacementLosesNothing() {
+        int[] replaced = {0};
+        int orders = explore("second loss", 3, (cluster, choice) -> {
+            cluster.cut("s0", "s1");
+            cluster.cut("s2", "s1");
+            cluster.connect();
+            RecordedReply reply = cluster.change(cluster.node("s0"), routeChange("one"));
+            cluster.links.deliverAll();
+            assertEquals(reply.status, OperationStatus.OK);
+            assertFalse(cluster.node("s1").hasRoute("one"));
+            cluster.crash(cluster.node("s2"));
+            cluster.healAll();
+            cluster.join("s3", "n2");
+            cluster.links.choice = choice;
+            for (int i = 0; i < 20 && cluster.core("s1").epoch() == 0; i++) {
+                cluster.now += ChangingCoreCluster.TICK_MICROS;
+                for (VirtualNode node : cluster.nodes.values()) {
+                    tickWithoutStateOfPeers(cluster, node);
                 }
-            }
-        }
+                cluster.links.deliver(10);
+            }
+            if (!cluster.core("s1").contains("s3")) {
+                return;
+            }
+            replaced[0]++;
+            assertTrue(cluster.node("s1").hasRoute("one") || cluster.node("s3").hasRoute("one"));
+            cluster.crash(cluster.node("s0"));
+            cluster.settleInOrder(6);
+            assertTrue(cluster.node("s1").hasRoute("one") && cluster.node("s3").hasRoute("one"));
+        });
+        assertTrue(replaced[0] > orders / 2, replaced[0] + " of " + orders);
+        Reporter.log("second loss: replaced in " + replaced[0], true);
+    }
 
-        void settle(int seconds) {
-            for (int i = 0; i < 5 * seconds; i++) {
-                look();
-                drain();
+    /** The candidate learns by a handover alone, and s1 has not been told of the change yet. */
+    private static void tickWithoutStateOfPeers(ChangingCoreCluster cluster, VirtualNode node) {
+        for (VirtualNode other : cluster.nodes.values()) {
+            if (cluster.canConnect(node, other)) {
+                cluster.connect(node, other);
             }
         }
-
-        boolean has(String at, String route) {
-            return nodes.get(at).replica.committed().stream()
-                    .anyMatch(item -> item.name().equals(route));
-        }
-
-        CoreMembers core(String at) {
-            return nodes.get(at).membership.core();
-        }
-
-        /** All that are up have one core, of these, and it takes changes. */
-        void assertCore(String... members) {
-            for (CoreTestNode node : nodes.values()) {
-                if (node.up) {
-                    assertEquals(new TreeSet<>(node.membership.core().ips()), new TreeSet<>(List.of(members)), node.ip);
-                    assertEquals(
-                            node.membership.epoch(),
-                            nodes.get(members[0]).membership.epoch());
-                    assertFalse(node.membership.isFenced());
-                }
-            }
-            pick = many -> 0;
-            adjust(members[0], route("last", "last.example"));
-            drain();
-            settle(2);
-            assertEquals(answers.get(route("last", "last.example")), (Integer) 200);
+        if (!node.up) {
+            return;
         }
-
-        public final class CoreTestNode implements ConsensusPort, CoreMembershipPort {
-            final String ip;
-            final String name;
-            final Set<String> links = new TreeSet<>();
-            Replica replica = new Replica();
-            PersistentCoreState core;
-            ConsensusNode agreement;
-            CoreMembership membership;
-            boolean up;
-            int life;
-
-            CoreTestNode(String ip, String name) {
-                this.ip = ip;
-                this.name = name;
-            }
-
-            void start(boolean whole) {
-                up = true;
-                life = ++lives;
-                agreement = new ConsensusNode(ip, life, replica, whole, this);
-                membership = new CoreMembership(ip, 2, core, whole, this);
-                coreChanged();
-            }
-
-            void die() {
-                up = false;
-                links.clear();
-                for (CoreTestNode other : nodes.values()) {
-                    other.links.remove(ip);
-                    if (other.up) {
-                        other.agreement.onPeerDisconnected(ip);
-                        other.membership.onPeerDisconnected(now, ip);
-                    }
-                }
-                mail.keySet().removeIf(way -> way.startsWith(ip + '>') || way.endsWith('>' + ip));
-            }
-
-            void wipe() {
-                replica = new Replica();
-                core = null;
-            }
-
-            void keepCount() {
-                if (agreement.isComplete()) {
-                    membership.onDiskRecovered(now);
-                }
-                CoreMembers known = membership.core();
-                if (known != null) {
-                    Set<String> before = epochs.putIfAbsent(known.epoch(), new TreeSet<>(known.ips()));
-                    assertTrue(
-                            before == null || before.equals(new TreeSet<>(known.ips())),
-                            "two cores of epoch " + known.epoch() + ": " + before + " and " + known);
-                }
-            }
-
-            private void toAll(Consumer<CoreTestNode> message) {
-                for (CoreTestNode other : nodes.values()) {
-                    if (other != this) {
-                        carry(ip, other.ip, () -> message.accept(other));
-                    }
-                }
-            }
-
-            @Override
-            public void broadcastProposal(Proposal proposal) {
-                long epoch = membership.epoch();
-                toAll(other -> {
-                    if (other.membership.acceptsEpoch(ip, epoch)) {
-                        other.agreement.onProposal(now, ip, proposal);
-                    }
-                });
-            }
-
-            @Override
-            public void sendVote(String to, String call, Ballot ballot, Vote vote) {
-                carry(ip, to, () -> nodes.get(to).agreement.onVote(now, ip, call, ballot, vote));
-            }
-
-            @Override
-            public void broadcastContactRequest(long id, boolean settled) {
-                long epoch = membership.epoch();
-                toAll(other -> {
-                    if (other.membership.acceptsEpoch(ip, epoch) && !other.membership.isFenced()) {
-                        other.agreement.onContactRequest(now, ip, id, settled);
-                    }
-                });
-            }
-
-            @Override
-            public void sendContactConfirmation(String to, long id) {
-                List<ConfigurationItem> items = List.copyOf(replica.committed());
-                carry(ip, to, () -> {
-                    nodes.get(to).replica.merge(items);
-                    nodes.get(to).agreement.onContactConfirmation(now, ip, id);
-                });
-            }
-
-            @Override
-            public void broadcastDecision(String call, Ballot ballot, boolean inForce, List<ConfigurationItem> items) {
-                toAll(other -> other.agreement.onDecision(now, call, ballot, inForce, items));
-            }
-
-            @Override
-            public void persistProposal(Proposal proposal) {
-                agreement.onPersisted(now, proposal.id(), proposal.ballot(), true);
-            }
-
-            @Override
-            public void persistDecision(String call, Ballot ballot, boolean inForce, List<ConfigurationItem> items) {}
-
-            @Override
-            public void notifyConfigurationChanged() {}
-
-            @Override
-            public void log(String line) {}
-
-            @Override
-            public void sendEpochMessage(String to, EpochMessage step) {
-                carry(ip, to, () -> nodes.get(to).membership.onEpochMessage(now, ip, step));
-            }
-
-            @Override
-            public void announceCore(String to) {
-                CoreMembers known = membership.core();
-                boolean ready = membership.isCandidate() && agreement.isCurrent();
-                boolean fenced = membership.isFenced();
-                carry(ip, to, () -> nodes.get(to).membership.onCoreAnnounced(now, ip, known, ready, fenced));
-            }
-
-            @Override
-            public void requestHandover(String from, long epoch) {
-                carry(ip, from, () -> {
-                    CoreTestNode other = nodes.get(from);
-                    if (other.membership.maySendHandover(ip, epoch)) {
-                        List<ConfigurationItem> items = List.copyOf(other.replica.committed());
-                        List<Proposal> held =
-                                List.copyOf(other.replica.pending().values());
-                        List<List<String>> deciders = held.stream()
-                                .map(proposal -> other.agreement.proposersVotedFor(proposal.id()))
-                                .toList();
-                        other.send(ip, () -> {
-                            agreement.onHandover(now, items, held, deciders);
-                            membership.onHandover(now, from, epoch);
-                        });
-                    }
-                });
-            }
-
-            private void send(String to, Runnable message) {
-                carry(ip, to, message);
-            }
-
-            @Override
-            public boolean resolvesDoubts(Set<String> handed) {
-                return agreement.resolvesDoubts(handed);
-            }
-
-            @Override
-            public void persistCore(PersistentCoreState state, Consumer<Boolean> done) {
-                core = state;
-                done.accept(true);
-            }
-
-            @Override
-            public void coreChanged() {
-                if (membership == null) {
-                    return;
-                }
-                agreement.setFenced(membership.isFenced());
-                if (!membership.isFenced()) {
-                    agreement.onQuorumChanged(membership.quorum());
-                }
-                for (String other : List.copyOf(links)) {
-                    announceCore(other);
-                }
+        List<VirtualNode> others = cluster.nodes.values().stream()
+                .filter(other -> other != node && other.up)
+                .toList();
+        if (node.ip.equals("s3")) {
+            for (VirtualNode other : others) {
+                node.consensus.onPeerState(cluster.now, other.ip, true, List.of(), List.of());
             }
         }
-    }
-
-    /** All orders of the last messages, and as many drawn ones. */
-    private static int play(BiConsumer<CoreTestCluster, IntUnaryOperator> scene, int members) {
-        int plays = ScheduleExplorer.exploreAll(
-                ORDERS, orders -> scene.accept(new CoreTestCluster(members), orders::choose));
-        for (int seed = 0; seed < DRAWN; seed++) {
-            Random random = new Random(seed);
-            scene.accept(new CoreTestCluster(members), random::nextInt);
+        for (VirtualNode other : others) {
+            node.announceCore(other.ip);
         }
-        return plays + DRAWN;
+        node.membership.onTick(cluster.now);
     }
 
-    private static void assertAcknowledgedIsInForce(CoreTestCluster world, String... routes) {
-        for (String name : routes) {
-            if (Integer.valueOf(200).equals(world.answers.get(route(name, name + ".example")))) {
-                for (String ip : world.nodes.get("s0").up
-                        ? world.core("s0").ips()
-                        : world.core("s1").ips()) {
-                    assertTrue(!world.nodes.get(ip).up || world.has(ip, name), name + " is missing at " + ip);
-                }
-            }
-        }
-    }
-
-    /** Calls go on while one joins and one leaves; all end with one core and all that was acknowledged. */
-    @Test
-    public void membersJoinAndLeaveWhileCallsAreMade() {
-        int plays = play(
-                (world, orders) -> {
-                    world.add("s3", "n3");
-                    world.settle(1);
-                    world.pick = orders;
-                    for (int i = 0; i < 12; i++) {
-                        world.look();
-                        world.deliver(14);
-                        if (i == 3) {
-                            world.adjust("s0", route("one", "one.example"));
-                            world.adjust("s1", route("two", "two.example"));
-                        } else if (i == 8) {
-                            world.adjust("s2", route("three", "three.example"));
-                            world.nodes.get("s0").membership.requestRemoval(world.now, "n2", (status, line) -> {});
-                        }
-                    }
-                    world.drain();
-                    world.pick = many -> 0;
-                    world.settle(6);
-                    assertAcknowledgedIsInForce(world, "one", "two", "three");
-                    assertTrue(world.core("s0").contains("s3"));
-                    assertTrue(world.core("s0").contains("s2") == (world.epochs.size() < 3));
-                },
-                3);
-        System.out.println("join and leave: " + plays + " orders");
-    }
-
-    /**
-     * What only the lost member and one other have is handed over first: then that other may be lost,
-     * too.
-     */
-    @Test
-    public void aSecondLossRightAfterAReplacementLosesNothing() {
-        int[] replaced = {0};
-        int plays = play(
-                (world, orders) -> {
-                    world.cut.add("s0s1");
-                    world.cut.add("s2s1");
-                    world.meet();
-                    world.adjust("s0", route("one", "one.example"));
-                    world.drain();
-                    assertEquals(world.answers.get(route("one", "one.example")), (Integer) 200);
-                    assertFalse(world.has("s1", "one"));
-                    world.nodes.get("s2").die();
-                    world.cut.clear();
-                    world.add("s3", "n2");
-                    world.pick = orders;
-                    for (int i = 0; i < 20 && world.core("s1").epoch() == 0; i++) {
-                        world.now += SECOND / 5;
-                        for (CoreTestCluster.CoreTestNode node : world.nodes.values()) {
-                            for (CoreTestCluster.CoreTestNode other : world.nodes.values()) {
-                                if (node != other && world.linked(node.ip, other.ip) && node.links.add(other.ip)) {
-                                    node.membership.onPeerConnected(world.now, other.ip, other.name);
-                                    other.announceCore(node.ip);
-                                }
-                            }
-                            if (node.up) { // the joiner learns by asking members alone; s1 has not been told yet
-                                if (node.ip.equals("s3")) {
-                                    world.nodes.values().stream()
-                                            .filter(other -> other != node && other.up)
-                                            .forEach(other -> node.agreement.onPeerState(
-                                                    world.now, other.ip, true, List.of(), List.of()));
-                                }
-                                world.nodes.values().stream()
-                                        .filter(other -> other != node && other.up)
-                                        .forEach(other -> node.announceCore(other.ip));
-                                node.membership.onTick(world.now);
-                            }
-                        }
-                        world.deliver(10);
-                    }
-                    if (!world.core("s1").contains("s3")) {
-                        return;
-                    }
-                    replaced[0]++;
-                    assertTrue(world.has("s1", "one") || world.has("s3", "one"));
-                    world.nodes.get("s0").die();
-                    world.pick = many -> 0;
-                    world.settle(6);
-                    assertTrue(world.has("s1", "one") && world.has("s3", "one"));
-                },
-                3);
-        assertTrue(replaced[0] > plays / 2, replaced[0] + " of " + plays);
-        System.out.println("second loss: " + plays + " orders, replaced in " + replaced[0]);
-    }
-
-    /** Two stores take themselves for the first live one: of their changes one holds in each epoch. */
+    /** Two nodes take themselves for the leader: of their changes one holds in each epoch. */
     @Test
     public void twoChangesAtOnceAreMadeOneByOne() {
-        int plays = play(
-                (world, orders) -> {
-                    world.add("s4", "n4");
-                    world.settle(2);
-                    world.cut.add("s0s1");
-                    world.meet();
-                    world.pick = orders;
-                    world.nodes.get("s0").membership.requestRemoval(world.now, "n3", (status, line) -> {});
-                    world.nodes.get("s1").membership.requestRemoval(world.now, "n2", (status, line) -> {});
-                    for (int i = 0; i < 6; i++) {
-                        world.look();
-                        world.deliver(9);
-                    }
-                    world.cut.clear();
-                    world.drain();
-                    world.pick = many -> 0;
-                    world.settle(8);
-                    assertEquals(world.core("s1").ips(), world.core("s0").ips());
-                    assertEquals(world.core("s4").epoch(), world.core("s0").epoch());
-                },
-                5);
-        System.out.println("two changes: " + plays + " orders");
+        explore("two changes", 5, (cluster, choice) -> {
+            cluster.join("s4", "n4");
+            cluster.settle(2);
+            cluster.cut("s0", "s1");
+            cluster.connect();
+            cluster.links.choice = choice;
+            cluster.node("s0").membership.requestRemoval(cluster.now, "n3", new RecordedReply());
+            cluster.node("s1").membership.requestRemoval(cluster.now, "n2", new RecordedReply());
+            for (int i = 0; i < 6; i++) {
+                cluster.tick();
+                cluster.links.deliver(9);
+            }
+            cluster.healAll();
+            cluster.links.deliverAll();
+            cluster.settleInOrder(8);
+            assertEquals(cluster.core("s1").ips(), cluster.core("s0").ips());
+            assertEquals(cluster.core("s4").epoch(), cluster.core("s0").epoch());
+        });
     }
 
-    /**
-     * The power goes at any message of a change, at all stores; with their disks it is carried through
-     * or not.
-     */
+    /** The power goes at any message of a change, at all nodes; with their disks it is carried through or not. */
     @Test
-    public void aChangeThatIsHalfDoneWhenThePowerGoesIsCarriedThrough() {
+    public void halfDoneChangeIsCarriedThroughAfterAPowerLoss() {
         for (boolean wiped : new boolean[] {false, true}) {
-            int plays = play(
-                    (world, orders) -> {
-                        world.add("s3", "n3");
-                        world.settle(1);
-                        world.adjust("s1", route("one", "one.example"));
-                        for (int i = 0; i < 3; i++) {
-                            world.look();
-                        }
-                        world.pick = orders;
-                        world.deliver(4 + orders.applyAsInt(30));
-                        for (CoreTestCluster.CoreTestNode node : world.nodes.values()) {
-                            node.die();
-                        }
-                        world.mail.clear();
-                        if (wiped) {
-                            world.nodes.get("s2").wipe();
-                        }
-                        for (CoreTestCluster.CoreTestNode node : world.nodes.values()) {
-                            node.start(!(wiped && node.ip.equals("s2")) && !node.ip.equals("s3"));
-                        }
-                        world.pick = many -> 0;
-                        world.settle(12);
-                        assertAcknowledgedIsInForce(world, "one");
-                        world.assertCore("s0", "s1", "s2", "s3");
-                    },
-                    3);
-            System.out.println("power" + (wiped ? ", a disk lost" : "") + ": " + plays + " orders");
+            explore("power" + (wiped ? ", a disk lost" : ""), 3, (cluster, choice) -> {
+                cluster.join("s3", "n3");
+                cluster.settle(1);
+                RecordedReply reply = cluster.change(cluster.node("s1"), routeChange("one"));
+                for (int i = 0; i < 3; i++) {
+                    cluster.tick();
+                }
+                cluster.links.choice = choice;
+                cluster.links.deliver(4 + choice.applyAsInt(30));
+                for (VirtualNode node : cluster.nodes.values()) {
+                    cluster.crash(node);
+                }
+                cluster.links.loseAll();
+                if (wiped) {
+                    ChangingCoreCluster.wipe(cluster.node("s2"));
+                }
+                for (VirtualNode node : cluster.nodes.values()) {
+                    node.start(!(wiped && node.ip.equals("s2")) && !node.ip.equals("s3"));
+                }
+                cluster.settleInOrder(12);
+                assertCommittedIfAcknowledged(cluster, reply, "one");
+                cluster.assertCore("s0", "s1", "s2", "s3");
+            });
         }
     }
 
-    /** The one on duty is frozen in the middle of a change and wakes after others have made another. */
+    /** The leader is frozen in the middle of a change and wakes after others have made another. */
     @Test
-    public void aHolderThatWakesUnderAnOlderEpochIsRefused() {
-        int plays = play(
-                (world, orders) -> {
-                    world.add("s4", "n4");
-                    world.settle(1);
-                    world.pick = orders;
-                    for (int i = 0; i < 4; i++) {
-                        world.look();
-                    }
-                    world.deliver(orders.applyAsInt(25));
-                    // What it has said is delivered long after; it hears nothing.
-                    Map<String, Deque<Runnable>> late = new TreeMap<>();
-                    for (String way : List.copyOf(world.mail.keySet())) {
-                        if (way.startsWith("s0>")) {
-                            late.put(way, world.mail.remove(way));
-                        }
-                    }
-                    for (String other : List.of("s1", "s2", "s3", "s4")) {
-                        world.cut.add("s0" + other);
-                    }
-                    world.pick = many -> 0;
-                    world.settle(4);
-                    world.nodes.get("s1").membership.requestRemoval(world.now, "n3", (status, line) -> {});
-                    world.settle(4);
-                    long epoch = world.core("s1").epoch();
-                    CoreLeader duty = world.nodes.get("s1").membership.leader();
-                    assertEquals(duty.ip(), "s1");
-                    assertEquals(duty.epoch(), epoch);
-                    world.cut.clear();
-                    world.meet();
-                    world.mail.putAll(late);
-                    world.pick = orders;
-                    world.nodes.get("s0").membership.onTick(world.now);
-                    world.drain();
-                    world.pick = many -> 0;
-                    world.settle(4);
-                    assertEquals(world.core("s0").ips(), world.core("s1").ips());
-                    assertFalse(world.core("s0").contains("s3"));
-                },
-                4);
-        System.out.println("frozen holder: " + plays + " orders");
+    public void leaderThatWakesUnderAnOlderEpochIsRejected() {
+        explore("frozen leader", 4, (cluster, choice) -> {
+            cluster.join("s4", "n4");
+            cluster.settle(1);
+            cluster.links.choice = choice;
+            for (int i = 0; i < 4; i++) {
+                cluster.tick();
+            }
+            cluster.links.deliver(choice.applyAsInt(25));
+            // What it has sent is delivered long after; it hears nothing.
+            Map<String, Deque<Runnable>> late = cluster.links.suspendAllFrom("s0");
+            for (String other : List.of("s1", "s2", "s3", "s4")) {
+                cluster.cut("s0", other);
+            }
+            cluster.settleInOrder(4);
+            cluster.node("s1").membership.requestRemoval(cluster.now, "n3", new RecordedReply());
+            cluster.settle(4);
+            CoreLeader leader = cluster.node("s1").membership.leader();
+            assertEquals(leader.ip(), "s1");
+            assertEquals(leader.epoch(), cluster.core("s1").epoch());
+            cluster.healAll();
+            cluster.connect();
+            cluster.links.resume(late);
+            cluster.links.choice = choice;
+            cluster.node("s0").membership.onTick(cluster.now);
+            cluster.links.deliverAll();
+            cluster.settleInOrder(4);
+            assertEquals(cluster.core("s0").ips(), cluster.core("s1").ips());
+            assertFalse(cluster.core("s0").contains("s3"));
+        });
     }
 
-    /**
-     * A majority of the first core that slept through two changes decides nothing, and is told of the
-     * core.
-     */
+    /** A majority of the first core that slept through two changes decides nothing, and is told of the core. */
     @Test
-    public void anOldMajorityDecidesNothing() {
+    public void oldMajorityDecidesNothing() {
         for (boolean learns : new boolean[] {false, true}) {
-            CoreTestCluster world = new CoreTestCluster(3);
-            world.nodes.get("s2").die();
-            world.add("s3", "n2");
-            world.settle(4);
-            assertTrue(world.core("s0").contains("s3"));
-            world.nodes.get("s1").die();
-            world.add("s4", "n1");
-            world.settle(4);
-            world.adjust("s0", route("one", "one.example"));
-            world.drain();
-            assertEquals(world.answers.get(route("one", "one.example")), (Integer) 200);
-            for (String one : List.of("s1", "s2")) {
+            ChangingCoreCluster cluster = new ChangingCoreCluster(3);
+            cluster.crash(cluster.node("s2"));
+            cluster.join("s3", "n2");
+            cluster.settle(4);
+            assertTrue(cluster.core("s0").contains("s3"));
+            cluster.crash(cluster.node("s1"));
+            cluster.join("s4", "n1");
+            cluster.settle(4);
+            RecordedReply one = cluster.change(cluster.node("s0"), routeChange("one"));
+            cluster.links.deliverAll();
+            assertEquals(one.status, OperationStatus.OK);
+            for (String old : List.of("s1", "s2")) {
                 for (String other : List.of("s0", "s3", "s4")) {
-                    world.cut.add(one + other);
+                    cluster.cut(old, other);
                 }
             }
-            world.nodes.get("s1").start(true);
-            world.nodes.get("s2").start(true);
-            world.settle(2);
-            world.adjust("s2", route("two", "one.example"));
-            world.drain();
-            world.settle(2);
-            assertNotEquals(world.answers.get(route("two", "one.example")), (Integer) 200);
+            cluster.node("s1").start(true);
+            cluster.node("s2").start(true);
+            cluster.settle(2);
+            RecordedReply two = cluster.change(cluster.node("s2"), routeChange("two", "one.example"));
+            cluster.links.deliverAll();
+            cluster.settle(2);
+            assertNotEquals(two.status, OperationStatus.OK);
             if (learns) {
-                world.cut.clear();
-                world.settle(3);
-                world.assertCore("s0", "s3", "s4");
-                assertFalse(world.nodes.get("s1").membership.isCandidate(), "who was taken out does not come back");
+                cluster.healAll();
+                cluster.settle(3);
+                cluster.assertCore("s0", "s3", "s4");
+                assertFalse(cluster.node("s1").membership.isCandidate(), "who was taken out does not come back");
             }
         }
     }
 
-    /**
-     * Without a disk and with no one who knows it, a store has no core; a stale one's is taken until a
-     * newer comes.
-     */
+    /** Without a disk and with no one who knows it, a node has no core; a stale one is taken until a newer comes. */
     @Test
-    public void aStoreWithoutDiskTakesTheCoreFromOthersAndNeverMakesUpItsOwn() {
-        CoreTestCluster world = new CoreTestCluster(3);
+    public void nodeWithoutDiskTakesTheCoreFromOthersAndNeverMakesUpItsOwn() {
+        ChangingCoreCluster cluster = new ChangingCoreCluster(3);
         for (String other : List.of("s0", "s1", "s2")) {
-            world.cut.add("s3" + other);
+            cluster.cut("s3", other);
         }
-        world.add("s3", "n3");
-        world.settle(3);
-        assertNull(world.core("s3"));
-        assertFalse(world.nodes.get("s3").agreement.isCurrent());
-        world.adjust("s3", route("one", "one.example"));
-        assertEquals(world.answers.get(route("one", "one.example")), (Integer) 503);
+        cluster.join("s3", "n3");
+        cluster.settle(3);
+        assertNull(cluster.core("s3"));
+        assertFalse(cluster.node("s3").consensus.isCurrent());
+        RecordedReply reply = cluster.change(cluster.node("s3"), routeChange("one"));
+        assertEquals(reply.status, OperationStatus.UNAVAILABLE);
         // It reaches only a member that was cut off while the others took in another.
-        world.cut.remove("s3s2");
-        world.cut.add("s2s0");
-        world.cut.add("s2s1");
-        world.cut.add("s2s4");
-        world.cut.add("s3s4");
-        world.add("s4", "n4");
-        world.settle(4);
-        assertTrue(world.core("s0").contains("s4"));
-        assertEquals(world.core("s3").epoch(), 0);
-        assertFalse(world.nodes.get("s3").agreement.isCurrent());
-        world.cut.clear();
-        world.settle(4);
-        world.assertCore("s0", "s1", "s2", "s3", "s4");
+        cluster.heal("s3", "s2");
+        cluster.cut("s2", "s0");
+        cluster.cut("s2", "s1");
+        cluster.cut("s2", "s4");
+        cluster.cut("s3", "s4");
+        cluster.join("s4", "n4");
+        cluster.settle(4);
+        assertTrue(cluster.core("s0").contains("s4"));
+        assertEquals(cluster.core("s3").epoch(), 0);
+        assertFalse(cluster.node("s3").consensus.isCurrent());
+        cluster.healAll();
+        cluster.settle(4);
+        cluster.assertCore("s0", "s1", "s2", "s3", "s4");
     }
 
-    /**
-     * A member whose disk comes back empty at its address is the same member; it has all before it
-     * counts.
-     */
+    /** A member whose disk comes back empty at its address is the same member; it has all before it counts. */
     @Test
-    public void aMemberWithoutItsDiskIsTheSameMember() {
-        CoreTestCluster world = new CoreTestCluster(3);
-        world.nodes.get("s1").die();
-        world.nodes.get("s1").wipe();
-        world.adjust("s0", route("one", "one.example"));
-        world.drain();
-        world.nodes.get("s1").start(false);
-        world.settle(3);
-        assertTrue(world.has("s1", "one"));
-        world.assertCore("s0", "s1", "s2");
-        assertEquals(world.core("s0").epoch(), 0);
+    public void memberWithoutItsDiskIsTheSameMember() {
+        ChangingCoreCluster cluster = new ChangingCoreCluster(3);
+        cluster.crash(cluster.node("s1"));
+        ChangingCoreCluster.wipe(cluster.node("s1"));
+        cluster.change(cluster.node("s0"), routeChange("one"));
+        cluster.links.deliverAll();
+        cluster.node("s1").start(false);
+        cluster.settle(3);
+        assertTrue(cluster.node("s1").hasRoute("one"));
+        cluster.assertCore("s0", "s1", "s2");
+        assertEquals(cluster.core("s0").epoch(), 0);
     }
 
-    /**
-     * An order to leave is refused where too few would be left, is the same again, and takes out who is
-     * down.
-     */
+    /** A removal is rejected where too few would be left, is idempotent, and takes out who is down. */
     @Test
-    public void ordersToLeave() {
-        CoreTestCluster world = new CoreTestCluster(3);
-        int[] status = {0};
-        CoreMembership holder = world.nodes.get("s0").membership;
-        world.nodes.get("s1").membership.requestRemoval(world.now, "n2", (code, line) -> status[0] = code);
-        assertEquals(status[0], 503, "not on duty");
-        holder.requestRemoval(world.now, "n2", (code, line) -> status[0] = code);
-        assertEquals(status[0], 409, "three are needed while all are up");
-        world.nodes.get("s2").die();
-        world.settle(1);
-        holder.requestRemoval(world.now, "n2", (code, line) -> status[0] = code);
-        world.settle(2);
-        assertEquals(status[0], 200);
-        world.assertCore("s0", "s1");
-        status[0] = 0;
-        holder.requestRemoval(world.now, "n2", (code, line) -> status[0] = code);
-        assertEquals(status[0], 200, "the same again");
-        holder.requestRemoval(world.now, "n1", (code, line) -> status[0] = code);
-        assertEquals(status[0], 409, "two copies are promised");
+    public void removalKeepsTheCoreLargeEnough() {
+        ChangingCoreCluster cluster = new ChangingCoreCluster(3);
+        CoreMembership leader = cluster.node("s0").membership;
+        assertEquals(
+                statusOfRemoval(cluster, cluster.node("s1").membership, "n2"),
+                OperationStatus.UNAVAILABLE,
+                "not the leader");
+        assertEquals(
+                statusOfRemoval(cluster, leader, "n2"), OperationStatus.CONFLICT, "three are needed while all are up");
+        cluster.crash(cluster.node("s2"));
+        cluster.settle(1);
+        RecordedReply removal = new RecordedReply();
+        leader.requestRemoval(cluster.now, "n2", removal);
+        cluster.settle(2);
+        assertEquals(removal.status, OperationStatus.OK);
+        cluster.assertCore("s0", "s1");
+        assertEquals(statusOfRemoval(cluster, leader, "n2"), OperationStatus.OK, "the same again");
+        assertEquals(statusOfRemoval(cluster, leader, "n1"), OperationStatus.CONFLICT, "two replicas are promised");
     }
 
-    /** One member of three, whose steps are collected; its disk keeps what it is told to while it works. */
-    private static final class SingleCoreMember implements CoreMembershipPort {
-        final List<String> said = new ArrayList<>();
-        final CoreMembership membership;
-        boolean disk = true;
-
-        SingleCoreMember(Ballot accepted, CoreMembers value, boolean sound) {
-            CoreMembers core = CoreMembers.initial(List.of("s0", "s1", "s2"));
-            membership = new CoreMembership(
-                    "s0", 2, new PersistentCoreState(core, accepted, accepted, value, false), sound, this);
-            membership.onPeerConnected(SECOND, "s1", "n1");
-            membership.onPeerConnected(SECOND, "s2", "n2");
-        }
-
-        void step(String from, EpochMessageType kind, Ballot ballot, Ballot under, CoreMembers value) {
-            membership.onEpochMessage(SECOND, from, new EpochMessage(kind, 0, ballot, under, value));
-        }
-
-        @Override
-        public void sendEpochMessage(String to, EpochMessage step) {
-            said.add(step.type() + " to " + to
-                    + (step.value() == null ? "" : " " + step.value().ips()));
-        }
-
-        @Override
-        public void announceCore(String to) {
-            said.add("core to " + to);
-        }
+    /** What a removal is answered at once. */
+    private static int statusOfRemoval(ChangingCoreCluster cluster, CoreMembership membership, String node) {
+        RecordedReply reply = new RecordedReply();
+        membership.requestRemoval(cluster.now, node, reply);
+        return reply.status;
+    }
 
-        @Override
-        public void requestHandover(String from, long epoch) {}
+    // ---- One member of three, message by message ---------------------------------------------------
 
-        @Override
-        public boolean resolvesDoubts(Set<String> handed) {
-            return true;
-        }
+    private static final Ballot SECOND_OF_S1 = new Ballot(2, "s1");
 
-        @Override
-        public void persistCore(PersistentCoreState state, Consumer<Boolean> done) {
-            done.accept(disk);
-        }
-
-        @Override
-        public void coreChanged() {}
+    /** s0, connected to s1 and s2; it has accepted {@code value} under {@code accepted}, unless they are null. */
+    private static SingleNodeCluster memberOfThree(Ballot accepted, CoreMembers value, boolean diskIntact) {
+        CoreMembers core = CoreMembers.initial(List.of("s0", "s1", "s2"));
+        SingleNodeCluster cluster =
+                new SingleNodeCluster(new PersistentCoreState(core, accepted, accepted, value, false), diskIntact);
+        cluster.node.membership.onPeerConnected(cluster.now, "s1", "n1");
+        cluster.node.membership.onPeerConnected(cluster.now, "s2", "n2");
+        return cluster;
+    }
 
-        @Override
-        public void log(String line) {}
+    private static void receive(
+            SingleNodeCluster cluster,
+            String from,
+            EpochMessageType type,
+            Ballot ballot,
+            Ballot acceptedBallot,
+            CoreMembers value) {
+        cluster.node.membership.onEpochMessage(
+                cluster.now, from, new EpochMessage(type, 0, ballot, acceptedBallot, value));
     }
 
-    private static CoreMembers with(String... ips) {
-        Map<String, String> nodes = new HashMap<>();
+    /** The core of epoch 1. */
+    private static CoreMembers nextCore(String... ips) {
+        Map<String, String> nodeNames = new HashMap<>();
         for (String ip : ips) {
-            nodes.put(ip, "");
+            nodeNames.put(ip, "");
         }
-        return new CoreMembers(1, nodes);
+        return new CoreMembers(1, nodeNames);
     }
 
-    private static final Ballot SECOND_OF_1 = new Ballot(2, "s1");
-
     /** What another may have decided on goes before what is wanted here. */
     @Test
-    public void theHighestThatWasAcceptedIsCarriedThrough() {
-        SingleCoreMember store = new SingleCoreMember(new Ballot(1, "s0"), with("s0", "s1", "s2", "s3"), true);
-        store.membership.onTick(2 * SECOND);
-        Ballot mine = new Ballot(2, "s0");
-        store.said.clear();
-        store.step("s2", EpochMessageType.PROMISE, mine, new Ballot(1, "s1"), with("s0", "s1", "s2", "s4"));
+    public void valueAcceptedUnderTheHighestBallotIsCarriedThrough() {
+        SingleNodeCluster cluster = memberOfThree(new Ballot(1, "s0"), nextCore("s0", "s1", "s2", "s3"), true);
+        cluster.node.membership.onTick(2 * SECOND_MICROS);
+        Ballot own = new Ballot(2, "s0");
+        cluster.recorder.sent.clear();
+        CoreMembers other = nextCore("s0", "s1", "s2", "s4");
+        receive(cluster, "s2", EpochMessageType.PROMISE, own, new Ballot(1, "s1"), other);
         assertEquals(
-                store.said,
+                cluster.sentBesidesHandoverRequests(),
                 List.of(
                         "ACCEPT to s1 [s0, s1, s2, s4]",
                         "ACCEPT to s2 [s0, s1, s2, s4]",
@@ -789,54 +396,58 @@
 
     /** A core is decided on by a quorum of the members and one of those after it, whichever comes first. */
     @Test
-    public void bothQuorumsDecide() {
-        for (String[] order : new String[][] {{"s1", "s2", "s3", "s4"}, {"s3", "s4", "s1", "s2"}}) {
-            SingleCoreMember store = new SingleCoreMember(new Ballot(1, "s0"), with("s1", "s3", "s4"), true);
-            store.membership.onTick(2 * SECOND);
-            Ballot mine = new Ballot(2, "s0");
-            store.step("s2", EpochMessageType.PROMISE, mine, null, null);
-            for (int i = 0; i < order.length; i++) {
-                assertEquals(store.membership.epoch(), 0, "after " + i + " of " + List.of(order));
-                store.step(order[i], EpochMessageType.ACCEPTED, mine, null, null);
-                if (store.membership.epoch() == 1) {
+    public void quorumsOfBothCoresAreNeeded() {
+        for (List<String> order : List.of(List.of("s1", "s2", "s3", "s4"), List.of("s3", "s4", "s1", "s2"))) {
+            SingleNodeCluster cluster = memberOfThree(new Ballot(1, "s0"), nextCore("s1", "s3", "s4"), true);
+            CoreMembership membership = cluster.node.membership;
+            membership.onTick(2 * SECOND_MICROS);
+            Ballot own = new Ballot(2, "s0");
+            receive(cluster, "s2", EpochMessageType.PROMISE, own, null, null);
+            for (int i = 0; i < order.size(); i++) {
+                assertEquals(membership.epoch(), 0, "after " + i + " of " + order);
+                receive(cluster, order.get(i), EpochMessageType.ACCEPTED, own, null, null);
+                if (membership.epoch() == 1) {
                     assertTrue(i >= 2);
                     break;
                 }
             }
-            assertEquals(store.membership.epoch(), 1);
+            assertEquals(membership.epoch(), 1);
         }
     }
 
     @Test
-    public void whatWasAcceptedOutlivesTheProcessAndFences() {
-        assertTrue(new SingleCoreMember(SECOND_OF_1, with("s0", "s1", "s3"), true).membership.isFenced());
+    public void acceptedValueOutlivesTheProcessAndFences() {
+        assertTrue(memberOfThree(SECOND_OF_S1, nextCore("s0", "s1", "s3"), true)
+                .node
+                .membership
+                .isFenced());
     }
 
     @Test
-    public void whoActsUnderAnotherEpochIsToldOfTheCore() {
-        SingleCoreMember store = new SingleCoreMember(null, null, true);
-        assertTrue(store.membership.acceptsEpoch("s1", 0));
-        assertFalse(store.membership.acceptsEpoch("s1", -1));
-        assertFalse(store.membership.acceptsEpoch("s1", 1));
-        assertEquals(store.said, List.of("core to s1", "core to s1"));
+    public void senderOfAnotherEpochIsToldOfTheCore() {
+        SingleNodeCluster cluster = memberOfThree(null, null, true);
+        assertTrue(cluster.node.membership.acceptsEpoch("s1", 0));
+        assertFalse(cluster.node.membership.acceptsEpoch("s1", -1));
+        assertFalse(cluster.node.membership.acceptsEpoch("s1", 1));
+        assertEquals(cluster.recorder.sent, List.of("core to s1", "core to s1"));
     }
 
     @Test
-    public void withoutItsDiskAMemberPromisesAndAcceptsNothing() {
-        SingleCoreMember store = new SingleCoreMember(null, null, false);
-        store.step("s1", EpochMessageType.PREPARE, SECOND_OF_1, null, null);
-        store.step("s1", EpochMessageType.ACCEPT, SECOND_OF_1, null, with("s0", "s1", "s3"));
-        assertEquals(store.said, List.of());
-        assertFalse(store.membership.isFenced());
+    public void memberThatLostItsDiskPromisesAndAcceptsNothing() {
+        SingleNodeCluster cluster = memberOfThree(null, null, false);
+        receive(cluster, "s1", EpochMessageType.PREPARE, SECOND_OF_S1, null, null);
+        receive(cluster, "s1", EpochMessageType.ACCEPT, SECOND_OF_S1, null, nextCore("s0", "s1", "s3"));
+        assertEquals(cluster.recorder.sent, List.of());
+        assertFalse(cluster.node.membership.isFenced());
     }
 
     @Test
-    public void nothingIsSaidThatIsNotOnDisk() {
-        SingleCoreMember store = new SingleCoreMember(SECOND_OF_1, with("s0", "s1", "s3"), true);
-        store.disk = false;
-        store.membership.onTick(2 * SECOND);
-        store.step("s1", EpochMessageType.PREPARE, new Ballot(9, "s1"), null, null);
-        store.step("s1", EpochMessageType.ACCEPT, new Ballot(9, "s1"), null, with("s1", "s2", "s3"));
-        assertEquals(store.said, List.of());
+    public void nothingIsAnsweredThatIsNotOnTheDisk() {
+        SingleNodeCluster cluster = memberOfThree(SECOND_OF_S1, nextCore("s0", "s1", "s3"), true);
+        cluster.node.disk = VirtualNode.Disk.FAILING;
+        cluster.node.membership.onTick(2 * SECOND_MICROS);
+        receive(cluster, "s1", EpochMessageType.PREPARE, new Ballot(9, "s1"), null, null);
+        receive(cluster, "s1", EpochMessageType.ACCEPT, new Ballot(9, "s1"), null, nextCore("s1", "s2", "s3"));
+        assertEquals(cluster.sentBesidesHandoverRequests(), List.of());
     }
 }
--- a/src/test/java/reedmux/control/consensus/QuorumContactTest.java
+++ b/src/test/java/reedmux/control/consensus/QuorumContactTest.java
@@ -4,32 +4,35 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertNotEquals;
 import static org.testng.Assert.assertTrue;
-import static reedmux.control.consensus.ConsensusNodeTest.assertAgreed;
-import static reedmux.control.consensus.ConsensusNodeTest.call;
-import static reedmux.control.consensus.ConsensusNodeTest.has;
-import static reedmux.control.consensus.ConsensusNodeTest.item;
-import static reedmux.control.consensus.ConsensusNodeTest.route;
+import static reedmux.control.consensus.ConfigurationRequests.change;
+import static reedmux.control.consensus.ConfigurationRequests.removeRoute;
+import static reedmux.control.consensus.ConfigurationRequests.route;
+import static reedmux.control.consensus.ConfigurationRequests.service;
+import static reedmux.control.consensus.VirtualCluster.SECOND_MICROS;
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.IntUnaryOperator;
+import java.util.function.Consumer;
 import org.testng.Reporter;
 import org.testng.annotations.Test;
 import reedmux.control.configuration.ConfigurationChangeFormat;
 import reedmux.control.configuration.InvalidConfigurationException;
-import reedmux.control.consensus.ConsensusNodeTest.ConsensusTestCluster;
 import reedmux.control.replication.Replica;
 import reedmux.control.replication.WatermarkTable;
 import reedmux.testing.ScheduleExplorer;
 
-/** What three stores answer from what they have, in every order of their messages. */
+/** What three nodes answer without a decision of its own, in every order of their messages. */
 public class QuorumContactTest {
-    private static final int MOST = 10_000;
-    private static final long SECOND = 1_000_000;
-    private static final String ONE = call(route("one", 5, "h.example"));
-    private static final String OTHER = call(route("one", 5, "other.example"));
-    private static final String NEEDS = call(route("two", 6, "g.example").replace("\"desk\"", "\"shelf\""));
-    private static final String SHELF = call(item("plants", "shelf", 5, "{\"probe\":\"/health\",\"connCeiling\":9}"));
+    private static final int MAX_ORDERS = 10_000;
+    private static final String ONE = change(route("one", 5, "h.example"));
+    private static final String OTHER = change(route("one", 5, "other.example"));
+    /** A route that names a service which {@link #SHELF} adds. */
+    private static final String NEEDS_SHELF =
+            change(route("two", 6, "g.example").replace("\"desk\"", "\"shelf\""));
+
+    private static final String SHELF = change(service("shelf", 5));
+    private static final String UNKNOWN_SERVICE =
+            change(route("x", 3, "h.example").replace("desk", "none"));
 
     /** What goes on besides the delivery of messages. */
     private enum ContactFault {
@@ -39,137 +42,114 @@
         WIPE
     }
 
-    private static void told(String what, int orders) {
+    private static void explore(String what, Consumer<ScheduleExplorer> play) {
+        int orders = ScheduleExplorer.exploreAllOrSample(MAX_ORDERS, play);
         Reporter.log(what + ": " + orders + " orders", true);
     }
 
-    /** Delivers all; before one of the messages, in each place, something is done. */
-    private static void deliver(ConsensusTestCluster world, ScheduleExplorer orders, Runnable once) {
-        int[] left = {once == null ? 0 : 1};
-        IntUnaryOperator pick = many -> {
-            if (left[0] > 0 && orders.choose(4) == 0) {
+    /** Delivers all messages; a fault happens at most once, before any of them. */
+    private static void deliverWithFault(FixedCoreCluster cluster, ScheduleExplorer schedule, Runnable fault) {
+        int[] left = {fault == null ? 0 : 1};
+        cluster.messages.deliverAll(many -> {
+            if (left[0] > 0 && schedule.choose(4) == 0) {
                 left[0]--;
-                once.run();
-                if (world.mail.isEmpty()) {
-                    world.mail.add(() -> {});
-                    world.mailTo.add(0);
+                fault.run();
+                if (cluster.messages.isEmpty()) {
+                    return -1;
                 }
             }
-            return orders.choose(world.mail.size());
-        };
-        world.deliver(pick);
+            return schedule.choose(cluster.messages.size());
+        });
     }
 
-    private static void restart(ConsensusTestCluster world, int at, boolean wiped) {
-        for (int i = world.mail.size() - 1; i >= 0; i--) { // its links end, and what was on its way to it
-            if (world.mailTo.get(i) == at) {
-                world.mail.remove(i);
-                world.mailTo.remove(i);
-            }
-        }
-        world.start(at, !wiped, wiped ? new Replica() : world.replicas[at]);
+    private static Runnable fault(ContactFault fault, FixedCoreCluster cluster, ScheduleExplorer schedule) {
+        return switch (fault) {
+            case NONE -> null;
+            case LOSS -> () -> cluster.messages.lose(schedule.choose(cluster.messages.size()));
+            case RESTART -> () -> restart(cluster, schedule.choose(3), false);
+            case WIPE -> () -> restart(cluster, schedule.choose(3), true);
+        };
     }
 
-    private static int answer(ConsensusTestCluster world, int at, String body) {
-        int[] status = {0};
-        world.agreements[at].onChangeRequest(world.now, body, (told, line) -> status[0] = told);
-        world.drain();
-        if (status[0] == 0) {
-            world.settle();
-        }
-        return status[0];
+    /** The connections of the old process end, and what was under way to it is lost. */
+    private static void restart(FixedCoreCluster cluster, int index, boolean wiped) {
+        cluster.messages.loseAllTo("s" + index);
+        cluster.restart(index, wiped);
     }
 
     @Test
-    public void twoOperatorsAreNeverBothConfirmedUnderOneNumber() {
-        for (ContactFault trouble : ContactFault.values()) {
+    public void twoContentsWithOneRevisionAreNeverBothAcknowledged() {
+        for (ContactFault fault : ContactFault.values()) {
             int[] refused = {0};
-            told("one number, two contents, " + trouble, ScheduleExplorer.exploreAllOrSample(MOST, orders -> {
-                ConsensusTestCluster world = new ConsensusTestCluster();
-                world.adjust(0, 0, ONE);
-                world.adjust(1, 1, OTHER);
-                deliver(
-                        world,
-                        orders,
-                        switch (trouble) {
-                            case NONE -> null;
-                            case LOSS ->
-                                () -> {
-                                    int lost = orders.choose(world.mail.size());
-                                    world.mail.remove(lost);
-                                    world.mailTo.remove(lost);
-                                };
-                            case RESTART -> () -> restart(world, orders.choose(3), false);
-                            case WIPE -> () -> restart(world, orders.choose(3), true);
-                        });
-                world.settle();
-                assertFalse(world.answers[0] == OperationStatus.OK && world.answers[1] == OperationStatus.OK);
-                refused[0] += world.answers[0] == OperationStatus.CONFLICT ? 1 : 0;
-                refused[0] += world.answers[1] == OperationStatus.CONFLICT ? 1 : 0;
+            explore("one revision, two contents, " + fault, schedule -> {
+                FixedCoreCluster cluster = new FixedCoreCluster();
+                RecordedReply first = cluster.change(cluster.node(0), ONE);
+                RecordedReply second = cluster.change(cluster.node(1), OTHER);
+                deliverWithFault(cluster, schedule, fault(fault, cluster, schedule));
+                cluster.settle();
+                assertFalse(first.isOk() && second.isOk());
+                refused[0] += first.status == OperationStatus.CONFLICT ? 1 : 0;
+                refused[0] += second.status == OperationStatus.CONFLICT ? 1 : 0;
                 // Sent again, and elsewhere, until the answer is clear: for ever the same.
-                int one = answer(world, orders.choose(3), ONE);
-                int other = answer(world, 2, OTHER);
+                int one = cluster.statusOf(schedule.choose(3), ONE);
+                int other = cluster.statusOf(2, OTHER);
                 assertEquals(one + other, OperationStatus.OK + OperationStatus.CONFLICT, one + " and " + other);
-                boolean holds = one == OperationStatus.OK;
-                assertNotEquals(world.answers[0], holds ? OperationStatus.CONFLICT : OperationStatus.OK);
-                assertNotEquals(world.answers[1], holds ? OperationStatus.OK : OperationStatus.CONFLICT);
-                assertAgreed(world);
-            }));
-            assertTrue(trouble != ContactFault.NONE || refused[0] > 0);
+                boolean oneHolds = one == OperationStatus.OK;
+                assertNotEquals(first.status, oneHolds ? OperationStatus.CONFLICT : OperationStatus.OK);
+                assertNotEquals(second.status, oneHolds ? OperationStatus.OK : OperationStatus.CONFLICT);
+                cluster.assertAgreed();
+            });
+            assertTrue(fault != ContactFault.NONE || refused[0] > 0);
         }
     }
 
-    /** The first copy has died, newer versions have come since, one drops it, and the disk was compacted. */
+    /** The first proposer has died, newer revisions have come since, one removes it, and the disk was compacted. */
     @Test
-    public void whatWasTakenIsAcknowledgedAgainByAnyStore() {
+    public void committedChangeIsAcknowledgedAgainByAnyNode() {
         for (boolean wiped : new boolean[] {false, true}) {
-            String how = wiped ? "wiped" : "dead";
-            told("sent again after newer versions, " + how, ScheduleExplorer.exploreAllOrSample(MOST, orders -> {
-                ConsensusTestCluster world = new ConsensusTestCluster();
-                world.adjust(0, 0, ONE);
-                world.deliver(many -> {
-                    if (world.answers[0] == OperationStatus.OK && world.dead.isEmpty()) {
-                        world.dead.add(0);
+            explore("sent again after newer revisions, " + (wiped ? "wiped" : "dead"), schedule -> {
+                FixedCoreCluster cluster = new FixedCoreCluster();
+                RecordedReply reply = cluster.change(cluster.node(0), ONE);
+                cluster.messages.deliverAll(many -> {
+                    if (reply.isOk()) {
+                        cluster.setDown(0);
                     }
-                    return orders.choose(many);
+                    return schedule.choose(many);
                 });
-                world.dead.add(0);
-                world.agreements[1].onPeerDisconnected("s0");
-                world.agreements[2].onPeerDisconnected("s0");
-                world.settle();
-                boolean taken = world.answers[0] == OperationStatus.OK;
-                int newer = orders.choose(3);
+                cluster.setDown(0);
+                cluster.disconnect(0);
+                cluster.settle();
+                boolean acknowledged = reply.isOk();
+                int newer = schedule.choose(3);
                 if (newer > 0) {
-                    assertEquals(answer(world, 1, call(route("one", 7, "h.example"))), OperationStatus.OK);
+                    assertEquals(cluster.statusOf(1, change(route("one", 7, "h.example"))), OperationStatus.OK);
                 }
                 if (newer > 1) {
-                    String drop = "{\"remove\":{\"routes\":[{\"name\":\"one\",\"revision\":9}]}}";
-                    assertEquals(answer(world, 2, drop), OperationStatus.OK);
+                    assertEquals(cluster.statusOf(2, removeRoute("one", 9)), OperationStatus.OK);
                 }
-                world.start(2, true, compacted(world.replicas[2]));
-                world.settle();
-                boolean first = orders.choose(2) == 0;
-                int one = first ? answer(world, 2, ONE) : 0;
-                int other = answer(world, 1, OTHER);
-                one = first ? one : answer(world, 2, ONE);
-                if (taken) {
+                cluster.node(2).replica = compacted(cluster.node(2).replica);
+                cluster.restart(2, false);
+                cluster.settle();
+                boolean oneFirst = schedule.choose(2) == 0;
+                int one = oneFirst ? cluster.statusOf(2, ONE) : 0;
+                int other = cluster.statusOf(1, OTHER);
+                one = oneFirst ? one : cluster.statusOf(2, ONE);
+                if (acknowledged) {
                     assertEquals(one, OperationStatus.OK);
                 }
                 assertEquals(one + other, OperationStatus.OK + OperationStatus.CONFLICT, one + " and " + other);
-                world.dead.clear();
-                world.start(0, !wiped, wiped ? new Replica() : world.replicas[0]);
-                world.settle();
-                assertEquals(answer(world, 0, OTHER), other);
-                assertEquals(answer(world, 0, ONE), one);
-                assertAgreed(world);
-                assertFalse(newer == 2
-                        && world.replicas[0].committed().stream()
-                                .anyMatch(item -> item.key().equals("routes/one") && !item.isDeleted()));
-            }));
+                cluster.setAllUp();
+                cluster.restart(0, wiped);
+                cluster.settle();
+                assertEquals(cluster.statusOf(0, OTHER), other);
+                assertEquals(cluster.statusOf(0, ONE), one);
+                cluster.assertAgreed();
+                assertFalse(newer == 2 && cluster.node(0).hasRoute("one"));
+            });
         }
     }
 
-    /** As a disk gives it back after its file has begun anew. */
+    /** As a disk gives it back after a compaction. */
     private static Replica compacted(Replica replica) {
         Replica next = new Replica();
         next.merge(replica.committed());
@@ -178,194 +158,187 @@
         return next;
     }
 
-    /** The second comes to another store once the first is acknowledged, wherever that is known by then. */
+    /** The second comes to another node once the first is acknowledged, wherever that is known by then. */
     @Test
-    public void aCallThatNeedsAnEarlierOneIsNeverInvalid() {
-        for (int dead = 0; dead < 2; dead++) {
-            int[] good = {0};
-            boolean dies = dead == 1;
-            String how = dies ? ", its store dies" : "";
-            told("a call that needs an earlier one" + how, ScheduleExplorer.exploreAllOrSample(MOST, orders -> {
-                ConsensusTestCluster world = new ConsensusTestCluster();
-                world.adjust(0, 0, SHELF);
-                world.deliver(many -> {
-                    if (world.answers[0] == OperationStatus.OK && world.answers[1] == 0) {
-                        world.answers[1] = -1;
+    public void changeThatNeedsAnAcknowledgedOneIsNeverInvalid() {
+        for (boolean dies : new boolean[] {false, true}) {
+            int[] ok = {0};
+            explore("a change that needs an earlier one" + (dies ? ", its proposer dies" : ""), schedule -> {
+                FixedCoreCluster cluster = new FixedCoreCluster();
+                RecordedReply earlier = cluster.change(cluster.node(0), SHELF);
+                RecordedReply[] later = new RecordedReply[1];
+                cluster.messages.deliverAll(many -> {
+                    if (earlier.isOk() && later[0] == null) {
                         if (dies) {
-                            world.dead.add(0);
+                            cluster.setDown(0);
                         }
-                        world.adjust(1 + orders.choose(2), 1, NEEDS);
+                        later[0] = cluster.change(cluster.node(1 + schedule.choose(2)), NEEDS_SHELF);
                     }
-                    return orders.choose(world.mail.size());
+                    return schedule.choose(cluster.messages.size());
                 });
-                world.agreements[1].onPeerDisconnected("s0");
-                world.agreements[2].onPeerDisconnected("s0");
-                world.settle();
+                cluster.disconnect(0);
+                cluster.settle();
                 assertTrue(
-                        world.answers[1] == OperationStatus.OK || world.answers[1] == OperationStatus.UNAVAILABLE,
-                        "answered " + world.answers[1]);
-                good[0] += world.answers[1] == OperationStatus.OK ? 1 : 0;
-                world.dead.clear();
-                world.settle();
-                assertEquals(answer(world, 0, NEEDS), OperationStatus.OK);
-            }));
-            assertTrue(good[0] > 0);
+                        later[0].isOk() || later[0].status == OperationStatus.UNAVAILABLE,
+                        "answered " + later[0].status);
+                ok[0] += later[0].isOk() ? 1 : 0;
+                cluster.setAllUp();
+                cluster.settle();
+                assertEquals(cluster.statusOf(0, NEEDS_SHELF), OperationStatus.OK);
+            });
+            assertTrue(ok[0] > 0);
         }
     }
 
-    /** A store that has never heard of a call says what a whole state says. */
+    /** A node that has never heard of a change says what a complete state says. */
     @Test
-    public void aReadHasAllThatWasAcknowledgedBeforeItCame() {
-        int[] read = {0};
-        told("reads once a call is acknowledged", ScheduleExplorer.exploreAllOrSample(MOST, orders -> {
-            ConsensusTestCluster world = new ConsensusTestCluster();
-            List<String> told = new ArrayList<>();
-            world.adjust(0, 0, ONE);
-            world.deliver(many -> {
-                if (world.answers[0] == OperationStatus.OK && world.answers[1] == 0) {
-                    world.answers[1] = -1;
-                    world.agreements[1 + orders.choose(2)].onReadRequest(
-                            world.now, (status, text) -> told.add(status + text));
+    public void readHasAllThatWasAcknowledgedBeforeIt() {
+        int[] ok = {0};
+        explore("reads once a change is acknowledged", schedule -> {
+            FixedCoreCluster cluster = new FixedCoreCluster();
+            RecordedReply reply = cluster.change(cluster.node(0), ONE);
+            RecordedReply[] read = new RecordedReply[1];
+            cluster.messages.deliverAll(many -> {
+                if (reply.isOk() && read[0] == null) {
+                    read[0] = cluster.read(cluster.node(1 + schedule.choose(2)));
                 }
-                return orders.choose(world.mail.size());
+                return schedule.choose(cluster.messages.size());
             });
-            world.settle();
-            assertEquals(told.size(), 1);
-            assertTrue(told.get(0).startsWith("503") || told.get(0).contains("h.example"), told.get(0));
-            read[0] += told.get(0).startsWith("200") ? 1 : 0;
-        }));
-        assertTrue(read[0] > 0);
+            cluster.settle();
+            assertEquals(read[0].count, 1);
+            assertTrue(
+                    read[0].status == OperationStatus.UNAVAILABLE || read[0].text.contains("h.example"), read[0].text);
+            ok[0] += read[0].isOk() ? 1 : 0;
+        });
+        assertTrue(ok[0] > 0);
     }
 
-    /** One is cut off and does not know it yet, or was frozen: its links stand, what it has is old. */
+    /** One is cut off and does not know it yet, or was frozen: it seems connected, what it has is old. */
     @Test
-    public void whoHasNoContactNeitherReadsNorConfirmsNorRefuses() {
-        told("cut off, then heard again", ScheduleExplorer.exploreAllOrSample(MOST, orders -> {
-            ConsensusTestCluster world = new ConsensusTestCluster();
-            world.dead.add(2); // nothing comes in there
-            world.adjust(0, 0, SHELF);
-            world.drain();
-            world.adjust(1, 0, ONE);
-            world.drain();
-            assertEquals(world.answers[0], OperationStatus.OK);
-            world.dead.clear();
-            List<Integer> told = new ArrayList<>();
-            List<String> asked = List.of(
-                    NEEDS,
-                    OTHER,
-                    "{\"apply\":{\"signals\":[]}}",
-                    call(route("x", 3, "h.example").replace("desk", "none")));
-            asked.forEach(
-                    body -> world.agreements[2].onChangeRequest(world.now, body, (status, line) -> told.add(status)));
-            world.agreements[2].onReadRequest(world.now, (status, text) -> told.add(status));
-            assertEquals(told, List.of());
-            // Its questions reach the others, and it hears them in any order; or not.
-            boolean wakes = orders.choose(2) == 0;
-            if (wakes) {
-                world.deliver(orders::choose);
-            } else {
-                world.mail.clear();
-                world.mailTo.clear();
+    public void nodeWithoutContactNeitherReadsNorAcknowledgesNorRejects() {
+        explore("cut off, then heard again", schedule -> {
+            FixedCoreCluster cluster = new FixedCoreCluster();
+            cluster.setDown(2);
+            cluster.change(cluster.node(0), SHELF);
+            cluster.deliverInOrder();
+            RecordedReply one = cluster.change(cluster.node(1), ONE);
+            cluster.deliverInOrder();
+            assertEquals(one.status, OperationStatus.OK);
+            cluster.setAllUp();
+            List<RecordedReply> replies = new ArrayList<>();
+            for (String body : List.of(NEEDS_SHELF, OTHER, "{\"apply\":{\"signals\":[]}}", UNKNOWN_SERVICE)) {
+                replies.add(cluster.change(cluster.node(2), body));
             }
-            world.now += SECOND;
-            world.agreements[2].onTick(world.now);
-            assertEquals(told.size(), 5);
-            if (wakes) {
-                told.sort(null);
-                assertEquals(told, List.of(200, 200, 200, 400, 409));
+            replies.add(cluster.read(cluster.node(2)));
+            assertEquals(countOfReplies(replies), 0);
+            // Its requests reach the others, and it hears them in any order; or not.
+            boolean heard = schedule.choose(2) == 0;
+            if (heard) {
+                cluster.messages.deliverAll(schedule::choose);
             } else {
-                assertEquals(told, List.of(503, 503, 503, 503, 503));
+                cluster.messages.loseAll();
             }
-            world.settle();
-            assertTrue(has(world, 2, "routes/one", 5));
-        }));
+            cluster.now += SECOND_MICROS;
+            cluster.tick(2);
+            assertEquals(countOfReplies(replies), 5);
+            List<Integer> statuses =
+                    replies.stream().map(reply -> reply.status).sorted().toList();
+            assertEquals(statuses, heard ? List.of(200, 200, 200, 400, 409) : List.of(503, 503, 503, 503, 503));
+            cluster.settle();
+            assertTrue(cluster.node(2).hasRoute("one", 5));
+        });
+    }
+
+    private static int countOfReplies(List<RecordedReply> replies) {
+        return replies.stream().mapToInt(reply -> reply.count).sum();
     }
 
     /** It had a part in what was acknowledged, and nobody else can be reached who has. */
     @Test
-    public void aStoreThatLostItsDiskDoesNotConfirm() {
-        ConsensusTestCluster world = new ConsensusTestCluster();
-        world.dead.add(2);
-        world.adjust(0, 0, ONE);
-        world.drain();
-        assertEquals(world.answers[0], OperationStatus.OK);
-        world.dead.clear();
-        restart(world, 0, true);
-        world.dead.add(1);
-        List<Integer> told = new ArrayList<>();
-        world.agreements[2].onReadRequest(world.now, (status, text) -> told.add(status));
-        world.drain();
-        world.now += SECOND;
-        world.agreements[2].onTick(world.now);
-        assertEquals(told, List.of(503));
+    public void nodeThatLostItsDiskDoesNotConfirmAContact() {
+        FixedCoreCluster cluster = new FixedCoreCluster();
+        cluster.setDown(2);
+        RecordedReply reply = cluster.change(cluster.node(0), ONE);
+        cluster.deliverInOrder();
+        assertEquals(reply.status, OperationStatus.OK);
+        cluster.setAllUp();
+        restart(cluster, 0, true);
+        cluster.setDown(1);
+        RecordedReply read = cluster.read(cluster.node(2));
+        cluster.deliverInOrder();
+        cluster.now += SECOND_MICROS;
+        cluster.tick(2);
+        assertEquals(read.status, OperationStatus.UNAVAILABLE);
+        assertEquals(read.count, 1);
     }
 
-    /** A contact for a proxy or a show waits for no call, and a call is decided on meanwhile. */
+    /** A contact for a proxy or a status request waits for no decision, and decisions go on meanwhile. */
     @Test
-    public void aCallIsDecidedOnWhileAContactIsUnderWay() {
-        for (int at = 0; at < 2; at++) {
-            int asked = at;
-            ScheduleExplorer.exploreAllOrSample(MOST, orders -> {
-                ConsensusTestCluster world = new ConsensusTestCluster();
+    public void changeIsCommittedWhileAContactIsUnderWay() {
+        for (int index = 0; index < 2; index++) {
+            int asked = index;
+            ScheduleExplorer.exploreAllOrSample(MAX_ORDERS, schedule -> {
+                FixedCoreCluster cluster = new FixedCoreCluster();
                 boolean[] reached = {false};
-                world.agreements[asked].contactQuorum(world.now, false, told -> reached[0] = told);
-                world.adjust(0, 0, ONE);
-                world.deliver(orders::choose);
+                cluster.node(asked).consensus.contactQuorum(cluster.now, false, success -> reached[0] = success);
+                RecordedReply reply = cluster.change(cluster.node(0), ONE);
+                cluster.messages.deliverAll(schedule::choose);
                 assertTrue(reached[0]);
-                assertEquals(world.answers[0], OperationStatus.OK);
-                world.settle();
-                assertAgreed(world);
+                assertEquals(reply.status, OperationStatus.OK);
+                cluster.settle();
+                cluster.assertAgreed();
             });
         }
     }
 
-    /** A link is gone, and with it the quorum: that is told at once. */
+    /** A connection is gone, and with it the quorum: that is told at once. */
     @Test
-    public void withoutLinksTheAnswerIsAtOnceAndNoRefusal() {
-        ConsensusTestCluster world = new ConsensusTestCluster();
-        List<Integer> told = new ArrayList<>();
-        world.agreements[0].onReadRequest(world.now, (status, text) -> told.add(status));
-        world.agreements[0].onPeerDisconnected("s1");
-        assertEquals(told, List.of());
-        world.agreements[0].onPeerDisconnected("s2");
-        assertEquals(told, List.of(503));
-        world.agreements[0].onChangeRequest(
-                world.now,
-                call(route("x", 3, "h.example").replace("desk", "none")),
-                (status, line) -> told.add(status));
-        assertEquals(told, List.of(503, 503));
+    public void withoutConnectionsTheAnswerIsImmediateAndNoRejection() {
+        FixedCoreCluster cluster = new FixedCoreCluster();
+        ConsensusNode node = cluster.node(0).consensus;
+        RecordedReply read = cluster.read(cluster.node(0));
+        node.onPeerDisconnected("s1");
+        assertEquals(read.count, 0);
+        node.onPeerDisconnected("s2");
+        assertEquals(read.status, OperationStatus.UNAVAILABLE);
+        RecordedReply change = cluster.change(cluster.node(0), UNKNOWN_SERVICE);
+        assertEquals(change.status, OperationStatus.UNAVAILABLE);
+        assertEquals(read.count + change.count, 2);
     }
 
     @Test
-    public void whatIsBelowTheFloorHasNoClearAnswer() {
-        ConsensusTestCluster world = new ConsensusTestCluster();
-        for (int i = 1; i <= WatermarkTable.MAX_REVISIONS_PER_ITEM + 20; i++) {
-            assertEquals(answer(world, i % 3, call(route("one", i, "h" + i + ".example"))), OperationStatus.OK);
+    public void revisionBelowTheLowWatermarkHasNoClearAnswer() {
+        int retained = WatermarkTable.MAX_REVISIONS_PER_ITEM;
+        FixedCoreCluster cluster = new FixedCoreCluster();
+        for (int i = 1; i <= retained + 20; i++) {
+            assertEquals(cluster.statusOf(i % 3, change(route("one", i, "h" + i + ".example"))), OperationStatus.OK);
         }
-        world.settle();
-        assertEquals(answer(world, 0, call(route("one", 19, "h19.example"))), OperationStatus.UNAVAILABLE);
-        assertEquals(answer(world, 0, call(route("one", 19, "other.example"))), OperationStatus.UNAVAILABLE);
+        cluster.settle();
+        assertEquals(cluster.statusOf(0, change(route("one", 19, "h19.example"))), OperationStatus.UNAVAILABLE);
+        assertEquals(cluster.statusOf(0, change(route("one", 19, "other.example"))), OperationStatus.UNAVAILABLE);
         for (int i = 20; i < 24; i++) {
-            assertEquals(answer(world, 1, call(route("one", i, "h" + i + ".example"))), OperationStatus.OK);
-            assertEquals(answer(world, 2, call(route("one", i, "other.example"))), OperationStatus.CONFLICT);
+            assertEquals(cluster.statusOf(1, change(route("one", i, "h" + i + ".example"))), OperationStatus.OK);
+            assertEquals(cluster.statusOf(2, change(route("one", i, "other.example"))), OperationStatus.CONFLICT);
         }
-        assertEquals(world.replicas[0].watermarks().size(), WatermarkTable.MAX_REVISIONS_PER_ITEM + 1);
-        assertEquals(answer(world, 1, call(route("one", 999, "a"), route("one", 999, "b"))), OperationStatus.INVALID);
+        assertEquals(cluster.node(0).replica.watermarks().size(), retained + 1);
+        String twoContents = change(route("one", 999, "a"), route("one", 999, "b"));
+        assertEquals(cluster.statusOf(1, twoContents), OperationStatus.INVALID);
     }
 
-    /** What was dropped and answered by 503 does not come into force after its content was refused. */
+    /** What was dropped and answered as unavailable is not committed after its content was rejected. */
     @Test
-    public void whatWasDroppedIsNotBroughtAgainByWhoWasAway() throws InvalidConfigurationException {
-        ConsensusTestCluster world = new ConsensusTestCluster();
+    public void droppedProposalIsNotProposedAgainByANodeThatWasAway() throws InvalidConfigurationException {
+        FixedCoreCluster cluster = new FixedCoreCluster();
         Proposal stale = new Proposal("s2/1/9", new Ballot(1, "s2"), ConfigurationChangeFormat.parse(OTHER));
-        world.agreements[0].onDecision(world.now, stale.id(), stale.ballot(), false, List.of());
-        world.agreements[1].onDecision(world.now, stale.id(), stale.ballot(), false, List.of());
-        world.agreements[2].onProposal(world.now, "s2", stale);
-        world.now += 20 * SECOND;
-        world.agreements[0].onTick(world.now);
-        world.agreements[1].onTick(world.now);
-        world.settle();
-        assertAgreed(world);
-        assertFalse(has(world, 0, "routes/one", 5));
+        for (int i = 0; i < 2; i++) {
+            cluster.node(i).consensus.onDecision(cluster.now, stale.id(), stale.ballot(), false, List.of());
+        }
+        cluster.node(2).consensus.onProposal(cluster.now, "s2", stale);
+        cluster.now += 20 * SECOND_MICROS;
+        cluster.tick(0);
+        cluster.tick(1);
+        cluster.settle();
+        cluster.assertAgreed();
+        assertFalse(cluster.node(0).hasRoute("one", 5));
     }
 }
--- /dev/null
+++ b/src/test/java/reedmux/control/consensus/VirtualCluster.java
@@ -0,0 +1,53 @@
+package reedmux.control.consensus;
+
+import java.util.Map;
+import java.util.TreeMap;
+
+/** Nodes in virtual time, by ip; the tests' one world for consensus and core membership. */
+class VirtualCluster {
+    static final long SECOND_MICROS = 1_000_000;
+
+    final Map<String, VirtualNode> nodes = new TreeMap<>();
+    /** Set by the constructor of each cluster before a node is started. */
+    VirtualNetwork network;
+
+    long now = SECOND_MICROS;
+    private long lastIncarnation;
+
+    VirtualNode node(String ip) {
+        return nodes.get(ip);
+    }
+
+    VirtualNode node(int index) {
+        return nodes.get("s" + index);
+    }
+
+    /** Adds a node, which is not started yet. */
+    VirtualNode add(String ip, String name, PersistentCoreState coreOnDisk) {
+        VirtualNode node = new VirtualNode(this, ip, name);
+        node.coreOnDisk = coreOnDisk;
+        nodes.put(ip, node);
+        return node;
+    }
+
+    /** The state on the disk of a member that has seen no change of the core. */
+    static PersistentCoreState firstCore(CoreMembers core) {
+        return new PersistentCoreState(core, null, null, null, false);
+    }
+
+    long nextIncarnation() {
+        return ++lastIncarnation;
+    }
+
+    RecordedReply change(VirtualNode at, String body) {
+        RecordedReply reply = new RecordedReply();
+        at.consensus.onChangeRequest(now, body, reply);
+        return reply;
+    }
+
+    RecordedReply read(VirtualNode at) {
+        RecordedReply reply = new RecordedReply();
+        at.consensus.onReadRequest(now, reply);
+        return reply;
+    }
+}
