--- a/src/test/java/reedmux/gatekeeper/service/AdmissionControlTest.java
+++ b/src/test/java/reedmux/gatekeeper/service/AdmissionControlTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import reedmux.gatekeeper.service.AdmissionControl.AdmissionLimits;
 
-/** What is let in of which pool. */
+/** Which requests of which service are admitted. */
 final class AdmissionControlTest {
     private static final AdmissionLimits UNLIMITED = new AdmissionLimits(Integer.MAX_VALUE, Long.MAX_VALUE);
 
--- a/src/test/java/reedmux/gatekeeper/service/DeficitRoundRobinQueueTest.java
+++ b/src/test/java/reedmux/gatekeeper/service/DeficitRoundRobinQueueTest.java
@@ -15,11 +15,11 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Whose turn it is: order within a pool, shares between pools, and how long one waits at most. */
+/** Order within a queue, shares between queues, and the longest wait. */
 final class DeficitRoundRobinQueueTest {
     private static final int MAX_COST = 10;
 
-    /** Nothing is lost, doubled or overtaken within its pool, and a full queue takes nothing more. */
+    /** Nothing is lost, duplicated or overtaken within its queue, and a full queue rejects further items. */
     @Property(tries = 10_000, seed = "61")
     void keepsTheOrderWithinAQueue(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -51,7 +51,7 @@
         }
     }
 
-    /** While two pools have work, what each has had differs by their weights within a quantum and a piece. */
+    /** While two queues have work, what each has spent follows the weights within a quantum and an item. */
     @Property(tries = 10_000, seed = "62")
     void sharesByWeight(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
--- a/src/test/java/reedmux/gatekeeper/service/DescriptorBudgetTest.java
+++ b/src/test/java/reedmux/gatekeeper/service/DescriptorBudgetTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.Example;
 import reedmux.gatekeeper.http.UpstreamConnectionPool.ConnectionPermits;
 
-/** Descriptors that are lent, and come back by the closing of what is idle. */
+/** Descriptors that are lent, and reclaimed by closing idle connections. */
 final class DescriptorBudgetTest {
     private final DescriptorBudget budget = new DescriptorBudget(20);
     private final ConnectionPermits one = budget.permitsOf(budget.addService());
--- a/src/test/java/reedmux/gatekeeper/service/SharedBudgetTest.java
+++ b/src/test/java/reedmux/gatekeeper/service/SharedBudgetTest.java
@@ -11,7 +11,7 @@
 import reedmux.gatekeeper.service.SharedBudget.BudgetDecision;
 import reedmux.gatekeeper.service.SharedBudget.BudgetResult;
 
-/** Parts that are lent and taken back at once. */
+/** Shares that are lent and reclaimed at once. */
 final class SharedBudgetTest {
 
     /**
@@ -64,7 +64,7 @@
         }
     }
 
-    /** What is reserved is had without anybody's giving back, whatever the others have borrowed. */
+    /** The reserve is available without reclaiming, whatever others have borrowed. */
     @Property(tries = 5_000, seed = "72")
     void reserveIsAvailableAtOnce(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
