--- /dev/null
+++ b/src/main/java/reedmux/simulation/cluster/RequestInvariants.java
@@ -0,0 +1,272 @@
+package reedmux.simulation.cluster;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * What holds for requests and for the checkers that execute them: rules UNASKED, ROUTE, TWICE, REFUSED, MIXED, LOST,
+ * DRAIN, QUOTA, BUDGET and, for drains, ACKS. Times are microseconds.
+ */
+final class RequestInvariants {
+    private static final long SECOND = 1_000_000;
+    /** After a drain was acknowledged, until no request reaches the checker any more. */
+    private static final long DRAIN_LIMIT_MICROS = 2 * SECOND;
+
+    private static final long ACKNOWLEDGEMENT_LIMIT_MICROS = 4 * SECOND;
+    private static final long QUOTA_WINDOW_MICROS = 5 * SECOND;
+    private static final double QUOTA_OVERSHOOT = 1.1;
+    private static final double QUOTA_SLACK = 20;
+    private static final long RETRY_WINDOW_SECONDS = 10;
+    private static final double RETRY_RATIO = 0.2;
+    private static final double RETRY_SLACK = 56;
+    /** Fewer unacknowledged drains are no violation, nor is a smaller share than one in five. */
+    private static final int MIN_UNACKNOWLEDGED_DRAINS = 3;
+
+    private static final int UNACKNOWLEDGED_DRAIN_SHARE = 5;
+    private static final int MICROS_PER_MILLI = 1000;
+
+    private static final class ObservedRequest {
+        private final long sentAt;
+        private final String proxy;
+        private final boolean idempotent;
+        private final String tenant;
+        private final String service;
+        private final String route;
+        private final List<String> executedBy = new ArrayList<>();
+        private int arrivals;
+        private int status = -1;
+
+        private ObservedRequest(
+                long sentAt, String proxy, boolean idempotent, String tenant, String service, String route) {
+            this.sentAt = sentAt;
+            this.route = route;
+            this.proxy = proxy;
+            this.idempotent = idempotent;
+            this.tenant = tenant;
+            this.service = service;
+        }
+    }
+
+    /** Of one service in one second. */
+    private static final class AttemptCounts {
+        private static final AttemptCounts NONE = new AttemptCounts();
+        private int first;
+        private int retries;
+    }
+
+    private final FaultSchedule faults;
+    private final ViolationLog log;
+    private final ConfigurationInvariants configuration;
+    private final Map<String, ObservedRequest> requests = new LinkedHashMap<>();
+    private final Map<String, Long> drainAcknowledgedAt = new HashMap<>();
+    private final Map<String, Deque<Long>> executionTimes = new HashMap<>();
+    /** Of tenants beyond their quota, the most executions in one window. */
+    private final Map<String, Integer> quotaPeaks = new LinkedHashMap<>();
+    /** By service and second. */
+    private final Map<String, Map<Long, AttemptCounts>> attempts = new HashMap<>();
+
+    private int drains;
+    private int unacknowledgedDrains;
+    private double quotaRate;
+    private double quotaBurst;
+    private long servedCount;
+    private long requestCount;
+
+    RequestInvariants(FaultSchedule faults, ViolationLog log, ConfigurationInvariants configuration) {
+        this.faults = faults;
+        this.log = log;
+        this.configuration = configuration;
+    }
+
+    long servedCount() {
+        return servedCount;
+    }
+
+    long requestCount() {
+        return requestCount;
+    }
+
+    /** Sets the quota of every tenant: requests a second, and requests at once. */
+    void setQuota(double rate, double burst) {
+        quotaRate = rate;
+        quotaBurst = burst;
+    }
+
+    /** A client has sent a request; {@code service} is null for a probe. */
+    void onRequestSent(
+            String id, String proxy, boolean idempotent, String tenant, String service, String route, long now) {
+        requests.put(id, new ObservedRequest(now, proxy, idempotent, tenant, service, route));
+        if (service != null) {
+            requestCount++;
+            attempts(service, now).first++;
+        }
+    }
+
+    private AttemptCounts attempts(String service, long now) {
+        return attempts.computeIfAbsent(service, name -> new HashMap<>())
+                .computeIfAbsent(now / SECOND, second -> new AttemptCounts());
+    }
+
+    /** A request has reached the checker that it was meant for. */
+    void onRequestArrived(String id, String service, long now) {
+        ObservedRequest request = requests.get(id);
+        if (request != null && request.service != null && ++request.arrivals > 1) {
+            attempts(service, now).retries++;
+        }
+    }
+
+    /** A checker begins to execute a request. */
+    void onRequestExecuted(String id, String checker, String service, String tenant, long now) {
+        ObservedRequest request = requests.get(id);
+        if (request == null) {
+            log.report("UNASKED", checker + " runs " + id + ", which nobody sent");
+            return;
+        }
+        request.executedBy.add(checker);
+        if (configuration.leadsElsewhere(request.route, service)) {
+            log.report("ROUTE", id + " runs at " + service + ", where no version of " + request.route + " leads");
+        }
+        if (!request.idempotent && request.executedBy.size() > 1) {
+            log.report("TWICE", id + " is run by " + request.executedBy);
+        }
+        if (!request.idempotent && guaranteesNotExecuted(request.status)) {
+            log.report("REFUSED", id + " is run after " + request.status);
+        }
+        if (request.tenant != null && !request.tenant.equals(tenant)) {
+            log.report("UNASKED", id + " is of " + request.tenant + " and runs for " + tenant);
+        }
+        checkDrain(id, checker, request.proxy, now);
+        if (tenant != null && quotaRate > 0) {
+            countExecution(tenant, now);
+        }
+    }
+
+    private void checkDrain(String id, String checker, String proxy, long now) {
+        Long drainedAt = drainAcknowledgedAt.get(checker);
+        if (drainedAt != null
+                && now > drainedAt + DRAIN_LIMIT_MICROS
+                && faults.isInContact(proxy, now, now)
+                && faults.isCoreSettled(now, now)) {
+            log.report(
+                    "DRAIN",
+                    id + " reaches " + checker + " " + (now - drainedAt) / MICROS_PER_MILLI
+                            + " ms after its drain was acknowledged");
+        }
+    }
+
+    private void countExecution(String tenant, long now) {
+        Deque<Long> times = executionTimes.computeIfAbsent(tenant, name -> new ArrayDeque<>());
+        times.add(now);
+        while (times.peek() < now - QUOTA_WINDOW_MICROS) {
+            times.poll();
+        }
+        if (times.size() > maxExecutions() && times.size() > quotaPeaks.getOrDefault(tenant, 0)) {
+            quotaPeaks.put(tenant, times.size());
+        }
+    }
+
+    /** What a tenant's quota allows in one window. */
+    private double maxExecutions() {
+        return (quotaRate * QUOTA_WINDOW_MICROS / SECOND + quotaBurst) * QUOTA_OVERSHOOT + QUOTA_SLACK;
+    }
+
+    private static boolean guaranteesNotExecuted(int status) {
+        return status == 429 || status == 503 || status == 408 || status == 421;
+    }
+
+    /** A client has received a response; {@code sealedBy}: the checker that sent it completely, or null. */
+    void onResponse(String id, int status, String sealedBy, long now) {
+        ObservedRequest request = requests.get(id);
+        request.status = status;
+        if (!request.idempotent && guaranteesNotExecuted(status) && !request.executedBy.isEmpty()) {
+            log.report("REFUSED", id + " gets " + status + " and has run at " + request.executedBy);
+        }
+        if (status >= 200 && status < 300) {
+            if (!request.executedBy.contains(sealedBy)) {
+                log.report(
+                        "MIXED", id + " is answered with what " + sealedBy + " said, and ran at " + request.executedBy);
+            }
+            servedCount += request.service == null ? 0 : 1;
+        }
+    }
+
+    /** A request has no response: its connection was {@code cutOff}, or its time is up; {@code planned}: the proxy was shutting down. */
+    void onConnectionLost(String id, boolean cutOff, boolean planned, long now) {
+        ObservedRequest request = requests.get(id);
+        if (cutOff
+                && planned
+                && faults.isInContact(request.proxy, request.sentAt, now)
+                && faults.isCoreSettled(request.sentAt, now)) {
+            log.report("LOST", id + " ends without an answer while " + request.proxy + " leaves in order");
+        }
+    }
+
+    /** A checker's drain was acknowledged by a control machine. */
+    void onDrainAcknowledged(String checker, String by, long now) {
+        if (!faults.isInContact(by, now, now)) {
+            return;
+        }
+        drains += drainAcknowledgedAt.putIfAbsent(checker, now) == null ? 1 : 0;
+    }
+
+    /** A checker has announced its drain since {@code announcedAt}, and nobody has acknowledged it. */
+    void onDrainUnacknowledged(long announcedAt, long now) {
+        if (faults.longestSettledMicros(announcedAt, now) >= ACKNOWLEDGEMENT_LIMIT_MICROS) {
+            drains++;
+            unacknowledgedDrains++;
+        }
+    }
+
+    /** After the last event: what is judged by windows, and by all drains together. */
+    void checkWindows() {
+        if (unacknowledgedDrains >= MIN_UNACKNOWLEDGED_DRAINS
+                && unacknowledgedDrains * UNACKNOWLEDGED_DRAIN_SHARE > drains) {
+            log.report("ACKS", unacknowledgedDrains + " of " + drains + " checkers that leave were not acknowledged");
+        }
+        quotaPeaks.forEach((tenant, peak) ->
+                log.report("QUOTA", peak + " of " + tenant + " in 5 s, " + (long) maxExecutions() + " allowed"));
+        attempts.forEach(this::checkRetryBudget);
+    }
+
+    /**
+     * In each window the retries are bounded by a share of the first attempts. Those are counted in the same window, the
+     * one before it or one in between, whichever has most, as a retry may follow its first attempt into the next one.
+     */
+    private void checkRetryBudget(String service, Map<Long, AttemptCounts> seconds) {
+        Set<Long> ends = new HashSet<>(seconds.keySet());
+        for (long end : ends) {
+            long start = end - RETRY_WINDOW_SECONDS;
+            long middle = RETRY_WINDOW_SECONDS / 2;
+            int retries = 0;
+            for (long second = start + 1; second <= end; second++) {
+                retries += seconds.getOrDefault(second, AttemptCounts.NONE).retries;
+            }
+            int first = Math.max(
+                    firstAttempts(seconds, start, end),
+                    Math.max(
+                            firstAttempts(seconds, start - RETRY_WINDOW_SECONDS, start),
+                            firstAttempts(seconds, start - middle, end - middle)));
+            double allowed = RETRY_RATIO * first + RETRY_SLACK;
+            if (retries > allowed) {
+                log.report("BUDGET", retries + " further tries at " + service + ", " + (long) allowed + " allowed");
+                return;
+            }
+        }
+    }
+
+    /** First attempts after one second up to another, the latter included. */
+    private static int firstAttempts(Map<Long, AttemptCounts> seconds, long after, long upTo) {
+        int count = 0;
+        for (long second = after + 1; second <= upTo; second++) {
+            count += seconds.getOrDefault(second, AttemptCounts.NONE).first;
+        }
+        return count;
+    }
+}
