--- /dev/null
+++ b/src/main/java/reedmux/simulation/cluster/CheckerFleet.java
@@ -0,0 +1,62 @@
+package reedmux.simulation.cluster;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+
+/** The checkers of a simulated day, started one after the other with ids of their own. */
+final class CheckerFleet {
+    private static final long REPLACEMENT_DELAY_MICROS = 2_000_000;
+
+    private final ClusterSimulation simulation;
+    private final Deployment deployment;
+    private final ClusterInvariantChecker invariants;
+    /** Receives the address of the control machine that has acknowledged a drain. */
+    private final Consumer<String> drainListener;
+
+    private final List<SimulatedChecker> checkers = new ArrayList<>();
+    private int nextNumber;
+
+    CheckerFleet(
+            ClusterSimulation simulation,
+            Deployment deployment,
+            ClusterInvariantChecker invariants,
+            Consumer<String> drainListener) {
+        this.simulation = simulation;
+        this.deployment = deployment;
+        this.invariants = invariants;
+        this.drainListener = drainListener;
+    }
+
+    /** Those that have not ended; changes with time. */
+    List<SimulatedChecker> all() {
+        return checkers;
+    }
+
+    /** Starts a checker of a service, an index into {@link ConfigurationGenerator#SERVICES}. */
+    void start(SimulatedMachine machine, int service) {
+        String id = "i-" + nextNumber++;
+        SimulatedChecker[] started = {null};
+        started[0] = new SimulatedChecker(
+                simulation,
+                machine,
+                id,
+                ConfigurationGenerator.SERVICES[service],
+                deployment.controlAddresses(),
+                invariants,
+                () -> checkers.remove(started[0]),
+                drainListener);
+        checkers.add(started[0]);
+    }
+
+    /** Starts a checker on a machine once the one that runs there has ended. */
+    void replaceOnceEnded(SimulatedChecker former, SimulatedMachine machine, int service) {
+        simulation.scheduleAfter(REPLACEMENT_DELAY_MICROS, () -> {
+            if (former.isAlive()) {
+                replaceOnceEnded(former, machine, service);
+            } else {
+                start(machine, service);
+            }
+        });
+    }
+}
--- /dev/null
+++ b/src/main/java/reedmux/simulation/cluster/RandomFaults.java
@@ -0,0 +1,267 @@
+package reedmux.simulation.cluster;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+
+/**
+ * Injects faults of all kinds at random times into a simulated day: into core machines one at a time, and only while the
+ * core is healthy, into proxies and checkers at any time. Times are microseconds.
+ */
+final class RandomFaults {
+    private static final long SECOND = 1_000_000;
+    /** Kinds of faults by their number: those of the core, then of proxies, then of checkers, and a late one again. */
+    private static final int KINDS = 24;
+
+    private static final int FIRST_PROXY_KIND = 11;
+    private static final int FIRST_CHECKER_KIND = 17;
+    private static final int LAST_CHECKER_KIND = 21;
+    private static final int DRAIN_KIND = 18;
+    private static final int MIN_CHECKERS = 5;
+    private static final int MICROS_PER_MILLI = 1000;
+
+    private final SimulatedDay day;
+    private final SimulatedDay.DayOptions options;
+    private final ClusterSimulation simulation;
+    private final Deployment deployment;
+    private final ClusterInvariantChecker invariants;
+    private final ConfigurationGenerator configurations;
+    private final CheckerFleet checkers;
+    private final Random random;
+
+    RandomFaults(
+            SimulatedDay day,
+            SimulatedDay.DayOptions options,
+            ClusterSimulation simulation,
+            Deployment deployment,
+            ClusterInvariantChecker invariants,
+            ConfigurationGenerator configurations,
+            CheckerFleet checkers,
+            Random random) {
+        this.day = day;
+        this.options = options;
+        this.simulation = simulation;
+        this.deployment = deployment;
+        this.invariants = invariants;
+        this.configurations = configurations;
+        this.checkers = checkers;
+        this.random = random;
+    }
+
+    /** Injects faults from now on until a time. */
+    void start(long until) {
+        if (simulation.now() > until) {
+            return;
+        }
+        int kind = random.nextInt(options.storm() ? FIRST_PROXY_KIND : KINDS);
+        if (kind < FIRST_PROXY_KIND || kind > LAST_CHECKER_KIND) {
+            if (day.isCoreHealthy()) {
+                injectCoreFault(kind);
+            }
+        } else if (kind < FIRST_CHECKER_KIND) {
+            injectProxyFault(kind);
+        } else {
+            injectCheckerFault(kind);
+        }
+        simulation.scheduleAfter(SECOND + random.nextInt(3_000_000), () -> start(until));
+    }
+
+    private Deployment.DeployedNode randomNode(List<Deployment.DeployedNode> nodes) {
+        return nodes.get(random.nextInt(nodes.size()));
+    }
+
+    // ---- Core --------------------------------------------------------------------------------------
+    private void injectCoreFault(int kind) {
+        Deployment.DeployedNode node = randomNode(deployment.cores());
+        long length = SECOND + random.nextInt(3_500_000);
+        switch (kind) {
+            case 0 -> {
+                day.logFault(node.name() + " is killed for " + length / MICROS_PER_MILLI + " ms");
+                day.noteCoreFault(node, length + SECOND, false);
+                node.kill(length);
+            }
+            case 1 -> {
+                day.logFault("all of the core is killed");
+                day.noteCoreFault(null, 2 * SECOND, true);
+                deployment.cores().forEach(core -> core.kill(300_000 + random.nextInt(600_000)));
+            }
+            case 2, 3 -> losePowerAfterAcknowledgement(node, length, kind == 3);
+            case 4, 5, 6 -> {
+                day.logFault(node.name() + " is cut off, way " + kind + ", " + length / MICROS_PER_MILLI + " ms");
+                day.noteCoreFault(node, length, false);
+                partition(node, length, kind != 6, kind != 5, random.nextBoolean());
+            }
+            case 7, 8, 9 -> injectDiskFault(kind, node, length);
+            case 22 -> stopCoreAfterDrain(length);
+            default -> {
+                day.logFault(node.name() + " is frozen for " + length / MICROS_PER_MILLI + " ms");
+                day.noteCoreFault(node, length, false);
+                node.freeze(length);
+            }
+        }
+    }
+
+    private void losePowerAfterAcknowledgement(Deployment.DeployedNode node, long length, boolean wiped) {
+        day.setCoreHealthyAt(simulation.now() + 10 * SECOND);
+        day.onNextAcknowledgement(() -> {
+            day.logFault(node.name() + " loses power" + (wiped ? " and its disk" : "") + " after a 200");
+            day.noteCoreFault(node, length + SECOND, false);
+            node.losePower(length, wiped);
+        });
+    }
+
+    private void injectDiskFault(int kind, Deployment.DeployedNode node, long length) {
+        SimulatedDisk disk = node.machine().disk();
+        switch (kind) {
+            case 7 -> {
+                day.logFault(node.name() + " has a slow disk");
+                day.noteCoreFault(node, length, false);
+                disk.setSyncMicros(60_000);
+                simulation.scheduleAfter(length, () -> node.machine().disk().setSyncMicros(1_000));
+            }
+            case 8 -> {
+                day.logFault(node.name() + " has a full disk");
+                day.noteCoreFault(node, length, false);
+                disk.setFull(true);
+                simulation.scheduleAfter(length, () -> node.machine().disk().setFull(false));
+            }
+            default -> {
+                day.logFault(node.name() + " has a disk that hangs");
+                day.noteCoreFault(node, length, false);
+                disk.hangUntil(simulation.now() + length);
+            }
+        }
+    }
+
+    /** Has a checker drain, and stops who acknowledges that, or all of the core. */
+    private void stopCoreAfterDrain(long length) {
+        boolean all = random.nextBoolean();
+        day.onNextDrainAcknowledgement(acknowledger -> {
+            if (all) {
+                day.logFault("all of the core is killed after a drain was acknowledged");
+                day.noteCoreFault(null, 2 * SECOND, true);
+                deployment.cores().forEach(core -> core.kill(500_000));
+            } else {
+                day.logFault(acknowledger.name() + " loses power after it has acknowledged a drain");
+                day.noteCoreFault(acknowledger, length + SECOND, false);
+                acknowledger.losePower(length, false);
+            }
+        });
+        if (!checkers.all().isEmpty()) {
+            injectCheckerFault(DRAIN_KIND);
+        }
+    }
+
+    /** Drops what a machine sends to the others of the system, what it receives from them, or both. */
+    private void partition(Deployment.DeployedNode node, long length, boolean out, boolean in, boolean coreOnly) {
+        List<Deployment.DeployedNode> others = new ArrayList<>(deployment.cores());
+        if (!coreOnly) {
+            others.addAll(deployment.proxies());
+        }
+        others.remove(node);
+        for (Deployment.DeployedNode other : others) {
+            if (out) {
+                simulation.partition(node.machine(), other.machine());
+            }
+            if (in) {
+                simulation.partition(other.machine(), node.machine());
+            }
+        }
+        simulation.scheduleAfter(
+                length,
+                () -> others.forEach(other -> {
+                    simulation.heal(node.machine(), other.machine());
+                    simulation.heal(other.machine(), node.machine());
+                }));
+    }
+
+    // ---- Proxies -----------------------------------------------------------------------------------
+    private void injectProxyFault(int kind) {
+        Deployment.DeployedNode node = randomNode(deployment.proxies());
+        long length = SECOND + random.nextInt(3_500_000);
+        switch (kind) {
+            case 11 -> {
+                day.logFault(node.name() + " is killed");
+                invariants.addMachineFault(node.name(), simulation.now(), simulation.now() + length + SECOND);
+                node.kill(length);
+            }
+            case 12 -> {
+                day.logFault("half of the proxies are killed");
+                for (Deployment.DeployedNode each : deployment.proxies()) {
+                    if (random.nextBoolean()) {
+                        invariants.addMachineFault(each.name(), simulation.now(), simulation.now() + 2 * SECOND);
+                        each.kill(SECOND);
+                    }
+                }
+            }
+            case 13 -> rollingRestart(0, Math.max(2, deployment.proxies().size() / 3));
+            case 14 -> {
+                day.logFault(node.name() + " is cut off");
+                invariants.addMachineFault(node.name(), simulation.now(), simulation.now() + length);
+                partition(node, length, true, true, false);
+            }
+            case 15 -> {
+                day.logFault(node.name() + " is frozen");
+                invariants.addMachineFault(node.name(), simulation.now(), simulation.now() + length);
+                node.freeze(length);
+            }
+            default -> {
+                day.logFault(node.name() + " loses power");
+                invariants.addMachineFault(node.name(), simulation.now(), simulation.now() + length + SECOND);
+                node.losePower(length, false);
+            }
+        }
+    }
+
+    /** Restarts proxies from one on gracefully, one after the other. */
+    private void rollingRestart(int next, int count) {
+        if (next < count) {
+            Deployment.DeployedNode node = deployment.proxies().get(next);
+            day.logFault(node.name() + " is told to end");
+            invariants.addMachineFault(node.name(), simulation.now() + 6 * SECOND, simulation.now() + 8 * SECOND);
+            node.terminate(300_000);
+            simulation.scheduleAfter(1_300_000, () -> rollingRestart(next + 1, count));
+        }
+    }
+
+    // ---- Checkers ----------------------------------------------------------------------------------
+    private void injectCheckerFault(int kind) {
+        List<SimulatedChecker> all = checkers.all();
+        if (all.size() < MIN_CHECKERS) {
+            return;
+        }
+        SimulatedChecker checker = all.get(random.nextInt(all.size()));
+        SimulatedMachine machine = checker.machine();
+        int service = random.nextInt(2);
+        if (checker.isDraining()) {
+            return;
+        }
+        switch (kind) {
+            case 17 -> {
+                day.logFault(checker.id() + " crashes");
+                checker.crash();
+                simulation.scheduleAfter(2 * SECOND, () -> checkers.start(machine, service));
+            }
+            case 18, 19 -> {
+                day.logFault(checker.id() + " leaves, and its address goes to another");
+                checker.drain();
+                checkers.replaceOnceEnded(checker, machine, service);
+            }
+            case 20 -> {
+                if (random.nextBoolean()) {
+                    day.logFault("one tenant sends many times its usual");
+                    day.surge(configurations.planRequest().tenant(), simulation.now() + 5 * SECOND);
+                    return;
+                }
+                day.logFault("answers are lost");
+                all.forEach(each -> each.loseResponses(0.04));
+                simulation.scheduleAfter(4 * SECOND, () -> all.forEach(each -> each.loseResponses(0)));
+            }
+            default -> {
+                day.logFault(checker.id() + " is killed, and its address goes to another at once");
+                checker.crash();
+                simulation.scheduleAfter(SECOND * 2, () -> checkers.start(machine, 1 - service));
+            }
+        }
+    }
+}
