--- a/src/main/java/reedmux/simulation/cluster/FaultStorm.java
+++ b/src/main/java/reedmux/simulation/cluster/FaultStorm.java
@@ -5,13 +5,18 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import java.util.function.Consumer;
-import reedmux.simulation.cluster.ClusterInvariantChecker.ExpectedDecision;
 
 /**
- * What makes up a day that is named after one of the operators' five points: 1 contact with a majority, 2 one
- * number and one content, 3 losses right after a repair, 4 hundreds of changes past a machine that is away,
- * 5 answers of checkers that come late, twice or in part.
+ * A day full of one kind of faults, while two operators change the configuration all the time ({@link StormTraffic}). The
+ * kinds, by the number of the operators' requirement:
+ *
+ * <ol>
+ *   <li>partitions that leave a minority of the core with some proxies;
+ *   <li>stops of who has just been sent or has just acknowledged a change;
+ *   <li>losses of machines as soon as the one before is repaired;
+ *   <li>a machine that is away while hundreds of changes are made;
+ *   <li>responses of checkers that come late, twice or incomplete, and drains that are cut off.
+ * </ol>
  */
 final class FaultStorm {
     private static final long SECOND = 1_000_000;
@@ -19,146 +24,61 @@
     /** A machine that is back, or new, counts as lost for so long. */
     private static final long CONVERGENCE_MICROS = 4 * SECOND;
 
-    private static final int MAX_PENDING_CHANGES = 8;
     private final SimulatedDay day;
     private final int point;
-    private final ClusterSimulation world;
+    private final ClusterSimulation simulation;
     private final Deployment deployment;
     private final ClusterInvariantChecker invariants;
     private final ConfigurationGenerator configurations;
     private final List<SimulatedOperator> operators;
     private final Random random;
+    private final StormTraffic traffic;
     private final boolean replacesAddresses;
-    /** Addresses that have been the core's, the newest last. */
+    /** All addresses that core machines have had, the newest last. */
     private final Set<String> coreAddresses = new LinkedHashSet<>();
 
     private long until;
     private int replacements;
-    private Runnable onNextAcknowledgement;
-    private Consumer<Deployment.DeployedNode> onNextChangeSent;
 
     FaultStorm(
             SimulatedDay day,
             int point,
-            boolean readdresses,
-            ClusterSimulation world,
+            boolean replacesAddresses,
+            ClusterSimulation simulation,
             Deployment deployment,
-            ClusterInvariantChecker watch,
-            ConfigurationGenerator settings,
+            ClusterInvariantChecker invariants,
+            ConfigurationGenerator configurations,
             List<SimulatedOperator> operators,
             Random random) {
         this.day = day;
         this.point = point;
-        this.replacesAddresses = readdresses;
-        this.world = world;
+        this.replacesAddresses = replacesAddresses;
+        this.simulation = simulation;
         this.deployment = deployment;
-        this.invariants = watch;
-        this.configurations = settings;
+        this.invariants = invariants;
+        this.configurations = configurations;
         this.operators = operators;
         this.random = random;
+        traffic = new StormTraffic(day, point, simulation, deployment, configurations, operators, random);
     }
 
-    void begin(long end) {
+    /** Injects faults and sends changes from now on; the last of both some time before {@code end}. */
+    void start(long end) {
         until = end - SECOND;
         deployment.cores().forEach(core -> coreAddresses.add(core.machine().ip()));
-        for (SimulatedOperator operator : operators) {
-            operator.loseResponses(
-                    point == 2 ? 0.2 : 0.03, SECOND + random.nextInt(point == 2 ? 15_000_000 : 4_000_000));
-            operator.onSent(ip -> {
-                Consumer<Deployment.DeployedNode> then = onNextChangeSent;
-                if (then != null && day.isCoreHealthy()) {
-                    onNextChangeSent = null;
-                    deployment.cores().stream()
-                            .filter(core -> core.machine().ip().equals(ip))
-                            .findFirst()
-                            .ifPresent(then);
-                }
-            });
-        }
-        sendChanges();
-        sendReads();
-        world.scheduleAfter(SECOND, this::injectFaults);
-    }
-
-    // ---- The operators -----------------------------------------------------------------------------
-    private void sendChanges() {
-        if (world.now() > until) {
-            return;
-        }
-        if (operators.stream().mapToInt(SimulatedOperator::pendingChanges).sum() < MAX_PENDING_CHANGES) {
-            sendChange(operators.get(random.nextInt(operators.size())));
-        }
-        long mean = point == 4 ? 100_000 : point == 2 ? 150_000 : 400_000;
-        world.scheduleAfter(mean / 2 + random.nextInt((int) mean), this::sendChanges);
-    }
-
-    private void sendChange(SimulatedOperator one) {
-        SimulatedOperator other = operators.get(1 - operators.indexOf(one));
-        int kind = random.nextInt(point == 2 ? 10 : 14);
-        if (kind == 0) {
-            send(one, configurations.invalidChange(), ExpectedDecision.REJECT, 0, () -> {});
-        } else if (kind == 1) {
-            var pair = configurations.concurrentPair();
-            ExpectedDecision proper = pair.getKey() ? ExpectedDecision.ACCEPT : ExpectedDecision.EITHER;
-            send(one, pair.getValue().get(0), proper, 0, () -> {});
-            send(other, pair.getValue().get(1), proper, randomDelayMicros(20_000), () -> {});
-        } else if (kind < 4 && point == 2) {
-            List<String> pair = configurations.conflictingPair();
-            send(one, pair.get(0), ExpectedDecision.EITHER, 0, () -> {});
-            send(
-                    other,
-                    pair.get(1),
-                    ExpectedDecision.EITHER,
-                    random.nextBoolean() ? randomDelayMicros(20_000) : randomDelayMicros(5_000_000),
-                    () -> {});
-        } else if (kind < 6) {
-            sendChain(one, configurations.dependentChain(), 0);
-        } else if (kind == 6 && point == 4) {
-            send(one, configurations.largeChange(), ExpectedDecision.ACCEPT, 0, () -> {});
-        } else {
-            send(one, configurations.validChange(), ExpectedDecision.ACCEPT, 0, () -> {});
-        }
-    }
-
-    /** Each is sent once the one before was acknowledged, to whomever. */
-    private void sendChain(SimulatedOperator operator, List<String> calls, int at) {
-        if (at < calls.size()) {
-            send(operator, calls.get(at), ExpectedDecision.ACCEPT, 0, () -> sendChain(operator, calls, at + 1));
-        }
-    }
-
-    private void send(SimulatedOperator operator, String body, ExpectedDecision proper, long delay, Runnable acked) {
-        world.scheduleAfter(
-                delay,
-                () -> operator.changeConfiguration(body, proper, ConfigurationGenerator::visibleEffect, status -> {
-                    if (status == 200) {
-                        acked.run();
-                        Runnable then = onNextAcknowledgement;
-                        if (then != null && day.isCoreHealthy()) {
-                            onNextAcknowledgement = null;
-                            then.run();
-                        }
-                    }
-                }));
-    }
-
-    private void sendReads() {
-        operators.get(random.nextInt(operators.size())).readOnce();
-        if (world.now() < until) {
-            world.scheduleAfter(100_000 + random.nextInt(300_000), this::sendReads);
-        }
+        traffic.start(until);
+        simulation.scheduleAfter(SECOND, this::injectFaults);
     }
 
     private long randomDelayMicros(int most) {
         return random.nextInt(most);
     }
 
-    // ---- Troubles ----------------------------------------------------------------------------------
     private void injectFaults() {
-        if (world.now() > until - 2 * SECOND) {
+        if (simulation.now() > until - 2 * SECOND) {
             return;
         }
-        if (day.isCoreHealthy() && onNextAcknowledgement == null && onNextChangeSent == null) {
+        if (day.isCoreHealthy() && !traffic.hasPendingAction()) {
             switch (point) {
                 case 1 -> injectContactFault();
                 case 2 -> injectChangeFault();
@@ -167,7 +87,7 @@
                 default -> injectResponseFault();
             }
         }
-        world.scheduleAfter(250_000 + randomDelayMicros(500_000), this::injectFaults);
+        simulation.scheduleAfter(250_000 + randomDelayMicros(500_000), this::injectFaults);
     }
 
     private Deployment.DeployedNode randomCore() {
@@ -177,7 +97,7 @@
     private void injectContactFault() {
         long length = Math.min(
                 random.nextInt(4) > 0 ? LONG_PARTITION_MICROS : 3 * SECOND + randomDelayMicros(17_000_000),
-                until - world.now());
+                until - simulation.now());
         switch (random.nextInt(8)) {
             case 0 -> freeze(randomCore(), length);
             case 1 -> {
@@ -185,7 +105,7 @@
                 killCore(300_000 + randomDelayMicros(600_000));
             }
             case 2, 3 -> partition(lastAcknowledger(), length);
-            case 4 -> onNextAcknowledgement = () -> partition(lastAcknowledger(), length);
+            case 4 -> traffic.onNextAcknowledgement(() -> partition(lastAcknowledger(), length));
             default -> partition(randomCore(), length);
         }
     }
@@ -209,7 +129,7 @@
         deployment.cores().forEach(core -> core.kill(downFor));
     }
 
-    /** Less than half of the core is alone with some proxies, of which some are started there. */
+    /** Partitions a minority of the core with some proxies from the rest; some of these are restarted meanwhile. */
     private void partition(Deployment.DeployedNode first, long length) {
         partition(first, length, random.nextInt(4) == 0);
     }
@@ -234,32 +154,32 @@
                 + " ms" + (out ? "" : ", not out") + (in ? "" : ", not in"));
         day.noteCoreFault(null, length, false);
         for (Deployment.DeployedNode one : side) {
-            invariants.addMachineFault(one.name(), world.now(), world.now() + length);
-            invariants.addMachineFault(one.machine().ip(), world.now(), world.now() + length);
+            invariants.addMachineFault(one.name(), simulation.now(), simulation.now() + length);
+            invariants.addMachineFault(one.machine().ip(), simulation.now(), simulation.now() + length);
             if (out && in) {
-                invariants.addMinoritySpan(one.name(), world.now(), world.now() + length);
+                invariants.addMinoritySpan(one.name(), simulation.now(), simulation.now() + length);
             }
             for (Deployment.DeployedNode other : rest) {
                 if (out) {
-                    world.partition(one.machine(), other.machine());
+                    simulation.partition(one.machine(), other.machine());
                 }
                 if (in) {
-                    world.partition(other.machine(), one.machine());
+                    simulation.partition(other.machine(), one.machine());
                 }
             }
         }
-        world.scheduleAfter(
+        simulation.scheduleAfter(
                 length,
                 () -> side.forEach(one -> rest.forEach(other -> {
-                    world.heal(one.machine(), other.machine());
-                    world.heal(other.machine(), one.machine());
+                    simulation.heal(one.machine(), other.machine());
+                    simulation.heal(other.machine(), one.machine());
                 })));
         List<String> seeds = new ArrayList<>();
         side.subList(0, alone).forEach(core -> seeds.add(core.machine().ip()));
         seeds.add(rest.get(0).machine().ip());
         for (Deployment.DeployedNode edge : edges) {
             if (length > 4 * SECOND && random.nextBoolean()) {
-                world.scheduleAfter(SECOND + randomDelayMicros((int) (length - 3 * SECOND)), () -> {
+                simulation.scheduleAfter(SECOND + randomDelayMicros((int) (length - 3 * SECOND)), () -> {
                     day.logFault(edge.name() + " is killed where it is cut off");
                     edge.setSeeds(random.nextBoolean() ? seeds : null);
                     edge.kill(500_000);
@@ -272,45 +192,45 @@
         long length = 500_000 + randomDelayMicros(3_000_000);
         switch (random.nextInt(7)) {
             case 0, 1 ->
-                onNextChangeSent = node -> world.scheduleAfter(
+                traffic.onNextChangeSent(node -> simulation.scheduleAfter(
                         randomDelayMicros(4) == 0 ? randomDelayMicros(2_000) : randomDelayMicros(60_000), () -> {
                             day.logFault(node.name() + " is killed with an order in its hands");
                             day.noteCoreFault(node, length + SECOND, false);
                             node.kill(length);
-                        });
+                        }));
             case 2 ->
-                onNextChangeSent = node -> world.scheduleAfter(randomDelayMicros(30_000), () -> {
+                traffic.onNextChangeSent(node -> simulation.scheduleAfter(randomDelayMicros(30_000), () -> {
                     boolean wiped = random.nextInt(3) == 0;
                     day.logFault(
                             node.name() + " loses power with an order in its hands" + (wiped ? ", and its disk" : ""));
                     day.noteCoreFault(node, length + SECOND, false);
                     node.losePower(length, wiped);
-                });
+                }));
             case 3 -> partition(randomCore(), SECOND + randomDelayMicros(4_000_000));
             case 4 -> freeze(randomCore(), SECOND + randomDelayMicros(19_000_000));
             case 5 ->
-                onNextAcknowledgement = () -> {
+                traffic.onNextAcknowledgement(() -> {
                     day.logFault("all of the core is killed after a 200");
                     killCore(300_000 + randomDelayMicros(600_000));
-                };
+                });
             default -> partition(lastAcknowledger(), length);
         }
     }
 
-    /** What comes next comes as soon as the machine before is whole by the rules. */
+    /** The next loss follows as soon as the machine before counts as repaired. */
     private void injectRepairFault() {
         Deployment.DeployedNode node = randomCore();
         long length = 500_000 + randomDelayMicros(2_500_000);
         int kind = random.nextInt(replacesAddresses ? 8 : 5);
         if (kind == 0) {
-            onNextAcknowledgement = () -> losePowerEverywhere(300_000 + randomDelayMicros(600_000));
+            traffic.onNextAcknowledgement(() -> losePowerEverywhere(300_000 + randomDelayMicros(600_000)));
             return;
         }
         node.setSeeds(drawSeeds(node));
         Deployment.DeployedNode edge =
                 deployment.proxies().get(random.nextInt(deployment.proxies().size()));
         edge.setSeeds(drawSeeds(node));
-        invariants.addMachineFault(edge.name(), world.now(), world.now() + length + SECOND);
+        invariants.addMachineFault(edge.name(), simulation.now(), simulation.now() + length + SECOND);
         day.noteCoreFault(node, length + CONVERGENCE_MICROS, false);
         edge.kill(length);
         if (kind < 4) {
@@ -327,7 +247,7 @@
             coreAddresses.add(ip);
             node.replace(ip, withDisk, length);
         }
-        day.setCoreHealthyAt(world.now() + length + CONVERGENCE_MICROS);
+        day.setCoreHealthyAt(simulation.now() + length + CONVERGENCE_MICROS);
     }
 
     /** Three that have been the core's, one of which at least is now and is not the one that ends. */
@@ -347,7 +267,7 @@
         day.noteCoreFault(null, downFor + SECOND, true);
         deployment.cores().forEach(core -> core.losePower(downFor, false));
         deployment.proxies().forEach(edge -> {
-            invariants.addMachineFault(edge.name(), world.now(), world.now() + downFor + SECOND);
+            invariants.addMachineFault(edge.name(), simulation.now(), simulation.now() + downFor + SECOND);
             edge.losePower(downFor, false);
         });
     }
@@ -371,20 +291,20 @@
                 day.logFault("all of the core is killed");
                 killCore(300_000 + randomDelayMicros(600_000));
             }
-            case 4 -> onNextAcknowledgement = () -> losePowerEverywhere(300_000 + randomDelayMicros(600_000));
+            case 4 -> traffic.onNextAcknowledgement(() -> losePowerEverywhere(300_000 + randomDelayMicros(600_000)));
             case 5 -> {
                 day.logFault(node.name() + " is killed, and its disk is full when it starts");
                 day.noteCoreFault(node, 6 * SECOND, false);
                 node.machine().disk().setFull(true);
                 node.kill(SECOND);
-                world.scheduleAfter(5 * SECOND, () -> node.machine().disk().setFull(false));
+                simulation.scheduleAfter(5 * SECOND, () -> node.machine().disk().setFull(false));
             }
             case 6 -> {
                 long slow = 2 * SECOND + randomDelayMicros(4_000_000);
                 day.logFault(node.name() + " has a slow disk for " + slow / 1000 + " ms");
                 day.noteCoreFault(node, slow, false);
                 node.machine().disk().setSyncMicros(60_000);
-                world.scheduleAfter(slow, () -> node.machine().disk().setSyncMicros(1_000));
+                simulation.scheduleAfter(slow, () -> node.machine().disk().setSyncMicros(1_000));
             }
             default -> freeze(node, length);
         }
@@ -413,18 +333,19 @@
                     }
                 });
                 day.drainAndReplace(one, 2 * SECOND + randomDelayMicros(10_000_000));
-                day.setCoreHealthyAt(world.now());
+                day.setCoreHealthyAt(simulation.now());
             }
             case 5 -> {
                 day.logFault("one tenant sends many times its usual");
-                day.surge(configurations.planRequest().tenant(), world.now() + 5 * SECOND);
-                day.setCoreHealthyAt(world.now() + 4 * SECOND);
+                day.surge(configurations.planRequest().tenant(), simulation.now() + 5 * SECOND);
+                day.setCoreHealthyAt(simulation.now() + 4 * SECOND);
             }
             default -> {
                 day.logFault("checkers answer late, twice, in part or not at all");
                 day.checkers().forEach(checker -> checker.sendFaultyResponses(0.05));
-                day.setCoreHealthyAt(world.now() + length);
-                world.scheduleAfter(length, () -> day.checkers().forEach(checker -> checker.sendFaultyResponses(0)));
+                day.setCoreHealthyAt(simulation.now() + length);
+                simulation.scheduleAfter(
+                        length, () -> day.checkers().forEach(checker -> checker.sendFaultyResponses(0)));
             }
         }
     }
--- a/src/main/java/reedmux/simulation/cluster/SimulatedDay.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedDay.java
@@ -127,7 +127,7 @@
                             configurations,
                             operators,
                             random)
-                    .begin(end);
+                    .start(end);
         } else {
             sendChanges(end - SECOND);
             new RandomFaults(this, options, simulation, deployment, invariants, configurations, checkers, random)
--- /dev/null
+++ b/src/main/java/reedmux/simulation/cluster/StormTraffic.java
@@ -0,0 +1,162 @@
+package reedmux.simulation.cluster;
+
+import java.util.List;
+import java.util.Random;
+import java.util.function.Consumer;
+import reedmux.simulation.cluster.ClusterInvariantChecker.ExpectedDecision;
+
+/**
+ * What the two operators of a {@link FaultStorm} send: changes that contend with each other or depend on each other, and
+ * reads in between. Faults can be tied to the next change that is sent or acknowledged. Times are microseconds.
+ */
+final class StormTraffic {
+    private static final long SECOND = 1_000_000;
+    private static final int MAX_PENDING_CHANGES = 8;
+
+    private final SimulatedDay day;
+    private final int point;
+    private final ClusterSimulation simulation;
+    private final Deployment deployment;
+    private final ConfigurationGenerator configurations;
+    private final List<SimulatedOperator> operators;
+    private final Random random;
+    private long until;
+    /** Run once when a change is acknowledged while the core is healthy; or null. */
+    private Runnable onNextAcknowledgement;
+    /** Applied once to the control machine that is sent a change while the core is healthy; or null. */
+    private Consumer<Deployment.DeployedNode> onNextChangeSent;
+
+    /** {@code point}: the storm's kind, see {@link FaultStorm}. */
+    StormTraffic(
+            SimulatedDay day,
+            int point,
+            ClusterSimulation simulation,
+            Deployment deployment,
+            ConfigurationGenerator configurations,
+            List<SimulatedOperator> operators,
+            Random random) {
+        this.day = day;
+        this.point = point;
+        this.simulation = simulation;
+        this.deployment = deployment;
+        this.configurations = configurations;
+        this.operators = operators;
+        this.random = random;
+    }
+
+    /** Sends changes and reads from now on until a time. */
+    void start(long end) {
+        until = end;
+        for (SimulatedOperator operator : operators) {
+            operator.loseResponses(
+                    point == 2 ? 0.2 : 0.03, SECOND + random.nextInt(point == 2 ? 15_000_000 : 4_000_000));
+            operator.onSent(this::onSent);
+        }
+        sendChanges();
+        sendReads();
+    }
+
+    private void onSent(String ip) {
+        Consumer<Deployment.DeployedNode> action = onNextChangeSent;
+        if (action != null && day.isCoreHealthy()) {
+            onNextChangeSent = null;
+            deployment.cores().stream()
+                    .filter(core -> core.machine().ip().equals(ip))
+                    .findFirst()
+                    .ifPresent(action);
+        }
+    }
+
+    /** Sets what happens once the next change is acknowledged while the core is healthy. */
+    void onNextAcknowledgement(Runnable action) {
+        onNextAcknowledgement = action;
+    }
+
+    /** Sets what happens to the next control machine that is sent a change while the core is healthy. */
+    void onNextChangeSent(Consumer<Deployment.DeployedNode> action) {
+        onNextChangeSent = action;
+    }
+
+    /** Whether an action that was set has not happened yet. */
+    boolean hasPendingAction() {
+        return onNextAcknowledgement != null || onNextChangeSent != null;
+    }
+
+    private void sendChanges() {
+        if (simulation.now() > until) {
+            return;
+        }
+        if (operators.stream().mapToInt(SimulatedOperator::pendingChanges).sum() < MAX_PENDING_CHANGES) {
+            sendChange(operators.get(random.nextInt(operators.size())));
+        }
+        long mean = point == 4 ? 100_000 : point == 2 ? 150_000 : 400_000;
+        simulation.scheduleAfter(mean / 2 + random.nextInt((int) mean), this::sendChanges);
+    }
+
+    /** Sends one change, or two from both operators that contend. */
+    private void sendChange(SimulatedOperator one) {
+        SimulatedOperator other = operators.get(1 - operators.indexOf(one));
+        int kind = random.nextInt(point == 2 ? 10 : 14);
+        if (kind == 0) {
+            send(one, configurations.invalidChange(), ExpectedDecision.REJECT, 0, () -> {});
+        } else if (kind == 1) {
+            var pair = configurations.concurrentPair();
+            ExpectedDecision expected = pair.getKey() ? ExpectedDecision.ACCEPT : ExpectedDecision.EITHER;
+            send(one, pair.getValue().get(0), expected, 0, () -> {});
+            send(other, pair.getValue().get(1), expected, randomDelayMicros(20_000), () -> {});
+        } else if (kind < 4 && point == 2) {
+            List<String> pair = configurations.conflictingPair();
+            send(one, pair.get(0), ExpectedDecision.EITHER, 0, () -> {});
+            send(
+                    other,
+                    pair.get(1),
+                    ExpectedDecision.EITHER,
+                    random.nextBoolean() ? randomDelayMicros(20_000) : randomDelayMicros(5_000_000),
+                    () -> {});
+        } else if (kind < 6) {
+            sendChain(one, configurations.dependentChain(), 0);
+        } else if (kind == 6 && point == 4) {
+            send(one, configurations.largeChange(), ExpectedDecision.ACCEPT, 0, () -> {});
+        } else {
+            send(one, configurations.validChange(), ExpectedDecision.ACCEPT, 0, () -> {});
+        }
+    }
+
+    /** Sends changes, each once the one before was acknowledged, to any control machine. */
+    private void sendChain(SimulatedOperator operator, List<String> calls, int next) {
+        if (next < calls.size()) {
+            send(operator, calls.get(next), ExpectedDecision.ACCEPT, 0, () -> sendChain(operator, calls, next + 1));
+        }
+    }
+
+    private void send(
+            SimulatedOperator operator,
+            String body,
+            ExpectedDecision expected,
+            long delayMicros,
+            Runnable onAcknowledged) {
+        simulation.scheduleAfter(
+                delayMicros,
+                () -> operator.changeConfiguration(body, expected, ConfigurationGenerator::visibleEffect, status -> {
+                    if (status == 200) {
+                        onAcknowledged.run();
+                        Runnable then = onNextAcknowledgement;
+                        if (then != null && day.isCoreHealthy()) {
+                            onNextAcknowledgement = null;
+                            then.run();
+                        }
+                    }
+                }));
+    }
+
+    private void sendReads() {
+        operators.get(random.nextInt(operators.size())).readOnce();
+        if (simulation.now() < until) {
+            simulation.scheduleAfter(100_000 + random.nextInt(300_000), this::sendReads);
+        }
+    }
+
+    private long randomDelayMicros(int most) {
+        return random.nextInt(most);
+    }
+}
