--- a/src/main/java/reedmux/simulation/cluster/CatchUpExperiment.java
+++ b/src/main/java/reedmux/simulation/cluster/CatchUpExperiment.java
@@ -18,7 +18,7 @@
     private static final int ITEMS_PER_CALL = 500;
     private static final int[] SIZES = {10, 100, 1_000, 10_000, 100_000};
     private static final long TIMEOUT_MICROS = 300 * SECOND_MICROS;
-    private final ClusterSimulation world;
+    private final ClusterSimulation simulation;
     private final Deployment deployment;
     private final SimulatedOperator operator;
     private final List<String> log = new ArrayList<>();
@@ -29,17 +29,17 @@
     public record DiskContent(int items, boolean complete) {}
 
     CatchUpExperiment(long seed) {
-        world = new ClusterSimulation(seed);
-        deployment = new Deployment(world, 1, 3, log::add);
+        simulation = new ClusterSimulation(seed);
+        deployment = new Deployment(simulation, 1, 3, log::add);
         deployment.start();
         operator = new SimulatedOperator(
-                world, "10.8.0.1", deployment.controlAddresses().subList(0, 2), new ClusterInvariantChecker());
+                simulation, "10.8.0.1", deployment.controlAddresses().subList(0, 2), new ClusterInvariantChecker());
         laggard = deployment.cores().get(2);
-        world.runFor(5 * SECOND_MICROS);
+        simulation.runFor(5 * SECOND_MICROS);
     }
 
     ClusterSimulation simulation() {
-        return world;
+        return simulation;
     }
 
     Deployment.DeployedNode laggard() {
@@ -57,9 +57,9 @@
                     ClusterInvariantChecker.ExpectedDecision.ACCEPT,
                     ConfigurationGenerator::visibleEffect,
                     status -> done[0] = status == 200);
-            for (long end = world.now() + TIMEOUT_MICROS; !done[0]; ) {
-                world.runFor(SECOND_MICROS / 20);
-                if (world.now() > end) {
+            for (long end = simulation.now() + TIMEOUT_MICROS; !done[0]; ) {
+                simulation.runFor(SECOND_MICROS / 20);
+                if (simulation.now() > end) {
                     throw new IllegalStateException("no answer to a change: " + log);
                 }
             }
@@ -114,23 +114,23 @@
             progress.accept(size + " items");
             CatchUpExperiment day = new CatchUpExperiment(3);
             day.changeItems(0, size);
-            day.world.runFor(5 * SECOND_MICROS);
+            day.simulation.runFor(5 * SECOND_MICROS);
             claims.record(size + " items, started again, nothing missed: kB", day.catchUpKilobytes(false, 0));
             int missed = Math.max(1, size / 100);
             claims.record(size + " items, " + missed + " of them missed: kB", day.catchUpKilobytes(false, missed));
             claims.record(size + " items, an empty disk: kB", day.catchUpKilobytes(true, 0));
-            long lost = day.world.now();
+            long lost = day.simulation.now();
             day.laggard.losePower(SECOND_MICROS, true);
             day.log.clear();
-            while (!day.hasLogged("whole again") && day.world.now() < lost + TIMEOUT_MICROS) {
-                day.world.runFor(SECOND_MICROS / 200);
+            while (!day.hasLogged("whole again") && day.simulation.now() < lost + TIMEOUT_MICROS) {
+                day.simulation.runFor(SECOND_MICROS / 200);
             }
             claims.check(
                     size + " items, an empty disk: ms until it counts itself",
-                    (day.world.now() - lost - SECOND_MICROS) / 1000,
+                    (day.simulation.now() - lost - SECOND_MICROS) / 1000,
                     "< " + TIMEOUT_MICROS / 1000,
                     day.hasLogged("whole again"));
-            day.world.runFor(5 * SECOND_MICROS);
+            day.simulation.runFor(5 * SECOND_MICROS);
             DiskContent left = day.readDisk();
             claims.check(
                     size + " items, an empty disk: items on it then",
@@ -143,14 +143,14 @@
 
     private String catchUpKilobytes(boolean wiped, int missed) {
         long idle = receivedBytes();
-        world.runFor(10 * SECOND_MICROS);
+        simulation.runFor(10 * SECOND_MICROS);
         idle = receivedBytes() - idle;
         long before = receivedBytes();
         laggard.losePower(2 * SECOND_MICROS, wiped);
         if (missed > 0) {
             changeItems(0, missed);
         }
-        world.runFor(12 * SECOND_MICROS);
+        simulation.runFor(12 * SECOND_MICROS);
         return String.format(Locale.ROOT, "%.1f", Math.max(0, receivedBytes() - before - idle) / 1e3);
     }
 }
--- a/src/main/java/reedmux/simulation/cluster/ClusterSimulation.java
+++ b/src/main/java/reedmux/simulation/cluster/ClusterSimulation.java
@@ -7,7 +7,10 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Virtual time, machines and the links between them. All chance comes from one seed. */
+/**
+ * A discrete-event simulation of machines and the network between them. Time is virtual, in microseconds, and advances
+ * from event to event; everything random comes from one generator, so a seed always gives the same run. Single-threaded.
+ */
 public final class ClusterSimulation {
     private static final long START_MICROS = 3_600_000_000L;
     private static final long FNV_PRIME = 0x100000001B3L;
@@ -49,7 +52,7 @@
         scheduleAt(now + delay, task);
     }
 
-    /** Lets so much time pass. */
+    /** Advances time by so many microseconds, running the events that are due. */
     void runFor(long length) {
         long until = now + length;
         while (!scheduled.isEmpty() && scheduled.peek().at <= until) {
@@ -61,7 +64,7 @@
         now = until;
     }
 
-    /** Takes something that can be seen into the digest of the run. */
+    /** Adds an observation and its time to the run's digest (FNV-1a); equal runs have equal digests. */
     void addToDigest(String what) {
         for (int i = 0; i < what.length(); i++) {
             digest = (digest ^ what.charAt(i)) * FNV_PRIME;
@@ -73,7 +76,7 @@
         return digest;
     }
 
-    /** Whether the time that programs take on the processor is measured; the digest is the same. */
+    /** Whether the programs' real CPU time is measured; that does not change the run. */
     boolean measuresCpu() {
         return measuresCpu;
     }
@@ -86,7 +89,7 @@
         return events;
     }
 
-    // ---- Machines and links ------------------------------------------------------------------------
+    // ---- Machines and network ----------------------------------------------------------------------
     void addMachine(SimulatedMachine machine) {
         machines.put(machine.ip(), machine);
     }
@@ -99,7 +102,7 @@
         return from.ip() + '>' + to.ip();
     }
 
-    /** Nothing goes from one to the other any more. */
+    /** Drops everything from one machine to another until {@link #heal}. */
     void partition(SimulatedMachine from, SimulatedMachine to) {
         partitionedPaths.add(path(from, to));
     }
@@ -112,7 +115,7 @@
         return from == to || !partitionedPaths.contains(path(from, to));
     }
 
-    /** What a packet takes now. */
+    /** Draws the delay of one packet in microseconds, by whether machine and zone are the same. */
     long drawDelayMicros(SimulatedMachine from, SimulatedMachine to) {
         long base = from == to ? 20 : from.zone().equals(to.zone()) ? 100 : 500;
         return base + (long) (random.nextDouble() * base * 0.5) + (random.nextInt(400) == 0 ? 3_000 : 0);
--- a/src/main/java/reedmux/simulation/cluster/ConfigurationGenerator.java
+++ b/src/main/java/reedmux/simulation/cluster/ConfigurationGenerator.java
@@ -10,7 +10,7 @@
 import reedmux.control.configuration.ConfigurationItem;
 import reedmux.control.configuration.ItemJson;
 
-/** What the operators of a day want: calls with their items, valid and not. */
+/** Generates the changes that operators send, valid and invalid, and the requests that use or probe their items. */
 final class ConfigurationGenerator {
     static final String[] SERVICES = {"desk", "intake"};
     private static final int ROUTES = 6;
@@ -64,7 +64,7 @@
                         + QUOTA_RATE + ",\"burst\":" + QUOTA_BURST);
     }
 
-    /** What requests under an item come to. */
+    /** How requests show that an item is in force; see {@link ClusterInvariantChecker#onVersionSent}. */
     static String visibleEffect(ConfigurationItem item) {
         try {
             if (item.isDeleted()) {
@@ -79,7 +79,7 @@
         }
     }
 
-    /** The first call. */
+    /** The first change of a day. */
     String initialChange() {
         List<String> all = new ArrayList<>();
         long at = nextRevision();
@@ -159,7 +159,7 @@
         return callJson(List.of(movedRouteJson(any)), "");
     }
 
-    /** Two calls, each valid alone; {@code true}: together, too. */
+    /** Two changes, each valid alone; the key is whether they are valid together, too. */
     Map.Entry<Boolean, List<String>> concurrentPair() {
         switch (random.nextInt(3)) {
             case 0 -> {
@@ -197,7 +197,7 @@
         }
     }
 
-    /** Two calls with other contents under one number: one of them at most may be confirmed. */
+    /** Two changes with different contents under one revision, of which at most one may be acknowledged. */
     List<String> conflictingPair() {
         String any = "r" + random.nextInt(ROUTES);
         long at = nextRevision();
@@ -213,7 +213,7 @@
                 callJson(List.of(routeJson(any, "/" + any + "/", SERVICES[1], repeats, at)), ""));
     }
 
-    /** Two valid calls, of which the second is valid only once the first is in force. */
+    /** Changes of which each is valid only once the one before is in force. */
     List<String> dependentChain() {
         int number = addedNames++;
         long at = nextRevision();
@@ -247,7 +247,7 @@
                         ""));
     }
 
-    /** A valid call of many bytes. */
+    /** A valid change of many bytes. */
     String largeChange() {
         String name = "big" + random.nextInt(4);
         long at = nextRevision();
@@ -272,7 +272,7 @@
                 "");
     }
 
-    /** A call that is invalid. */
+    /** An invalid change. */
     String invalidChange() {
         String name = "bad" + addedNames++;
         return switch (random.nextInt(6)) {
@@ -292,7 +292,7 @@
         };
     }
 
-    /** Whether the place of a route has gone to another, so that what it shows says nothing of the first. */
+    /** Whether another route has replaced this one at its prefix, so that requests say nothing of it. */
     boolean isReplaced(String routeItem) {
         return replacedRoutes.contains(routeItem);
     }
@@ -302,7 +302,7 @@
         return planRequest("t" + random.nextInt(TENANTS));
     }
 
-    /** One of a tenant. */
+    /** A request of one tenant on a route that stays. */
     SimulatedClients.PlannedRequest planRequest(String name) {
         int number = random.nextInt(ROUTES);
         int tenant = Integer.parseInt(name.substring(1));
@@ -316,7 +316,7 @@
                 "tenants/t" + tenant);
     }
 
-    /** A request that shows what is in force of a route or a key that may have changed. */
+    /** A request that shows which version of a route or key is in force that may have changed. */
     SimulatedClients.PlannedRequest planProbe() {
         int tenant = random.nextInt(TENANTS);
         List<String> has = keysOf.get("t" + tenant);
--- a/src/main/java/reedmux/simulation/cluster/Deployment.java
+++ b/src/main/java/reedmux/simulation/cluster/Deployment.java
@@ -15,7 +15,7 @@
 import reedmux.control.store.StoreServer;
 import reedmux.proxy.Proxy;
 
-/** The machines of a deployment and the programs on them, started and ended as the platform does. */
+/** The machines of a simulated deployment with their programs, which it starts, stops and restarts as a platform does. */
 final class Deployment {
     static final String[] ZONES = {"hall-a", "hall-b", "hall-c"};
     static final int STORE_PORT = 7360;
@@ -27,7 +27,7 @@
     private static final long SHUTDOWN_GRACE_MICROS = 6_000_000;
     private static final long ADDRESS_LIST_LAG_MICROS = 3_000_000;
     private static final int SEEDS = 3;
-    private final ClusterSimulation world;
+    private final ClusterSimulation simulation;
     private final Consumer<String> log;
     private final List<DeployedNode> edges = new ArrayList<>();
     private final List<DeployedNode> cores = new ArrayList<>();
@@ -64,17 +64,17 @@
             return machine;
         }
 
-        /** Tells one life of its proxy from another. */
+        /** Tells one incarnation of its proxy from another. */
         String incarnation() {
             return name + '#' + incarnations;
         }
 
-        /** When its processes were started last. */
+        /** When its processes were last started. */
         long startedAt() {
             return startedAt;
         }
 
-        /** What its settings file says from the next start on; addresses without ports. */
+        /** Sets the seeds of its settings file from the next start on; addresses without ports, or null for the first ones. */
         void setSeeds(List<String> ips) {
             seeds = ips;
         }
@@ -83,12 +83,12 @@
             return shuttingDown;
         }
 
-        /** Starts what it runs. */
+        /** Starts its programs. */
         void start() {
             down = false;
             shuttingDown = false;
             incarnations++;
-            startedAt = world.now();
+            startedAt = simulation.now();
             for (String role : core ? List.of("store", "registry") : List.of("proxy")) {
                 start(role);
             }
@@ -98,7 +98,8 @@
         private void start(String role) {
             try {
                 ProcessSettings boot = settings(this, role);
-                SimulatedProcess host = new SimulatedProcess(world, machine, name + '/' + role, EVENT_COST_MICROS, log);
+                SimulatedProcess host =
+                        new SimulatedProcess(simulation, machine, name + '/' + role, EVENT_COST_MICROS, log);
                 Program program =
                         switch (role) {
                             case "store" -> new StoreServer(boot, host.reactor());
@@ -107,24 +108,24 @@
                         };
                 processes.put(role, host);
                 programs.put(role, program);
-                host.onExit(() -> world.scheduleAfter(RESTART_DELAY_MICROS, () -> {
+                host.onExit(() -> simulation.scheduleAfter(RESTART_DELAY_MICROS, () -> {
                     if (processes.get(role) == host && !down) {
                         if (!shuttingDown) {
                             unexpectedExitListener.accept(name + '/' + role);
                         }
                         shuttingDown = false;
                         incarnations++;
-                        startedAt = world.now();
+                        startedAt = simulation.now();
                         start(role);
                     }
                 }));
                 host.submit(() -> {});
             } catch (ProcessSettingsException e) {
                 throw new IllegalStateException(name + ": " + e.getMessage(), e);
-            } catch (IOException e) { // as when the disk refuses: it is tried again
+            } catch (IOException e) { // for instance a full disk: the platform tries again
                 log.accept(name + '/' + role + " does not start: " + e.getMessage());
                 unexpectedExitListener.accept(name + '/' + role);
-                world.scheduleAfter(RESTART_DELAY_MICROS, () -> {
+                simulation.scheduleAfter(RESTART_DELAY_MICROS, () -> {
                     if (!down) {
                         start(role);
                     }
@@ -132,17 +133,17 @@
             }
         }
 
-        /** Its processes are killed, and started again after a while. */
+        /** Kills its processes and restarts them after so many microseconds. */
         void kill(long downFor) {
             processes.values().forEach(SimulatedProcess::kill);
             startAfter(downFor);
         }
 
-        /** Whatever has ended it, what came last says when it is back. */
+        /** Schedules the restart; of several stops the last one decides when that is. */
         private void startAfter(long downFor) {
             down = true;
             int fall = ++stops;
-            world.scheduleAfter(downFor, () -> {
+            simulation.scheduleAfter(downFor, () -> {
                 if (fall == stops) {
                     machine.restorePower();
                     start();
@@ -150,7 +151,7 @@
             });
         }
 
-        /** It loses power, and with {@code wiped} its disk. */
+        /** Cuts its power for so many microseconds; with {@code wiped} its disk is lost as well. */
         void losePower(long downFor, boolean wiped) {
             machine.losePower();
             if (wiped) {
@@ -159,31 +160,31 @@
             startAfter(downFor);
         }
 
-        /** Another machine takes its place and its name, at another address, perhaps with its disk. */
+        /** Replaces the machine by another of the same name at another address, perhaps with its disk. */
         void replace(String ip, boolean withDisk, long downFor) {
             machine.losePower();
             down = true;
             int fall = ++stops;
             int place = cores.indexOf(this);
-            world.scheduleAfter(downFor, () -> {
+            simulation.scheduleAfter(downFor, () -> {
                 machine = new SimulatedMachine(
-                        world, ip, machine.zone(), withDisk ? machine.disk() : new SimulatedDisk(world));
+                        simulation, ip, machine.zone(), withDisk ? machine.disk() : new SimulatedDisk(simulation));
                 if (fall == stops) {
                     start();
                 }
             });
-            world.scheduleAfter(
+            simulation.scheduleAfter(
                     downFor + ADDRESS_LIST_LAG_MICROS,
                     () -> controlAddresses.set(place, SocketAddresses.parse(ip + ':' + CONTROL_PORT)));
         }
 
-        /** It is told to end, and started again. */
+        /** Shuts its programs down gracefully and restarts them; who exceeds the grace period is killed. */
         void terminate(long downFor) {
             shuttingDown = true;
             int of = (int) incarnations;
             processes.forEach((role, host) ->
                     host.reactor().execute(() -> programs.get(role).beginShutdown()));
-            world.scheduleAfter(SHUTDOWN_GRACE_MICROS, () -> {
+            simulation.scheduleAfter(SHUTDOWN_GRACE_MICROS, () -> {
                 if (incarnations == of && !down) {
                     kill(downFor);
                 }
@@ -193,17 +194,17 @@
         void freeze(long length) {
             processes.values().forEach(SimulatedProcess::freeze);
             List<SimulatedProcess> frozen = new ArrayList<>(processes.values());
-            world.scheduleAfter(length, () -> frozen.forEach(SimulatedProcess::thaw));
+            simulation.scheduleAfter(length, () -> frozen.forEach(SimulatedProcess::thaw));
         }
     }
 
-    Deployment(ClusterSimulation world, int proxies, int coreCount, Consumer<String> log) {
-        this.world = world;
+    Deployment(ClusterSimulation simulation, int proxies, int coreCount, Consumer<String> log) {
+        this.simulation = simulation;
         this.log = log;
         for (int i = 0; i < coreCount; i++) {
             String zone = ZONES[i % ZONES.length];
             cores.add(new DeployedNode(
-                    "core-" + zone + '-' + i, new SimulatedMachine(world, "10.1." + i + ".10", zone, true), true));
+                    "core-" + zone + '-' + i, new SimulatedMachine(simulation, "10.1." + i + ".10", zone, true), true));
             controlAddresses.add(SocketAddresses.parse("10.1." + i + ".10:" + CONTROL_PORT));
             if (i < SEEDS) {
                 initialSeeds.add("10.1." + i + ".10");
@@ -213,12 +214,12 @@
             String zone = ZONES[i % ZONES.length];
             edges.add(new DeployedNode(
                     "edge-" + zone + '-' + i,
-                    new SimulatedMachine(world, "10.2." + i / 200 + '.' + (10 + i % 200), zone, false),
+                    new SimulatedMachine(simulation, "10.2." + i / 200 + '.' + (10 + i % 200), zone, false),
                     false));
         }
     }
 
-    /** Hears which process has ended, or does not start, though nobody has told it to end. */
+    /** Sets who receives the names of processes that end, or do not start, without having been shut down. */
     void onUnexpectedExit(Consumer<String> hears) {
         unexpectedExitListener = hears;
     }
@@ -236,7 +237,7 @@
         return cores;
     }
 
-    /** Where the operator and checkers call, as a list that lags says; it changes with time. */
+    /** The control addresses that operators and checkers know; changes with time and lags behind replacements. */
     List<InetSocketAddress> controlAddresses() {
         return controlAddresses;
     }
--- a/src/main/java/reedmux/simulation/cluster/GrowthExperiment.java
+++ b/src/main/java/reedmux/simulation/cluster/GrowthExperiment.java
@@ -24,7 +24,7 @@
     /** Beyond so many proxies they are not all restarted: it would take minutes. */
     private static final int MAX_ROLLED_PROXIES = 300;
 
-    private final ClusterSimulation world;
+    private final ClusterSimulation simulation;
     private final Deployment deployment;
 
     /** How many of each there are. */
@@ -42,9 +42,9 @@
             double cpuMillis) {}
 
     private GrowthExperiment(ClusterSize size) {
-        world = new ClusterSimulation(size.proxies() * 31L + size.cores());
-        world.enableCpuMeasurement();
-        deployment = new Deployment(world, size.proxies(), size.cores(), line -> {});
+        simulation = new ClusterSimulation(size.proxies() * 31L + size.cores());
+        simulation.enableCpuMeasurement();
+        deployment = new Deployment(simulation, size.proxies(), size.cores(), line -> {});
     }
 
     /** Plays one size. */
@@ -57,12 +57,12 @@
         deployment.start();
         for (int i = 0; i < size.checkers(); i++) {
             SimulatedMachine machine = new SimulatedMachine(
-                    world,
+                    simulation,
                     "10.3." + i / 200 + '.' + (1 + i % 200),
                     Deployment.ZONES[i % Deployment.ZONES.length],
                     false);
             new SimulatedChecker(
-                    world,
+                    simulation,
                     machine,
                     "i-" + i,
                     ConfigurationGenerator.SERVICES[i % 2],
@@ -71,13 +71,13 @@
                     () -> {},
                     ip -> {});
         }
-        new SimulatedOperator(world, "10.8.0.1", deployment.controlAddresses(), unheard)
+        new SimulatedOperator(simulation, "10.8.0.1", deployment.controlAddresses(), unheard)
                 .changeConfiguration(
                         new ConfigurationGenerator(new Random(1)).initialChange(),
                         ClusterInvariantChecker.ExpectedDecision.ACCEPT,
                         ConfigurationGenerator::visibleEffect,
                         status -> {});
-        world.runFor(SETTLE_MICROS);
+        simulation.runFor(SETTLE_MICROS);
         List<GrowthRow> rows = new ArrayList<>();
         measure(rows, size, "rest", REST_MICROS);
         deployment.proxies().get(size.proxies() / 2).kill(DOWNTIME_MICROS);
@@ -88,7 +88,7 @@
         List<Deployment.DeployedNode> edges = deployment.proxies();
         for (int i = 0; i < edges.size(); i++) {
             Deployment.DeployedNode edge = edges.get(i);
-            world.scheduleAfter(i * ROLLING_RESTART_MICROS / edges.size(), () -> edge.kill(DOWNTIME_MICROS));
+            simulation.scheduleAfter(i * ROLLING_RESTART_MICROS / edges.size(), () -> edge.kill(DOWNTIME_MICROS));
         }
         measure(rows, size, "roll", ROLLING_RESTART_MICROS + ROLLING_RESTART_TAIL_MICROS);
         return rows;
@@ -97,7 +97,7 @@
     private void measure(List<GrowthRow> rows, ClusterSize size, String phase, long length) {
         List<List<ProcessLoad>> before = new ArrayList<>();
         ROLES.forEach(role -> before.add(loads(role)));
-        world.runFor(length);
+        simulation.runFor(length);
         for (int i = 0; i < ROLES.size(); i++) {
             List<ProcessLoad> then = loads(ROLES.get(i));
             ProcessLoad[] gone = new ProcessLoad[then.size()];
--- a/src/main/java/reedmux/simulation/cluster/SimulatedChecker.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedChecker.java
@@ -11,7 +11,7 @@
 import reedmux.common.http1.Http1ServerConnection;
 import reedmux.simulation.harness.OneShotHttpCall;
 
-/** One life of a checker, on a machine whose address may have been another's before. */
+/** One incarnation of a checker, on a machine whose address may have been another's before. */
 final class SimulatedChecker {
     private static final long HEARTBEAT_INTERVAL_MICROS = 1_500_000;
     private static final long CALL_TIMEOUT_MICROS = 1_000_000;
@@ -21,13 +21,13 @@
     private static final int MAX_QUEUED = 12;
     private static final int PORT = 8080;
     private final SimulatedProcess process;
-    private final ClusterSimulation world;
+    private final ClusterSimulation simulation;
     private final ClusterInvariantChecker invariants;
     private final String id;
     private final String service;
     private final List<InetSocketAddress> controlAddresses;
     private final Runnable exitListener;
-    /** Hears the address of who acknowledged that it leaves. */
+    /** Receives the address of the control machine that has acknowledged the drain. */
     private final java.util.function.Consumer<String> drainListener;
 
     private final Deque<Runnable> queue = new ArrayDeque<>();
@@ -37,15 +37,15 @@
     private boolean drainAcknowledged;
     private long sequence;
     private int controlIndex;
-    /** Of its answers, how many are lost after it has run. */
+    /** The share of responses that are lost after execution. */
     private double lostResponseShare;
 
     private double faultyResponseShare;
-    /** How much longer it serves on once its leaving was acknowledged. */
+    /** How much longer it serves after its drain was acknowledged. */
     private long lingerMicros;
 
     SimulatedChecker(
-            ClusterSimulation world,
+            ClusterSimulation simulation,
             SimulatedMachine machine,
             String id,
             String service,
@@ -53,15 +53,15 @@
             ClusterInvariantChecker watch,
             Runnable onEnd,
             java.util.function.Consumer<String> onDrain) {
-        this.world = world;
+        this.simulation = simulation;
         this.invariants = watch;
         this.id = id;
         this.service = service;
         this.controlAddresses = control;
         this.exitListener = onEnd;
         this.drainListener = onDrain;
-        controlIndex = world.random().nextInt(control.size());
-        process = new SimulatedProcess(world, machine, id, 0, line -> {});
+        controlIndex = simulation.random().nextInt(control.size());
+        process = new SimulatedProcess(simulation, machine, id, 0, line -> {});
         try {
             new TcpListener(
                     process.reactor(),
@@ -71,7 +71,8 @@
             throw new IllegalStateException(e);
         }
         process.reactor()
-                .scheduleAfter(world.random().nextInt((int) HEARTBEAT_INTERVAL_MICROS / 4), () -> sendHeartbeat(0));
+                .scheduleAfter(
+                        simulation.random().nextInt((int) HEARTBEAT_INTERVAL_MICROS / 4), () -> sendHeartbeat(0));
         process.submit(() -> {});
     }
 
@@ -95,7 +96,7 @@
         lostResponseShare = share;
     }
 
-    /** A share of its answers comes late, twice, in part or not at all. */
+    /** Sends a share of its responses late, twice, incompletely or not at all. */
     void sendFaultyResponses(double share) {
         faultyResponseShare = share;
     }
@@ -124,11 +125,11 @@
     private void execute(Http1Head head, String attempt, Http1ServerConnection from) {
         busy++;
         invariants.onRequestExecuted(attempt, id, service, head.get("Reedmux-Tenant"), process.now());
-        world.addToDigest(id + " runs " + attempt);
-        process.reactor().scheduleAfter(40_000 + world.random().nextInt(80_000), () -> {
-            if (world.random().nextDouble() < lostResponseShare) {
+        simulation.addToDigest(id + " runs " + attempt);
+        process.reactor().scheduleAfter(40_000 + simulation.random().nextInt(80_000), () -> {
+            if (simulation.random().nextDouble() < lostResponseShare) {
                 from.sendRawAndClose(new byte[0]);
-            } else if (faultyResponseShare > 0 && world.random().nextDouble() < faultyResponseShare) {
+            } else if (faultyResponseShare > 0 && simulation.random().nextDouble() < faultyResponseShare) {
                 respondFaultily(attempt, from);
             } else {
                 respond(attempt, from);
@@ -152,20 +153,20 @@
 
     private void respondFaultily(String attempt, Http1ServerConnection from) {
         byte[] whole = encodedResponse(attempt);
-        switch (world.random().nextInt(6)) {
+        switch (simulation.random().nextInt(6)) {
             case 0 ->
                 process.reactor()
-                        .scheduleAfter(500_000 + world.random().nextInt(2_500_000), () -> respond(attempt, from));
+                        .scheduleAfter(500_000 + simulation.random().nextInt(2_500_000), () -> respond(attempt, from));
             case 1 ->
                 from.sendRawAndClose(
-                        java.util.Arrays.copyOf(whole, 1 + world.random().nextInt(whole.length - 1)));
+                        java.util.Arrays.copyOf(whole, 1 + simulation.random().nextInt(whole.length - 1)));
             case 2, 3 -> { // once more, at once or when the connection may carry another request
                 respond(attempt, from);
                 process.reactor()
                         .scheduleAfter(
-                                world.random().nextInt(3) == 0
+                                simulation.random().nextInt(3) == 0
                                         ? 0
-                                        : world.random().nextInt(60_000),
+                                        : simulation.random().nextInt(60_000),
                                 () -> from.sendUnsolicited(whole));
             }
             case 4 -> {
@@ -188,7 +189,7 @@
         return all;
     }
 
-    // ---- What it says of itself --------------------------------------------------------------------
+    // ---- Heartbeats --------------------------------------------------------------------------------
     private void sendHeartbeat(int failed) {
         if (!process.isAlive()) {
             return;
@@ -254,13 +255,13 @@
         }
     }
 
-    /** It is to leave in order, and serves on longer than it has to. */
+    /** Begins to drain, and serves on for longer than it has to. */
     void drain(long longer) {
         lingerMicros = longer;
         drain();
     }
 
-    /** It is to leave in order. */
+    /** Begins to drain. */
     void drain() {
         if (!draining) {
             draining = true;
@@ -269,7 +270,7 @@
         }
     }
 
-    /** It ends without a word. */
+    /** Ends without notice. */
     void crash() {
         process.kill();
         exitListener.run();
--- a/src/main/java/reedmux/simulation/cluster/SimulatedClients.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedClients.java
@@ -10,13 +10,16 @@
 import reedmux.common.http1.Http1Head;
 import reedmux.simulation.harness.OneShotHttpCall;
 
-/** Clients of all zones, the platform that spreads them, and the probes that it sends to each proxy. */
+/**
+ * Clients in all zones, the platform that balances them over the proxies that are ready, and probes that show which
+ * configuration a proxy uses.
+ */
 public final class SimulatedClients {
     private static final long PROBE_INTERVAL_MICROS = 1_000_000;
     private static final long DEADLINE_MICROS = 1_500_000;
     private static final int MAX_MISSED_PROBES = 2;
     private static final int MAX_ATTEMPTS = 3;
-    private final ClusterSimulation world;
+    private final ClusterSimulation simulation;
     private final Deployment deployment;
     private final ClusterInvariantChecker invariants;
     private final SimulatedProcess process;
@@ -42,12 +45,16 @@
             String routeItem,
             String keyItem) {}
 
-    SimulatedClients(ClusterSimulation world, Deployment deployment, ClusterInvariantChecker watch) {
-        this.world = world;
+    SimulatedClients(ClusterSimulation simulation, Deployment deployment, ClusterInvariantChecker watch) {
+        this.simulation = simulation;
         this.deployment = deployment;
         this.invariants = watch;
         process = new SimulatedProcess(
-                world, new SimulatedMachine(world, "10.9.0.1", Deployment.ZONES[1], false), "clients", 0, line -> {});
+                simulation,
+                new SimulatedMachine(simulation, "10.9.0.1", Deployment.ZONES[1], false),
+                "clients",
+                0,
+                line -> {});
         probeReadiness();
     }
 
@@ -62,11 +69,11 @@
                     (status, head, text) -> {
                         missedProbes.merge(edge.name(), 1, (had, one) -> status == 200 ? 0 : had + 1);
                         if (status == 200) {
-                            invariants.onReady(edge.name(), edge.startedAt(), world.now());
+                            invariants.onReady(edge.name(), edge.startedAt(), simulation.now());
                         }
                     }));
         }
-        world.scheduleAfter(PROBE_INTERVAL_MICROS, this::probeReadiness);
+        simulation.scheduleAfter(PROBE_INTERVAL_MICROS, this::probeReadiness);
     }
 
     private interface ClientCall {
@@ -88,7 +95,7 @@
     }
 
     private Deployment.DeployedNode pickProxy() {
-        String zone = Deployment.ZONES[world.random().nextInt(Deployment.ZONES.length)];
+        String zone = Deployment.ZONES[simulation.random().nextInt(Deployment.ZONES.length)];
         List<Deployment.DeployedNode> here = new ArrayList<>();
         List<Deployment.DeployedNode> up = new ArrayList<>();
         for (Deployment.DeployedNode edge : deployment.proxies()) {
@@ -105,13 +112,13 @@
             up = here;
         }
         List<Deployment.DeployedNode> all = up.isEmpty() ? deployment.proxies() : up;
-        return all.get(world.random().nextInt(all.size()));
+        return all.get(simulation.random().nextInt(all.size()));
     }
 
     // ---- Requests ----------------------------------------------------------------------------------
-    /** From now on what is asked and served is counted. */
+    /** Counts the requests from now on. */
     void countFromNow() {
-        countFrom = world.now();
+        countFrom = simulation.now();
     }
 
     long countedRequests() {
@@ -122,15 +129,15 @@
         return countedServed;
     }
 
-    /** A client makes a request, with its further tries. */
+    /** Sends a client's request, with its retries. */
     void request(PlannedRequest wish) {
-        boolean counted = world.now() >= countFrom;
+        boolean counted = simulation.now() >= countFrom;
         countedRequests += counted ? 1 : 0;
         request(
                 wish,
                 "q" + ++nextRequestNumber,
                 1,
-                world.now() + DEADLINE_MICROS,
+                simulation.now() + DEADLINE_MICROS,
                 good -> countedServed += counted && good ? 1 : 0);
     }
 
@@ -138,14 +145,14 @@
         Deployment.DeployedNode edge = pickProxy();
         String id = name + '.' + number;
         invariants.onRequestSent(
-                id, edge.name(), wish.idempotent, wish.tenant, wish.service, wish.routeItem, world.now());
-        long begun = world.now();
+                id, edge.name(), wish.idempotent, wish.tenant, wish.service, wish.routeItem, simulation.now());
+        long begun = simulation.now();
         send(edge, wish, id, deadline, (status, head, text) -> {
             recordResponse(edge, id, status, head, text, begun);
             boolean again = status == 429
                     || status == 503
                     || wish.idempotent && status != 200 && status != 401 && status != 404;
-            if (!again || number >= MAX_ATTEMPTS || world.now() + 50_000 > deadline) {
+            if (!again || number >= MAX_ATTEMPTS || simulation.now() + 50_000 > deadline) {
                 done.accept(status == 200);
                 return;
             }
@@ -153,22 +160,23 @@
             long pause = after == null
                     ? 50_000
                     : Math.min(
-                            (long) (Double.parseDouble(after) * PROBE_INTERVAL_MICROS), (deadline - world.now()) / 3);
-            world.scheduleAfter(pause, () -> request(wish, name, number + 1, deadline, done));
+                            (long) (Double.parseDouble(after) * PROBE_INTERVAL_MICROS),
+                            (deadline - simulation.now()) / 3);
+            simulation.scheduleAfter(pause, () -> request(wish, name, number + 1, deadline, done));
         });
     }
 
     private void recordResponse(
             Deployment.DeployedNode edge, String id, int status, Http1Head head, String text, long begun) {
-        world.addToDigest(id + ' ' + status);
+        simulation.addToDigest(id + ' ' + status);
         if (status == 0) {
             invariants.onConnectionLost(
-                    id, text.equals("cut off") || text.contains("reset"), edge.isShuttingDown(), world.now());
+                    id, text.equals("cut off") || text.contains("reset"), edge.isShuttingDown(), simulation.now());
             return;
         }
         String seal = head.get("Reedmux-Server-Seal");
         String own = seal != null && text.startsWith(seal + ' ') && text.endsWith(' ' + id) ? seal : null;
-        invariants.onResponse(id, status, own, world.now());
+        invariants.onResponse(id, status, own, simulation.now());
     }
 
     private void send(
@@ -179,7 +187,7 @@
             OneShotHttpCall.ResponseCallback done) {
         List<String> headers = new ArrayList<>(List.of(
                 "Reedmux-Attempt-Id: " + id + "\r\n",
-                "Reedmux-Time-Left-Ms: " + Math.max(1, (deadline - world.now()) / 1000) + "\r\n"));
+                "Reedmux-Time-Left-Ms: " + Math.max(1, (deadline - simulation.now()) / 1000) + "\r\n"));
         headers.add("Authorization: Bearer " + wish.key + "\r\n");
         byte[] bytes = OneShotHttpCall.request(
                 wish.idempotent ? "GET" : "POST",
@@ -188,18 +196,18 @@
                 wish.idempotent ? "" : "some body",
                 headers.toArray(new String[0]));
         runOnProcess(() -> new OneShotHttpCall(
-                process.reactor(), deployment.frontAddress(edge), bytes, deadline - world.now() + 20_000, done));
+                process.reactor(), deployment.frontAddress(edge), bytes, deadline - simulation.now() + 20_000, done));
     }
 
-    /** The platform sends one to a proxy that is in, to see which configuration is in force there. */
+    /** Sends a request to one proxy, if that is in rotation, to see which configuration it uses. */
     void probeConfiguration(Deployment.DeployedNode edge, PlannedRequest wish, Predicate<String> swapped) {
         if (!isInRotation(edge)) {
             return;
         }
         String id = "p" + ++nextRequestNumber;
         String life = edge.incarnation();
-        invariants.onRequestSent(id, edge.name(), true, null, null, null, world.now());
-        long begun = world.now();
+        invariants.onRequestSent(id, edge.name(), true, null, null, null, simulation.now());
+        long begun = simulation.now();
         send(edge, wish, id, begun + DEADLINE_MICROS, (status, head, text) -> {
             recordResponse(edge, id, status, head, text, begun);
             if (!life.equals(edge.incarnation()) || swapped.test(wish.routeItem)) {
@@ -213,7 +221,7 @@
                         ClusterInvariantChecker.NO_EFFECT,
                         ClusterInvariantChecker.NO_EFFECT::equals,
                         begun,
-                        world.now());
+                        simulation.now());
             } else if (status == 401) {
                 invariants.onEffectObserved(
                         edge.name(),
@@ -222,13 +230,19 @@
                         "no " + wish.key,
                         keys -> !keys.contains(wish.key),
                         begun,
-                        world.now());
+                        simulation.now());
             } else if (status == 200) {
                 String service = text.split(" ")[1];
                 invariants.onEffectObserved(
-                        edge.name(), life, wish.routeItem, service, service::equals, begun, world.now());
+                        edge.name(), life, wish.routeItem, service, service::equals, begun, simulation.now());
                 invariants.onEffectObserved(
-                        edge.name(), life, wish.keyItem, wish.key, keys -> keys.contains(wish.key), begun, world.now());
+                        edge.name(),
+                        life,
+                        wish.keyItem,
+                        wish.key,
+                        keys -> keys.contains(wish.key),
+                        begun,
+                        simulation.now());
             }
         });
     }
--- a/src/main/java/reedmux/simulation/cluster/SimulatedDisk.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedDisk.java
@@ -17,14 +17,14 @@
 import reedmux.common.disk.Volume;
 
 /**
- * A disk. What a sync has covered stays; after a loss of power each later write has survived, is missing or
- * is torn, and names last once their file or folder was synced. It keeps what was done since the last loss,
- * with the time at which each step was over, so that a process or the power may end between any two.
+ * A simulated disk. What a sync has covered is durable. After a loss of power each later write has survived, is missing or
+ * is torn, and names are durable once their directory was synced. The disk records the operations since the last loss
+ * with the time at which each completes, so that a process or the power may end between any two.
  */
-public final class SimulatedDisk {
+final class SimulatedDisk {
     private static final long WRITE_MICROS = 60;
-    private final ClusterSimulation world;
-    /** As a process sees it, and as it was after the last loss. */
+    private final ClusterSimulation simulation;
+    /** Files by name, as processes see them. */
     private Map<String, DiskFileContent> files = new TreeMap<>();
 
     private Map<String, byte[]> durable = new TreeMap<>();
@@ -34,7 +34,7 @@
     private boolean full;
     private long hungUntil;
 
-    /** A file's bytes, whatever its name. */
+    /** A file's bytes; renames and deletions change names only. */
     private static final class DiskFileContent {
         private byte[] bytes = {};
 
@@ -64,13 +64,13 @@
             byte[] bytes,
             long completedAt) {}
 
-    SimulatedDisk(ClusterSimulation world) {
-        this.world = world;
+    SimulatedDisk(ClusterSimulation simulation) {
+        this.simulation = simulation;
     }
 
-    /** When what it was given is done with. */
+    /** When all operations so far are completed. */
     long idleAt() {
-        return Math.max(idleAt, world.now());
+        return Math.max(idleAt, simulation.now());
     }
 
     void setSyncMicros(long micros) {
@@ -88,7 +88,7 @@
     private DiskOperation addOperation(
             DiskOperationKind kind, DiskFileContent file, String name, String other, long at, byte[] bytes) {
         boolean syncs = kind == DiskOperationKind.SYNC || kind == DiskOperationKind.SYNC_DIRECTORY;
-        idleAt = Math.max(Math.max(idleAt, world.now()), hungUntil) + (syncs ? syncMicros : WRITE_MICROS);
+        idleAt = Math.max(Math.max(idleAt, simulation.now()), hungUntil) + (syncs ? syncMicros : WRITE_MICROS);
         DiskOperation step = new DiskOperation(kind, file, name, other, at, bytes, idleAt);
         operations.add(step);
         return step;
@@ -100,7 +100,7 @@
         }
     }
 
-    /** All is lost. */
+    /** Loses everything. */
     void wipe() {
         files = new TreeMap<>();
         durable = new TreeMap<>();
@@ -108,8 +108,9 @@
     }
 
     /**
-     * Steps that were not over have not been; where the power is lost, what was not synced is drawn, each
-     * name by itself, too: some losses take all of it.
+     * Applies the end of a process, or with {@code power} a loss of power. Operations that were not completed have not
+     * happened. After a loss of power the fate of each operation that was not synced is drawn, and of each name by itself;
+     * one loss in three loses all of them.
      */
     void crash(boolean power) {
         Map<String, DiskFileContent> seen = copyOfDurable();
@@ -117,9 +118,9 @@
         Map<DiskFileContent, DiskFileContent> synced = new LinkedHashMap<>();
         Map<DiskFileContent, List<DiskOperation>> unsynced = new LinkedHashMap<>();
         Map<DiskFileContent, DiskFileContent> live = new LinkedHashMap<>();
-        boolean all = world.random().nextInt(3) == 0;
+        boolean all = simulation.random().nextInt(3) == 0;
         for (DiskOperation step : operations) {
-            if (step.completedAt > world.now()) {
+            if (step.completedAt > simulation.now()) {
                 if (step.kind == DiskOperationKind.WRITE) {
                     unsynced.computeIfAbsent(step.file, file -> new ArrayList<>())
                             .add(step);
@@ -162,7 +163,7 @@
         files.forEach((name, file) -> durable.put(name, file.bytes.clone()));
     }
 
-    /** Names that were made, renamed or removed since their folder's last sync are kept or lost. */
+    /** Draws for each name that changed since the directory's last sync whether the change has survived. */
     private Map<String, DiskFileContent> drawSurvivingNames(
             Map<String, DiskFileContent> last,
             Map<String, DiskFileContent> seen,
@@ -176,7 +177,7 @@
         either.addAll(seen.keySet());
         for (String name : either) {
             boolean changed = last.get(name) != seen.get(name);
-            DiskFileContent has = (changed && (noneLasts || world.random().nextBoolean()) ? last : seen).get(name);
+            DiskFileContent has = (changed && (noneLasts || simulation.random().nextBoolean()) ? last : seen).get(name);
             if (has != null) {
                 lasting.put(name, durable.getOrDefault(has, has));
             }
@@ -185,14 +186,14 @@
     }
 
     private void drawWriteOutcome(DiskFileContent base, DiskOperation write) {
-        int fate = world.random().nextInt(3);
+        int fate = simulation.random().nextInt(3);
         if (write.kind == DiskOperationKind.TRUNCATE) {
             base.bytes = fate == 0 ? base.bytes : Arrays.copyOf(base.bytes, (int) write.position);
         } else if (fate == 1) {
             base.write((int) write.position, write.bytes);
         } else if (fate == 2 && write.bytes.length > 0) {
             byte[] torn = Arrays.copyOf(write.bytes, write.bytes.length);
-            Arrays.fill(torn, world.random().nextInt(torn.length), torn.length, (byte) 0);
+            Arrays.fill(torn, simulation.random().nextInt(torn.length), torn.length, (byte) 0);
             base.write((int) write.position, torn);
         }
     }
@@ -303,7 +304,7 @@
 
         @Override
         public void close() {
-            // nothing is held
+            // no resource
         }
     }
 }
--- a/src/main/java/reedmux/simulation/cluster/SimulatedMachine.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedMachine.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A machine: its address, its processes, and a disk if it has one. */
+/** A simulated machine: an address, processes, and a disk if it has one. */
 public final class SimulatedMachine {
-    private final ClusterSimulation world;
+    private final ClusterSimulation simulation;
     private final String ip;
     private final String zone;
     private final SimulatedDisk disk;
@@ -16,17 +16,17 @@
     private final Map<String, ProcessLoad> loads = new LinkedHashMap<>();
     private boolean powered = true;
 
-    SimulatedMachine(ClusterSimulation world, String ip, String zone, boolean withDisk) {
-        this(world, ip, zone, withDisk ? new SimulatedDisk(world) : null);
+    SimulatedMachine(ClusterSimulation simulation, String ip, String zone, boolean withDisk) {
+        this(simulation, ip, zone, withDisk ? new SimulatedDisk(simulation) : null);
     }
 
-    /** One that may have another's disk. */
-    SimulatedMachine(ClusterSimulation world, String ip, String zone, SimulatedDisk disk) {
-        this.world = world;
+    /** A machine with a given disk, which may have been another's, or null for none. */
+    SimulatedMachine(ClusterSimulation simulation, String ip, String zone, SimulatedDisk disk) {
+        this.simulation = simulation;
         this.ip = ip;
         this.zone = zone;
         this.disk = disk;
-        world.addMachine(this);
+        simulation.addMachine(this);
     }
 
     String ip() {
@@ -45,7 +45,7 @@
         return powered;
     }
 
-    /** What all lives of a process of that name have done. */
+    /** What all incarnations of a process of that name have done. */
     ProcessLoad load(String ofName) {
         return loads.computeIfAbsent(ofName, name -> new ProcessLoad());
     }
@@ -76,7 +76,7 @@
         return null;
     }
 
-    /** All its processes are gone without a word, and its disk is as a loss of power leaves it. */
+    /** Ends all processes without notice to their peers and loses what the disk had not synced. */
     void losePower() {
         powered = false;
         List.copyOf(processes).forEach(SimulatedProcess::losePower);
@@ -91,6 +91,6 @@
 
     @Override
     public String toString() {
-        return ip + " in " + zone + " at " + world.now();
+        return ip + " in " + zone + " at " + simulation.now();
     }
 }
--- a/src/main/java/reedmux/simulation/cluster/SimulatedOperator.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedOperator.java
@@ -10,7 +10,7 @@
 import reedmux.control.configuration.InvalidConfigurationException;
 import reedmux.simulation.harness.OneShotHttpCall;
 
-/** One operator: a call is sent unchanged to one registry after the other until its answer is clear. */
+/** One operator: sends a change unchanged to one control machine after the other until the response is clear. */
 final class SimulatedOperator {
     private static final long CALL_TIMEOUT_MICROS = 1_000_000;
     private static final long GIVE_UP_MICROS = 12_000_000;
@@ -20,19 +20,23 @@
     private final SimulatedProcess process;
     private final ClusterInvariantChecker invariants;
     private final List<InetSocketAddress> controlAddresses;
-    /** Of clear answers, how many are lost on their way, and how much later such a call is sent again. */
+    /** The share of clear responses that are lost on their way; such a change is sent again later. */
     private double lostResponseShare;
 
     private long resendMicros;
     private int pendingChanges;
     private String lastAcknowledgedBy = "";
-    /** Hears of each call of the operator whom it is sent to. */
+    /** Receives the address to which each change is sent. */
     private Consumer<String> sentListener = ip -> {};
 
     SimulatedOperator(
-            ClusterSimulation world, String ip, List<InetSocketAddress> control, ClusterInvariantChecker watch) {
+            ClusterSimulation simulation, String ip, List<InetSocketAddress> control, ClusterInvariantChecker watch) {
         process = new SimulatedProcess(
-                world, new SimulatedMachine(world, ip, Deployment.ZONES[0], false), "operator " + ip, 0, line -> {});
+                simulation,
+                new SimulatedMachine(simulation, ip, Deployment.ZONES[0], false),
+                "operator " + ip,
+                0,
+                line -> {});
         this.invariants = watch;
         this.controlAddresses = control;
     }
@@ -50,22 +54,22 @@
         sentListener = hears;
     }
 
-    /** The address of who has acknowledged the last call. */
+    /** The address of the control machine that has acknowledged the last change. */
     String lastAcknowledgedBy() {
         return lastAcknowledgedBy;
     }
 
-    /** Calls that have no clear answer yet. */
+    /** Changes without a clear response so far. */
     int pendingChanges() {
         return pendingChanges;
     }
 
-    /** How a version shows in requests. */
+    /** How requests show that a version is in force. */
     interface VisibleEffect {
         String of(ConfigurationItem item);
     }
 
-    /** Sends a change; {@code done} hears the last status, 0 where it was given up. */
+    /** Sends a change; {@code done} receives the last status, 0 if it was given up. */
     void changeConfiguration(
             String body, ClusterInvariantChecker.ExpectedDecision proper, VisibleEffect shows, Consumer<Integer> done) {
         List<ConfigurationItem> items;
@@ -87,7 +91,7 @@
         return controlAddresses.get(process.simulation().random().nextInt(controlAddresses.size()));
     }
 
-    /** Not the one that was called last, if there is another. */
+    /** A random address other than the last one, if there is another. */
     private InetSocketAddress otherAddress(InetSocketAddress last) {
         InetSocketAddress to = randomAddress();
         if (to.equals(last) && controlAddresses.size() > 1) {
@@ -158,7 +162,7 @@
         });
     }
 
-    /** Asks one machine once for all items, in the midst of the day. */
+    /** Reads the configuration once from a random control machine. */
     void readOnce() {
         long sentAt = process.now();
         call(randomAddress(), READ_REQUEST, (status, text) -> {
@@ -169,7 +173,7 @@
         });
     }
 
-    /** Asks for all items again and again, for so long; hears when that was sent, and null for no answer. */
+    /** Reads the configuration, with retries until a time; passes on the text, or null, and when the read was sent. */
     void readUntil(long until, BiConsumer<String, Long> done) {
         long sentAt = process.now();
         call(randomAddress(), READ_REQUEST, (status, text) -> {
--- a/src/main/java/reedmux/simulation/cluster/SimulatedProcess.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedProcess.java
@@ -17,18 +17,21 @@
 import reedmux.common.eventloop.Reactor;
 import reedmux.common.logging.RingBufferLogger;
 
-/** One process in the world: what its reactor stands on. */
+/**
+ * One process of the simulation and the environment of its reactor: a thread that runs one event at a time, sockets on
+ * its machine, and the machine's disk. Each event takes {@code eventCostMicros} of simulated time.
+ */
 public final class SimulatedProcess implements Environment {
     private static final int FIRST_EPHEMERAL_PORT = 40_000;
-    private final ClusterSimulation world;
+    private final ClusterSimulation simulation;
     private final SimulatedMachine machine;
     private final String name;
-    /** What one thing to do takes. */
+    /** The simulated time that each event occupies the thread. */
     private final long eventCostMicros;
 
     private final Reactor reactor;
     private final ProcessLoad load;
-    /** Whether it is one of the system's programs, and no stand-in. */
+    /** Whether it is one of the system's programs rather than a stand-in. */
     private final boolean systemProgram;
 
     private final Deque<Runnable> tasks = new ArrayDeque<>();
@@ -46,19 +49,19 @@
     private int nextEphemeralPort = FIRST_EPHEMERAL_PORT;
 
     SimulatedProcess(
-            ClusterSimulation world,
+            ClusterSimulation simulation,
             SimulatedMachine machine,
             String name,
             long cost,
             java.util.function.Consumer<String> log) {
-        this.world = world;
+        this.simulation = simulation;
         this.machine = machine;
         this.name = name;
         this.eventCostMicros = cost;
         load = machine.load(name);
         systemProgram = name.indexOf('/') >= 0;
         machine.processStarted(this);
-        reactor = new Reactor(new RingBufferLogger(name, 200, log, () -> world.now() * 1000), this);
+        reactor = new Reactor(new RingBufferLogger(name, 200, log, () -> simulation.now() * 1000), this);
     }
 
     Reactor reactor() {
@@ -66,7 +69,7 @@
     }
 
     ClusterSimulation simulation() {
-        return world;
+        return simulation;
     }
 
     SimulatedMachine machine() {
@@ -77,7 +80,7 @@
         return alive;
     }
 
-    /** Told when it ends by itself. */
+    /** Sets what is run when the process ends by itself. */
     void onExit(Runnable task) {
         exitListener = task;
     }
@@ -87,10 +90,10 @@
         return name;
     }
 
-    // ---- Its thread --------------------------------------------------------------------------------
-    /** Has its thread do something as soon as it can, and never in the midst of something else. */
+    // ---- Thread ------------------------------------------------------------------------------------
+    /** Runs an event on the process's thread as soon as that is free. */
     void submit(Runnable event) {
-        world.scheduleAt(Math.max(world.now(), busyUntil), () -> runEvent(event));
+        simulation.scheduleAt(Math.max(simulation.now(), busyUntil), () -> runEvent(event));
     }
 
     private void runEvent(Runnable event) {
@@ -98,15 +101,15 @@
             return;
         } else if (isFrozen) {
             frozenEvents.add(event);
-        } else if (world.now() < busyUntil) {
+        } else if (simulation.now() < busyUntil) {
             submit(event);
         } else {
-            busyUntil = world.now() + eventCostMicros;
-            long begin = world.measuresCpu() ? System.nanoTime() : 0;
+            busyUntil = simulation.now() + eventCostMicros;
+            long begin = simulation.measuresCpu() ? System.nanoTime() : 0;
             event.run();
             runReactor();
             load.events++;
-            load.cpuNanos += world.measuresCpu() ? System.nanoTime() - begin : 0;
+            load.cpuNanos += simulation.measuresCpu() ? System.nanoTime() - begin : 0;
         }
     }
 
@@ -115,9 +118,9 @@
         if (reactor.isStopped() && alive) {
             kill();
             exitListener.run();
-        } else if (next < wakeAt || wakeAt < world.now()) {
+        } else if (next < wakeAt || wakeAt < simulation.now()) {
             wakeAt = next;
-            world.scheduleAt(next, () -> {
+            simulation.scheduleAt(next, () -> {
                 if (wakeAt == next) {
                     wakeAt = Long.MAX_VALUE;
                     submit(() -> {});
@@ -128,18 +131,18 @@
 
     @Override
     public long now() {
-        return world.now();
+        return simulation.now();
     }
 
     @Override
     public long newIncarnationId() {
-        return world.random().nextLong();
+        return simulation.random().nextLong();
     }
 
     @Override
     public void execute(Runnable task) {
-        if (inDiskWork) { // what follows from the disk's work comes once that is over
-            world.scheduleAt(machine.disk().idleAt(), () -> addTask(task));
+        if (inDiskWork) { // results of disk work arrive once the disk is done with it
+            simulation.scheduleAt(machine.disk().idleAt(), () -> addTask(task));
         } else {
             addTask(task);
         }
@@ -157,7 +160,7 @@
 
     @Override
     public void awaitReadiness(long until) {
-        throw new IllegalStateException("time passes in the world");
+        throw new IllegalStateException("time passes in the simulation");
     }
 
     @Override
@@ -167,7 +170,7 @@
 
     @Override
     public Executor newWorker(String ofName, int most) {
-        return task -> world.scheduleAt(machine.disk().idleAt(), () -> runDiskWork(task));
+        return task -> simulation.scheduleAt(machine.disk().idleAt(), () -> runDiskWork(task));
     }
 
     private void runDiskWork(Runnable task) {
@@ -194,12 +197,12 @@
         }
         while (!frozenWork.isEmpty()) {
             Runnable task = frozenWork.poll();
-            world.scheduleAt(machine.disk().idleAt(), () -> runDiskWork(task));
+            simulation.scheduleAt(machine.disk().idleAt(), () -> runDiskWork(task));
         }
     }
 
-    // ---- Its end -----------------------------------------------------------------------------------
-    /** It ends as a process ends: the kernel closes what it had open. */
+    // ---- Exit --------------------------------------------------------------------------------------
+    /** Ends the process; the kernel closes its sockets, so peers see the end. */
     void kill() {
         if (alive) {
             alive = false;
@@ -211,7 +214,7 @@
         }
     }
 
-    /** It is gone without a word. */
+    /** Ends the process as its machine loses power: peers see nothing. */
     void losePower() {
         alive = false;
         machine.processEnded(this);
@@ -232,7 +235,7 @@
         return udpSockets.get(number);
     }
 
-    /** Bytes go to a peer; counted is what the system's own programs tell each other. */
+    /** Counts bytes written to a peer; only those between the system's own programs. */
     void countWrite(SimulatedProcess to, int many) {
         if (systemProgram && to.systemProgram) {
             load.sentBytes += many;
@@ -241,20 +244,20 @@
         }
     }
 
-    void socketOpened(SimulatedTcpSocket line) {
-        tcpSockets.add(line);
+    void socketOpened(SimulatedTcpSocket socket) {
+        tcpSockets.add(socket);
     }
 
-    void socketClosed(SimulatedTcpSocket line) {
-        tcpSockets.remove(line);
+    void socketClosed(SimulatedTcpSocket socket) {
+        tcpSockets.remove(socket);
     }
 
     @Override
     public TcpSocket connect(InetSocketAddress to, InetSocketAddress local) {
-        SimulatedMachine target = world.machine(to.getAddress().getHostAddress());
-        SimulatedTcpSocket line = new SimulatedTcpSocket(this, true);
-        line.sendSyn(target, to.getPort(), 0);
-        return line;
+        SimulatedMachine target = simulation.machine(to.getAddress().getHostAddress());
+        SimulatedTcpSocket socket = new SimulatedTcpSocket(this, true);
+        socket.sendSyn(target, to.getPort(), 0);
+        return socket;
     }
 
     @Override
@@ -271,8 +274,8 @@
 
     @Override
     public UdpSocket bindDatagram(InetSocketAddress at) {
-        SimulatedUdpSocket box = new SimulatedUdpSocket(this, at);
-        udpSockets.put(at.getPort(), box);
-        return box;
+        SimulatedUdpSocket socket = new SimulatedUdpSocket(this, at);
+        udpSockets.put(at.getPort(), socket);
+        return socket;
     }
 }
--- a/src/main/java/reedmux/simulation/cluster/SimulatedTcpServerSocket.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedTcpServerSocket.java
@@ -5,7 +5,7 @@
 import java.util.Deque;
 import reedmux.common.eventloop.Environment;
 
-/** A place where connections come in, with a queue that drops what is beyond it. */
+/** A simulated listening socket; connections beyond its backlog are dropped. */
 public final class SimulatedTcpServerSocket implements Environment.TcpServerSocket {
     private final SimulatedProcess process;
     private final InetSocketAddress address;
@@ -23,7 +23,7 @@
         this.onClose = closing;
     }
 
-    /** One more has come; false where there is no room. */
+    /** Adds an established connection; returns false if the backlog is full. */
     boolean enqueue(SimulatedTcpSocket line) {
         if (backlogQueue.size() >= backlog) {
             return false;
--- a/src/main/java/reedmux/simulation/cluster/SimulatedTcpSocket.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedTcpSocket.java
@@ -7,17 +7,21 @@
 import java.util.Deque;
 import reedmux.common.eventloop.Environment;
 
-/** One end of a TCP connection. */
+/**
+ * One end of a simulated TCP connection. Data arrives in order after a drawn delay; what a partition holds up is
+ * transmitted again once it is healed, until the side that opened the connection gives up by keepalive. The window of
+ * {@value #WINDOW_BYTES} bytes blocks a writer whose peer does not read.
+ */
 public final class SimulatedTcpSocket implements Environment.TcpSocket {
     private static final int WINDOW_BYTES = 64 * 1024;
     private static final long FIRST_SYN_RETRY_MICROS = 1_000_000;
     private static final long RETRANSMIT_MICROS = 200_000;
     private static final long KEEPALIVE_INTERVAL_MICROS = 1_000_000;
-    /** A line that was opened here and has had no path for so long is given up. */
+    /** The side that opened the connection gives it up after so long without a path to the peer. */
     private static final long KEEPALIVE_TIMEOUT_MICROS = 5 * KEEPALIVE_INTERVAL_MICROS;
 
     private final SimulatedProcess process;
-    private final ClusterSimulation world;
+    private final ClusterSimulation simulation;
     private SimulatedTcpSocket peer;
     private Environment.ReadinessHandler handler;
     private final Deque<byte[]> received = new ArrayDeque<>();
@@ -38,14 +42,14 @@
 
     SimulatedTcpSocket(SimulatedProcess host, boolean opens) {
         this.process = host;
-        world = host.simulation();
+        simulation = host.simulation();
         host.socketOpened(this);
         if (opens) {
             scheduleKeepalive();
         }
     }
 
-    /** Sends the first packet; one that is dropped is sent again after seconds. */
+    /** Sends the SYN; one that is dropped is sent again with exponential backoff. */
     void sendSyn(SimulatedMachine target, int port, int times) {
         long again = FIRST_SYN_RETRY_MICROS << times;
         Runnable next = () -> {
@@ -53,14 +57,14 @@
                 sendSyn(target, port, times + 1);
             }
         };
-        if (target == null || !world.isReachable(process.machine(), target)) {
-            world.scheduleAfter(again, next);
+        if (target == null || !simulation.isReachable(process.machine(), target)) {
+            simulation.scheduleAfter(again, next);
             return;
         }
-        world.scheduleAfter(world.drawDelayMicros(process.machine(), target), () -> {
+        simulation.scheduleAfter(simulation.drawDelayMicros(process.machine(), target), () -> {
             SimulatedProcess other = target.tcpListener(port);
             if (!target.powered() || closed) {
-                world.scheduleAfter(again, next);
+                simulation.scheduleAfter(again, next);
             } else if (other == null) {
                 replyFrom(target, () -> fail(new ConnectException("Connection refused")));
             } else {
@@ -70,7 +74,7 @@
                 made.peer = this;
                 if (!other.serverSocket(port).enqueue(made)) {
                     other.socketClosed(made);
-                    world.scheduleAfter(again, next);
+                    simulation.scheduleAfter(again, next);
                     return;
                 }
                 replyFrom(target, () -> {
@@ -87,30 +91,30 @@
     }
 
     private void replyFrom(SimulatedMachine from, Runnable task) {
-        if (world.isReachable(from, process.machine())) {
-            world.scheduleAfter(world.drawDelayMicros(from, process.machine()), task);
+        if (simulation.isReachable(from, process.machine())) {
+            simulation.scheduleAfter(simulation.drawDelayMicros(from, process.machine()), task);
         } else {
-            world.scheduleAfter(RETRANSMIT_MICROS, () -> replyFrom(from, task));
+            simulation.scheduleAfter(RETRANSMIT_MICROS, () -> replyFrom(from, task));
         }
     }
 
     private void scheduleKeepalive() {
-        world.scheduleAfter(KEEPALIVE_INTERVAL_MICROS, () -> {
+        simulation.scheduleAfter(KEEPALIVE_INTERVAL_MICROS, () -> {
             if (closed || !process.isAlive() || failure != null) {
                 return;
             }
             if (connected && peer != null) {
                 SimulatedMachine there = peer.process.machine();
-                boolean path = world.isReachable(process.machine(), there)
-                        && world.isReachable(there, process.machine())
+                boolean path = simulation.isReachable(process.machine(), there)
+                        && simulation.isReachable(there, process.machine())
                         && there.powered();
                 if (path && peer.forgotten) {
                     fail(new IOException("Connection reset by peer"));
                     return;
                 }
-                noPathSince = path ? -1 : noPathSince < 0 ? world.now() : noPathSince;
+                noPathSince = path ? -1 : noPathSince < 0 ? simulation.now() : noPathSince;
                 if (noPathSince >= 0
-                        && world.now() - noPathSince >= KEEPALIVE_TIMEOUT_MICROS - KEEPALIVE_INTERVAL_MICROS) {
+                        && simulation.now() - noPathSince >= KEEPALIVE_TIMEOUT_MICROS - KEEPALIVE_INTERVAL_MICROS) {
                     fail(new IOException("Connection timed out"));
                     return;
                 }
@@ -119,42 +123,44 @@
         });
     }
 
-    // ---- The way to the other end ------------------------------------------------------------------
-    /** Something arrives there, in order; what a cut holds up goes on when that is over. */
+    // ---- Transmission ------------------------------------------------------------------------------
+    /** Has something arrive at the peer, in order; what a partition holds up goes on when it is healed. */
     private void transmit(Runnable arrival) {
         if (peer == null) {
             return;
         }
-        if (!undelivered.isEmpty() || !world.isReachable(process.machine(), peer.process.machine())) {
+        if (!undelivered.isEmpty() || !simulation.isReachable(process.machine(), peer.process.machine())) {
             undelivered.add(arrival);
             if (undelivered.size() == 1) {
-                world.scheduleAfter(RETRANSMIT_MICROS, this::retransmit);
+                simulation.scheduleAfter(RETRANSMIT_MICROS, this::retransmit);
             }
             return;
         }
         lastArrival = Math.max(
-                lastArrival + 1, world.now() + world.drawDelayMicros(process.machine(), peer.process.machine()));
-        world.scheduleAt(lastArrival, () -> deliver(arrival));
+                lastArrival + 1,
+                simulation.now() + simulation.drawDelayMicros(process.machine(), peer.process.machine()));
+        simulation.scheduleAt(lastArrival, () -> deliver(arrival));
     }
 
     private void retransmit() {
         if (forgotten || !process.machine().powered()) {
             undelivered.clear();
-        } else if (!world.isReachable(process.machine(), peer.process.machine())) {
-            world.scheduleAfter(RETRANSMIT_MICROS, this::retransmit);
+        } else if (!simulation.isReachable(process.machine(), peer.process.machine())) {
+            simulation.scheduleAfter(RETRANSMIT_MICROS, this::retransmit);
         } else {
             while (!undelivered.isEmpty()) {
                 Runnable next = undelivered.poll();
                 lastArrival = Math.max(
                         lastArrival + 1,
-                        world.now() + world.drawDelayMicros(process.machine(), peer.process.machine()));
-                world.scheduleAt(lastArrival, () -> deliver(next));
+                        simulation.now() + simulation.drawDelayMicros(process.machine(), peer.process.machine()));
+                simulation.scheduleAt(lastArrival, () -> deliver(next));
             }
         }
     }
 
     private void deliver(Runnable arrival) {
-        if (peer.forgotten) { // the machine has forgotten it, or is without power and says nothing
+        if (peer.forgotten) { // its machine has lost power: restarted, it resets the connection; until then it is
+            // silent
             if (peer.process.machine().powered()) {
                 replyFrom(peer.process.machine(), () -> fail(new IOException("Connection reset by peer")));
             }
@@ -163,7 +169,7 @@
         }
     }
 
-    // ---- What its process does ---------------------------------------------------------------------
+    // ---- Calls of the process ----------------------------------------------------------------------
     @Override
     public void setHandler(Environment.ReadinessHandler by) {
         handler = by;
@@ -317,7 +323,7 @@
         }
     }
 
-    /** Its machine has lost power: nothing is said, and nothing is remembered. */
+    /** Its machine has lost power: the peer is told nothing, and nothing is remembered. */
     void losePower() {
         forgotten = true;
         closed = true;
--- a/src/main/java/reedmux/simulation/cluster/SimulatedUdpSocket.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedUdpSocket.java
@@ -6,7 +6,7 @@
 import java.util.Deque;
 import reedmux.common.eventloop.Environment;
 
-/** A place for datagrams, which are lost now and then. */
+/** A simulated UDP socket: datagrams are delayed, lost at random, and dropped when the queue is full. */
 public final class SimulatedUdpSocket implements Environment.UdpSocket {
     private static final int MAX_QUEUED = 256;
     private final SimulatedProcess process;
@@ -28,14 +28,14 @@
 
     @Override
     public void send(InetSocketAddress to, ByteBuffer bytes) {
-        ClusterSimulation world = process.simulation();
-        SimulatedMachine target = world.machine(to.getAddress().getHostAddress());
+        ClusterSimulation simulation = process.simulation();
+        SimulatedMachine target = simulation.machine(to.getAddress().getHostAddress());
         byte[] copy = new byte[bytes.remaining()];
         bytes.get(copy);
-        if (target == null || world.drawDatagramLoss() || !world.isReachable(process.machine(), target)) {
+        if (target == null || simulation.drawDatagramLoss() || !simulation.isReachable(process.machine(), target)) {
             return;
         }
-        world.scheduleAfter(world.drawDelayMicros(process.machine(), target), () -> {
+        simulation.scheduleAfter(simulation.drawDelayMicros(process.machine(), target), () -> {
             SimulatedProcess hears = target.udpReceiver(to.getPort());
             if (hears != null) {
                 hears.udpSocket(to.getPort()).enqueue(new QueuedDatagram(address, copy));
--- a/src/main/java/reedmux/simulation/cluster/package-info.java
+++ b/src/main/java/reedmux/simulation/cluster/package-info.java
@@ -1,6 +1,7 @@
 /**
- * A whole deployment in virtual time: the production classes of proxy, registry and store on simulated
- * sockets and disks, under drawn troubles, watched from outside by a checker of the rules. One seed decides
- * all of it, and a seed played again gives the same digest.
+ * A simulation of a whole deployment in virtual time: the production classes of proxy, registry and store on simulated
+ * machines, sockets and disks ({@link reedmux.simulation.cluster.ClusterSimulation}), with faults drawn from a seed
+ * ({@link reedmux.simulation.cluster.SimulatedDay}) and invariants checked from outside. A seed that is run again gives
+ * the same digest.
  */
 package reedmux.simulation.cluster;
--- a/src/main/java/reedmux/simulation/harness/LoopbackChecker.java
+++ b/src/main/java/reedmux/simulation/harness/LoopbackChecker.java
@@ -10,10 +10,10 @@
 import reedmux.common.http1.Http1Head;
 import reedmux.common.http1.Http1ServerConnection;
 
-/** A checker's stand-in: it works on each request for a while and answers as the protocol says. */
+/** A stand-in for a checker: executes each request for a while and responds by the protocol, or faultily on demand. */
 final class LoopbackChecker {
     private static final long HEARTBEAT_INTERVAL_MICROS = 500_000;
-    /** What a request takes whose path says so. */
+    /** The time of a request whose path ends with {@code slow}. */
     private static final long SLOW_REQUEST_MICROS = 400_000;
 
     private final Reactor reactor;
@@ -28,7 +28,7 @@
     private long sequence;
     private int heartbeats;
 
-    /** {@code workMicros}: how long a request takes, in microseconds. */
+    /** {@code workMicros}: the time of a usual request. */
     LoopbackChecker(
             Reactor reactor,
             String ip,
@@ -82,7 +82,7 @@
                                 .getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** What it says to a request whose path ends with a way to misbehave, or null. */
+    /** The faulty response that a request's path asks for, or null. */
     private static String faultyResponse(String how, String attempt) {
         String seal = "Reedmux-Server-Seal: s\r\n";
         String good =
@@ -103,7 +103,7 @@
         };
     }
 
-    /** The attempts that it has run, in their order. */
+    /** The ids of the attempts that it has executed, in order. */
     List<String> executedAttempts() {
         return executedAttempts;
     }
@@ -128,7 +128,7 @@
         reactor.scheduleAfter(HEARTBEAT_INTERVAL_MICROS, this::sendHeartbeat);
     }
 
-    /** It says that it leaves, from its next call on. */
+    /** Reports that it drains from its next heartbeat on. */
     void startDraining() {
         phase = "draining";
     }
--- a/src/main/java/reedmux/simulation/harness/LoopbackGateway.java
+++ b/src/main/java/reedmux/simulation/harness/LoopbackGateway.java
@@ -32,7 +32,7 @@
     private static final int READINESS_PORT_OFFSET = 22;
     private static final int PORT_RANGE_WIDTH = 10;
     private static final String[] ZONES = {"zone-a", "zone-b", "zone-c"};
-    /** The items that a stage begins with. */
+    /** A change with the configuration that the stand-ins and requests need. */
     public static final String INITIAL_CONFIGURATION = """
             {"apply":{"signals":[
             {"signalKind":"plants","heading":{"name":"desk","revision":1},
@@ -54,7 +54,7 @@
     private final Path dataDirectory;
     private final List<Reactor> reactors = new ArrayList<>();
     private final List<LoopbackChecker> checkers = new ArrayList<>();
-    /** Has a proxy leave, as at SIGTERM. */
+    /** Begins the shutdown of each proxy. */
     private final List<Runnable> proxyShutdowns = new ArrayList<>();
 
     private final Reactor clientReactor;
@@ -95,7 +95,7 @@
         startThread(clientReactor, "outside");
     }
 
-    /** A run of ports that is free at the first address; the others are ours as well. */
+    /** A port that is free at the first address; the range begins with it, at all addresses. */
     private int findFirstPort() throws IOException {
         try (java.net.ServerSocket probe = new java.net.ServerSocket()) {
             probe.bind(new InetSocketAddress(ip(0), 0));
@@ -165,7 +165,7 @@
                         + sockets);
     }
 
-    /** The settings of one more machine, for a program that is started beside. */
+    /** The settings of one more machine, for a program that the caller starts. */
     public ProcessSettings spareSettings(String role) throws ProcessSettingsException {
         return settings("further-" + role, CORE_MACHINES + proxies, 0, false);
     }
@@ -180,10 +180,10 @@
         return new InetSocketAddress(ip(machine), firstPort + CONTROL_PORT_OFFSET);
     }
 
-    /** What somebody outside is answered. */
+    /** A response; the status is 0 if there was none, and the body says why. */
     public record LoopbackResponse(int status, String body) {}
 
-    /** Makes a call from outside and waits for what comes of it. */
+    /** Sends a request from outside and waits for its response. */
     public LoopbackResponse call(InetSocketAddress to, byte[] request) throws IOException {
         CompletableFuture<LoopbackResponse> told = new CompletableFuture<>();
         clientReactor.execute(() -> {
@@ -204,7 +204,7 @@
         }
     }
 
-    /** The operator's call, repeated elsewhere for as long as it has no clear answer. */
+    /** Changes the configuration; retried at other control machines until the response is clear. */
     public LoopbackResponse changeConfiguration(String body) throws IOException {
         return callUntilClear(request -> OneShotHttpCall.post("/v1/Config.Adjust", body));
     }
@@ -225,7 +225,7 @@
         return told;
     }
 
-    /** A client's request, of the attempt's id. */
+    /** Sends a client's request with an attempt id to a proxy. */
     public LoopbackResponse request(int proxy, String method, String path, String attempt, String body)
             throws IOException {
         return call(
@@ -240,7 +240,7 @@
                         "Authorization: Bearer key-of-first\r\n"));
     }
 
-    /** Waits until all proxies call themselves ready; false if they don't. */
+    /** Waits until all proxies are ready; returns whether they are within so many milliseconds. */
     public boolean awaitReady(long millis) throws IOException {
         for (long waited = 0; waited < millis; waited += 50) {
             boolean all = true;
@@ -255,24 +255,24 @@
         return false;
     }
 
-    /** A proxy is told to end, as by SIGTERM. */
+    /** Begins a proxy's graceful shutdown, as by SIGTERM. */
     public void shutdownProxy(int proxy) {
         proxyShutdowns.get(proxy).run();
     }
 
-    /** What a proxy says to the platform. */
+    /** A proxy's response to the platform's readiness probe. */
     public LoopbackResponse readiness(int proxy) throws IOException {
         return call(
                 new InetSocketAddress(ip(CORE_MACHINES + proxy), firstPort + READINESS_PORT_OFFSET),
                 OneShotHttpCall.request("GET", "/v1/readiness", "ready", ""));
     }
 
-    /** A checker says from now on that it leaves. */
+    /** Has a checker drain. */
     public void drainChecker(int checker) {
         clientReactor.execute(() -> checkers.get(checker).startDraining());
     }
 
-    /** How often each attempt was run, over all checkers. */
+    /** The ids of the attempts that all checkers have executed, one entry for each execution. */
     public List<String> executedAttempts() throws IOException {
         CompletableFuture<List<String>> all = new CompletableFuture<>();
         clientReactor.execute(() -> {
--- a/src/main/java/reedmux/simulation/harness/OneShotHttpCall.java
+++ b/src/main/java/reedmux/simulation/harness/OneShotHttpCall.java
@@ -4,6 +4,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 import reedmux.common.eventloop.Connection;
 import reedmux.common.eventloop.Reactor;
 import reedmux.common.http1.Http1BodyReader;
@@ -11,14 +12,22 @@
 import reedmux.common.http1.Http1HeadReader;
 import reedmux.common.http1.MalformedMessageException;
 
-/** One call over a connection of its own, as checkers, operators and clients make it. */
+/**
+ * One HTTP call over a connection of its own, as checkers, operators and clients make it. For the reactor's thread.
+ */
 public final class OneShotHttpCall implements Connection.ConnectionHandler {
     private static final int MAX_HEAD_BYTES = 16 * 1024;
     private static final long TIMEOUT_MICROS = 3_000_000;
 
-    /** What came of it; the status is 0 where no answer came. */
+    /** Receives the call's result, once. */
     public interface ResponseCallback {
-        /** {@code head} is null where no answer came. */
+        /**
+         * The call has ended.
+         *
+         * @param status the response's status, or 0 if there was no complete response
+         * @param head   the response's head, or null if there was no complete response
+         * @param text   the body, or why there was no response
+         */
         void onResponse(int status, Http1Head head, String text);
     }
 
@@ -30,37 +39,37 @@
     private Http1BodyReader bodyReader;
     private boolean finished;
 
-    OneShotHttpCall(Reactor reactor, InetSocketAddress to, byte[] request, ResponseCallback done) throws IOException {
-        this(reactor, to, request, TIMEOUT_MICROS, done);
+    OneShotHttpCall(Reactor reactor, InetSocketAddress to, byte[] request, ResponseCallback callback)
+            throws IOException {
+        this(reactor, to, request, TIMEOUT_MICROS, callback);
     }
 
-    /** {@code patience}: how long an answer is waited for, in microseconds. */
-    public OneShotHttpCall(Reactor reactor, InetSocketAddress to, byte[] request, long patience, ResponseCallback done)
+    /** Sends a request; the call fails after {@code timeoutMicros}. */
+    public OneShotHttpCall(
+            Reactor reactor, InetSocketAddress to, byte[] request, long timeoutMicros, ResponseCallback callback)
             throws IOException {
-        this.callback = done;
+        this.callback = callback;
         connection = Connection.connect(reactor, to, null, this);
         connection.write(request);
-        reactor.scheduleAfter(patience, () -> finish(0, "no answer"));
+        reactor.scheduleAfter(timeoutMicros, () -> finish(0, "no answer"));
     }
 
+    /** A POST request to a control address. */
     public static byte[] post(String path, String body) {
         return request("POST", path, "control", body);
     }
 
-    /** {@code headers} are further lines, each with its end. */
+    /** The bytes of a request; {@code headers} are further field lines, each with its line end. */
     public static byte[] request(String method, String path, String host, String body, String... headers) {
         byte[] content = body.getBytes(StandardCharsets.UTF_8);
         String head = method + ' ' + path + " HTTP/1.1\r\nHost: " + host + "\r\n" + String.join("", headers)
                 + (method.equals("GET") ? "" : "Content-Length: " + content.length + "\r\n") + "\r\n";
-        byte[] first = head.getBytes(StandardCharsets.ISO_8859_1);
-        byte[] all = java.util.Arrays.copyOf(first, first.length + content.length);
-        System.arraycopy(content, 0, all, first.length, content.length);
-        return all;
+        byte[] headBytes = head.getBytes(StandardCharsets.ISO_8859_1);
+        byte[] message = Arrays.copyOf(headBytes, headBytes.length + content.length);
+        System.arraycopy(content, 0, message, headBytes.length, content.length);
+        return message;
     }
 
-    @Override
-    public void onConnected() {}
-
     @Override
     public void onInput() {
         try {
@@ -69,7 +78,7 @@
                 bodyReader = head == null ? null : Http1BodyReader.ofResponse(head, "GET");
             }
             if (head != null && bodyReader != null) {
-                bodyReader.read(connection, piece -> bodyBytes.write(piece, 0, piece.length));
+                bodyReader.read(connection, bytes -> bodyBytes.write(bytes, 0, bytes.length));
                 if (bodyReader.isComplete()) {
                     finish(head.status(), bodyBytes.toString(StandardCharsets.UTF_8));
                     return;
@@ -92,7 +101,7 @@
     }
 
     @Override
-    public void onClosed(String why) {
-        finish(0, why);
+    public void onClosed(String reason) {
+        finish(0, reason);
     }
 }
--- a/src/main/java/reedmux/simulation/harness/package-info.java
+++ b/src/main/java/reedmux/simulation/harness/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A whole gateway of the system in one process on loopback, with stand-ins for checkers, clients and the
- * operator. Real sockets and files, the programs' own classes; for a first look, the class archive and
- * tests of the whole path. Nothing of it runs in service.
+ * A complete gateway of the system in one process on loopback ({@link reedmux.simulation.harness.LoopbackGateway}): the
+ * programs' own classes on real sockets and files, with stand-ins for checkers, clients and operators. For a first look,
+ * the class archive and tests of the whole path; nothing of it runs in production.
  */
 package reedmux.simulation.harness;
--- a/src/test/java/reedmux/simulation/cluster/DrainAcknowledgementClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/DrainAcknowledgementClusterTest.java
@@ -14,7 +14,7 @@
     /** A caller waits for a second. */
     private static final long PATIENCE = SECOND;
 
-    private ClusterSimulation world;
+    private ClusterSimulation simulation;
     private Deployment deployment;
     private SimulatedProcess outside;
     private int seq;
@@ -24,17 +24,17 @@
 
     @BeforeMethod
     public void start() {
-        world = new ClusterSimulation(9);
-        deployment = new Deployment(world, 2, 3, line -> {});
+        simulation = new ClusterSimulation(9);
+        deployment = new Deployment(simulation, 2, 3, line -> {});
         deployment.start();
         outside = new SimulatedProcess(
-                world, new SimulatedMachine(world, "10.9.0.1", "hall-a", false), "outside", 0, line -> {});
-        world.runFor(3 * SECOND);
+                simulation, new SimulatedMachine(simulation, "10.9.0.1", "hall-a", false), "outside", 0, line -> {});
+        simulation.runFor(3 * SECOND);
     }
 
     private TimedResponse call(int core, String path, String body) {
         TimedResponse[] told = {null};
-        long begun = world.now();
+        long begun = simulation.now();
         outside.reactor().execute(() -> {
             try {
                 new OneShotHttpCall(
@@ -43,12 +43,12 @@
                         OneShotHttpCall.post(path, body),
                         PATIENCE,
                         (status, head, text) ->
-                                told[0] = new TimedResponse(status, world.now() - begun, text.length()));
+                                told[0] = new TimedResponse(status, simulation.now() - begun, text.length()));
             } catch (IOException e) {
                 told[0] = new TimedResponse(0, 0, 0);
             }
         });
-        world.runFor(2 * SECOND);
+        simulation.runFor(2 * SECOND);
         return told[0];
     }
 
@@ -71,8 +71,8 @@
             if (other != core) {
                 SimulatedMachine one = deployment.cores().get(core).machine();
                 SimulatedMachine two = deployment.cores().get(other).machine();
-                world.partition(one, two);
-                world.partition(two, one);
+                simulation.partition(one, two);
+                simulation.partition(two, one);
             }
         }
     }
@@ -95,7 +95,7 @@
         TimedResponse first = beat(0, "i-1", "draining");
         assertEquals(first.status(), 503);
         assertTrue(first.after() < PATIENCE, first.toString()); // links still stand for a while
-        world.runFor(5 * SECOND);
+        simulation.runFor(5 * SECOND);
         good(beat(0, "i-9", "ready"));
         TimedResponse later = beat(0, "i-1", "draining");
         assertEquals(later.status(), 503);
@@ -109,9 +109,9 @@
     public void whoIsLeftAloneAcknowledgesAgainOnceAnotherIsBack() {
         deployment.cores().get(1).losePower(20 * SECOND, false);
         deployment.cores().get(2).losePower(40 * SECOND, false);
-        world.runFor(5 * SECOND);
+        simulation.runFor(5 * SECOND);
         assertEquals(beat(0, "i-1", "draining").status(), 503);
-        world.runFor(18 * SECOND);
+        simulation.runFor(18 * SECOND);
         good(beat(0, "i-1", "draining"));
     }
 
@@ -123,7 +123,7 @@
         assertEquals(beat(0, "i-1", "draining").status(), 0);
         good(beat(1, "i-1", "draining"));
         good(call(1, "/v1/Instances.Leave/i-1", "{}"));
-        world.runFor(20 * SECOND);
+        simulation.runFor(20 * SECOND);
         good(beat(0, "i-1", "ready")); // late, and no way back
         good(beat(0, "i-2", "draining"));
     }
--- a/src/test/java/reedmux/simulation/cluster/ProgramsClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ProgramsClusterTest.java
@@ -14,23 +14,23 @@
 public class ProgramsClusterTest {
     private static final long SECOND = 1_000_000;
     private final List<String> log = new ArrayList<>();
-    private ClusterSimulation world;
+    private ClusterSimulation simulation;
     private Deployment deployment;
     private SimulatedProcess outside;
 
     @BeforeMethod
     public void start() {
         log.clear();
-        world = new ClusterSimulation(5);
-        deployment = new Deployment(world, 2, 3, log::add);
+        simulation = new ClusterSimulation(5);
+        deployment = new Deployment(simulation, 2, 3, log::add);
         deployment.start();
         outside = new SimulatedProcess(
-                world, new SimulatedMachine(world, "10.9.0.1", "hall-a", false), "outside", 0, line -> {});
+                simulation, new SimulatedMachine(simulation, "10.9.0.1", "hall-a", false), "outside", 0, line -> {});
         ClusterInvariantChecker watch = new ClusterInvariantChecker();
         for (int i = 0; i < 4; i++) {
             new SimulatedChecker(
-                    world,
-                    new SimulatedMachine(world, "10.3.0." + (i + 1), "hall-a", false),
+                    simulation,
+                    new SimulatedMachine(simulation, "10.3.0." + (i + 1), "hall-a", false),
                     "i-" + i,
                     ConfigurationGenerator.SERVICES[i % 2],
                     deployment.controlAddresses(),
@@ -38,18 +38,18 @@
                     () -> {},
                     ip -> {});
         }
-        new SimulatedOperator(world, "10.8.0.1", deployment.controlAddresses(), watch)
+        new SimulatedOperator(simulation, "10.8.0.1", deployment.controlAddresses(), watch)
                 .changeConfiguration(
                         new ConfigurationGenerator(new java.util.Random(1)).initialChange(),
                         ClusterInvariantChecker.ExpectedDecision.ACCEPT,
                         ConfigurationGenerator::visibleEffect,
                         status -> {});
-        world.runFor(5 * SECOND);
+        simulation.runFor(5 * SECOND);
     }
 
     private int[] ask(String path, long timeLeft) throws java.io.IOException {
         int[] told = {-1, 0};
-        long begun = world.now();
+        long begun = simulation.now();
         outside.reactor().execute(() -> {
             try {
                 new OneShotHttpCall(
@@ -66,13 +66,13 @@
                         3 * SECOND,
                         (status, head, text) -> {
                             told[0] = status;
-                            told[1] = (int) (world.now() - begun);
+                            told[1] = (int) (simulation.now() - begun);
                         });
             } catch (java.io.IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
         });
-        world.runFor(2 * SECOND);
+        simulation.runFor(2 * SECOND);
         return told;
     }
 
@@ -82,12 +82,12 @@
         for (int port = 7360; port < 7362; port++) {
             SimulatedTcpSocket line =
                     (SimulatedTcpSocket) outside.connect(SocketAddresses.parse("10.1.0.10:" + port), null);
-            world.runFor(SECOND);
+            simulation.runFor(SECOND);
             line.write(java.nio.ByteBuffer.wrap(new byte[] {0, 0}));
-            world.runFor(SECOND / 10);
+            simulation.runFor(SECOND / 10);
             line.close();
         }
-        world.runFor(5 * SECOND);
+        simulation.runFor(5 * SECOND);
         assertEquals(log.stream().filter(line -> line.contains("Exception")).toList(), List.of());
         assertTrue(deployment.cores().get(0).machine().tcpListener(7360) != null);
     }
@@ -97,7 +97,7 @@
     public void aRequestWaitsForTheEndOfAStart() throws java.io.IOException {
         assertEquals(ask("/r0/x", 1_500)[0], 200);
         deployment.proxies().get(0).kill(SECOND / 2);
-        world.runFor(SECOND / 2 + 500);
+        simulation.runFor(SECOND / 2 + 500);
         int[] told = ask("/r0/x", 2_500);
         assertEquals(told[0], 200);
         assertTrue(told[1] < SECOND / 2, "took " + told[1]);
@@ -108,13 +108,13 @@
     public void theCheckersOfARegistryThatIsCutOffAreNotSilent() {
         SimulatedMachine cut = deployment.cores().get(0).machine();
         for (Deployment.DeployedNode core : deployment.cores().subList(1, 3)) {
-            world.partition(cut, core.machine());
-            world.partition(core.machine(), cut);
+            simulation.partition(cut, core.machine());
+            simulation.partition(core.machine(), cut);
         }
-        world.runFor(20 * SECOND);
+        simulation.runFor(20 * SECOND);
         assertEquals(log.stream().filter(line -> line.contains("silent")).toList(), List.of());
-        deployment.cores().forEach(core -> world.partition(world.machine("10.3.0.1"), core.machine()));
-        world.runFor(10 * SECOND);
+        deployment.cores().forEach(core -> simulation.partition(simulation.machine("10.3.0.1"), core.machine()));
+        simulation.runFor(10 * SECOND);
         assertTrue(log.stream().anyMatch(line -> line.contains("silent")), "who calls nobody is silent");
     }
 
@@ -122,7 +122,7 @@
     @Test
     public void theCheckersOfARegistryThatIsGoneAreNotSilent() {
         deployment.cores().get(0).losePower(60 * SECOND, false);
-        world.runFor(20 * SECOND);
+        simulation.runFor(20 * SECOND);
         assertEquals(log.stream().filter(line -> line.contains("silent")).toList(), List.of());
     }
 
@@ -131,7 +131,7 @@
     public void whoKnowsNothingRefusesInTime() throws java.io.IOException {
         deployment.cores().forEach(core -> core.losePower(60 * SECOND, false));
         deployment.proxies().get(0).kill(SECOND / 2);
-        world.runFor(SECOND);
+        simulation.runFor(SECOND);
         int[] told = ask("/r0/x", 2_000);
         assertEquals(told[0], 503);
         assertTrue(told[1] < 300_000, "took " + told[1]);
@@ -140,20 +140,20 @@
     /** What its registry tells, between the pieces of what its store tells, takes nothing of these away. */
     @Test
     public void aProxyThatStartsTakesASnapshotInPieces() throws java.io.IOException {
-        SimulatedOperator operator =
-                new SimulatedOperator(world, "10.8.0.9", deployment.controlAddresses(), new ClusterInvariantChecker());
+        SimulatedOperator operator = new SimulatedOperator(
+                simulation, "10.8.0.9", deployment.controlAddresses(), new ClusterInvariantChecker());
         for (int from = 0; from < 6_000; from += 500) {
             operator.changeConfiguration(
                     CatchUpExperiment.tenantsChange(from, 500, 1),
                     ClusterInvariantChecker.ExpectedDecision.ACCEPT,
                     ConfigurationGenerator::visibleEffect,
                     status -> assertEquals((int) status, 200));
-            world.runFor(2 * SECOND);
+            simulation.runFor(2 * SECOND);
         }
         for (int i = 0; i < 10; i++) {
             long downFor = SECOND / 10 + i * 700;
             deployment.proxies().forEach(edge -> edge.kill(downFor));
-            world.runFor(SECOND / 2);
+            simulation.runFor(SECOND / 2);
             assertEquals(ask("/r0/x", 1_500)[0], 200, "after start " + i);
         }
     }
--- a/src/test/java/reedmux/simulation/cluster/QuorumContactClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/QuorumContactClusterTest.java
@@ -28,22 +28,22 @@
     private static final String NEWER = "{\"apply\":{\"signals\":[{\"signalKind\":\"plants\",\"heading\":"
             + "{\"name\":\"newer\",\"revision\":99},"
             + "\"reference\":{\"probe\":\"/health\",\"connCeiling\":9}}]}}";
-    private ClusterSimulation world;
+    private ClusterSimulation simulation;
     private Deployment deployment;
     private SimulatedProcess outside;
 
     @BeforeMethod
     public void start() {
-        world = new ClusterSimulation(6);
-        deployment = new Deployment(world, 2, 3, line -> {});
+        simulation = new ClusterSimulation(6);
+        deployment = new Deployment(simulation, 2, 3, line -> {});
         deployment.start();
         outside = new SimulatedProcess(
-                world, new SimulatedMachine(world, "10.9.0.1", "hall-a", false), "outside", 0, line -> {});
+                simulation, new SimulatedMachine(simulation, "10.9.0.1", "hall-a", false), "outside", 0, line -> {});
         ClusterInvariantChecker watch = new ClusterInvariantChecker();
         for (int i = 0; i < 4; i++) {
             new SimulatedChecker(
-                    world,
-                    new SimulatedMachine(world, "10.3.0." + (i + 1), "hall-a", false),
+                    simulation,
+                    new SimulatedMachine(simulation, "10.3.0." + (i + 1), "hall-a", false),
                     "i-" + i,
                     ConfigurationGenerator.SERVICES[i % 2],
                     deployment.controlAddresses(),
@@ -51,13 +51,13 @@
                     () -> {},
                     ip -> {});
         }
-        new SimulatedOperator(world, "10.8.0.1", deployment.controlAddresses(), watch)
+        new SimulatedOperator(simulation, "10.8.0.1", deployment.controlAddresses(), watch)
                 .changeConfiguration(
                         new ConfigurationGenerator(new Random(1)).initialChange(),
                         ClusterInvariantChecker.ExpectedDecision.ACCEPT,
                         ConfigurationGenerator::visibleEffect,
                         status -> {});
-        world.runFor(5 * SECOND);
+        simulation.runFor(5 * SECOND);
     }
 
     /** Asks somebody and lets two seconds pass; what is not answered is 0. */
@@ -71,7 +71,7 @@
                 throw new UncheckedIOException(e);
             }
         });
-        world.runFor(2 * SECOND);
+        simulation.runFor(2 * SECOND);
         return told[0];
     }
 
@@ -83,7 +83,7 @@
                         path,
                         "h.example",
                         "",
-                        "Reedmux-Attempt-Id: a" + world.now() + "\r\n",
+                        "Reedmux-Attempt-Id: a" + simulation.now() + "\r\n",
                         "Reedmux-Time-Left-Ms: 1500\r\n",
                         "Authorization: Bearer key-0-first.\r\n"));
         return Integer.parseInt(told.split(" ")[0]);
@@ -105,11 +105,11 @@
                 List.of(cores.get(0).machine(), deployment.proxies().get(0).machine())) {
             for (SimulatedMachine other : far) {
                 if (both) {
-                    world.partition(near, other);
-                    world.partition(other, near);
+                    simulation.partition(near, other);
+                    simulation.partition(other, near);
                 } else {
-                    world.heal(near, other);
-                    world.heal(other, near);
+                    simulation.heal(near, other);
+                    simulation.heal(other, near);
                 }
             }
         }
@@ -123,15 +123,15 @@
         InetSocketAddress front = deployment.frontAddress(deployment.proxies().get(0));
         assertEquals(ask(ready, "/v1/readiness"), 200);
         cut(true);
-        world.runFor(4 * SECOND);
+        simulation.runFor(4 * SECOND);
         assertEquals(ask(ready, "/v1/readiness"), 200, "who was ready stays so");
         deployment.proxies().get(0).kill(SECOND / 2);
-        world.runFor(10 * SECOND);
+        simulation.runFor(10 * SECOND);
         assertEquals(ask(ready, "/v1/readiness"), 503);
         assertEquals(ask(front, "/r0/x"), 200);
         assertEquals(ask(front, "/nowhere/x"), 503);
         cut(false);
-        world.runFor(4 * SECOND);
+        simulation.runFor(4 * SECOND);
         assertEquals(ask(ready, "/v1/readiness"), 200);
         assertEquals(ask(front, "/nowhere/x"), 404);
     }
@@ -153,7 +153,7 @@
             }
         }
         cut(false);
-        world.runFor(3 * SECOND);
+        simulation.runFor(3 * SECOND);
         assertTrue(control(0, read()).contains("\"newer\""));
     }
 
@@ -163,13 +163,13 @@
         for (long early : new long[] {0, 50_000, SECOND}) {
             start();
             deployment.cores().get(0).freeze(20 * SECOND);
-            world.runFor(3 * SECOND);
+            simulation.runFor(3 * SECOND);
             assertTrue(
                     control(1, OneShotHttpCall.post("/v1/Config.Adjust", NEWER)).startsWith("200"));
-            world.runFor(15 * SECOND - early);
+            simulation.runFor(15 * SECOND - early);
             String told = control(0, read());
             assertFalse(told.startsWith("200") && !told.contains("\"newer\""), told);
-            world.runFor(3 * SECOND);
+            simulation.runFor(3 * SECOND);
             assertTrue(control(0, read()).contains("\"newer\""));
         }
     }
@@ -181,7 +181,7 @@
     @Test
     public void whatChangesWhileDigestsAreComparedIsToldBehindThem() throws IOException {
         SimulatedProcess peer = new SimulatedProcess(
-                world, new SimulatedMachine(world, "10.7.0.5", "hall-a", false), "peer", 0, line -> {});
+                simulation, new SimulatedMachine(simulation, "10.7.0.5", "hall-a", false), "peer", 0, line -> {});
         Messages.Hello hello =
                 new Messages.Hello(Messages.FORMAT_VERSION, "store", "peer", "10.7.0.5", "hall-a", 1, List.of());
         Replica known = new Replica();
@@ -211,10 +211,10 @@
                 SocketAddresses.parse(deployment.cores().get(1).machine().ip() + ':' + Deployment.STORE_PORT);
         peer.submit(() -> {});
         RpcConnection link = RpcConnection.connect(peer.reactor(), new MessageCodec(), hello, store, owner);
-        world.runFor(SECOND / 2);
+        simulation.runFor(SECOND / 2);
         peer.submit(() -> link.sendMessage(
                 new Messages.DigestRequest(List.of(), known.digests().digestsOf(List.of()))));
-        world.runFor(SECOND / 10);
+        simulation.runFor(SECOND / 10);
         assertFalse(differ.isEmpty());
         List<String> later = new ArrayList<>();
         for (int i = 0; i < 8; i++) { // of eight names some are in ranges that were alike
@@ -226,7 +226,7 @@
         }
         peer.submit(() -> link.sendMessage(
                 new Messages.DigestRequest(differ, known.digests().digestsOf(differ))));
-        world.runFor(SECOND);
+        simulation.runFor(SECOND);
         assertTrue(over[0]);
         List<String> has = new ArrayList<>();
         known.committed().forEach(item -> has.add(item.key()));
@@ -238,14 +238,14 @@
     public void whatWasSaidInAnotherTimeIsNotRead() throws IOException {
         for (boolean wakes : new boolean[] {false, true}) {
             SimulatedProcess one = new SimulatedProcess(
-                    world,
-                    new SimulatedMachine(world, "10.7.0." + (wakes ? 1 : 3), "hall-a", false),
+                    simulation,
+                    new SimulatedMachine(simulation, "10.7.0." + (wakes ? 1 : 3), "hall-a", false),
                     "one",
                     0,
                     line -> {});
             SimulatedProcess two = new SimulatedProcess(
-                    world,
-                    new SimulatedMachine(world, "10.7.0." + (wakes ? 2 : 4), "hall-a", false),
+                    simulation,
+                    new SimulatedMachine(simulation, "10.7.0." + (wakes ? 2 : 4), "hall-a", false),
                     "two",
                     0,
                     line -> {});
@@ -275,13 +275,13 @@
             one.submit(() -> {});
             two.submit(() -> {});
             links[0] = RpcConnection.connect(one.reactor(), new MessageCodec(), hello, at, owner);
-            world.runFor(SECOND);
+            simulation.runFor(SECOND);
             assertNotEquals(links[1], null);
             two.freeze();
             links[0].sendMessage(new Messages.ConfigurationReadRequest(1));
-            world.runFor(wakes ? 20 * SECOND : SECOND);
+            simulation.runFor(wakes ? 20 * SECOND : SECOND);
             two.thaw();
-            world.runFor(SECOND / 10);
+            simulation.runFor(SECOND / 10);
             assertEquals(heard.contains(new Messages.ConfigurationReadRequest(1)), !wakes);
             assertEquals(heard.contains("down"), wakes);
         }
--- a/src/test/java/reedmux/simulation/cluster/ShowClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ShowClusterTest.java
@@ -21,22 +21,22 @@
 /** What operators are shown, in virtual time: with a majority, and at a machine that is cut off. */
 public class ShowClusterTest {
     private static final long SECOND = 1_000_000;
-    private ClusterSimulation world;
+    private ClusterSimulation simulation;
     private Deployment deployment;
     private SimulatedProcess outside;
 
     @BeforeMethod
     public void start() {
-        world = new ClusterSimulation(8);
-        deployment = new Deployment(world, 2, 3, line -> {});
+        simulation = new ClusterSimulation(8);
+        deployment = new Deployment(simulation, 2, 3, line -> {});
         deployment.start();
         outside = new SimulatedProcess(
-                world, new SimulatedMachine(world, "10.9.0.1", "hall-a", false), "outside", 0, line -> {});
+                simulation, new SimulatedMachine(simulation, "10.9.0.1", "hall-a", false), "outside", 0, line -> {});
         ClusterInvariantChecker watch = new ClusterInvariantChecker();
         for (int i = 0; i < 4; i++) {
             new SimulatedChecker(
-                    world,
-                    new SimulatedMachine(world, "10.3.0." + (i + 1), "hall-a", false),
+                    simulation,
+                    new SimulatedMachine(simulation, "10.3.0." + (i + 1), "hall-a", false),
                     "i-" + i,
                     ConfigurationGenerator.SERVICES[i % 2],
                     deployment.controlAddresses(),
@@ -44,13 +44,13 @@
                     () -> {},
                     ip -> {});
         }
-        new SimulatedOperator(world, "10.8.0.1", deployment.controlAddresses(), watch)
+        new SimulatedOperator(simulation, "10.8.0.1", deployment.controlAddresses(), watch)
                 .changeConfiguration(
                         new ConfigurationGenerator(new Random(1)).initialChange(),
                         ClusterInvariantChecker.ExpectedDecision.ACCEPT,
                         ConfigurationGenerator::visibleEffect,
                         status -> {});
-        world.runFor(5 * SECOND);
+        simulation.runFor(5 * SECOND);
     }
 
     private String ask(int core, String path) {
@@ -67,7 +67,7 @@
                 throw new UncheckedIOException(e);
             }
         });
-        world.runFor(SECOND);
+        simulation.runFor(SECOND);
         return told[0];
     }
 
@@ -93,8 +93,8 @@
     private void cut() {
         SimulatedMachine near = deployment.cores().get(0).machine();
         for (int i = 1; i < 3; i++) {
-            world.partition(near, deployment.cores().get(i).machine());
-            world.partition(deployment.cores().get(i).machine(), near);
+            simulation.partition(near, deployment.cores().get(i).machine());
+            simulation.partition(deployment.cores().get(i).machine(), near);
         }
     }
 
@@ -153,7 +153,7 @@
         assertEquals(show(0, "Items").get("majority"), true);
         int items = entries(show(0, "Items")).size();
         cut();
-        world.runFor(10 * SECOND);
+        simulation.runFor(10 * SECOND);
         for (String what : List.of("Members", "Core", "Checkers", "Items", "Duties")) {
             Map<String, Object> told = show(0, what);
             assertEquals(told.get("majority"), false, what);
