--- a/src/test/java/reedmux/proxy/CheckerConnectionTest.java
+++ b/src/test/java/reedmux/proxy/CheckerConnectionTest.java
@@ -33,7 +33,7 @@
     private static final int STEPS = 4;
     private static final String ATTEMPT_ID_HEADER = "Reedmux-Attempt-Id: ";
 
-    /** The world round them: two checkers, whose sides of the connections are the test's. */
+    /** Two checkers, whose sides of the connections are the test's, and what they have seen. */
     private static final class CheckerHarness implements RequestPort {
         final ScriptedEnvironment sockets = new ScriptedEnvironment();
         final LoadBalancer loadBalancer = new LoadBalancer("me", "here", 1);
@@ -149,7 +149,7 @@
                     + "Content-Length: " + body.length() + "\r\n\r\n" + body;
         }
 
-        /** One step of the world. */
+        /** One step: time passes, or a checker does something. */
         void step(ScheduleExplorer orders) {
             List<ScriptedEnvironment.ScriptedSocket> open = awaitingChecker();
             int which = orders.choose(open.size() + 1);
@@ -248,25 +248,25 @@
      * and a connection that goes from one request to the next. With five steps: 173,483 orders.
      */
     @Test
-    public void noOrderMixesRunsTwiceOrBreaksAPromise() {
+    public void noOrderMixesResponsesExecutesTwiceOrBreaksAPromise() {
         int plays = 0;
         for (int kinds = 0; kinds < 4; kinds++) {
             boolean first = kinds % 2 == 0;
             boolean second = kinds / 2 == 0;
             plays += ScheduleExplorer.exploreAll(1_000_000, orders -> {
-                CheckerHarness world = new CheckerHarness(2);
-                world.accept("one", first, null);
-                world.sockets.sockets.get(0).completeConnect();
+                CheckerHarness harness = new CheckerHarness(2);
+                harness.accept("one", first, null);
+                harness.sockets.sockets.get(0).completeConnect();
                 int next = orders.choose(STEPS);
                 for (int i = 0; i < STEPS; i++) {
                     if (i == next) {
-                        world.accept("two", second, "text");
+                        harness.accept("two", second, "text");
                     }
-                    world.step(orders);
+                    harness.step(orders);
                 }
-                world.sockets.advanceMicros(900 * MICROS_PER_MILLI);
-                world.check("one", first);
-                world.check("two", second);
+                harness.sockets.advanceMicros(900 * MICROS_PER_MILLI);
+                harness.check("one", first);
+                harness.check("two", second);
             });
         }
         assertTrue(plays > 25_000, plays + " orders");
@@ -274,7 +274,7 @@
 
     /** A send that ends after each of its bytes, by a reset or by silence. */
     @Test
-    public void oneByteThatWentOutMayHaveRun() {
+    public void requestOfWhichAByteWasSentMayHaveBeenExecuted() {
         CheckerHarness whole = new CheckerHarness(2);
         whole.accept("one", false, "0123456789");
         whole.sockets.sockets.get(0).completeConnect();
@@ -282,24 +282,24 @@
         assertTrue(total > 100, total + " bytes");
         for (int sent = 0; sent <= total; sent++) {
             for (boolean silent : new boolean[] {true, false}) {
-                CheckerHarness world = new CheckerHarness(2);
-                world.sockets.socketCapacityBytes = sent;
-                world.accept("one", false, "0123456789");
-                world.sockets.socketCapacityBytes = Long.MAX_VALUE;
-                ScriptedEnvironment.ScriptedSocket conn = world.sockets.sockets.get(0);
+                CheckerHarness harness = new CheckerHarness(2);
+                harness.sockets.socketCapacityBytes = sent;
+                harness.accept("one", false, "0123456789");
+                harness.sockets.socketCapacityBytes = Long.MAX_VALUE;
+                ScriptedEnvironment.ScriptedSocket conn = harness.sockets.sockets.get(0);
                 conn.completeConnect();
                 assertEquals(conn.writtenText().length(), sent);
                 if (!silent) {
                     conn.reset();
-                    assertEquals(world.sockets.sockets.size(), sent == 0 ? 2 : 1, sent + " bytes");
+                    assertEquals(harness.sockets.sockets.size(), sent == 0 ? 2 : 1, sent + " bytes");
                 }
-                world.sockets.advanceMicros(900 * MICROS_PER_MILLI);
-                ProxyResponse answer = world.responses.get("one");
+                harness.sockets.advanceMicros(900 * MICROS_PER_MILLI);
+                ProxyResponse answer = harness.responses.get("one");
                 assertEquals(
                         ((ProxyResponse.LocalResponse) answer).status(),
                         silent ? 504 : sent == 0 ? 503 : 502,
                         sent + " bytes");
-                assertEquals(world.quotaRefunds.size(), !silent && sent == 0 ? 1 : 0);
+                assertEquals(harness.quotaRefunds.size(), !silent && sent == 0 ? 1 : 0);
             }
         }
     }
--- a/src/test/java/reedmux/proxy/ClientConnectionTest.java
+++ b/src/test/java/reedmux/proxy/ClientConnectionTest.java
@@ -96,97 +96,97 @@
     }
 
     @Test
-    public void anAnswerGoesToItsOwnRequestAlone() throws IOException {
-        ClientHarness front = new ClientHarness();
-        front.socket.receive(get("one"));
-        front.client.respond(front.dispatched.get(0), localResponse(503));
-        front.socket.receive(get("two"));
-        front.client.respond(front.dispatched.get(0), localResponse(502)); // late, and not the second one's
-        assertFalse(front.socket.writtenText().contains("502"));
-        front.client.respond(front.dispatched.get(1), localResponse(504));
-        assertTrue(front.socket.writtenText().endsWith("told 504\n"), front.socket.writtenText());
-        assertTrue(front.socket.writtenText().contains("Reedmux-Attempt-Id: two"));
+    public void sendsAResponseOnlyToItsOwnRequest() throws IOException {
+        ClientHarness harness = new ClientHarness();
+        harness.socket.receive(get("one"));
+        harness.client.respond(harness.dispatched.get(0), localResponse(503));
+        harness.socket.receive(get("two"));
+        harness.client.respond(harness.dispatched.get(0), localResponse(502)); // late, and not the second one's
+        assertFalse(harness.socket.writtenText().contains("502"));
+        harness.client.respond(harness.dispatched.get(1), localResponse(504));
+        assertTrue(harness.socket.writtenText().endsWith("told 504\n"), harness.socket.writtenText());
+        assertTrue(harness.socket.writtenText().contains("Reedmux-Attempt-Id: two"));
     }
 
     /** A body that goes wrong after the answer: what was counted for the request is not given back again. */
     @Test
-    public void aRequestThatWasAnsweredIsNotLeftAgain() throws IOException {
+    public void doesNotAbandonARequestThatHasItsResponse() throws IOException {
         for (boolean answered : new boolean[] {true, false}) {
-            ClientHarness front = new ClientHarness();
-            front.socket.receive("POST /x HTTP/1.1\r\nHost: h\r\nReedmux-Attempt-Id: a\r\n"
+            ClientHarness harness = new ClientHarness();
+            harness.socket.receive("POST /x HTTP/1.1\r\nHost: h\r\nReedmux-Attempt-Id: a\r\n"
                     + "Transfer-Encoding: chunked\r\n\r\n90000\r\n" + "y".repeat(0x90000) + "\r\n");
-            assertEquals(front.dispatched.size(), 1);
-            ClientRequestBody upload = front.dispatched.get(0).body();
+            assertEquals(harness.dispatched.size(), 1);
+            ClientRequestBody upload = harness.dispatched.get(0).body();
             for (int i = 0; upload.chunk(i) != null; i++) {
-                assertFalse(front.socket.isClosed()); // a checker takes it
+                assertFalse(harness.socket.isClosed()); // a checker takes it
             }
             if (answered) {
-                front.client.respond(front.dispatched.get(0), localResponse(503));
+                harness.client.respond(harness.dispatched.get(0), localResponse(503));
             }
-            front.socket.receive("no chunk\r\n");
-            assertEquals(front.abandoned.size(), answered ? 0 : 1);
+            harness.socket.receive("no chunk\r\n");
+            assertEquals(harness.abandoned.size(), answered ? 0 : 1);
         }
     }
 
     /** A connection may rest as long as its client was told, and for as long as holds now. */
     @Test
-    public void whoRestsWithinWhatItWasToldIsNotClosed() throws IOException {
+    public void keepsConnectionsOpenForTheAnnouncedIdleTime() throws IOException {
         for (long next : new long[] {5 * MICROS_PER_SECOND, 15 * MICROS_PER_SECOND, 40 * MICROS_PER_SECOND}) {
-            ClientHarness front = new ClientHarness();
-            front.socket.receive(get("one"));
-            front.client.respond(front.dispatched.get(0), localResponse(404));
-            front.limits = new RequestLimits(300, 8 << 20, MICROS_PER_SECOND, next);
-            front.pass(Math.max(12 * MICROS_PER_SECOND, next / 5 * 4));
-            assertFalse(front.socket.isClosed(), "rests, " + next);
-            front.socket.receive(get("two"));
-            assertEquals(front.dispatched.size(), 2);
-            front.client.respond(front.dispatched.get(1), localResponse(404));
-            front.pass(next / 5 * 4);
-            assertFalse(front.socket.isClosed());
-            front.pass(next / 5 * 2);
-            assertTrue(front.socket.isClosed());
+            ClientHarness harness = new ClientHarness();
+            harness.socket.receive(get("one"));
+            harness.client.respond(harness.dispatched.get(0), localResponse(404));
+            harness.limits = new RequestLimits(300, 8 << 20, MICROS_PER_SECOND, next);
+            harness.pass(Math.max(12 * MICROS_PER_SECOND, next / 5 * 4));
+            assertFalse(harness.socket.isClosed(), "rests, " + next);
+            harness.socket.receive(get("two"));
+            assertEquals(harness.dispatched.size(), 2);
+            harness.client.respond(harness.dispatched.get(1), localResponse(404));
+            harness.pass(next / 5 * 4);
+            assertFalse(harness.socket.isClosed());
+            harness.pass(next / 5 * 2);
+            assertTrue(harness.socket.isClosed());
         }
     }
 
     /** A head of just the bound, however its bytes come, and one byte more. */
     @Test
-    public void aHeadOfTheBoundIsTakenByteByByte() throws IOException {
+    public void acceptsAHeadOfExactlyTheLimitByteByByte() throws IOException {
         for (int beyond = 0; beyond < 2; beyond++) {
-            ClientHarness front = new ClientHarness();
+            ClientHarness harness = new ClientHarness();
             String head = get("one").replace("\r\n\r\n", "\r\nPad: \r\n\r\n");
             head = head.replace("Pad: ", "Pad: " + "p".repeat(300 + 4 + beyond - head.length()));
-            for (int i = 0; i < head.length() && !front.socket.isClosed(); i++) {
-                front.socket.receive(head.substring(i, i + 1));
+            for (int i = 0; i < head.length() && !harness.socket.isClosed(); i++) {
+                harness.socket.receive(head.substring(i, i + 1));
             }
-            assertEquals(front.dispatched.size(), 1 - beyond);
-            assertEquals(front.socket.writtenText().startsWith("HTTP/1.1 431"), beyond == 1);
+            assertEquals(harness.dispatched.size(), 1 - beyond);
+            assertEquals(harness.socket.writtenText().startsWith("HTTP/1.1 431"), beyond == 1);
         }
     }
 
     @Test
-    public void aHeadThatTakesTooLongIsToldSoAndOneInTimeIsNot() throws IOException {
-        ClientHarness front = new ClientHarness();
-        front.socket.receive("GET /x HT");
-        front.pass(5 * MICROS_PER_SECOND / 2);
-        assertEquals(front.socket.writtenText(), "");
-        front.pass(MICROS_PER_SECOND);
-        assertTrue(front.socket.writtenText().startsWith("HTTP/1.1 408"));
+    public void rejectsAHeadThatTakesTooLong() throws IOException {
+        ClientHarness harness = new ClientHarness();
+        harness.socket.receive("GET /x HT");
+        harness.pass(5 * MICROS_PER_SECOND / 2);
+        assertEquals(harness.socket.writtenText(), "");
+        harness.pass(MICROS_PER_SECOND);
+        assertTrue(harness.socket.writtenText().startsWith("HTTP/1.1 408"));
     }
 
     /** It is we who hold up a body that no checker takes: its client is not late by that. */
     @Test
-    public void aBodyThatWeHeldUpIsNotLate() throws IOException {
-        ClientHarness front = new ClientHarness();
-        front.socket.receive("POST /x HTTP/1.1\r\nHost: h\r\nReedmux-Attempt-Id: a\r\n"
+    public void doesNotTimeOutABodyThatTheProxyHeldUp() throws IOException {
+        ClientHarness harness = new ClientHarness();
+        harness.socket.receive("POST /x HTTP/1.1\r\nHost: h\r\nReedmux-Attempt-Id: a\r\n"
                 + "Content-Length: 1000000\r\n\r\n" + "y".repeat(600_000));
-        front.pass(20 * MICROS_PER_SECOND);
-        ClientRequestBody upload = front.dispatched.get(0).body();
+        harness.pass(20 * MICROS_PER_SECOND);
+        ClientRequestBody upload = harness.dispatched.get(0).body();
         for (int i = 0; upload.chunk(i) != null; i++) {
-            assertFalse(front.socket.isClosed());
+            assertFalse(harness.socket.isClosed());
         }
-        front.client.checkTimeouts(front.now(), false);
-        assertFalse(front.socket.isClosed());
-        front.socket.receive("y".repeat(400_000));
+        harness.client.checkTimeouts(harness.now(), false);
+        assertFalse(harness.socket.isClosed());
+        harness.socket.receive("y".repeat(400_000));
         assertTrue(upload.isComplete());
     }
 }
--- a/src/test/java/reedmux/proxy/loadbalancer/LoadBalancerTest.java
+++ b/src/test/java/reedmux/proxy/loadbalancer/LoadBalancerTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void allTogetherNeverFillACheckersQueue(int proxies, int checkers, int slots, int most, int ceiling) {
+    public void allProxiesTogetherNeverFillACheckersQueue(int proxies, int checkers, int slots, int most, int ceiling) {
         List<ProxySession> members = new ArrayList<>();
         for (int i = 0; i < proxies; i++) {
             members.add(new ProxySession("edge-" + i, "10.1.0." + i, ZONES[i % 3], i));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    public void whoLeavesIsNotChosenAndWhoFailsOnlyInNeed() {
+    public void doesNotChooseDrainingCheckersAndFailedOnesOnlyIfThereIsNoOther() {
         LoadBalancer roster = new LoadBalancer("me", "a", 1);
         roster.onIncarnationUpdate(incarnation("one", "a", 3, CheckerIncarnation.READY), NOW);
         roster.onIncarnationUpdate(incarnation("two", "a", 3, CheckerIncarnation.READY), NOW);
@@ -87,7 +87,7 @@
     }
 
     @Test
-    public void largeBodiesStayInTheZoneAsLongAsThatHasRoom() {
+    public void largeBodiesStayInTheZoneWhileItHasCapacity() {
         LoadBalancer roster = new LoadBalancer("me", "a", 1);
         roster.onViewChange(SessionView.of(List.of(new ProxySession("me", "10.1.0.1", "a", 1))));
         roster.onIncarnationUpdate(incarnation("near", "a", 3, CheckerIncarnation.READY), NOW);
--- a/src/test/java/reedmux/proxy/quota/QuotaTrackerTest.java
+++ b/src/test/java/reedmux/proxy/quota/QuotaTrackerTest.java
@@ -157,44 +157,44 @@
     private static final double MAX_ADMITTED = (65 * 5 + 65) * 1.1 + 20;
 
     @Test
-    public void aSurgeStaysWithinTheQuotaWithLossAndWithout() {
+    public void admitsNoMoreThanTheQuotaInASurgeWithAndWithoutLoss() {
         for (double loss : new double[] {0, 0.01, 0.05}) {
             for (int seed = 0; seed < 6; seed++) {
-                QuotaCluster world = new QuotaCluster(10, loss, seed);
-                world.run(3, 40);
-                world.run(8, 276);
-                world.run(3, 40);
+                QuotaCluster cluster = new QuotaCluster(10, loss, seed);
+                cluster.run(3, 40);
+                cluster.run(8, 276);
+                cluster.run(3, 40);
                 assertTrue(
-                        world.maxAdmittedInFiveSeconds() <= MAX_ADMITTED,
-                        "loss " + loss + ", seed " + seed + ": " + world.maxAdmittedInFiveSeconds());
+                        cluster.maxAdmittedInFiveSeconds() <= MAX_ADMITTED,
+                        "loss " + loss + ", seed " + seed + ": " + cluster.maxAdmittedInFiveSeconds());
                 assertTrue(
-                        world.maxAdmittedInFiveSeconds() >= 0.9 * (65 * 5 + 65),
-                        "too little was let through: " + world.maxAdmittedInFiveSeconds());
+                        cluster.maxAdmittedInFiveSeconds() >= 0.9 * (65 * 5 + 65),
+                        "too little was let through: " + cluster.maxAdmittedInFiveSeconds());
             }
         }
     }
 
     /** As in shannonside-line-grown hunt-2b28-3: 65 members, and what crosses twelve links is late. */
     @Test
-    public void aSurgeOverManyMembersIsPaidBack() {
+    public void admitsNoMoreThanTheQuotaInASurgeOverManyMembers() {
         for (int seed = 0; seed < 6; seed++) {
-            QuotaCluster world = new QuotaCluster(65, 0.01, seed);
-            world.run(3, 40);
-            world.run(7, 1100);
+            QuotaCluster cluster = new QuotaCluster(65, 0.01, seed);
+            cluster.run(3, 40);
+            cluster.run(7, 1100);
             assertTrue(
-                    world.maxAdmittedInFiveSeconds() <= MAX_ADMITTED,
-                    "seed " + seed + ": " + world.maxAdmittedInFiveSeconds());
+                    cluster.maxAdmittedInFiveSeconds() <= MAX_ADMITTED,
+                    "seed " + seed + ": " + cluster.maxAdmittedInFiveSeconds());
         }
     }
 
     @Test
-    public void whoKeepsToTheQuotaIsNotRefused() {
+    public void admitsTenantsThatKeepToTheirQuota() {
         for (int seed = 0; seed < 6; seed++) {
-            QuotaCluster world = new QuotaCluster(8, 0.01, seed);
-            world.run(2, 40);
-            int before = world.admitted.size();
-            world.run(10, 40);
-            assertTrue(world.admitted.size() - before > 10 * 40 * 0.85);
+            QuotaCluster cluster = new QuotaCluster(8, 0.01, seed);
+            cluster.run(2, 40);
+            int before = cluster.admitted.size();
+            cluster.run(10, 40);
+            assertTrue(cluster.admitted.size() - before > 10 * 40 * 0.85);
         }
     }
 
@@ -202,31 +202,31 @@
      * One is cut off from the registries, so that the others go on without it while it serves its clients.
      */
     @Test
-    public void whoIsCutOffSpendsItsOwnPartAndTheOthersTheirs() {
+    public void partitionedMemberAndTheOthersEachUseTheirShare() {
         for (int seed = 0; seed < 6; seed++) {
-            QuotaCluster world = new QuotaCluster(10, 0, seed);
-            world.run(2, 40);
-            world.withoutRegistries[4] = true;
-            world.members.get(4).setRegistriesUnreachable(true);
-            List<ProxySession> rest = new ArrayList<>(world.sessions);
+            QuotaCluster cluster = new QuotaCluster(10, 0, seed);
+            cluster.run(2, 40);
+            cluster.withoutRegistries[4] = true;
+            cluster.members.get(4).setRegistriesUnreachable(true);
+            List<ProxySession> rest = new ArrayList<>(cluster.sessions);
             rest.remove(4);
-            world.changeViews(SessionView.of(rest));
-            world.run(6, 276);
+            cluster.changeViews(SessionView.of(rest));
+            cluster.run(6, 276);
             assertTrue(
-                    world.maxAdmittedInFiveSeconds() <= MAX_ADMITTED,
-                    "seed " + seed + ": " + world.maxAdmittedInFiveSeconds());
+                    cluster.maxAdmittedInFiveSeconds() <= MAX_ADMITTED,
+                    "seed " + seed + ": " + cluster.maxAdmittedInFiveSeconds());
         }
     }
 
     /** As in hsinhe-ccd trouble-2: the registries are gone for all, and the heap goes on. */
     @Test
-    public void withoutRegistriesTheHeapGoesOn() {
-        QuotaCluster world = new QuotaCluster(8, 0, 1);
-        world.run(2, 40);
-        world.members.forEach(member -> member.setRegistriesUnreachable(true));
-        int before = world.admitted.size();
-        world.run(6, 40);
-        assertTrue(world.admitted.size() - before > 6 * 40 * 0.8);
+    public void heapWorksOnWithoutRegistries() {
+        QuotaCluster cluster = new QuotaCluster(8, 0, 1);
+        cluster.run(2, 40);
+        cluster.members.forEach(member -> member.setRegistriesUnreachable(true));
+        int before = cluster.admitted.size();
+        cluster.run(6, 40);
+        assertTrue(cluster.admitted.size() - before > 6 * 40 * 0.8);
     }
 
     /**
@@ -235,31 +235,31 @@
      * surge; cut off with clients of its own, or dead.
      */
     @Test
-    public void whoIsBehindASilentMemberDoesWithItsPart() {
+    public void membersBehindAnUnreachableOneUseTheirShare() {
         for (int gone = 0; gone < 8; gone++) {
             for (double before : new double[] {0.2, 0.8, 1.5, 3.5}) {
                 for (boolean dies : new boolean[] {false, true}) {
-                    QuotaCluster world = new QuotaCluster(10, 0.01, gone);
-                    world.run(2, 40);
+                    QuotaCluster cluster = new QuotaCluster(10, 0.01, gone);
+                    cluster.run(2, 40);
                     if (before < 2) {
-                        world.run(before, 276);
+                        cluster.run(before, 276);
                     }
-                    world.partitioned.add(gone);
+                    cluster.partitioned.add(gone);
                     if (dies) {
-                        world.dead.add(gone);
+                        cluster.dead.add(gone);
                     }
-                    world.run(before < 2 ? 2.5 : 1, before < 2 ? 276 : 40);
-                    world.run(before < 2 ? 0 : 1.5, 276);
-                    List<ProxySession> rest = new ArrayList<>(world.sessions);
+                    cluster.run(before < 2 ? 2.5 : 1, before < 2 ? 276 : 40);
+                    cluster.run(before < 2 ? 0 : 1.5, 276);
+                    List<ProxySession> rest = new ArrayList<>(cluster.sessions);
                     rest.remove(gone);
-                    world.withoutRegistries[gone] = true;
-                    world.members.get(gone).setRegistriesUnreachable(true);
-                    world.changeViews(SessionView.of(rest));
-                    world.run(4, 276);
+                    cluster.withoutRegistries[gone] = true;
+                    cluster.members.get(gone).setRegistriesUnreachable(true);
+                    cluster.changeViews(SessionView.of(rest));
+                    cluster.run(4, 276);
                     assertTrue(
-                            world.maxAdmittedInFiveSeconds() <= MAX_ADMITTED,
+                            cluster.maxAdmittedInFiveSeconds() <= MAX_ADMITTED,
                             "member " + gone + ", after " + before + (dies ? ", dead: " : ": ")
-                                    + world.maxAdmittedInFiveSeconds());
+                                    + cluster.maxAdmittedInFiveSeconds());
                 }
             }
         }
@@ -270,15 +270,15 @@
      * is silent for that long and comes back has told what it used, and holds nobody's quota back after it.
      */
     @Test
-    public void whoIsSilentForAWhileHoldsNothingBackAfterIt() {
+    public void shareOfASilentMemberIsReleasedWhenItIsHeardAgain() {
         for (int count : new int[] {10, 65}) {
             for (int seed = 0; seed < 4; seed++) {
-                QuotaCluster world = new QuotaCluster(count, 0.01, seed);
-                world.linkBusyMicros = 400_000;
-                world.run(4, 40);
-                int before = world.admitted.size();
-                world.run(10, 40);
-                int used = world.admitted.size() - before;
+                QuotaCluster cluster = new QuotaCluster(count, 0.01, seed);
+                cluster.linkBusyMicros = 400_000;
+                cluster.run(4, 40);
+                int before = cluster.admitted.size();
+                cluster.run(10, 40);
+                int used = cluster.admitted.size() - before;
                 assertTrue(used > 10 * 40 * 0.85, count + " members, seed " + seed + ": " + used);
             }
         }
@@ -286,18 +286,18 @@
 
     /** The same with a surge: what is given back is no more than was owed. */
     @Test
-    public void aSurgeOverLinksThatFillUpStaysWithinTheQuota() {
+    public void admitsNoMoreThanTheQuotaInASurgeOverCongestedLinks() {
         for (int count : new int[] {10, 65}) {
             for (long full : new long[] {200_000, 400_000, count < 20 ? 700_000 : 500_000}) {
                 for (int seed = 0; seed < 4; seed++) {
-                    QuotaCluster world = new QuotaCluster(count, 0.01, seed);
-                    world.linkBusyMicros = full;
-                    world.run(4, 40);
-                    world.run(8, 276);
+                    QuotaCluster cluster = new QuotaCluster(count, 0.01, seed);
+                    cluster.linkBusyMicros = full;
+                    cluster.run(4, 40);
+                    cluster.run(8, 276);
                     assertTrue(
-                            world.maxAdmittedInFiveSeconds() <= MAX_ADMITTED,
+                            cluster.maxAdmittedInFiveSeconds() <= MAX_ADMITTED,
                             count + " members, full for " + full + ", seed " + seed + ": "
-                                    + world.maxAdmittedInFiveSeconds());
+                                    + cluster.maxAdmittedInFiveSeconds());
                 }
             }
         }
@@ -305,50 +305,51 @@
 
     /** As in a drawn day at hsinhe: what busy proxies are told late is paid back all the same. */
     @Test
-    public void aSurgeThatIsToldLateIsPaidBack() {
+    public void admitsNoMoreThanTheQuotaInASurgeThatIsReportedLate() {
         TenantItem big = new TenantItem("t", List.of("k"), 0, 222, 222);
         for (long late : new long[] {40_000, 80_000, 120_000}) {
             for (double rate : new double[] {1110, 1500}) {
-                QuotaCluster world = new QuotaCluster(big, 10, 0.01, 1);
-                world.extraDelayMicros = late;
-                world.run(4, 130);
-                world.run(7, rate);
+                QuotaCluster cluster = new QuotaCluster(big, 10, 0.01, 1);
+                cluster.extraDelayMicros = late;
+                cluster.run(4, 130);
+                cluster.run(7, rate);
                 assertTrue(
-                        world.maxAdmittedInFiveSeconds() <= (222 * 5 + 222) * 1.1 + 20,
-                        late + " late, rate " + rate + ": " + world.maxAdmittedInFiveSeconds());
+                        cluster.maxAdmittedInFiveSeconds() <= (222 * 5 + 222) * 1.1 + 20,
+                        late + " late, rate " + rate + ": " + cluster.maxAdmittedInFiveSeconds());
             }
         }
     }
 
     /** Loss of datagrams alone is no silence. */
     @Test
-    public void lostDatagramsCutNobodyOff() {
+    public void datagramLossAloneMakesNoMemberUnreachable() {
         for (int seed = 0; seed < 6; seed++) {
-            QuotaCluster world = new QuotaCluster(10, 0.02, seed);
-            world.run(3, 40);
-            world.run(1, 276);
-            int before = world.admitted.size();
-            world.run(8, 276);
+            QuotaCluster cluster = new QuotaCluster(10, 0.02, seed);
+            cluster.run(3, 40);
+            cluster.run(1, 276);
+            int before = cluster.admitted.size();
+            cluster.run(8, 276);
             assertTrue(
-                    world.admitted.size() - before > 8 * 65 * 0.93, "let through: " + (world.admitted.size() - before));
+                    cluster.admitted.size() - before > 8 * 65 * 0.93,
+                    "let through: " + (cluster.admitted.size() - before));
         }
     }
 
     /** Every order of a total, its repeat and the next one: what is counted is the last total. */
     @Test
-    public void nothingIsCountedTwiceAndNothingLostInAnyOrder() {
+    public void countsEachUnitOnceInAnyOrderOfUpdates() {
         double[] totals = {3, 3, 5};
         for (int[] order : new int[][] {{0, 1, 2}, {0, 2}, {2}, {1, 2}, {0, 1, 2, 2}}) {
-            QuotaCluster world = new QuotaCluster(3, 0, 0);
-            QuotaTracker parent = world.members.get(0);
+            QuotaCluster cluster = new QuotaCluster(3, 0, 0);
+            QuotaTracker parent = cluster.members.get(0);
             for (int i : order) {
                 ArrayList<TenantTotal> entries = new ArrayList<>(List.of(new TenantTotal("t", totals[i], -1)));
                 parent.onUpdate(
-                        new QuotaUpdate("n1", 2, 1, world.view.digest(), 1, entries), name -> TENANT, world.now);
+                        new QuotaUpdate("n1", 2, 1, cluster.view.digest(), 1, entries), name -> TENANT, cluster.now);
             }
-            assertEquals(parent.countedUnits(TENANT, world.now), 5.0);
+            assertEquals(parent.countedUnits(TENANT, cluster.now), 5.0);
             // It goes on to the other child, and not back.
-            List<QuotaTracker.OutgoingUpdate> letters = parent.collectUpdates(world.now);
+            List<QuotaTracker.OutgoingUpdate> letters = parent.collectUpdates(cluster.now);
             assertEquals(
                     letters.stream().filter(letter -> letter.receiver() == 2).count(), 1);
             assertTrue(letters.stream()
@@ -359,15 +360,15 @@
 
     /** Where two have different views, units are counted and go no further: no circle can form. */
     @Test
-    public void underAnotherViewUnitsGoNoFurther() {
-        QuotaCluster world = new QuotaCluster(3, 0, 0);
-        QuotaTracker parent = world.members.get(0);
+    public void doesNotForwardUnitsFromAnotherView() {
+        QuotaCluster cluster = new QuotaCluster(3, 0, 0);
+        QuotaTracker parent = cluster.members.get(0);
         parent.onUpdate(
                 new QuotaUpdate("n1", 2, 1, 12345, 1, new ArrayList<>(List.of(new TenantTotal("t", 4, -1)))),
                 name -> TENANT,
-                world.now);
-        assertEquals(parent.countedUnits(TENANT, world.now), 4.0);
-        assertTrue(parent.collectUpdates(world.now).stream()
+                cluster.now);
+        assertEquals(parent.countedUnits(TENANT, cluster.now), 4.0);
+        assertTrue(parent.collectUpdates(cluster.now).stream()
                 .allMatch(letter -> letter.update().entries().stream().allMatch(entry -> entry.total() == 0)));
     }
 
@@ -377,27 +378,27 @@
      * for many seconds.
      */
     @Test
-    public void viewsThatComeBackChangeNoCount() {
+    public void viewsThatComeBackDoNotChangeCounts() {
         for (int seed = 0; seed < 20; seed++) {
-            QuotaCluster world = new QuotaCluster(10, 0.01, seed);
-            world.run(6, 40);
-            SessionView all = world.view;
+            QuotaCluster cluster = new QuotaCluster(10, 0.01, seed);
+            cluster.run(6, 40);
+            SessionView all = cluster.view;
             Random random = new Random(seed);
             for (int flip = 0; flip < 12; flip++) {
-                List<ProxySession> some = new ArrayList<>(world.sessions);
+                List<ProxySession> some = new ArrayList<>(cluster.sessions);
                 some.remove(random.nextInt(some.size()));
                 SessionView next = flip % 2 == 0 ? SessionView.of(some) : all;
-                for (int i = 0; i < world.members.size(); i++) {
-                    world.changeView(i, next);
-                    world.run(0.004, 40);
+                for (int i = 0; i < cluster.members.size(); i++) {
+                    cluster.changeView(i, next);
+                    cluster.run(0.004, 40);
                 }
             }
-            world.changeViews(all);
-            int before = world.admitted.size();
-            world.run(5, 40);
+            cluster.changeViews(all);
+            int before = cluster.admitted.size();
+            cluster.run(5, 40);
             assertTrue(
-                    world.admitted.size() - before > 5 * 40 * 0.8,
-                    "seed " + seed + ": " + (world.admitted.size() - before));
+                    cluster.admitted.size() - before > 5 * 40 * 0.8,
+                    "seed " + seed + ": " + (cluster.admitted.size() - before));
         }
     }
 }
--- a/src/test/java/reedmux/proxy/quota/QuotaUpdateOrderTest.java
+++ b/src/test/java/reedmux/proxy/quota/QuotaUpdateOrderTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    public void noUnitIsCountedTwiceInAnyOrder() {
+    public void countsNoUnitTwiceInAnyOrderOfGenerationsAndIncarnations() {
         SessionView view = SessionView.of(
                 List.of(new ProxySession("n0", "10.0.0.1", "z", 2), new ProxySession("n1", "10.0.0.2", "z", 1)));
         int plays = ScheduleExplorer.exploreAll(10_000, orders -> {
--- a/src/test/java/reedmux/proxy/request/RequestTrackerTest.java
+++ b/src/test/java/reedmux/proxy/request/RequestTrackerTest.java
@@ -194,126 +194,127 @@
     }
 
     @Test(dataProvider = "stages")
-    public void eachStageOfAFirstSending(String how, int sendings, int status, int sendingsOnce, int statusOnce) {
+    public void retriesOrRespondsByHowTheFirstAttemptEnds(
+            String how, int sendings, int status, int sendingsOnce, int statusOnce) {
         for (boolean repeatable : new boolean[] {true, false}) {
-            TrackerHarness world = new TrackerHarness(3, 100);
-            world.accept(repeatable, 2);
-            world.endAttempt(world.sent.get(0), how);
-            assertEquals(world.sent.size(), repeatable ? sendings : sendingsOnce, how);
-            if (world.responses.isEmpty()) {
-                world.endAttempt(world.sent.get(1), "served");
+            TrackerHarness harness = new TrackerHarness(3, 100);
+            harness.accept(repeatable, 2);
+            harness.endAttempt(harness.sent.get(0), how);
+            assertEquals(harness.sent.size(), repeatable ? sendings : sendingsOnce, how);
+            if (harness.responses.isEmpty()) {
+                harness.endAttempt(harness.sent.get(1), "served");
             }
-            assertEquals(status(world.responses.get(0)), repeatable ? status : statusOnce, how);
-            assertEquals(world.responses.size(), 1);
+            assertEquals(status(harness.responses.get(0)), repeatable ? status : statusOnce, how);
+            assertEquals(harness.responses.size(), 1);
         }
     }
 
     /** All pairs of ends: what may have run is never said to be not run, nor sent again unless repeatable. */
     @Test
-    public void whatMayHaveRunIsNeverPromisedNotToHave() {
+    public void neverPromisesThatARequestWasNotExecutedIfItMayHaveBeen() {
         String[] ends = {"unreached", "half sent", "shed", "moved", "broken", "failed", "served"};
         for (String first : ends) {
             for (String second : ends) {
                 for (boolean repeatable : new boolean[] {true, false}) {
-                    TrackerHarness world = new TrackerHarness(2, 100);
-                    world.accept(repeatable, 2);
-                    world.endAttempt(world.sent.get(0), first);
+                    TrackerHarness harness = new TrackerHarness(2, 100);
+                    harness.accept(repeatable, 2);
+                    harness.endAttempt(harness.sent.get(0), first);
                     List<String> run = List.of("half sent", "broken", "failed", "served");
                     boolean may = run.contains(first);
-                    assertTrue(!may || repeatable || world.sent.size() == 1);
-                    if (world.sent.size() > 1) {
-                        world.endAttempt(world.sent.get(1), second);
+                    assertTrue(!may || repeatable || harness.sent.size() == 1);
+                    if (harness.sent.size() > 1) {
+                        harness.endAttempt(harness.sent.get(1), second);
                         may |= run.contains(second);
                     }
-                    world.runUntil(world.now + 3000 * MICROS_PER_MILLI);
-                    assertEquals(world.responses.size(), 1, first + ", " + second);
-                    int status = status(world.responses.get(0));
+                    harness.runUntil(harness.now + 3000 * MICROS_PER_MILLI);
+                    assertEquals(harness.responses.size(), 1, first + ", " + second);
+                    int status = status(harness.responses.get(0));
                     assertFalse(may && (status == 503 || status == 429 || status == 421), first + ", " + second);
                     assertTrue(may
                             || status == 503
-                                    && ((ProxyResponse.LocalResponse) world.responses.get(0)).retryAfterMicros() > 0);
-                    assertEquals(world.quotaRefunds, may ? 0 : 1);
+                                    && ((ProxyResponse.LocalResponse) harness.responses.get(0)).retryAfterMicros() > 0);
+                    assertEquals(harness.quotaRefunds, may ? 0 : 1);
                 }
             }
         }
     }
 
     @Test
-    public void aCheckerThatSaysNothingIsNoReasonToEndSooner() {
-        TrackerHarness world = new TrackerHarness(1, 100);
-        world.accept(false, 2);
-        world.sent.get(0).onConnected();
-        world.runUntil(world.now + 1499 * MICROS_PER_MILLI);
-        assertTrue(world.responses.isEmpty());
-        world.runUntil(world.now + 2 * MICROS_PER_MILLI);
-        assertEquals(status(world.responses.get(0)), 504);
+    public void waitsForASilentCheckerUntilTheDeadline() {
+        TrackerHarness harness = new TrackerHarness(1, 100);
+        harness.accept(false, 2);
+        harness.sent.get(0).onConnected();
+        harness.runUntil(harness.now + 1499 * MICROS_PER_MILLI);
+        assertTrue(harness.responses.isEmpty());
+        harness.runUntil(harness.now + 2 * MICROS_PER_MILLI);
+        assertEquals(status(harness.responses.get(0)), 504);
     }
 
     /** A checker that falls silent for good does not keep its place for good. */
     @Test
-    public void whoNeverAnswersIsNotCountedAsBusyForEver() {
-        TrackerHarness world = new TrackerHarness(1, 100);
-        world.accept(false, 2);
-        world.sent.get(0).onConnected();
-        world.runUntil(world.now + 5000 * MICROS_PER_MILLI);
-        assertEquals(world.loadBalancer.get("c0").inFlight(), 0);
-        assertEquals(world.responses.size(), 1);
+    public void attemptWithoutResponseStopsCountingAsInFlight() {
+        TrackerHarness harness = new TrackerHarness(1, 100);
+        harness.accept(false, 2);
+        harness.sent.get(0).onConnected();
+        harness.runUntil(harness.now + 5000 * MICROS_PER_MILLI);
+        assertEquals(harness.loadBalancer.get("c0").inFlight(), 0);
+        assertEquals(harness.responses.size(), 1);
     }
 
     @Test
-    public void whatIsNotWholeEndsWithItsClient() {
-        TrackerHarness world = new TrackerHarness(1, 100);
-        world.fullyReceived = false;
-        ProxyRequest exchange = world.accept(false, 2);
-        world.sent.get(0).onConnected();
-        world.tracker.onEvent(world.now, new RequestEvent.ClientDisconnected(exchange));
-        assertEquals(world.loadBalancer.get("c0").inFlight(), 0);
-        assertTrue(world.responses.isEmpty());
+    public void cancelsAnIncompleteRequestWhenItsClientDisconnects() {
+        TrackerHarness harness = new TrackerHarness(1, 100);
+        harness.fullyReceived = false;
+        ProxyRequest exchange = harness.accept(false, 2);
+        harness.sent.get(0).onConnected();
+        harness.tracker.onEvent(harness.now, new RequestEvent.ClientDisconnected(exchange));
+        assertEquals(harness.loadBalancer.get("c0").inFlight(), 0);
+        assertTrue(harness.responses.isEmpty());
     }
 
     @Test
-    public void aSlowRepeatableRequestHasASecondChance() {
-        TrackerHarness world = new TrackerHarness(2, 100);
-        world.accept(true, 2);
-        world.sent.get(0).onConnected();
-        world.runUntil(world.now + 300 * MICROS_PER_MILLI);
-        assertEquals(world.sent.size(), 2);
-        world.endAttempt(world.sent.get(1), "broken");
-        assertTrue(world.responses.isEmpty()); // the first is still under way
-        world.endAttempt(world.sent.get(0), "served");
-        assertEquals(status(world.responses.get(0)), 200);
+    public void hedgesASlowIdempotentRequest() {
+        TrackerHarness harness = new TrackerHarness(2, 100);
+        harness.accept(true, 2);
+        harness.sent.get(0).onConnected();
+        harness.runUntil(harness.now + 300 * MICROS_PER_MILLI);
+        assertEquals(harness.sent.size(), 2);
+        harness.endAttempt(harness.sent.get(1), "broken");
+        assertTrue(harness.responses.isEmpty()); // the first is still under way
+        harness.endAttempt(harness.sent.get(0), "served");
+        assertEquals(status(harness.responses.get(0)), 200);
     }
 
     @Test
-    public void furtherTriesStayWithinTheBudget() {
-        TrackerHarness world = new TrackerHarness(12, 10);
+    public void retriesStayWithinTheBudget() {
+        TrackerHarness harness = new TrackerHarness(12, 10);
         int requests = 400;
         int arrivals = 0;
         for (int i = 0; i < requests; i++) {
-            int before = world.sent.size();
-            world.accept(true, 3);
-            for (int at = before; at < world.sent.size(); at++) {
+            int before = harness.sent.size();
+            harness.accept(true, 3);
+            for (int at = before; at < harness.sent.size(); at++) {
                 arrivals++;
-                world.endAttempt(world.sent.get(at), "broken");
+                harness.endAttempt(harness.sent.get(at), "broken");
             }
-            world.runUntil(world.now + 500 * MICROS_PER_MILLI);
+            harness.runUntil(harness.now + 500 * MICROS_PER_MILLI);
         }
         assertTrue(arrivals - requests <= 0.2 * requests + 10, arrivals + " arrivals");
         assertTrue(arrivals - requests > 0.05 * requests, arrivals + " arrivals");
     }
 
     @Test
-    public void whoFindsNoRoomIsToldEarlyWhenToComeBack() {
-        TrackerHarness world = new TrackerHarness(1, 100);
+    public void rejectsQueuedRequestsEarlyWithRetryAfter() {
+        TrackerHarness harness = new TrackerHarness(1, 100);
         int taken = 30;
         for (int i = 0; i < taken; i++) {
-            world.accept(false, 2);
+            harness.accept(false, 2);
         }
-        int out = world.sent.size();
+        int out = harness.sent.size();
         assertTrue(out < taken);
-        world.runUntil(world.now + 100 * MICROS_PER_MILLI);
-        assertEquals(world.responses.size(), taken - out);
-        world.responses.forEach(answer -> {
+        harness.runUntil(harness.now + 100 * MICROS_PER_MILLI);
+        assertEquals(harness.responses.size(), taken - out);
+        harness.responses.forEach(answer -> {
             assertEquals(status(answer), 503);
             assertTrue(((ProxyResponse.LocalResponse) answer).retryAfterMicros() > 0);
         });
@@ -321,55 +322,55 @@
 
     /** More wait than may, and some of them have been answered by then: their clients are on to the next. */
     @Test
-    public void whoWasAnsweredIsNotAnsweredAgainForTheQueueIsFull() {
-        TrackerHarness world = new TrackerHarness(1, 100);
+    public void queueOverflowDoesNotRespondTwice() {
+        TrackerHarness harness = new TrackerHarness(1, 100);
         for (int round = 0; round < 4; round++) {
-            world.priority = 4 - round;
+            harness.priority = 4 - round;
             for (int i = 0; i < 200; i++) {
-                world.accept(false, 2);
-                world.sent.forEach(RequestAttempt::onConnected);
+                harness.accept(false, 2);
+                harness.sent.forEach(RequestAttempt::onConnected);
             }
-            world.runUntil(world.now + 100 * MICROS_PER_MILLI);
+            harness.runUntil(harness.now + 100 * MICROS_PER_MILLI);
         }
-        assertEquals(world.responses.size(), 800 - world.sent.size());
-        assertEquals(world.quotaRefunds, world.responses.size());
+        assertEquals(harness.responses.size(), 800 - harness.sent.size());
+        assertEquals(harness.quotaRefunds, harness.responses.size());
     }
 
     /** What is not here whole can be read once only: a second copy would take the first one's bytes. */
     @Test
-    public void whatStillComesInHasNoSecondCopy() {
-        TrackerHarness world = new TrackerHarness(2, 100);
-        world.fullyReceived = false;
-        world.accept(true, 2);
-        world.runUntil(world.now + 299 * MICROS_PER_MILLI);
-        assertEquals(world.sent.size(), 1);
+    public void doesNotHedgeARequestThatIsStillComingIn() {
+        TrackerHarness harness = new TrackerHarness(2, 100);
+        harness.fullyReceived = false;
+        harness.accept(true, 2);
+        harness.runUntil(harness.now + 299 * MICROS_PER_MILLI);
+        assertEquals(harness.sent.size(), 1);
     }
 
     /** Its deadline comes while a connection is not up: it has not run and never will. */
     @Test
-    public void whatNoCheckerCouldBeReachedForIsPromisedNotToHaveRun() {
-        TrackerHarness world = new TrackerHarness(1, 100);
-        world.accept(false, 2, 200);
-        world.runUntil(world.now + 1000 * MICROS_PER_MILLI);
-        assertEquals(status(world.responses.get(0)), 503);
-        assertEquals(world.quotaRefunds, 1);
-        assertEquals(world.loadBalancer.get("c0").inFlight(), 0);
+    public void rejectsWithoutExecutionWhenNoCheckerWasReached() {
+        TrackerHarness harness = new TrackerHarness(1, 100);
+        harness.accept(false, 2, 200);
+        harness.runUntil(harness.now + 1000 * MICROS_PER_MILLI);
+        assertEquals(status(harness.responses.get(0)), 503);
+        assertEquals(harness.quotaRefunds, 1);
+        assertEquals(harness.loadBalancer.get("c0").inFlight(), 0);
     }
 
     /** A status that promises that it was not run, from a checker that does not say so. */
     @Test
-    public void aPromiseThatIsNotTheCheckersIsNotPassedOn() {
+    public void doesNotForwardAPromiseThatTheCheckerDidNotGive() {
         for (int status : new int[] {408, 421, 429, 503, 500, 409}) {
-            TrackerHarness world = new TrackerHarness(1, 100);
-            world.accept(false, 2);
-            world.sent.get(0).onConnected();
-            world.tracker.onEvent(
-                    world.now,
+            TrackerHarness harness = new TrackerHarness(1, 100);
+            harness.accept(false, 2);
+            harness.sent.get(0).onConnected();
+            harness.tracker.onEvent(
+                    harness.now,
                     new RequestEvent.AttemptFinished(
-                            world.sent.get(0),
+                            harness.sent.get(0),
                             ExecutionStatus.EXECUTED,
                             new ProxyResponse.CheckerResponse(Http1Head.response(status), new byte[0], false)));
-            assertEquals(status(world.responses.get(0)), status == 500 || status == 409 ? status : 502);
+            assertEquals(status(harness.responses.get(0)), status == 500 || status == 409 ? status : 502);
         }
     }
 }
