--- a/src/main/java/org/apache/hc/core5/reactor/AcceptedChannels.java
+++ b/src/main/java/org/apache/hc/core5/reactor/AcceptedChannels.java
@@ -11,6 +11,7 @@
 
     private AcceptedChannels() {}
 
+    /** Hands an accepted channel to the reactor, which serves it from then on. */
     public static void hand(DefaultListeningIOReactor reactor, SocketChannel channel) {
         reactor.getWorkerSelector().next().enqueueChannel(new ChannelEntry(channel, null));
     }
--- a/src/main/java/reedmux/cli/Main.java
+++ b/src/main/java/reedmux/cli/Main.java
@@ -63,6 +63,7 @@
 
     private Main() {}
 
+    /** Runs the sub-command that the arguments name, and ends with its exit code. */
     public static void main(String[] args) throws IOException, InterruptedException {
         if (args.length > 0 && SystemCommands.isCommand(args[0])) {
             System.exit(SystemCommands.run(args));
--- a/src/main/java/reedmux/control/consensus/ConsensusPort.java
+++ b/src/main/java/reedmux/control/consensus/ConsensusPort.java
@@ -37,5 +37,6 @@
     /** The committed configuration has changed. */
     void notifyConfigurationChanged();
 
+    /** Writes a line to the log. */
     void log(String line);
 }
--- a/src/main/java/reedmux/control/consensus/CoreMembers.java
+++ b/src/main/java/reedmux/control/consensus/CoreMembers.java
@@ -11,6 +11,7 @@
  * @param nodeNames the names of the machines by ip; a name is empty where it is not known yet
  */
 public record CoreMembers(long epoch, Map<String, String> nodeNames) {
+    /** Copies the nodes, in the order of their IP addresses. */
     public CoreMembers {
         nodeNames = new TreeMap<>(nodeNames);
     }
@@ -24,6 +25,7 @@
         return new CoreMembers(0, nodeNames);
     }
 
+    /** Whether the machine with that IP address is a member. */
     public boolean contains(String ip) {
         return nodeNames.containsKey(ip);
     }
--- a/src/main/java/reedmux/control/consensus/CoreMembership.java
+++ b/src/main/java/reedmux/control/consensus/CoreMembership.java
@@ -135,6 +135,7 @@
         updateLeader();
     }
 
+    /** The last connection with another store has ended. */
     public void onPeerDisconnected(long time, String ip) {
         context.now = time;
         context.peers.remove(ip);
--- a/src/main/java/reedmux/control/consensus/CoreMembershipPort.java
+++ b/src/main/java/reedmux/control/consensus/CoreMembershipPort.java
@@ -30,5 +30,6 @@
     /** Another core holds from now on, or this node is fenced or no longer fenced. */
     void coreChanged();
 
+    /** Writes a line to the log. */
     void log(String line);
 }
--- a/src/main/java/reedmux/control/consensus/Proposal.java
+++ b/src/main/java/reedmux/control/consensus/Proposal.java
@@ -12,6 +12,7 @@
  * @param precommitted whether a quorum is known to have prepared it; it is committed once a quorum has it marked so
  */
 public record Proposal(String id, Ballot ballot, List<ConfigurationItem> items, boolean precommitted) {
+    /** Copies the items. */
     public Proposal {
         items = new ArrayList<>(items);
     }
--- a/src/main/java/reedmux/gatekeeper/admin/AdminServer.java
+++ b/src/main/java/reedmux/gatekeeper/admin/AdminServer.java
@@ -58,6 +58,7 @@
         thread.start();
     }
 
+    /** The address that it listens on. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) server.getLocalAddress();
     }
--- a/src/main/java/reedmux/gatekeeper/http/ConnectionAcceptor.java
+++ b/src/main/java/reedmux/gatekeeper/http/ConnectionAcceptor.java
@@ -66,6 +66,7 @@
         thread.start();
     }
 
+    /** The address that it listens on. */
     public SocketAddress address() throws IOException {
         return server.getLocalAddress();
     }
--- a/src/main/java/reedmux/gatekeeper/http/ProviderClient.java
+++ b/src/main/java/reedmux/gatekeeper/http/ProviderClient.java
@@ -47,14 +47,17 @@
                 result -> eventSink.accept(new ReducerEvent.CallEnded(call, result))));
     }
 
+    /** Aborts a call; its result follows when its connection is closed. */
     public void abort(UpstreamCall call) {
         ((UpstreamExchange) call.transport()).abort();
     }
 
+    /** Ends a call whose connection is not established yet. */
     public void abortConnect(UpstreamCall call) {
         ((UpstreamExchange) call.transport()).abortConnect();
     }
 
+    /** Asks a provider for {@code /healthz}; the outcome comes as an event. */
     public void checkHealth(String provider, InetSocketAddress address, long askedAt) {
         pool.execute(
                 new UpstreamEndpoint(provider, address),
--- a/src/main/java/reedmux/gatekeeper/http/RequestBody.java
+++ b/src/main/java/reedmux/gatekeeper/http/RequestBody.java
@@ -8,6 +8,7 @@
  */
 public record RequestBody(byte[] bytes, BodyStream stream) {
 
+    /** A body that has been received completely. */
     public static RequestBody buffered(byte[] bytes) {
         return new RequestBody(bytes, null);
     }
--- a/src/main/java/reedmux/gatekeeper/script/ScriptFaultException.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptFaultException.java
@@ -12,6 +12,7 @@
     private static final long serialVersionUID = 1;
     private final transient ScriptPosition position;
 
+    /** An error at a position of the script. */
     public ScriptFaultException(ScriptPosition position, String message) {
         super(message);
         this.position = position;
--- a/src/main/java/reedmux/gatekeeper/service/ServiceRuntime.java
+++ b/src/main/java/reedmux/gatekeeper/service/ServiceRuntime.java
@@ -139,6 +139,7 @@
         return providersKnown.await(millis, TimeUnit.MILLISECONDS);
     }
 
+    /** The name of the service. */
     public String name() {
         return setup.name();
     }
--- a/src/main/java/reedmux/proxy/loadbalancer/CheckerStats.java
+++ b/src/main/java/reedmux/proxy/loadbalancer/CheckerStats.java
@@ -54,6 +54,7 @@
         slowStartUntil = now + next.slowStartMillis() * 1000;
     }
 
+    /** The id of the checker. */
     public String id() {
         return incarnation.id();
     }
@@ -63,6 +64,7 @@
         return incarnation;
     }
 
+    /** The address that the checker serves on. */
     public InetSocketAddress address() {
         return address;
     }
--- a/src/main/java/reedmux/proxy/request/ProxyRequest.java
+++ b/src/main/java/reedmux/proxy/request/ProxyRequest.java
@@ -64,6 +64,7 @@
         this.deadline = deadline;
     }
 
+    /** The route that the request takes. */
     public RouteItem route() {
         return route;
     }
@@ -73,6 +74,7 @@
         return tenant;
     }
 
+    /** Where the request came from, and where its response goes. */
     public RequestSource source() {
         return source;
     }
--- a/src/main/java/reedmux/proxy/request/RequestAttempt.java
+++ b/src/main/java/reedmux/proxy/request/RequestAttempt.java
@@ -18,10 +18,12 @@
         this.startedAt = startedAt;
     }
 
+    /** The request that this is an attempt of. */
     public ProxyRequest request() {
         return request;
     }
 
+    /** The checker that the attempt was sent to. */
     public CheckerStats checker() {
         return checker;
     }
@@ -31,6 +33,7 @@
         return startedAt;
     }
 
+    /** Whether its outcome is known. */
     public boolean hasEnded() {
         return ended;
     }
--- a/src/main/java/reedmux/simulation/cluster/ClusterSimulation.java
+++ b/src/main/java/reedmux/simulation/cluster/ClusterSimulation.java
@@ -9,7 +9,8 @@
 
 /**
  * A discrete-event simulation of machines and the network between them. Time is virtual, in microseconds, and advances
- * from event to event; everything random comes from one generator, so a seed always gives the same run. Single-threaded.
+ * from event to event; everything random comes from one generator, so a seed always gives the same run.
+ * Single-threaded.
  */
 public final class ClusterSimulation {
     private static final long START_MICROS = 3_600_000_000L;
--- a/src/main/java/reedmux/simulation/cluster/DayRunner.java
+++ b/src/main/java/reedmux/simulation/cluster/DayRunner.java
@@ -16,6 +16,7 @@
     public record DayTotals(
             int days, int violatedDays, long requests, long served, long simulatedMicros, long digest) {}
 
+    /** A runner of days of one shape. */
     public DayRunner(SimulatedDay.DayOptions shape) {
         this.options = shape;
     }
--- a/src/main/java/reedmux/simulation/cluster/Deployment.java
+++ b/src/main/java/reedmux/simulation/cluster/Deployment.java
@@ -15,7 +15,10 @@
 import reedmux.control.store.StoreServer;
 import reedmux.proxy.Proxy;
 
-/** The machines of a simulated deployment with their programs, which it starts, stops and restarts as a platform does. */
+/**
+ * The machines of a simulated deployment with their programs, which it starts, stops and restarts as a platform
+ * does.
+ */
 final class Deployment {
     static final String[] ZONES = {"hall-a", "hall-b", "hall-c"};
     static final int STORE_PORT = 7360;
@@ -74,7 +77,10 @@
             return startedAt;
         }
 
-        /** Sets the seeds of its settings file from the next start on; addresses without ports, or null for the first ones. */
+        /**
+         * Sets the seeds of its settings file from the next start on; addresses without ports, or null for the
+         * first ones.
+         */
         void setSeeds(List<String> ips) {
             seeds = ips;
         }
--- a/src/main/java/reedmux/simulation/cluster/FaultStorm.java
+++ b/src/main/java/reedmux/simulation/cluster/FaultStorm.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * A day full of one kind of faults, while two operators change the configuration all the time ({@link StormTraffic}). The
- * kinds, by the number of the operators' requirement:
+ * A day full of one kind of faults, while two operators change the configuration all the time ({@link StormTraffic}).
+ * The kinds, by the number of the operators' requirement:
  *
  * <ol>
  *   <li>partitions that leave a minority of the core with some proxies;
--- a/src/main/java/reedmux/simulation/cluster/RandomFaults.java
+++ b/src/main/java/reedmux/simulation/cluster/RandomFaults.java
@@ -5,8 +5,8 @@
 import java.util.Random;
 
 /**
- * Injects faults of all kinds at random times into a simulated day: into core machines one at a time, and only while the
- * core is healthy, into proxies and checkers at any time. Times are microseconds.
+ * Injects faults of all kinds at random times into a simulated day: into core machines one at a time, and only while
+ * the core is healthy, into proxies and checkers at any time. Times are microseconds.
  */
 final class RandomFaults {
     private static final long SECOND = 1_000_000;
--- a/src/main/java/reedmux/simulation/cluster/RequestInvariants.java
+++ b/src/main/java/reedmux/simulation/cluster/RequestInvariants.java
@@ -197,7 +197,10 @@
         }
     }
 
-    /** A request has no response: its connection was {@code cutOff}, or its time is up; {@code planned}: the proxy was shutting down. */
+    /**
+     * A request has no response: its connection was {@code cutOff}, or its time is up; {@code planned}: the proxy
+     * was shutting down.
+     */
     void onConnectionLost(String id, boolean cutOff, boolean planned, long now) {
         ObservedRequest request = requests.get(id);
         if (cutOff
@@ -236,8 +239,9 @@
     }
 
     /**
-     * In each window the retries are bounded by a share of the first attempts. Those are counted in the same window, the
-     * one before it or one in between, whichever has most, as a retry may follow its first attempt into the next one.
+     * In each window the retries are bounded by a share of the first attempts. Those are counted in the same window,
+     * the one before it or one in between, whichever has most, as a retry may follow its first attempt into the next
+     * one.
      */
     private void checkRetryBudget(String service, Map<Long, AttemptCounts> seconds) {
         Set<Long> ends = new HashSet<>(seconds.keySet());
--- a/src/main/java/reedmux/simulation/cluster/SimulatedDisk.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedDisk.java
@@ -17,9 +17,9 @@
 import reedmux.common.disk.Volume;
 
 /**
- * A simulated disk. What a sync has covered is durable. After a loss of power each later write has survived, is missing or
- * is torn, and names are durable once their directory was synced. The disk records the operations since the last loss
- * with the time at which each completes, so that a process or the power may end between any two.
+ * A simulated disk. What a sync has covered is durable. After a loss of power each later write has survived, is
+ * missing or is torn, and names are durable once their directory was synced. The disk records the operations since the
+ * last loss with the time at which each completes, so that a process or the power may end between any two.
  */
 final class SimulatedDisk {
     private static final long WRITE_MICROS = 60;
@@ -109,8 +109,8 @@
 
     /**
      * Applies the end of a process, or with {@code power} a loss of power. Operations that were not completed have not
-     * happened. After a loss of power the fate of each operation that was not synced is drawn, and of each name by itself;
-     * one loss in three loses all of them.
+     * happened. After a loss of power the fate of each operation that was not synced is drawn, and of each name by
+     * itself; one loss in three loses all of them.
      */
     void crash(boolean power) {
         Map<String, DiskFileContent> seen = copyOfDurable();
--- a/src/main/java/reedmux/simulation/cluster/StormTraffic.java
+++ b/src/main/java/reedmux/simulation/cluster/StormTraffic.java
@@ -6,8 +6,8 @@
 import reedmux.simulation.cluster.ClusterInvariantChecker.ExpectedDecision;
 
 /**
- * What the two operators of a {@link FaultStorm} send: changes that contend with each other or depend on each other, and
- * reads in between. Faults can be tied to the next change that is sent or acknowledged. Times are microseconds.
+ * What the two operators of a {@link FaultStorm} send: changes that contend with each other or depend on each other,
+ * and reads in between. Faults can be tied to the next change that is sent or acknowledged. Times are microseconds.
  */
 final class StormTraffic {
     private static final long SECOND = 1_000_000;
--- a/src/main/java/reedmux/simulation/harness/LoopbackGateway.java
+++ b/src/main/java/reedmux/simulation/harness/LoopbackGateway.java
@@ -209,6 +209,7 @@
         return callUntilClear(request -> OneShotHttpCall.post("/v1/Config.Adjust", body));
     }
 
+    /** Reads the configuration as the operator does. */
     public LoopbackResponse readConfiguration() throws IOException {
         return callUntilClear(request -> OneShotHttpCall.request("GET", "/v1/Config.Read", "control", ""));
     }
--- a/src/main/java/reedmux/simulation/standin/ConsumerStandIn.java
+++ b/src/main/java/reedmux/simulation/standin/ConsumerStandIn.java
@@ -50,6 +50,7 @@
             int status,
             double retryAfterSeconds,
             boolean bodyMatches) {
+        /** How long the request took, in milliseconds. */
         public double millis() {
             return (endedAtNanos - sentAtNanos) / 1e6;
         }
@@ -67,6 +68,7 @@
 
     private final String host;
 
+    /** Sends its requests to one gatekeeper. */
     public ConsumerStandIn(InetSocketAddress gatekeeper) {
         this(gatekeeper, null);
     }
--- a/src/main/java/reedmux/simulation/standin/DiscoveryStandIn.java
+++ b/src/main/java/reedmux/simulation/standin/DiscoveryStandIn.java
@@ -27,6 +27,7 @@
     private long revision = 1;
     private volatile DiscoveryStandInBehavior behavior = DiscoveryStandInBehavior.ANSWERS;
 
+    /** Listens on a free port of the loopback address. */
     public DiscoveryStandIn() throws IOException {}
 
     /** Lists a provider under a phase, or strikes it off at {@code Gone}. */
--- a/src/main/java/reedmux/simulation/standin/StandInServer.java
+++ b/src/main/java/reedmux/simulation/standin/StandInServer.java
@@ -39,6 +39,7 @@
         return address;
     }
 
+    /** The address that it listens on, as host and port. */
     public final String hostPort() {
         return address.getAddress().getHostAddress() + ':' + address.getPort();
     }
@@ -58,6 +59,7 @@
         });
     }
 
+    /** Starts a daemon thread. */
     public static Thread startThread(String name, Runnable task) {
         Thread thread = new Thread(task, name);
         thread.setDaemon(true);
