--- a/src/test/java/reedmux/simulation/cluster/ProgramsClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ProgramsClusterTest.java
@@ -21,30 +21,10 @@
     @BeforeMethod
     public void start() {
         log.clear();
-        simulation = new ClusterSimulation(5);
-        deployment = new Deployment(simulation, 2, 3, log::add);
-        deployment.start();
-        outside = new SimulatedProcess(
-                simulation, new SimulatedMachine(simulation, "10.9.0.1", "hall-a", false), "outside", 0, line -> {});
-        ClusterInvariantChecker watch = new ClusterInvariantChecker();
-        for (int i = 0; i < 4; i++) {
-            new SimulatedChecker(
-                    simulation,
-                    new SimulatedMachine(simulation, "10.3.0." + (i + 1), "hall-a", false),
-                    "i-" + i,
-                    ConfigurationGenerator.SERVICES[i % 2],
-                    deployment.controlAddresses(),
-                    watch,
-                    () -> {},
-                    ip -> {});
-        }
-        new SimulatedOperator(simulation, "10.8.0.1", deployment.controlAddresses(), watch)
-                .changeConfiguration(
-                        new ConfigurationGenerator(new java.util.Random(1)).initialChange(),
-                        ClusterInvariantChecker.ExpectedDecision.ACCEPT,
-                        ConfigurationGenerator::visibleEffect,
-                        status -> {});
-        simulation.runFor(5 * SECOND);
+        ServingDeployment serving = new ServingDeployment(5, log::add);
+        simulation = serving.simulation();
+        deployment = serving.deployment();
+        outside = serving.outside();
     }
 
     private int[] ask(String path, long timeLeft) throws java.io.IOException {
--- /dev/null
+++ b/src/test/java/reedmux/simulation/cluster/ServingDeployment.java
@@ -0,0 +1,63 @@
+package reedmux.simulation.cluster;
+
+import java.util.Random;
+import java.util.function.Consumer;
+
+/**
+ * A small deployment in virtual time that serves: two edge machines, three core machines, four checkers and one
+ * configuration, five seconds after its start. With it goes a process that belongs to nobody, for calls from outside.
+ */
+final class ServingDeployment {
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final int EDGE_MACHINES = 2;
+    private static final int CORE_MACHINES = 3;
+    private static final int CHECKERS = 4;
+
+    private final ClusterSimulation simulation;
+    private final Deployment deployment;
+    private final SimulatedProcess outside;
+
+    /** Starts it; {@code seed} determines the simulation, {@code log} gets the lines of the programs. */
+    ServingDeployment(long seed, Consumer<String> log) {
+        simulation = new ClusterSimulation(seed);
+        deployment = new Deployment(simulation, EDGE_MACHINES, CORE_MACHINES, log);
+        deployment.start();
+        outside = new SimulatedProcess(simulation, machine("10.9.0.1"), "outside", 0, line -> {});
+        ClusterInvariantChecker checker = new ClusterInvariantChecker();
+        for (int i = 0; i < CHECKERS; i++) {
+            new SimulatedChecker(
+                    simulation,
+                    machine("10.3.0." + (i + 1)),
+                    "i-" + i,
+                    ConfigurationGenerator.SERVICES[i % ConfigurationGenerator.SERVICES.length],
+                    deployment.controlAddresses(),
+                    checker,
+                    () -> {},
+                    ip -> {});
+        }
+        new SimulatedOperator(simulation, "10.8.0.1", deployment.controlAddresses(), checker)
+                .changeConfiguration(
+                        new ConfigurationGenerator(new Random(1)).initialChange(),
+                        ClusterInvariantChecker.ExpectedDecision.ACCEPT,
+                        ConfigurationGenerator::visibleEffect,
+                        status -> {});
+        simulation.runFor(5 * SECOND_MICROS);
+    }
+
+    private SimulatedMachine machine(String ip) {
+        return new SimulatedMachine(simulation, ip, "hall-a", false);
+    }
+
+    ClusterSimulation simulation() {
+        return simulation;
+    }
+
+    Deployment deployment() {
+        return deployment;
+    }
+
+    /** A process on a machine of its own. */
+    SimulatedProcess outside() {
+        return outside;
+    }
+}
--- a/src/test/java/reedmux/simulation/cluster/ShowClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ShowClusterTest.java
@@ -10,7 +10,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.Random;
 import java.util.TreeSet;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -27,30 +26,10 @@
 
     @BeforeMethod
     public void start() {
-        simulation = new ClusterSimulation(8);
-        deployment = new Deployment(simulation, 2, 3, line -> {});
-        deployment.start();
-        outside = new SimulatedProcess(
-                simulation, new SimulatedMachine(simulation, "10.9.0.1", "hall-a", false), "outside", 0, line -> {});
-        ClusterInvariantChecker watch = new ClusterInvariantChecker();
-        for (int i = 0; i < 4; i++) {
-            new SimulatedChecker(
-                    simulation,
-                    new SimulatedMachine(simulation, "10.3.0." + (i + 1), "hall-a", false),
-                    "i-" + i,
-                    ConfigurationGenerator.SERVICES[i % 2],
-                    deployment.controlAddresses(),
-                    watch,
-                    () -> {},
-                    ip -> {});
-        }
-        new SimulatedOperator(simulation, "10.8.0.1", deployment.controlAddresses(), watch)
-                .changeConfiguration(
-                        new ConfigurationGenerator(new Random(1)).initialChange(),
-                        ClusterInvariantChecker.ExpectedDecision.ACCEPT,
-                        ConfigurationGenerator::visibleEffect,
-                        status -> {});
-        simulation.runFor(5 * SECOND);
+        ServingDeployment serving = new ServingDeployment(8, line -> {});
+        simulation = serving.simulation();
+        deployment = serving.deployment();
+        outside = serving.outside();
     }
 
     private String ask(int core, String path) {
