--- a/src/test/java/reedmux/simulation/harness/SideBySide.java
+++ b/src/test/java/reedmux/simulation/harness/SideBySide.java
@@ -142,7 +142,7 @@
                 command.add(word);
             }
         }
-        command.add(Path.of(SOURCE).toAbsolutePath().toString());
+        command.add(dir.resolve(SOURCE).toAbsolutePath().toString()); // its own, which names its own classes
         Process process = new ProcessBuilder(command)
                 .directory(dir.toFile())
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
