--- a/src/main/java/reedmux/cli/RegionConnector.java
+++ b/src/main/java/reedmux/cli/RegionConnector.java
@@ -153,13 +153,13 @@
 
     /** Logs the counts if they have changed since the last report. */
     void logReport() {
-        String counts = coordinator.regions().summary();
+        String counts = coordinator.failoverPolicy().summary();
         if (!counts.equals(lastReport)) {
             lastReport = counts;
-            log.accept(
-                    "regions: " + counts + "; now away " + coordinator.regions().forwardedInFlight() + ", visitors "
-                            + coordinator.regions().remoteInFlight() + ", link "
-                            + coordinator.regions().linkLatencyMicros() / 1000 + " ms");
+            log.accept("regions: " + counts + "; now away "
+                    + coordinator.failoverPolicy().forwardedInFlight() + ", visitors "
+                    + coordinator.failoverPolicy().remoteInFlight() + ", link "
+                    + coordinator.failoverPolicy().linkLatencyMicros() / 1000 + " ms");
         }
     }
 
--- a/src/main/java/reedmux/gatekeeper/http/ProviderClient.java
+++ b/src/main/java/reedmux/gatekeeper/http/ProviderClient.java
@@ -30,7 +30,7 @@
     public void call(UpstreamCall call, long timeout) {
         ConsumerRequest message = (ConsumerRequest) call.invocation().message();
         long told = message.stream() == null ? timeout : message.timeoutMicros(); // it begins with the last byte
-        call.transport(pool.execute(
+        call.transportState(pool.execute(
                 new UpstreamEndpoint(call.provider(), call.address()),
                 new UpstreamRequest(
                         message.method(),
@@ -49,17 +49,17 @@
 
     /** Aborts a call; its result follows when its connection is closed. */
     public void abort(UpstreamCall call) {
-        ((UpstreamExchange) call.transport()).abort();
+        ((UpstreamExchange) call.transportState()).abort();
     }
 
     /** Aborts a call of which the provider cannot have received the whole request. */
     public void abortUnlessSent(UpstreamCall call) {
-        ((UpstreamExchange) call.transport()).abortUnlessSent();
+        ((UpstreamExchange) call.transportState()).abortUnlessSent();
     }
 
     /** Ends a call whose connection is not established yet. */
     public void abortConnect(UpstreamCall call) {
-        ((UpstreamExchange) call.transport()).abortConnect();
+        ((UpstreamExchange) call.transportState()).abortConnect();
     }
 
     /** Asks a provider for {@code /healthz}; the outcome comes as an event. */
--- a/src/main/java/reedmux/gatekeeper/http/RegionClient.java
+++ b/src/main/java/reedmux/gatekeeper/http/RegionClient.java
@@ -32,7 +32,7 @@
                 RegionFrontend.wireName(
                         settings.classes().get(call.invocation().requestClass()).idempotency()),
                 String.format(Locale.ROOT, "%.6f", call.invocation().units()));
-        call.transport(pool.execute(
+        call.transportState(pool.execute(
                 new UpstreamEndpoint(call.provider(), call.address()),
                 new UpstreamRequest(
                         message.method(),
--- a/src/main/java/reedmux/gatekeeper/http/UpstreamExchange.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamExchange.java
@@ -329,8 +329,9 @@
         if (broken != null) {
             broken.fail();
         }
-        CallStage stage =
-                response != null ? CallStage.ANSWERING : isFullySent() ? CallStage.ON_WIRE : CallStage.WRITING;
+        CallStage stage = response != null
+                ? CallStage.RECEIVING_RESPONSE
+                : isFullySent() ? CallStage.AWAITING_RESPONSE : CallStage.WRITING;
         finish(new CallResult.ConnectionBroken(stage, String.valueOf(cause.getMessage())));
     }
 
--- a/src/main/java/reedmux/gatekeeper/reducer/CallResult.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/CallResult.java
@@ -15,8 +15,8 @@
     enum CallStage {
         CONNECTING,
         WRITING,
-        ON_WIRE,
-        ANSWERING
+        AWAITING_RESPONSE,
+        RECEIVING_RESPONSE
     }
 
     /** The body of an answer that is still coming in; only the protocol that made it looks inside. */
--- a/src/main/java/reedmux/gatekeeper/reducer/Invocation.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/Invocation.java
@@ -37,7 +37,7 @@
     }
 
     final IncomingRequest request;
-    final boolean repeatable;
+    final boolean idempotent;
     final RequestMessage message;
     final AnswerSink answerSink;
     final List<UpstreamCall> calls = new ArrayList<>(2);
@@ -56,18 +56,18 @@
     /** Whether another region sent it. */
     boolean remote;
     /** Whether the decisions on regions know how it was served. */
-    boolean serviceRecorded;
+    boolean localResultRecorded;
     /** When its service admitted it; -1 where nobody counts it. */
     private long admittedAt = -1;
 
     /**
      * An invocation that has not been accepted yet.
      *
-     * @param repeatable whether a repeat has no second effect
+     * @param idempotent whether a repeat has no second effect
      */
-    public Invocation(IncomingRequest request, boolean repeatable, RequestMessage message, AnswerSink answerSink) {
+    public Invocation(IncomingRequest request, boolean idempotent, RequestMessage message, AnswerSink answerSink) {
         this.request = request;
-        this.repeatable = repeatable;
+        this.idempotent = idempotent;
         deadlineAt = request.deadline();
         this.message = message;
         this.answerSink = answerSink;
@@ -113,7 +113,7 @@
         return answerSink;
     }
 
-    boolean isSettled() {
+    boolean isComplete() {
         return closed && allCallsEnded();
     }
 
--- a/src/main/java/reedmux/gatekeeper/reducer/InvocationTable.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/InvocationTable.java
@@ -72,8 +72,8 @@
         }
     }
 
-    void forgetIfSettled(Invocation invocation) {
-        if (invocation.isSettled()) {
+    void removeIfComplete(Invocation invocation) {
+        if (invocation.isComplete()) {
             invocations.remove(invocation.id(), invocation);
         }
     }
--- a/src/main/java/reedmux/gatekeeper/reducer/PolicyActionExecutor.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/PolicyActionExecutor.java
@@ -48,11 +48,11 @@
         }
         long wait = timeout == 0 ? left : Math.min(left, Math.max(0, timeout));
         setTimers(call, wait);
-        start(call, () -> context.effects.startCall(call, wait));
+        startCall(call, () -> context.effects.startCall(call, wait));
     }
 
     /** A call that could not even be started has certainly not run; it ends like any other. */
-    private void start(UpstreamCall call, Runnable how) {
+    private void startCall(UpstreamCall call, Runnable how) {
         try {
             how.run();
         } catch (RuntimeException e) {
@@ -74,7 +74,7 @@
             boolean attempted = !invocation.calls.isEmpty();
             boolean neverRan = !attempted || invocation.neverRan();
             invocations.answer(invocation, new FinalAnswer.Rejected(retryAfter, attempted, neverRan));
-            invocations.forgetIfSettled(invocation);
+            invocations.removeIfComplete(invocation);
         }
     }
 
@@ -85,7 +85,7 @@
         if (regions == null || invocation == null || invocation.closed || invocation.message.isStreaming()) {
             return false;
         }
-        regions.recordService(invocation, context.now, false);
+        regions.recordLocalResult(invocation, context.now, false);
         int number = invocation.calls.size();
         ForwardedRequest forwarded = regions.forward(invocation, maxAttempts - number, context.now);
         if (forwarded == null) {
@@ -93,10 +93,10 @@
         }
         String gateway = forwarded.gateway();
         UpstreamCall call = new UpstreamCall(
-                invocation, number, gateway, regions.address(gateway), context.now, forwarded, retryAfter);
+                invocation, number, gateway, regions.gatewayAddress(gateway), context.now, forwarded, retryAfter);
         invocation.calls.add(call);
         setTimers(call, forwarded.timeoutMicros());
-        start(call, () -> context.effects.startForwardedCall(call, forwarded));
+        startCall(call, () -> context.effects.startForwardedCall(call, forwarded));
         return true;
     }
 
@@ -108,7 +108,7 @@
             boolean timedOut =
                     calls > 0 && invocation.calls.get(calls - 1).stopReason == UpstreamCall.StopReason.TIMED_OUT;
             invocations.answer(invocation, new FinalAnswer.Failed(timedOut));
-            invocations.forgetIfSettled(invocation);
+            invocations.removeIfComplete(invocation);
         }
     }
 
--- a/src/main/java/reedmux/gatekeeper/reducer/Reducer.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/Reducer.java
@@ -116,7 +116,7 @@
             StackTraceElement[] trace = e.getStackTrace();
             context.effects.log("fault at " + event.getClass().getSimpleName() + ": " + e
                     + (trace.length == 0 ? "" : " at " + trace[0]));
-            Invocation concerned = invocationOf(event);
+            Invocation concerned = affectedInvocation(event);
             if (concerned != null && invocations.contains(concerned)) {
                 concerned.policyFailed = true;
                 context.pendingEvents.add(new ReducerEvent.PolicyDecisionFailed(concerned));
@@ -125,7 +125,7 @@
     }
 
     /** The invocation that the policy decides on at an event, or null where there is none. */
-    private static Invocation invocationOf(ReducerEvent event) {
+    private static Invocation affectedInvocation(ReducerEvent event) {
         if (event instanceof ReducerEvent.InvocationAccepted e) {
             return e.invocation();
         } else if (event instanceof ReducerEvent.RemoteInvocationAccepted e) {
@@ -142,7 +142,7 @@
 
     private void dispatch(ReducerEvent event) {
         if (event instanceof ReducerEvent.InvocationAccepted e) {
-            onAccepted(e.invocation());
+            onInvocationAccepted(e.invocation());
         } else if (event instanceof ReducerEvent.CallEnded e) {
             onCallEnded(e.call(), e.result());
         } else if (event instanceof ReducerEvent.ResponseStarted e) {
@@ -160,9 +160,9 @@
         } else if (event instanceof ReducerEvent.ConnectTimeoutExpired e && !e.call().ended) {
             context.effects.abortConnecting(e.call());
         } else if (event instanceof ReducerEvent.InvocationDeadlinePassed e) {
-            answerUndecided(e.invocation());
+            answerWithoutDecision(e.invocation());
         } else if (event instanceof ReducerEvent.ProvidersUpdated e) {
-            onProviders(e.list());
+            onProvidersUpdated(e.list());
         } else if (event instanceof ReducerEvent.AttemptNotSent e) {
             onAttemptNotSent(e);
         } else if (event instanceof ReducerEvent.HealthCheckCompleted e) {
@@ -171,7 +171,7 @@
         } else if (event instanceof ReducerEvent.CounterUnavailable e) {
             notifyPolicy(new CounterResult(e.name(), e.outcome(), 0, 0));
         } else if (event instanceof ReducerEvent.RemoteInvocationAccepted e) {
-            onRemoteAccepted(e.invocation(), e.path());
+            onRemoteInvocationAccepted(e.invocation(), e.path());
         } else if (event instanceof ReducerEvent.RegionRulesUpdated e && context.regions != null) {
             context.regions.applyRules(e.rules(), e.gateways(), context.now);
         } else if (event instanceof ReducerEvent.PolicyDecisionFailed e) {
@@ -184,7 +184,7 @@
     }
 
     // ---- Invocations ---------------------------------------------------------------------------------------------
-    private void onAccepted(Invocation invocation) {
+    private void onInvocationAccepted(Invocation invocation) {
         // Ids are fresh on every request; a second one under a live id would mix up two consumers' answers.
         if (!invocations.add(invocation)) {
             invocation.closed = true;
@@ -199,12 +199,12 @@
         if (context.regions != null) {
             context.regions.onAccepted(invocation);
         }
-        setDeadline(invocation, invocation.request.deadline());
+        setDeadlineTimer(invocation, invocation.request.deadline());
         notifyPolicy(invocation.request);
         reportBodyIncomplete(invocation);
     }
 
-    private void setDeadline(Invocation invocation, long at) {
+    private void setDeadlineTimer(Invocation invocation, long at) {
         invocation.deadlineTimer = context.timers.set(at, new ReducerEvent.InvocationDeadlinePassed(invocation));
     }
 
@@ -216,7 +216,7 @@
     }
 
     /** Another region's request, if it is admitted, is served like one of a consumer, but never forwarded. */
-    private void onRemoteAccepted(Invocation invocation, RegionPath path) {
+    private void onRemoteInvocationAccepted(Invocation invocation, RegionPath path) {
         RemoteRejection rejection = context.regions.admit(invocation, path, context.now);
         if (rejection != null) {
             invocation.closed = true;
@@ -225,7 +225,7 @@
             return;
         }
         invocation.remote = true;
-        onAccepted(invocation);
+        onInvocationAccepted(invocation);
     }
 
     /** Until now its consumer was still sending; its time, and that of its calls, runs from here. */
@@ -237,7 +237,7 @@
         notifyPolicy(new RequestBodyProgress(invocation.id(), true));
         invocation.deadlineAt = context.now + timeout;
         invocation.deadlineTimer.cancel();
-        setDeadline(invocation, invocation.deadlineAt);
+        setDeadlineTimer(invocation, invocation.deadlineAt);
         for (UpstreamCall call : invocation.calls) {
             if (!call.ended && call.timeoutTimer != null) {
                 call.timeoutTimer.cancel();
@@ -255,7 +255,7 @@
         boolean bodyIncomplete = invocation.message.isStreaming() && invocation.bodyCompletedAt == 0;
         for (UpstreamCall call : invocation.calls) {
             call.consumerLeft = true;
-            if (invocation.repeatable || call.responseStartedAt > 0 || bodyIncomplete) {
+            if (invocation.idempotent || call.responseStartedAt > 0 || bodyIncomplete) {
                 invocations.abort(call, UpstreamCall.StopReason.CANCELLED);
             } else if (!call.ended) {
                 context.effects.abortUnlessSent(call);
@@ -273,19 +273,19 @@
         // What another region does for nobody costs two regions; but one that must not run twice may have run by
         // now, and nothing is gained by not hearing of it.
         for (UpstreamCall call : invocation.calls) {
-            if (call.forwardedRequest != null && invocation.repeatable) {
+            if (call.forwardedRequest != null && invocation.idempotent) {
                 invocations.abort(call, UpstreamCall.StopReason.CANCELLED);
             }
         }
-        invocations.forgetIfSettled(invocation);
+        invocations.removeIfComplete(invocation);
         notifyPolicy(new RequestWithdrawn(invocation.id()));
     }
 
     /** The policy knows it in part or not at all: what it might still decide on it is not waited for. */
     private void onPolicyDecisionFailed(Invocation invocation) {
         if (invocation.allCallsEnded()) {
-            answerUndecided(invocation);
-            invocations.forgetIfSettled(invocation);
+            answerWithoutDecision(invocation);
+            invocations.removeIfComplete(invocation);
         }
     }
 
@@ -293,15 +293,15 @@
      * Answers what the policy has not: at the deadline, whatever it still waits for, or after a fault. Nothing is known
      * of when there will be room, so the advice is the policy's own for that case.
      */
-    private void answerUndecided(Invocation invocation) {
+    private void answerWithoutDecision(Invocation invocation) {
         if (invocation.closed) {
             return;
         }
         boolean neverRan = invocation.neverRan();
         if (context.regions != null) {
-            context.regions.recordService(invocation, context.now, false);
+            context.regions.recordLocalResult(invocation, context.now, false);
         }
-        FinalAnswer answer = invocation.repeatable || neverRan
+        FinalAnswer answer = invocation.idempotent || neverRan
                 ? new FinalAnswer.Rejected(UNDECIDED_RETRY_AFTER_MICROS, !invocation.calls.isEmpty(), neverRan)
                 : new FinalAnswer.Failed(context.now >= invocation.deadlineAt);
         context.effects.sendAnswer(invocation, answer);
@@ -324,14 +324,15 @@
             return;
         }
         invocations.answer(invocation, new FinalAnswer.Served(head));
-        notifyPolicy(new ResponseStreamStarted(invocation.id(), call.provider, call.number, elapsed(call, head)));
+        notifyPolicy(new ResponseStreamStarted(
+                invocation.id(), call.provider, call.number, elapsedUntilResponse(call, head)));
     }
 
     /**
      * How long a call took until its answer had begun to come, in microseconds: neither a request's body that comes in
      * slowly nor an answer's is work at the provider.
      */
-    private long elapsed(UpstreamCall call, CallResult result) {
+    private long elapsedUntilResponse(UpstreamCall call, CallResult result) {
         long until = context.now;
         if (call.responseStartedAt > 0) {
             until = call.responseStartedAt;
@@ -348,7 +349,7 @@
         if (call.responseStartedAt > 0) {
             streamingCount--;
         }
-        AttemptOutcome outcome = outcomeOf(call, result);
+        AttemptOutcome outcome = determineOutcome(call, result);
         call.markEnded();
         call.neverRan = outcome.neverRan();
         if (call.forwardedRequest != null) {
@@ -359,18 +360,18 @@
         if (outcome == AttemptOutcome.OK) {
             invocations.answer(invocation, new FinalAnswer.Served((CallResult.ResponseReceived) result));
         }
-        long elapsed = elapsed(call, result);
+        long elapsed = elapsedUntilResponse(call, result);
         notifyPolicy(
                 new AttemptEnded(invocation.id(), invocation.closed, call.provider, call.number, 0, elapsed, outcome));
         reportBodyIncomplete(invocation);
         if (invocation.policyFailed) {
             onPolicyDecisionFailed(invocation);
         }
-        invocations.forgetIfSettled(invocation);
+        invocations.removeIfComplete(invocation);
     }
 
     /** A call that was never sent as a whole never ran, whatever made us stop it; else our reason to stop counts. */
-    private static AttemptOutcome outcomeOf(UpstreamCall call, CallResult result) {
+    private static AttemptOutcome determineOutcome(UpstreamCall call, CallResult result) {
         AttemptOutcome outcome = result.outcome();
         if (outcome == AttemptOutcome.CONNECT_FAILED) {
             boolean brokenOffByConsumer = call.consumerLeft
@@ -398,7 +399,7 @@
         context.regions.onForwardEnded(call, result, outcome, context.now);
         invocations.answer(invocation, answerAfterForward(call, result, outcome));
         notifyPolicy(new ForwardedRequestEnded(invocation.id()));
-        invocations.forgetIfSettled(invocation);
+        invocations.removeIfComplete(invocation);
     }
 
     private static FinalAnswer answerAfterForward(UpstreamCall call, CallResult result, AttemptOutcome outcome) {
@@ -406,7 +407,7 @@
         CallResult.ResponseReceived response = result instanceof CallResult.ResponseReceived some ? some : null;
         if (outcome == AttemptOutcome.OK) {
             return new FinalAnswer.Served(response);
-        } else if (invocation.repeatable || invocation.neverRan()) {
+        } else if (invocation.idempotent || invocation.neverRan()) {
             long advice = response != null ? response.retryAfter() : -1;
             return new FinalAnswer.Rejected(Math.max(call.rejectionRetryAfter, advice), true, invocation.neverRan());
         }
@@ -416,7 +417,7 @@
     }
 
     // ---- Providers -----------------------------------------------------------------------------------------------
-    private void onProviders(ProviderList list) {
+    private void onProvidersUpdated(ProviderList list) {
         providers.apply(list, context.effects);
         notifyPolicy(new ServerList(
                 list.scope(),
--- a/src/main/java/reedmux/gatekeeper/reducer/RegionCoordinator.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/RegionCoordinator.java
@@ -33,7 +33,7 @@
     }
 
     /** The decisions; their metrics may be read by the owning thread. */
-    public FailoverPolicy regions() {
+    public FailoverPolicy failoverPolicy() {
         return failover;
     }
 
@@ -42,7 +42,7 @@
         gateways = Map.copyOf(newGateways);
     }
 
-    InetSocketAddress address(String gateway) {
+    InetSocketAddress gatewayAddress(String gateway) {
         return gateways.get(gateway);
     }
 
@@ -53,19 +53,19 @@
     }
 
     /** Notes how a request of one of our own consumers was served here; only the first report of each counts. */
-    void recordService(Invocation invocation, long now, boolean good) {
-        if (!invocation.remote && !invocation.serviceRecorded) {
-            invocation.serviceRecorded = true;
+    void recordLocalResult(Invocation invocation, long now, boolean good) {
+        if (!invocation.remote && !invocation.localResultRecorded) {
+            invocation.localResultRecorded = true;
             failover.onLocalRequestEnded(now, good);
         }
     }
 
     void onAnswered(Invocation invocation, FinalAnswer answer, long now) {
         if (answer instanceof FinalAnswer.Served) {
-            recordService(
+            recordLocalResult(
                     invocation, now, now - invocation.acceptedAt <= latencyTargets[invocation.request.requestClass()]);
         } else if (answer instanceof FinalAnswer.Failed) {
-            recordService(invocation, now, false);
+            recordLocalResult(invocation, now, false);
         }
     }
 
@@ -83,7 +83,7 @@
         OverflowRequest overflow = new OverflowRequest(
                 invocation.request.deadline(),
                 invocation.request.units(),
-                invocation.repeatable,
+                invocation.idempotent,
                 invocation.neverRan(),
                 invocation.remote,
                 callsLeft);
--- a/src/main/java/reedmux/gatekeeper/reducer/UpstreamCall.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/UpstreamCall.java
@@ -34,7 +34,7 @@
     /** When its answer began to be passed on; 0 before that. */
     long responseStartedAt;
     /** What the transport remembers of it; the reducer never looks at it. */
-    private Object transport;
+    private Object transportState;
 
     UpstreamCall(Invocation invocation, int number, String provider, InetSocketAddress address, long sentAt) {
         this(invocation, number, provider, address, sentAt, null, 0);
@@ -90,12 +90,12 @@
     }
 
     /** What the transport keeps with it, or null. */
-    public Object transport() {
-        return transport;
+    public Object transportState() {
+        return transportState;
     }
 
     /** Has the transport keep something with it. */
-    public void transport(Object transport) {
-        this.transport = transport;
+    public void transportState(Object transport) {
+        this.transportState = transport;
     }
 }
--- a/src/main/java/reedmux/simulation/region/RunningGatekeeper.java
+++ b/src/main/java/reedmux/simulation/region/RunningGatekeeper.java
@@ -112,7 +112,7 @@
     @Override
     public void startCall(UpstreamCall call, long timeout) {
         SimulatedCall simulated = new SimulatedCall(this, call);
-        call.transport(simulated);
+        call.transportState(simulated);
         SimulatedProvider provider = world.injectedFault == InjectedFault.SENDS_TO_NEWEST
                 ? region.newest(region.providers.get(call.provider()))
                 : region.providers.get(call.provider());
@@ -145,7 +145,7 @@
     @Override
     public void startForwardedCall(UpstreamCall call, ForwardedRequest forwarded) {
         SimulatedCall simulated = new SimulatedCall(this, call);
-        call.transport(simulated);
+        call.transportState(simulated);
         world.ledger.onForwarded(
                 region.setup.name(), call.invocation().id(), call.invocation().units());
         LinkFault fault = world.drawLinkFault();
@@ -176,7 +176,7 @@
 
     @Override
     public void abortConnecting(UpstreamCall call) {
-        SimulatedCall simulated = (SimulatedCall) call.transport();
+        SimulatedCall simulated = (SimulatedCall) call.transportState();
         if (!simulated.sent) {
             world.timeline.in(
                     0, () -> simulated.end(new CallResult.ConnectionBroken(CallStage.CONNECTING, "given up")));
@@ -191,7 +191,7 @@
 
     @Override
     public void abortCall(UpstreamCall call) {
-        SimulatedCall simulated = (SimulatedCall) call.transport();
+        SimulatedCall simulated = (SimulatedCall) call.transportState();
         if (!simulated.ended) {
             simulated.onLocalClose.run();
             world.timeline.in(0, () -> simulated.broken("closed by us"));
--- a/src/main/java/reedmux/simulation/region/SimulatedCall.java
+++ b/src/main/java/reedmux/simulation/region/SimulatedCall.java
@@ -36,7 +36,7 @@
     }
 
     void broken(String reason) {
-        end(new CallResult.ConnectionBroken(sent ? CallStage.ON_WIRE : CallStage.WRITING, reason));
+        end(new CallResult.ConnectionBroken(sent ? CallStage.AWAITING_RESPONSE : CallStage.WRITING, reason));
     }
 
     /** The calling process has died: its reducer is notified of nothing. */
--- a/src/main/java/reedmux/simulation/region/SimulatedGatekeeper.java
+++ b/src/main/java/reedmux/simulation/region/SimulatedGatekeeper.java
@@ -56,7 +56,7 @@
     }
 
     FailoverPolicy regions() {
-        return process.regions == null ? null : process.regions.regions();
+        return process.regions == null ? null : process.regions.failoverPolicy();
     }
 
     int unanswered() {
@@ -218,7 +218,7 @@
                     response.retryAfterMicros());
             world.timeline.in(world.drawRegionLinkDelay(), () -> {
                 if (fault == LinkFault.BREAKS_ANSWERING) {
-                    simulated.end(new CallResult.ConnectionBroken(CallStage.ANSWERING, "reset"));
+                    simulated.end(new CallResult.ConnectionBroken(CallStage.RECEIVING_RESPONSE, "reset"));
                 } else {
                     simulated.end(result);
                 }
--- a/src/test/java/reedmux/gatekeeper/reducer/ReducerTest.java
+++ b/src/test/java/reedmux/gatekeeper/reducer/ReducerTest.java
@@ -174,7 +174,7 @@
     void invocationIsAnsweredAfterAnExceptionWhenItsLastCallEnds() {
         policy.failAfterSend = true;
         accept("a", false);
-        endCall(effects.calls.get(0), brokenAt(CallResult.CallStage.ON_WIRE));
+        endCall(effects.calls.get(0), brokenAt(CallResult.CallStage.AWAITING_RESPONSE));
         assertEquals(new FinalAnswer.Failed(false), effects.answers.get(0));
         accept("b", false);
         endCall(effects.calls.get(1), brokenAt(CallResult.CallStage.CONNECTING));
@@ -190,7 +190,7 @@
         accept("a", true);
         endCall(effects.calls.get(0), new CallResult.ResponseReceived(200, false, null, new byte[0]));
         accept("b", true);
-        endCall(effects.calls.get(1), brokenAt(CallResult.CallStage.ON_WIRE));
+        endCall(effects.calls.get(1), brokenAt(CallResult.CallStage.AWAITING_RESPONSE));
         assertEquals(2, effects.answers.size());
         assertTrue(((FinalAnswer.Rejected) effects.answers.get(1)).attempted());
         assertNothingIsKept();
@@ -222,7 +222,7 @@
         reducer.reduceDue(DEADLINE);
         assertTrue(((FinalAnswer.Rejected) effects.answers.get(0)).retryAfter() > 0);
         assertFalse(reducer.isIdle(), "its call is still out");
-        endCall(effects.calls.get(0), brokenAt(CallResult.CallStage.ON_WIRE));
+        endCall(effects.calls.get(0), brokenAt(CallResult.CallStage.AWAITING_RESPONSE));
         assertNothingIsKept();
     }
 
@@ -235,7 +235,7 @@
         reducer.reduce(SECOND, new ReducerEvent.ConsumerDisconnected(effectful));
         assertEquals(List.of(effects.calls.get(0)), effects.stopped);
         assertEquals(List.of(effects.calls.get(1)), effects.stoppedUnlessSent, "it is not sent if it was not yet");
-        endCall(effects.calls.get(0), brokenAt(CallResult.CallStage.ON_WIRE));
+        endCall(effects.calls.get(0), brokenAt(CallResult.CallStage.AWAITING_RESPONSE));
         endCall(effects.calls.get(1), new CallResult.ResponseReceived(200, false, null, new byte[0]));
         assertEquals(List.of(), effects.answers);
         assertNothingIsKept();
--- a/src/test/java/reedmux/gatekeeper/reducer/StreamingReducerTest.java
+++ b/src/test/java/reedmux/gatekeeper/reducer/StreamingReducerTest.java
@@ -120,7 +120,7 @@
         reduceAt(
                 2 * SECOND,
                 new ReducerEvent.CallEnded(
-                        call, new CallResult.ConnectionBroken(CallResult.CallStage.ANSWERING, "test")));
+                        call, new CallResult.ConnectionBroken(CallResult.CallStage.RECEIVING_RESPONSE, "test")));
         assertEquals(List.of("begun 30", AttemptOutcome.RESET + " 30"), policy.received);
         assertEquals(1, effects.calls.size());
         assertSettled(1);
@@ -136,7 +136,7 @@
         reduceAt(
                 2 * SECOND,
                 new ReducerEvent.CallEnded(
-                        call, new CallResult.ConnectionBroken(CallResult.CallStage.ANSWERING, "test")));
+                        call, new CallResult.ConnectionBroken(CallResult.CallStage.RECEIVING_RESPONSE, "test")));
         assertEquals(AttemptOutcome.CANCELLED + " 30", policy.received.get(1));
         assertSettled(1);
     }
@@ -165,7 +165,7 @@
         reduceAt(
                 2 * SECOND,
                 new ReducerEvent.CallEnded(
-                        call, new CallResult.ConnectionBroken(CallResult.CallStage.ANSWERING, "test")));
+                        call, new CallResult.ConnectionBroken(CallResult.CallStage.RECEIVING_RESPONSE, "test")));
         assertSettled(0);
     }
 
@@ -189,7 +189,8 @@
         reduceAt(
                 22 * SECOND,
                 new ReducerEvent.CallEnded(
-                        effects.calls.get(0), new CallResult.ConnectionBroken(CallResult.CallStage.ON_WIRE, "test")));
+                        effects.calls.get(0),
+                        new CallResult.ConnectionBroken(CallResult.CallStage.AWAITING_RESPONSE, "test")));
         assertSettled(1);
     }
 
