--- a/src/main/java/reedmux/common/quota/HeapCounter.java
+++ b/src/main/java/reedmux/common/quota/HeapCounter.java
@@ -83,11 +83,11 @@
     /**
      * Follows a change of the members' indexes; {@link #rewire} is to be called next.
      *
-     * @param next by slot, the neighbour's new index, -1 if it left
+     * @param newIndexes by slot, the neighbour's new index, -1 if it left
      */
-    public void renumber(int[] next) {
+    public void renumber(int[] newIndexes) {
         for (int i = 0; i < NEIGHBOUR_COUNT; i++) {
-            neighbours[i] = neighbours[i] < 0 ? -1 : next[i] < 0 ? DEPARTED_INDEX + i : next[i];
+            neighbours[i] = neighbours[i] < 0 ? -1 : newIndexes[i] < 0 ? DEPARTED_INDEX + i : newIndexes[i];
         }
     }
 
@@ -96,27 +96,27 @@
      * for it; units that waited for one that is none any more wait for each new neighbour instead. Where two went at
      * once, most of what waited for both is the same units, so the larger amount stands for both.
      *
-     * @param next by slot, the new neighbour's index, -1 for none
+     * @param newNeighbours by slot, the new neighbour's index, -1 for none
      */
-    public void rewire(int[] next) {
-        int[] old = neighbours;
+    public void rewire(int[] newNeighbours) {
+        int[] oldNeighbours = neighbours;
         double[] oldPending = pending;
-        neighbours = next.clone();
+        neighbours = newNeighbours.clone();
         pending = new double[NEIGHBOUR_COUNT];
         double stranded = 0;
         for (int i = 0; i < NEIGHBOUR_COUNT; i++) {
-            if (old[i] >= 0 && slotOf(old[i]) < 0 && Math.abs(oldPending[i]) > Math.abs(stranded)) {
+            if (oldNeighbours[i] >= 0 && slotOf(oldNeighbours[i]) < 0 && Math.abs(oldPending[i]) > Math.abs(stranded)) {
                 stranded = oldPending[i];
             }
         }
         for (int i = 0; i < NEIGHBOUR_COUNT; i++) {
-            int before = slotIn(old, neighbours[i]);
-            pending[i] = neighbours[i] < 0 ? 0 : before >= 0 ? oldPending[before] : stranded;
+            int oldSlot = slotIn(oldNeighbours, neighbours[i]);
+            pending[i] = neighbours[i] < 0 ? 0 : oldSlot >= 0 ? oldPending[oldSlot] : stranded;
         }
     }
 
     /** The slot in which {@code old} has a member, or -1. */
-    public static int slotIn(int[] old, int peer) {
-        return peer < 0 ? -1 : peer == old[0] ? 0 : peer == old[1] ? 1 : peer == old[2] ? 2 : -1;
+    public static int slotIn(int[] neighbours, int peer) {
+        return peer < 0 ? -1 : peer == neighbours[0] ? 0 : peer == neighbours[1] ? 1 : peer == neighbours[2] ? 2 : -1;
     }
 }
--- a/src/main/java/reedmux/common/quota/QuotaUpdate.java
+++ b/src/main/java/reedmux/common/quota/QuotaUpdate.java
@@ -8,7 +8,7 @@
  * @param sender           the sender's node
  * @param incarnation      drawn at the start of the sender's process
  * @param generation       rises with each view of the sender, whose totals then begin at zero
- * @param viewTag          the digest of the sender's view
+ * @param viewDigest       the digest of the sender's view
  * @param reachableMembers how many members the sender reaches without the receiver, itself included
  * @param entries          one for each tenant that has news
  */
@@ -16,7 +16,7 @@
         String sender,
         long incarnation,
         long generation,
-        long viewTag,
+        long viewDigest,
         int reachableMembers,
         ArrayList<TenantTotal> entries) {
 
--- a/src/main/java/reedmux/common/quota/RunAheadLimit.java
+++ b/src/main/java/reedmux/common/quota/RunAheadLimit.java
@@ -21,30 +21,30 @@
     private static final double WINDOW_OVERSHOOT = 1.1;
     private static final double WINDOW_SLACK = 20;
     /** The part of a window that is used; the rest is for what is late beyond the estimate. */
-    private static final double USED_PART = 0.95;
+    private static final double USABLE_WINDOW_FRACTION = 0.95;
     /** What customers may ask for, in quotas: where the window has room for that until it is known, nothing binds. */
     private static final double SURGE_FACTOR = 4.5;
     /** Counts that are later are taken for as late as this, or members would know too little of their own shares. */
-    private static final long MAX_UNKNOWN_MICROS = 2_000_000;
+    private static final long MAX_UNREPORTED_MICROS = 2_000_000;
     /** Over which shares are measured: shorter follows clients that move, longer is steadier for few requests. */
-    private static final double SHARE_MEMORY_MICROS = 8e6;
+    private static final double SHARE_DECAY_MICROS = 8e6;
     /** The part of the shares that is spread evenly, in what the quota's rate allows in the memory's time. */
-    private static final double EVEN_PART = 0.08;
+    private static final double EVEN_SHARE_FRACTION = 0.08;
     /** Below this part of the burst the count is calm, and a member may admit what it usually does. */
-    private static final double CALM_FRACTION = 0.6;
+    private static final double LOW_USAGE_BURST_FRACTION = 0.6;
     /** By how many standard deviations it may be more than usual: fewer refuse clients that come in clusters. */
-    private static final double CALM_DEVIATIONS = 3;
+    private static final double LOW_USAGE_DEVIATIONS = 3;
     /** What a member may admit that has seen nothing of the customer: more is admitted where all members are new. */
-    private static final double CALM_UNITS = 1.5;
+    private static final double LOW_USAGE_BASE_UNITS = 1.5;
     /** Where units are unknown for longer, more members may be new at once, and each may admit less. */
-    private static final double CALM_UNITS_MICROS = 1e6;
+    private static final double LOW_USAGE_BASE_MICROS = 1e6;
 
     private final SlidingSum admitted = new SlidingSum();
     private final SlidingSum counted = new SlidingSum();
     /** Admitted here, and counted of all members; both decay over the memory's time. */
-    private double own;
+    private double ownUnits;
 
-    private double all;
+    private double totalUnits;
     private long decayedAt;
     private final long knownSince;
 
@@ -62,27 +62,27 @@
     public void onAdmitted(double units, long now) {
         admitted.add(units, now);
         onCounted(units, now);
-        own = Math.max(0, own + units);
+        ownUnits = Math.max(0, ownUnits + units);
     }
 
     /** Units that were counted, of whichever member. */
     public void onCounted(double units, long now) {
         counted.add(units, now);
         decay(now);
-        all = Math.max(0, all + units);
+        totalUnits = Math.max(0, totalUnits + units);
     }
 
     private void decay(long now) {
-        double factor = Math.exp((decayedAt - now) / SHARE_MEMORY_MICROS);
-        own *= factor;
-        all *= factor;
+        double factor = Math.exp((decayedAt - now) / SHARE_DECAY_MICROS);
+        ownUnits *= factor;
+        totalUnits *= factor;
         decayedAt = now;
     }
 
     /** What all members admitted a second lately. */
     public double ratePerSecond(long now) {
         decay(now);
-        return all / SHARE_MEMORY_MICROS * MICROS_PER_SECOND;
+        return totalUnits / SHARE_DECAY_MICROS * MICROS_PER_SECOND;
     }
 
     /**
@@ -93,39 +93,41 @@
      * @param quotaRate     of the customer, in units a second
      * @param burst         of the customer, in units
      * @param members       how many members share the quota
-     * @param lateMicros    how long units may be unknown to some other member
+     * @param reportDelayMicros    how long units may be unknown to some other member
      */
-    public double allowance(double count, double quotaRate, double burst, int members, long lateMicros, long now) {
-        long unknownMicros = Math.min(MAX_UNKNOWN_MICROS, lateMicros);
-        double ofWindow = (quotaRate * WINDOW_MICROS / MICROS_PER_SECOND + burst) * WINDOW_OVERSHOOT + WINDOW_SLACK;
-        double unheard = quotaRate * Math.max(0, knownSince + WINDOW_MICROS - now) / MICROS_PER_SECOND;
-        double left = USED_PART * ofWindow - unheard - counted.within(WINDOW_MICROS, now);
-        if (SURGE_FACTOR * quotaRate * unknownMicros / MICROS_PER_SECOND <= left) {
+    public double allowance(
+            double count, double quotaRate, double burst, int members, long reportDelayMicros, long now) {
+        long unreportedMicros = Math.min(MAX_UNREPORTED_MICROS, reportDelayMicros);
+        double windowLimit = (quotaRate * WINDOW_MICROS / MICROS_PER_SECOND + burst) * WINDOW_OVERSHOOT + WINDOW_SLACK;
+        double unknownUnits = quotaRate * Math.max(0, knownSince + WINDOW_MICROS - now) / MICROS_PER_SECOND;
+        double remaining = USABLE_WINDOW_FRACTION * windowLimit - unknownUnits - counted.sumOfLast(WINDOW_MICROS, now);
+        if (SURGE_FACTOR * quotaRate * unreportedMicros / MICROS_PER_SECOND <= remaining) {
             return Double.MAX_VALUE;
         }
         decay(now);
-        double recent = admitted.within(unknownMicros, now);
-        double ownBefore = Math.max(0, own - recent) * Math.exp(unknownMicros / SHARE_MEMORY_MICROS);
-        double allowed = share(ownBefore, recent, quotaRate, members) * (left + recent);
-        if (count < CALM_FRACTION * burst) {
-            allowed = Math.max(allowed, usualUnits(ownBefore, unknownMicros));
+        double recentUnits = admitted.sumOfLast(unreportedMicros, now);
+        double reportedOwnUnits = Math.max(0, ownUnits - recentUnits) * Math.exp(unreportedMicros / SHARE_DECAY_MICROS);
+        double allowed = shareOfWindow(reportedOwnUnits, recentUnits, quotaRate, members) * (remaining + recentUnits);
+        if (count < LOW_USAGE_BURST_FRACTION * burst) {
+            allowed = Math.max(allowed, lowUsageAllowance(reportedOwnUnits, unreportedMicros));
         }
-        return allowed - recent;
+        return allowed - recentUnits;
     }
 
     /**
      * The part of a window that this member may use without the others' knowledge: by what it had admitted when they
      * last knew. Its recent units don't raise it, or the shares of all would add up to more than one in a surge.
      */
-    private double share(double ownBefore, double recent, double quotaRate, int members) {
-        double even = EVEN_PART * quotaRate * SHARE_MEMORY_MICROS / MICROS_PER_SECOND;
-        return Math.min(1, (ownBefore + even / members) / (Math.max(0, all - recent) + even));
+    private double shareOfWindow(double reportedOwnUnits, double recentUnits, double quotaRate, int members) {
+        double evenUnits = EVEN_SHARE_FRACTION * quotaRate * SHARE_DECAY_MICROS / MICROS_PER_SECOND;
+        return Math.min(
+                1, (reportedOwnUnits + evenUnits / members) / (Math.max(0, totalUnits - recentUnits) + evenUnits));
     }
 
     /** What a member may admit in a time while its customer is calm. */
-    private double usualUnits(double ownBefore, long unknownMicros) {
-        double usual = ownBefore * unknownMicros / SHARE_MEMORY_MICROS;
-        double first = CALM_UNITS * Math.min(1, CALM_UNITS_MICROS / unknownMicros);
-        return first + usual + CALM_DEVIATIONS * Math.sqrt(usual);
+    private double lowUsageAllowance(double reportedOwnUnits, long unreportedMicros) {
+        double expectedUnits = reportedOwnUnits * unreportedMicros / SHARE_DECAY_MICROS;
+        double baseUnits = LOW_USAGE_BASE_UNITS * Math.min(1, LOW_USAGE_BASE_MICROS / unreportedMicros);
+        return baseUnits + expectedUnits + LOW_USAGE_DEVIATIONS * Math.sqrt(expectedUnits);
     }
 }
--- a/src/main/java/reedmux/common/quota/SlidingSum.java
+++ b/src/main/java/reedmux/common/quota/SlidingSum.java
@@ -24,7 +24,7 @@
     }
 
     /** The sum of what was added in the last {@code micros}, rounded up to a slot; at least zero. */
-    double within(long micros, long now) {
+    double sumOfLast(long micros, long now) {
         if (slots == null) {
             return 0;
         }
--- a/src/main/java/reedmux/control/rpc/QuotaUpdateSerializer.java
+++ b/src/main/java/reedmux/control/rpc/QuotaUpdateSerializer.java
@@ -22,7 +22,7 @@
         out.writeString(update.sender());
         out.writeLong(update.incarnation());
         out.writeVarLong(update.generation(), true);
-        out.writeLong(update.viewTag());
+        out.writeLong(update.viewDigest());
         out.writeVarInt(update.reachableMembers(), true);
         out.writeVarInt(update.entries().size(), true);
         for (TenantTotal total : update.entries()) {
@@ -37,7 +37,7 @@
         String sender = in.readString();
         long incarnation = in.readLong();
         long generation = in.readVarLong(true);
-        long viewTag = in.readLong();
+        long viewDigest = in.readLong();
         int reachableMembers = (int) RpcFrame.requireInRange(0, in.readVarInt(true), MAX_REACHABLE_MEMBERS);
         int size = in.readVarInt(true);
         ArrayList<TenantTotal> totals = ListSerializer.newList(size);
@@ -45,6 +45,6 @@
             totals.add(new TenantTotal(
                     in.readString(), RpcFrame.requireFinite(in.readDouble()), RpcFrame.requireFinite(in.readFloat())));
         }
-        return new QuotaUpdate(sender, incarnation, generation, viewTag, reachableMembers, totals);
+        return new QuotaUpdate(sender, incarnation, generation, viewDigest, reachableMembers, totals);
     }
 }
--- a/src/main/java/reedmux/proxy/QuotaExchange.java
+++ b/src/main/java/reedmux/proxy/QuotaExchange.java
@@ -65,7 +65,7 @@
                     update.sender(),
                     update.incarnation(),
                     update.generation(),
-                    update.viewTag(),
+                    update.viewDigest(),
                     update.reachableMembers(),
                     new ArrayList<>(entries.subList(from, to)));
             socket.send(receiver, codec.encode(part));
--- a/src/main/java/reedmux/proxy/quota/HeapNeighbours.java
+++ b/src/main/java/reedmux/proxy/quota/HeapNeighbours.java
@@ -33,19 +33,19 @@
     private int[] indexes = {-1, -1, -1};
 
     private final long[] lastSentAt = new long[COUNT];
-    private final long[] lastHeardAt = new long[COUNT];
+    private final long[] lastReceivedAt = new long[COUNT];
     private final int[] reachableBehind = new int[COUNT];
     private final boolean[] timedOut = new boolean[COUNT];
     private boolean surge;
-    private long surgeSince;
+    private long surgeStartedAt;
 
     /** Takes over a new view, in which everybody counts as reachable until a timeout says otherwise. */
     void onViewChange(SessionView next, int nextSelfIndex, long now) {
         view = next;
         selfIndex = nextSelfIndex;
         indexes = next.heapNeighbours(nextSelfIndex);
-        surgeSince = now + VIEW_CHANGE_GRACE_MICROS;
-        Arrays.fill(lastHeardAt, now + VIEW_CHANGE_GRACE_MICROS);
+        surgeStartedAt = now + VIEW_CHANGE_GRACE_MICROS;
+        Arrays.fill(lastReceivedAt, now + VIEW_CHANGE_GRACE_MICROS);
         Arrays.fill(lastSentAt, 0);
         Arrays.fill(timedOut, false);
         for (int link = 0; link < COUNT; link++) {
@@ -87,17 +87,17 @@
 
     /** Whether some tenant uses so much that the short timeout is to hold from now on. */
     void setSurge(boolean nextSurge, long now) {
-        surgeSince = nextSurge && !surge ? now : surgeSince;
+        surgeStartedAt = nextSurge && !surge ? now : surgeStartedAt;
         surge = nextSurge;
     }
 
     /** A member was heard; {@code reachable}: how many members it reaches without us. */
-    void onHeard(int memberIndex, int reachable, long now) {
+    void onUpdateReceived(int memberIndex, int reachableMembers, long now) {
         for (int link = 0; link < COUNT; link++) {
             if (indexes[link] >= 0 && indexes[link] == memberIndex) {
-                lastHeardAt[link] = Math.max(lastHeardAt[link], now);
+                lastReceivedAt[link] = Math.max(lastReceivedAt[link], now);
                 timedOut[link] = false;
-                reachableBehind[link] = reachable;
+                reachableBehind[link] = reachableMembers;
             }
         }
     }
@@ -127,8 +127,8 @@
 
     /** A neighbour that has timed out stays so until it is heard, also when the end of a surge raises the timeout. */
     private boolean isAlive(int link, long now) {
-        timedOut[link] |= now - lastHeardAt[link] > TIMEOUT_MICROS
-                || surge && now - Math.max(lastHeardAt[link], surgeSince) > SURGE_TIMEOUT_MICROS;
+        timedOut[link] |= now - lastReceivedAt[link] > TIMEOUT_MICROS
+                || surge && now - Math.max(lastReceivedAt[link], surgeStartedAt) > SURGE_TIMEOUT_MICROS;
         return indexes[link] >= 0 && !timedOut[link];
     }
 }
--- a/src/main/java/reedmux/proxy/quota/HeapView.java
+++ b/src/main/java/reedmux/proxy/quota/HeapView.java
@@ -40,7 +40,7 @@
         return generation;
     }
 
-    long tag() {
+    long digest() {
         return view.digest();
     }
 
@@ -49,7 +49,7 @@
     }
 
     /** Another view is in force from now on. */
-    void replace(long now) {
+    void markReplaced(long now) {
         replacedAt = now;
     }
 
@@ -66,19 +66,19 @@
     }
 
     private LinkTotals newLinks() {
-        LinkTotals none = new LinkTotals();
-        none.neighbours = view.heapNeighbours(selfIndex);
-        return none;
+        LinkTotals unused = new LinkTotals();
+        unused.neighbours = view.heapNeighbours(selfIndex);
+        return unused;
     }
 
     /** The totals that are due on a link of this view, after it was replaced. */
     List<TenantTotal> collectTotals(int link) {
         List<TenantTotal> totals = new ArrayList<>();
         for (Map.Entry<String, LinkTotals> entry : links.entrySet()) {
-            LinkTotals tenant = entry.getValue();
-            tenant.advanceTotal(link);
-            if (tenant.neighbour(link) >= 0 && tenant.hasTotalToSend(link)) {
-                totals.add(new TenantTotal(entry.getKey(), tenant.sendTotal(link), -1));
+            LinkTotals tenantLinks = entry.getValue();
+            tenantLinks.advanceTotal(link);
+            if (tenantLinks.neighbour(link) >= 0 && tenantLinks.hasTotalToSend(link)) {
+                totals.add(new TenantTotal(entry.getKey(), tenantLinks.sendTotal(link), -1));
             }
         }
         return totals;
--- a/src/main/java/reedmux/proxy/quota/QuotaTracker.java
+++ b/src/main/java/reedmux/proxy/quota/QuotaTracker.java
@@ -85,7 +85,7 @@
     private final long incarnation;
     private final boolean restarted;
     private final Random random;
-    private final CountLatency latency;
+    private final PropagationLatency latency;
     private final long startedAt;
     private final Map<String, TenantCounter> counters = new LinkedHashMap<>();
     private final ReceivedTotals receivedTotals = new ReceivedTotals();
@@ -93,10 +93,10 @@
     /** The members that left the view, and when. */
     private final Map<String, Long> departedMembers = new HashMap<>();
 
-    private final HeapViews otherViews = new HeapViews();
+    private final InactiveHeapViews inactiveViews = new InactiveHeapViews();
     private final ViewChurn churn = new ViewChurn();
 
-    private HeapView heap = new HeapView(SessionView.of(List.of()), -1, 0);
+    private HeapView currentView = new HeapView(SessionView.of(List.of()), -1, 0);
     private long viewChangedAt;
     /** When this process was first a member of its view: only from then on is it told what others count. */
     private long joinedAt = NOT_JOINED;
@@ -119,7 +119,7 @@
         this.incarnation = incarnation;
         this.restarted = restarted;
         startedAt = now;
-        latency = new CountLatency(FAST_SEND_INTERVAL_MICROS, now);
+        latency = new PropagationLatency(FAST_SEND_INTERVAL_MICROS, now);
         random = new Random(incarnation);
     }
 
@@ -127,18 +127,18 @@
 
     /** Takes over the members as they are now; a view that is the same changes nothing. */
     public void onViewChange(SessionView next, long now) {
-        SessionView before = heap.members();
+        SessionView before = currentView.members();
         if (next.digest() == before.digest() && next.size() == before.size()) {
             return;
         }
-        HeapView replaced = heap;
-        heap = new HeapView(next, next.indexOf(self), replaced.generation() + 1);
+        HeapView replaced = currentView;
+        currentView = new HeapView(next, next.indexOf(self), replaced.generation() + 1);
         viewChangedAt = now;
         churn.onViewChange(now);
-        if (joinedAt == NOT_JOINED && heap.selfIndex() >= 0) {
+        if (joinedAt == NOT_JOINED && currentView.selfIndex() >= 0) {
             joinedAt = now;
         }
-        neighbours.onViewChange(next, heap.selfIndex(), now);
+        neighbours.onViewChange(next, currentView.selfIndex(), now);
         reachableMembers = neighbours.memberCount();
         latency.setMemberCount(reachableMembers);
         before.members().stream()
@@ -152,16 +152,16 @@
                 replaced.keepLinks(entry.getKey(), former);
             }
         }
-        otherViews.addFormer(replaced, now);
-        for (HeapViews.EarlyUnits units : otherViews.takeEarlyUnits(heap.tag())) {
+        inactiveViews.addFormer(replaced, now);
+        for (InactiveHeapViews.EarlyUnits units : inactiveViews.takeEarlyUnits(currentView.digest())) {
             forwardEarly(units);
         }
     }
 
     /** Units that were counted when they came in, for the neighbours of the view that they belong to. */
-    private void forwardEarly(HeapViews.EarlyUnits units) {
+    private void forwardEarly(InactiveHeapViews.EarlyUnits units) {
         TenantCounter counter = counters.get(units.tenant());
-        int senderIndex = heap.members().indexOf(units.sender());
+        int senderIndex = currentView.members().indexOf(units.sender());
         if (counter != null && counter.slotOf(senderIndex) >= 0) {
             counter.queue(units.units(), senderIndex);
         }
@@ -177,14 +177,14 @@
      * all that is left to it is one member's share. Where only the registries are gone, members of the view are still
      * heard and the heap works on.
      */
-    private boolean usesOwnShareOnly(long now) {
+    private boolean isIsolated(long now) {
         return registriesUnreachable && now - viewContactAt > VIEW_CONTACT_TIMEOUT_MICROS;
     }
 
     /** Sets shares aside for members that have become unreachable, or settles with those that are back. */
     private void updateReachableMembers(long now) {
         int members = neighbours.memberCount();
-        int next = heap.selfIndex() < 0 ? members : neighbours.reachableMembers(-1, now);
+        int next = currentView.selfIndex() < 0 ? members : neighbours.reachableMembers(-1, now);
         int before = reachableMembers;
         if (next == before) {
             return;
@@ -217,7 +217,7 @@
         boolean starting = joinedWithin(latency.settleMicros(now), now);
         if (counter.localCount() + 1 > usableBurst(tenant, counter, now)
                 || starting && counter.admittedAtStart() >= startBurst(tenant)
-                || runsAhead(tenant, counter, now)) {
+                || exceedsRunAheadAllowance(tenant, counter, now)) {
             return false;
         }
         if (starting) {
@@ -231,20 +231,20 @@
      * Whether one more unit might go beyond the bound before the others know of it. A part of a unit is left to chance,
      * as many members may each have a small one.
      */
-    private boolean runsAhead(TenantItem tenant, TenantCounter counter, long now) {
+    private boolean exceedsRunAheadAllowance(TenantItem tenant, TenantCounter counter, long now) {
         double allowance = counter.runAhead()
                 .allowance(
                         counter.localCount(),
                         tenant.requestsPerSecond(),
                         tenant.burst(),
                         neighbours.memberCount(),
-                        latency.usualMicros(now),
+                        latency.expectedPropagationMicros(now),
                         now);
         return allowance < 1 && random.nextDouble() >= allowance;
     }
 
     private double usableBurst(TenantItem tenant, TenantCounter counter, long now) {
-        return usesOwnShareOnly(now)
+        return isIsolated(now)
                 ? Math.max(1, tenant.burst()) / neighbours.memberCount()
                 : Math.max(1, tenant.burst() - counter.reserved());
     }
@@ -306,13 +306,13 @@
     private void drain(TenantCounter counter, long now) {
         departedMembers.values().removeIf(since -> now - since > DEPARTED_RETENTION_MICROS);
         int members = neighbours.memberCount();
-        if (usesOwnShareOnly(now)) {
+        if (isIsolated(now)) {
             counter.drainAfterFormerReserve(counter.elapsedUnits(1.0 / members, now));
             return;
         }
         double share = (double) reachableMembers / (members + departedMembers.size());
         // As if what was lost on the way had been counted, and all had drained.
-        double units = counter.elapsedUnits(share * churn.countedPart(now), now);
+        double units = counter.elapsedUnits(share * churn.countedFraction(now), now);
         counter.deferDrain(units / reachableMembers * (members - reachableMembers));
         counter.drainAfterFormerReserve(units);
     }
@@ -348,11 +348,11 @@
             if (neighbours.index(link) >= 0 && due) {
                 neighbours.onSent(link, now);
                 int reachable = neighbours.reachableMembers(link, now);
-                updates.add(updateOf(heap, neighbours.index(link), reachable, entries));
+                updates.add(buildUpdate(currentView, neighbours.index(link), reachable, entries));
             }
         }
-        otherViews.expire(now);
-        for (HeapView former : otherViews.former()) {
+        inactiveViews.expire(now);
+        for (HeapView former : inactiveViews.formerViews()) {
             collectFormerUpdates(former, updates);
         }
         latency.onSend(sendIntervalMicros(), now);
@@ -363,15 +363,15 @@
         for (int link = 0; link < HeapNeighbours.COUNT; link++) {
             ArrayList<TenantTotal> totals = new ArrayList<>(former.collectTotals(link));
             if (!totals.isEmpty()) {
-                updates.add(updateOf(former, former.neighbour(link), 0, totals));
+                updates.add(buildUpdate(former, former.neighbour(link), 0, totals));
             }
         }
     }
 
-    private OutgoingUpdate updateOf(HeapView of, int receiver, int reachable, ArrayList<TenantTotal> totals) {
+    private OutgoingUpdate buildUpdate(HeapView view, int receiver, int reachable, ArrayList<TenantTotal> totals) {
         return new OutgoingUpdate(
-                of.members().member(receiver),
-                new QuotaUpdate(self, incarnation, of.generation(), of.tag(), reachable, totals));
+                view.members().member(receiver),
+                new QuotaUpdate(self, incarnation, view.generation(), view.digest(), reachable, totals));
     }
 
     private ArrayList<TenantTotal> collectEntries(int link, boolean sendsCounts) {
@@ -395,11 +395,11 @@
      * @param tenants finds a tenant by its name, null where there is none
      */
     public void onUpdate(QuotaUpdate update, Function<String, TenantItem> tenants, long now) {
-        int senderIndex = heap.members().indexOf(update.sender());
-        boolean sameView = update.viewTag() == heap.tag();
+        int senderIndex = currentView.members().indexOf(update.sender());
+        boolean sameView = update.viewDigest() == currentView.digest();
         if (sameView) {
             viewContactAt = now;
-            neighbours.onHeard(senderIndex, update.reachableMembers(), now);
+            neighbours.onUpdateReceived(senderIndex, update.reachableMembers(), now);
         }
         Map<String, Double> totals = receivedTotals.baselineOf(update, now);
         if (totals == null) {
@@ -420,7 +420,7 @@
                 } else {
                     counter.addWithoutForwarding(units);
                     if (!sameView) {
-                        otherViews.onUnits(update.viewTag(), update.sender(), entry.tenant(), units, now);
+                        inactiveViews.onUnits(update.viewDigest(), update.sender(), entry.tenant(), units, now);
                     }
                 }
             }
@@ -435,7 +435,7 @@
     private double maxCount(TenantItem tenant) {
         double surge = tenant.requestsPerSecond()
                 * MAX_COUNT_PROPAGATION_TIMES
-                * latency.propagationMicros()
+                * latency.maxPropagationMicros()
                 / MICROS_PER_SECOND;
         return Math.max(MAX_COUNT_BURSTS * tenant.burst(), tenant.burst() + surge);
     }
--- a/src/main/java/reedmux/proxy/quota/ReceivedTotals.java
+++ b/src/main/java/reedmux/proxy/quota/ReceivedTotals.java
@@ -26,7 +26,7 @@
         private final long incarnation;
         private final long previousIncarnation;
         private final TreeMap<Long, Generation> generations = new TreeMap<>();
-        private long forgottenUpTo = Long.MIN_VALUE;
+        private long discardedUpTo = Long.MIN_VALUE;
 
         private SenderTotals(long incarnation, long previousIncarnation) {
             this.incarnation = incarnation;
@@ -34,13 +34,13 @@
         }
 
         private Map<String, Double> totals(long number, long now) {
-            if (number <= forgottenUpTo) {
+            if (number <= discardedUpTo) {
                 return null;
             }
             Generation generation = generations.computeIfAbsent(number, any -> new Generation());
             generation.updatedAt = now;
             while (now - generations.firstEntry().getValue().updatedAt > RETENTION_MICROS) {
-                forgottenUpTo = generations.pollFirstEntry().getKey();
+                discardedUpTo = generations.pollFirstEntry().getKey();
             }
             return generation.totals;
         }
@@ -52,16 +52,16 @@
      * forgotten: its totals have been counted already.
      */
     Map<String, Double> baselineOf(QuotaUpdate update, long now) {
-        SenderTotals known = bySender.get(update.sender());
-        if (known != null && known.previousIncarnation == update.incarnation()) {
+        SenderTotals senderTotals = bySender.get(update.sender());
+        if (senderTotals != null && senderTotals.previousIncarnation == update.incarnation()) {
             return null;
         }
-        if (known == null || known.incarnation != update.incarnation()) {
+        if (senderTotals == null || senderTotals.incarnation != update.incarnation()) {
             // No incarnation was seen before: any number but the sender's own will do.
-            long previous = known == null ? update.incarnation() - 1 : known.incarnation;
-            known = new SenderTotals(update.incarnation(), previous);
-            bySender.put(update.sender(), known);
+            long previous = senderTotals == null ? update.incarnation() - 1 : senderTotals.incarnation;
+            senderTotals = new SenderTotals(update.incarnation(), previous);
+            bySender.put(update.sender(), senderTotals);
         }
-        return known.totals(update.generation(), now);
+        return senderTotals.totals(update.generation(), now);
     }
 }
--- a/src/main/java/reedmux/proxy/quota/TenantCounter.java
+++ b/src/main/java/reedmux/proxy/quota/TenantCounter.java
@@ -17,7 +17,7 @@
      */
     private static final double FIRST_RESERVED_FRACTION = 0.5;
     /** As much may be used twice at a change of view: the bound on a window is wider than the burst by more. */
-    private static final double UNNOTICED_BURST_FRACTION = 0.15;
+    private static final double TOLERATED_BURST_FRACTION = 0.15;
 
     private double requestsPerSecond;
     private double burst;
@@ -120,9 +120,9 @@
     LinkTotals onViewChange(int[] next, long now) {
         // Members that were unreachable in the former view do not report in this one what they used in that: the
         // reserve is as much as they can have used at several times their usual, and the drain what they left.
-        double usedRate = runAhead.ratePerSecond(now) / Math.max(requestsPerSecond, Double.MIN_NORMAL);
-        double usedShare = Math.min(1, Math.max(usedRate, localCount() / Math.max(burst, 1)));
-        double possiblyUsed = deferredDrain * SURGE_FACTOR - UNNOTICED_BURST_FRACTION * burst;
+        double usedRateFraction = runAhead.ratePerSecond(now) / Math.max(requestsPerSecond, Double.MIN_NORMAL);
+        double usedShare = Math.min(1, Math.max(usedRateFraction, localCount() / Math.max(burst, 1)));
+        double possiblyUsed = deferredDrain * SURGE_FACTOR - TOLERATED_BURST_FRACTION * burst;
         reservedInFormerViews = Math.max(reservedInFormerViews, Math.min(reservedForUnreachable, possiblyUsed));
         reservedForUnreachable = 0;
         drain(deferredDrain * (1 - usedShare));
--- a/src/test/java/reedmux/proxy/quota/QuotaCluster.java
+++ b/src/test/java/reedmux/proxy/quota/QuotaCluster.java
@@ -35,8 +35,8 @@
             one.at() != other.at() ? Long.compare(one.at(), other.at()) : Long.compare(one.number(), other.number()));
     private final long[] nextSendAt;
     private final Random random;
-    private final double loss;
-    final List<Long> admitted = new ArrayList<>();
+    private final double lossRate;
+    final List<Long> admissionTimes = new ArrayList<>();
     final boolean[] withoutRegistries;
     /** Members that are cut off from the others, or dead, without anybody having been told. */
     final Set<Integer> partitioned = new HashSet<>();
@@ -51,18 +51,18 @@
     /** How late members hear of a new view, at most. */
     long maxViewDelayMicros;
     /** The members that clients connect to; null for all of them. */
-    int[] clientsAt;
+    int[] clientMembers;
 
     /** How long a turn at the processor lasts. */
-    private static final long TURN_MICROS = 30_000;
+    private static final long TIME_SLICE_MICROS = 30_000;
 
     /** When the new processes of members begin to serve. */
-    private final Map<Integer, Long> servesAt = new TreeMap<>();
+    private final Map<Integer, Long> restartCompletesAt = new TreeMap<>();
 
-    private final long[] turnBeginsAt;
-    private final long[] turnEndsAt;
-    private final List<Deque<QuotaUpdate>> waitingUpdates = new ArrayList<>();
-    private final int[] waitingRequests;
+    private final long[] timeSliceStartsAt;
+    private final long[] timeSliceEndsAt;
+    private final List<Deque<QuotaUpdate>> queuedUpdates = new ArrayList<>();
+    private final int[] queuedRequests;
 
     SessionView view;
     /** What each member has as its view. */
@@ -76,11 +76,11 @@
     QuotaCluster(TenantItem tenant, int count, double loss, long seed) {
         this.tenant = tenant;
         random = new Random(seed);
-        this.loss = loss;
+        this.lossRate = loss;
         nextSendAt = new long[count];
-        turnBeginsAt = new long[count];
-        turnEndsAt = new long[count];
-        waitingRequests = new int[count];
+        timeSliceStartsAt = new long[count];
+        timeSliceEndsAt = new long[count];
+        queuedRequests = new int[count];
         withoutRegistries = new boolean[count];
         views = new SessionView[count];
         nextIncarnation = count + 1;
@@ -88,7 +88,7 @@
             members.add(new QuotaTracker("n" + i, i + 1, false, now));
             sessions.add(new ProxySession("n" + i, "10.0.0." + i, "z", i + 1));
             nextSendAt[i] = now + random.nextInt(50_000);
-            waitingUpdates.add(new ArrayDeque<>());
+            queuedUpdates.add(new ArrayDeque<>());
         }
         changeViews(SessionView.of(sessions));
     }
@@ -101,24 +101,24 @@
     // ---- Members -----------------------------------------------------------------------------------
 
     /** All but those without registries hear of a view, each within the longest delay. */
-    void changeViews(SessionView told) {
-        view = told;
+    void changeViews(SessionView nextView) {
+        view = nextView;
         for (int i = 0; i < members.size(); i++) {
             if (withoutRegistries[i]) {
                 continue;
             }
             if (maxViewDelayMicros == 0) {
-                changeView(i, told);
+                changeView(i, nextView);
             } else {
-                long at = now + random.nextInt((int) maxViewDelayMicros);
-                delayedViews.add(new DelayedView(at, nextNumber++, i, told));
+                long deliverAt = now + random.nextInt((int) maxViewDelayMicros);
+                delayedViews.add(new DelayedView(deliverAt, nextNumber++, i, nextView));
             }
         }
     }
 
-    void changeView(int member, SessionView told) {
-        views[member] = told;
-        members.get(member).onViewChange(told, now);
+    void changeView(int member, SessionView nextView) {
+        views[member] = nextView;
+        members.get(member).onViewChange(nextView, now);
     }
 
     /** A member ends, and a new process serves after a while; the others are told of both. */
@@ -126,19 +126,20 @@
         beginRestart(member, 0);
         run(downSeconds, rate);
         members.set(member, newTracker(member));
-        endRestart(member);
+        completeRestart(member);
     }
 
     /** The same beside all that goes on: the new process exists at once, and hears of its view and serves later. */
     void beginRestart(int member, double startSeconds) {
         dead.add(member);
         partitioned.add(member);
-        List<ProxySession> rest = new ArrayList<>(sessions);
-        rest.removeIf(session -> dead.contains(Integer.parseInt(session.node().substring(1))));
-        changeViews(SessionView.of(rest));
+        List<ProxySession> aliveSessions = new ArrayList<>(sessions);
+        aliveSessions.removeIf(
+                session -> dead.contains(Integer.parseInt(session.node().substring(1))));
+        changeViews(SessionView.of(aliveSessions));
         members.set(member, newTracker(member));
         if (startSeconds > 0) {
-            servesAt.put(member, now + (long) (startSeconds * MICROS_PER_SECOND));
+            restartCompletesAt.put(member, now + (long) (startSeconds * MICROS_PER_SECOND));
         }
     }
 
@@ -148,22 +149,23 @@
         return new QuotaTracker("n" + member, incarnation, true, now);
     }
 
-    private void endRestart(int member) {
+    private void completeRestart(int member) {
         dead.remove(member);
         partitioned.remove(member);
-        waitingUpdates.get(member).clear();
-        waitingRequests[member] = 0;
-        List<ProxySession> alive = new ArrayList<>(sessions);
-        alive.removeIf(session -> dead.contains(Integer.parseInt(session.node().substring(1))));
-        changeView(member, SessionView.of(alive));
-        changeViews(SessionView.of(alive));
+        queuedUpdates.get(member).clear();
+        queuedRequests[member] = 0;
+        List<ProxySession> aliveSessions = new ArrayList<>(sessions);
+        aliveSessions.removeIf(
+                session -> dead.contains(Integer.parseInt(session.node().substring(1))));
+        changeView(member, SessionView.of(aliveSessions));
+        changeViews(SessionView.of(aliveSessions));
     }
 
-    private void endRestarts() {
-        for (int member : List.copyOf(servesAt.keySet())) {
-            if (servesAt.get(member) <= now) {
-                servesAt.remove(member);
-                endRestart(member);
+    private void completeDueRestarts() {
+        for (int member : List.copyOf(restartCompletesAt.keySet())) {
+            if (restartCompletesAt.get(member) <= now) {
+                restartCompletesAt.remove(member);
+                completeRestart(member);
             }
         }
     }
@@ -173,36 +175,36 @@
     /** Lets time pass with requests at a rate, evenly drawn over the members or those that clients connect to. */
     void run(double seconds, double rate) {
         long end = now + (long) (seconds * MICROS_PER_SECOND);
-        double due = now;
+        double nextRequestAt = now;
         while (now < end) {
             now += 1000;
-            endRestarts();
-            while (due < now) {
-                due += MICROS_PER_SECOND / rate * 2 * random.nextDouble();
-                sendRequest(clientsAt == null ? random.nextInt(members.size()) : anyClient());
+            completeDueRestarts();
+            while (nextRequestAt < now) {
+                nextRequestAt += MICROS_PER_SECOND / rate * 2 * random.nextDouble();
+                sendRequest(clientMembers == null ? random.nextInt(members.size()) : randomClientMember());
             }
             while (!delayedViews.isEmpty() && delayedViews.peek().at() <= now) {
-                DelayedView told = delayedViews.poll();
-                changeView(told.member(), told.view());
+                DelayedView delayedView = delayedViews.poll();
+                changeView(delayedView.member(), delayedView.view());
             }
             while (!inTransit.isEmpty() && inTransit.peek().at() <= now) {
-                DelayedUpdate first = inTransit.poll();
-                if (!partitioned.contains(first.to())) {
-                    deliver(first.to(), first.packet());
+                DelayedUpdate delayedUpdate = inTransit.poll();
+                if (!partitioned.contains(delayedUpdate.to())) {
+                    deliver(delayedUpdate.to(), delayedUpdate.packet());
                 }
             }
             for (int i = 0; i < members.size(); i++) {
-                takeTurn(i);
+                runTimeSlice(i);
             }
         }
     }
 
-    private int anyClient() {
-        return clientsAt[random.nextInt(clientsAt.length)];
+    private int randomClientMember() {
+        return clientMembers[random.nextInt(clientMembers.length)];
     }
 
-    private boolean waitsForTurn(int member) {
-        return maxPauseMicros > 0 && now < turnBeginsAt[member];
+    private boolean isPaused(int member) {
+        return maxPauseMicros > 0 && now < timeSliceStartsAt[member];
     }
 
     private void sendRequest(int member) {
@@ -210,8 +212,8 @@
             return;
         }
         requests++;
-        if (waitsForTurn(member)) {
-            waitingRequests[member]++;
+        if (isPaused(member)) {
+            queuedRequests[member]++;
         } else {
             admit(member);
         }
@@ -219,21 +221,21 @@
 
     private void admit(int member) {
         if (members.get(member).admit(tenant, now)) {
-            admitted.add(now);
+            admissionTimes.add(now);
         }
     }
 
     private void deliver(int member, QuotaUpdate update) {
-        if (waitsForTurn(member)) {
-            waitingUpdates.get(member).add(update);
+        if (isPaused(member)) {
+            queuedUpdates.get(member).add(update);
         } else {
             members.get(member).onUpdate(update, name -> tenant, now);
         }
     }
 
     /** A member whose turn has come sends what is due, and then takes what has waited, in any order of sockets. */
-    private void takeTurn(int member) {
-        if (waitsForTurn(member)) {
+    private void runTimeSlice(int member) {
+        if (isPaused(member)) {
             return;
         }
         if (now >= nextSendAt[member]) {
@@ -243,57 +245,57 @@
         if (maxPauseMicros > 0) {
             boolean requestsFirst = random.nextBoolean();
             if (requestsFirst) {
-                admitWaiting(member);
+                admitQueuedRequests(member);
             }
-            Deque<QuotaUpdate> updates = waitingUpdates.get(member);
+            Deque<QuotaUpdate> updates = queuedUpdates.get(member);
             while (!updates.isEmpty()) {
                 members.get(member).onUpdate(updates.poll(), name -> tenant, now);
             }
-            admitWaiting(member);
-            if (now >= turnEndsAt[member]) {
-                turnBeginsAt[member] = now + random.nextInt((int) maxPauseMicros);
-                turnEndsAt[member] = turnBeginsAt[member] + TURN_MICROS;
+            admitQueuedRequests(member);
+            if (now >= timeSliceEndsAt[member]) {
+                timeSliceStartsAt[member] = now + random.nextInt((int) maxPauseMicros);
+                timeSliceEndsAt[member] = timeSliceStartsAt[member] + TIME_SLICE_MICROS;
             }
         }
     }
 
-    private void admitWaiting(int member) {
-        for (; waitingRequests[member] > 0; waitingRequests[member]--) {
+    private void admitQueuedRequests(int member) {
+        for (; queuedRequests[member] > 0; queuedRequests[member]--) {
             admit(member);
         }
     }
 
     private void send(int from) {
-        for (QuotaTracker.OutgoingUpdate letter : members.get(from).collectUpdates(now)) {
+        for (QuotaTracker.OutgoingUpdate outgoing : members.get(from).collectUpdates(now)) {
             if (partitioned.contains(from)) {
                 continue;
             }
-            int to = Integer.parseInt(letter.receiver().node().substring(1));
-            if (random.nextDouble() >= loss) {
+            int to = Integer.parseInt(outgoing.receiver().node().substring(1));
+            if (random.nextDouble() >= lossRate) {
                 inTransit.add(new DelayedUpdate(
-                        whenLinkIsFree(
-                                to, whenLinkIsFree(from, now + extraDelayMicros + 1_400 + random.nextInt(3_000))),
+                        nextFreeLinkTime(
+                                to, nextFreeLinkTime(from, now + extraDelayMicros + 1_400 + random.nextInt(3_000))),
                         nextNumber++,
                         to,
-                        letter.update()));
+                        outgoing.update()));
             }
         }
     }
 
-    private long whenLinkIsFree(int member, long at) {
-        long since = (at + member * 700_001L) % MICROS_PER_SECOND;
-        return since < linkBusyMicros ? at + linkBusyMicros - since : at;
+    private long nextFreeLinkTime(int member, long at) {
+        long sinceBusyStart = (at + member * 700_001L) % MICROS_PER_SECOND;
+        return sinceBusyStart < linkBusyMicros ? at + linkBusyMicros - sinceBusyStart : at;
     }
 
     /** The most that was let through in any five seconds. */
     long maxAdmittedInFiveSeconds() {
-        int from = 0;
+        int first = 0;
         long most = 0;
-        for (int to = 0; to < admitted.size(); to++) {
-            while (admitted.get(to) - admitted.get(from) > WINDOW_SECONDS * MICROS_PER_SECOND) {
-                from++;
+        for (int last = 0; last < admissionTimes.size(); last++) {
+            while (admissionTimes.get(last) - admissionTimes.get(first) > WINDOW_SECONDS * MICROS_PER_SECOND) {
+                first++;
             }
-            most = Math.max(most, to - from + 1);
+            most = Math.max(most, last - first + 1);
         }
         return most;
     }
--- a/src/test/java/reedmux/proxy/quota/QuotaFleetTest.java
+++ b/src/test/java/reedmux/proxy/quota/QuotaFleetTest.java
@@ -27,7 +27,7 @@
 public class QuotaFleetTest {
     private static final int MEMBERS = 75;
     private static final int CLIENTS = 12;
-    private static final double USUAL_SHARE = 1 / 1.6;
+    private static final double USUAL_DEMAND_FRACTION = 1 / 1.6;
     private static final double SURGE_FACTOR = 7.5;
     private static final long VIEW_DELAY_MICROS = 400_000;
     private static final int RESTARTS = 6;
@@ -44,21 +44,21 @@
             random = new Random(seed);
             cluster = new QuotaCluster(new TenantItem("t", List.of("k"), 0, rate, rate), MEMBERS, 0.01, seed);
             cluster.maxPauseMicros = pauseMicros;
-            cluster.clientsAt = random.ints(CLIENTS, 0, MEMBERS).toArray();
-            cluster.run(4, usual());
+            cluster.clientMembers = random.ints(CLIENTS, 0, MEMBERS).toArray();
+            cluster.run(4, usualDemand());
         }
 
-        private double usual() {
-            return rate * USUAL_SHARE;
+        private double usualDemand() {
+            return rate * USUAL_DEMAND_FRACTION;
         }
 
-        private double surge() {
-            return usual() * SURGE_FACTOR;
+        private double surgeDemand() {
+            return usualDemand() * SURGE_FACTOR;
         }
 
         /** Clients come to all members from now on. */
-        private void spread() {
-            cluster.clientsAt = null;
+        private void spreadClients() {
+            cluster.clientMembers = null;
         }
 
         private void restartInSeries(double demand) {
@@ -70,68 +70,68 @@
         }
 
         /** Five restarts a second of any members, which take over a second to begin. */
-        private void restartManyThatBeginLate() {
+        private void restartManyWithSlowStart() {
             cluster.maxViewDelayMicros = VIEW_DELAY_MICROS;
             for (int i = 0; i < 7 * RESTARTS; i++) {
                 cluster.beginRestart(random.nextInt(MEMBERS), 1.2 + random.nextDouble());
-                cluster.run(0.2, surge());
+                cluster.run(0.2, surgeDemand());
             }
         }
 
         /** Eight restarts a second, before and in the surge; each takes about a second. */
-        private void restartEightASecond(long viewDelayMicros) {
+        private void restartEightPerSecond(long viewDelayMicros) {
             cluster.maxViewDelayMicros = viewDelayMicros;
             for (int i = 0; i < 80; i++) {
                 cluster.beginRestart(random.nextInt(MEMBERS), 0.5 + 1.2 * random.nextDouble());
-                cluster.run(0.125, i < 24 ? usual() : surge());
+                cluster.run(0.125, i < 24 ? usualDemand() : surgeDemand());
             }
         }
 
-        private double worstShare() {
+        private double maxFractionOfLimit() {
             return cluster.maxAdmittedInFiveSeconds() / QuotaCluster.maxAdmitted(rate, rate);
         }
     }
 
     /** What is tried with each fleet. */
-    private interface Course {
+    private interface Scenario {
         void run(Fleet fleet);
     }
 
-    private static void assertQuotaHolds(long pauseMicros, Course course) {
-        StringBuilder beyond = new StringBuilder();
+    private static void assertQuotaHolds(long pauseMicros, Scenario course) {
+        StringBuilder violations = new StringBuilder();
         for (double rate : new double[] {5, 15, 40, 150}) {
             for (int seed = 0; seed < SEEDS; seed++) {
                 Fleet fleet = new Fleet(rate, pauseMicros, seed);
                 if (seed % 2 == 1) {
-                    fleet.spread();
+                    fleet.spreadClients();
                 }
                 course.run(fleet);
-                if (fleet.worstShare() > 1) {
-                    beyond.append(String.format(
+                if (fleet.maxFractionOfLimit() > 1) {
+                    violations.append(String.format(
                             "rate %.0f, pauses of %d ms, seed %d: %.2f of its quota%n",
-                            rate, pauseMicros / 1000, seed, fleet.worstShare()));
+                            rate, pauseMicros / 1000, seed, fleet.maxFractionOfLimit()));
                 }
             }
         }
-        assertTrue(beyond.isEmpty(), beyond.toString());
+        assertTrue(violations.isEmpty(), violations.toString());
     }
 
     @Test
-    public void quotaHoldsWhileMembersHearOfRestartsAtDifferentTimes() {
-        assertQuotaHolds(0, fleet -> fleet.restartInSeries(fleet.surge()));
+    public void quotaHoldsWhileMembersLearnOfRestartsAtDifferentTimes() {
+        assertQuotaHolds(0, fleet -> fleet.restartInSeries(fleet.surgeDemand()));
     }
 
     @Test
-    public void quotaHoldsWhereMembersStandStillAgainAndAgain() {
+    public void quotaHoldsWhileMembersPauseRepeatedly() {
         for (long pause : new long[] {30_000, 100_000, 300_000}) {
-            assertQuotaHolds(pause, fleet -> fleet.cluster.run(7, fleet.surge()));
+            assertQuotaHolds(pause, fleet -> fleet.cluster.run(7, fleet.surgeDemand()));
         }
     }
 
     @Test
-    public void quotaHoldsWhereBothComeTogether() {
+    public void quotaHoldsDuringRestartsWithPauses() {
         for (long pause : new long[] {30_000, 100_000, 300_000}) {
-            assertQuotaHolds(pause, fleet -> fleet.restartInSeries(fleet.surge()));
+            assertQuotaHolds(pause, fleet -> fleet.restartInSeries(fleet.surgeDemand()));
         }
     }
 
@@ -141,11 +141,11 @@
      * and knew nothing of what the window had used.
      */
     @Test
-    public void quotaHoldsWhereRestartedProxiesTakeLongToBegin() {
+    public void quotaHoldsWhileRestartedProxiesStartSlowly() {
         for (long pause : new long[] {0, 30_000, 100_000}) {
             assertQuotaHolds(pause, fleet -> {
-                fleet.cluster.run(1, fleet.surge());
-                fleet.restartManyThatBeginLate();
+                fleet.cluster.run(1, fleet.surgeDemand());
+                fleet.restartManyWithSlowStart();
             });
         }
     }
@@ -155,9 +155,9 @@
      * window of 241. A member that ends takes with it what it had yet to pass on, so that all count too little.
      */
     @Test
-    public void quotaHoldsWhileMembersEndBeforeTheyPassUnitsOn() {
+    public void quotaHoldsWhileMembersStopBeforeForwardingUnits() {
         for (long pause : new long[] {0, 85_000}) {
-            assertQuotaHolds(pause, fleet -> fleet.restartEightASecond(300_000));
+            assertQuotaHolds(pause, fleet -> fleet.restartEightPerSecond(300_000));
         }
     }
 
@@ -165,22 +165,23 @@
     @Test
     public void quotaHoldsWhileMembersEndAndViewsDifferForLong() {
         for (long pause : new long[] {0, 85_000}) {
-            assertQuotaHolds(pause, fleet -> fleet.restartEightASecond(800_000));
+            assertQuotaHolds(pause, fleet -> fleet.restartEightPerSecond(800_000));
         }
     }
 
     /** A customer that keeps to its limit is not refused: the mean over sizes and seeds. */
-    private static double refusedShare(long pauseMicros, Course course) {
+    private static double refusedFraction(long pauseMicros, Scenario course) {
         double refused = 0;
         int fleets = 0;
         for (double rate : new double[] {15, 40, 150}) {
             for (int seed = 0; seed < SEEDS; seed++) {
                 Fleet fleet = new Fleet(rate, pauseMicros, seed);
                 long requests = fleet.cluster.requests;
-                long admitted = fleet.cluster.admitted.size();
+                long admitted = fleet.cluster.admissionTimes.size();
                 course.run(fleet);
-                refused +=
-                        1 - (fleet.cluster.admitted.size() - admitted) / (double) (fleet.cluster.requests - requests);
+                refused += 1
+                        - (fleet.cluster.admissionTimes.size() - admitted)
+                                / (double) (fleet.cluster.requests - requests);
                 fleets++;
             }
         }
@@ -188,11 +189,11 @@
     }
 
     @Test
-    public void whatIsWithinTheQuotaIsNotRefused() {
+    public void requestsWithinTheQuotaAreNotRefused() {
         for (long pause : new long[] {0, 30_000, 100_000}) {
-            double refused = refusedShare(pause, fleet -> fleet.cluster.run(7, fleet.usual()));
+            double refused = refusedFraction(pause, fleet -> fleet.cluster.run(7, fleet.usualDemand()));
             assertTrue(refused < 0.015, "pauses of " + pause + ": " + refused);
-            double refusedInRestarts = refusedShare(pause, fleet -> fleet.restartInSeries(fleet.usual()));
+            double refusedInRestarts = refusedFraction(pause, fleet -> fleet.restartInSeries(fleet.usualDemand()));
             assertTrue(refusedInRestarts < 0.025, "restarts, pauses of " + pause + ": " + refusedInRestarts);
         }
     }
--- a/src/test/java/reedmux/proxy/quota/QuotaTrackerTest.java
+++ b/src/test/java/reedmux/proxy/quota/QuotaTrackerTest.java
@@ -51,13 +51,13 @@
     }
 
     @Test
-    public void admitsTenantsThatKeepToTheirQuota() {
+    public void admitsTenantsWithinTheirQuota() {
         for (int seed = 0; seed < 6; seed++) {
             QuotaCluster cluster = new QuotaCluster(TENANT, 8, 0.01, seed);
             cluster.run(2, 40);
-            int before = cluster.admitted.size();
+            int before = cluster.admissionTimes.size();
             cluster.run(10, 40);
-            assertTrue(cluster.admitted.size() - before > 10 * 40 * 0.85);
+            assertTrue(cluster.admissionTimes.size() - before > 10 * 40 * 0.85);
         }
     }
 
@@ -65,7 +65,7 @@
      * One is cut off from the registries, so that the others go on without it while it serves its clients.
      */
     @Test
-    public void partitionedMemberAndTheOthersEachUseTheirShare() {
+    public void partitionedMemberAndTheOthersEachUseOnlyTheirShare() {
         for (int seed = 0; seed < 6; seed++) {
             QuotaCluster cluster = new QuotaCluster(TENANT, 10, 0, seed);
             cluster.run(2, 40);
@@ -83,13 +83,13 @@
 
     /** As in hsinhe-ccd trouble-2: the registries are gone for all, and the heap goes on. */
     @Test
-    public void heapWorksOnWithoutRegistries() {
+    public void heapExchangesCountsWithoutRegistries() {
         QuotaCluster cluster = new QuotaCluster(TENANT, 8, 0, 1);
         cluster.run(2, 40);
         cluster.members.forEach(member -> member.setRegistriesUnreachable(true));
-        int before = cluster.admitted.size();
+        int before = cluster.admissionTimes.size();
         cluster.run(6, 40);
-        assertTrue(cluster.admitted.size() - before > 6 * 40 * 0.8);
+        assertTrue(cluster.admissionTimes.size() - before > 6 * 40 * 0.8);
     }
 
     /**
@@ -98,30 +98,30 @@
      * surge; cut off with clients of its own, or dead.
      */
     @Test
-    public void membersBehindAnUnreachableOneUseTheirShare() {
-        for (int gone = 0; gone < 8; gone++) {
+    public void membersBehindAnUnreachableMemberUseOnlyTheirShare() {
+        for (int unreachable = 0; unreachable < 8; unreachable++) {
             for (double before : new double[] {0.2, 0.8, 1.5, 3.5}) {
                 for (boolean dies : new boolean[] {false, true}) {
-                    QuotaCluster cluster = new QuotaCluster(TENANT, 10, 0.01, gone);
+                    QuotaCluster cluster = new QuotaCluster(TENANT, 10, 0.01, unreachable);
                     cluster.run(2, 40);
                     if (before < 2) {
                         cluster.run(before, 276);
                     }
-                    cluster.partitioned.add(gone);
+                    cluster.partitioned.add(unreachable);
                     if (dies) {
-                        cluster.dead.add(gone);
+                        cluster.dead.add(unreachable);
                     }
                     cluster.run(before < 2 ? 2.5 : 1, before < 2 ? 276 : 40);
                     cluster.run(before < 2 ? 0 : 1.5, 276);
                     List<ProxySession> rest = new ArrayList<>(cluster.sessions);
-                    rest.remove(gone);
-                    cluster.withoutRegistries[gone] = true;
-                    cluster.members.get(gone).setRegistriesUnreachable(true);
+                    rest.remove(unreachable);
+                    cluster.withoutRegistries[unreachable] = true;
+                    cluster.members.get(unreachable).setRegistriesUnreachable(true);
                     cluster.changeViews(SessionView.of(rest));
                     cluster.run(4, 276);
                     assertTrue(
                             cluster.maxAdmittedInFiveSeconds() <= MAX_ADMITTED,
-                            "member " + gone + ", after " + before + (dies ? ", dead: " : ": ")
+                            "member " + unreachable + ", after " + before + (dies ? ", dead: " : ": ")
                                     + cluster.maxAdmittedInFiveSeconds());
                 }
             }
@@ -133,15 +133,15 @@
      * is silent for that long and comes back has told what it used, and holds nobody's quota back after it.
      */
     @Test
-    public void shareOfASilentMemberIsReleasedWhenItIsHeardAgain() {
+    public void reservedShareIsReleasedWhenASilentMemberSendsAgain() {
         for (int count : new int[] {10, 65}) {
             for (int seed = 0; seed < 4; seed++) {
                 QuotaCluster cluster = new QuotaCluster(TENANT, count, 0.01, seed);
                 cluster.linkBusyMicros = 400_000;
                 cluster.run(4, 40);
-                int before = cluster.admitted.size();
+                int before = cluster.admissionTimes.size();
                 cluster.run(10, 40);
-                int used = cluster.admitted.size() - before;
+                int used = cluster.admissionTimes.size() - before;
                 assertTrue(used > 10 * 40 * 0.85, count + " members, seed " + seed + ": " + used);
             }
         }
@@ -151,15 +151,15 @@
     @Test
     public void admitsNoMoreThanTheQuotaInASurgeOverCongestedLinks() {
         for (int count : new int[] {10, 65}) {
-            for (long full : new long[] {200_000, 400_000, count < 20 ? 700_000 : 500_000}) {
+            for (long busyMicros : new long[] {200_000, 400_000, count < 20 ? 700_000 : 500_000}) {
                 for (int seed = 0; seed < 4; seed++) {
                     QuotaCluster cluster = new QuotaCluster(TENANT, count, 0.01, seed);
-                    cluster.linkBusyMicros = full;
+                    cluster.linkBusyMicros = busyMicros;
                     cluster.run(4, 40);
                     cluster.run(8, 276);
                     assertTrue(
                             cluster.maxAdmittedInFiveSeconds() <= MAX_ADMITTED,
-                            count + " members, full for " + full + ", seed " + seed + ": "
+                            count + " members, full for " + busyMicros + ", seed " + seed + ": "
                                     + cluster.maxAdmittedInFiveSeconds());
                 }
             }
@@ -170,15 +170,15 @@
     @Test
     public void admitsNoMoreThanTheQuotaInASurgeThatIsReportedLate() {
         TenantItem big = new TenantItem("t", List.of("k"), 0, 222, 222);
-        for (long late : new long[] {40_000, 80_000, 120_000}) {
+        for (long delayMicros : new long[] {40_000, 80_000, 120_000}) {
             for (double rate : new double[] {1110, 1500}) {
                 QuotaCluster cluster = new QuotaCluster(big, 10, 0.01, 1);
-                cluster.extraDelayMicros = late;
+                cluster.extraDelayMicros = delayMicros;
                 cluster.run(4, 130);
                 cluster.run(7, rate);
                 assertTrue(
                         cluster.maxAdmittedInFiveSeconds() <= (222 * 5 + 222) * 1.1 + 20,
-                        late + " late, rate " + rate + ": " + cluster.maxAdmittedInFiveSeconds());
+                        delayMicros + " late, rate " + rate + ": " + cluster.maxAdmittedInFiveSeconds());
             }
         }
     }
@@ -190,11 +190,11 @@
             QuotaCluster cluster = new QuotaCluster(TENANT, 10, 0.02, seed);
             cluster.run(3, 40);
             cluster.run(1, 276);
-            int before = cluster.admitted.size();
+            int before = cluster.admissionTimes.size();
             cluster.run(8, 276);
             assertTrue(
-                    cluster.admitted.size() - before > 8 * 65 * 0.93,
-                    "let through: " + (cluster.admitted.size() - before));
+                    cluster.admissionTimes.size() - before > 8 * 65 * 0.93,
+                    "let through: " + (cluster.admissionTimes.size() - before));
         }
     }
 
@@ -244,7 +244,7 @@
      * for many seconds.
      */
     @Test
-    public void viewsThatComeBackDoNotChangeCounts() {
+    public void returningToAFormerViewDoesNotChangeCounts() {
         for (int seed = 0; seed < 20; seed++) {
             QuotaCluster cluster = new QuotaCluster(TENANT, 10, 0.01, seed);
             cluster.run(6, 40);
@@ -260,11 +260,11 @@
                 }
             }
             cluster.changeViews(all);
-            int before = cluster.admitted.size();
+            int before = cluster.admissionTimes.size();
             cluster.run(5, 40);
             assertTrue(
-                    cluster.admitted.size() - before > 5 * 40 * 0.8,
-                    "seed " + seed + ": " + (cluster.admitted.size() - before));
+                    cluster.admissionTimes.size() - before > 5 * 40 * 0.8,
+                    "seed " + seed + ": " + (cluster.admissionTimes.size() - before));
         }
     }
 }
--- a/src/test/java/reedmux/proxy/quota/QuotaUpdateOrderTest.java
+++ b/src/test/java/reedmux/proxy/quota/QuotaUpdateOrderTest.java
@@ -18,33 +18,42 @@
     private static final long NOW = 20_000_000;
     private static final TenantItem TENANT = new TenantItem("t", List.of("k"), 0, 65, 65);
 
-    private static QuotaUpdate update(long life, long generation, long view, double total) {
+    private static QuotaUpdate update(long incarnation, long generation, long viewDigest, double total) {
         return new QuotaUpdate(
-                "n0", life, generation, view, 1, new ArrayList<>(List.of(new TenantTotal("t", total, -1))));
+                "n0",
+                incarnation,
+                generation,
+                viewDigest,
+                1,
+                new ArrayList<>(List.of(new TenantTotal("t", total, -1))));
     }
 
     @Test
     public void countsNoUnitTwiceInAnyOrderOfGenerationsAndIncarnations() {
         SessionView view = SessionView.of(
                 List.of(new ProxySession("n0", "10.0.0.1", "z", 2), new ProxySession("n1", "10.0.0.2", "z", 1)));
-        int plays = ScheduleExplorer.exploreAll(10_000, orders -> {
+        int schedules = ScheduleExplorer.exploreAll(10_000, orders -> {
             QuotaTracker quotas = new QuotaTracker("n1", 1, false, 0);
             quotas.onViewChange(view, 0);
-            List<QuotaUpdate> old =
+            List<QuotaUpdate> oldUpdates =
                     new ArrayList<>(List.of(update(1, 1, view.digest(), 3), update(1, 2, view.digest() + 1, 2)));
-            List<QuotaUpdate> next = new ArrayList<>(List.of(
+            List<QuotaUpdate> newUpdates = new ArrayList<>(List.of(
                     update(2, 1, view.digest() + 1, 4),
                     update(2, 2, view.digest(), 1),
                     update(2, 2, view.digest(), 1)));
             quotas.onUpdate(update(1, 1, view.digest(), 3), name -> TENANT, NOW); // it was known before it was late
-            while (old.size() + next.size() > 0) {
-                int which = orders.choose(old.size() + next.size());
+            while (oldUpdates.size() + newUpdates.size() > 0) {
+                int which = orders.choose(oldUpdates.size() + newUpdates.size());
                 quotas.onUpdate(
-                        which < old.size() ? old.remove(which) : next.remove(which - old.size()), name -> TENANT, NOW);
+                        which < oldUpdates.size()
+                                ? oldUpdates.remove(which)
+                                : newUpdates.remove(which - oldUpdates.size()),
+                        name -> TENANT,
+                        NOW);
             }
             double counted = quotas.countedUnits(TENANT, NOW);
             assertTrue(counted >= 4 && counted <= 3 + 2 + 4 + 1, counted + " counted of 10");
         });
-        assertEquals(plays, 120);
+        assertEquals(schedules, 120);
     }
 }
