--- a/src/main/java/reedmux/control/consensus/Acceptor.java
+++ b/src/main/java/reedmux/control/consensus/Acceptor.java
@@ -117,13 +117,13 @@
     private void prepare(Proposal proposal) {
         String id = proposal.id();
         ballots.record(id, proposal.ballot());
-        Proposal prepared = isPrecommitted(id) ? proposal.asPrecommitted() : proposal;
-        if (prepared.precommitted() && !isPrecommitted(id)) {
+        Proposal proposalToPersist = isPrecommitted(id) ? proposal.asPrecommitted() : proposal;
+        if (proposalToPersist.precommitted() && !isPrecommitted(id)) {
             persistedBallots.remove(id); // what is on the disk is not marked as precommitted
         }
-        context.replica.addPending(prepared);
+        context.replica.addPending(proposalToPersist);
         pendingSince.put(id, context.now);
-        context.port.persistProposal(prepared);
+        context.port.persistProposal(proposalToPersist);
     }
 
     private boolean isPrecommitted(String proposalId) {
@@ -169,24 +169,24 @@
             prepare(proposal);
             return;
         }
-        List<Proposal> prepared = new ArrayList<>();
+        List<Proposal> preparedOnly = new ArrayList<>();
         for (Proposal other : List.copyOf(context.replica.pending().values())) {
             if (!other.precommitted()) {
                 context.replica.resolvePending(other.id(), false, List.of());
-                prepared.add(other);
+                preparedOnly.add(other);
             }
         }
         adopt(proposal);
-        for (Proposal other : prepared) {
+        for (Proposal other : preparedOnly) {
             if (context.replica.validate(other.id(), other.items()) == ProposalVerdict.VALID) {
                 context.replica.addPending(other);
             } else {
-                forget(other);
+                discard(other);
             }
         }
     }
 
-    private void forget(Proposal proposal) {
+    private void discard(Proposal proposal) {
         remove(proposal.id());
         context.port.persistDecision(proposal.id(), proposal.ballot(), false, List.of());
         contacts.onProposalResolved(proposal.id());
@@ -203,27 +203,27 @@
                 contacts.onProposalResolved(proposalId);
             }
         }
-        Map<String, Ballot> waiting = votesAwaitingDisk.getOrDefault(proposalId, Map.of());
-        for (Map.Entry<String, Ballot> one : List.copyOf(waiting.entrySet())) {
-            if (one.getValue().compareTo(ballot) <= 0) {
-                waiting.remove(one.getKey());
+        Map<String, Ballot> awaitingProposers = votesAwaitingDisk.getOrDefault(proposalId, Map.of());
+        for (Map.Entry<String, Ballot> awaitingProposer : List.copyOf(awaitingProposers.entrySet())) {
+            if (awaitingProposer.getValue().compareTo(ballot) <= 0) {
+                awaitingProposers.remove(awaitingProposer.getKey());
                 castVote(
-                        one.getKey(),
+                        awaitingProposer.getKey(),
                         proposalId,
-                        one.getValue(),
-                        voteAfterDisk(proposalId, ballot, one.getValue(), written));
+                        awaitingProposer.getValue(),
+                        voteAfterDisk(proposalId, ballot, awaitingProposer.getValue(), written));
             }
         }
-        if (waiting.isEmpty()) {
+        if (awaitingProposers.isEmpty()) {
             votesAwaitingDisk.remove(proposalId);
         }
     }
 
-    private Vote voteAfterDisk(String proposalId, Ballot persisted, Ballot asked, boolean written) {
+    private Vote voteAfterDisk(String proposalId, Ballot persisted, Ballot requested, boolean written) {
         if (!written) {
             return Vote.UNAVAILABLE;
         }
-        if (ballots.isSuperseded(proposalId, asked) || !asked.equals(persisted)) {
+        if (ballots.isSuperseded(proposalId, requested) || !requested.equals(persisted)) {
             return Vote.SUPERSEDED;
         }
         return Vote.PREPARED;
--- a/src/main/java/reedmux/control/consensus/BallotHistory.java
+++ b/src/main/java/reedmux/control/consensus/BallotHistory.java
@@ -25,9 +25,9 @@
     private final ConsensusContext context;
     private final Map<String, Ballot> highestBallots = new HashMap<>();
     /** When each of them was seen last, the latest at the end. */
-    private final Map<String, Long> seenAt = new LinkedHashMap<>();
+    private final Map<String, Long> lastSeenAt = new LinkedHashMap<>();
     /** The oldest first. */
-    private final Set<String> dropped = new LinkedHashSet<>();
+    private final Set<String> droppedProposals = new LinkedHashSet<>();
 
     BallotHistory(ConsensusContext context) {
         this.context = context;
@@ -38,8 +38,8 @@
         if (highest == null || ballot.compareTo(highest) > 0) {
             highestBallots.put(proposalId, ballot);
         }
-        seenAt.remove(proposalId); // so that it is put at the end
-        seenAt.put(proposalId, context.now);
+        lastSeenAt.remove(proposalId); // so that it is put at the end
+        lastSeenAt.put(proposalId, context.now);
     }
 
     /** Whether an attempt with a higher ballot has been seen. */
@@ -55,16 +55,16 @@
     }
 
     void recordDropped(String proposalId) {
-        dropped.add(proposalId);
+        droppedProposals.add(proposalId);
     }
 
     boolean isDropped(String proposalId) {
-        return dropped.contains(proposalId);
+        return droppedProposals.contains(proposalId);
     }
 
     /** Forgets what can't matter any more. */
-    void expire() {
-        Iterator<Map.Entry<String, Long>> oldest = seenAt.entrySet().iterator();
+    void expireOldEntries() {
+        Iterator<Map.Entry<String, Long>> oldest = lastSeenAt.entrySet().iterator();
         while (oldest.hasNext()) {
             Map.Entry<String, Long> entry = oldest.next();
             if (context.now - entry.getValue() < BALLOT_RETENTION_MICROS) {
@@ -75,8 +75,8 @@
                 highestBallots.remove(entry.getKey());
             }
         }
-        Iterator<String> oldestDropped = dropped.iterator();
-        while (dropped.size() > MAX_DROPPED_PROPOSALS) {
+        Iterator<String> oldestDropped = droppedProposals.iterator();
+        while (droppedProposals.size() > MAX_DROPPED_PROPOSALS) {
             oldestDropped.next();
             oldestDropped.remove();
         }
--- a/src/main/java/reedmux/control/consensus/ConsensusNode.java
+++ b/src/main/java/reedmux/control/consensus/ConsensusNode.java
@@ -142,7 +142,7 @@
     }
 
     /** Whether the states that these fenced nodes have handed over leave no proposal in doubt. */
-    public boolean resolvesDoubts(Set<String> handedOver) {
+    public boolean resolvesInDoubtProposals(Set<String> handedOver) {
         return inDoubt.areResolvedBy(handedOver);
     }
 
@@ -168,7 +168,7 @@
             context.port.notifyConfigurationChanged();
         }
         if (!wasCurrent && peers.isCurrent()) {
-            recovery.recoverDue(); // what was found pending on the disk waits for nobody
+            recovery.recoverOverdueProposals(); // what was found pending on the disk waits for nobody
         }
     }
 
@@ -265,9 +265,9 @@
         context.now = time;
         proposer.onTick();
         contacts.onTick();
-        ballots.expire();
+        ballots.expireOldEntries();
         if (peers.isCurrent()) {
-            recovery.recoverDue();
+            recovery.recoverOverdueProposals();
         }
     }
 }
--- a/src/main/java/reedmux/control/consensus/CoreChangePlanner.java
+++ b/src/main/java/reedmux/control/consensus/CoreChangePlanner.java
@@ -17,7 +17,7 @@
  */
 final class CoreChangePlanner {
     /** How long a candidate has to be ready before it takes a place, so that one that flaps is not taken in. */
-    private static final long JOINER_STABLE_MICROS = 1_000_000;
+    private static final long CANDIDATE_STABLE_MICROS = 1_000_000;
     /**
      * How long it has to be ready before the core grows by it: longer than it takes to notice that a member does not
      * answer any more, whose place it may have come to take. A new member has no vote for 4 s, so a core that has grown
@@ -54,12 +54,12 @@
             reply.accept(OperationStatus.OK, "{}");
             return false;
         }
-        int remaining = context.core.ips().size() - 1;
-        int needed = context.isUp(ip) ? 2 * context.minimumReplicas - 1 : context.minimumReplicas;
-        if (remaining < needed) {
+        int remainingSize = context.core.ips().size() - 1;
+        int requiredSize = context.isUp(ip) ? 2 * context.minimumReplicas - 1 : context.minimumReplicas;
+        if (remainingSize < requiredSize) {
             reply.accept(
                     OperationStatus.CONFLICT,
-                    node + " cannot leave: of " + remaining + " members too few could be lost, " + needed
+                    node + " cannot leave: of " + remainingSize + " members too few could be lost, " + requiredSize
                             + " are needed");
             return false;
         }
@@ -105,18 +105,18 @@
                 return next;
             }
         }
-        String dead = deadMemberToRemove();
-        return dead == null ? null : context.core.successor(dead, null, null);
+        String deadMember = deadMemberToRemove();
+        return deadMember == null ? null : context.core.successor(deadMember, null, null);
     }
 
     /** A dead member without which the core is large enough and can be decided on; null for none. */
     String deadMemberToRemove() {
-        int needed = Math.max(MIN_CORE_SIZE, 2 * context.minimumReplicas - 1);
-        String dead = context.unreachable.longestDead(context.now);
-        return dead != null
-                        && context.core.ips().size() > needed
-                        && canDecideOn(context.core.successor(dead, null, null))
-                ? dead
+        int requiredSize = Math.max(MIN_CORE_SIZE, 2 * context.minimumReplicas - 1);
+        String deadMember = context.unreachableMembers.longestDeadMember(context.now);
+        return deadMember != null
+                        && context.core.ips().size() > requiredSize
+                        && canDecideOn(context.core.successor(deadMember, null, null))
+                ? deadMember
                 : null;
     }
 
@@ -127,18 +127,18 @@
     private CoreMembers withCandidate(String ip, CoreContext.CorePeer candidate) {
         if (context.core.contains(ip)
                 || removedByOrderAt.containsKey(ip)
-                || candidate.readySince > context.now - JOINER_STABLE_MICROS) {
+                || candidate.readySince > context.now - CANDIDATE_STABLE_MICROS) {
             return null;
         }
-        String former = candidate.node.isEmpty() ? null : context.core.findIp(candidate.node);
-        if (former != null && context.isUp(former)) {
+        String previousIp = candidate.node.isEmpty() ? null : context.core.findIp(candidate.node);
+        if (previousIp != null && context.isUp(previousIp)) {
             return null;
         }
-        String replaced = former == null ? context.unreachable.longestDead(context.now) : former;
-        if (replaced == null && !mayGrow(candidate)) {
+        String replacedIp = previousIp == null ? context.unreachableMembers.longestDeadMember(context.now) : previousIp;
+        if (replacedIp == null && !mayGrow(candidate)) {
             return null;
         }
-        return context.core.successor(replaced, ip, candidate.node);
+        return context.core.successor(replacedIp, ip, candidate.node);
     }
 
     /** While a member is out of reach a candidate waits for its place, or for its return. */
@@ -148,6 +148,6 @@
     }
 
     private boolean canDecideOn(CoreMembers next) {
-        return context.jointQuorum(next).isReachedBy(context.live());
+        return context.jointQuorum(next).isReachedBy(context.connectedIps());
     }
 }
--- a/src/main/java/reedmux/control/consensus/CoreContext.java
+++ b/src/main/java/reedmux/control/consensus/CoreContext.java
@@ -19,7 +19,7 @@
     /** Whether the leader has told this node that it is to be removed by order. */
     boolean removalOrdered;
     /** Which members this node can't reach. */
-    final UnreachableMembers unreachable = new UnreachableMembers();
+    final UnreachableMembers unreachableMembers = new UnreachableMembers();
     /** The other nodes that are connected, by ip. */
     final Map<String, CorePeer> peers = new LinkedHashMap<>();
     /**
@@ -68,7 +68,7 @@
     }
 
     /** This node and the connected ones. */
-    Set<String> live() {
+    Set<String> connectedIps() {
         Set<String> live = new HashSet<>(peers.keySet());
         live.add(self);
         return live;
--- a/src/main/java/reedmux/control/consensus/CoreMembership.java
+++ b/src/main/java/reedmux/control/consensus/CoreMembership.java
@@ -51,18 +51,22 @@
      * Begins with what was found on the disk.
      *
      * @param minimumReplicas on how many disks a decision has to be, whatever the size of the core
-     * @param found what was on the disk; null where nothing was and the peers are to tell of the core
+     * @param storedState what was on the disk; null where nothing was and the peers are to tell of the core
      * @param diskIntact whether nothing of it was lost
      */
     public CoreMembership(
-            String self, int minimumReplicas, PersistentCoreState found, boolean diskIntact, CoreMembershipPort port) {
+            String self,
+            int minimumReplicas,
+            PersistentCoreState storedState,
+            boolean diskIntact,
+            CoreMembershipPort port) {
         context = new Context(self, minimumReplicas, port);
         context.mayVoteFrom = diskIntact ? Long.MIN_VALUE : Long.MAX_VALUE;
-        if (found != null) {
-            context.core = found.core();
-            context.removed = found.removed();
+        if (storedState != null) {
+            context.core = storedState.core();
+            context.removed = storedState.removed();
         }
-        acceptor = new EpochAcceptor(context, found);
+        acceptor = new EpochAcceptor(context, storedState);
         planner = new CoreChangePlanner(context);
         proposer = new EpochProposer(context, acceptor, planner);
     }
@@ -115,7 +119,7 @@
 
     /** The ips of this node and of those that are connected. */
     public Set<String> connectedIps() {
-        return context.live();
+        return context.connectedIps();
     }
 
     /** Whether a successor was accepted here, so that nothing new is prepared under this epoch. */
@@ -195,11 +199,11 @@
         if (context.core == null) {
             return;
         }
-        CoreMembers before = context.core;
+        CoreMembers previousCore = context.core;
         for (Map.Entry<String, String> name : namesByIp.entrySet()) {
             context.core = context.core.withNodeName(name.getKey(), name.getValue());
         }
-        if (context.core != before) {
+        if (context.core != previousCore) {
             context.persist(done -> {});
         }
     }
@@ -220,7 +224,7 @@
 
     /** Begins the epoch of a core that is decided on. */
     private void install(CoreMembers next) {
-        context.removed = (context.removed || isRemovedForGood(next)) && !next.contains(context.self);
+        context.removed = (context.removed || isPermanentlyRemovedFrom(next)) && !next.contains(context.self);
         context.removalOrdered = false; // an order that is still pending is sent again
         context.port.log("core of epoch " + next.epoch() + ": " + next.nodeNames());
         context.core = next;
@@ -231,7 +235,7 @@
             context.core = context.core.withNodeName(peer.getKey(), peer.getValue().node);
         }
         context.persist(done -> {});
-        context.port.coreChanged();
+        context.port.notifyCoreChanged();
         updateLeader();
         planner.onInstalled();
     }
@@ -240,7 +244,7 @@
      * Whether this node was removed by order, or another machine of its name has its place. Who was out of reach and
      * taken for dead may join again.
      */
-    private boolean isRemovedForGood(CoreMembers next) {
+    private boolean isPermanentlyRemovedFrom(CoreMembers next) {
         if (!isMember()) {
             return false;
         }
@@ -249,17 +253,17 @@
     }
 
     private void updateLeader() {
-        String first = "";
+        String leaderIp = "";
         if (context.core != null) {
             for (String ip : context.core.ips()) {
                 if (context.isUp(ip)) {
-                    first = ip;
+                    leaderIp = ip;
                     break;
                 }
             }
         }
-        if (!first.equals(leader.ip()) || leader.epoch() != epoch()) {
-            leader = new CoreLeader(first, epoch(), context.now);
+        if (!leaderIp.equals(leader.ip()) || leader.epoch() != epoch()) {
+            leader = new CoreLeader(leaderIp, epoch(), context.now);
         }
     }
 
@@ -273,7 +277,7 @@
      */
     public void requestRemoval(long time, String node, BiConsumer<Integer, String> reply) {
         context.now = time;
-        if (context.core == null || !isLeader() || !quorum().isReachedBy(context.live())) {
+        if (context.core == null || !isLeader() || !quorum().isReachedBy(context.connectedIps())) {
             reply.accept(OperationStatus.UNAVAILABLE, "too few of the core can be reached");
         } else if (planner.requestRemoval(node, reply)) {
             onTick(time);
@@ -291,22 +295,22 @@
         updateLeader();
         planner.expireRemovals();
         if (context.core != null) {
-            context.unreachable.update(context);
+            context.unreachableMembers.update(context);
             acceptor.requestHandovers();
             proposer.onTick(isLeader());
-            checkDeadMembersLeave();
+            checkDeadMembersAreRemoved();
         }
     }
 
     /** Violated where the leader could change the core for long and members that are dead still count. */
-    private void checkDeadMembersLeave() {
+    private void checkDeadMembersAreRemoved() {
         boolean couldRemove = isLeader() && context.mayVote() && planner.deadMemberToRemove() != null;
         if (!couldRemove) {
             removableSince = NEVER;
         } else if (removableSince == NEVER) {
             removableSince = context.now;
         } else if (context.now - removableSince > MAX_DEAD_MEMBER_MICROS) {
-            context.port.invariantViolated("dead members leave a core that is large enough without them: "
+            context.port.reportInvariantViolation("dead members leave a core that is large enough without them: "
                     + planner.deadMemberToRemove() + " of " + context.core.nodeNames());
             removableSince = NEVER;
         }
--- a/src/main/java/reedmux/control/consensus/CoreMembershipPort.java
+++ b/src/main/java/reedmux/control/consensus/CoreMembershipPort.java
@@ -24,17 +24,17 @@
      */
     void requestHandover(String from, long epoch);
 
-    /** {@link ConsensusNode#resolvesDoubts}. */
-    boolean resolvesDoubts(Set<String> handedOver);
+    /** {@link ConsensusNode#resolvesInDoubtProposals}. */
+    boolean resolvesInDoubtProposals(Set<String> handedOver);
 
     /** Writes the state to the disk, and tells whether that has succeeded. */
     void persistCore(PersistentCoreState state, Consumer<Boolean> onDone);
 
     /** Another core holds from now on, or this node is fenced or no longer fenced. */
-    void coreChanged();
+    void notifyCoreChanged();
 
     /** What must always hold does not. */
-    void invariantViolated(String violation);
+    void reportInvariantViolation(String violation);
 
     /** Writes a line to the log. */
     void log(String line);
--- a/src/main/java/reedmux/control/consensus/EpochAcceptor.java
+++ b/src/main/java/reedmux/control/consensus/EpochAcceptor.java
@@ -14,18 +14,18 @@
     private final EpochHandover handover;
     private Ballot promised;
     private Ballot accepted;
-    private CoreMembers value;
+    private CoreMembers acceptedValue;
     /** Whether what was accepted is on the disk. */
     private boolean acceptedPersisted;
 
     /** {@code found}: what was on the disk, or null. */
-    EpochAcceptor(CoreContext context, PersistentCoreState found) {
+    EpochAcceptor(CoreContext context, PersistentCoreState storedState) {
         this.context = context;
         handover = new EpochHandover(context);
-        if (found != null) {
-            promised = found.promised();
-            accepted = found.accepted();
-            value = found.value();
+        if (storedState != null) {
+            promised = storedState.promised();
+            accepted = storedState.accepted();
+            acceptedValue = storedState.value();
             acceptedPersisted = accepted != null;
         }
     }
@@ -46,14 +46,14 @@
     }
 
     PersistentCoreState persistentState() {
-        return new PersistentCoreState(context.core, promised, accepted, value, context.removed);
+        return new PersistentCoreState(context.core, promised, accepted, acceptedValue, context.removed);
     }
 
     /** The next epoch has begun. */
     void reset() {
         promised = null;
         accepted = null;
-        value = null;
+        acceptedValue = null;
         acceptedPersisted = false;
         handover.reset();
     }
@@ -64,25 +64,28 @@
             return;
         }
         promised = prepare.ballot();
-        PersistentCoreState written = persistentState();
-        context.port.persistCore(written, done -> {
-            if (done && context.epoch() == prepare.epoch() && written.promised().equals(promised)) {
+        PersistentCoreState stateToPersist = persistentState();
+        context.port.persistCore(stateToPersist, done -> {
+            if (done
+                    && context.epoch() == prepare.epoch()
+                    && stateToPersist.promised().equals(promised)) {
                 context.send(
                         from,
                         new EpochMessage(
                                 EpochMessageType.PROMISE,
                                 prepare.epoch(),
                                 prepare.ballot(),
-                                written.accepted(),
-                                written.value()));
+                                stateToPersist.accepted(),
+                                stateToPersist.value()));
             }
         });
     }
 
     /** A proposer asks to accept a value: to be asked of members and of who is to be one. */
     void onAccept(String from, EpochMessage accept) {
-        boolean asked = context.isMember() ? context.mayVote() : accept.value().contains(context.self);
-        if (!asked || rejectIfSuperseded(from, accept.ballot())) {
+        boolean eligible =
+                context.isMember() ? context.mayVote() : accept.value().contains(context.self);
+        if (!eligible || rejectIfSuperseded(from, accept.ballot())) {
             return;
         }
         if (acceptedPersisted && accept.ballot().equals(accepted)) {
@@ -91,9 +94,9 @@
         }
         promised = accept.ballot();
         accepted = accept.ballot();
-        value = accept.value();
+        acceptedValue = accept.value();
         acceptedPersisted = false;
-        context.port.coreChanged();
+        context.port.notifyCoreChanged();
         context.persist(done -> {
             if (done && accept.ballot().equals(accepted)) {
                 acceptedPersisted = true;
@@ -113,7 +116,7 @@
 
     /** Asks for the state that is missing where this node is to be a member of the next core. */
     void requestHandovers() {
-        if (acceptedPersisted && value.contains(context.self) && !handover.isPersisted()) {
+        if (acceptedPersisted && acceptedValue.contains(context.self) && !handover.isPersisted()) {
             handover.request();
             completeHandover();
         }
@@ -126,7 +129,7 @@
     }
 
     private void completeHandover() {
-        if (!acceptedPersisted || !handover.isDueForDisk()) {
+        if (!acceptedPersisted || !handover.isReadyToPersist()) {
             return;
         }
         handover.onPersisting();
@@ -141,7 +144,7 @@
 
     /** Tells the proposer that this node has accepted, once it is ready for what it is to be afterwards. */
     private void confirm() {
-        if (acceptedPersisted && (handover.isPersisted() || !value.contains(context.self))) {
+        if (acceptedPersisted && (handover.isPersisted() || !acceptedValue.contains(context.self))) {
             context.send(
                     accepted.proposer(),
                     new EpochMessage(EpochMessageType.ACCEPTED, context.epoch(), accepted, null, null));
--- a/src/main/java/reedmux/control/consensus/EpochHandover.java
+++ b/src/main/java/reedmux/control/consensus/EpochHandover.java
@@ -13,7 +13,7 @@
 final class EpochHandover {
     private final CoreContext context;
     /** Fenced members whose committed items and pending proposals are here. */
-    private final Set<String> handedOver = new HashSet<>();
+    private final Set<String> receivedFrom = new HashSet<>();
     /** Whether that is a complete handover which is on the disk, or on its way there. */
     private boolean persisting;
 
@@ -30,22 +30,24 @@
     /** Asks all members whose state is missing for it. */
     void request() {
         if (context.isMember()) {
-            handedOver.add(context.self);
+            receivedFrom.add(context.self);
         }
         for (String member : context.core.ips()) {
-            if (!handedOver.contains(member)) {
+            if (!receivedFrom.contains(member)) {
                 context.port.requestHandover(member, context.epoch());
             }
         }
     }
 
     void onHandover(String from) {
-        handedOver.add(from);
+        receivedFrom.add(from);
     }
 
     /** Whether it is complete and has not been written to the disk yet. */
-    boolean isDueForDisk() {
-        return !persisting && context.quorum().isReachedBy(handedOver) && context.port.resolvesDoubts(handedOver);
+    boolean isReadyToPersist() {
+        return !persisting
+                && context.quorum().isReachedBy(receivedFrom)
+                && context.port.resolvesInDoubtProposals(receivedFrom);
     }
 
     void onPersisting() {
@@ -59,7 +61,7 @@
 
     /** The next epoch has begun. */
     void reset() {
-        handedOver.clear();
+        receivedFrom.clear();
         persisting = false;
         persisted = false;
     }
--- a/src/main/java/reedmux/control/consensus/EpochProposer.java
+++ b/src/main/java/reedmux/control/consensus/EpochProposer.java
@@ -64,7 +64,7 @@
     /** Begins a round where a change is wanted, or one may be half done. */
     private void beginRound() {
         CoreMembers next = planner.nextChange();
-        if (next == null && !isHalfDone()) {
+        if (next == null && !isChangeIncomplete()) {
             return;
         }
         lastBallotNumber = Math.max(lastBallotNumber, acceptor.promisedNumber()) + 1;
@@ -72,7 +72,7 @@
         sendRoundMessages();
     }
 
-    private boolean isHalfDone() {
+    private boolean isChangeIncomplete() {
         boolean halfDone = acceptor.isFenced();
         for (CoreContext.CorePeer peer : context.peers.values()) {
             halfDone |= peer.fenced;
--- a/src/main/java/reedmux/control/consensus/Learner.java
+++ b/src/main/java/reedmux/control/consensus/Learner.java
@@ -37,13 +37,13 @@
         ballots.record(proposalId, ballot);
         acceptor.remove(proposalId);
         inDoubt.remove(proposalId);
-        long before = context.replica.lastChange();
+        long lastChangeBefore = context.replica.lastChange();
         context.replica.resolvePending(proposalId, committed, items);
         if (!committed) {
             ballots.recordDropped(proposalId);
         }
         context.port.persistDecision(proposalId, ballot, committed, items);
-        if (context.replica.lastChange() != before) {
+        if (context.replica.lastChange() != lastChangeBefore) {
             context.port.notifyConfigurationChanged();
         }
         contacts.onProposalResolved(proposalId);
--- a/src/main/java/reedmux/control/consensus/PeerSynchronization.java
+++ b/src/main/java/reedmux/control/consensus/PeerSynchronization.java
@@ -39,9 +39,9 @@
         if (!complete) {
             return false;
         }
-        Set<String> reached = new HashSet<>(synchronizedPeers);
-        reached.add(context.self);
-        return context.quorum.isReachedBy(reached);
+        Set<String> reachable = new HashSet<>(synchronizedPeers);
+        reachable.add(context.self);
+        return context.quorum.isReachedBy(reachable);
     }
 
     /** How many of the connected peers come before this node in the order of their names. */
--- a/src/main/java/reedmux/control/consensus/ProposalRound.java
+++ b/src/main/java/reedmux/control/consensus/ProposalRound.java
@@ -30,7 +30,7 @@
     }
 
     /** Who has prepared the proposal. */
-    Set<String> preparedBy() {
+    Set<String> preparedVoters() {
         Set<String> prepared = new HashSet<>();
         for (Map.Entry<String, Vote> vote : votes.entrySet()) {
             if (vote.getValue().isPrepared()) {
@@ -41,14 +41,14 @@
     }
 
     /** Who has answered without preparing the proposal. */
-    Set<String> notPreparedBy() {
+    Set<String> unpreparedVoters() {
         Set<String> others = new HashSet<>(votes.keySet());
-        others.removeAll(preparedBy());
+        others.removeAll(preparedVoters());
         return others;
     }
 
     /** Who can't prepare the proposal because of what is committed or pending there. */
-    Set<String> refusedBy() {
+    Set<String> refusingVoters() {
         Set<String> refused = new HashSet<>();
         for (Map.Entry<String, Vote> vote : votes.entrySet()) {
             if (vote.getValue() == Vote.BUSY || vote.getValue() == Vote.INVALID) {
@@ -62,8 +62,8 @@
      * Who takes part in no attempt with a lower ballot any more and has not precommitted the proposal: it has prepared
      * or refused it under this one.
      */
-    Set<String> answeredWithoutPrecommit() {
-        Set<String> answered = refusedBy();
+    Set<String> votersWithoutPrecommit() {
+        Set<String> answered = refusingVoters();
         for (Map.Entry<String, Vote> vote : votes.entrySet()) {
             if (vote.getValue() == Vote.PREPARED) {
                 answered.add(vote.getKey());
--- a/src/main/java/reedmux/control/consensus/Proposer.java
+++ b/src/main/java/reedmux/control/consensus/Proposer.java
@@ -95,11 +95,11 @@
         round.recordVote(voter, vote);
         if (vote == Vote.CONFLICT) {
             finish(proposalId, Outcome.DROPPED);
-        } else if (context.quorum.isReachedBy(round.preparedBy())) {
+        } else if (context.quorum.isReachedBy(round.preparedVoters())) {
             onPreparedByQuorum(round);
-        } else if (context.quorum.isBlockedBy(round.refusedBy())) {
+        } else if (context.quorum.isBlockedBy(round.refusingVoters())) {
             finish(proposalId, Outcome.DROPPED);
-        } else if (context.quorum.isBlockedBy(round.notPreparedBy())) {
+        } else if (context.quorum.isBlockedBy(round.unpreparedVoters())) {
             finish(proposalId, Outcome.ABANDONED);
         }
     }
@@ -170,6 +170,6 @@
                 || round.hasVote(Vote.PRECOMMITTED)) {
             return false;
         }
-        return context.quorum.isReachedBy(round.answeredWithoutPrecommit());
+        return context.quorum.isReachedBy(round.votersWithoutPrecommit());
     }
 }
--- a/src/main/java/reedmux/control/consensus/Quorum.java
+++ b/src/main/java/reedmux/control/consensus/Quorum.java
@@ -49,14 +49,14 @@
     }
 
     private boolean isReachedIn(Set<String> group, Collection<String> nodes) {
-        return group.size() - countWithout(group, nodes) >= requiredSize(group);
+        return group.size() - countExcluding(group, nodes) >= requiredSize(group);
     }
 
     private boolean isBlockedIn(Set<String> group, Collection<String> nodes) {
-        return !group.isEmpty() && countWithout(group, nodes) < requiredSize(group);
+        return !group.isEmpty() && countExcluding(group, nodes) < requiredSize(group);
     }
 
-    private static int countWithout(Set<String> group, Collection<String> excluded) {
+    private static int countExcluding(Set<String> group, Collection<String> excluded) {
         int count = 0;
         for (String node : group) {
             if (!excluded.contains(node)) {
--- a/src/main/java/reedmux/control/consensus/QuorumContacts.java
+++ b/src/main/java/reedmux/control/consensus/QuorumContacts.java
@@ -62,8 +62,8 @@
         }
         long id = ++lastContactId;
         Set<String> confirmedBy = new HashSet<>(Set.of(context.self));
-        Set<String> awaited = settled ? pendingProposals() : new HashSet<>();
-        contacts.put(id, new QuorumContact(confirmedBy, awaited, startedAt, callback));
+        Set<String> awaitedProposals = settled ? pendingProposals() : new HashSet<>();
+        contacts.put(id, new QuorumContact(confirmedBy, awaitedProposals, startedAt, callback));
         context.port.broadcastContactRequest(id, settled);
         completeIfConfirmed(id);
     }
@@ -112,11 +112,11 @@
 
     /** A proposal is not pending here any more. */
     void onProposalResolved(String proposalId) {
-        Iterator<PendingConfirmation> waiting = pendingConfirmations.iterator();
-        while (waiting.hasNext()) {
-            PendingConfirmation confirmation = waiting.next();
+        Iterator<PendingConfirmation> confirmations = pendingConfirmations.iterator();
+        while (confirmations.hasNext()) {
+            PendingConfirmation confirmation = confirmations.next();
             if (confirmation.awaitedProposals.remove(proposalId) && confirmation.awaitedProposals.isEmpty()) {
-                waiting.remove();
+                confirmations.remove();
                 context.port.sendContactConfirmation(confirmation.requester, confirmation.contactId);
             }
         }
--- a/src/main/java/reedmux/control/consensus/UndecidedProposalRecovery.java
+++ b/src/main/java/reedmux/control/consensus/UndecidedProposalRecovery.java
@@ -36,7 +36,7 @@
     }
 
     /** Proposes again what is due; to be called only while this node is current. */
-    void recoverDue() {
+    void recoverOverdueProposals() {
         long delay = RECOVERY_DELAY_MICROS + RECOVERY_STAGGER_MICROS * peers.rank();
         for (Map.Entry<String, Long> entry : List.copyOf(acceptor.pendingSince().entrySet())) {
             Proposal proposal = context.replica.pending().get(entry.getKey());
--- a/src/main/java/reedmux/control/consensus/UnreachableMembers.java
+++ b/src/main/java/reedmux/control/consensus/UnreachableMembers.java
@@ -36,18 +36,19 @@
     }
 
     /** The member that has been dead longest; null where none is. */
-    String longestDead(long now) {
+    String longestDeadMember(long now) {
         String longest = null;
         for (String ip : unreachableSince.keySet()) {
-            if (unreachableMicros(ip, now) >= DEAD_AFTER_MICROS && (longest == null || isBefore(ip, longest))) {
+            if (unreachableMicros(ip, now) >= DEAD_AFTER_MICROS
+                    && (longest == null || isUnreachableLonger(ip, longest))) {
                 longest = ip;
             }
         }
         return longest;
     }
 
-    private boolean isBefore(String one, String other) {
-        int bySince = Long.compare(unreachableSince.get(one), unreachableSince.get(other));
-        return bySince != 0 ? bySince < 0 : one.compareTo(other) < 0;
+    private boolean isUnreachableLonger(String first, String second) {
+        int bySince = Long.compare(unreachableSince.get(first), unreachableSince.get(second));
+        return bySince != 0 ? bySince < 0 : first.compareTo(second) < 0;
     }
 }
--- a/src/main/java/reedmux/control/store/StoreServer.java
+++ b/src/main/java/reedmux/control/store/StoreServer.java
@@ -114,7 +114,7 @@
         dispatcher = new MessageDispatcher(reactor, peers, publisher, synchronizer, consensus, membership, this);
         coreAddresses.restore(membership.core());
         peers.dial(coreAddresses.others(settings.storePort()));
-        coreChanged();
+        notifyCoreChanged();
         new TcpListener(
                 reactor,
                 SocketAddresses.parse(settings.ip() + ':' + settings.storePort()),
@@ -236,8 +236,8 @@
     }
 
     @Override
-    public boolean resolvesDoubts(Set<String> handedOver) {
-        return consensus.resolvesDoubts(handedOver);
+    public boolean resolvesInDoubtProposals(Set<String> handedOver) {
+        return consensus.resolvesInDoubtProposals(handedOver);
     }
 
     @Override
@@ -246,7 +246,7 @@
     }
 
     @Override
-    public void coreChanged() {
+    public void notifyCoreChanged() {
         consensus.setFenced(membership.isFenced());
         if (membership.epoch() != epoch) {
             epoch = membership.epoch();
@@ -266,7 +266,7 @@
     }
 
     @Override
-    public void invariantViolated(String violation) {
+    public void reportInvariantViolation(String violation) {
         reactor.invariants().check(false, violation, () -> "epoch " + epoch);
     }
 
--- a/src/test/java/reedmux/control/consensus/ChangingCoreCluster.java
+++ b/src/test/java/reedmux/control/consensus/ChangingCoreCluster.java
@@ -18,7 +18,7 @@
 
     final ConnectionNetwork links = new ConnectionNetwork(this);
     /** Pairs of ips between which no connection can be made, each way. */
-    private final Set<String> cut = new HashSet<>();
+    private final Set<String> partition = new HashSet<>();
     /** The members of each epoch, wherever it was known. */
     final Map<Long, Set<String>> membersByEpoch = new TreeMap<>();
 
@@ -49,22 +49,22 @@
         return node;
     }
 
-    void cut(String one, String other) {
-        cut.add(one + ' ' + other);
-        cut.add(other + ' ' + one);
+    void partition(String firstIp, String secondIp) {
+        partition.add(firstIp + ' ' + secondIp);
+        partition.add(secondIp + ' ' + firstIp);
     }
 
-    void heal(String one, String other) {
-        cut.remove(one + ' ' + other);
-        cut.remove(other + ' ' + one);
+    void heal(String firstIp, String secondIp) {
+        partition.remove(firstIp + ' ' + secondIp);
+        partition.remove(secondIp + ' ' + firstIp);
     }
 
     void healAll() {
-        cut.clear();
+        partition.clear();
     }
 
-    boolean canConnect(VirtualNode one, VirtualNode other) {
-        return one != other && one.up && other.up && !cut.contains(one.ip + ' ' + other.ip);
+    boolean canConnect(VirtualNode first, VirtualNode second) {
+        return first != second && first.up && second.up && !partition.contains(first.ip + ' ' + second.ip);
     }
 
     /** Whether a connection is up on which the first node sends to the second. */
@@ -136,19 +136,19 @@
                 if (node.consensus.isComplete()) {
                     node.membership.onDiskRecovered(now);
                 }
-                assertOneCoreAnEpoch(node);
+                assertSingleCorePerEpoch(node);
             }
         }
     }
 
-    private void assertOneCoreAnEpoch(VirtualNode node) {
+    private void assertSingleCorePerEpoch(VirtualNode node) {
         CoreMembers core = node.membership.core();
         if (core != null) {
             Set<String> members = new TreeSet<>(core.ips());
-            Set<String> before = membersByEpoch.putIfAbsent(core.epoch(), members);
+            Set<String> previousMembers = membersByEpoch.putIfAbsent(core.epoch(), members);
             assertTrue(
-                    before == null || before.equals(members),
-                    "two cores of epoch " + core.epoch() + ": " + before + " and " + members);
+                    previousMembers == null || previousMembers.equals(members),
+                    "two cores of epoch " + core.epoch() + ": " + previousMembers + " and " + members);
         }
     }
 
@@ -162,7 +162,7 @@
 
     /** Messages are delivered in one order again, and time passes. */
     void settleInOrder(int seconds) {
-        links.choice = many -> 0;
+        links.connectionChooser = many -> 0;
         settle(seconds);
     }
 
@@ -180,7 +180,7 @@
                 assertFalse(node.membership.isFenced());
             }
         }
-        links.choice = many -> 0;
+        links.connectionChooser = many -> 0;
         String route = ConfigurationRequests.route("last", 2, "last.example");
         RecordedReply reply = change(node(members[0]), ConfigurationRequests.change(route));
         links.deliverAll();
--- a/src/test/java/reedmux/control/consensus/ConnectionNetwork.java
+++ b/src/test/java/reedmux/control/consensus/ConnectionNetwork.java
@@ -15,7 +15,7 @@
 
     private final ChangingCoreCluster cluster;
     /** Picks which connection delivers next. */
-    IntUnaryOperator choice = many -> 0;
+    IntUnaryOperator connectionChooser = many -> 0;
 
     ConnectionNetwork(ChangingCoreCluster cluster) {
         this.cluster = cluster;
@@ -39,14 +39,16 @@
         deliver(Integer.MAX_VALUE);
     }
 
-    void deliver(int most) {
-        for (int i = 0; i < most; i++) {
+    void deliver(int maxMessages) {
+        for (int i = 0; i < maxMessages; i++) {
             queues.values().removeIf(Deque::isEmpty);
             List<String> ready = new ArrayList<>(queues.keySet());
             if (ready.isEmpty()) {
                 return;
             }
-            queues.get(ready.get(choice.applyAsInt(ready.size()))).poll().run();
+            queues.get(ready.get(connectionChooser.applyAsInt(ready.size())))
+                    .poll()
+                    .run();
         }
     }
 
--- a/src/test/java/reedmux/control/consensus/ConsensusNodeTest.java
+++ b/src/test/java/reedmux/control/consensus/ConsensusNodeTest.java
@@ -24,14 +24,14 @@
 public class ConsensusNodeTest {
     private static final int MAX_ORDERS = 20_000;
 
-    private static int explore(String what, java.util.function.Consumer<ScheduleExplorer> play) {
-        int orders = ScheduleExplorer.exploreAll(MAX_ORDERS, play);
-        Reporter.log(what + ": " + orders + " orders", true);
+    private static int explore(String scenario, java.util.function.Consumer<ScheduleExplorer> runSchedule) {
+        int orders = ScheduleExplorer.exploreAll(MAX_ORDERS, runSchedule);
+        Reporter.log(scenario + ": " + orders + " orders", true);
         return orders;
     }
 
     @Test
-    public void twoRoutesForOneHostAndPrefixAreNeverBothCommitted() {
+    public void routesWithTheSameHostAndPrefixAreNeverBothCommitted() {
         int[] committed = {0};
         int orders = explore("one host and prefix, two nodes", schedule -> {
             FixedCoreCluster cluster = new FixedCoreCluster();
@@ -49,7 +49,7 @@
     }
 
     @Test
-    public void ofTwoContentsWithOneRevisionOneIsCommittedEverywhere() {
+    public void conflictingContentsOfARevisionAreNeverBothAcknowledged() {
         explore("one revision, two contents, two nodes", schedule -> {
             FixedCoreCluster cluster = new FixedCoreCluster();
             RecordedReply one = cluster.change(cluster.node(0), change(route("one", 2, "h.example")));
@@ -62,7 +62,7 @@
     }
 
     @Test
-    public void acknowledgedChangeOutlivesTheNodeThatAcknowledgedIt() {
+    public void acknowledgedChangeSurvivesFailureOfItsProposer() {
         for (boolean wiped : new boolean[] {false, true}) {
             explore("the proposer dies" + (wiped ? " with its disk" : ""), schedule -> {
                 FixedCoreCluster cluster = new FixedCoreCluster();
@@ -98,7 +98,7 @@
     }
 
     @Test
-    public void wipedNodeDoesNotVoteBeforeItHasMergedTheOthers() {
+    public void wipedNodeDoesNotVoteBeforeMergingThePeerStates() {
         FixedCoreCluster cluster = new FixedCoreCluster();
         cluster.restart(0, true);
         RecordedReply reply = cluster.change(cluster.node(1), change(route("one", 2, "h.example")));
@@ -111,7 +111,7 @@
     }
 
     @Test
-    public void nothingIsAcknowledgedThatIsNotOnTheDisksOfAQuorum() {
+    public void changeIsNotAcknowledgedBeforeAQuorumHasPersistedIt() {
         FixedCoreCluster cluster = new FixedCoreCluster();
         cluster.node(1).disk = VirtualNode.Disk.STALLED;
         cluster.node(2).disk = VirtualNode.Disk.STALLED;
@@ -149,7 +149,7 @@
     }
 
     @Test
-    public void ofOneRevisionOnlyTheCommittedContentIsAcknowledged() {
+    public void onlyTheCommittedContentOfARevisionIsAcknowledged() {
         FixedCoreCluster cluster = new FixedCoreCluster();
         cluster.change(cluster.node(0), change(route("one", 5, "h.example")));
         cluster.deliverInOrder();
@@ -229,7 +229,7 @@
 
     /** A vote for a proposal may have gone with the disk: what is pending at the peers is pending here, too. */
     @Test
-    public void wipedNodePreparesWhatIsPendingAtItsPeers() throws InvalidConfigurationException {
+    public void wipedNodePreparesProposalsPendingAtItsPeers() throws InvalidConfigurationException {
         SingleNodeCluster peer = oneOfFive();
         vote(peer, "s1", 1, "x", route("one", 2, "h.example"));
         SingleNodeCluster wiped =
@@ -250,7 +250,7 @@
 
     /** While the core is being changed nothing new is prepared; what is pending goes on. */
     @Test
-    public void fencedNodePreparesNothingNew() throws InvalidConfigurationException {
+    public void fencedNodePreparesNoNewProposals() throws InvalidConfigurationException {
         SingleNodeCluster cluster = oneOfFive();
         String one = route("one", 2, "h.example");
         assertEquals(vote(cluster, "s1", 1, "x", one), "PREPARED under 1 of s1");
@@ -262,7 +262,7 @@
 
     /** What is handed over is pending here; what was not precommitted gives way, as nobody can have committed it. */
     @Test
-    public void handedOverProposalIsPendingOrGivesWay() throws InvalidConfigurationException {
+    public void handedOverPreparedProposalIsAdoptedUnlessItConflicts() throws InvalidConfigurationException {
         SingleNodeCluster cluster = oneOfFive();
         vote(cluster, "s1", 1, "x", route("one", 2, "h.example"));
         Proposal contending = proposal("s3", 1, "z", route("two", 2, "h.example"));
@@ -273,12 +273,12 @@
         assertTrue(cluster.node.replica.isPending("o"));
         assertTrue(cluster.node.replica.isPending("x"));
         assertFalse(cluster.node.replica.isPending("z"));
-        assertTrue(node.resolvesDoubts(Set.of("s1", "s2")));
+        assertTrue(node.resolvesInDoubtProposals(Set.of("s1", "s2")));
     }
 
     /** What may have been committed takes the place of what can't have been, and is written to the disk. */
     @Test
-    public void handedOverProposalThatIsPrecommittedTakesThePlaceOfAPreparedOne() throws InvalidConfigurationException {
+    public void handedOverPrecommittedProposalReplacesConflictingPreparedOne() throws InvalidConfigurationException {
         SingleNodeCluster cluster = oneOfFive();
         vote(cluster, "s1", 1, "x", route("one", 2, "h.example"));
         Proposal contending =
@@ -289,12 +289,12 @@
         assertTrue(cluster.node.replica.pending().get("z").precommitted());
         assertFalse(cluster.node.replica.isPending("x"));
         assertTrue(cluster.node.replica.isPending("y"), "what does not contend stays");
-        assertTrue(node.resolvesDoubts(Set.of("s1", "s2")));
+        assertTrue(node.resolvesInDoubtProposals(Set.of("s1", "s2")));
     }
 
     /** What is precommitted elsewhere is so here, too: nothing that comes later may take its place. */
     @Test
-    public void preparedProposalThatIsPrecommittedElsewhereBecomesPrecommitted() throws InvalidConfigurationException {
+    public void preparedProposalBecomesPrecommittedByHandover() throws InvalidConfigurationException {
         SingleNodeCluster cluster = oneOfFive();
         vote(cluster, "s1", 1, "x", route("one", 2, "h.example"));
         Proposal elsewhere =
@@ -305,12 +305,12 @@
         node.onHandover(cluster.now, List.of(), List.of(elsewhere, contending), List.of(List.of("s1"), List.of("s3")));
         assertTrue(cluster.node.replica.pending().get("x").precommitted());
         assertFalse(cluster.node.replica.isPending("z"));
-        assertFalse(node.resolvesDoubts(Set.of("s1", "s2")));
+        assertFalse(node.resolvesInDoubtProposals(Set.of("s1", "s2")));
     }
 
     /** Of two that are precommitted and contend one stays in doubt while somebody else may decide on it. */
     @Test
-    public void handedOverProposalStaysInDoubtBesideAnotherThatIsPrecommitted() throws InvalidConfigurationException {
+    public void handedOverProposalStaysInDoubtIfItConflictsWithAPrecommittedOne() throws InvalidConfigurationException {
         SingleNodeCluster cluster = oneOfFive();
         vote(cluster, "s1", 1, "x", route("one", 2, "h.example"));
         cluster.node.consensus.onProposal(
@@ -323,7 +323,7 @@
         node.onHandover(cluster.now, List.of(), List.of(contending), List.of(List.of("s3")));
         assertTrue(cluster.node.replica.isPending("x"));
         assertFalse(cluster.node.replica.isPending("z"));
-        assertFalse(node.resolvesDoubts(Set.of("s1", "s2")));
-        assertTrue(node.resolvesDoubts(Set.of("s1", "s3")));
+        assertFalse(node.resolvesInDoubtProposals(Set.of("s1", "s2")));
+        assertTrue(node.resolvesInDoubtProposals(Set.of("s1", "s3")));
     }
 }
--- a/src/test/java/reedmux/control/consensus/ContendingProposalsTest.java
+++ b/src/test/java/reedmux/control/consensus/ContendingProposalsTest.java
@@ -14,7 +14,7 @@
 /** Two proposals that contend while a node is lost, in every order of the messages. */
 public class ContendingProposalsTest {
     private static final int MAX_ORDERS = 10_000;
-    private static final String ONE = change(route("one", 5, "h.example"));
+    private static final String FIRST_CHANGE = change(route("one", 5, "h.example"));
     /** Not valid together with the first: the same host and prefix. */
     private static final String SAME_HOST = change(route("two", 5, "h.example"));
     /** Another content under the same revision. */
@@ -34,7 +34,7 @@
     }
 
     /** It comes back without its disk, and exchanges its state with the others in any order. */
-    private static void returnWiped(FixedCoreCluster cluster, int index, ScheduleExplorer schedule) {
+    private static void restartWithoutDisk(FixedCoreCluster cluster, int index, ScheduleExplorer schedule) {
         cluster.setUp(index);
         cluster.now += SECOND_MICROS;
         cluster.restart(index, true);
@@ -47,13 +47,13 @@
     }
 
     /** How many acknowledged changes are committed nowhere at the end. */
-    private static int countLost(String what, String contending) {
+    private static int countLost(String scenario, String contending) {
         int[] acknowledged = {0};
         int[] lost = {0};
         int orders = ScheduleExplorer.exploreAllOrSample(MAX_ORDERS, schedule -> {
             FixedCoreCluster cluster = new FixedCoreCluster();
             cluster.change(cluster.node(1), contending);
-            RecordedReply reply = cluster.change(cluster.node(0), ONE);
+            RecordedReply reply = cluster.change(cluster.node(0), FIRST_CHANGE);
             while (!reply.isOk()) {
                 if (cluster.messages.isEmpty()) {
                     return;
@@ -65,7 +65,7 @@
             if (schedule.choose(2) == 0) { // what is under way arrives before the node is back, or after
                 deliverAll(cluster, schedule);
             }
-            returnWiped(cluster, 0, schedule);
+            restartWithoutDisk(cluster, 0, schedule);
             for (int i = 0; i < 2; i++) {
                 tickAll(cluster);
                 deliverAll(cluster, schedule);
@@ -79,7 +79,8 @@
                     : 1;
         });
         Reporter.log(
-                what + ": " + orders + " orders, " + acknowledged[0] + " acknowledged, of these " + lost[0] + " lost",
+                scenario + ": " + orders + " orders, " + acknowledged[0] + " acknowledged, of these " + lost[0]
+                        + " lost",
                 true);
         assertTrue(acknowledged[0] > 0);
         return lost[0];
@@ -87,7 +88,7 @@
 
     /** The only node that knows of a decision loses its disk, and what contends is pending at another one. */
     @Test
-    public void acknowledgedChangeOutlivesItsNodeBesideWhatContends() {
+    public void acknowledgedChangeSurvivesDiskLossDespiteContendingProposal() {
         int host = countLost("one host and prefix", SAME_HOST);
         int revision = countLost("one revision, two contents", SAME_REVISION);
         assertEquals(host + revision, 0, "acknowledged, and committed nowhere");
@@ -98,12 +99,12 @@
      * two proposals that contend. One yields within the time that a round has; none stays in the way of the other.
      */
     @Test
-    public void oneOfTwoThatContendYieldsWhileTheThirdNodeIsAway() {
+    public void oneOfTwoContendingProposalsYieldsWhileTheThirdNodeIsDown() {
         for (String contending : List.of(SAME_HOST, SAME_REVISION)) {
             int orders = ScheduleExplorer.exploreAllOrSample(MAX_ORDERS, schedule -> {
                 FixedCoreCluster cluster = new FixedCoreCluster();
                 cluster.crash(2);
-                RecordedReply one = cluster.change(cluster.node(0), ONE);
+                RecordedReply one = cluster.change(cluster.node(0), FIRST_CHANGE);
                 RecordedReply other = cluster.change(cluster.node(1), contending);
                 deliverAll(cluster, schedule);
                 for (int i = 0; i < 10; i++) {
--- a/src/test/java/reedmux/control/consensus/CoreMembershipTest.java
+++ b/src/test/java/reedmux/control/consensus/CoreMembershipTest.java
@@ -34,15 +34,16 @@
     }
 
     /** All orders of the last messages, and as many drawn ones. */
-    private static int explore(String what, int members, BiConsumer<ChangingCoreCluster, IntUnaryOperator> play) {
+    private static int explore(
+            String scenario, int members, BiConsumer<ChangingCoreCluster, IntUnaryOperator> runSchedule) {
         int orders = ScheduleExplorer.exploreAll(
-                EXPLORED_ORDERS, schedule -> play.accept(new ChangingCoreCluster(members), schedule::choose));
+                EXPLORED_ORDERS, schedule -> runSchedule.accept(new ChangingCoreCluster(members), schedule::choose));
         for (int seed = 0; seed < SAMPLED_ORDERS; seed++) {
             Random random = new Random(seed);
-            play.accept(new ChangingCoreCluster(members), random::nextInt);
+            runSchedule.accept(new ChangingCoreCluster(members), random::nextInt);
         }
         orders += SAMPLED_ORDERS;
-        Reporter.log(what + ": " + orders + " orders", true);
+        Reporter.log(scenario + ": " + orders + " orders", true);
         return orders;
     }
 
@@ -62,7 +63,7 @@
         explore("join and leave", 3, (cluster, choice) -> {
             cluster.join("s3", "n3");
             cluster.settle(1);
-            cluster.links.choice = choice;
+            cluster.links.connectionChooser = choice;
             RecordedReply one = null;
             RecordedReply two = null;
             RecordedReply three = null;
@@ -89,11 +90,11 @@
 
     /** What only the lost member and one other have is handed over first: then that other may be lost, too. */
     @Test
-    public void secondLossRightAfterAReplacementLosesNothing() {
+    public void secondMemberLossAfterAReplacementLosesNoAcknowledgedChange() {
         int[] replaced = {0};
         int orders = explore("second loss", 3, (cluster, choice) -> {
-            cluster.cut("s0", "s1");
-            cluster.cut("s2", "s1");
+            cluster.partition("s0", "s1");
+            cluster.partition("s2", "s1");
             cluster.connect();
             RecordedReply reply = cluster.change(cluster.node("s0"), routeChange("one"));
             cluster.links.deliverAll();
@@ -102,7 +103,7 @@
             cluster.crash(cluster.node("s2"));
             cluster.healAll();
             cluster.join("s3", "n2");
-            cluster.links.choice = choice;
+            cluster.links.connectionChooser = choice;
             for (int i = 0; i < 20 && cluster.core("s1").epoch() == 0; i++) {
                 cluster.now += ChangingCoreCluster.TICK_MICROS;
                 for (VirtualNode node : cluster.nodes.values()) {
@@ -149,13 +150,13 @@
 
     /** Two nodes take themselves for the leader: of their changes one holds in each epoch. */
     @Test
-    public void twoChangesAtOnceAreMadeOneByOne() {
+    public void concurrentCoreChangesAreSerialized() {
         explore("two changes", 5, (cluster, choice) -> {
             cluster.join("s4", "n4");
             cluster.settle(2);
-            cluster.cut("s0", "s1");
+            cluster.partition("s0", "s1");
             cluster.connect();
-            cluster.links.choice = choice;
+            cluster.links.connectionChooser = choice;
             cluster.node("s0").membership.requestRemoval(cluster.now, "n3", new RecordedReply());
             cluster.node("s1").membership.requestRemoval(cluster.now, "n2", new RecordedReply());
             for (int i = 0; i < 6; i++) {
@@ -172,7 +173,7 @@
 
     /** The power goes at any message of a change, at all nodes; with their disks it is carried through or not. */
     @Test
-    public void halfDoneChangeIsCarriedThroughAfterAPowerLoss() {
+    public void incompleteCoreChangeIsCompletedAfterAPowerLoss() {
         for (boolean wiped : new boolean[] {false, true}) {
             explore("power" + (wiped ? ", a disk lost" : ""), 3, (cluster, choice) -> {
                 cluster.join("s3", "n3");
@@ -181,7 +182,7 @@
                 for (int i = 0; i < 3; i++) {
                     cluster.tick();
                 }
-                cluster.links.choice = choice;
+                cluster.links.connectionChooser = choice;
                 cluster.links.deliver(4 + choice.applyAsInt(30));
                 for (VirtualNode node : cluster.nodes.values()) {
                     cluster.crash(node);
@@ -202,11 +203,11 @@
 
     /** The leader is frozen in the middle of a change and wakes after others have made another. */
     @Test
-    public void leaderThatWakesUnderAnOlderEpochIsRejected() {
+    public void resumedLeaderOfAnOlderEpochIsRejected() {
         explore("frozen leader", 4, (cluster, choice) -> {
             cluster.join("s4", "n4");
             cluster.settle(1);
-            cluster.links.choice = choice;
+            cluster.links.connectionChooser = choice;
             for (int i = 0; i < 4; i++) {
                 cluster.tick();
             }
@@ -214,7 +215,7 @@
             // What it has sent is delivered long after; it hears nothing.
             Map<String, Deque<Runnable>> late = cluster.links.suspendAllFrom("s0");
             for (String other : List.of("s1", "s2", "s3", "s4")) {
-                cluster.cut("s0", other);
+                cluster.partition("s0", other);
             }
             cluster.settleInOrder(4);
             cluster.node("s1").membership.requestRemoval(cluster.now, "n3", new RecordedReply());
@@ -225,7 +226,7 @@
             cluster.healAll();
             cluster.connect();
             cluster.links.resume(late);
-            cluster.links.choice = choice;
+            cluster.links.connectionChooser = choice;
             cluster.node("s0").membership.onTick(cluster.now);
             cluster.links.deliverAll();
             cluster.settleInOrder(4);
@@ -236,7 +237,7 @@
 
     /** A majority of the first core that slept through two changes decides nothing, and is told of the core. */
     @Test
-    public void oldMajorityDecidesNothing() {
+    public void majorityOfAnOldCoreCannotDecide() {
         for (boolean learns : new boolean[] {false, true}) {
             ChangingCoreCluster cluster = new ChangingCoreCluster(3);
             cluster.crash(cluster.node("s2"));
@@ -251,7 +252,7 @@
             assertEquals(one.status, OperationStatus.OK);
             for (String old : List.of("s1", "s2")) {
                 for (String other : List.of("s0", "s3", "s4")) {
-                    cluster.cut(old, other);
+                    cluster.partition(old, other);
                 }
             }
             cluster.node("s1").start(true);
@@ -272,10 +273,10 @@
 
     /** Without a disk and with no one who knows it, a node has no core; a stale one is taken until a newer comes. */
     @Test
-    public void nodeWithoutDiskTakesTheCoreFromOthersAndNeverMakesUpItsOwn() {
+    public void nodeWithoutDiskLearnsTheCoreFromItsPeers() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(3);
         for (String other : List.of("s0", "s1", "s2")) {
-            cluster.cut("s3", other);
+            cluster.partition("s3", other);
         }
         cluster.join("s3", "n3");
         cluster.settle(3);
@@ -285,10 +286,10 @@
         assertEquals(reply.status, OperationStatus.UNAVAILABLE);
         // It reaches only a member that was cut off while the others took in another.
         cluster.heal("s3", "s2");
-        cluster.cut("s2", "s0");
-        cluster.cut("s2", "s1");
-        cluster.cut("s2", "s4");
-        cluster.cut("s3", "s4");
+        cluster.partition("s2", "s0");
+        cluster.partition("s2", "s1");
+        cluster.partition("s2", "s4");
+        cluster.partition("s3", "s4");
         cluster.join("s4", "n4");
         cluster.settle(4);
         assertTrue(cluster.core("s0").contains("s4"));
@@ -301,7 +302,7 @@
 
     /** A member whose disk comes back empty at its address is the same member; it has all before it counts. */
     @Test
-    public void memberWithoutItsDiskIsTheSameMember() {
+    public void memberThatLostItsDiskKeepsItsMembership() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(3);
         cluster.crash(cluster.node("s1"));
         ChangingCoreCluster.wipe(cluster.node("s1"));
@@ -320,11 +321,13 @@
         ChangingCoreCluster cluster = new ChangingCoreCluster(3);
         CoreMembership leader = cluster.node("s0").membership;
         assertEquals(
-                statusOfRemoval(cluster, cluster.node("s1").membership, "n2"),
+                immediateRemovalStatus(cluster, cluster.node("s1").membership, "n2"),
                 OperationStatus.UNAVAILABLE,
                 "not the leader");
         assertEquals(
-                statusOfRemoval(cluster, leader, "n2"), OperationStatus.CONFLICT, "three are needed while all are up");
+                immediateRemovalStatus(cluster, leader, "n2"),
+                OperationStatus.CONFLICT,
+                "three are needed while all are up");
         cluster.crash(cluster.node("s2"));
         cluster.settle(1);
         RecordedReply removal = new RecordedReply();
@@ -332,12 +335,13 @@
         cluster.settle(2);
         assertEquals(removal.status, OperationStatus.OK);
         cluster.assertCore("s0", "s1");
-        assertEquals(statusOfRemoval(cluster, leader, "n2"), OperationStatus.OK, "the same again");
-        assertEquals(statusOfRemoval(cluster, leader, "n1"), OperationStatus.CONFLICT, "two replicas are promised");
+        assertEquals(immediateRemovalStatus(cluster, leader, "n2"), OperationStatus.OK, "the same again");
+        assertEquals(
+                immediateRemovalStatus(cluster, leader, "n1"), OperationStatus.CONFLICT, "two replicas are promised");
     }
 
     /** What a removal is answered at once. */
-    private static int statusOfRemoval(ChangingCoreCluster cluster, CoreMembership membership, String node) {
+    private static int immediateRemovalStatus(ChangingCoreCluster cluster, CoreMembership membership, String node) {
         RecordedReply reply = new RecordedReply();
         membership.requestRemoval(cluster.now, node, reply);
         return reply.status;
@@ -379,7 +383,7 @@
 
     /** What another may have decided on goes before what is wanted here. */
     @Test
-    public void valueAcceptedUnderTheHighestBallotIsCarriedThrough() {
+    public void valueAcceptedUnderTheHighestBallotIsProposedAgain() {
         SingleNodeCluster cluster = memberOfThree(new Ballot(1, "s0"), nextCore("s0", "s1", "s2", "s3"), true);
         cluster.node.membership.onTick(2 * SECOND_MICROS);
         Ballot own = new Ballot(2, "s0");
@@ -416,7 +420,7 @@
     }
 
     @Test
-    public void acceptedValueOutlivesTheProcessAndFences() {
+    public void acceptedValueSurvivesARestartAndFencesTheNode() {
         assertTrue(memberOfThree(SECOND_OF_S1, nextCore("s0", "s1", "s3"), true)
                 .node
                 .membership
@@ -424,7 +428,7 @@
     }
 
     @Test
-    public void senderOfAnotherEpochIsToldOfTheCore() {
+    public void senderOfAnotherEpochReceivesTheCurrentCore() {
         SingleNodeCluster cluster = memberOfThree(null, null, true);
         assertTrue(cluster.node.membership.acceptsEpoch("s1", 0));
         assertFalse(cluster.node.membership.acceptsEpoch("s1", -1));
@@ -442,7 +446,7 @@
     }
 
     @Test
-    public void nothingIsAnsweredThatIsNotOnTheDisk() {
+    public void messagesAreNotAnsweredBeforeTheStateIsPersisted() {
         SingleNodeCluster cluster = memberOfThree(SECOND_OF_S1, nextCore("s0", "s1", "s3"), true);
         cluster.node.disk = VirtualNode.Disk.FAILING;
         cluster.node.membership.onTick(2 * SECOND_MICROS);
--- a/src/test/java/reedmux/control/consensus/CoreReplacementTest.java
+++ b/src/test/java/reedmux/control/consensus/CoreReplacementTest.java
@@ -11,35 +11,35 @@
 
     /** One after another is gone for good, and another machine, of another name and address, comes in its place. */
     @Test
-    public void machinesReplacedUnderOtherNamesDoNotUseUpTheCore() {
+    public void replacementsUnderNewNamesDoNotExhaustTheCore() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(3);
         for (int i = 0; i < 5; i++) {
             cluster.crash(cluster.node("s" + i));
             cluster.settle(1);
             cluster.join("s" + (i + 3), "n" + (i + 3));
             cluster.settle(4); // it counts from then on, and the next one may go
-            assertChangeIsTaken(cluster, "s" + (i + 2), "r" + i);
+            assertChangeIsCommitted(cluster, "s" + (i + 2), "r" + i);
         }
         cluster.assertCore("s5", "s6", "s7");
     }
 
     /** As above, but the new machine comes before the old one ends, as in planned work. */
     @Test
-    public void machinesThatEndOnceTheirSuccessorsAreThereDoNotUseUpTheCore() {
+    public void plannedReplacementsDoNotExhaustTheCore() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(3);
         for (int i = 0; i < 5; i++) {
             cluster.join("s" + (i + 3), "n" + (i + 3));
             cluster.settle(2);
             cluster.crash(cluster.node("s" + i));
             cluster.settle(4);
-            assertChangeIsTaken(cluster, "s" + (i + 2), "r" + i);
+            assertChangeIsCommitted(cluster, "s" + (i + 2), "r" + i);
         }
         cluster.assertCore("s5", "s6", "s7");
     }
 
     /** A member that is only away gives its place up to who joins, and joins again once it is back. */
     @Test
-    public void memberThatIsTakenForDeadJoinsAgain() {
+    public void memberConsideredDeadJoinsAgain() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(3);
         cluster.join("s3", "n3");
         cluster.settle(3);
@@ -54,7 +54,7 @@
 
     /** A core that would be too small without them keeps its dead members. */
     @Test
-    public void deadMembersStayWhereTheCoreWouldBeTooSmall() {
+    public void deadMembersAreKeptIfTheCoreWouldBeTooSmall() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(3);
         cluster.crash(cluster.node("s1"));
         cluster.settle(20);
@@ -67,7 +67,7 @@
 
     /** A short absence, as of a restart, changes nothing. */
     @Test
-    public void memberThatRestartsStaysAMember() {
+    public void restartingMemberStaysInTheCore() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(4);
         cluster.crash(cluster.node("s2"));
         cluster.settle(1);
@@ -79,7 +79,7 @@
 
     /** Who was removed by order stays out, also after a restart. */
     @Test
-    public void memberThatWasRemovedByOrderDoesNotJoinAgain() {
+    public void memberRemovedByTheOperatorDoesNotJoinAgain() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(4);
         RecordedReply removal = new RecordedReply();
         cluster.node("s0").membership.requestRemoval(cluster.now, "n3", removal);
@@ -94,14 +94,14 @@
 
     /** Changes that contend, one of them proposed by the machine that joins, while it takes a dead member's place. */
     @Test
-    public void changesThatContendDoNotHoldUpAReplacement() {
+    public void contendingChangesDoNotBlockAReplacement() {
         for (int seed = 0; seed < 1500; seed++) {
             ChangingCoreCluster cluster = new ChangingCoreCluster(3);
             Random random = new Random(seed);
             cluster.join("s3", "n3");
             cluster.settle(1);
             cluster.crash(cluster.node("s0"));
-            cluster.links.choice = random::nextInt;
+            cluster.links.connectionChooser = random::nextInt;
             for (int i = 0; i < 15; i++) {
                 String host = "h" + i + ".example";
                 for (String proposer : List.of("s3", random.nextBoolean() ? "s1" : "s2")) {
@@ -112,14 +112,14 @@
                 cluster.tick();
             }
             cluster.settleInOrder(8);
-            assertChangeIsTaken(cluster, "s1", "last" + seed);
+            assertChangeIsCommitted(cluster, "s1", "last" + seed);
             cluster.assertCore("s1", "s2", "s3");
         }
     }
 
     /** Two have lost their disks and recovered, one after the other, before the third one is replaced. */
     @Test
-    public void membersThatHaveRecoveredFromDiskLossOutliveAReplacement() {
+    public void membersRecoveredFromDiskLossSurviveAReplacement() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(3);
         for (String lost : List.of("s1", "s0")) {
             VirtualNode node = cluster.node(lost);
@@ -133,11 +133,11 @@
         cluster.settle(1);
         cluster.join("s3", "n3");
         cluster.settle(6);
-        assertChangeIsTaken(cluster, "s0", "afterwards");
+        assertChangeIsCommitted(cluster, "s0", "afterwards");
         cluster.assertCore("s0", "s1", "s3");
     }
 
-    private static void assertChangeIsTaken(ChangingCoreCluster cluster, String ip, String route) {
+    private static void assertChangeIsCommitted(ChangingCoreCluster cluster, String ip, String route) {
         RecordedReply reply = cluster.change(
                 cluster.node(ip),
                 ConfigurationRequests.change(ConfigurationRequests.route(route, 2, route + ".example")));
--- a/src/test/java/reedmux/control/consensus/QuorumContactTest.java
+++ b/src/test/java/reedmux/control/consensus/QuorumContactTest.java
@@ -24,8 +24,8 @@
 /** What three nodes answer without a decision of its own, in every order of their messages. */
 public class QuorumContactTest {
     private static final int MAX_ORDERS = 10_000;
-    private static final String ONE = change(route("one", 5, "h.example"));
-    private static final String OTHER = change(route("one", 5, "other.example"));
+    private static final String FIRST_CONTENT = change(route("one", 5, "h.example"));
+    private static final String SECOND_CONTENT = change(route("one", 5, "other.example"));
     /** A route that names a service which {@link #SHELF} adds. */
     private static final String NEEDS_SHELF =
             change(route("two", 6, "g.example").replace("\"desk\"", "\"shelf\""));
@@ -42,17 +42,17 @@
         WIPE
     }
 
-    private static void explore(String what, Consumer<ScheduleExplorer> play) {
-        int orders = ScheduleExplorer.exploreAllOrSample(MAX_ORDERS, play);
-        Reporter.log(what + ": " + orders + " orders", true);
+    private static void explore(String scenario, Consumer<ScheduleExplorer> runSchedule) {
+        int orders = ScheduleExplorer.exploreAllOrSample(MAX_ORDERS, runSchedule);
+        Reporter.log(scenario + ": " + orders + " orders", true);
     }
 
     /** Delivers all messages; a fault happens at most once, before any of them. */
     private static void deliverWithFault(FixedCoreCluster cluster, ScheduleExplorer schedule, Runnable fault) {
-        int[] left = {fault == null ? 0 : 1};
+        int[] faultsLeft = {fault == null ? 0 : 1};
         cluster.messages.deliverAll(many -> {
-            if (left[0] > 0 && schedule.choose(4) == 0) {
-                left[0]--;
+            if (faultsLeft[0] > 0 && schedule.choose(4) == 0) {
+                faultsLeft[0]--;
                 fault.run();
                 if (cluster.messages.isEmpty()) {
                     return -1;
@@ -83,16 +83,16 @@
             int[] refused = {0};
             explore("one revision, two contents, " + fault, schedule -> {
                 FixedCoreCluster cluster = new FixedCoreCluster();
-                RecordedReply first = cluster.change(cluster.node(0), ONE);
-                RecordedReply second = cluster.change(cluster.node(1), OTHER);
+                RecordedReply first = cluster.change(cluster.node(0), FIRST_CONTENT);
+                RecordedReply second = cluster.change(cluster.node(1), SECOND_CONTENT);
                 deliverWithFault(cluster, schedule, fault(fault, cluster, schedule));
                 cluster.settle();
                 assertFalse(first.isOk() && second.isOk());
                 refused[0] += first.status == OperationStatus.CONFLICT ? 1 : 0;
                 refused[0] += second.status == OperationStatus.CONFLICT ? 1 : 0;
                 // Sent again, and elsewhere, until the answer is clear: for ever the same.
-                int one = cluster.statusOf(schedule.choose(3), ONE);
-                int other = cluster.statusOf(2, OTHER);
+                int one = cluster.statusOf(schedule.choose(3), FIRST_CONTENT);
+                int other = cluster.statusOf(2, SECOND_CONTENT);
                 assertEquals(one + other, OperationStatus.OK + OperationStatus.CONFLICT, one + " and " + other);
                 boolean oneHolds = one == OperationStatus.OK;
                 assertNotEquals(first.status, oneHolds ? OperationStatus.CONFLICT : OperationStatus.OK);
@@ -109,7 +109,7 @@
         for (boolean wiped : new boolean[] {false, true}) {
             explore("sent again after newer revisions, " + (wiped ? "wiped" : "dead"), schedule -> {
                 FixedCoreCluster cluster = new FixedCoreCluster();
-                RecordedReply reply = cluster.change(cluster.node(0), ONE);
+                RecordedReply reply = cluster.change(cluster.node(0), FIRST_CONTENT);
                 cluster.messages.deliverAll(many -> {
                     if (reply.isOk()) {
                         cluster.setDown(0);
@@ -131,9 +131,9 @@
                 cluster.restart(2, false);
                 cluster.settle();
                 boolean oneFirst = schedule.choose(2) == 0;
-                int one = oneFirst ? cluster.statusOf(2, ONE) : 0;
-                int other = cluster.statusOf(1, OTHER);
-                one = oneFirst ? one : cluster.statusOf(2, ONE);
+                int one = oneFirst ? cluster.statusOf(2, FIRST_CONTENT) : 0;
+                int other = cluster.statusOf(1, SECOND_CONTENT);
+                one = oneFirst ? one : cluster.statusOf(2, FIRST_CONTENT);
                 if (acknowledged) {
                     assertEquals(one, OperationStatus.OK);
                 }
@@ -141,8 +141,8 @@
                 cluster.setAllUp();
                 cluster.restart(0, wiped);
                 cluster.settle();
-                assertEquals(cluster.statusOf(0, OTHER), other);
-                assertEquals(cluster.statusOf(0, ONE), one);
+                assertEquals(cluster.statusOf(0, SECOND_CONTENT), other);
+                assertEquals(cluster.statusOf(0, FIRST_CONTENT), one);
                 cluster.assertAgreed();
                 assertFalse(newer == 2 && cluster.node(0).hasRoute("one"));
             });
@@ -160,7 +160,7 @@
 
     /** The second comes to another node once the first is acknowledged, wherever that is known by then. */
     @Test
-    public void changeThatNeedsAnAcknowledgedOneIsNeverInvalid() {
+    public void changeThatDependsOnAnAcknowledgedChangeIsNeverInvalid() {
         for (boolean dies : new boolean[] {false, true}) {
             int[] ok = {0};
             explore("a change that needs an earlier one" + (dies ? ", its proposer dies" : ""), schedule -> {
@@ -192,11 +192,11 @@
 
     /** A node that has never heard of a change says what a complete state says. */
     @Test
-    public void readHasAllThatWasAcknowledgedBeforeIt() {
+    public void readReturnsAllPreviouslyAcknowledgedChanges() {
         int[] ok = {0};
         explore("reads once a change is acknowledged", schedule -> {
             FixedCoreCluster cluster = new FixedCoreCluster();
-            RecordedReply reply = cluster.change(cluster.node(0), ONE);
+            RecordedReply reply = cluster.change(cluster.node(0), FIRST_CONTENT);
             RecordedReply[] read = new RecordedReply[1];
             cluster.messages.deliverAll(many -> {
                 if (reply.isOk() && read[0] == null) {
@@ -205,7 +205,7 @@
                 return schedule.choose(cluster.messages.size());
             });
             cluster.settle();
-            assertEquals(read[0].count, 1);
+            assertEquals(read[0].replyCount, 1);
             assertTrue(
                     read[0].status == OperationStatus.UNAVAILABLE || read[0].text.contains("h.example"), read[0].text);
             ok[0] += read[0].isOk() ? 1 : 0;
@@ -215,18 +215,18 @@
 
     /** One is cut off and does not know it yet, or was frozen: it seems connected, what it has is old. */
     @Test
-    public void nodeWithoutContactNeitherReadsNorAcknowledgesNorRejects() {
+    public void staleNodeAnswersOnlyAfterQuorumContact() {
         explore("cut off, then heard again", schedule -> {
             FixedCoreCluster cluster = new FixedCoreCluster();
             cluster.setDown(2);
             cluster.change(cluster.node(0), SHELF);
             cluster.deliverInOrder();
-            RecordedReply one = cluster.change(cluster.node(1), ONE);
+            RecordedReply one = cluster.change(cluster.node(1), FIRST_CONTENT);
             cluster.deliverInOrder();
             assertEquals(one.status, OperationStatus.OK);
             cluster.setAllUp();
             List<RecordedReply> replies = new ArrayList<>();
-            for (String body : List.of(NEEDS_SHELF, OTHER, "{\"apply\":{\"signals\":[]}}", UNKNOWN_SERVICE)) {
+            for (String body : List.of(NEEDS_SHELF, SECOND_CONTENT, "{\"apply\":{\"signals\":[]}}", UNKNOWN_SERVICE)) {
                 replies.add(cluster.change(cluster.node(2), body));
             }
             replies.add(cluster.read(cluster.node(2)));
@@ -250,7 +250,7 @@
     }
 
     private static int countOfReplies(List<RecordedReply> replies) {
-        return replies.stream().mapToInt(reply -> reply.count).sum();
+        return replies.stream().mapToInt(reply -> reply.replyCount).sum();
     }
 
     /** It had a part in what was acknowledged, and nobody else can be reached who has. */
@@ -258,7 +258,7 @@
     public void nodeThatLostItsDiskDoesNotConfirmAContact() {
         FixedCoreCluster cluster = new FixedCoreCluster();
         cluster.setDown(2);
-        RecordedReply reply = cluster.change(cluster.node(0), ONE);
+        RecordedReply reply = cluster.change(cluster.node(0), FIRST_CONTENT);
         cluster.deliverInOrder();
         assertEquals(reply.status, OperationStatus.OK);
         cluster.setAllUp();
@@ -269,19 +269,19 @@
         cluster.now += SECOND_MICROS;
         cluster.tick(2);
         assertEquals(read.status, OperationStatus.UNAVAILABLE);
-        assertEquals(read.count, 1);
+        assertEquals(read.replyCount, 1);
     }
 
     /** A contact for a proxy or a status request waits for no decision, and decisions go on meanwhile. */
     @Test
-    public void changeIsCommittedWhileAContactIsUnderWay() {
+    public void changeIsCommittedDuringAQuorumContact() {
         for (int index = 0; index < 2; index++) {
             int asked = index;
             ScheduleExplorer.exploreAllOrSample(MAX_ORDERS, schedule -> {
                 FixedCoreCluster cluster = new FixedCoreCluster();
                 boolean[] reached = {false};
                 cluster.node(asked).consensus.contactQuorum(cluster.now, false, success -> reached[0] = success);
-                RecordedReply reply = cluster.change(cluster.node(0), ONE);
+                RecordedReply reply = cluster.change(cluster.node(0), FIRST_CONTENT);
                 cluster.messages.deliverAll(schedule::choose);
                 assertTrue(reached[0]);
                 assertEquals(reply.status, OperationStatus.OK);
@@ -293,21 +293,21 @@
 
     /** A connection is gone, and with it the quorum: that is told at once. */
     @Test
-    public void withoutConnectionsTheAnswerIsImmediateAndNoRejection() {
+    public void requestsFailImmediatelyWithoutConnections() {
         FixedCoreCluster cluster = new FixedCoreCluster();
         ConsensusNode node = cluster.node(0).consensus;
         RecordedReply read = cluster.read(cluster.node(0));
         node.onPeerDisconnected("s1");
-        assertEquals(read.count, 0);
+        assertEquals(read.replyCount, 0);
         node.onPeerDisconnected("s2");
         assertEquals(read.status, OperationStatus.UNAVAILABLE);
         RecordedReply change = cluster.change(cluster.node(0), UNKNOWN_SERVICE);
         assertEquals(change.status, OperationStatus.UNAVAILABLE);
-        assertEquals(read.count + change.count, 2);
+        assertEquals(read.replyCount + change.replyCount, 2);
     }
 
     @Test
-    public void revisionBelowTheLowWatermarkHasNoClearAnswer() {
+    public void revisionBelowTheLowWatermarkIsAnsweredUnavailable() {
         int retained = WatermarkTable.MAX_REVISIONS_PER_ITEM;
         FixedCoreCluster cluster = new FixedCoreCluster();
         for (int i = 1; i <= retained + 20; i++) {
@@ -327,9 +327,9 @@
 
     /** What was dropped and answered as unavailable is not committed after its content was rejected. */
     @Test
-    public void droppedProposalIsNotProposedAgainByANodeThatWasAway() throws InvalidConfigurationException {
+    public void droppedProposalIsNotCommittedWhenItsProposerRepeatsIt() throws InvalidConfigurationException {
         FixedCoreCluster cluster = new FixedCoreCluster();
-        Proposal stale = new Proposal("s2/1/9", new Ballot(1, "s2"), ConfigurationChangeFormat.parse(OTHER));
+        Proposal stale = new Proposal("s2/1/9", new Ballot(1, "s2"), ConfigurationChangeFormat.parse(SECOND_CONTENT));
         for (int i = 0; i < 2; i++) {
             cluster.node(i).consensus.onDecision(cluster.now, stale.id(), stale.ballot(), false, List.of());
         }
--- a/src/test/java/reedmux/control/consensus/QuorumTest.java
+++ b/src/test/java/reedmux/control/consensus/QuorumTest.java
@@ -10,15 +10,15 @@
 
 /** Every set of up to six stores, against every other. */
 public class QuorumTest {
-    private static final List<String> ALL = List.of("a", "b", "c", "d", "e", "f");
+    private static final List<String> ALL_STORES = List.of("a", "b", "c", "d", "e", "f");
 
-    private static List<List<String>> sets() {
+    private static List<List<String>> allSubsets() {
         List<List<String>> sets = new ArrayList<>();
-        for (int bits = 0; bits < 1 << ALL.size(); bits++) {
+        for (int bits = 0; bits < 1 << ALL_STORES.size(); bits++) {
             List<String> set = new ArrayList<>();
-            for (int i = 0; i < ALL.size(); i++) {
+            for (int i = 0; i < ALL_STORES.size(); i++) {
                 if ((bits >> i & 1) == 1) {
-                    set.add(ALL.get(i));
+                    set.add(ALL_STORES.get(i));
                 }
             }
             sets.add(set);
@@ -26,31 +26,33 @@
         return sets;
     }
 
-    private static void assertOverlap(Quorum one, Quorum other) {
-        for (List<String> first : sets()) {
-            List<String> rest = new ArrayList<>(ALL);
-            rest.removeAll(first);
-            assertFalse(one.isReachedBy(first) && other.isReachedBy(rest), first + " and " + rest);
-            assertEquals(one.isBlockedBy(rest), !one.isReachedBy(first));
+    private static void assertIntersect(Quorum firstQuorum, Quorum secondQuorum) {
+        for (List<String> nodes : allSubsets()) {
+            List<String> remainingNodes = new ArrayList<>(ALL_STORES);
+            remainingNodes.removeAll(nodes);
+            assertFalse(
+                    firstQuorum.isReachedBy(nodes) && secondQuorum.isReachedBy(remainingNodes),
+                    nodes + " and " + remainingNodes);
+            assertEquals(firstQuorum.isBlockedBy(remainingNodes), !firstQuorum.isReachedBy(nodes));
         }
     }
 
     @Test
-    public void anyTwoSetsThatDecideShareAStoreAlsoWhileTheMembersChange() {
-        for (List<String> before : sets()) {
-            for (List<String> after : sets()) {
+    public void anyTwoQuorumsIntersectDuringMembershipChanges() {
+        for (List<String> before : allSubsets()) {
+            for (List<String> after : allSubsets()) {
                 if (!before.isEmpty() && !after.isEmpty()) {
                     Quorum joint = Quorum.joint(before, after, 2);
-                    assertOverlap(joint, joint);
-                    assertOverlap(joint, Quorum.of(before, 2));
-                    assertOverlap(joint, Quorum.of(after, 2));
+                    assertIntersect(joint, joint);
+                    assertIntersect(joint, Quorum.of(before, 2));
+                    assertIntersect(joint, Quorum.of(after, 2));
                 }
             }
         }
     }
 
     @Test
-    public void fourOfFiveWhereThreeMayBeLost() {
+    public void minimumSizeRaisesTheQuorumAboveAMajority() {
         Quorum quorum = Quorum.of(List.of("a", "b", "c", "d", "e"), 4);
         assertFalse(quorum.isReachedBy(List.of("a", "b", "c", "f")));
         assertTrue(quorum.isReachedBy(List.of("a", "b", "c", "e")));
--- a/src/test/java/reedmux/control/consensus/RecordedReply.java
+++ b/src/test/java/reedmux/control/consensus/RecordedReply.java
@@ -9,13 +9,13 @@
 
     String text = "";
     /** How often it was answered. */
-    int count;
+    int replyCount;
 
     @Override
     public void accept(Integer newStatus, String newText) {
         status = newStatus;
         text = newText;
-        count++;
+        replyCount++;
     }
 
     boolean isOk() {
--- a/src/test/java/reedmux/control/consensus/VirtualCluster.java
+++ b/src/test/java/reedmux/control/consensus/VirtualCluster.java
@@ -39,15 +39,15 @@
         return ++lastIncarnation;
     }
 
-    RecordedReply change(VirtualNode at, String body) {
+    RecordedReply change(VirtualNode node, String body) {
         RecordedReply reply = new RecordedReply();
-        at.consensus.onChangeRequest(now, body, reply);
+        node.consensus.onChangeRequest(now, body, reply);
         return reply;
     }
 
-    RecordedReply read(VirtualNode at) {
+    RecordedReply read(VirtualNode node) {
         RecordedReply reply = new RecordedReply();
-        at.consensus.onReadRequest(now, reply);
+        node.consensus.onReadRequest(now, reply);
         return reply;
     }
 }
--- a/src/test/java/reedmux/control/consensus/VirtualNode.java
+++ b/src/test/java/reedmux/control/consensus/VirtualNode.java
@@ -47,7 +47,7 @@
         incarnation = cluster.nextIncarnation();
         consensus = new ConsensusNode(ip, incarnation, replica, complete, this);
         membership = new CoreMembership(ip, MINIMUM_REPLICAS, coreOnDisk, complete, this);
-        coreChanged();
+        notifyCoreChanged();
     }
 
     boolean hasRoute(String route) {
@@ -196,8 +196,8 @@
     }
 
     @Override
-    public boolean resolvesDoubts(Set<String> handedOver) {
-        return consensus.resolvesDoubts(handedOver);
+    public boolean resolvesInDoubtProposals(Set<String> handedOver) {
+        return consensus.resolvesInDoubtProposals(handedOver);
     }
 
     @Override
@@ -211,12 +211,12 @@
     }
 
     @Override
-    public void invariantViolated(String violation) {
+    public void reportInvariantViolation(String violation) {
         throw new AssertionError(violation);
     }
 
     @Override
-    public void coreChanged() {
+    public void notifyCoreChanged() {
         consensus.setFenced(membership.isFenced());
         if (!membership.isFenced()) {
             consensus.onQuorumChanged(membership.quorum());
