--- a/src/main/java/reedmux/gatekeeper/reducer/CallResult.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/CallResult.java
@@ -2,16 +2,19 @@
 
 import reedmux.gatekeeper.policy.TrafficPolicy.AttemptOutcome;
 
-/** How a call to a provider or to another region ended. Times are in microseconds. */
+/** The result of an upstream call to a provider or to another region. Times are in microseconds. */
 public sealed interface CallResult {
-    /** The status of an answer without fault. */
+    /** The only response status that counts as a success. */
     int OK_STATUS = 200;
-    /** The status of a provider that is overloaded, where it vouches that it did nothing. */
+    /** Means that the upstream is overloaded, provided that it also states that it did not run the request. */
     int UNAVAILABLE_STATUS = 503;
-    /** The status of a provider or another region whose time ran out. */
+    /**
+     * Means that the provider or the other region timed out. Counts as overload if it also states that it did not run
+     * the request.
+     */
     int TIMEOUT_STATUS = 504;
 
-    /** How far a call had come when its connection broke. */
+    /** The stage that a call had reached when its connection broke. */
     enum CallStage {
         CONNECTING,
         WRITING,
@@ -19,21 +22,22 @@
         RECEIVING_RESPONSE
     }
 
-    /** The body of an answer that is still coming in; only the protocol that made it looks inside. */
+    /** A response body that is still being received. It is opaque to all but the protocol that created it. */
     interface RemainingBody {
 
-        /** Bytes of the complete body; -1 where the head does not say. */
+        /** Returns the length of the complete body in bytes, or -1 if the response head does not state it. */
         long length();
     }
 
     /**
-     * A complete answer, or the head of one.
+     * A complete response, or the head of one whose body is still being received.
      *
-     * @param neverRan      whether the provider vouches that it did nothing
-     * @param remoteElapsed how long another region had the request; -1 where it does not say
-     * @param retryAfter    when another region wants it again; -1 where it does not say
-     * @param remainingBody the body that is still coming, or null for a complete answer
-     * @param bodyElapsed   how long after the head the last byte came: who writes slowly is not who has much to do
+     * @param neverRan      whether the upstream states that it did not run the request
+     * @param remoteElapsed how long another region spent on the request, or -1 if it does not state it
+     * @param retryAfter    the delay after which another region accepts a retry, or -1 if it does not state one
+     * @param remainingBody the body that is still being received, or null if the response is complete
+     * @param bodyElapsed   the time from the head to the last byte of the body. It is excluded from the latency, since
+     *     a provider that writes its response slowly is not necessarily busy
      */
     record ResponseReceived(
             int status,
@@ -46,22 +50,25 @@
             long bodyElapsed)
             implements CallResult {
 
-        /** A complete answer of another region. */
+        /** Creates a complete response from another region. */
         public ResponseReceived(
                 int status, boolean neverRan, String contentType, byte[] body, long remoteElapsed, long retryAfter) {
             this(status, neverRan, contentType, body, remoteElapsed, retryAfter, null, 0);
         }
 
-        /** A provider's complete answer. */
+        /** Creates a complete response from a provider. */
         public ResponseReceived(int status, boolean neverRan, String contentType, byte[] body) {
             this(status, neverRan, contentType, body, -1, -1);
         }
     }
 
-    /** No complete answer: the connection broke, was refused or was closed by us. */
+    /** The call ended without a complete response: the connection broke, was refused or was closed by this gateway. */
     record ConnectionBroken(CallStage stage, String reason) implements CallResult {}
 
-    /** The outcome in the policy's terms; nothing but a complete answer or an unfinished write proves much. */
+    /**
+     * Maps this result to the policy's outcome. Only a complete response, or a connection that broke before the whole
+     * request was written, is conclusive.
+     */
     default AttemptOutcome outcome() {
         if (this instanceof ResponseReceived response) {
             int status = response.status();
--- a/src/main/java/reedmux/gatekeeper/reducer/FinalAnswer.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/FinalAnswer.java
@@ -1,24 +1,25 @@
 package reedmux.gatekeeper.reducer;
 
-/** The final answer to an invocation. */
+/** The final answer to an invocation, sent to its consumer. */
 public sealed interface FinalAnswer {
 
-    /** A provider's answer, passed on unchanged. */
+    /** The response of the upstream call, forwarded unchanged. */
     record Served(CallResult.ResponseReceived result) implements FinalAnswer {}
 
     /**
-     * Rejected; a repeat has no second effect.
+     * The invocation was rejected. A retry is safe: either the request did not run or it is idempotent.
      *
-     * @param retryAfter how long the consumer had better wait before that, in microseconds
-     * @param attempted  whether it had been sent
-     * @param neverRan   whether it certainly has not run, and not only may be repeated all the same
+     * @param retryAfter how long the consumer should wait before a retry, in microseconds
+     * @param attempted  whether at least one attempt was made
+     * @param neverRan   whether the request is known not to have run. If false, a retry is safe only because the
+     *     request is idempotent
      */
     record Rejected(long retryAfter, boolean attempted, boolean neverRan) implements FinalAnswer {}
 
     /**
-     * Failed: it may have run.
+     * The invocation failed and the request may have run.
      *
-     * @param deadlineExceeded whether its time had run out
+     * @param deadlineExceeded whether it failed because its deadline or the time limit of a call was exceeded
      */
     record Failed(boolean deadlineExceeded) implements FinalAnswer {}
 }
--- a/src/main/java/reedmux/gatekeeper/reducer/GatekeeperLoop.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/GatekeeperLoop.java
@@ -3,63 +3,64 @@
 import reedmux.common.time.MonotonicClock;
 
 /**
- * The gatekeeper's event loop: each iteration reads the clock once, processes what other threads have posted, datagrams
- * of peers and due timers, and then waits. The thread that runs it owns all reducers. Times are in microseconds.
+ * The gatekeeper's event loop. Each iteration reads the clock once, processes the events posted by other threads, the
+ * datagrams received from peers and the due timers, and then waits. The thread that runs the loop owns all reducers.
+ * Times are in microseconds.
  */
 public final class GatekeeperLoop {
 
-    /** Receives peers' datagrams. */
+    /** Receives datagrams from peers. */
     public interface PeerDatagramHandler {
-        /** A datagram of the peer of that number has come in for the service of that tag. */
+        /** Called for each datagram that {@code peer} sent to the service with the given tag. */
         void onDatagram(int tag, int peer, byte[] bytes);
     }
 
-    /** What each iteration does. */
+    /** The work of one iteration. */
     public interface LoopTasks {
 
-        /** Processes what has been posted, or as much of it as one iteration may. */
+        /** Processes posted events, up to the limit for one iteration. */
         void processPosted(long now);
 
-        /** Processes a peer's datagram for the service of that tag. */
+        /** Processes a datagram that {@code peer} sent to the service with the given tag. */
         void onPeerDatagram(long now, int tag, int peer, byte[] bytes);
 
-        /** Processes the timers that are due. */
+        /** Processes the due timers. */
         void processDueTimers(long now);
 
-        /** Whether there is more to be processed at once. */
+        /** Returns whether events are pending, so that the next iteration must start without waiting. */
         boolean hasPending();
 
-        /** When the next timer is due; the far future if there is none. */
+        /** Returns the due time of the next timer, or {@link Long#MAX_VALUE} if no timer is set. */
         long nextDue();
     }
 
-    /** Where the loop waits, and where datagrams come in. */
+    /** Blocks the loop between iterations and supplies the received datagrams. */
     public interface LoopWaiter {
 
-        /** Waits until woken, until something has come in or for so many microseconds. */
+        /** Waits until {@link #wake} is called, a datagram arrives or {@code micros} microseconds have elapsed. */
         void await(long micros);
 
-        /** Ends a wait, from any thread. */
+        /** Wakes up a waiting loop. Can be called from any thread. */
         void wake();
 
-        /** Hands over the datagrams that have come in. */
+        /** Passes all received datagrams to {@code handler}. */
         void receive(PeerDatagramHandler handler);
     }
 
-    /** In place of a time: no further iteration. */
+    /** Returned by {@link AfterIteration#run} in place of a time to stop the loop. */
     public static final long STOP = Long.MIN_VALUE;
 
     private final MonotonicClock clock;
     private final LoopWaiter waiter;
     private volatile boolean waiting;
 
-    /** A loop that waits at {@code waiter}. */
+    /** Creates a loop that waits on {@code waiter}. */
     public GatekeeperLoop(MonotonicClock clock, LoopWaiter waiter) {
         this.clock = clock;
         this.waiter = waiter;
     }
 
-    /** To be called after something has been posted, from any thread. */
+    /** Wakes up the loop if it is waiting. Must be called after each posted event; can be called from any thread. */
     public void notifyPosted() {
         if (waiting) {
             waiting = false;
@@ -67,14 +68,14 @@
         }
     }
 
-    /** What is done at the end of each iteration. */
+    /** A callback at the end of each iteration. */
     public interface AfterIteration {
 
-        /** Returns when it wants to be called again at the latest, or {@link #STOP}. */
+        /** Returns the latest time at which it must be called again, or {@link #STOP} to stop the loop. */
         long run(long now);
     }
 
-    /** Iterates until {@code afterIteration} returns {@link #STOP}. */
+    /** Runs iterations until {@code afterIteration} returns {@link #STOP}. */
     public void run(LoopTasks tasks, AfterIteration afterIteration) {
         while (true) {
             long now = clock.now();
@@ -94,7 +95,7 @@
         }
     }
 
-    /** Ends a wait early, from any thread. */
+    /** Wakes up the loop early. Can be called from any thread. */
     public void wake() {
         waiter.wake();
     }
--- a/src/main/java/reedmux/gatekeeper/reducer/Invocation.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/Invocation.java
@@ -5,34 +5,37 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.IncomingRequest;
 
 /**
- * A consumer's request as the reducer knows it: what the decisions need, and two things that it only carries, the
- * message for a provider and the sink of the answer. Each protocol brings its own of both. Times are in microseconds.
- * Owned by the reducer's thread once it is accepted.
+ * A consumer's request as the reducer tracks it. Besides the data that decisions need, it carries two objects that are
+ * opaque to the reducer: the message for the provider and the sink for the answer. Each protocol implements both. Times
+ * are in microseconds. Once accepted, an invocation is owned by the reducer's thread.
  */
 public final class Invocation {
 
-    /** The message that goes to a provider as it came; only the protocol that made it looks inside. */
+    /** The message that is forwarded unchanged to a provider. It is opaque to all but the protocol that created it. */
     public interface RequestMessage {
 
-        /** Bytes of memory that it takes, without what all messages have in common. */
+        /** Returns the memory used by this message in bytes, excluding the fixed overhead of each message. */
         default int sizeBytes() {
             return 0;
         }
 
-        /** Whether all of it could be sent now, also to another provider than before. */
+        /**
+         * Returns whether the whole message can still be sent, including to a different provider than in earlier
+         * attempts.
+         */
         default boolean isSendable() {
             return true;
         }
 
-        /** Whether it may still be coming in. */
+        /** Returns whether the body may still be arriving from the consumer. */
         default boolean isStreaming() {
             return false;
         }
     }
 
-    /** Where the one final answer goes. */
+    /** Receives the final answer of an invocation. */
     public interface AnswerSink {
-        /** Sends the answer to the consumer; called once at most. */
+        /** Sends the answer to the consumer. Called at most once. */
         void send(FinalAnswer answer);
     }
 
@@ -41,29 +44,29 @@
     final RequestMessage message;
     final AnswerSink answerSink;
     final List<UpstreamCall> calls = new ArrayList<>(2);
-    /** Whether it has its answer, or nobody waits for one any more. */
+    /** Whether the invocation was answered, or its consumer no longer waits for an answer. */
     boolean closed;
-    /** Whether the policy has thrown an exception at it. */
+    /** Whether the policy threw an exception while it handled an event of this invocation. */
     boolean policyFailed;
 
     ReducerTimer deadlineTimer;
-    /** Until when its consumer waits. */
+    /** The time until which the consumer waits for the answer. */
     long deadlineAt;
-    /** When its body was complete if that came in behind its head, else 0. */
+    /** The time at which the request body was complete if the body arrived after the head, otherwise 0. */
     long bodyCompletedAt;
 
     long acceptedAt;
-    /** Whether another region sent it. */
+    /** Whether another region forwarded this request. */
     boolean remote;
-    /** Whether the decisions on regions know how it was served. */
+    /** Whether the failover policy was already informed how this region served the request. */
     boolean localResultRecorded;
-    /** When its service admitted it; -1 where nobody counts it. */
+    /** The time at which the service admitted the invocation, or -1 if admission control does not count it. */
     private long admittedAt = -1;
 
     /**
-     * An invocation that has not been accepted yet.
+     * Creates an invocation that is not accepted yet.
      *
-     * @param idempotent whether a repeat has no second effect
+     * @param idempotent whether running the request twice has the same effect as running it once
      */
     public Invocation(IncomingRequest request, boolean idempotent, RequestMessage message, AnswerSink answerSink) {
         this.request = request;
@@ -73,46 +76,50 @@
         this.answerSink = answerSink;
     }
 
-    /** When its service admitted it, in microseconds; -1 where nobody counts it. */
+    /**
+     * Returns the time at which the service admitted the invocation, in microseconds, or -1 if admission control does
+     * not count it.
+     */
     public long admittedAt() {
         return admittedAt;
     }
 
-    /** Notes when its service admitted it, in microseconds. */
-    public void admittedAt(long at) {
-        admittedAt = at;
+    /** Sets the time at which the service admitted the invocation, in microseconds, or -1 to clear it. */
+    public void admittedAt(long admittedAt) {
+        this.admittedAt = admittedAt;
     }
 
-    /** The request's id, which no other invocation under way has. */
+    /** Returns the request id, which is unique among the invocations in flight. */
     public String id() {
         return request.id();
     }
 
-    /** The number of its class in the settings. */
+    /** Returns the index of the request class in the settings. */
     public int requestClass() {
         return request.requestClass();
     }
 
-    /** The units that it takes from its customer's quota. */
+    /** Returns the units that the request consumes from the customer's quota. */
     public double units() {
         return request.units();
     }
 
-    /** Whether another region sent it. */
+    /** Returns whether another region forwarded this request. */
     public boolean remote() {
         return remote;
     }
 
-    /** What goes to a provider. */
+    /** Returns the message for the provider. */
     public RequestMessage message() {
         return message;
     }
 
-    /** Where its answer goes. */
+    /** Returns the sink for the final answer. */
     public AnswerSink answerSink() {
         return answerSink;
     }
 
+    /** Returns whether the invocation is closed and all of its calls have ended. */
     boolean isComplete() {
         return closed && allCallsEnded();
     }
@@ -121,7 +128,7 @@
         return calls.stream().allMatch(call -> call.ended);
     }
 
-    /** Whether every call made for it is known never to have run, so that a repeat is harmless. */
+    /** Returns whether all calls have ended and none of them ran the request, so that a retry is safe. */
     boolean neverRan() {
         return calls.stream().allMatch(call -> call.ended && call.neverRan);
     }
--- a/src/main/java/reedmux/gatekeeper/reducer/InvocationTable.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/InvocationTable.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The invocations under way, from their acceptance until each has its answer and all of its calls have ended. It sees
- * to it that each is closed once, with at most one answer.
+ * The invocations in flight. An invocation is kept from its acceptance until it is closed and all of its calls have
+ * ended. The table ensures that each invocation is closed once and gets at most one answer.
  */
 final class InvocationTable {
     private final ReducerContext context;
@@ -16,7 +16,7 @@
         this.context = context;
     }
 
-    /** The invocation of that id, or null where none is under way. */
+    /** Returns the invocation with the given id, or null if no such invocation is in flight. */
     Invocation find(String id) {
         return invocations.get(id);
     }
@@ -33,7 +33,7 @@
         return unansweredCount;
     }
 
-    /** Adds an invocation; returns false where another one of its id is under way. */
+    /** Adds an invocation. Returns false if another invocation with the same id is in flight. */
     boolean add(Invocation invocation) {
         if (invocations.putIfAbsent(invocation.id(), invocation) != null) {
             return false;
@@ -42,7 +42,7 @@
         return true;
     }
 
-    /** Gives the final answer, unless the invocation is closed already. */
+    /** Closes the invocation and sends the final answer, unless the invocation is already closed. */
     void answer(Invocation invocation, FinalAnswer answer) {
         if (!invocation.closed) {
             close(invocation);
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Nobody waits for an answer any more. */
+    /** Closes the invocation when it is answered or its consumer no longer waits for an answer. */
     void close(Invocation invocation) {
         invocation.closed = true;
         invocation.deadlineTimer.cancel();
@@ -64,7 +64,7 @@
         context.effects.onInvocationClosed(invocation);
     }
 
-    /** Stops waiting for a call, which then ends as any other. */
+    /** Aborts a call. Its end is reported by {@link ReducerEvent.CallEnded}, as for any other call. */
     void abort(UpstreamCall call, UpstreamCall.StopReason reason) {
         if (!call.ended && call.stopReason == UpstreamCall.StopReason.NONE) {
             call.stopReason = reason;
@@ -72,6 +72,7 @@
         }
     }
 
+    /** Removes the invocation if it is closed and all of its calls have ended. */
     void removeIfComplete(Invocation invocation) {
         if (invocation.isComplete()) {
             invocations.remove(invocation.id(), invocation);
--- a/src/main/java/reedmux/gatekeeper/reducer/PolicyActionExecutor.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/PolicyActionExecutor.java
@@ -5,7 +5,7 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.AttemptOutcome;
 import reedmux.gatekeeper.policy.TrafficPolicy.PolicyActions;
 
-/** Carries out what the policy decides, as effects. */
+/** Executes the actions that the policy requests, as effects and pending events. */
 final class PolicyActionExecutor implements PolicyActions {
     private final ReducerContext context;
     private final InvocationTable invocations;
@@ -30,31 +30,35 @@
     public void send(String request, String server, long timeout) {
         Invocation invocation = invocations.find(request);
         if (invocation == null) {
-            context.effects.log("send for an unknown request " + request);
+            context.effects.log("policy sent an attempt for unknown request " + request);
             return;
         }
         int number = invocation.calls.size();
-        long left = invocation.deadlineAt - context.now;
+        long remaining = invocation.deadlineAt - context.now;
         InetSocketAddress address = providers.get(server);
         UpstreamCall call = new UpstreamCall(invocation, number, server, address, context.now);
         invocation.calls.add(call);
-        boolean pointless = invocation.closed || left <= 0 || number >= maxAttempts || !invocation.message.isSendable();
-        if (pointless || address == null) {
+        boolean notSendable =
+                invocation.closed || remaining <= 0 || number >= maxAttempts || !invocation.message.isSendable();
+        if (notSendable || address == null) {
             call.ended = true;
             call.neverRan = true;
-            AttemptOutcome outcome = pointless ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED;
+            AttemptOutcome outcome = notSendable ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED;
             context.pendingEvents.add(new ReducerEvent.AttemptNotSent(invocation, number, server, outcome));
             return;
         }
-        long wait = timeout == 0 ? left : Math.min(left, Math.max(0, timeout));
-        setTimers(call, wait);
-        startCall(call, () -> context.effects.startCall(call, wait));
+        long callTimeout = timeout == 0 ? remaining : Math.min(remaining, Math.max(0, timeout));
+        setTimers(call, callTimeout);
+        startCall(call, () -> context.effects.startCall(call, callTimeout));
     }
 
-    /** A call that could not even be started has certainly not run; it ends like any other. */
-    private void startCall(UpstreamCall call, Runnable how) {
+    /**
+     * Starts a call. If that throws, the request certainly did not run, and the call ends like one whose connection
+     * could not be opened.
+     */
+    private void startCall(UpstreamCall call, Runnable startEffect) {
         try {
-            how.run();
+            startEffect.run();
         } catch (RuntimeException e) {
             CallResult result = new CallResult.ConnectionBroken(CallResult.CallStage.CONNECTING, String.valueOf(e));
             context.pendingEvents.add(new ReducerEvent.CallEnded(call, result));
@@ -141,17 +145,17 @@
         context.effects.sendToPeer(peer, bytes);
     }
 
-    /** No counter service is reached from here: nothing is ever added, and the policy is notified of that. */
+    /** Reports {@link ReducerEvent.CounterUnavailable} to the policy, since this gatekeeper has no counter service. */
     @Override
     public void addToCounter(long name, double amount, long keep) {
         context.pendingEvents.add(new ReducerEvent.CounterUnavailable(name, AttemptOutcome.CONNECT_FAILED));
     }
 
-    /** Discovery is watched without pause from the start, so there is nothing more to ask for. */
+    /** Does nothing, since discovery is watched continuously from the start. */
     @Override
     public void fetchServers() {}
 
-    /** As for {@link #fetchServers}. */
+    /** Does nothing, for the same reason as {@link #fetchServers}. */
     @Override
     public void watchServers(boolean on) {}
 
--- a/src/main/java/reedmux/gatekeeper/reducer/ProviderAddresses.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/ProviderAddresses.java
@@ -7,12 +7,12 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerListScope;
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerStatus;
 
-/** The addresses of all listed providers, by their ids. */
+/** The addresses of all listed providers, by provider id. */
 final class ProviderAddresses {
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     private volatile boolean anyListed;
 
-    /** The address of a provider, or null where it is not listed. */
+    /** Returns the address of a provider, or null if it is not listed. */
     InetSocketAddress get(String provider) {
         return addresses.get(provider);
     }
@@ -21,14 +21,15 @@
         return addresses.size();
     }
 
-    /** Whether any provider is listed; may be asked from any thread. */
+    /** Returns whether any provider is listed. Can be called from any thread. */
     boolean anyListed() {
         return anyListed;
     }
 
     /**
-     * Takes in a list or changes to it. Idle connections to providers that are gone, that a full list no longer names
-     * or names at another address are closed: they would hold descriptors, and the providers' slots, for long.
+     * Applies a full provider list or changes to the current one. Closes the idle connections to providers that are
+     * gone, are missing from a full list or have a new address; such connections would otherwise hold file descriptors
+     * and the providers' connection slots for a long time.
      */
     void apply(ProviderList list, ReducerEffects effects) {
         Map<String, InetSocketAddress> before = Map.copyOf(addresses);
--- a/src/main/java/reedmux/gatekeeper/reducer/ProviderList.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/ProviderList.java
@@ -5,9 +5,9 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.ListedServer;
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerListScope;
 
-/** A list of providers, or changes to one, with the addresses at which this gatekeeper reaches them. */
+/** A full list of providers, or changes to the current one, with the addresses that this gatekeeper connects to. */
 public record ProviderList(ServerListScope scope, long revision, List<ListedProvider> providers) {
 
-    /** One provider; the server is what the policy knows of it. */
+    /** One provider: its description for the policy and its address. */
     public record ListedProvider(ListedServer server, InetSocketAddress address) {}
 }
--- a/src/main/java/reedmux/gatekeeper/reducer/Reducer.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/Reducer.java
@@ -18,14 +18,15 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.TimerExpired;
 
 /**
- * The one place where the gatekeeper's state changes. It tells the policy what has happened, has its actions carried
- * out as effects ({@link PolicyActionExecutor}), and sees to it that every invocation gets exactly one final answer. It
- * decides nothing that the policy could decide. Times are microseconds of the monotonic clock.
+ * The gatekeeper's state machine, and the only place where its state changes. The reducer reports events to the policy
+ * and has the policy's actions executed as effects by {@link PolicyActionExecutor}. It ensures that no invocation gets
+ * more than one final answer, and that each invocation gets one unless its consumer disconnects. It makes no decision
+ * that the policy can make. Times are in microseconds of the monotonic clock.
  *
- * <p>For one thread, but for {@link #hasProviders}.
+ * <p>Must be used by a single thread, except for {@link #hasProviders}.
  */
 public final class Reducer {
-    /** When to come back after an answer that no decision stands behind. */
+    /** The retry delay in a rejection that was not decided by the policy. */
     private static final long UNDECIDED_RETRY_AFTER_MICROS = 350_000;
 
     private final TrafficPolicy policy;
@@ -35,17 +36,17 @@
     private final PolicyActions actions;
     private int streamingCount;
 
-    /** A reducer without other regions. */
+    /** Creates a reducer that has no other regions to forward to. */
     public Reducer(TrafficPolicy policy, int maxAttempts, long connectTimeout, ReducerEffects effects) {
         this(policy, maxAttempts, connectTimeout, effects, null);
     }
 
     /**
-     * A reducer.
+     * Creates a reducer.
      *
-     * @param maxAttempts    calls of one invocation at most
-     * @param connectTimeout the time in which a call's connection has to be up, in microseconds
-     * @param regions        the decisions on other regions, or null where none are set
+     * @param maxAttempts    the maximum number of calls for one invocation
+     * @param connectTimeout the time limit for establishing a call's connection, in microseconds
+     * @param regions        the coordinator for other regions, or null if no regions are configured
      */
     public Reducer(
             TrafficPolicy policy,
@@ -59,7 +60,7 @@
         actions = new PolicyActionExecutor(context, invocations, providers, maxAttempts, connectTimeout);
     }
 
-    /** Takes in one event at {@code now}, with all that follows from it at once. */
+    /** Processes one event at time {@code now}, and then the events that it raises. */
     public void reduce(long now, ReducerEvent event) {
         context.now = now;
         dispatchGuarded(event);
@@ -68,9 +69,10 @@
         }
     }
 
-    /** Takes in the events whose time has come. */
+    /** Processes the events of all timers that are due. */
     public void reduceDue(long now) {
-        // A timer set meanwhile for now or earlier waits for the next turn, as in the simulator's protocol.
+        // A timer that is set during this call waits for the next call even if it is already due, as in the simulator's
+        // protocol.
         long lastSequence = context.timers.lastSequence();
         while (context.timers.isDue(now, lastSequence)) {
             ReducerEvent event = context.timers.poll();
@@ -80,34 +82,35 @@
         }
     }
 
-    /** When the next timer is due, in microseconds; the far future if there is none. */
+    /** Returns the due time of the next timer in microseconds, or {@link Long#MAX_VALUE} if no timer is set. */
     public long nextDue() {
         return context.timers.nextDue();
     }
 
-    /** How many providers are listed. */
+    /** Returns the number of listed providers. */
     public int providerCount() {
         return providers.size();
     }
 
-    /** Invocations that still wait for their answer, or for the rest of it. */
+    /** Returns the number of invocations that wait for their answer, plus the responses still being streamed. */
     public int unansweredCount() {
         return invocations.unansweredCount() + streamingCount;
     }
 
-    /** Whether no invocation is under way: all are answered and all their calls have ended. */
+    /** Returns whether no invocation is in flight: all are closed and all of their calls have ended. */
     public boolean isIdle() {
         return invocations.isEmpty();
     }
 
-    /** Whether there is anyone to send to; may be asked from any thread. */
+    /** Returns whether any provider is listed. Can be called from any thread. */
     public boolean hasProviders() {
         return providers.anyListed();
     }
 
     /**
-     * A fault in a decision must not take all other consumers' answers along. The invocation that it concerned has its
-     * answer as soon as none of its calls is out, since nobody decides on it any more.
+     * Processes an event and catches exceptions, so that a fault in one decision does not prevent the answers to other
+     * consumers. The affected invocation is answered as soon as none of its calls is in flight, since the policy may
+     * never decide on it again.
      */
     private void dispatchGuarded(ReducerEvent event) {
         try {
@@ -116,15 +119,15 @@
             StackTraceElement[] trace = e.getStackTrace();
             context.effects.log("fault at " + event.getClass().getSimpleName() + ": " + e
                     + (trace.length == 0 ? "" : " at " + trace[0]));
-            Invocation concerned = affectedInvocation(event);
-            if (concerned != null && invocations.contains(concerned)) {
-                concerned.policyFailed = true;
-                context.pendingEvents.add(new ReducerEvent.PolicyDecisionFailed(concerned));
+            Invocation affected = affectedInvocation(event);
+            if (affected != null && invocations.contains(affected)) {
+                affected.policyFailed = true;
+                context.pendingEvents.add(new ReducerEvent.PolicyDecisionFailed(affected));
             }
         }
     }
 
-    /** The invocation that the policy decides on at an event, or null where there is none. */
+    /** Returns the invocation that the policy decides on when it handles the event, or null if there is none. */
     private static Invocation affectedInvocation(ReducerEvent event) {
         if (event instanceof ReducerEvent.InvocationAccepted e) {
             return e.invocation();
@@ -185,7 +188,8 @@
 
     // ---- Invocations ---------------------------------------------------------------------------------------------
     private void onInvocationAccepted(Invocation invocation) {
-        // Ids are fresh on every request; a second one under a live id would mix up two consumers' answers.
+        // Each request has a unique id. A second request with an id that is in flight must be refused: otherwise the
+        // answers to two consumers would be mixed up.
         if (!invocations.add(invocation)) {
             invocation.closed = true;
             if (context.regions != null) {
@@ -204,18 +208,21 @@
         reportBodyIncomplete(invocation);
     }
 
-    private void setDeadlineTimer(Invocation invocation, long at) {
-        invocation.deadlineTimer = context.timers.set(at, new ReducerEvent.InvocationDeadlinePassed(invocation));
+    private void setDeadlineTimer(Invocation invocation, long deadline) {
+        invocation.deadlineTimer = context.timers.set(deadline, new ReducerEvent.InvocationDeadlinePassed(invocation));
     }
 
-    /** After whatever may have been sent: a body that is still coming in gives its provider nothing to do. */
+    /**
+     * Reports to the policy that the request body is still arriving, so that the provider cannot run the request yet.
+     * Called after the policy may have sent the request.
+     */
     private void reportBodyIncomplete(Invocation invocation) {
         if (invocation.message.isStreaming() && invocation.bodyCompletedAt == 0 && !invocation.closed) {
             notifyPolicy(new RequestBodyProgress(invocation.id(), false));
         }
     }
 
-    /** Another region's request, if it is admitted, is served like one of a consumer, but never forwarded. */
+    /** Serves an admitted request of another region like a local one, except that it is never forwarded again. */
     private void onRemoteInvocationAccepted(Invocation invocation, RegionPath path) {
         RemoteRejection rejection = context.regions.admit(invocation, path, context.now);
         if (rejection != null) {
@@ -228,7 +235,7 @@
         onInvocationAccepted(invocation);
     }
 
-    /** Until now its consumer was still sending; its time, and that of its calls, runs from here. */
+    /** Restarts the invocation's deadline and the timeouts of its calls once the consumer has sent the whole body. */
     private void onRequestBodyCompleted(Invocation invocation, long timeout) {
         invocation.bodyCompletedAt = context.now;
         if (invocation.closed) {
@@ -248,13 +255,14 @@
     }
 
     /**
-     * Without its consumer, a body that was coming in will never be complete, and an answer goes nowhere: its calls are
-     * cancelled. One that must not run twice may be running by now, and goes on; where it is not sent yet it never is.
+     * Aborts the calls of an invocation whose consumer disconnected, if the request is idempotent, its response is
+     * being streamed, or its body was still arriving and can no longer be completed. Other calls may already be running
+     * a request that must not run twice: they continue if the whole request was written, and are aborted otherwise.
      */
     private void onConsumerDisconnected(Invocation invocation) {
         boolean bodyIncomplete = invocation.message.isStreaming() && invocation.bodyCompletedAt == 0;
         for (UpstreamCall call : invocation.calls) {
-            call.consumerLeft = true;
+            call.consumerDisconnected = true;
             if (invocation.idempotent || call.responseStartedAt > 0 || bodyIncomplete) {
                 invocations.abort(call, UpstreamCall.StopReason.CANCELLED);
             } else if (!call.ended) {
@@ -265,13 +273,13 @@
     }
 
     private void withdraw(Invocation invocation) {
-        // One that was rejected before it was accepted has never been counted here, and has no timer.
+        // An invocation that was rejected before it was accepted is not in the table and has no timer.
         if (invocation.closed || !invocations.contains(invocation)) {
             return;
         }
         invocations.close(invocation);
-        // What another region does for nobody costs two regions; but one that must not run twice may have run by
-        // now, and nothing is gained by not hearing of it.
+        // A forwarded call whose answer is no longer needed uses capacity in two regions, so it is cancelled. A request
+        // that is not idempotent may already have run, so nothing is gained by ignoring its result.
         for (UpstreamCall call : invocation.calls) {
             if (call.forwardedRequest != null && invocation.idempotent) {
                 invocations.abort(call, UpstreamCall.StopReason.CANCELLED);
@@ -281,7 +289,10 @@
         notifyPolicy(new RequestWithdrawn(invocation.id()));
     }
 
-    /** The policy knows it in part or not at all: what it might still decide on it is not waited for. */
+    /**
+     * Answers the invocation once all of its calls have ended, without waiting for a further decision: the exception
+     * may have left the policy with partial or no knowledge of the invocation.
+     */
     private void onPolicyDecisionFailed(Invocation invocation) {
         if (invocation.allCallsEnded()) {
             answerWithoutDecision(invocation);
@@ -290,8 +301,8 @@
     }
 
     /**
-     * Answers what the policy has not: at the deadline, whatever it still waits for, or after a fault. Nothing is known
-     * of when there will be room, so the advice is the policy's own for that case.
+     * Answers an invocation that the policy has not answered by its deadline, or will not answer after a fault. It is
+     * not known when capacity will be available, so the retry delay is the one that the policy uses in that case.
      */
     private void answerWithoutDecision(Invocation invocation) {
         if (invocation.closed) {
@@ -309,7 +320,7 @@
     }
 
     // ---- Calls ---------------------------------------------------------------------------------------------------
-    /** The answer is final from here on, whatever becomes of the rest of its body. */
+    /** Answers the invocation with the started response. The answer is final even if the rest of the body fails. */
     private void onResponseStarted(UpstreamCall call, CallResult.ResponseReceived head) {
         Invocation invocation = call.invocation;
         if (call.ended || call.responseStartedAt != 0 || call.stopReason != UpstreamCall.StopReason.NONE) {
@@ -320,7 +331,7 @@
         call.responseStartedAt = context.now;
         streamingCount++;
         if (invocation.closed) {
-            invocations.abort(call, UpstreamCall.StopReason.CANCELLED); // nobody is left to pass it on to
+            invocations.abort(call, UpstreamCall.StopReason.CANCELLED); // the consumer no longer waits for it
             return;
         }
         invocations.answer(invocation, new FinalAnswer.Served(head));
@@ -329,8 +340,8 @@
     }
 
     /**
-     * How long a call took until its answer had begun to come, in microseconds: neither a request's body that comes in
-     * slowly nor an answer's is work at the provider.
+     * Returns the time from sending the complete request to the start of the response, in microseconds. A request body
+     * that arrives slowly, or a response body that is written slowly, does not count as work of the provider.
      */
     private long elapsedUntilResponse(UpstreamCall call, CallResult result) {
         long until = context.now;
@@ -370,13 +381,17 @@
         invocations.removeIfComplete(invocation);
     }
 
-    /** A call that was never sent as a whole never ran, whatever made us stop it; else our reason to stop counts. */
+    /**
+     * Determines the outcome of a call. A call whose request was not completely sent never ran, whatever the reason for
+     * aborting it. Otherwise, if the call has no response, the reason for aborting it determines the outcome.
+     */
     private static AttemptOutcome determineOutcome(UpstreamCall call, CallResult result) {
         AttemptOutcome outcome = result.outcome();
         if (outcome == AttemptOutcome.CONNECT_FAILED) {
-            boolean brokenOffByConsumer = call.consumerLeft
+            boolean abortedByConsumer = call.consumerDisconnected
                     || call.stopReason == UpstreamCall.StopReason.CANCELLED && call.invocation.message.isStreaming();
-            return brokenOffByConsumer ? AttemptOutcome.NOT_SENT : outcome; // which says nothing of the provider
+            // An abort by the consumer must not count as a failure of the provider.
+            return abortedByConsumer ? AttemptOutcome.NOT_SENT : outcome;
         }
         if (result instanceof CallResult.ResponseReceived || call.stopReason == UpstreamCall.StopReason.NONE) {
             return outcome;
@@ -391,8 +406,8 @@
     }
 
     /**
-     * Back from another region, which was the last resort: whatever came of it is final. It is a rejection only where a
-     * repeat is harmless, and then with the more cautious advice of the two regions.
+     * Answers an invocation whose call to another region ended. Forwarding is the last resort, so its result is final.
+     * A failed call becomes a rejection only if a retry is safe, with the longer retry delay of the two regions.
      */
     private void onForwardEnded(UpstreamCall call, CallResult result, AttemptOutcome outcome) {
         Invocation invocation = call.invocation;
@@ -404,16 +419,17 @@
 
     private static FinalAnswer answerAfterForward(UpstreamCall call, CallResult result, AttemptOutcome outcome) {
         Invocation invocation = call.invocation;
-        CallResult.ResponseReceived response = result instanceof CallResult.ResponseReceived some ? some : null;
+        CallResult.ResponseReceived response = result instanceof CallResult.ResponseReceived received ? received : null;
         if (outcome == AttemptOutcome.OK) {
             return new FinalAnswer.Served(response);
         } else if (invocation.idempotent || invocation.neverRan()) {
-            long advice = response != null ? response.retryAfter() : -1;
-            return new FinalAnswer.Rejected(Math.max(call.rejectionRetryAfter, advice), true, invocation.neverRan());
+            long remoteRetryAfter = response != null ? response.retryAfter() : -1;
+            return new FinalAnswer.Rejected(
+                    Math.max(call.rejectionRetryAfter, remoteRetryAfter), true, invocation.neverRan());
         }
-        boolean late =
+        boolean timedOut =
                 response != null ? response.status() == CallResult.TIMEOUT_STATUS : outcome == AttemptOutcome.TIMEOUT;
-        return new FinalAnswer.Failed(late);
+        return new FinalAnswer.Failed(timedOut);
     }
 
     // ---- Providers -----------------------------------------------------------------------------------------------
--- a/src/main/java/reedmux/gatekeeper/reducer/ReducerContext.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/ReducerContext.java
@@ -2,16 +2,16 @@
 
 import java.util.ArrayDeque;
 
-/** What the parts of one {@link Reducer} share while an event is reduced. Owned by the reducer's thread. */
+/** The state that the components of one {@link Reducer} share. Owned by the reducer's thread. */
 final class ReducerContext {
     final ReducerEffects effects;
-    /** The decisions on other regions, or null where none are set. */
+    /** Coordinates forwarding to and from other regions, or null if no regions are configured. */
     final RegionCoordinator regions;
 
     final ReducerTimers timers = new ReducerTimers();
-    /** Events that follow from the one that is being reduced, and are reduced right after it. */
+    /** Events raised while another event is being reduced. They are reduced right after it. */
     final ArrayDeque<ReducerEvent> pendingEvents = new ArrayDeque<>();
-    /** The time of the event that is being reduced, in microseconds. */
+    /** The time of the event being reduced, in microseconds. */
     long now;
 
     ReducerContext(ReducerEffects effects, RegionCoordinator regions) {
--- a/src/main/java/reedmux/gatekeeper/reducer/ReducerTimer.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/ReducerTimer.java
@@ -1,21 +1,22 @@
 package reedmux.gatekeeper.reducer;
 
 /**
- * An event that is due at a time, in microseconds; of those due together the one set first comes first. Nearly all are
- * cancelled: what the event refers to can be freed then, while the timer itself stays in its queue until it is due.
+ * A timer that raises an event at {@code dueAt}, in microseconds. Timers with the same due time expire in the order in
+ * which they were set. Nearly all timers are cancelled: cancellation drops the event, so that the objects it references
+ * can be garbage collected, but the timer itself remains in its queue until it is due.
  */
 public final class ReducerTimer implements Comparable<ReducerTimer> {
     final long dueAt;
     final long sequence;
     private ReducerEvent event;
 
-    ReducerTimer(long at, long order, ReducerEvent event) {
-        this.dueAt = at;
-        this.sequence = order;
+    ReducerTimer(long dueAt, long sequence, ReducerEvent event) {
+        this.dueAt = dueAt;
+        this.sequence = sequence;
         this.event = event;
     }
 
-    /** The event, or null where it has been cancelled. */
+    /** Returns the event, or null if the timer was cancelled. */
     ReducerEvent event() {
         return event;
     }
--- a/src/main/java/reedmux/gatekeeper/reducer/ReducerTimers.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/ReducerTimers.java
@@ -2,37 +2,38 @@
 
 import java.util.PriorityQueue;
 
-/** The timers of one reducer, by the time at which they are due, and in the order in which they were set. */
+/** The timers of one reducer, ordered by due time and then by the order in which they were set. */
 final class ReducerTimers {
     private final PriorityQueue<ReducerTimer> queue = new PriorityQueue<>();
     private long lastSequence;
 
-    /** Sets a timer for a time in microseconds. */
-    ReducerTimer set(long at, ReducerEvent event) {
-        ReducerTimer timer = new ReducerTimer(at, ++lastSequence, event);
+    /** Sets a timer that raises {@code event} at {@code dueAt}, in microseconds. */
+    ReducerTimer set(long dueAt, ReducerEvent event) {
+        ReducerTimer timer = new ReducerTimer(dueAt, ++lastSequence, event);
         queue.add(timer);
         return timer;
     }
 
-    /** The sequence number of the timer that was set last. */
+    /** Returns the sequence number of the most recently set timer. */
     long lastSequence() {
         return lastSequence;
     }
 
-    /** Whether the next timer is due at a time, and was set no later than the one of that sequence number. */
+    /** Returns whether the next timer is due at {@code now} and its sequence number is at most {@code upToSequence}. */
     boolean isDue(long now, long upToSequence) {
         ReducerTimer next = queue.peek();
         return next != null && next.dueAt <= now && next.sequence <= upToSequence;
     }
 
-    /** Takes the next timer off; returns its event, or null where it has been cancelled. */
+    /** Removes the next timer and returns its event, or null if the timer was cancelled. */
     ReducerEvent poll() {
         return queue.poll().event();
     }
 
     /**
-     * When the next timer is due, in microseconds; the far future if there is none. Cancelled ones are passed over:
-     * nearly all of them end that way, and a turn for each would cost more than the request did.
+     * Returns the due time of the next timer in microseconds, or {@link Long#MAX_VALUE} if no timer is set. Removes
+     * cancelled timers from the head of the queue: nearly all timers are cancelled, and an iteration of the event loop
+     * for each of them would cost more than the request itself.
      */
     long nextDue() {
         while (!queue.isEmpty() && queue.peek().event() == null) {
--- a/src/main/java/reedmux/gatekeeper/reducer/RegionCoordinator.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/RegionCoordinator.java
@@ -12,8 +12,9 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.AttemptOutcome;
 
 /**
- * Notifies the decisions on other regions of what the reducer sees, and asks them for the reducer. Without settings of
- * regions there is none. Owned by the reducer's thread. Times are in microseconds.
+ * Connects the reducer to the failover policy: reports the requests that the reducer processes, and requests decisions
+ * on forwarding to and admission from other regions. There is no coordinator if no regions are configured. Owned by the
+ * reducer's thread. Times are in microseconds.
  */
 public final class RegionCoordinator {
     private final FailoverPolicy failover;
@@ -21,10 +22,10 @@
     private Map<String, InetSocketAddress> gateways;
 
     /**
-     * A coordinator.
+     * Creates a coordinator.
      *
-     * @param gateways       the other region's gateways, by the names that the rules use
-     * @param latencyTargets the time in which a request of each class should be answered
+     * @param gateways       the addresses of the other region's gateways, by the names used in the failover rules
+     * @param latencyTargets the latency target of each request class
      */
     public RegionCoordinator(FailoverPolicy failover, Map<String, InetSocketAddress> gateways, long[] latencyTargets) {
         this.failover = failover;
@@ -32,7 +33,7 @@
         this.latencyTargets = latencyTargets.clone();
     }
 
-    /** The decisions; their metrics may be read by the owning thread. */
+    /** Returns the failover policy. Its metrics may be read only by the owning thread. */
     public FailoverPolicy failoverPolicy() {
         return failover;
     }
@@ -52,11 +53,14 @@
         }
     }
 
-    /** Notes how a request of one of our own consumers was served here; only the first report of each counts. */
-    void recordLocalResult(Invocation invocation, long now, boolean good) {
+    /**
+     * Records how this region served a request of one of its own consumers. Only the first record of each request
+     * counts.
+     */
+    void recordLocalResult(Invocation invocation, long now, boolean servedInTime) {
         if (!invocation.remote && !invocation.localResultRecorded) {
             invocation.localResultRecorded = true;
-            failover.onLocalRequestEnded(now, good);
+            failover.onLocalRequestEnded(now, servedInTime);
         }
     }
 
@@ -91,15 +95,16 @@
     }
 
     void onForwardEnded(UpstreamCall call, CallResult result, AttemptOutcome outcome, long now) {
-        CallResult.ResponseReceived response = result instanceof CallResult.ResponseReceived some ? some : null;
+        CallResult.ResponseReceived response = result instanceof CallResult.ResponseReceived received ? received : null;
         long remoteElapsed = response != null ? response.remoteElapsed() : -1;
         long retryAfter = response != null ? response.retryAfter() : -1;
-        ForwardResult ended = response != null ? ForwardResult.ANSWERED : ForwardResult.FAILED;
+        ForwardResult forwardResult = response != null ? ForwardResult.ANSWERED : ForwardResult.FAILED;
         if (call.stopReason == UpstreamCall.StopReason.CANCELLED) {
-            ended = ForwardResult.CANCELLED;
+            forwardResult = ForwardResult.CANCELLED;
         } else if (outcome == AttemptOutcome.OVERLOADED) {
-            ended = ForwardResult.REJECTED;
+            forwardResult = ForwardResult.REJECTED;
         }
-        failover.onForwardEnded(now, call.forwardedRequest, ended, now - call.sentAt, remoteElapsed, retryAfter);
+        failover.onForwardEnded(
+                now, call.forwardedRequest, forwardResult, now - call.sentAt, remoteElapsed, retryAfter);
     }
 }
--- a/src/main/java/reedmux/gatekeeper/reducer/UpstreamCall.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/UpstreamCall.java
@@ -3,10 +3,10 @@
 import java.net.InetSocketAddress;
 import reedmux.gatekeeper.failover.ForwardedRequest;
 
-/** One attempt of an invocation at a provider, or at a gateway of another region. Times are in microseconds. */
+/** One attempt to run an invocation on a provider or a gateway of another region. Times are in microseconds. */
 public final class UpstreamCall {
 
-    /** Why this gateway stopped waiting for it, if it did. */
+    /** Why this gateway aborted the call, if it did. */
     enum StopReason {
         NONE,
         TIMED_OUT,
@@ -18,22 +18,29 @@
     final String provider;
     final InetSocketAddress address;
     final long sentAt;
-    /** How it goes to another region, or null for a provider's call. */
+    /** How the call is forwarded to another region, or null for a call to a provider. */
     final ForwardedRequest forwardedRequest;
-    /** Our own advice if the other region rejects it. */
+    /**
+     * This region's own retry delay for the consumer if the forwarded call ends in a rejection. The other region's
+     * advice can only lengthen it.
+     */
     final long rejectionRetryAfter;
 
     StopReason stopReason = StopReason.NONE;
     boolean ended;
-    /** Its consumer left while it was out, so that how it ends without an answer says nothing of the provider. */
-    boolean consumerLeft;
+    /**
+     * Whether the consumer disconnected during the call. If the call then ends before the request is written, the
+     * outcome must not count as a failure of the provider.
+     */
+    boolean consumerDisconnected;
 
     ReducerTimer timeoutTimer;
     ReducerTimer connectTimer;
+    /** Whether the call is known not to have run the request. */
     boolean neverRan;
-    /** When its answer began to be passed on; 0 before that. */
+    /** The time at which streaming of the response to the consumer started, or 0 before that. */
     long responseStartedAt;
-    /** What the transport remembers of it; the reducer never looks at it. */
+    /** State that the transport attaches to the call. The reducer does not use it. */
     private Object transportState;
 
     UpstreamCall(Invocation invocation, int number, String provider, InetSocketAddress address, long sentAt) {
@@ -57,45 +64,45 @@
         this.sentAt = sentAt;
     }
 
-    /** It has ended, and needs no timers any more. */
+    /** Marks the call as ended and cancels its timers. */
     void markEnded() {
         ended = true;
         timeoutTimer.cancel();
         connectTimer.cancel();
     }
 
-    /** Whose call it is. */
+    /** Returns the invocation that this call belongs to. */
     public Invocation invocation() {
         return invocation;
     }
 
-    /** Which of its invocation's calls it is, from 0. */
+    /** Returns the index of this call among the calls of its invocation, from 0. */
     public int number() {
         return number;
     }
 
-    /** How it goes to another region, or null for a provider's call. */
+    /** Returns how the call is forwarded to another region, or null for a call to a provider. */
     public ForwardedRequest forwardedRequest() {
         return forwardedRequest;
     }
 
-    /** The provider's id, or the gateway's name. */
+    /** Returns the id of the provider, or the name of the other region's gateway. */
     public String provider() {
         return provider;
     }
 
-    /** Where it goes. */
+    /** Returns the address of the provider or gateway. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** What the transport keeps with it, or null. */
+    /** Returns the state that the transport attached to this call, or null. */
     public Object transportState() {
         return transportState;
     }
 
-    /** Has the transport keep something with it. */
-    public void transportState(Object transport) {
-        this.transportState = transport;
+    /** Attaches state of the transport to this call. */
+    public void transportState(Object transportState) {
+        this.transportState = transportState;
     }
 }
--- a/src/main/java/reedmux/gatekeeper/reducer/package-info.java
+++ b/src/main/java/reedmux/gatekeeper/reducer/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The gatekeeper's state machine, without I/O: {@link reedmux.gatekeeper.reducer.Reducer} takes in {@link
- * reedmux.gatekeeper.reducer.ReducerEvent}s, has the policy decide, and asks for {@link
- * reedmux.gatekeeper.reducer.ReducerEffects}. {@link reedmux.gatekeeper.reducer.GatekeeperLoop} is the loop of the
- * thread that feeds it.
+ * The gatekeeper's state machine, which performs no I/O. {@link reedmux.gatekeeper.reducer.Reducer} receives {@link
+ * reedmux.gatekeeper.reducer.ReducerEvent}s, passes them to the traffic policy for decisions, and requests I/O through
+ * {@link reedmux.gatekeeper.reducer.ReducerEffects}. {@link reedmux.gatekeeper.reducer.GatekeeperLoop} is the event
+ * loop of the thread that runs the reducers.
  */
 package reedmux.gatekeeper.reducer;
