--- a/src/test/java/reedmux/gatekeeper/reducer/ReducerTest.java
+++ b/src/test/java/reedmux/gatekeeper/reducer/ReducerTest.java
@@ -18,7 +18,7 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerListScope;
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerStatus;
 
-/** What becomes of an invocation whose decision throws, whose call cannot start, or whose consumer leaves. */
+/** Tests invocations whose policy decision throws, whose call cannot start or whose consumer disconnects. */
 public final class ReducerTest {
     private static final long SECOND = 1_000_000;
     private static final long DEADLINE = 4 * SECOND;
@@ -30,7 +30,7 @@
                     InetSocketAddress.createUnresolved("p1", 1)))));
     private static final Invocation.RequestMessage EMPTY_MESSAGE = new Invocation.RequestMessage() {};
 
-    /** A module that sends what comes to the one provider, and fails when it is told to. */
+    /** A policy that sends each request to the only provider, and throws at the events selected by its flags. */
     private static final class FaultyPolicy implements TrafficPolicy {
         boolean failAtRequest;
         boolean failAfterSend;
@@ -41,32 +41,32 @@
         @Override
         public void handle(long now, PolicyEvent event, PolicyActions actions) {
             if (event instanceof IncomingRequest e) {
-                fail(failAtRequest);
+                throwIf(failAtRequest);
                 actions.send(e.id(), "p1", 0);
-                fail(failAfterSend);
+                throwIf(failAfterSend);
             } else if (event instanceof AttemptEnded) {
-                fail(failAtAttemptEnd);
+                throwIf(failAtAttemptEnd);
             } else if (event instanceof RequestWithdrawn e) {
                 withdrawn.add(e.request());
-                fail(failAtWithdrawal);
+                throwIf(failAtWithdrawal);
             }
         }
 
-        private static void fail(boolean now) {
-            if (now) {
-                throw new IllegalStateException("planted");
+        private static void throwIf(boolean injectFault) {
+            if (injectFault) {
+                throw new IllegalStateException("injected fault");
             }
         }
     }
 
-    /** Notes what the reducer asks for. */
+    /** Records the effects that the reducer requests. */
     public static final class RecordingEffects implements ReducerEffects {
         final List<FinalAnswer> answers = new ArrayList<>();
         final List<UpstreamCall> calls = new ArrayList<>();
-        final List<UpstreamCall> stopped = new ArrayList<>();
-        final List<UpstreamCall> stoppedUnlessSent = new ArrayList<>();
+        final List<UpstreamCall> aborted = new ArrayList<>();
+        final List<UpstreamCall> abortedUnlessSent = new ArrayList<>();
         final List<String> log = new ArrayList<>();
-        boolean cannotStart;
+        boolean failCallStart;
 
         @Override
         public void sendAnswer(Invocation invocation, FinalAnswer answer) {
@@ -75,30 +75,30 @@
 
         @Override
         public void startCall(UpstreamCall call, long timeout) {
-            if (cannotStart) {
+            if (failCallStart) {
                 throw new IllegalStateException("no transport");
             }
             calls.add(call);
         }
 
         @Override
-        public void startForwardedCall(UpstreamCall call, ForwardedRequest departure) {}
+        public void startForwardedCall(UpstreamCall call, ForwardedRequest forwarded) {}
 
         @Override
         public void abortConnecting(UpstreamCall call) {}
 
         @Override
         public void abortUnlessSent(UpstreamCall call) {
-            stoppedUnlessSent.add(call);
+            abortedUnlessSent.add(call);
         }
 
         @Override
         public void abortCall(UpstreamCall call) {
-            stopped.add(call);
+            aborted.add(call);
         }
 
         @Override
-        public void checkHealth(String provider, InetSocketAddress address, long askedAt) {}
+        public void checkHealth(String provider, InetSocketAddress address, long startedAt) {}
 
         @Override
         public void closeIdleConnections(String provider, InetSocketAddress address) {}
@@ -120,15 +120,15 @@
         reducer.reduce(0, ONE_PROVIDER);
     }
 
-    private Invocation accept(String id, boolean repeatable) {
-        Invocation taken = invocation(id, repeatable);
-        reducer.reduce(SECOND, new ReducerEvent.InvocationAccepted(taken));
-        return taken;
+    private Invocation accept(String id, boolean idempotent) {
+        Invocation invocation = newInvocation(id, idempotent);
+        reducer.reduce(SECOND, new ReducerEvent.InvocationAccepted(invocation));
+        return invocation;
     }
 
-    private static Invocation invocation(String id, boolean repeatable) {
+    private static Invocation newInvocation(String id, boolean idempotent) {
         return new Invocation(
-                new IncomingRequest(id, 0, 0, 7, DEADLINE, 1, 1, 0, false), repeatable, EMPTY_MESSAGE, answer -> {});
+                new IncomingRequest(id, 0, 0, 7, DEADLINE, 1, 1, 0, false), idempotent, EMPTY_MESSAGE, answer -> {});
     }
 
     private void endCall(UpstreamCall call, CallResult result) {
@@ -139,16 +139,19 @@
         return new CallResult.ConnectionBroken(stage, "test");
     }
 
-    /** All is forgotten, and nothing that is due later has anything more to say. */
-    private void assertNothingIsKept() {
-        assertTrue(reducer.isIdle(), "an invocation is kept");
+    /** Asserts that no invocation is in flight, and that the remaining timers cause no further answers. */
+    private void assertNoInvocationLeft() {
+        assertTrue(reducer.isIdle(), "an invocation is still in flight");
         assertEquals(0, reducer.unansweredCount());
         int answers = effects.answers.size();
         reducer.reduceDue(2 * DEADLINE);
         assertEquals(answers, effects.answers.size());
     }
 
-    /** It used to wait for its deadline, 3 s here, though nobody would decide on it any more. */
+    /**
+     * Guards against an invocation that waits for its deadline, 3 s here, although the policy threw and will not decide
+     * on it again.
+     */
     @Test
     void exceptionOnArrivalRejectsAtOnce() {
         policy.failAtRequest = true;
@@ -156,22 +159,22 @@
         FinalAnswer.Rejected answer = (FinalAnswer.Rejected) effects.answers.get(0);
         assertTrue(answer.retryAfter() > 0 && answer.neverRan() && !answer.attempted(), answer + "");
         assertEquals(List.of("a"), policy.withdrawn);
-        assertNothingIsKept();
+        assertNoInvocationLeft();
     }
 
     @Test
-    void exceptionAfterTheSendLeavesTheAnswerOfTheCall() {
+    void exceptionAfterSendDoesNotAffectTheResponse() {
         policy.failAfterSend = true;
         accept("a", false);
         assertEquals(List.of(), effects.answers);
         endCall(effects.calls.get(0), new CallResult.ResponseReceived(200, false, null, new byte[0]));
         assertTrue(effects.answers.get(0) instanceof FinalAnswer.Served);
-        assertNothingIsKept();
+        assertNoInvocationLeft();
     }
 
-    /** One that may have run is never called a rejection, one that cannot have run always is. */
+    /** A non-idempotent request that may have run is reported as failed, one that cannot have run as rejected. */
     @Test
-    void invocationIsAnsweredAfterAnExceptionWhenItsLastCallEnds() {
+    void exceptionAfterSendIsAnsweredWhenTheLastCallEnds() {
         policy.failAfterSend = true;
         accept("a", false);
         endCall(effects.calls.get(0), brokenAt(CallResult.CallStage.AWAITING_RESPONSE));
@@ -179,12 +182,15 @@
         accept("b", false);
         endCall(effects.calls.get(1), brokenAt(CallResult.CallStage.CONNECTING));
         assertTrue(effects.answers.get(1) instanceof FinalAnswer.Rejected);
-        assertNothingIsKept();
+        assertNoInvocationLeft();
     }
 
-    /** Also where the module throws at everything; an answered one was kept for ever then. */
+    /**
+     * Guards against a leak: an answered invocation was never removed if the policy threw at the end of its call. The
+     * policy here also throws at withdrawals.
+     */
     @Test
-    void exceptionAtTheEndOfACallLeaksNothing() {
+    void exceptionAtCallEndDoesNotLeakTheInvocation() {
         policy.failAtAttemptEnd = true;
         policy.failAtWithdrawal = true;
         accept("a", true);
@@ -193,27 +199,30 @@
         endCall(effects.calls.get(1), brokenAt(CallResult.CallStage.AWAITING_RESPONSE));
         assertEquals(2, effects.answers.size());
         assertTrue(((FinalAnswer.Rejected) effects.answers.get(1)).attempted());
-        assertNothingIsKept();
+        assertNoInvocationLeft();
     }
 
-    /** A call whose start throws had no time limits yet, and its end then failed for want of them. */
+    /** Guards against a fault at the end of a call whose start threw before its timers were set. */
     @Test
-    void callThatCannotStartEndsAsNeverRun() {
-        effects.cannotStart = true;
+    void callThatCannotStartIsReportedAsNeverRun() {
+        effects.failCallStart = true;
         accept("a", false);
         reducer.reduceDue(DEADLINE);
         assertTrue(((FinalAnswer.Rejected) effects.answers.get(0)).neverRan());
         assertEquals(List.of(), effects.log);
-        assertNothingIsKept();
+        assertNoInvocationLeft();
     }
 
-    /** It waited in a queue, was turned away there, and its consumer's leaving was told all the same. */
+    /**
+     * A disconnect is also reported for an invocation that was rejected while it was queued, before the reducer
+     * accepted it.
+     */
     @Test
-    void aConsumerWhoLeavesBeforeItIsTakenIsNoFault() {
-        reducer.reduce(SECOND, new ReducerEvent.ConsumerDisconnected(invocation("a", true)));
+    void disconnectBeforeAcceptanceIsIgnored() {
+        reducer.reduce(SECOND, new ReducerEvent.ConsumerDisconnected(newInvocation("a", true)));
         assertEquals(List.of(), effects.log);
         assertEquals(List.of(), policy.withdrawn);
-        assertNothingIsKept();
+        assertNoInvocationLeft();
     }
 
     @Test
@@ -221,31 +230,37 @@
         accept("a", true);
         reducer.reduceDue(DEADLINE);
         assertTrue(((FinalAnswer.Rejected) effects.answers.get(0)).retryAfter() > 0);
-        assertFalse(reducer.isIdle(), "its call is still out");
+        assertFalse(reducer.isIdle(), "its call has not ended yet");
         endCall(effects.calls.get(0), brokenAt(CallResult.CallStage.AWAITING_RESPONSE));
-        assertNothingIsKept();
+        assertNoInvocationLeft();
     }
 
-    /** What may be repeated is cancelled at its provider; what may not may have run, and is not cut short. */
+    /**
+     * The call of an idempotent request is aborted. Any other request may already be running, so its call is aborted only
+     * if it is unsent.
+     */
     @Test
-    void aConsumerWhoLeavesTakesItsIdempotentCallsAlong() {
+    void disconnectAbortsIdempotentCalls() {
         Invocation idempotent = accept("a", true);
-        Invocation effectful = accept("b", false);
+        Invocation nonIdempotent = accept("b", false);
         reducer.reduce(SECOND, new ReducerEvent.ConsumerDisconnected(idempotent));
-        reducer.reduce(SECOND, new ReducerEvent.ConsumerDisconnected(effectful));
-        assertEquals(List.of(effects.calls.get(0)), effects.stopped);
-        assertEquals(List.of(effects.calls.get(1)), effects.stoppedUnlessSent, "it is not sent if it was not yet");
+        reducer.reduce(SECOND, new ReducerEvent.ConsumerDisconnected(nonIdempotent));
+        assertEquals(List.of(effects.calls.get(0)), effects.aborted);
+        assertEquals(
+                List.of(effects.calls.get(1)),
+                effects.abortedUnlessSent,
+                "a call that is not idempotent must be aborted only if it is unsent");
         endCall(effects.calls.get(0), brokenAt(CallResult.CallStage.AWAITING_RESPONSE));
         endCall(effects.calls.get(1), new CallResult.ResponseReceived(200, false, null, new byte[0]));
         assertEquals(List.of(), effects.answers);
-        assertNothingIsKept();
+        assertNoInvocationLeft();
     }
 
-    /** At each stage after its arrival: no answer, no second call, nothing kept. */
+    /** A disconnect during the call or after the answer causes no answer, no second call and no leak. */
     @Test
-    void aConsumerWhoLeavesLeavesNothingBehind() {
-        Invocation out = accept("a", false);
-        reducer.reduce(SECOND, new ReducerEvent.ConsumerDisconnected(out));
+    void disconnectDoesNotLeakTheInvocation() {
+        Invocation inFlight = accept("a", false);
+        reducer.reduce(SECOND, new ReducerEvent.ConsumerDisconnected(inFlight));
         endCall(effects.calls.get(0), brokenAt(CallResult.CallStage.WRITING));
         Invocation answered = accept("b", false);
         endCall(effects.calls.get(1), new CallResult.ResponseReceived(200, false, null, new byte[0]));
@@ -253,6 +268,6 @@
         assertEquals(1, effects.answers.size());
         assertEquals(2, effects.calls.size());
         assertEquals(List.of("a"), policy.withdrawn);
-        assertNothingIsKept();
+        assertNoInvocationLeft();
     }
 }
--- a/src/test/java/reedmux/gatekeeper/reducer/StreamingReducerTest.java
+++ b/src/test/java/reedmux/gatekeeper/reducer/StreamingReducerTest.java
@@ -13,7 +13,7 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.PolicyActions;
 import reedmux.gatekeeper.policy.TrafficPolicy.ResponseStreamStarted;
 
-/** Messages and answers that are passed on as they come: one answer, honest times, nothing sent twice. */
+/** Tests streamed requests and responses: a single answer, correct latencies, and no retry of a partly sent body. */
 public final class StreamingReducerTest {
     private static final long MS = 1_000;
     private static final long SECOND = 1_000 * MS;
@@ -21,7 +21,7 @@
             new CallResult.ResponseReceived(200, false, null, new byte[0], -1, -1, () -> 300_000, 0);
     private static final CallResult COMPLETE_RESPONSE = new CallResult.ResponseReceived(200, false, null, new byte[0]);
 
-    /** A module that sends whatever comes, and sends it again whenever it may. */
+    /** A policy that sends each request and makes up to three attempts before it rejects the request. */
     private static final class AlwaysRetryingPolicy implements TrafficPolicy {
         final List<String> received = new ArrayList<>();
 
@@ -30,7 +30,7 @@
             if (event instanceof IncomingRequest e) {
                 actions.send(e.id(), "p1", 0);
             } else if (event instanceof ResponseStreamStarted e) {
-                received.add("begun " + e.elapsed() / MS);
+                received.add("started " + e.elapsed() / MS);
             } else if (event instanceof AttemptEnded e) {
                 received.add(e.outcome() + " " + e.elapsed() / MS);
                 if (!e.requestOver() && e.attempt() < 2) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /** A body that still comes in, of which a provider has had something or not. */
+    /** A message whose body is still arriving. {@code unsent} states whether no part of it was sent to a provider. */
     private static final class StreamingMessage implements Invocation.RequestMessage {
         boolean unsent = true;
 
@@ -66,11 +66,11 @@
         reducer.reduce(0, ReducerTest.ONE_PROVIDER);
     }
 
-    private Invocation accept(Invocation.RequestMessage of, long deadline) {
-        Invocation taken =
-                new Invocation(new IncomingRequest("a", 0, 0, 7, deadline, 1, 1, 0, false), false, of, answer -> {});
-        reducer.reduce(SECOND, new ReducerEvent.InvocationAccepted(taken));
-        return taken;
+    private Invocation accept(Invocation.RequestMessage requestMessage, long deadline) {
+        IncomingRequest request = new IncomingRequest("a", 0, 0, 7, deadline, 1, 1, 0, false);
+        Invocation invocation = new Invocation(request, false, requestMessage, answer -> {});
+        reducer.reduce(SECOND, new ReducerEvent.InvocationAccepted(invocation));
+        return invocation;
     }
 
     private void reduceAt(long time, ReducerEvent event) {
@@ -92,14 +92,17 @@
         UpstreamCall call = effects.calls.get(0);
         reduceAt(SECOND + 30 * MS, new ReducerEvent.ResponseStarted(call, STARTED_RESPONSE));
         assertEquals(List.of(new FinalAnswer.Served(STARTED_RESPONSE)), effects.answers);
-        assertEquals(1, reducer.unansweredCount(), "one that leaves waits for the rest");
+        assertEquals(1, reducer.unansweredCount(), "a response that is still being streamed must count as unanswered");
         reduceAt(60 * SECOND, new ReducerEvent.CallEnded(call, COMPLETE_RESPONSE));
-        assertEquals(List.of("begun 30", "OK 30"), policy.received);
-        assertEquals(List.of(), effects.stopped);
+        assertEquals(List.of("started 30", "OK 30"), policy.received);
+        assertEquals(List.of(), effects.aborted);
         assertSettled(1);
     }
 
-    /** The module used to take a provider that writes slowly for one that is full, and turned others away. */
+    /**
+     * Guards against needless rejections: the policy took a provider that writes its response slowly for an overloaded
+     * one and rejected other requests.
+     */
     @Test
     void slowResponseBodyDoesNotCountAsLatency() {
         accept(new Invocation.RequestMessage() {}, 4 * SECOND);
@@ -121,18 +124,18 @@
                 2 * SECOND,
                 new ReducerEvent.CallEnded(
                         call, new CallResult.ConnectionBroken(CallResult.CallStage.RECEIVING_RESPONSE, "test")));
-        assertEquals(List.of("begun 30", AttemptOutcome.RESET + " 30"), policy.received);
+        assertEquals(List.of("started 30", AttemptOutcome.RESET + " 30"), policy.received);
         assertEquals(1, effects.calls.size());
         assertSettled(1);
     }
 
     @Test
     void disconnectDuringAResponseCancelsTheCall() {
-        Invocation taken = accept(new Invocation.RequestMessage() {}, 4 * SECOND);
+        Invocation invocation = accept(new Invocation.RequestMessage() {}, 4 * SECOND);
         UpstreamCall call = effects.calls.get(0);
         reduceAt(SECOND + 30 * MS, new ReducerEvent.ResponseStarted(call, STARTED_RESPONSE));
-        reduceAt(2 * SECOND, new ReducerEvent.ConsumerDisconnected(taken));
-        assertEquals(List.of(call), effects.stopped);
+        reduceAt(2 * SECOND, new ReducerEvent.ConsumerDisconnected(invocation));
+        assertEquals(List.of(call), effects.aborted);
         reduceAt(
                 2 * SECOND,
                 new ReducerEvent.CallEnded(
@@ -141,12 +144,12 @@
         assertSettled(1);
     }
 
-    /** Its connection was not up yet, and is given up with its consumer: the provider has not failed by that. */
+    /** A call that is aborted while connecting because the consumer disconnected is no provider failure. */
     @Test
-    void callThatEndsUnsentWithItsConsumerSaysNothingOfTheProvider() {
-        Invocation taken = accept(new Invocation.RequestMessage() {}, 4 * SECOND);
+    void unsentCallAbortedByADisconnectIsNoProviderFailure() {
+        Invocation invocation = accept(new Invocation.RequestMessage() {}, 4 * SECOND);
         UpstreamCall call = effects.calls.get(0);
-        reduceAt(SECOND, new ReducerEvent.ConsumerDisconnected(taken));
+        reduceAt(SECOND, new ReducerEvent.ConsumerDisconnected(invocation));
         reduceAt(
                 SECOND,
                 new ReducerEvent.CallEnded(
@@ -157,11 +160,11 @@
 
     @Test
     void responseThatStartsAfterADisconnectIsAborted() {
-        Invocation taken = accept(new Invocation.RequestMessage() {}, 4 * SECOND);
+        Invocation invocation = accept(new Invocation.RequestMessage() {}, 4 * SECOND);
         UpstreamCall call = effects.calls.get(0);
-        reduceAt(SECOND, new ReducerEvent.ConsumerDisconnected(taken));
+        reduceAt(SECOND, new ReducerEvent.ConsumerDisconnected(invocation));
         reduceAt(SECOND + 30 * MS, new ReducerEvent.ResponseStarted(call, STARTED_RESPONSE));
-        assertEquals(List.of(call), effects.stopped);
+        assertEquals(List.of(call), effects.aborted);
         reduceAt(
                 2 * SECOND,
                 new ReducerEvent.CallEnded(
@@ -170,21 +173,21 @@
     }
 
     @Test
-    void timeOfAStreamedBodyRunsFromItsLastByte() {
-        Invocation taken = accept(message, 600 * SECOND);
+    void latencyOfAStreamedRequestStartsAtItsLastByte() {
+        Invocation invocation = accept(message, 600 * SECOND);
         UpstreamCall call = effects.calls.get(0);
-        reduceAt(20 * SECOND, new ReducerEvent.RequestBodyCompleted(taken, 2 * SECOND));
+        reduceAt(20 * SECOND, new ReducerEvent.RequestBodyCompleted(invocation, 2 * SECOND));
         reduceAt(20 * SECOND + 40 * MS, new ReducerEvent.CallEnded(call, COMPLETE_RESPONSE));
         assertEquals(List.of("OK 40"), policy.received);
         assertSettled(1);
     }
 
     @Test
-    void deadlineOfAStreamedBodyRunsFromItsLastByte() {
-        Invocation taken = accept(message, 600 * SECOND);
-        reduceAt(20 * SECOND, new ReducerEvent.RequestBodyCompleted(taken, 2 * SECOND));
+    void deadlineOfAStreamedRequestStartsAtItsLastByte() {
+        Invocation invocation = accept(message, 600 * SECOND);
+        reduceAt(20 * SECOND, new ReducerEvent.RequestBodyCompleted(invocation, 2 * SECOND));
         reducer.reduceDue(22 * SECOND);
-        assertEquals(effects.calls, effects.stopped);
+        assertEquals(effects.calls, effects.aborted);
         assertEquals(List.of(new FinalAnswer.Failed(true)), effects.answers);
         reduceAt(
                 22 * SECOND,
@@ -195,32 +198,32 @@
     }
 
     @Test
-    void streamedBodyIsRetriedOnlyWhileNothingOfItWasSent() {
+    void streamedRequestIsRetriedOnlyIfItsBodyIsUnsent() {
         accept(message, 600 * SECOND);
         reduceAt(
                 SECOND,
                 new ReducerEvent.CallEnded(
                         effects.calls.get(0),
                         new CallResult.ConnectionBroken(CallResult.CallStage.CONNECTING, "test")));
-        assertEquals(2, effects.calls.size(), "nothing of it was passed on");
+        assertEquals(2, effects.calls.size(), "a body that is completely unsent must be retried");
         message.unsent = false;
         reduceAt(
                 2 * SECOND,
                 new ReducerEvent.CallEnded(
                         effects.calls.get(1), new CallResult.ConnectionBroken(CallResult.CallStage.WRITING, "test")));
-        assertEquals(2, effects.calls.size(), "it is gone");
+        assertEquals(2, effects.calls.size(), "a partly sent body must not be retried");
         assertEquals(AttemptOutcome.NOT_SENT + " 0", policy.received.get(2));
         assertTrue(((FinalAnswer.Rejected) effects.answers.get(0)).neverRan());
         assertSettled(1);
     }
 
     @Test
-    void bodyThatItsConsumerAbortsIsNotSent() {
-        Invocation taken = accept(message, 600 * SECOND);
+    void disconnectDuringARequestBodyAbortsTheCall() {
+        Invocation invocation = accept(message, 600 * SECOND);
         message.unsent = false;
         UpstreamCall call = effects.calls.get(0);
-        reduceAt(2 * SECOND, new ReducerEvent.ConsumerDisconnected(taken));
-        assertEquals(List.of(call), effects.stopped);
+        reduceAt(2 * SECOND, new ReducerEvent.ConsumerDisconnected(invocation));
+        assertEquals(List.of(call), effects.aborted);
         reduceAt(
                 2 * SECOND,
                 new ReducerEvent.CallEnded(
