--- a/src/test/java/reedmux/gatekeeper/reducer/ReducerTest.java
+++ b/src/test/java/reedmux/gatekeeper/reducer/ReducerTest.java
@@ -236,8 +236,8 @@
     }
 
     /**
-     * The call of an idempotent request is aborted. Any other request may already be running, so its call is aborted only
-     * if it is unsent.
+     * The call of an idempotent request is aborted. Any other request may already be running, so its call is aborted
+     * only if it is unsent.
      */
     @Test
     void disconnectAbortsIdempotentCalls() {
