--- a/src/test/java/reedmux/gatekeeper/reducer/StreamingReducerTest.java
+++ b/src/test/java/reedmux/gatekeeper/reducer/StreamingReducerTest.java
@@ -67,8 +67,8 @@
     }
 
     private Invocation accept(Invocation.RequestMessage requestMessage, long deadline) {
-        IncomingRequest request = new IncomingRequest("a", 0, 0, 7, deadline, 1, 1, 0, false);
-        Invocation invocation = new Invocation(request, false, requestMessage, answer -> {});
+        Invocation invocation = new Invocation(
+                new IncomingRequest("a", 0, 0, 7, deadline, 1, 1, 0, false), false, requestMessage, answer -> {});
         reducer.reduce(SECOND, new ReducerEvent.InvocationAccepted(invocation));
         return invocation;
     }
