--- a/src/main/java/reedmux/proxy/loadbalancer/CheckerStats.java
+++ b/src/main/java/reedmux/proxy/loadbalancer/CheckerStats.java
@@ -5,43 +5,47 @@
 import reedmux.control.instances.CheckerIncarnation;
 
 /**
- * One incarnation of a checker, with what this proxy has seen of it in its own traffic: requests in flight, latency,
- * failures and their backoff. Times are microseconds; for one thread.
+ * Statistics on one incarnation of a checker, collected from this proxy's own traffic: requests in flight, latency,
+ * failures and the resulting backoff. All times are in microseconds. Not thread-safe.
  */
 public final class CheckerStats {
-    /** The weight of a new latency in the moving average: higher follows a checker sooner, and noise as well. */
+    /** Weight of a new latency in the moving average. A higher value adapts sooner but also follows noise. */
     private static final double LATENCY_EWMA_WEIGHT = 0.15;
-    /** Backoff after a first failure, doubled by each further one up to the maximum. */
+    /** Backoff after the first failure. Each further consecutive failure doubles it, up to the maximum. */
     private static final long INITIAL_BACKOFF_MICROS = 250_000;
 
     private static final long MAX_BACKOFF_MICROS = 3_000_000;
     private static final int MAX_BACKOFF_DOUBLINGS = 8;
-    /** A checker that rejects a request as overloaded is well; it is only passed over for a moment. */
+    /** Backoff after a rejection due to overload. It is short because an overloaded checker is healthy. */
     private static final long OVERLOAD_BACKOFF_MICROS = INITIAL_BACKOFF_MICROS / 5;
-    /** A single response counts as no slower or faster than this, in multiples of its route's mean latency. */
+    /** Upper and lower bounds of the latency of a single response, in multiples of its route's mean latency. */
     private static final double MAX_LATENCY_RATIO = 6;
 
     private static final double MIN_LATENCY_RATIO = 0.2;
-    /** During its slow start a checker counts as this much slower than it is. */
+    /** Factor by which the latency of a checker is increased during its slow start. */
     private static final double SLOW_START_PENALTY = 2;
-    /** A checker that registries do not hear is still used this long after its last response to us. */
+    /**
+     * How long after its last response to this proxy a checker is still considered healthy although the registries
+     * receive no heartbeats from it.
+     */
     private static final long UNRESPONSIVE_GRACE_MICROS = 3_000_000;
 
     private final InetSocketAddress address;
     private CheckerIncarnation incarnation;
     private long slowStartUntil;
     private int inFlight;
-    /** The moving average of its latencies, in multiples of each route's mean latency. */
+    /** Moving average of the checker's latencies, in multiples of each route's mean latency. */
     private double latencyRatio = 1;
 
     private int consecutiveFailures;
     private long backoffUntil;
     private long lastResponseAt = Long.MIN_VALUE / 2;
-    /** When the last request ended, or the first of those in flight began. */
+    /** When the last attempt ended or the first of the attempts in flight started, whichever is later. */
     private long awaitingSince;
-    /** The part of its slots that this proxy may fill: from 0, none, to 1, all. */
+    /** Fraction of the checker's slots that this proxy may use, from 0 (none) to 1 (all). */
     private double slotShare;
 
+    /** Whether this proxy may have one request in flight at the checker even without a share of its slots. */
     private boolean guaranteedSlot;
 
     CheckerStats(CheckerIncarnation incarnation, long now) {
@@ -54,22 +58,22 @@
         slowStartUntil = now + next.slowStartMillis() * 1000;
     }
 
-    /** The id of the checker. */
+    /** Returns the id of the checker's incarnation. */
     public String id() {
         return incarnation.id();
     }
 
-    /** What is known of it from the control plane. */
+    /** Returns the last state of the incarnation that the control plane reported. */
     public CheckerIncarnation incarnation() {
         return incarnation;
     }
 
-    /** The address that the checker serves on. */
+    /** Returns the address on which the checker accepts requests. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Attempts that this proxy has sent it and that have not ended. */
+    /** Returns the number of attempts that this proxy has sent to the checker and that have not ended. */
     public int inFlight() {
         return inFlight;
     }
@@ -79,7 +83,7 @@
         guaranteedSlot = nextGuaranteed;
     }
 
-    /** Whether this proxy may have one request there also without a share. */
+    /** Returns whether this proxy may have one request in flight at the checker even without a share of its slots. */
     boolean hasGuaranteedSlot() {
         return guaranteedSlot;
     }
@@ -88,27 +92,28 @@
         return slotShare;
     }
 
-    /** Its latency in multiples of each route's mean; higher during its slow start. */
+    /** Returns the average latency in multiples of each route's mean, increased during the checker's slow start. */
     double latencyRatio(long now) {
         return now < slowStartUntil ? SLOW_START_PENALTY * latencyRatio : latencyRatio;
     }
 
-    /** An attempt is sent to it. */
+    /** Records that an attempt is sent to the checker. */
     public void onRequestStarted(long now) {
         if (inFlight++ == 0) {
             awaitingSince = now;
         }
     }
 
-    /** An attempt has ended in whatever way; called once for each start. */
+    /** Records that an attempt has ended, with or without a response. Called once for each started attempt. */
     public void onRequestEnded(long now) {
         inFlight--;
         awaitingSince = now;
     }
 
     /**
-     * An attempt was cancelled, as its client has left. That says nothing of the checker, unless it has been silent for
-     * longer than the tolerance: then it is as suspect as it was while the attempt was in flight.
+     * Records that an attempt was cancelled because its client disconnected. This does not count against the checker,
+     * unless the checker has been silent for longer than the tolerance: the cancellation then counts as a failure, so
+     * that the checker remains suspect as it was while the attempt was in flight.
      */
     public void onRequestCancelled(long now, long silenceToleranceMicros) {
         boolean silent = isSilent(now, silenceToleranceMicros);
@@ -122,7 +127,11 @@
         return inFlight > 0 && now - Math.max(lastResponseAt, awaitingSince) > silenceToleranceMicros;
     }
 
-    /** It has responded; {@code ratio}: its latency in multiples of the route's mean, 0 if not known. */
+    /**
+     * Records a response of the checker and ends its backoff.
+     *
+     * @param ratio latency of the response in multiples of the route's mean latency, or 0 if unknown
+     */
     public void onResponse(long now, double ratio) {
         lastResponseAt = now;
         consecutiveFailures = 0;
@@ -133,20 +142,20 @@
         }
     }
 
-    /** It could not be reached, or an attempt ended without a complete response. */
+    /** Records that the checker could not be reached or that an attempt ended without a complete response. */
     public void onFailure(long now) {
         consecutiveFailures++;
         long backoff = INITIAL_BACKOFF_MICROS << Math.min(MAX_BACKOFF_DOUBLINGS, consecutiveFailures - 1);
         backoffUntil = now + Math.min(MAX_BACKOFF_MICROS, backoff);
     }
 
-    /** It has rejected a request because it is overloaded. */
+    /** Records that the checker rejected a request because it is overloaded. */
     public void onOverloaded(long now) {
         lastResponseAt = now;
         backoffUntil = Math.max(backoffUntil, now + OVERLOAD_BACKOFF_MICROS);
     }
 
-    /** Another incarnation has answered at its address, so that this one takes no more requests. */
+    /** Marks this incarnation as gone because another incarnation responded at its address. */
     public void onAddressReassigned() {
         incarnation = new CheckerIncarnation(
                 incarnation.id(),
@@ -161,8 +170,9 @@
     }
 
     /**
-     * Whether it is used only if no other checker can be: it is in backoff, has requests in flight and was silent for
-     * longer than the tolerance, or is heard neither by the registries nor by us.
+     * Returns whether the checker is suspect, which means that it is chosen only if no other checker is available. A
+     * checker is suspect while it is in backoff, if it has requests in flight and has been silent for longer than the
+     * tolerance, or if the registries receive no heartbeats from it and it has not responded to this proxy recently.
      */
     public boolean isSuspect(long now, long silenceToleranceMicros) {
         return now < backoffUntil
--- a/src/main/java/reedmux/proxy/loadbalancer/LoadBalancer.java
+++ b/src/main/java/reedmux/proxy/loadbalancer/LoadBalancer.java
@@ -12,39 +12,46 @@
 import reedmux.control.session.SessionView;
 
 /**
- * Chooses the checker for a request. Of those that may take one more, it is the one with the lowest score: its latency,
- * raised by its load and by its distance. Suspect checkers are chosen only if there is no other.
+ * Chooses the checker for a request: among the checkers that can take another request, the one with the lowest score.
+ * The score is the checker's latency, increased by its load and by its distance. Suspect checkers are chosen only if no
+ * other checker is available.
  *
- * <p>The proxies agree on their parts without asking each other: each has a share of the slots of the checkers in its
- * zone, computed from the session view in the same order everywhere. A checker thus gets most of its requests from few
- * proxies, which know its load; what the others send is estimated by this proxy's own utilization. A proxy sends a
- * checker no more than twice its share of the capacity, so that the sum over all proxies fits into its queue.
+ * <p>The proxies divide the checkers among themselves without communicating: each proxy has a share of the slots of the
+ * checkers in its zone, which every proxy computes from the session view in the same order. A checker therefore receives
+ * most of its requests from a few proxies, which know its load. The load from the other proxies is estimated from this
+ * proxy's own utilization. A proxy has at most twice its share of a checker's capacity in flight, so that the requests
+ * of all proxies together fit into the checker's queue.
  *
- * <p>Deterministic but for its seed; for one thread.
+ * <p>Deterministic for a given seed. Not thread-safe.
  */
 public final class LoadBalancer {
-    /** The weight of a new latency in the moving average of a route. */
+    /** Weight of a new latency in the moving average of a route. */
     private static final double LATENCY_EWMA_WEIGHT = 0.05;
-    /** How much the score of a checker in another zone is raised: higher keeps more traffic in the zone. */
+    /** Relative increase of the score of a checker in another zone. A higher value keeps more traffic in the zone. */
     private static final double REMOTE_ZONE_PENALTY = 0.2;
 
+    /** The same increase for requests with a large body. */
     private static final double REMOTE_ZONE_PENALTY_LARGE_BODY = 1.0;
-    /** Scores are raised at random by up to this, so that proxies do not all choose the same checker. */
+    /** Maximum random relative increase of a score, so that the proxies do not all choose the same checker. */
     private static final double SCORE_JITTER = 0.05;
-    /** A checker queues as many requests as it executes. */
+    /** Slots per unit of capacity: a checker queues as many requests as it executes concurrently. */
     private static final int SLOTS_PER_CAPACITY = 2;
     /**
-     * With up to this many proxies, each has a slot at every checker; with more, only some for each checker, as its
-     * queue has to have room for all of these slots at once.
+     * Maximum number of proxies with which each proxy has a guaranteed slot at every checker. With more proxies, only
+     * {@link #GUARANTEED_SLOTS_PER_CHECKER} of them have one at a given checker, because the checker's queue must have
+     * room for all guaranteed slots at once.
      */
     private static final int MAX_PROXIES_ALL_GUARANTEED = 10;
 
     private static final int GUARANTEED_SLOTS_PER_CHECKER = 6;
-    /** The weight of a new utilization in the moving average, its maximum, and what it is without any slots. */
+    /** Weight of a new utilization in the moving average. */
     private static final double UTILIZATION_EWMA_WEIGHT = 0.1;
 
+    /** Upper bound of a single utilization sample. */
     private static final double MAX_UTILIZATION = 1.5;
+    /** Utilization sample that is used while this proxy has no slots. */
     private static final double UTILIZATION_WITHOUT_SLOTS = 0.5;
+
     private static final double INITIAL_UTILIZATION = 0.4;
 
     private final String node;
@@ -58,14 +65,14 @@
     private double utilization = INITIAL_UTILIZATION;
     private boolean sharesAssigned;
 
-    /** A load balancer of the proxy at a node, without checkers. */
+    /** Creates a load balancer without checkers for the proxy on the given node. */
     public LoadBalancer(String node, String zone, long seed) {
         this.node = node;
         this.zone = zone;
         random = new Random(seed);
     }
 
-    /** Takes over what the control plane knows of an incarnation of a checker. */
+    /** Applies the state of a checker's incarnation that the control plane reports. */
     public void onIncarnationUpdate(CheckerIncarnation incarnation, long now) {
         CheckerStats checker = checkers.get(incarnation.id());
         boolean gone = incarnation.phase() == CheckerIncarnation.GONE;
@@ -89,21 +96,21 @@
         sharesAssigned = false;
     }
 
-    /** Takes over the proxies among which the checkers' slots are shared. */
+    /** Sets the proxies that share the checkers' slots. */
     public void onViewChange(SessionView next) {
         view = next;
         sharesAssigned = false;
     }
 
-    /** Computes this proxy's share of each checker, if checkers or proxies have changed. */
+    /** Recomputes this proxy's share of each checker if the checkers or the proxies have changed. */
     private void assignShares() {
         if (sharesAssigned) {
             return;
         }
         sharesAssigned = true;
-        for (List<CheckerStats> ofService : checkersByService.values()) {
+        for (List<CheckerStats> serviceCheckers : checkersByService.values()) {
             Map<String, List<CheckerStats>> byZone = new HashMap<>();
-            for (CheckerStats checker : ofService) {
+            for (CheckerStats checker : serviceCheckers) {
                 checker.setSlots(0, ranksAmongGuaranteed(checker));
                 if (checker.acceptsRequests()) {
                     byZone.computeIfAbsent(checker.incarnation().zone(), name -> new ArrayList<>())
@@ -115,12 +122,13 @@
     }
 
     /**
-     * Divides the checkers of one service and zone, in the order of their ids, into runs of equal length, one for each
-     * proxy of the zone in the order of the view; or for each proxy at all, if the zone has none.
+     * Divides the checkers of one service and zone, sorted by id, into contiguous ranges of equal size, one for each
+     * proxy of the zone in the order of the view. If the zone has no proxy, there is one range for each proxy of the
+     * view. A checker on the boundary of two ranges is shared in proportion.
      */
-    private void assignSharesOfZone(String ofZone, List<CheckerStats> ofCheckers) {
+    private void assignSharesOfZone(String checkerZone, List<CheckerStats> zoneCheckers) {
         List<ProxySession> proxies = view.members().stream()
-                .filter(member -> member.zone().equals(ofZone))
+                .filter(member -> member.zone().equals(checkerZone))
                 .toList();
         proxies = proxies.isEmpty() ? view.members() : proxies;
         int selfIndex = -1;
@@ -130,72 +138,81 @@
         if (selfIndex < 0) {
             return;
         }
-        double runStart = (double) selfIndex / proxies.size();
-        double runEnd = (double) (selfIndex + 1) / proxies.size();
-        ofCheckers.sort((one, other) -> one.id().compareTo(other.id()));
-        int count = ofCheckers.size();
+        double rangeStart = (double) selfIndex / proxies.size();
+        double rangeEnd = (double) (selfIndex + 1) / proxies.size();
+        zoneCheckers.sort((left, right) -> left.id().compareTo(right.id()));
+        int count = zoneCheckers.size();
         for (int i = 0; i < count; i++) {
-            double overlap = Math.min((i + 1.0) / count, runEnd) - Math.max((double) i / count, runStart);
-            CheckerStats checker = ofCheckers.get(i);
+            double overlap = Math.min((i + 1.0) / count, rangeEnd) - Math.max((double) i / count, rangeStart);
+            CheckerStats checker = zoneCheckers.get(i);
             checker.setSlots(Math.max(0, overlap) * count, checker.hasGuaranteedSlot());
         }
     }
 
-    /** Whether this proxy has a slot at a checker of which it has no share. */
+    /** Returns whether this proxy has a guaranteed slot at a checker, independent of its share. */
     private boolean ranksAmongGuaranteed(CheckerStats checker) {
         if (view.size() <= MAX_PROXIES_ALL_GUARANTEED) {
             return true;
         }
         int ownHash = rendezvousHash(checker, node);
-        int lower = 0;
+        int lowerRankedProxies = 0;
         for (ProxySession member : view.members()) {
-            lower += rendezvousHash(checker, member.node()) < ownHash ? 1 : 0;
+            lowerRankedProxies += rendezvousHash(checker, member.node()) < ownHash ? 1 : 0;
         }
-        return lower < GUARANTEED_SLOTS_PER_CHECKER;
+        return lowerRankedProxies < GUARANTEED_SLOTS_PER_CHECKER;
     }
 
-    /** Ranks the proxies at a checker: all agree on the order, and each checker has another one. */
+    /**
+     * Returns the rank of a proxy at a checker (rendezvous hashing). All proxies compute the same order, and the order
+     * differs from checker to checker.
+     */
     private static int rendezvousHash(CheckerStats checker, String node) {
         int hash = (checker.id().hashCode() * 31 + node.hashCode()) * 0x9E3779B1;
         return (hash ^ hash >>> 15) * 0x85EBCA77;
     }
 
-    /** The checker with an id, or null. */
+    /** Returns the checker with the given id, or null. */
     public CheckerStats get(String id) {
         return checkers.get(id);
     }
 
-    /** Whether no checker is known. */
+    /** Returns whether no checker is known. */
     public boolean isEmpty() {
         return checkers.isEmpty();
     }
 
-    /** How many checkers are known. */
+    /** Returns the number of known checkers. */
     public int size() {
         return checkers.size();
     }
 
-    /** The mean latency of a route's requests, as seen here; {@code fallback} before there was any. */
+    /**
+     * Returns the mean latency of a route's requests through this proxy, in microseconds, or {@code fallback} if there
+     * was no response yet.
+     */
     public double meanLatencyMicros(String route, double fallback) {
         return meanLatencyByRoute.getOrDefault(route, fallback);
     }
 
-    /** A checker has responded to a request of a route after this latency. */
+    /** Records the latency of a checker's response to a request of a route. */
     public void onResponse(CheckerStats checker, String route, long latencyMicros, long now) {
         double mean = meanLatencyByRoute.merge(
-                route, (double) latencyMicros, (before, latency) -> before + LATENCY_EWMA_WEIGHT * (latency - before));
+                route,
+                (double) latencyMicros,
+                (average, latency) -> average + LATENCY_EWMA_WEIGHT * (latency - average));
         checker.onResponse(now, latencyMicros / Math.max(1, mean));
     }
 
-    /** Sets how many connections one checker of a service takes from all proxies together. */
+    /** Sets how many connections each checker of a service accepts from all proxies together. */
     public void setConnectionLimit(String service, int connections) {
         connectionLimits.put(service, connections);
     }
 
     /**
-     * How many requests this proxy may have in flight at a checker. Where all slots together would exceed the checker's
-     * connection limit, there are no guaranteed ones: each proxy has its share of the limit less one, and that one
-     * belongs to the proxy that ranks first, so that a checker is never out of reach for all.
+     * Returns how many requests this proxy may have in flight at a checker. If all slots together could exceed the
+     * checker's connection limit, there are no guaranteed slots: each proxy gets its share of the limit minus one
+     * connection, and the remaining connection belongs to the proxy that ranks first, so that at least one proxy can
+     * always reach the checker.
      */
     int maxInFlight(CheckerStats checker) {
         int slots = SLOTS_PER_CAPACITY * checker.incarnation().capacity();
@@ -215,11 +232,13 @@
     }
 
     /**
-     * The checker to send a request to, or null where every one that could take it has as many as we may send it.
+     * Returns the checker to send a request to, or null if this proxy already has the maximum number of requests in
+     * flight at every eligible checker.
      *
-     * @param excluded               ids of checkers that are not to be chosen
-     * @param large                  whether a large body is sent, which is better done within the zone
-     * @param silenceToleranceMicros how long a checker may be silent before it is suspect
+     * @param excluded               ids of checkers that must not be chosen
+     * @param large                  whether the request has a large body, for which a checker in the same zone is more
+     *                               strongly preferred
+     * @param silenceToleranceMicros how long a checker with requests in flight may be silent before it is suspect
      */
     public CheckerStats choose(
             String service, Set<String> excluded, boolean large, long silenceToleranceMicros, long now) {
@@ -245,11 +264,14 @@
         return best;
     }
 
-    /** Grows with the cube of the load, so that load matters little until a checker is nearly full. */
+    /**
+     * Returns the score of a checker; lower is better. It increases with the cube of the load, so that the load matters
+     * little until the checker is nearly full.
+     */
     private double score(CheckerStats checker, boolean large, long now) {
         int capacity = checker.incarnation().capacity();
-        double ofOtherProxies = capacity * utilization * (1 - Math.min(1, checker.slotShare()));
-        double load = (checker.inFlight() + ofOtherProxies) / capacity;
+        double inFlightOfOtherProxies = capacity * utilization * (1 - Math.min(1, checker.slotShare()));
+        double load = (checker.inFlight() + inFlightOfOtherProxies) / capacity;
         double distance = 0;
         if (!checker.incarnation().zone().equals(zone)) {
             distance = large ? REMOTE_ZONE_PENALTY_LARGE_BODY : REMOTE_ZONE_PENALTY;
@@ -260,12 +282,15 @@
                 * (1 + SCORE_JITTER * random.nextDouble());
     }
 
-    /** Whether any checker of a service accepts requests, however busy it is. */
+    /** Returns whether any checker of a service accepts requests, regardless of its load. */
     public boolean hasAvailableChecker(String service) {
         return checkersByService.getOrDefault(service, List.of()).stream().anyMatch(CheckerStats::acceptsRequests);
     }
 
-    /** Updates the average utilization of this proxy's slots; to be called at a fixed interval. */
+    /**
+     * Updates the average utilization of this proxy's slots and removes checkers that are gone. Must be called at a fixed
+     * interval.
+     */
     public void updateUtilization() {
         assignShares();
         double slots = 0;
@@ -279,7 +304,7 @@
         removeGone();
     }
 
-    /** Forgets the checkers that are gone once their last request has ended. */
+    /** Removes the checkers that are gone and have no request in flight. */
     private void removeGone() {
         checkers.values()
                 .removeIf(
--- a/src/main/java/reedmux/proxy/loadbalancer/package-info.java
+++ b/src/main/java/reedmux/proxy/loadbalancer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The choice of a checker for each request, from what a proxy has seen of the checkers in its own traffic and from its
- * share of their capacity. Deterministic; knows no socket and no clock.
+ * Load balancing: chooses a checker for each request, based on the proxy's own traffic to the checkers and on its share
+ * of their capacity. Deterministic; does not access sockets or the system clock.
  */
 package reedmux.proxy.loadbalancer;
--- a/src/main/java/reedmux/proxy/request/ExecutionStatus.java
+++ b/src/main/java/reedmux/proxy/request/ExecutionStatus.java
@@ -1,15 +1,15 @@
 package reedmux.proxy.request;
 
-/** What is known of whether a checker has executed a request that was sent to it. */
+/** What the proxy knows about whether a checker has executed a request that was sent to it. */
 public enum ExecutionStatus {
-    /** It was not executed and never will be: no byte of it went out, or the checker says so. */
+    /** The request was not executed and never will be: no byte of it was sent, or the checker reported so. */
     NOT_EXECUTED,
-    /** It went out at least in part, and no usable response came back. */
+    /** At least part of the request was sent, and no usable response was received. */
     MAY_HAVE_EXECUTED,
-    /** Its response has come. */
+    /** The response to the request was received. */
     EXECUTED;
 
-    /** Whether the request may go to another checker without the risk that it is executed twice. */
+    /** Returns whether the request can be sent to another checker without the risk that it is executed twice. */
     public boolean isSafeToRetry() {
         return this == NOT_EXECUTED;
     }
--- a/src/main/java/reedmux/proxy/request/PendingAttempts.java
+++ b/src/main/java/reedmux/proxy/request/PendingAttempts.java
@@ -5,21 +5,22 @@
 import java.util.Set;
 
 /**
- * All attempts that have not ended, and what becomes of them once their client has left.
+ * Tracks all attempts that have not ended, and cancels them when their client has disconnected.
  *
- * <p>Nobody waits for the response then. An attempt is cancelled if that does no harm: its route is idempotent, or its
- * checker has not received all of it and so cannot have completed it. Any other one is executed to its end, since it is
- * not known how much of its effect has come about; it is neither retried nor answered.
+ * <p>After the disconnect, the response is no longer needed. An attempt is cancelled if this is safe: its route is
+ * idempotent, or its checker has not received the whole request and therefore cannot have completed it. Any other
+ * attempt runs to its end, because it is unknown how much of the request has already taken effect; it is not retried,
+ * and its response is discarded.
  *
- * <p>Invariant: no attempt that was cancelled is still pending {@value #MAX_CANCELLATION_MICROS} microseconds later.
- * Times are in microseconds. No I/O; for one thread.
+ * <p>Invariant: a cancelled attempt ends within {@value #MAX_CANCELLATION_MICROS} microseconds. All times are in
+ * microseconds. Performs no I/O. Not thread-safe.
  */
 public final class PendingAttempts {
     private static final long MAX_CANCELLATION_MICROS = 500_000;
 
     private final RequestPort port;
     private final Set<RequestAttempt> attempts = new LinkedHashSet<>();
-    private int departures;
+    private int clientDisconnects;
     private int cancelled;
     private int leftToFinish;
 
@@ -35,16 +36,16 @@
         attempts.remove(attempt);
     }
 
-    /** Whether there is none. */
+    /** Returns whether no attempt is pending. */
     public boolean isEmpty() {
         return attempts.isEmpty();
     }
 
-    /** The client of a request has left: cancels those of its attempts that may be cancelled. */
+    /** Cancels those attempts of a request that can be cancelled safely, because its client has disconnected. */
     void onClientDisconnected(ProxyRequest request, long now) {
-        departures++;
+        clientDisconnects++;
         for (RequestAttempt attempt : List.copyOf(request.pendingAttempts)) {
-            if (attempt.mayBeCancelled()) {
+            if (attempt.isSafeToCancel()) {
                 cancel(attempt, now);
             } else {
                 leftToFinish++;
@@ -53,14 +54,15 @@
     }
 
     /**
-     * A client's connection is closed: cancels the hedged attempts that still go on for requests which have their
-     * response. While the client stays they show how fast their checkers are.
+     * Cancels the attempts that are still pending for already completed requests of a closed client connection, such as
+     * the slower one of two hedged attempts. As long as the client is connected, such attempts continue, because they
+     * measure the latency of their checkers.
      */
     void onClientConnectionClosed(Object connection, long now) {
         for (RequestAttempt attempt : List.copyOf(attempts)) {
             ProxyRequest request = attempt.request();
-            boolean answered = request.state == ProxyRequest.RequestState.COMPLETED;
-            if (answered && request.source().connection() == connection && attempt.mayBeCancelled()) {
+            boolean completed = request.state == ProxyRequest.RequestState.COMPLETED;
+            if (completed && request.source().connection() == connection && attempt.isSafeToCancel()) {
                 cancel(attempt, now);
             }
         }
@@ -74,16 +76,16 @@
         }
     }
 
-    /** The attempts that violate the invariant. */
+    /** Returns the attempts that violate the invariant: cancelled, but still pending after the maximum time. */
     public List<RequestAttempt> overdueCancellations(long now) {
         return attempts.stream()
                 .filter(attempt -> attempt.isCancelled() && now - attempt.cancelledAt() > MAX_CANCELLATION_MICROS)
                 .toList();
     }
 
-    /** What operators are told at the end of the process. */
+    /** Returns the summary that is logged when the process ends. */
     public String summary() {
-        return departures + " clients left before their response: " + cancelled + " attempts cancelled, " + leftToFinish
-                + " not idempotent and left to finish; " + attempts.size() + " attempts pending";
+        return clientDisconnects + " clients disconnected before their response: " + cancelled + " attempts cancelled, "
+                + leftToFinish + " non-idempotent attempts left to finish; " + attempts.size() + " attempts pending";
     }
 }
--- a/src/main/java/reedmux/proxy/request/ProxyRequest.java
+++ b/src/main/java/reedmux/proxy/request/ProxyRequest.java
@@ -7,32 +7,33 @@
 import reedmux.control.configuration.RouteItem;
 import reedmux.control.configuration.TenantItem;
 
-/** A client's request and its state, which is changed by {@link RequestTracker} alone. */
+/** A client's request and its state, which only {@link RequestTracker} changes. */
 public final class ProxyRequest {
 
     enum RequestState {
+        /** The request has not been dispatched or queued yet. */
         NEW,
-        /** No checker could take it; it is in the tracker's queue. */
+        /** No checker could take the request; it is in the tracker's queue. */
         QUEUED,
-        /** It was sent to a checker at least once, and has no response yet. */
+        /** The request was sent to a checker at least once and has no response yet. */
         IN_FLIGHT,
-        /** It has its response, or its client is gone. */
+        /** The response was sent, or the client has disconnected. */
         COMPLETED
     }
 
-    /** The request as it was received; the tracker needs to know no more of it. */
+    /** The parts of the received request that the tracker needs. */
     public interface RequestSource {
 
-        /** Whether all bytes are still here that an attempt would have to send. */
+        /** Returns whether all bytes that a further attempt would have to send are still buffered. */
         boolean isReplayable();
 
-        /** Whether its transfer takes long enough to prefer a checker in the same zone. */
+        /** Returns whether the transfer takes long enough to prefer a checker in the same zone more strongly. */
         boolean isLarge();
 
-        /** Whether all of it has been received from its client. */
+        /** Returns whether the whole request has been received from the client. */
         boolean isFullyReceived();
 
-        /** The client's connection that it came over; opaque here. */
+        /** Returns the client connection on which the request was received; only compared by identity here. */
         Object connection();
     }
 
@@ -41,28 +42,31 @@
     private final RequestSource source;
     private final long deadline;
     RequestState state = RequestState.NEW;
-    /** Orders requests of the same priority while they are queued. */
+    /** Orders queued requests of the same priority. */
     long queueNumber;
-    /** The service that was drawn for it. */
+    /** The service that was chosen by the weights of the route. */
     String service;
-    /** Attempts that a checker may have received, and those that certainly reached none. */
+    /** Number of attempts that a checker may have received. */
     int sentAttempts;
-
+    /** Number of attempts that certainly did not reach a checker. */
     int unreachedAttempts;
+    /** Whether at least one ended attempt may have been executed. */
     boolean mayHaveExecuted;
-    /** Its client has left, so that nothing of it is needed any more. */
+    /** Whether the client has disconnected, so that no response is needed. */
     boolean abandoned;
 
+    /** Whether the quota was refunded after the client had disconnected. */
     boolean quotaRefunded;
+
     final List<RequestAttempt> pendingAttempts = new ArrayList<>();
-    /** The ids of checkers that it was sent to. */
+    /** Ids of the checkers that an attempt was started for. */
     final Set<String> triedCheckers = new HashSet<>();
 
     /**
-     * A request that is new.
+     * Creates a new request.
      *
-     * @param tenant   null where no quota is charged
-     * @param deadline in microseconds
+     * @param tenant   tenant whose quota is charged, or null if no quota is charged
+     * @param deadline time at which the request times out, in microseconds
      */
     public ProxyRequest(RouteItem route, TenantItem tenant, RequestSource source, long deadline) {
         this.route = route;
@@ -71,32 +75,32 @@
         this.deadline = deadline;
     }
 
-    /** The route that the request takes. */
+    /** Returns the route of the request. */
     public RouteItem route() {
         return route;
     }
 
-    /** Whose quota it is charged to, or null. */
+    /** Returns the tenant whose quota the request is charged to, or null. */
     public TenantItem tenant() {
         return tenant;
     }
 
-    /** Where the request came from, and where its response goes. */
+    /** Returns the source of the request, which also receives its response. */
     public RequestSource source() {
         return source;
     }
 
-    /** When its client stops waiting, in microseconds. */
+    /** Returns the time at which the client stops waiting, in microseconds. */
     public long deadline() {
         return deadline;
     }
 
-    /** Whether it was certainly not executed, and no attempt of it can be any more. */
+    /** Returns whether the request was certainly not executed and no pending attempt can still execute it. */
     boolean neverExecuted() {
         return sentAttempts == 0 && !mayHaveExecuted;
     }
 
-    /** Whether no checker can have received anything of it so far. */
+    /** Returns whether no checker can have received any part of the request so far. */
     boolean neverReachedChecker() {
         for (RequestAttempt attempt : pendingAttempts) {
             if (attempt.isConnected()) {
@@ -106,7 +110,7 @@
         return !mayHaveExecuted;
     }
 
-    /** Lower ones go first; a tenant's own priority stands before the route's. */
+    /** Returns the priority; lower values go first. A priority of the tenant overrides that of the route. */
     int priority() {
         return tenant != null && tenant.priority() >= 0 ? tenant.priority() : route.priority();
     }
--- a/src/main/java/reedmux/proxy/request/RequestAttempt.java
+++ b/src/main/java/reedmux/proxy/request/RequestAttempt.java
@@ -2,7 +2,10 @@
 
 import reedmux.proxy.loadbalancer.CheckerStats;
 
-/** One sending of a request to a checker. Ended by {@link RequestTracker}, the rest is for whoever sends it. */
+/**
+ * One attempt to execute a request on a checker. {@link RequestTracker} creates, cancels and ends it; the sender reports
+ * the progress of its transfer.
+ */
 public final class RequestAttempt {
     private static final long NOT_CANCELLED = -1;
 
@@ -13,7 +16,7 @@
     private boolean connected;
     private boolean fullySent;
     private long cancelledAt = NOT_CANCELLED;
-    /** The sender's connection for it; opaque here. */
+    /** The connection that the sender uses for this attempt; not interpreted here. */
     private Object connection;
 
     RequestAttempt(ProxyRequest request, CheckerStats checker, long startedAt) {
@@ -22,22 +25,22 @@
         this.startedAt = startedAt;
     }
 
-    /** The request that this is an attempt of. */
+    /** Returns the request that this attempt belongs to. */
     public ProxyRequest request() {
         return request;
     }
 
-    /** The checker that the attempt was sent to. */
+    /** Returns the checker that the attempt is sent to. */
     public CheckerStats checker() {
         return checker;
     }
 
-    /** When it was handed to the sender, in microseconds. */
+    /** Returns the time at which the attempt was passed to the sender, in microseconds. */
     public long startedAt() {
         return startedAt;
     }
 
-    /** Whether its outcome is known. */
+    /** Returns whether the attempt has ended, so that its outcome is known. */
     public boolean hasEnded() {
         return ended;
     }
@@ -46,26 +49,27 @@
         ended = true;
     }
 
-    /** Its connection is up, so that from now on the checker may receive bytes of it. */
+    /** Records that the connection is established, so that the checker may receive bytes of the request from now on. */
     public void onConnected() {
         connected = true;
     }
 
+    /** Returns whether the connection was established. */
     public boolean isConnected() {
         return connected;
     }
 
-    /** The last byte of the request has been handed to the kernel. */
+    /** Records that the last byte of the request was passed to the kernel. */
     public void onFullySent() {
         fullySent = true;
     }
 
-    /** Whether it does no harm to end it: it may be repeated, or its checker has not received the whole request. */
-    boolean mayBeCancelled() {
+    /** Returns whether cancelling is safe: the route is idempotent, or the request was not completely sent. */
+    boolean isSafeToCancel() {
         return request.route().idempotent() || !fullySent;
     }
 
-    /** Nobody needs its outcome any more. */
+    /** Marks the attempt as cancelled because its outcome is no longer needed. */
     void markCancelled(long now) {
         cancelledAt = now;
     }
@@ -74,17 +78,18 @@
         return cancelledAt != NOT_CANCELLED;
     }
 
-    /** When it was cancelled, in microseconds. */
+    /** Returns the time at which the attempt was cancelled, in microseconds. */
     long cancelledAt() {
         return cancelledAt;
     }
 
-    /** What {@link #setConnection} was called with last, or null. */
+    /** Returns the connection set by {@link #setConnection}, or null. */
     public Object connection() {
         return connection;
     }
 
-    public void setConnection(Object next) {
-        connection = next;
+    /** Sets the connection that the sender uses for this attempt. */
+    public void setConnection(Object senderConnection) {
+        connection = senderConnection;
     }
 }
--- a/src/main/java/reedmux/proxy/request/RequestEvent.java
+++ b/src/main/java/reedmux/proxy/request/RequestEvent.java
@@ -1,39 +1,39 @@
 package reedmux.proxy.request;
 
-/** The inputs of {@link RequestTracker}. */
+/** An input event of {@link RequestTracker}. */
 public sealed interface RequestEvent {
 
-    /** A request was admitted and its body can be sent. */
+    /** A request was admitted, and sending its body can start. */
     record RequestAccepted(ProxyRequest request) implements RequestEvent {}
 
-    /** An attempt has ended; {@code response} is null where none came. */
+    /** An attempt has ended; {@code response} is null if none was received. */
     record AttemptFinished(RequestAttempt attempt, ExecutionStatus execution, ProxyResponse.CheckerResponse response)
             implements RequestEvent {}
 
-    /** An attempt's connection should be up by now. */
+    /** The time limit for establishing the connection of an attempt has expired. */
     record ConnectTimeout(RequestAttempt attempt) implements RequestEvent {}
 
-    /** An idempotent request has waited for its response so long that a hedged attempt may help. */
+    /** An idempotent request has been in flight long enough for a hedged attempt. */
     record HedgeDelayElapsed(ProxyRequest request) implements RequestEvent {}
 
-    /** A request has been queued for as long as it may. */
+    /** The maximum queue time of a request has expired. */
     record QueueTimeout(ProxyRequest request) implements RequestEvent {}
 
-    /** An attempt has not ended long after the deadline of its request. */
+    /** The grace period of an attempt after the deadline of its request has expired. */
     record AttemptTimeout(RequestAttempt attempt) implements RequestEvent {}
 
-    /** The time that a request may take is over. */
+    /** The deadline of a request has been reached. */
     record DeadlineExceeded(ProxyRequest request) implements RequestEvent {}
 
-    /** Nobody waits for the response any more. */
+    /** The client of a request has disconnected, so that its response is no longer needed. */
     record ClientDisconnected(ProxyRequest request) implements RequestEvent {}
 
-    /** A client's connection is closed; the requests that came over it may have had their responses. */
+    /** A client connection was closed; its requests may already have their responses. */
     record ClientConnectionClosed(Object connection) implements RequestEvent {}
 
-    /** The process ends: requests that are still queued are rejected. */
+    /** The process shuts down: requests that are still queued are rejected. */
     record ProxyShutdown() implements RequestEvent {}
 
-    /** A checker may have become available. */
+    /** A checker may have become available for queued requests. */
     record CapacityAvailable() implements RequestEvent {}
 }
--- a/src/main/java/reedmux/proxy/request/RequestPort.java
+++ b/src/main/java/reedmux/proxy/request/RequestPort.java
@@ -1,23 +1,23 @@
 package reedmux.proxy.request;
 
 /**
- * What the {@link RequestTracker} asks for. Called from within {@link RequestTracker#onEvent}; the results come back
- * as events of later calls.
+ * The actions that {@link RequestTracker} requests from its environment. The methods are called from within {@link
+ * RequestTracker#onEvent}; their results are reported as events in later calls.
  */
 public interface RequestPort {
 
-    /** Sends an attempt to its checker; its end is reported as {@link RequestEvent.AttemptFinished}. */
+    /** Sends an attempt to its checker. Its end is reported as {@link RequestEvent.AttemptFinished}. */
     void send(RequestAttempt attempt);
 
-    /** Closes the connection of an attempt, in whatever state it is; its end is reported as of any other. */
+    /** Closes the connection of an attempt in any state. Its end is reported like that of any other attempt. */
     void cancel(RequestAttempt attempt);
 
-    /** Sends the one response to a request. */
+    /** Sends the response to a request. Called at most once for each request. */
     void respond(ProxyRequest request, ProxyResponse response);
 
-    /** Gives back what the request's quota was charged: the request is over and was certainly never executed. */
+    /** Refunds the quota charged for a completed request that was certainly never executed. */
     void refundQuota(ProxyRequest request);
 
-    /** Reports an event at a time, in microseconds. */
-    void schedule(long at, RequestEvent event);
+    /** Schedules an event to be reported at the given time, in microseconds. */
+    void schedule(long time, RequestEvent event);
 }
--- a/src/main/java/reedmux/proxy/request/RequestTracker.java
+++ b/src/main/java/reedmux/proxy/request/RequestTracker.java
@@ -9,40 +9,59 @@
 import reedmux.proxy.retry.RetryBudget;
 
 /**
- * Decides what becomes of each request: whether it is queued, to which checker it is sent, whether it is retried or
- * hedged, and what its one response is.
+ * Controls the life cycle of each request: whether it is queued, which checker it is sent to, whether it is retried or
+ * hedged, and which single response it gets.
  *
- * <p>Two invariants: a request that may have been executed is sent again only if its route is idempotent; and a status
- * that promises that it was not executed is given only if that is certain. A checker that rejects a request, or that
- * could not be reached, counts as not having executed it; one that breaks off does not.
+ * <p>Two invariants hold. A request that may have been executed is sent again only if its route is idempotent. A status
+ * that implies that the request was not executed is returned only if this is certain. A checker that rejects a request
+ * or could not be reached counts as not having executed it; a checker that aborts without a complete response counts as
+ * possibly having executed it.
  *
- * <p>Deterministic: it is told events and the time, in microseconds, and calls its {@link RequestPort}. For one thread.
+ * <p>Deterministic: receives events with the current time in microseconds and calls its {@link RequestPort}. Not
+ * thread-safe.
  */
 public final class RequestTracker {
     private static final long MICROS_PER_MILLI = 1000;
-    /** A connection that is not up by then leads to a machine that is down: its packets get no answer at all. */
+    /** Time limit for establishing a connection. If it expires, the machine is down and does not answer any packets. */
     private static final long CONNECT_TIMEOUT_MICROS = 300 * MICROS_PER_MILLI;
-    /** A checker ends a request at its deadline; an attempt that has no end this long after it will have none. */
+    /**
+     * Grace period after the deadline of a request. A checker ends a request at its deadline, so an attempt that has not
+     * ended after this period will not end by itself.
+     */
     private static final long ATTEMPT_GRACE_MICROS = 400 * MICROS_PER_MILLI;
-    /** Attempts that reached no checker cost nobody anything, but each takes time. */
+    /**
+     * Maximum number of attempts without reaching a checker after which a request is still retried. Such attempts load
+     * no checker, but each takes time.
+     */
     private static final int MAX_UNREACHED_ATTEMPTS = 4;
 
     private static final int MAX_QUEUED_REQUESTS = 256;
-    /** With less than this left until the deadline a request is not sent again. */
+    /** Minimum time left until the deadline for which a request is sent again. */
     private static final long MIN_RETRY_TIME_MICROS = 20 * MICROS_PER_MILLI;
-    /** The longest time in the queue, as a fraction of the route's latency target: the rest is for its execution. */
+    /**
+     * Maximum time in the queue, as a fraction of the route's latency target. The rest of the target is reserved for the
+     * execution.
+     */
     private static final double QUEUE_TIME_TARGET_FRACTION = 0.2;
-    /** When a hedged attempt follows, as a fraction of the target: earlier costs retry budget, later misses it. */
+    /**
+     * Delay of a hedged attempt, as a fraction of the route's latency target. A smaller value uses more of the retry
+     * budget; a larger value misses the target.
+     */
     private static final double HEDGE_DELAY_TARGET_FRACTION = 0.55;
-    /** Tokens that a hedged attempt leaves in the retry budget, for requests that have failed. */
+    /** Tokens that a hedged attempt must leave in the retry budget for the retries of failed requests. */
     private static final double HEDGE_BUDGET_RESERVE = 1;
-    /** Clients that are rejected come back after one to three times this, spread at random. */
+    /** Rejected clients are told to retry after a random time between one and three times this value. */
     private static final long MIN_RETRY_AFTER_MICROS = 120 * MICROS_PER_MILLI;
-    /** A checker that is silent for a multiple of the usual latency, and at least the minimum, is suspect. */
+    /**
+     * A checker is suspect if it is silent for longer than this multiple of the route's mean latency, but at least for
+     * {@link #MIN_SILENCE_TOLERANCE_MICROS}.
+     */
     private static final int SILENCE_TOLERANCE_LATENCIES = 5;
 
     private static final long MIN_SILENCE_TOLERANCE_MICROS = 400 * MICROS_PER_MILLI;
+    /** Mean latency assumed for a route without responses so far. */
     private static final long DEFAULT_LATENCY_MICROS = 100 * MICROS_PER_MILLI;
+
     private static final long NO_RETRY_AFTER = -1;
 
     private static final int REQUEST_TIMEOUT = 408;
@@ -58,17 +77,17 @@
     private final RetryBudget retryBudget;
     private final PendingAttempts attempts;
     private final Random random;
-    /** The time of the event that is being handled. */
+    /** Time of the event that is being handled. */
     private long now;
 
     private long lastQueueNumber;
-    private final TreeSet<QueuedRequest> queue = new TreeSet<>((one, other) -> one.priority != other.priority
-            ? Integer.compare(one.priority, other.priority)
-            : Long.compare(one.number, other.number));
+    private final TreeSet<QueuedRequest> queue = new TreeSet<>((left, right) -> left.priority != right.priority
+            ? Integer.compare(left.priority, right.priority)
+            : Long.compare(left.number, right.number));
 
     private record QueuedRequest(int priority, long number, ProxyRequest request) {}
 
-    /** A tracker without requests; {@code seed}: of its random choices. */
+    /** Creates a tracker without requests; {@code seed} initializes the generator of its random choices. */
     public RequestTracker(RequestPort port, LoadBalancer loadBalancer, RetryBudget retryBudget, long seed) {
         this.port = port;
         this.loadBalancer = loadBalancer;
@@ -77,12 +96,12 @@
         random = new Random(seed);
     }
 
-    /** The attempts that have not ended. */
+    /** Returns the attempts that have not ended. */
     public PendingAttempts attempts() {
         return attempts;
     }
 
-    /** Handles one event; {@code time} in microseconds, never earlier than before. */
+    /** Handles one event; {@code time} is in microseconds and must never decrease. */
     public void onEvent(long time, RequestEvent event) {
         now = time;
         if (event instanceof RequestEvent.RequestAccepted accepted) {
@@ -110,7 +129,7 @@
         }
     }
 
-    // ---- From acceptance to an attempt -------------------------------------------------------------
+    // ---- From admission to an attempt --------------------------------------------------------------
 
     private void onRequestAccepted(ProxyRequest request) {
         request.service = chooseService(request.route());
@@ -120,7 +139,10 @@
         }
     }
 
-    /** Draws a service by the weights of a route, among those that have checkers, or all if none has. */
+    /**
+     * Chooses a service at random by the weights of a route, among the services with an available checker, or among all
+     * services if none has one.
+     */
     private String chooseService(RouteItem route) {
         List<RouteItem.WeightedService> services = route.services();
         boolean anyAvailable = services.stream()
@@ -129,13 +151,13 @@
         for (RouteItem.WeightedService service : services) {
             totalWeight += !anyAvailable || loadBalancer.hasAvailableChecker(service.service()) ? service.weight() : 0;
         }
-        double drawn = random.nextDouble() * totalWeight;
+        double remainingWeight = random.nextDouble() * totalWeight;
         String chosen = services.get(0).service();
         for (RouteItem.WeightedService service : services) {
             if (service.weight() > 0 && (!anyAvailable || loadBalancer.hasAvailableChecker(service.service()))) {
                 chosen = service.service();
-                drawn -= service.weight();
-                if (drawn < 0) {
+                remainingWeight -= service.weight();
+                if (remainingWeight < 0) {
                     break;
                 }
             }
@@ -143,7 +165,7 @@
         return chosen;
     }
 
-    /** Sends a request for the first time, if a checker can take it; returns whether one could. */
+    /** Sends a request for the first time if a checker can take it; returns whether it was sent. */
     private boolean dispatch(ProxyRequest request) {
         CheckerStats checker = chooseChecker(request);
         if (checker == null) {
@@ -161,7 +183,7 @@
         return true;
     }
 
-    /** Sends a request once more, if a further checker can take it; returns whether one could. */
+    /** Sends a request to a further checker if one can take it; returns whether it was sent. */
     private boolean dispatchAgain(ProxyRequest request) {
         CheckerStats checker = chooseChecker(request);
         if (checker == null) {
@@ -213,7 +235,10 @@
         }
     }
 
-    /** Only requests in state QUEUED are in the queue: one that has its response must never get another one. */
+    /**
+     * Removes a request from the queue if it is queued. Only requests in state QUEUED may be in the queue, because a
+     * request that already has its response must never get another one.
+     */
     private void removeFromQueue(ProxyRequest request) {
         if (request.state == ProxyRequest.RequestState.QUEUED) {
             queue.remove(new QueuedRequest(request.priority(), request.queueNumber, request));
@@ -305,7 +330,7 @@
             complete(request, response);
             return;
         } else if (!request.pendingAttempts.isEmpty()) {
-            return; // a hedged attempt is still under way
+            return; // another attempt is still in flight
         }
         boolean mayRetry = execution.isSafeToRetry() || request.route().idempotent();
         if (mayRetry
@@ -323,10 +348,11 @@
         }
     }
 
-    /** Sends a request to a further checker, if its attempts and the retry budget allow it. */
+    /** Sends a request to a further checker if its maximum number of attempts and the retry budget permit it. */
     private boolean retry(RequestAttempt failed) {
         ProxyRequest request = failed.request();
-        boolean reachedChecker = failed.isConnected(); // only such a retry is a load for checkers and uses the budget
+        // A retry uses the budget only if the failed attempt reached its checker and so added load.
+        boolean reachedChecker = failed.isConnected();
         boolean outOfAttempts = request.sentAttempts >= request.route().maxAttempts();
         if (reachedChecker && (outOfAttempts || !retryBudget.canAcquire(request.service, 0))
                 || request.unreachedAttempts > MAX_UNREACHED_ATTEMPTS) {
@@ -341,11 +367,11 @@
         return true;
     }
 
-    /** Sends a hedged attempt to a second checker while the first one is awaited. */
+    /** Sends a hedged attempt to a second checker while the first attempt is still pending. */
     private void onHedgeDelayElapsed(ProxyRequest request) {
         if (request.state == ProxyRequest.RequestState.IN_FLIGHT
                 && request.pendingAttempts.size() == 1
-                // A body that is still coming in can be read once only, by the first attempt.
+                // A body that is still being received can be read only once, by the first attempt.
                 && request.source().isFullyReceived()
                 && request.sentAttempts < request.route().maxAttempts()
                 && retryBudget.canAcquire(request.service, HEDGE_BUDGET_RESERVE)
@@ -361,7 +387,7 @@
         if (request.state == ProxyRequest.RequestState.QUEUED) {
             reject(request, "no checker has room");
         } else if (request.state == ProxyRequest.RequestState.IN_FLIGHT && request.neverReachedChecker()) {
-            cancelPendingAttempts(request); // the last one's end rejects it
+            cancelPendingAttempts(request); // the request is rejected when its last attempt ends
         } else if (request.state != ProxyRequest.RequestState.COMPLETED) {
             completeLocally(request, GATEWAY_TIMEOUT, "no answer in time");
             cancelIfBodyIncomplete(request);
@@ -378,7 +404,7 @@
         }
     }
 
-    /** Gives its quota back to a request whose client has left, once it is certain that it was not executed. */
+    /** Refunds the quota of a request whose client has disconnected, once it is certain that it was not executed. */
     private void refundIfNeverExecuted(ProxyRequest request) {
         if (request.neverExecuted() && !request.quotaRefunded) {
             request.quotaRefunded = true;
@@ -386,7 +412,10 @@
         }
     }
 
-    /** At the deadline nobody will send the rest of an incomplete body; a whole request is ended by its checker. */
+    /**
+     * Cancels the attempts of a request whose body is incomplete at its deadline, because the rest of the body will not
+     * be sent. A request that was received completely is ended by its checker.
+     */
     private void cancelIfBodyIncomplete(ProxyRequest request) {
         if (!request.source().isFullyReceived()) {
             cancelPendingAttempts(request);
@@ -397,7 +426,10 @@
         List.copyOf(request.pendingAttempts).forEach(port::cancel);
     }
 
-    /** Ends a request without a checker's response: with 503 and its quota back, unless it may have been executed. */
+    /**
+     * Completes a request without a checker's response. The status is 503 and the quota is refunded, unless the request
+     * may have been executed, in which case the status is 502.
+     */
     private void reject(ProxyRequest request, String reason) {
         if (request.mayHaveExecuted) {
             completeLocally(request, BAD_GATEWAY, reason);
@@ -416,11 +448,14 @@
     private void complete(ProxyRequest request, ProxyResponse response) {
         removeFromQueue(request);
         request.state = ProxyRequest.RequestState.COMPLETED;
-        port.respond(request, withoutFalsePromise(response));
+        port.respond(request, replaceUnconfirmedRejection(response));
     }
 
-    /** Replaces a status that promises that a request was not executed, where the checker has not said so itself. */
-    private static ProxyResponse withoutFalsePromise(ProxyResponse response) {
+    /**
+     * Replaces a checker's response by 502 if its status implies that the request was not executed, but the checker did
+     * not report so explicitly.
+     */
+    private static ProxyResponse replaceUnconfirmedRejection(ProxyResponse response) {
         if (response instanceof ProxyResponse.CheckerResponse checkerResponse && !checkerResponse.notExecuted()) {
             int status = checkerResponse.head().status();
             if (status == TOO_MANY_REQUESTS
--- a/src/main/java/reedmux/proxy/request/package-info.java
+++ b/src/main/java/reedmux/proxy/request/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The life cycle of a client's request: where it is queued, to which checkers it was sent, what is known of whether it
- * was executed, and its one response. Deterministic; knows no socket and no clock.
+ * The life cycle of a client's request: queueing, attempts on checkers, knowledge of whether the request was executed,
+ * and its single response. Deterministic; does not access sockets or the system clock.
  */
 package reedmux.proxy.request;
--- a/src/main/java/reedmux/proxy/retry/RetryBudget.java
+++ b/src/main/java/reedmux/proxy/retry/RetryBudget.java
@@ -4,15 +4,20 @@
 import java.util.Map;
 
 /**
- * Bounds the retries and hedged attempts of one proxy. All proxies together may add a ratio of the requests and a fixed
- * slack; each has an equal share of the slack and earns the ratio by its own requests. A token bucket for each service:
- * a first attempt adds a fraction of a token, a retry takes one, and the capacity is the share of the slack. A
- * restarted proxy begins with empty buckets, as it may have used its share just before.
+ * Limits the retries and hedged attempts of one proxy. All proxies together may add a given ratio of the requests plus a
+ * fixed slack. Each proxy has an equal share of the slack and earns the ratio with its own requests.
  *
- * <p>Deterministic; for one thread.
+ * <p>Each service has a token bucket: a first attempt adds a fraction of a token, a retry or hedged attempt takes one
+ * token, and the capacity is the proxy's share of the slack. A restarted proxy starts with empty buckets, because the
+ * previous process may have used the share shortly before.
+ *
+ * <p>Deterministic. Not thread-safe.
  */
 public final class RetryBudget {
-    /** How much of the allowance is used: less wastes retries, more risks that checkers count beyond the allowance. */
+    /**
+     * Fraction of the allowance that is used. A smaller value wastes retries; a larger value risks that the checkers
+     * count more retries than the allowance permits.
+     */
     private static final double USABLE_FRACTION = 0.8;
 
     private double ratio;
@@ -22,11 +27,11 @@
     private int memberCount = 1;
 
     /**
-     * A budget for one proxy alone.
+     * Creates the budget of a proxy that is the only member.
      *
-     * @param ratio     retries per request, of all proxies together
-     * @param slack     retries beyond that, of all proxies together
-     * @param restarted whether another process of this node may have used some of it shortly before
+     * @param ratio     retries per request, for all proxies together
+     * @param slack     additional retries, for all proxies together
+     * @param restarted whether another process of this node may have used part of the budget shortly before
      */
     public RetryBudget(double ratio, double slack, boolean restarted) {
         this.ratio = ratio;
@@ -34,14 +39,14 @@
         this.restarted = restarted;
     }
 
-    /** Changes what all proxies together may add from now on. */
+    /** Changes the retry ratio and the slack of all proxies together. */
     public void setLimits(double nextRatio, double nextSlack) {
         ratio = nextRatio;
         slack = nextSlack;
         setMemberCount(memberCount);
     }
 
-    /** Sets among how many proxies the slack is shared; full buckets lose what is beyond the new capacity. */
+    /** Sets the number of proxies that share the slack. Tokens above the new capacity are discarded. */
     public void setMemberCount(int count) {
         memberCount = Math.max(1, count);
         tokens.replaceAll((service, available) -> Math.min(available, maxTokens()));
@@ -55,12 +60,12 @@
         return tokens.computeIfAbsent(service, name -> restarted ? 0.0 : maxTokens() / 2);
     }
 
-    /** A request goes to a service for the first time, which earns a fraction of a retry. */
+    /** Records the first attempt of a request to a service, which adds a fraction of a token. */
     public void onFirstAttempt(String service) {
         tokens.put(service, Math.min(maxTokens(), tokensOf(service) + USABLE_FRACTION * ratio));
     }
 
-    /** Takes a token for one retry or hedged attempt, and returns whether there was one. */
+    /** Takes a token for one retry or hedged attempt; returns whether a token was available. */
     public boolean tryAcquire(String service) {
         double available = tokensOf(service);
         if (available < 1) {
@@ -70,7 +75,7 @@
         return true;
     }
 
-    /** Whether a token could be taken and {@code reserve} tokens would be left. */
+    /** Returns whether a token is available and at least {@code reserve} tokens would remain after taking it. */
     public boolean canAcquire(String service, double reserve) {
         return tokensOf(service) >= 1 + reserve;
     }
--- a/src/main/java/reedmux/proxy/retry/package-info.java
+++ b/src/main/java/reedmux/proxy/retry/package-info.java
@@ -1,2 +1,2 @@
-/** The budget of retries and hedged attempts, shared by all proxies. Deterministic. */
+/** The budget for retries and hedged attempts, which all proxies share. Deterministic. */
 package reedmux.proxy.retry;
