--- a/src/main/java/reedmux/proxy/loadbalancer/CheckerStats.java
+++ b/src/main/java/reedmux/proxy/loadbalancer/CheckerStats.java
@@ -25,7 +25,7 @@
     /** Factor by which the latency of a checker is increased during its slow start. */
     private static final double SLOW_START_PENALTY = 2;
     /**
-     * How long after its last response to this proxy a checker is still considered healthy although the registries
+     * Time after its last response to this proxy during which a checker is not suspect merely because the registries
      * receive no heartbeats from it.
      */
     private static final long UNRESPONSIVE_GRACE_MICROS = 3_000_000;
--- a/src/main/java/reedmux/proxy/loadbalancer/LoadBalancer.java
+++ b/src/main/java/reedmux/proxy/loadbalancer/LoadBalancer.java
@@ -232,8 +232,8 @@
     }
 
     /**
-     * Returns the checker to send a request to, or null if this proxy already has the maximum number of requests in
-     * flight at every eligible checker.
+     * Returns the checker to send a request to, or null if no checker is eligible or this proxy already has the maximum
+     * number of requests in flight at every eligible one.
      *
      * @param excluded               ids of checkers that must not be chosen
      * @param large                  whether the request has a large body, for which a checker in the same zone is more
--- a/src/main/java/reedmux/proxy/request/RequestTracker.java
+++ b/src/main/java/reedmux/proxy/request/RequestTracker.java
@@ -30,8 +30,8 @@
      */
     private static final long ATTEMPT_GRACE_MICROS = 400 * MICROS_PER_MILLI;
     /**
-     * Maximum number of attempts without reaching a checker after which a request is still retried. Such attempts load
-     * no checker, but each takes time.
+     * A request is not retried any more once more than this number of its attempts have failed to reach a checker. Such
+     * attempts put no load on checkers, but each takes time.
      */
     private static final int MAX_UNREACHED_ATTEMPTS = 4;
 
@@ -44,17 +44,17 @@
      */
     private static final double QUEUE_TIME_TARGET_FRACTION = 0.2;
     /**
-     * Delay of a hedged attempt, as a fraction of the route's latency target. A smaller value uses more of the retry
-     * budget; a larger value misses the target.
+     * Delay of a hedged attempt, as a fraction of the route's latency target. A smaller value consumes more of the retry
+     * budget; a larger value makes the response more likely to miss the target.
      */
     private static final double HEDGE_DELAY_TARGET_FRACTION = 0.55;
     /** Tokens that a hedged attempt must leave in the retry budget for the retries of failed requests. */
     private static final double HEDGE_BUDGET_RESERVE = 1;
-    /** Rejected clients are told to retry after a random time between one and three times this value. */
+    /** The Retry-After of rejected requests is chosen at random between one and three times this value. */
     private static final long MIN_RETRY_AFTER_MICROS = 120 * MICROS_PER_MILLI;
     /**
-     * A checker is suspect if it is silent for longer than this multiple of the route's mean latency, but at least for
-     * {@link #MIN_SILENCE_TOLERANCE_MICROS}.
+     * Silence after which a checker with requests in flight is suspect, as a multiple of the route's mean latency. The
+     * lower bound is {@link #MIN_SILENCE_TOLERANCE_MICROS}.
      */
     private static final int SILENCE_TOLERANCE_LATENCIES = 5;
 
--- a/src/test/java/reedmux/proxy/loadbalancer/LoadBalancerTest.java
+++ b/src/test/java/reedmux/proxy/loadbalancer/LoadBalancerTest.java
@@ -17,7 +17,7 @@
 import reedmux.control.session.ProxySession;
 import reedmux.control.session.SessionView;
 
-/** What many proxies may send to one checker together, and whom one chooses. */
+/** Tests how the proxies share the slots of the checkers and which checker a proxy chooses. */
 public class LoadBalancerTest {
     private static final long NOW = 10_000_000;
     private static final String[] ZONES = {"a", "b", "c"};
@@ -26,7 +26,10 @@
         return new CheckerIncarnation(id, "desk", "10.0.0.1:80", zone, capacity, phase, 1, 0, false);
     }
 
-    /** Proxies, checkers, slots of each, what may be at one at the most, and its ceiling of connections. */
+    /**
+     * Number of proxies, number of checkers, capacity of each checker, maximum number of requests in flight at one checker
+     * from all proxies, and its connection limit.
+     */
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {
@@ -44,59 +47,64 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void allProxiesTogetherNeverFillACheckersQueue(int proxies, int checkers, int slots, int most, int ceiling) {
+    public void requestsOfAllProxiesStayWithinTheLimitOfEachChecker(
+            int proxies, int checkers, int capacity, int maxInFlight, int connectionLimit) {
         List<ProxySession> members = new ArrayList<>();
         for (int i = 0; i < proxies; i++) {
             members.add(new ProxySession("edge-" + i, "10.1.0." + i, ZONES[i % 3], i));
         }
-        Map<String, Integer> sums = new HashMap<>();
+        Map<String, Integer> inFlightByChecker = new HashMap<>();
         for (ProxySession member : members) {
-            LoadBalancer roster = new LoadBalancer(member.node(), member.zone(), 1);
-            roster.setConnectionLimit("desk", ceiling);
+            LoadBalancer loadBalancer = new LoadBalancer(member.node(), member.zone(), 1);
+            loadBalancer.setConnectionLimit("desk", connectionLimit);
             for (int i = 0; i < checkers; i++) {
-                roster.onIncarnationUpdate(incarnation("c-" + i, ZONES[i % 3], slots, CheckerIncarnation.READY), NOW);
+                loadBalancer.onIncarnationUpdate(
+                        incarnation("c-" + i, ZONES[i % 3], capacity, CheckerIncarnation.READY), NOW);
             }
-            roster.onViewChange(SessionView.of(members));
+            loadBalancer.onViewChange(SessionView.of(members));
             while (true) {
-                CheckerStats next = roster.choose("desk", Set.of(), false, 400_000, NOW);
-                if (next == null) {
+                CheckerStats checker = loadBalancer.choose("desk", Set.of(), false, 400_000, NOW);
+                if (checker == null) {
                     break;
                 }
-                next.onRequestStarted(NOW);
-                sums.merge(next.id(), 1, Integer::sum);
+                checker.onRequestStarted(NOW);
+                inFlightByChecker.merge(checker.id(), 1, Integer::sum);
             }
         }
-        assertEquals(sums.size(), checkers);
-        sums.forEach((id, sum) -> assertTrue(sum <= most && sum >= Math.min(slots, most / 2), id + " has " + sum));
+        assertEquals(inFlightByChecker.size(), checkers);
+        inFlightByChecker.forEach((id, inFlight) -> assertTrue(
+                inFlight <= maxInFlight && inFlight >= Math.min(capacity, maxInFlight / 2),
+                id + " has " + inFlight + " requests in flight"));
     }
 
     @Test
-    public void doesNotChooseDrainingCheckersAndFailedOnesOnlyIfThereIsNoOther() {
-        LoadBalancer roster = new LoadBalancer("me", "a", 1);
-        roster.onIncarnationUpdate(incarnation("one", "a", 3, CheckerIncarnation.READY), NOW);
-        roster.onIncarnationUpdate(incarnation("two", "a", 3, CheckerIncarnation.READY), NOW);
-        roster.get("one").onFailure(NOW);
+    public void neverChoosesDrainingCheckersAndChoosesFailedOnesOnlyAsALastResort() {
+        LoadBalancer loadBalancer = new LoadBalancer("me", "a", 1);
+        loadBalancer.onIncarnationUpdate(incarnation("one", "a", 3, CheckerIncarnation.READY), NOW);
+        loadBalancer.onIncarnationUpdate(incarnation("two", "a", 3, CheckerIncarnation.READY), NOW);
+        loadBalancer.get("one").onFailure(NOW);
         for (int i = 0; i < 20; i++) {
-            assertEquals(roster.choose("desk", Set.of(), false, 400_000, NOW).id(), "two");
+            assertEquals(
+                    loadBalancer.choose("desk", Set.of(), false, 400_000, NOW).id(), "two");
         }
-        roster.onIncarnationUpdate(incarnation("two", "a", 3, CheckerIncarnation.DRAINING), NOW);
-        assertEquals(roster.choose("desk", Set.of(), false, 400_000, NOW).id(), "one");
-        assertNull(roster.choose("desk", new HashSet<>(Set.of("one")), false, 400_000, NOW));
-        roster.onIncarnationUpdate(incarnation("one", "a", 3, CheckerIncarnation.GONE), NOW);
-        assertNull(roster.choose("desk", Set.of(), false, 400_000, NOW));
+        loadBalancer.onIncarnationUpdate(incarnation("two", "a", 3, CheckerIncarnation.DRAINING), NOW);
+        assertEquals(loadBalancer.choose("desk", Set.of(), false, 400_000, NOW).id(), "one");
+        assertNull(loadBalancer.choose("desk", new HashSet<>(Set.of("one")), false, 400_000, NOW));
+        loadBalancer.onIncarnationUpdate(incarnation("one", "a", 3, CheckerIncarnation.GONE), NOW);
+        assertNull(loadBalancer.choose("desk", Set.of(), false, 400_000, NOW));
     }
 
     @Test
-    public void largeBodiesStayInTheZoneWhileItHasCapacity() {
-        LoadBalancer roster = new LoadBalancer("me", "a", 1);
-        roster.onViewChange(SessionView.of(List.of(new ProxySession("me", "10.1.0.1", "a", 1))));
-        roster.onIncarnationUpdate(incarnation("near", "a", 3, CheckerIncarnation.READY), NOW);
-        roster.onIncarnationUpdate(incarnation("far", "b", 3, CheckerIncarnation.READY), NOW);
-        assertEquals(roster.choose("desk", Set.of(), true, 400_000, NOW).id(), "near");
+    public void choosesTheOwnZoneForLargeBodiesWhileItHasCapacity() {
+        LoadBalancer loadBalancer = new LoadBalancer("me", "a", 1);
+        loadBalancer.onViewChange(SessionView.of(List.of(new ProxySession("me", "10.1.0.1", "a", 1))));
+        loadBalancer.onIncarnationUpdate(incarnation("near", "a", 3, CheckerIncarnation.READY), NOW);
+        loadBalancer.onIncarnationUpdate(incarnation("far", "b", 3, CheckerIncarnation.READY), NOW);
+        assertEquals(loadBalancer.choose("desk", Set.of(), true, 400_000, NOW).id(), "near");
         for (int i = 0; i < 6; i++) {
-            roster.get("near").onRequestStarted(NOW);
+            loadBalancer.get("near").onRequestStarted(NOW);
         }
-        assertNotNull(roster.choose("desk", Set.of(), true, 400_000, NOW));
-        assertEquals(roster.choose("desk", Set.of(), true, 400_000, NOW).id(), "far");
+        assertNotNull(loadBalancer.choose("desk", Set.of(), true, 400_000, NOW));
+        assertEquals(loadBalancer.choose("desk", Set.of(), true, 400_000, NOW).id(), "far");
     }
 }
--- a/src/test/java/reedmux/proxy/request/RequestTrackerTest.java
+++ b/src/test/java/reedmux/proxy/request/RequestTrackerTest.java
@@ -15,12 +15,14 @@
 import reedmux.proxy.loadbalancer.LoadBalancer;
 import reedmux.proxy.retry.RetryBudget;
 
-/** Each stage at which a sending may end, and what becomes of the request. */
+/** Tests how the tracker handles a request for each way in which its attempts can end. */
 public class RequestTrackerTest {
     private static final long MICROS_PER_MILLI = 1000;
 
-    private record ScheduledEvent(long at, int number, RequestEvent event) {}
+    /** An event that the tracker has scheduled; {@code number} orders events of the same time. */
+    private record ScheduledEvent(long time, int number, RequestEvent event) {}
 
+    /** A tracker with a simulated clock, which records the tracker's actions. */
     private static final class TrackerHarness implements RequestPort {
         final LoadBalancer loadBalancer = new LoadBalancer("me", "here", 1);
         final RetryBudget budget;
@@ -28,8 +30,8 @@
         final List<RequestAttempt> sent = new ArrayList<>();
         final List<ProxyResponse> responses = new ArrayList<>();
         final List<ProxyRequest> completed = new ArrayList<>();
-        final PriorityQueue<ScheduledEvent> scheduled = new PriorityQueue<>((one, other) ->
-                one.at() != other.at() ? Long.compare(one.at(), other.at()) : one.number() - other.number());
+        final PriorityQueue<ScheduledEvent> scheduled = new PriorityQueue<>((left, right) ->
+                left.time() != right.time() ? Long.compare(left.time(), right.time()) : left.number() - right.number());
         int quotaRefunds;
         boolean fullyReceived = true;
         int priority = 1;
@@ -54,23 +56,23 @@
             tracker = new RequestTracker(this, loadBalancer, budget, 1);
         }
 
-        ProxyRequest accept(boolean repeatable, int attempts) {
-            return accept(repeatable, attempts, 1500);
+        ProxyRequest accept(boolean idempotent, int attempts) {
+            return accept(idempotent, attempts, 1500);
         }
 
-        ProxyRequest accept(boolean repeatable, int attempts, long millis) {
+        ProxyRequest accept(boolean idempotent, int attempts, long millis) {
             RouteItem route = new RouteItem(
                     "r",
                     "h",
                     "/",
-                    repeatable,
+                    idempotent,
                     2000 * MICROS_PER_MILLI,
                     400 * MICROS_PER_MILLI,
                     priority,
                     List.of(new RouteItem.WeightedService("desk", 1)),
                     attempts,
                     true);
-            ProxyRequest exchange = new ProxyRequest(
+            ProxyRequest request = new ProxyRequest(
                     route,
                     null,
                     new ProxyRequest.RequestSource() {
@@ -95,98 +97,104 @@
                         }
                     },
                     now + millis * MICROS_PER_MILLI);
-            tracker.onEvent(now, new RequestEvent.RequestAccepted(exchange));
-            return exchange;
+            tracker.onEvent(now, new RequestEvent.RequestAccepted(request));
+            return request;
         }
 
-        /** What an end is: not connected, a shed, silence that breaks, an answer. */
-        void endAttempt(RequestAttempt what, String how) {
-            if (!how.equals("unreached")) {
-                what.onConnected();
+        /**
+         * Ends an attempt.
+         *
+         * @param outcome "unreached": not connected; "shed" or "moved": rejected by the checker with 503 or 421; "half
+         *                sent" or "broken": aborted without a response; "failed": response with 500; any other value:
+         *                response with 200
+         */
+        void endAttempt(RequestAttempt attempt, String outcome) {
+            if (!outcome.equals("unreached")) {
+                attempt.onConnected();
             }
-            ExecutionStatus verdict =
-                    switch (how) {
+            ExecutionStatus execution =
+                    switch (outcome) {
                         case "unreached", "shed", "moved" -> ExecutionStatus.NOT_EXECUTED;
                         case "half sent", "broken" -> ExecutionStatus.MAY_HAVE_EXECUTED;
                         default -> ExecutionStatus.EXECUTED;
                     };
             int status =
-                    switch (how) {
+                    switch (outcome) {
                         case "shed" -> 503;
                         case "moved" -> 421;
                         case "failed" -> 500;
                         default -> 200;
                     };
-            boolean none = how.equals("unreached") || how.equals("half sent") || how.equals("broken");
+            boolean noResponse = outcome.equals("unreached") || outcome.equals("half sent") || outcome.equals("broken");
             tracker.onEvent(
                     now,
                     new RequestEvent.AttemptFinished(
-                            what,
-                            verdict,
-                            none
+                            attempt,
+                            execution,
+                            noResponse
                                     ? null
                                     : new ProxyResponse.CheckerResponse(
                                             Http1Head.response(status),
                                             new byte[0],
-                                            verdict == ExecutionStatus.NOT_EXECUTED)));
+                                            execution == ExecutionStatus.NOT_EXECUTED)));
         }
 
         void runUntil(long until) {
-            while (!scheduled.isEmpty() && scheduled.peek().at() <= until) {
+            while (!scheduled.isEmpty() && scheduled.peek().time() <= until) {
                 ScheduledEvent next = scheduled.poll();
-                now = Math.max(now, next.at());
+                now = Math.max(now, next.time());
                 tracker.onEvent(now, next.event());
             }
             now = until;
         }
 
         @Override
-        public void send(RequestAttempt what) {
-            sent.add(what);
+        public void send(RequestAttempt attempt) {
+            sent.add(attempt);
         }
 
         @Override
-        public void cancel(RequestAttempt what) {
+        public void cancel(RequestAttempt attempt) {
             tracker.onEvent(
                     now,
                     new RequestEvent.AttemptFinished(
-                            what,
-                            what.isConnected() && fullyReceived
+                            attempt,
+                            attempt.isConnected() && fullyReceived
                                     ? ExecutionStatus.MAY_HAVE_EXECUTED
                                     : ExecutionStatus.NOT_EXECUTED,
                             null));
         }
 
         @Override
-        public void respond(ProxyRequest exchange, ProxyResponse answer) {
-            responses.add(answer);
-            assertFalse(completed.contains(exchange), "answered twice");
-            completed.add(exchange);
+        public void respond(ProxyRequest request, ProxyResponse response) {
+            responses.add(response);
+            assertFalse(completed.contains(request), "a request must have only one response");
+            completed.add(request);
         }
 
         @Override
-        public void refundQuota(ProxyRequest exchange) {
+        public void refundQuota(ProxyRequest request) {
             quotaRefunds++;
         }
 
         @Override
-        public void schedule(long at, RequestEvent event) {
-            scheduled.add(new ScheduledEvent(at, scheduled.size(), event));
+        public void schedule(long time, RequestEvent event) {
+            scheduled.add(new ScheduledEvent(time, scheduled.size(), event));
         }
     }
 
-    private static int status(ProxyResponse answer) {
-        return answer instanceof ProxyResponse.LocalResponse own
-                ? own.status()
-                : ((ProxyResponse.CheckerResponse) answer).head().status();
+    private static int status(ProxyResponse response) {
+        return response instanceof ProxyResponse.LocalResponse localResponse
+                ? localResponse.status()
+                : ((ProxyResponse.CheckerResponse) response).head().status();
     }
 
     /**
-     * How the first sending ends; what of a repeatable and of another request: sendings, and the answer's
-     * status.
+     * Outcome of the first attempt; the expected number of attempts and response status of an idempotent request; and
+     * the same of a non-idempotent request.
      */
     @DataProvider
-    public Object[][] stages() {
+    public Object[][] firstAttemptOutcomes() {
         return new Object[][] {
             {"unreached", 2, 200, 2, 200},
             {"half sent", 2, 200, 1, 502},
@@ -198,47 +206,52 @@
         };
     }
 
-    @Test(dataProvider = "stages")
-    public void retriesOrRespondsByHowTheFirstAttemptEnds(
-            String how, int sendings, int status, int sendingsOnce, int statusOnce) {
-        for (boolean repeatable : new boolean[] {true, false}) {
+    @Test(dataProvider = "firstAttemptOutcomes")
+    public void retriesOrRespondsDependingOnTheFirstAttempt(
+            String outcome, int attempts, int status, int nonIdempotentAttempts, int nonIdempotentStatus) {
+        for (boolean idempotent : new boolean[] {true, false}) {
             TrackerHarness harness = new TrackerHarness(3, 100);
-            harness.accept(repeatable, 2);
-            harness.endAttempt(harness.sent.get(0), how);
-            assertEquals(harness.sent.size(), repeatable ? sendings : sendingsOnce, how);
+            harness.accept(idempotent, 2);
+            harness.endAttempt(harness.sent.get(0), outcome);
+            assertEquals(harness.sent.size(), idempotent ? attempts : nonIdempotentAttempts, outcome);
             if (harness.responses.isEmpty()) {
                 harness.endAttempt(harness.sent.get(1), "served");
             }
-            assertEquals(status(harness.responses.get(0)), repeatable ? status : statusOnce, how);
+            assertEquals(status(harness.responses.get(0)), idempotent ? status : nonIdempotentStatus, outcome);
             assertEquals(harness.responses.size(), 1);
         }
     }
 
-    /** All pairs of ends: what may have run is never said to be not run, nor sent again unless repeatable. */
+    /**
+     * Covers all pairs of outcomes of two attempts. A request that may have been executed never gets a status that implies
+     * the opposite, and is sent again only if it is idempotent.
+     */
     @Test
     public void neverPromisesThatARequestWasNotExecutedIfItMayHaveBeen() {
-        String[] ends = {"unreached", "half sent", "shed", "moved", "broken", "failed", "served"};
-        for (String first : ends) {
-            for (String second : ends) {
-                for (boolean repeatable : new boolean[] {true, false}) {
+        String[] outcomes = {"unreached", "half sent", "shed", "moved", "broken", "failed", "served"};
+        for (String first : outcomes) {
+            for (String second : outcomes) {
+                for (boolean idempotent : new boolean[] {true, false}) {
                     TrackerHarness harness = new TrackerHarness(2, 100);
-                    harness.accept(repeatable, 2);
+                    harness.accept(idempotent, 2);
                     harness.endAttempt(harness.sent.get(0), first);
-                    List<String> run = List.of("half sent", "broken", "failed", "served");
-                    boolean may = run.contains(first);
-                    assertTrue(!may || repeatable || harness.sent.size() == 1);
+                    List<String> executedOutcomes = List.of("half sent", "broken", "failed", "served");
+                    boolean mayHaveExecuted = executedOutcomes.contains(first);
+                    assertTrue(!mayHaveExecuted || idempotent || harness.sent.size() == 1);
                     if (harness.sent.size() > 1) {
                         harness.endAttempt(harness.sent.get(1), second);
-                        may |= run.contains(second);
+                        mayHaveExecuted |= executedOutcomes.contains(second);
                     }
                     harness.runUntil(harness.now + 3000 * MICROS_PER_MILLI);
                     assertEquals(harness.responses.size(), 1, first + ", " + second);
                     int status = status(harness.responses.get(0));
-                    assertFalse(may && (status == 503 || status == 429 || status == 421), first + ", " + second);
-                    assertTrue(may
+                    assertFalse(
+                            mayHaveExecuted && (status == 503 || status == 429 || status == 421),
+                            first + ", " + second);
+                    assertTrue(mayHaveExecuted
                             || status == 503
                                     && ((ProxyResponse.LocalResponse) harness.responses.get(0)).retryAfterMicros() > 0);
-                    assertEquals(harness.quotaRefunds, may ? 0 : 1);
+                    assertEquals(harness.quotaRefunds, mayHaveExecuted ? 0 : 1);
                 }
             }
         }
@@ -255,9 +268,9 @@
         assertEquals(status(harness.responses.get(0)), 504);
     }
 
-    /** A checker that falls silent for good does not keep its place for good. */
+    /** An attempt at a checker that never responds must not occupy one of the checker's slots forever. */
     @Test
-    public void attemptWithoutResponseStopsCountingAsInFlight() {
+    public void attemptWithoutResponseIsEventuallyNoLongerInFlight() {
         TrackerHarness harness = new TrackerHarness(1, 100);
         harness.accept(false, 2);
         harness.sent.get(0).onConnected();
@@ -270,16 +283,19 @@
     public void cancelsAnIncompleteRequestWhenItsClientDisconnects() {
         TrackerHarness harness = new TrackerHarness(1, 100);
         harness.fullyReceived = false;
-        ProxyRequest exchange = harness.accept(false, 2);
+        ProxyRequest request = harness.accept(false, 2);
         harness.sent.get(0).onConnected();
-        harness.tracker.onEvent(harness.now, new RequestEvent.ClientDisconnected(exchange));
+        harness.tracker.onEvent(harness.now, new RequestEvent.ClientDisconnected(request));
         assertEquals(harness.loadBalancer.get("c0").inFlight(), 0);
         assertTrue(harness.responses.isEmpty());
     }
 
-    /** How far an attempt is as the client leaves, by route; whether it is cancelled, and its quota given back. */
+    /**
+     * State of the attempt when the client disconnects; whether the route is idempotent; whether the attempt must be
+     * cancelled; and the expected number of quota refunds.
+     */
     @DataProvider
-    public Object[][] departures() {
+    public Object[][] clientDisconnects() {
         return new Object[][] {
             {"connecting", true, true, 1},
             {"connecting", false, true, 1},
@@ -291,8 +307,9 @@
         };
     }
 
-    @Test(dataProvider = "departures")
-    public void departureCancelsWhatDoesNoHarm(String stage, boolean idempotent, boolean cancelled, int refunds) {
+    @Test(dataProvider = "clientDisconnects")
+    public void cancelsAttemptsThatAreSafeToCancelWhenTheClientDisconnects(
+            String stage, boolean idempotent, boolean cancelled, int refunds) {
         TrackerHarness harness = new TrackerHarness(3, 100);
         ProxyRequest request = harness.accept(idempotent, 2);
         if (stage.equals("hedged")) {
@@ -311,16 +328,19 @@
         harness.tracker.onEvent(harness.now, new RequestEvent.ClientDisconnected(request));
         assertEquals(harness.tracker.attempts().isEmpty(), cancelled, stage);
         harness.runUntil(harness.now + 5_000 * MICROS_PER_MILLI);
-        assertTrue(harness.tracker.attempts().isEmpty(), "every attempt ends");
-        assertEquals(harness.sent.size(), attempts, "nothing is sent for a client that has left");
+        assertTrue(harness.tracker.attempts().isEmpty(), "every attempt must end");
+        assertEquals(harness.sent.size(), attempts, "no attempt may be sent after the client has disconnected");
         assertTrue(harness.responses.isEmpty());
         assertEquals(harness.quotaRefunds, refunds, stage);
     }
 
-    /** The slower of two attempts goes on after the response, and shows its latency, while the client stays. */
+    /**
+     * The slower of two attempts continues after the response, to measure the latency of its checker, until the client
+     * closes its connection.
+     */
     @Test
-    public void hedgedAttemptEndsWithTheConnectionOfItsClient() {
-        for (boolean own : new boolean[] {true, false}) {
+    public void cancelsTheSlowerAttemptWhenTheClientConnectionCloses() {
+        for (boolean sameConnection : new boolean[] {true, false}) {
             TrackerHarness harness = new TrackerHarness(2, 100);
             harness.accept(true, 2);
             harness.sent.get(0).onConnected();
@@ -328,16 +348,19 @@
             harness.runUntil(harness.now + 300 * MICROS_PER_MILLI);
             harness.endAttempt(harness.sent.get(1), "served");
             assertFalse(harness.tracker.attempts().isEmpty());
-            Object connection = own ? harness : new Object();
+            Object connection = sameConnection ? harness : new Object();
             harness.tracker.onEvent(harness.now, new RequestEvent.ClientConnectionClosed(connection));
-            assertEquals(harness.tracker.attempts().isEmpty(), own);
+            assertEquals(harness.tracker.attempts().isEmpty(), sameConnection);
             assertEquals(harness.responses.size(), 1);
         }
     }
 
-    /** Clients that leave say nothing of checkers, but one that is silent does not become sound by it. */
+    /**
+     * A client that disconnects does not make its checker suspect, but neither does it clear the suspicion of a checker
+     * that has been silent for too long.
+     */
     @Test
-    public void departureLeavesTheCheckersReputationAsItWas() {
+    public void clientDisconnectDoesNotChangeWhetherTheCheckerIsSuspect() {
         for (boolean silent : new boolean[] {false, true}) {
             TrackerHarness harness = new TrackerHarness(2, 0);
             ProxyRequest first = harness.accept(true, 1);
@@ -351,9 +374,9 @@
         }
     }
 
-    /** The queue's place goes to others, and one that fails after its client left is not retried. */
+    /** An attempt that is rejected after its client has disconnected is neither retried nor responded to. */
     @Test
-    public void nothingIsRetriedForAClientThatHasLeft() {
+    public void doesNotRetryAfterTheClientHasDisconnected() {
         TrackerHarness harness = new TrackerHarness(3, 100);
         ProxyRequest request = harness.accept(false, 3);
         RequestAttempt attempt = harness.sent.get(0);
@@ -374,7 +397,7 @@
         harness.runUntil(harness.now + 300 * MICROS_PER_MILLI);
         assertEquals(harness.sent.size(), 2);
         harness.endAttempt(harness.sent.get(1), "broken");
-        assertTrue(harness.responses.isEmpty()); // the first is still under way
+        assertTrue(harness.responses.isEmpty()); // the first attempt is still in flight
         harness.endAttempt(harness.sent.get(0), "served");
         assertEquals(status(harness.responses.get(0)), 200);
     }
@@ -387,9 +410,9 @@
         for (int i = 0; i < requests; i++) {
             int before = harness.sent.size();
             harness.accept(true, 3);
-            for (int at = before; at < harness.sent.size(); at++) {
+            for (int index = before; index < harness.sent.size(); index++) {
                 arrivals++;
-                harness.endAttempt(harness.sent.get(at), "broken");
+                harness.endAttempt(harness.sent.get(index), "broken");
             }
             harness.runUntil(harness.now + 500 * MICROS_PER_MILLI);
         }
@@ -400,21 +423,24 @@
     @Test
     public void rejectsQueuedRequestsEarlyWithRetryAfter() {
         TrackerHarness harness = new TrackerHarness(1, 100);
-        int taken = 30;
-        for (int i = 0; i < taken; i++) {
+        int requests = 30;
+        for (int i = 0; i < requests; i++) {
             harness.accept(false, 2);
         }
-        int out = harness.sent.size();
-        assertTrue(out < taken);
+        int dispatched = harness.sent.size();
+        assertTrue(dispatched < requests);
         harness.runUntil(harness.now + 100 * MICROS_PER_MILLI);
-        assertEquals(harness.responses.size(), taken - out);
-        harness.responses.forEach(answer -> {
-            assertEquals(status(answer), 503);
-            assertTrue(((ProxyResponse.LocalResponse) answer).retryAfterMicros() > 0);
+        assertEquals(harness.responses.size(), requests - dispatched);
+        harness.responses.forEach(response -> {
+            assertEquals(status(response), 503);
+            assertTrue(((ProxyResponse.LocalResponse) response).retryAfterMicros() > 0);
         });
     }
 
-    /** More wait than may, and some of them have been answered by then: their clients are on to the next. */
+    /**
+     * Queues more requests than allowed while earlier ones have already been rejected. A request that already has its
+     * response must not be rejected a second time, because its client may have sent the next request by then.
+     */
     @Test
     public void queueOverflowDoesNotRespondTwice() {
         TrackerHarness harness = new TrackerHarness(1, 100);
@@ -430,9 +456,9 @@
         assertEquals(harness.quotaRefunds, harness.responses.size());
     }
 
-    /** What is not here whole can be read once only: a second copy would take the first one's bytes. */
+    /** An incomplete body can be read only once: a hedged attempt would consume bytes of the first attempt. */
     @Test
-    public void doesNotHedgeARequestThatIsStillComingIn() {
+    public void doesNotHedgeARequestThatIsStillBeingReceived() {
         TrackerHarness harness = new TrackerHarness(2, 100);
         harness.fullyReceived = false;
         harness.accept(true, 2);
@@ -440,7 +466,7 @@
         assertEquals(harness.sent.size(), 1);
     }
 
-    /** Its deadline comes while a connection is not up: it has not run and never will. */
+    /** The deadline expires before a connection is established: the request was not executed and never will be. */
     @Test
     public void rejectsWithoutExecutionWhenNoCheckerWasReached() {
         TrackerHarness harness = new TrackerHarness(1, 100);
@@ -451,9 +477,12 @@
         assertEquals(harness.loadBalancer.get("c0").inFlight(), 0);
     }
 
-    /** A status that promises that it was not run, from a checker that does not say so. */
+    /**
+     * A status that implies that the request was not executed is replaced by 502 if the checker does not report so
+     * explicitly.
+     */
     @Test
-    public void doesNotForwardAPromiseThatTheCheckerDidNotGive() {
+    public void doesNotForwardARejectionStatusThatTheCheckerDidNotConfirm() {
         for (int status : new int[] {408, 421, 429, 503, 500, 409}) {
             TrackerHarness harness = new TrackerHarness(1, 100);
             harness.accept(false, 2);
