--- a/src/main/java/reedmux/proxy/loadbalancer/LoadBalancer.java
+++ b/src/main/java/reedmux/proxy/loadbalancer/LoadBalancer.java
@@ -17,10 +17,10 @@
  * other checker is available.
  *
  * <p>The proxies divide the checkers among themselves without communicating: each proxy has a share of the slots of the
- * checkers in its zone, which every proxy computes from the session view in the same order. A checker therefore receives
- * most of its requests from a few proxies, which know its load. The load from the other proxies is estimated from this
- * proxy's own utilization. A proxy has at most twice its share of a checker's capacity in flight, so that the requests
- * of all proxies together fit into the checker's queue.
+ * checkers in its zone, which every proxy computes from the session view in the same order. A checker therefore
+ * receives most of its requests from a few proxies, which know its load. The load from the other proxies is estimated
+ * from this proxy's own utilization. A proxy has at most twice its share of a checker's capacity in flight, so that the
+ * requests of all proxies together fit into the checker's queue.
  *
  * <p>Deterministic for a given seed. Not thread-safe.
  */
@@ -288,8 +288,8 @@
     }
 
     /**
-     * Updates the average utilization of this proxy's slots and removes checkers that are gone. Must be called at a fixed
-     * interval.
+     * Updates the average utilization of this proxy's slots and removes checkers that are gone. Must be called at a
+     * fixed interval.
      */
     public void updateUtilization() {
         assignShares();
--- a/src/main/java/reedmux/proxy/request/RequestAttempt.java
+++ b/src/main/java/reedmux/proxy/request/RequestAttempt.java
@@ -3,8 +3,8 @@
 import reedmux.proxy.loadbalancer.CheckerStats;
 
 /**
- * One attempt to execute a request on a checker. {@link RequestTracker} creates, cancels and ends it; the sender reports
- * the progress of its transfer.
+ * One attempt to execute a request on a checker. {@link RequestTracker} creates, cancels and ends it; the sender
+ * reports the progress of its transfer.
  */
 public final class RequestAttempt {
     private static final long NOT_CANCELLED = -1;
--- a/src/main/java/reedmux/proxy/request/RequestTracker.java
+++ b/src/main/java/reedmux/proxy/request/RequestTracker.java
@@ -25,8 +25,8 @@
     /** Time limit for establishing a connection. If it expires, the machine is down and does not answer any packets. */
     private static final long CONNECT_TIMEOUT_MICROS = 300 * MICROS_PER_MILLI;
     /**
-     * Grace period after the deadline of a request. A checker ends a request at its deadline, so an attempt that has not
-     * ended after this period will not end by itself.
+     * Grace period after the deadline of a request. A checker ends a request at its deadline, so an attempt that has
+     * not ended after this period will not end by itself.
      */
     private static final long ATTEMPT_GRACE_MICROS = 400 * MICROS_PER_MILLI;
     /**
@@ -39,13 +39,13 @@
     /** Minimum time left until the deadline for which a request is sent again. */
     private static final long MIN_RETRY_TIME_MICROS = 20 * MICROS_PER_MILLI;
     /**
-     * Maximum time in the queue, as a fraction of the route's latency target. The rest of the target is reserved for the
-     * execution.
+     * Maximum time in the queue, as a fraction of the route's latency target. The rest of the target is reserved for
+     * the execution.
      */
     private static final double QUEUE_TIME_TARGET_FRACTION = 0.2;
     /**
-     * Delay of a hedged attempt, as a fraction of the route's latency target. A smaller value consumes more of the retry
-     * budget; a larger value makes the response more likely to miss the target.
+     * Delay of a hedged attempt, as a fraction of the route's latency target. A smaller value consumes more of the
+     * retry budget; a larger value makes the response more likely to miss the target.
      */
     private static final double HEDGE_DELAY_TARGET_FRACTION = 0.55;
     /** Tokens that a hedged attempt must leave in the retry budget for the retries of failed requests. */
--- a/src/main/java/reedmux/proxy/retry/RetryBudget.java
+++ b/src/main/java/reedmux/proxy/retry/RetryBudget.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Limits the retries and hedged attempts of one proxy. All proxies together may add a given ratio of the requests plus a
- * fixed slack. Each proxy has an equal share of the slack and earns the ratio with its own requests.
+ * Limits the retries and hedged attempts of one proxy. All proxies together may add a given ratio of the requests plus
+ * a fixed slack. Each proxy has an equal share of the slack and earns the ratio with its own requests.
  *
  * <p>Each service has a token bucket: a first attempt adds a fraction of a token, a retry or hedged attempt takes one
  * token, and the capacity is the proxy's share of the slack. A restarted proxy starts with empty buckets, because the
--- a/src/test/java/reedmux/proxy/loadbalancer/LoadBalancerTest.java
+++ b/src/test/java/reedmux/proxy/loadbalancer/LoadBalancerTest.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Number of proxies, number of checkers, capacity of each checker, maximum number of requests in flight at one checker
-     * from all proxies, and its connection limit.
+     * Number of proxies, number of checkers, capacity of each checker, maximum number of requests in flight at one
+     * checker from all proxies, and its connection limit.
      */
     @DataProvider
     public Object[][] fleets() {
--- a/src/test/java/reedmux/proxy/request/RequestTrackerTest.java
+++ b/src/test/java/reedmux/proxy/request/RequestTrackerTest.java
@@ -223,11 +223,11 @@
     }
 
     /**
-     * Covers all pairs of outcomes of two attempts. A request that may have been executed never gets a status that implies
-     * the opposite, and is sent again only if it is idempotent.
+     * Covers all pairs of outcomes of two attempts. A request that may have been executed never gets a status that
+     * implies the opposite, and is sent again only if it is idempotent.
      */
     @Test
-    public void neverPromisesThatARequestWasNotExecutedIfItMayHaveBeen() {
+    public void neverReturnsANotExecutedStatusIfTheRequestMayHaveBeenExecuted() {
         String[] outcomes = {"unreached", "half sent", "shed", "moved", "broken", "failed", "served"};
         for (String first : outcomes) {
             for (String second : outcomes) {
