--- a/src/test/java/reedmux/proxy/loadbalancer/LoadBalancerTest.java
+++ b/src/test/java/reedmux/proxy/loadbalancer/LoadBalancerTest.java
@@ -74,7 +74,7 @@
         assertEquals(inFlightByChecker.size(), checkers);
         inFlightByChecker.forEach((id, inFlight) -> assertTrue(
                 inFlight <= maxInFlight && inFlight >= Math.min(capacity, maxInFlight / 2),
-                id + " has " + inFlight + " requests in flight"));
+                id + " has this many requests in flight: " + inFlight));
     }
 
     @Test
