--- a/src/main/java/reedmux/common/quota/HeapCounter.java
+++ b/src/main/java/reedmux/common/quota/HeapCounter.java
@@ -1,31 +1,32 @@
 package reedmux.common.quota;
 
 /**
- * The counters of one customer at one member of a quota heap. The members form a binary heap by their index, so that
- * each has a parent and two children at most, and the links between them form a tree of degree three.
+ * Holds the counters of one customer at one member of a quota heap. The members form a binary heap by their index: each
+ * member has a parent and at most two children, so the links between members form a tree of degree three.
  *
- * <p>There are four counters: {@code localCount}, of all units that this member knows to be used anywhere, and one for
- * each neighbour, of units that it has still to be sent. A unit that is used here enters all four; a unit that a
- * neighbour sends enters all but the one that faces it. As a tree has no cycles, every member counts each unit once.
+ * <p>There are four counters: {@code localCount} holds all units that this member knows to be used by any member, and
+ * one counter for each neighbour holds the units that have not been sent to it yet. A unit that is used at this member
+ * is added to all four counters; a unit that a neighbour reports is added to all but that neighbour's counter. Because
+ * a tree has no cycles, every member counts each unit once.
  *
- * <p>Shared by the gatekeeper and the proxy. Deterministic; for one thread.
+ * <p>The gatekeeper and the proxy share this class. It is deterministic and not thread-safe.
  */
 public class HeapCounter {
-    /** In place of a neighbour's index: units that were used at this member. */
+    /** Passed in place of a neighbour's index for units that were used at this member. */
     public static final int LOCAL = -2;
-    /** Parent, left child and right child, which is the order of their slots. */
+    /** Number of neighbour slots, in the order parent, left child, right child. */
     public static final int NEIGHBOUR_COUNT = 3;
-    /** Beyond all indexes: stands for a neighbour that has left, until the counters are rewired. */
+    /** Larger than any member index; marks a neighbour that has left until the counters are rewired. */
     private static final int DEPARTED_INDEX = 1_000_000;
 
-    /** The members' indexes of parent, left and right child, each -1 where there is none. */
+    /** Member indexes of the parent, the left child and the right child; -1 if there is no such neighbour. */
     public int[] neighbours = {-1, -1, -1};
-    /** By slot, the units that the neighbour has still to be sent. */
+    /** For each slot, the units that have not been sent to the neighbour yet. */
     public double[] pending = new double[NEIGHBOUR_COUNT];
-    /** All units that are known here and have not drained; never below zero after a drain. */
+    /** All units that this member knows of and that have not drained; a drain does not take it below zero. */
     public double localCount;
 
-    /** Counts units and queues them for all neighbours but {@code from}, an index or {@link #LOCAL}. */
+    /** Counts units and queues them for all neighbours except {@code from}, a member index or {@link #LOCAL}. */
     public void add(double units, int from) {
         localCount += units;
         for (int i = 0; i < NEIGHBOUR_COUNT; i++) {
@@ -33,57 +34,57 @@
         }
     }
 
-    /** Counts units without queueing them for any neighbour. */
+    /** Counts units without queueing them for the neighbours. */
     public void addWithoutForwarding(double units) {
         localCount += units;
     }
 
-    /** Takes units off the count, down to zero. */
+    /** Subtracts drained units from the count, which does not fall below zero. */
     public void drain(double units) {
         localCount = Math.max(0, localCount - units);
     }
 
-    /** Raises the count to that of a member that knows more. */
+    /** Raises the count to that of another member if that is larger. */
     public void raiseTo(double count) {
         localCount = Math.max(localCount, count);
     }
 
-    /** Lowers the count to a maximum; what is queued for neighbours stays. */
+    /** Limits the count to a maximum; units queued for neighbours are unaffected. */
     public void capAt(double count) {
         localCount = Math.min(localCount, count);
     }
 
-    /** All units that are known here and have not drained. */
+    /** Returns all units that this member knows of and that have not drained. */
     public double localCount() {
         return localCount;
     }
 
-    /** Removes and returns all units that wait for a neighbour. */
+    /** Removes and returns the units queued for a neighbour. */
     public double takePending(int slot) {
         double units = pending[slot];
         pending[slot] = 0;
         return units;
     }
 
-    /** Drops what waits for all neighbours. */
+    /** Discards the units queued for all neighbours. */
     public void clearPending() {
         pending = new double[NEIGHBOUR_COUNT];
     }
 
-    /** The index of the neighbour in a slot, -1 for none. */
+    /** Returns the member index of the neighbour in a slot, or -1 if there is none. */
     public int neighbour(int slot) {
         return neighbours[slot];
     }
 
-    /** The slot of a member that is a neighbour, else -1. */
+    /** Returns the slot of a neighbour, or -1 if the member is not a neighbour. */
     public int slotOf(int peer) {
         return neighbours[0] == peer ? 0 : neighbours[1] == peer ? 1 : neighbours[2] == peer ? 2 : -1;
     }
 
     /**
-     * Follows a change of the members' indexes; {@link #rewire} is to be called next.
+     * Updates the neighbours' indexes after the members were renumbered. {@link #rewire} must be called next.
      *
-     * @param newIndexes by slot, the neighbour's new index, -1 if it left
+     * @param newIndexes for each slot, the neighbour's new member index, or -1 if it has left
      */
     public void renumber(int[] newIndexes) {
         for (int i = 0; i < NEIGHBOUR_COUNT; i++) {
@@ -92,11 +93,11 @@
     }
 
     /**
-     * Carries the counters over to new neighbours. Units that wait for a member that stays a neighbour go on waiting
-     * for it; units that waited for one that is none any more wait for each new neighbour instead. Where two went at
-     * once, most of what waited for both is the same units, so the larger amount stands for both.
+     * Moves the counters over to new neighbours. Units queued for a member that remains a neighbour stay queued for it.
+     * Units queued for a former neighbour are queued for each new neighbour instead. If two neighbours are replaced at
+     * once, most units queued for them are the same, so only the larger amount is kept.
      *
-     * @param newNeighbours by slot, the new neighbour's index, -1 for none
+     * @param newNeighbours for each slot, the new neighbour's member index, or -1 if there is none
      */
     public void rewire(int[] newNeighbours) {
         int[] oldNeighbours = neighbours;
@@ -115,7 +116,7 @@
         }
     }
 
-    /** The slot in which {@code old} has a member, or -1. */
+    /** Returns the slot that holds a member in {@code neighbours}, or -1 if none does. */
     public static int slotIn(int[] neighbours, int peer) {
         return peer < 0 ? -1 : peer == neighbours[0] ? 0 : peer == neighbours[1] ? 1 : peer == neighbours[2] ? 2 : -1;
     }
--- a/src/main/java/reedmux/common/quota/QuotaUpdate.java
+++ b/src/main/java/reedmux/common/quota/QuotaUpdate.java
@@ -3,14 +3,15 @@
 import java.util.ArrayList;
 
 /**
- * A datagram from one member of the proxies' heap to a neighbour: running totals of the units that tenants have used.
+ * A datagram that one member of the proxies' heap sends to a neighbour, with cumulative totals of the units that tenants
+ * have used.
  *
- * @param sender           the sender's node
- * @param incarnation      drawn at the start of the sender's process
- * @param generation       rises with each view of the sender, whose totals then begin at zero
+ * @param sender           the name of the sending node
+ * @param incarnation      identifies the sender's process; assigned when the process starts
+ * @param generation       increases with each view of the sender, which resets its totals to zero
  * @param viewDigest       the digest of the sender's view
- * @param reachableMembers how many members the sender reaches without the receiver, itself included
- * @param entries          one for each tenant that has news
+ * @param reachableMembers number of members that the sender can reach without the receiver, including itself
+ * @param entries          one entry for each tenant with changes to report
  */
 public record QuotaUpdate(
         String sender,
@@ -21,10 +22,11 @@
         ArrayList<TenantTotal> entries) {
 
     /**
-     * One tenant's entry.
+     * The total of one tenant on the link between sender and receiver.
      *
-     * @param total       the units that the link has carried in this generation
-     * @param senderCount what the sender counts, for a receiver that is new; else below zero
+     * @param tenant      the name of the tenant
+     * @param total       all units sent over the link in this generation
+     * @param senderCount the number of units the sender counts, from which a new receiver initializes its count; negative if absent
      */
     public record TenantTotal(String tenant, double total, double senderCount) {}
 }
--- a/src/main/java/reedmux/common/quota/RunAheadLimit.java
+++ b/src/main/java/reedmux/common/quota/RunAheadLimit.java
@@ -1,71 +1,96 @@
 package reedmux.common.quota;
 
 /**
- * Bounds how far one member of a quota heap may run ahead of what the others know. A count tells what was used up to
- * some time ago; what all members admit in between is in nobody's count, and with many members, or counts that are
- * late, it can be many times the quota. So each member takes what it has admitted lately for unknown to the others, and
- * keeps that within its share of what the units that are known leave of a window: as the shares add up to one, all
- * members together stay within the window, however late the counts are.
+ * Limits the units that one member of a quota heap may admit before the other members know of them. A member's count
+ * includes only the units that have already been reported to it. With many members or delayed reports, the units that
+ * all members admit in the meantime can be many times the quota. Each member therefore treats the units it admitted
+ * recently as unknown to the others, and keeps them within its share of what the known units leave of a time window.
+ * Because the shares add up to one, all members together stay within the window regardless of the delay.
  *
- * <p>A member's share is its part of what all members admitted, as far as the others know of it, with a small even part
- * for members that are new to the customer. Times are microseconds. Deterministic; for one thread.
+ * <p>A member's share is its fraction of the units admitted by all members, as far as these have been reported. A small
+ * part is distributed evenly so that members which are new to the customer get a share too. Times are in microseconds.
+ * The class is deterministic and not thread-safe.
  */
 public final class RunAheadLimit {
-    /** In place of a time: nothing was admitted before anything was heard of. */
+    /** Value for {@code knownSince} if no units were admitted before this member began to receive reports. */
     public static final long ALL_KNOWN = Long.MIN_VALUE / 2;
 
     private static final double MICROS_PER_SECOND = 1e6;
-    /** In any such time the rate and the burst may be used, with an allowance on top: the bound that holds outside. */
+    /**
+     * Length of the window in which the rate and one burst may be used, plus the tolerance below. This is the limit
+     * observed from outside.
+     */
     private static final long WINDOW_MICROS = 5_000_000;
 
     private static final double WINDOW_OVERSHOOT = 1.1;
     private static final double WINDOW_SLACK = 20;
-    /** The part of a window that is used; the rest is for what is late beyond the estimate. */
+    /** Fraction of the window limit that is used; the rest covers units reported later than estimated. */
     private static final double USABLE_WINDOW_FRACTION = 0.95;
-    /** What customers may ask for, in quotas: where the window has room for that until it is known, nothing binds. */
+    /**
+     * Demand expected in a surge, as a multiple of the quota rate. Admission is not limited here while the window has
+     * room for such demand until it is reported.
+     */
     private static final double SURGE_FACTOR = 4.5;
-    /** Counts that are later are taken for as late as this, or members would know too little of their own shares. */
+    /** Upper limit on the assumed report delay; with a longer one, members would know too little of their own shares. */
     private static final long MAX_UNREPORTED_MICROS = 2_000_000;
-    /** Over which shares are measured: shorter follows clients that move, longer is steadier for few requests. */
+    /**
+     * Time constant of the exponential decay with which shares are measured. A shorter one adapts faster to clients that
+     * move between members; a longer one is steadier at low request rates.
+     */
     private static final double SHARE_DECAY_MICROS = 8e6;
-    /** The part of the shares that is spread evenly, in what the quota's rate allows in the memory's time. */
+    /**
+     * Weight of the evenly distributed part of the shares, as a fraction of the units that the quota rate allows in
+     * {@link #SHARE_DECAY_MICROS}.
+     */
     private static final double EVEN_SHARE_FRACTION = 0.08;
-    /** Below this part of the burst the count is calm, and a member may admit what it usually does. */
+    /** Fraction of the burst below which usage counts as low, so that a member may admit its usual number of units. */
     private static final double LOW_USAGE_BURST_FRACTION = 0.6;
-    /** By how many standard deviations it may be more than usual: fewer refuse clients that come in clusters. */
+    /**
+     * Number of standard deviations by which a member may exceed its usual units at low usage; a smaller number rejects
+     * clients that arrive in clusters.
+     */
     private static final double LOW_USAGE_DEVIATIONS = 3;
-    /** What a member may admit that has seen nothing of the customer: more is admitted where all members are new. */
+    /**
+     * Units that a member may admit for a customer that it has not seen before. A larger value admits more in total when
+     * all members are new to the customer.
+     */
     private static final double LOW_USAGE_BASE_UNITS = 1.5;
-    /** Where units are unknown for longer, more members may be new at once, and each may admit less. */
+    /**
+     * Report delay from which {@link #LOW_USAGE_BASE_UNITS} is reduced: with a longer delay more members may be new to the
+     * customer at once, so each may admit less.
+     */
     private static final double LOW_USAGE_BASE_MICROS = 1e6;
 
     private final SlidingSum admitted = new SlidingSum();
     private final SlidingSum counted = new SlidingSum();
-    /** Admitted here, and counted of all members; both decay over the memory's time. */
+    /** Units admitted by this member, decaying over {@link #SHARE_DECAY_MICROS}. */
     private double ownUnits;
-
+    /** Units counted for all members, with the same decay. */
     private double totalUnits;
+
     private long decayedAt;
     private final long knownSince;
 
     /**
-     * A limit that has seen nothing.
+     * Creates a limit for which no units have been counted yet.
      *
-     * @param knownSince from when on all units are heard of; what was admitted before is taken for the whole rate
+     * @param now        the current time
+     * @param knownSince the time since which all units have been reported to this member; before it, the customer is
+     *     assumed to have used its full rate
      */
     public RunAheadLimit(long now, long knownSince) {
         decayedAt = now;
         this.knownSince = knownSince;
     }
 
-    /** Units that this member admitted; negative where they are taken back. */
+    /** Records units that this member admitted; a negative number refunds units. */
     public void onAdmitted(double units, long now) {
         admitted.add(units, now);
         onCounted(units, now);
         ownUnits = Math.max(0, ownUnits + units);
     }
 
-    /** Units that were counted, of whichever member. */
+    /** Records units that were admitted by any member. */
     public void onCounted(double units, long now) {
         counted.add(units, now);
         decay(now);
@@ -79,21 +104,22 @@
         decayedAt = now;
     }
 
-    /** What all members admitted a second lately. */
+    /** Returns the recent admission rate of all members together, in units per second. */
     public double ratePerSecond(long now) {
         decay(now);
         return totalUnits / SHARE_DECAY_MICROS * MICROS_PER_SECOND;
     }
 
     /**
-     * How many units may be admitted now, or {@link Double#MAX_VALUE} where a surge would be known before it uses up
-     * what is left of the window.
+     * Returns how many units may be admitted now, or {@link Double#MAX_VALUE} if a surge would be reported before it
+     * uses up what is left of the window.
      *
-     * @param count         all units that are counted here, this member's included
-     * @param quotaRate     of the customer, in units a second
-     * @param burst         of the customer, in units
-     * @param members       how many members share the quota
-     * @param reportDelayMicros    how long units may be unknown to some other member
+     * @param count             all units that this member counts, including its own
+     * @param quotaRate         the quota rate of the customer, in units per second
+     * @param burst             the burst of the customer, in units
+     * @param members           number of members that share the quota
+     * @param reportDelayMicros time until admitted units are known to all other members
+     * @param now               the current time
      */
     public double allowance(
             double count, double quotaRate, double burst, int members, long reportDelayMicros, long now) {
@@ -115,8 +141,9 @@
     }
 
     /**
-     * The part of a window that this member may use without the others' knowledge: by what it had admitted when they
-     * last knew. Its recent units don't raise it, or the shares of all would add up to more than one in a surge.
+     * Returns the fraction of the remaining window that this member may use before its units are reported. It follows
+     * from the units that the other members already know of. Recent units do not raise it, because otherwise the shares
+     * of all members would add up to more than one in a surge.
      */
     private double shareOfWindow(double reportedOwnUnits, double recentUnits, double quotaRate, int members) {
         double evenUnits = EVEN_SHARE_FRACTION * quotaRate * SHARE_DECAY_MICROS / MICROS_PER_SECOND;
@@ -124,7 +151,7 @@
                 1, (reportedOwnUnits + evenUnits / members) / (Math.max(0, totalUnits - recentUnits) + evenUnits));
     }
 
-    /** What a member may admit in a time while its customer is calm. */
+    /** Returns the units that a member may admit within {@code unreportedMicros} while usage is low. */
     private double lowUsageAllowance(double reportedOwnUnits, long unreportedMicros) {
         double expectedUnits = reportedOwnUnits * unreportedMicros / SHARE_DECAY_MICROS;
         double baseUnits = LOW_USAGE_BASE_UNITS * Math.min(1, LOW_USAGE_BASE_MICROS / unreportedMicros);
--- a/src/main/java/reedmux/common/quota/SlidingSum.java
+++ b/src/main/java/reedmux/common/quota/SlidingSum.java
@@ -1,17 +1,17 @@
 package reedmux.common.quota;
 
-/** A sum over the last few seconds, in slots of time. Times are microseconds. For one thread. */
+/** Sums amounts over a sliding window of a few seconds, divided into time slots. Times are in microseconds. */
 final class SlidingSum {
     private static final long SLOT_MICROS = 50_000;
-    /** What is older than all slots together is forgotten. */
+    /** Number of slots; amounts older than all slots together (5.2 seconds) are discarded. */
     private static final int SLOTS = 104;
 
-    /** Null as long as nothing was added, since most customers are seen once or never. */
+    /** Allocated with the first amount, because most customers are seen once or never. */
     private float[] slots;
 
     private long lastSlot = Long.MIN_VALUE / 2;
 
-    /** Adds an amount at a time that is not before any earlier one. */
+    /** Adds an amount. The time must not be earlier than that of any previous call. */
     void add(double amount, long now) {
         if (amount == 0) {
             return;
@@ -23,7 +23,7 @@
         slots[indexOf(lastSlot)] += (float) amount;
     }
 
-    /** The sum of what was added in the last {@code micros}, rounded up to a slot; at least zero. */
+    /** Returns the sum of the amounts added in the last {@code micros}, rounded up to a full slot; never negative. */
     double sumOfLast(long micros, long now) {
         if (slots == null) {
             return 0;
--- a/src/main/java/reedmux/common/quota/package-info.java
+++ b/src/main/java/reedmux/common/quota/package-info.java
@@ -1,2 +1,2 @@
-/** The counting of quotas over a heap of members, as the gatekeeper and the proxy both do it. */
+/** Quota counters over a heap of members, shared by the gatekeeper and the proxy. */
 package reedmux.common.quota;
--- a/src/main/java/reedmux/proxy/quota/HeapNeighbours.java
+++ b/src/main/java/reedmux/proxy/quota/HeapNeighbours.java
@@ -6,22 +6,27 @@
 import reedmux.control.session.SessionView;
 
 /**
- * This proxy's neighbours in the heap over all members (parent, left and right child, in this order): which of them
- * are heard, and how many members can be reached through each. Times are microseconds.
+ * Tracks which of this proxy's neighbours in the heap (parent, left child and right child, in this order) send updates,
+ * and how many members can be reached through each of them. Times are in microseconds.
  */
 final class HeapNeighbours {
     static final int COUNT = HeapCounter.NEIGHBOUR_COUNT;
     /**
-     * A neighbour that is not heard for this long is unreachable, with everybody behind it. Shorter notices a partition
-     * sooner; longer bears links that are busy for a while without giving up part of the quota.
+     * Time without an update after which a neighbour and all members behind it count as unreachable. A shorter timeout
+     * detects a partition sooner; a longer one tolerates links that are congested for a while without reserving part of
+     * the quota for these members.
      */
     private static final long TIMEOUT_MICROS = 500_000;
-    /** The same during a surge, where each further 100 ms of two halves that both use the whole quota shows. */
+    /**
+     * The timeout during a surge. Until it expires, both sides of a partition use the whole quota, and in a surge each
+     * further 100 ms of that is noticeable.
+     */
     private static final long SURGE_TIMEOUT_MICROS = 160_000;
 
     /**
-     * How late a neighbour may hear of a new view: until then it sends to its former neighbours. Shorter takes those
-     * that are late for unreachable, and gives up their part of the quota; longer notices a partition later.
+     * How much later a neighbour may receive a new view; until then it sends to its former neighbours. With a shorter
+     * time, neighbours that are late count as unreachable and their part of the quota is reserved; a longer one detects
+     * a partition later.
      */
     private static final long VIEW_CHANGE_GRACE_MICROS = 400_000;
 
@@ -29,7 +34,7 @@
 
     private SessionView view = SessionView.of(List.of());
     private int selfIndex = -1;
-    /** The indexes of the neighbours in the view, -1 for none. */
+    /** Member indexes of the neighbours in the view; -1 if there is no such neighbour. */
     private int[] indexes = {-1, -1, -1};
 
     private final long[] lastSentAt = new long[COUNT];
@@ -39,7 +44,7 @@
     private boolean surge;
     private long surgeStartedAt;
 
-    /** Takes over a new view, in which everybody counts as reachable until a timeout says otherwise. */
+    /** Switches to a new view, in which all members count as reachable until a timeout expires. */
     void onViewChange(SessionView next, int nextSelfIndex, long now) {
         view = next;
         selfIndex = nextSelfIndex;
@@ -60,7 +65,7 @@
         return link == PARENT ? memberCount() - subtreeSize(selfIndex) : subtreeSize(indexes[link]);
     }
 
-    /** How many members the heap has from an index downwards, level by level. */
+    /** Returns the number of members in the subtree below and including an index, summed level by level. */
     private int subtreeSize(int root) {
         int size = 0;
         int width = 1;
@@ -71,12 +76,12 @@
         return size;
     }
 
-    /** How many members share the quota; a proxy without a view is alone. */
+    /** Returns the number of members that share the quota; 1 for a proxy without a view. */
     int memberCount() {
         return Math.max(1, view.size());
     }
 
-    /** The indexes of the neighbours in the view, -1 for none; not to be changed. */
+    /** Returns the member indexes of the neighbours, -1 if there is none; callers must not modify the array. */
     int[] indexes() {
         return indexes;
     }
@@ -85,13 +90,13 @@
         return indexes[link];
     }
 
-    /** Whether some tenant uses so much that the short timeout is to hold from now on. */
+    /** Sets whether some tenant uses so much of its burst that the shorter timeout applies. */
     void setSurge(boolean nextSurge, long now) {
         surgeStartedAt = nextSurge && !surge ? now : surgeStartedAt;
         surge = nextSurge;
     }
 
-    /** A member was heard; {@code reachable}: how many members it reaches without us. */
+    /** Records an update from a member, which can reach {@code reachableMembers} members without this proxy. */
     void onUpdateReceived(int memberIndex, int reachableMembers, long now) {
         for (int link = 0; link < COUNT; link++) {
             if (indexes[link] >= 0 && indexes[link] == memberIndex) {
@@ -111,9 +116,9 @@
     }
 
     /**
-     * How many members can be reached, this one included, without using one of the links.
+     * Returns how many members can be reached, including this one, without using one of the links.
      *
-     * @param withoutLink the link to leave out, or -1 for none
+     * @param withoutLink the link to leave out, or -1 to use all links
      */
     int reachableMembers(int withoutLink, long now) {
         int reachable = 1;
@@ -125,7 +130,7 @@
         return Math.min(memberCount(), reachable);
     }
 
-    /** A neighbour that has timed out stays so until it is heard, also when the end of a surge raises the timeout. */
+    /** A neighbour that timed out stays unreachable until its next update, even if the end of a surge raises the timeout. */
     private boolean isAlive(int link, long now) {
         timedOut[link] |= now - lastReceivedAt[link] > TIMEOUT_MICROS
                 || surge && now - Math.max(lastReceivedAt[link], surgeStartedAt) > SURGE_TIMEOUT_MICROS;
--- a/src/main/java/reedmux/proxy/quota/HeapView.java
+++ b/src/main/java/reedmux/proxy/quota/HeapView.java
@@ -8,15 +8,15 @@
 import reedmux.control.session.SessionView;
 
 /**
- * The heap over one view of the members, and this proxy's place in it. A unit is reported along the heap of the view
- * in which it was admitted, also by members that have gone on to another view: members hear of a change at different
- * times, and a unit that is passed on in one heap by some and in another by others would reach only a part of them.
+ * The heap over one view of the members, and this proxy's position in it. A unit is forwarded along the heap of the view
+ * in which it was admitted, even by members that have switched to another view. Members learn of a view change at
+ * different times, and a unit that some forward in one heap and others in another would reach only some of them.
  */
 final class HeapView {
     private final SessionView view;
     private final int selfIndex;
     private final long generation;
-    /** The links of tenants that had any in this view; only of a view that has been replaced. */
+    /** Links by tenant; used only after this view has been replaced. */
     private final Map<String, LinkTotals> links = new LinkedHashMap<>();
 
     private long replacedAt;
@@ -35,7 +35,7 @@
         return selfIndex;
     }
 
-    /** Rises with each view of this process. */
+    /** Returns the generation, which increases with each view of this process. */
     long generation() {
         return generation;
     }
@@ -48,7 +48,7 @@
         return replacedAt;
     }
 
-    /** Another view is in force from now on. */
+    /** Records that another view has become current. */
     void markReplaced(long now) {
         replacedAt = now;
     }
@@ -57,7 +57,7 @@
         links.put(tenant, former);
     }
 
-    /** Passes a neighbour's units on to the other neighbours of this view; those of anybody else go no further. */
+    /** Forwards a neighbour's units to the other neighbours in this view; units of other members are not forwarded. */
     void forward(String tenant, double units, int senderIndex) {
         LinkTotals totals = links.computeIfAbsent(tenant, name -> newLinks());
         if (totals.slotOf(senderIndex) >= 0) {
@@ -71,7 +71,7 @@
         return unused;
     }
 
-    /** The totals that are due on a link of this view, after it was replaced. */
+    /** Returns the totals that are due on a link of this view, once it has been replaced. */
     List<TenantTotal> collectTotals(int link) {
         List<TenantTotal> totals = new ArrayList<>();
         for (Map.Entry<String, LinkTotals> entry : links.entrySet()) {
@@ -84,7 +84,7 @@
         return totals;
     }
 
-    /** The index of the neighbour on a link, or -1. */
+    /** Returns the member index of the neighbour on a link, or -1 if there is none. */
     int neighbour(int link) {
         return view.heapNeighbours(selfIndex)[link];
     }
--- a/src/main/java/reedmux/proxy/quota/InactiveHeapViews.java
+++ b/src/main/java/reedmux/proxy/quota/InactiveHeapViews.java
@@ -9,26 +9,29 @@
 import java.util.Map;
 
 /**
- * The views other than the one in force: those that were replaced lately, in whose heaps units of members that are
- * behind are still passed on, and those that others have already and this proxy has yet to hear of, whose units are
- * kept until then. Times are microseconds.
+ * Holds the state of all views other than the current one. In the heaps of recently replaced views, units of members
+ * that have not switched yet are still forwarded. Units of views that other members have received before this proxy are
+ * buffered until it receives the view. Times are in microseconds.
  */
 final class InactiveHeapViews {
-    /** How long members may disagree: longer keeps more totals, shorter loses units where members hear late. */
+    /**
+     * How long the members' views may differ. A longer time retains more totals; a shorter one loses units of members that
+     * receive a view late.
+     */
     private static final long RETENTION_MICROS = 4_000_000;
-    /** The members of all former views together, as a bound on memory; the last two views stay in any case. */
+    /** Limits memory by the total number of members in former views; {@link #MIN_FORMER_VIEWS} are always retained. */
     private static final int MAX_FORMER_MEMBERS = 20_000;
 
     private static final int MIN_FORMER_VIEWS = 2;
 
-    /** Units of a view that is not known here yet. */
+    /** Units that were reported in a view that this proxy has not received yet. */
     record EarlyUnits(long receivedAt, String sender, String tenant, double units) {}
 
     private final Deque<HeapView> formerViews = new ArrayDeque<>();
     private int formerMembers;
     private final Map<Long, List<EarlyUnits>> earlyUnitsByDigest = new HashMap<>();
 
-    /** A view was replaced by another one. */
+    /** Adds a view that has just been replaced. */
     void addFormer(HeapView replaced, long now) {
         replaced.markReplaced(now);
         formerViews.addLast(replaced);
@@ -42,7 +45,7 @@
         formerMembers -= formerViews.removeFirst().members().size();
     }
 
-    /** Drops what is too old to matter. */
+    /** Discards former views and buffered units that are older than the retention time. */
     void expire(long now) {
         while (!formerViews.isEmpty() && now - formerViews.peekFirst().replacedAt() > RETENTION_MICROS) {
             removeOldest();
@@ -57,14 +60,14 @@
         }
     }
 
-    /** The views that were replaced lately, the oldest first. */
+    /** Returns the recently replaced views, oldest first. */
     Iterable<HeapView> formerViews() {
         return formerViews;
     }
 
     /**
-     * A member has reported units in a view that is not in force here: passes them on in that view's heap, or keeps
-     * them until the view is heard of.
+     * Handles units that a member reported in a view that is not current: forwards them in the heap of that view, or
+     * buffers them until this proxy receives the view.
      */
     void onUnits(long viewDigest, String sender, String tenant, double units, long now) {
         Iterator<HeapView> latestFirst = formerViews.descendingIterator();
@@ -80,7 +83,7 @@
                 .add(new EarlyUnits(now, sender, tenant, units));
     }
 
-    /** Removes and returns the units that were kept for a view. */
+    /** Removes and returns the units that were buffered for a view. */
     List<EarlyUnits> takeEarlyUnits(long viewDigest) {
         List<EarlyUnits> early = earlyUnitsByDigest.remove(viewDigest);
         return early == null ? List.of() : early;
--- a/src/main/java/reedmux/proxy/quota/LinkTotals.java
+++ b/src/main/java/reedmux/proxy/quota/LinkTotals.java
@@ -3,18 +3,18 @@
 import reedmux.common.quota.HeapCounter;
 
 /**
- * What one tenant's units are reported by to the neighbours of one view: the pending units and the running total of
- * each link, which begins at zero with the view.
+ * Reports one tenant's units to the neighbours in one view. Each link has its pending units and a cumulative total,
+ * which starts at zero with the view.
  */
 class LinkTotals extends HeapCounter {
-    /** A total is sent this often after its last change: more sends survive more datagram loss and cost traffic. */
+    /** How often a total is sent after its last change; more sends tolerate more datagram loss but add traffic. */
     private static final int SENDS_PER_CHANGE = 3;
 
     private double[] sentTotals = new double[NEIGHBOUR_COUNT];
-    /** How often each total is still to be sent. */
+    /** Number of sends that are still due for each total. */
     private int[] sendsLeft = new int[NEIGHBOUR_COUNT];
 
-    /** Moves the units that wait for a neighbour into the total that it is sent. */
+    /** Adds the units pending for a neighbour to the total of its link. */
     final void advanceTotal(int link) {
         double units = takePending(link);
         if (units != 0) {
@@ -27,13 +27,13 @@
         return sendsLeft[link] > 0;
     }
 
-    /** The total for a neighbour, which is sent now. */
+    /** Returns the total of a link and counts it as sent. */
     final double sendTotal(int link) {
         sendsLeft[link] = Math.max(0, sendsLeft[link] - 1);
         return sentTotals[link];
     }
 
-    /** Hands the links over to a copy of their own and begins anew with other neighbours. */
+    /** Returns the state of the current links as a separate object, and starts empty links to new neighbours. */
     final LinkTotals replaceLinks(int[] next) {
         LinkTotals former = new LinkTotals();
         former.neighbours = neighbours;
@@ -47,7 +47,7 @@
         return former;
     }
 
-    /** Whether any unit was or is to be reported. */
+    /** Returns whether any units have been sent or are pending. */
     final boolean isUsed() {
         for (int link = 0; link < NEIGHBOUR_COUNT; link++) {
             if (pending[link] != 0 || sentTotals[link] != 0) {
@@ -57,7 +57,7 @@
         return false;
     }
 
-    /** Queues units, which are counted already, for all neighbours but the one that reported them. */
+    /** Queues units that are already counted for all neighbours except the one that reported them. */
     final void queue(double units, int from) {
         add(units, from);
         localCount -= units;
--- a/src/main/java/reedmux/proxy/quota/PropagationLatency.java
+++ b/src/main/java/reedmux/proxy/quota/PropagationLatency.java
@@ -1,24 +1,25 @@
 package reedmux.proxy.quota;
 
 /**
- * How long a count takes from any member of the heap to any other, by the heap's depth and by how late this proxy is
- * with its own sends: 2(log2(N+1)-1) links, each with a send and a transit. Times are microseconds.
+ * Estimates how long a unit takes to propagate between any two members of the heap. The longest path has
+ * 2(log2(N+1)-1) links, each with a wait for the next send and a network transit. How late this proxy is with its own
+ * sends serves as the estimate for all members. Times are in microseconds.
  */
 final class PropagationLatency {
-    /** The longest that a datagram is on its way to a neighbour, without waiting for its send. */
+    /** Longest network transit of a datagram to a neighbour, without the wait for the send. */
     private static final long MAX_TRANSIT_MICROS = 20_000;
-    /** Between two members of the heap, in the mean, where both send in time. */
+    /** Mean time from one member to its neighbour if both send on time. */
     private static final long MEAN_HOP_MICROS = 22_000;
-    /** Over how many sends the mean lateness is taken. */
+    /** Number of sends over which the mean lateness is averaged. */
     private static final int LATENESS_AVERAGING_SENDS = 32;
 
     private final long sendIntervalMicros;
     private int memberCount = 1;
     private long nextSendAt;
-    /** How late sends are in the mean. */
+    /** Mean delay of sends after the time at which they were due. */
     private long meanLateness;
 
-    /** {@code sendIntervalMicros}: between two sends where counts matter. */
+    /** Creates an estimate; {@code sendIntervalMicros} is the send interval while some tenant is near its burst. */
     PropagationLatency(long sendIntervalMicros, long now) {
         this.sendIntervalMicros = sendIntervalMicros;
         nextSendAt = now;
@@ -28,27 +29,27 @@
         memberCount = count;
     }
 
-    /** Updates are sent now; the next ones are due after an interval. */
+    /** Records that updates are sent now and that the next ones are due after {@code intervalMicros}. */
     void onSend(long intervalMicros, long now) {
         meanLateness += (Math.max(0, now - nextSendAt) - meanLateness) / LATENESS_AVERAGING_SENDS;
         nextSendAt = now + intervalMicros;
     }
 
-    /** The longest where all send in time. */
+    /** Returns the longest propagation time if all members send on time. */
     long maxPropagationMicros() {
         return 2L * heapDepth() * (sendIntervalMicros + MAX_TRANSIT_MICROS);
     }
 
     /**
-     * The usual one where all are as late as this proxy lately was: on each hop a unit waits to be received and to be
-     * sent on.
+     * Returns the expected propagation time if all members are as late as this proxy has recently been. The lateness
+     * counts twice for each hop, because a unit waits both to be received and to be forwarded.
      */
     long expectedPropagationMicros(long now) {
         long lateness = Math.max(meanLateness, now - nextSendAt);
         return 2L * heapDepth() * (MEAN_HOP_MICROS + 2 * lateness);
     }
 
-    /** After this time counts have come from all members. */
+    /** Returns the time after which counts from all members have been received. */
     long settleMicros(long now) {
         return maxPropagationMicros() + expectedPropagationMicros(now);
     }
