--- a/src/main/java/reedmux/proxy/quota/QuotaTracker.java
+++ b/src/main/java/reedmux/proxy/quota/QuotaTracker.java
@@ -16,69 +16,75 @@
 import reedmux.control.session.SessionView;
 
 /**
- * Admits the requests of tenants at one proxy, as one of many that enforce each quota together.
+ * Admits the requests of tenants at one of the proxies that enforce each quota together.
  *
  * <p>The members of the session view form a binary heap, so that each has at most three neighbours. A proxy keeps four
- * counters a tenant: one for each neighbour, of units that it has still to be sent, and one of all units that are
- * counted anywhere. A unit that comes from one neighbour enters the counters that face the other two, and so crosses
- * the heap once and reaches every member.
+ * counters per tenant: one for each neighbour, with the units that have not been sent to it yet, and one with all units
+ * that any member has used. A unit that one neighbour reports is added to the counters of the other two, so that it
+ * crosses each link once and reaches every member.
  *
  * <ol>
- *   <li>Admission: a request passes while its unit fits into the burst; the count drains at the quota's rate, as a
+ *   <li>Admission: a request is admitted if its unit fits into the burst. The count drains at the quota rate, as in a
  *       leaky bucket.
- *   <li>Exchange: periodically each neighbour is sent what waits for it, as a running total of its link in the view. A
- *       lost datagram is made good by the next one, and a repeated one changes nothing.
- *   <li>Partition: a proxy uses the fraction of the rate that belongs to the members it can reach, and sets the others'
- *       part of the burst aside, until the view changes or they are heard again.
+ *   <li>Exchange: the pending units are sent to each neighbour periodically, as a cumulative total for the link in the
+ *       view. The next datagram makes up for a lost one, and a duplicate has no effect.
+ *   <li>Partition: a proxy uses the fraction of the rate that belongs to the members it can reach, and reserves the other
+ *       members' part of the burst until the view changes or they send updates again.
  * </ol>
  *
- * <p>Deterministic: it is told the time, in microseconds, and returns what is to be sent. For one thread.
+ * <p>The class is deterministic: callers pass the time in microseconds and send the returned updates. It is not
+ * thread-safe.
  */
 public final class QuotaTracker {
-    /** Between two sends. Shorter keeps the counts closer to each other and costs datagrams. */
+    /** Interval between sends. A shorter interval keeps the counts of members closer but sends more datagrams. */
     private static final long SEND_INTERVAL_MICROS = 50_000;
-    /** The same while some tenant is near its burst, where late counts let too much through. */
+    /** Interval between sends while some tenant is near its burst, when delayed counts admit too many requests. */
     private static final long FAST_SEND_INTERVAL_MICROS = 20_000;
-    /** The fraction of a burst from which sends are fast: lower means more datagrams for tenants far from a limit. */
+    /** Fraction of a burst above which sends are fast; a lower one sends more datagrams for tenants far from a limit. */
     private static final double NEAR_BURST_FRACTION = 0.1;
     /**
-     * The fraction of a burst from which an unheard neighbour is given up soon: lower gives up part of the quota for
-     * links that are only busy, higher lets both sides of a partition use all of it for longer.
+     * Fraction of a burst above which a silent neighbour counts as unreachable after a shorter timeout. A lower one
+     * reserves part of the quota because of links that are only congested; a higher one lets both sides of a partition
+     * use the whole quota for longer.
      */
     private static final double SURGE_BURST_FRACTION = 0.3;
 
     private static final double MICROS_PER_SECOND = 1e6;
     /**
-     * The most that is ever counted, in bursts. Counts are late where proxies or links are busy, and what was admitted
-     * too much is paid back by refusing more: higher pays back all of it, lower refuses for a shorter time.
+     * Maximum count, in bursts. Counts are delayed when proxies or links are busy, and requests admitted above the quota
+     * are compensated by rejecting more later. A higher value compensates all of them; a lower one rejects requests for a
+     * shorter time.
      */
     private static final double MAX_COUNT_BURSTS = 3.5;
     /**
-     * The same beyond one burst, in propagation times at the quota's rate: as much of a surge is admitted before all
-     * members know of it, and what is not counted is not paid back.
+     * Maximum count above one burst, as a multiple of the units that the quota rate allows in a propagation time. That
+     * many units of a surge are admitted before all members know of it, and units above the maximum are not compensated.
      */
     private static final double MAX_COUNT_PROPAGATION_TIMES = 3;
-    /** Between two updates to a neighbour where there is nothing to report. */
+    /** Interval between heartbeats, the updates that are sent to a neighbour when there is nothing to report. */
     private static final long HEARTBEAT_INTERVAL_MICROS = 200_000;
-    /** The same while some tenant is near its burst; several of them fit into a neighbour's short timeout. */
+    /** Heartbeat interval while some tenant is near its burst; several fit into the neighbours' surge timeout. */
     private static final long FAST_HEARTBEAT_INTERVAL_MICROS = 40_000;
-    /** How long a member that left the view may still serve clients, with its share of the rate. */
+    /** How long a member that left the view may still serve clients and use its share of the rate. */
     private static final long DEPARTED_RETENTION_MICROS = 10_000_000;
-    /** Without a registry this proxy counts as a member only while others of its view send to it. */
+    /**
+     * Without a registry, this proxy counts as a member only while other members of its view send updates to it. This is
+     * the time without an update after which it does not.
+     */
     private static final long VIEW_CONTACT_TIMEOUT_MICROS = 300_000;
     /**
-     * The fraction of a burst that a restarted proxy takes as used: more refuses requests that had room, less admits
-     * once more what it admitted before its restart.
+     * Fraction of a burst that a restarted proxy assumes to be used. A higher value rejects requests that are within the
+     * quota; a lower one admits again what the proxy had already admitted before its restart.
      */
     private static final double RESTART_USED_FRACTION = 0.2;
 
     private static final long NOT_JOINED = -1;
-    /** A process that is no member of its view by then goes on alone. */
+    /** A process that has not become a member of its view within this time no longer limits admission as a new member. */
     private static final long MAX_JOIN_MICROS = 5_000_000;
-    /** The least rate by which a wait is computed, in requests a second. */
+    /** Minimum rate for computing a retry delay, in requests per second. */
     private static final double MIN_RATE_FOR_WAIT = 0.01;
 
-    /** An update and the member that it goes to. */
+    /** An update and the member that receives it. */
     public record OutgoingUpdate(ProxySession receiver, QuotaUpdate update) {}
 
     private final String self;
@@ -90,7 +96,7 @@
     private final Map<String, TenantCounter> counters = new LinkedHashMap<>();
     private final ReceivedTotals receivedTotals = new ReceivedTotals();
     private final HeapNeighbours neighbours = new HeapNeighbours();
-    /** The members that left the view, and when. */
+    /** The members that left the view, with the time at which they left. */
     private final Map<String, Long> departedMembers = new HashMap<>();
 
     private final InactiveHeapViews inactiveViews = new InactiveHeapViews();
@@ -98,21 +104,21 @@
 
     private HeapView currentView = new HeapView(SessionView.of(List.of()), -1, 0);
     private long viewChangedAt;
-    /** When this process was first a member of its view: only from then on is it told what others count. */
+    /** When this process first became a member of its view; it receives the counts of others only from then on. */
     private long joinedAt = NOT_JOINED;
 
     private int reachableMembers = 1;
     private boolean registriesUnreachable;
-    /** When a member of the same view was last heard. */
+    /** When the last update from a member with the same view was received. */
     private long viewContactAt;
 
     /**
-     * A tracker without a view.
+     * Creates a tracker without a view.
      *
-     * @param self        this proxy's node
-     * @param incarnation of this process
+     * @param self        the name of this proxy's node
+     * @param incarnation the incarnation of this process
      * @param restarted   whether an earlier process of the node may have admitted requests shortly before
-     * @param now         in microseconds
+     * @param now         the current time, in microseconds
      */
     public QuotaTracker(String self, long incarnation, boolean restarted, long now) {
         this.self = self;
@@ -125,7 +131,7 @@
 
     // ---- Members and their reachability ------------------------------------------------------------
 
-    /** Takes over the members as they are now; a view that is the same changes nothing. */
+    /** Switches to a new view of the members; a view equal to the current one has no effect. */
     public void onViewChange(SessionView next, long now) {
         SessionView before = currentView.members();
         if (next.digest() == before.digest() && next.size() == before.size()) {
@@ -145,7 +151,8 @@
                 .filter(member -> next.indexOf(member.node()) < 0)
                 .forEach(member -> departedMembers.put(member.node(), now));
         next.members().forEach(member -> departedMembers.remove(member.node()));
-        // What members admit before they hear of this view goes on along the heap of theirs, or it is lost to most.
+        // Units that members admit before they receive this view are forwarded along the heap of their former view.
+        // Otherwise most members would never count them.
         for (Map.Entry<String, TenantCounter> entry : counters.entrySet()) {
             LinkTotals former = entry.getValue().onViewChange(neighbours.indexes(), now);
             if (former.isUsed()) {
@@ -158,7 +165,7 @@
         }
     }
 
-    /** Units that were counted when they came in, for the neighbours of the view that they belong to. */
+    /** Queues units, already counted when they were received, for the neighbours in the view that they belong to. */
     private void forwardEarly(InactiveHeapViews.EarlyUnits units) {
         TenantCounter counter = counters.get(units.tenant());
         int senderIndex = currentView.members().indexOf(units.sender());
@@ -167,21 +174,21 @@
         }
     }
 
-    /** Whether no registry can be reached, so that the view is no longer updated. */
+    /** Sets whether all registries are unreachable, so that the view is not updated. */
     public void setRegistriesUnreachable(boolean unreachable) {
         registriesUnreachable = unreachable;
     }
 
     /**
-     * Whether this proxy is partitioned from the registries and from its view: the others have gone on without it, and
-     * all that is left to it is one member's share. Where only the registries are gone, members of the view are still
-     * heard and the heap works on.
+     * Returns whether this proxy is partitioned both from the registries and from the members of its view. The others
+     * then continue without it, and it may use only one member's share. If only the registries are unreachable, members of
+     * the view still send updates and the heap continues to work.
      */
     private boolean isIsolated(long now) {
         return registriesUnreachable && now - viewContactAt > VIEW_CONTACT_TIMEOUT_MICROS;
     }
 
-    /** Sets shares aside for members that have become unreachable, or settles with those that are back. */
+    /** Reserves shares for members that became unreachable, and releases those of members that are reachable again. */
     private void updateReachableMembers(long now) {
         int members = neighbours.memberCount();
         int next = currentView.selfIndex() < 0 ? members : neighbours.reachableMembers(-1, now);
@@ -189,7 +196,8 @@
         if (next == before) {
             return;
         }
-        counters.values().forEach(counter -> drain(counter, now)); // until now by the members reachable before
+        // The time up to now is drained with the previous number of reachable members.
+        counters.values().forEach(counter -> drain(counter, now));
         reachableMembers = next;
         for (TenantCounter counter : counters.values()) {
             if (next < before) {
@@ -206,14 +214,14 @@
 
     // ---- Admission ---------------------------------------------------------------------------------
 
-    /** Counts one request of a tenant if it fits into the quota, and returns whether it does. */
+    /** Counts one request of a tenant if it fits into the quota. Returns whether the request is admitted. */
     public boolean admit(TenantItem tenant, long now) {
         if (tenant.requestsPerSecond() <= 0) {
             return true;
         }
         TenantCounter counter = counterOf(tenant, now);
         updateReachableMembers(now);
-        // Until every member's counts have had time to come in, a new process admits one member's share at most.
+        // A new process admits at most one member's share until it has had time to receive the counts of all members.
         boolean starting = joinedWithin(latency.settleMicros(now), now);
         if (counter.localCount() + 1 > usableBurst(tenant, counter, now)
                 || starting && counter.admittedAtStart() >= startBurst(tenant)
@@ -228,8 +236,8 @@
     }
 
     /**
-     * Whether one more unit might go beyond the bound before the others know of it. A part of a unit is left to chance,
-     * as many members may each have a small one.
+     * Returns whether one more unit exceeds what this member may admit before the others know of it. An allowance below
+     * one unit is the probability of admission, because many members may each have a small allowance.
      */
     private boolean exceedsRunAheadAllowance(TenantItem tenant, TenantCounter counter, long now) {
         double allowance = counter.runAhead()
@@ -254,27 +262,27 @@
         return membersUnknown ? 1 : Math.max(1, tenant.burst() / neighbours.memberCount());
     }
 
-    /** Whether this process has become a member less than so long ago, or may still become one. */
+    /** Returns whether this process became a member within the given time, or may still become one. */
     private boolean joinedWithin(long micros, long now) {
         long joined = joinedAt == NOT_JOINED ? startedAt + MAX_JOIN_MICROS : joinedAt;
         return now - joined < micros;
     }
 
-    /** Takes back the unit of a request that was admitted and never executed. */
+    /** Refunds the unit of a request that was admitted but never executed. */
     public void refund(TenantItem tenant, long now) {
         if (tenant.requestsPerSecond() > 0) {
             counterOf(tenant, now).countAdmitted(-1, now);
         }
     }
 
-    /** How long until one request of the tenant fits, in microseconds. */
+    /** Returns the time until one request of the tenant fits into the quota, in microseconds. */
     public long retryAfterMicros(TenantItem tenant, long now) {
         TenantCounter counter = counterOf(tenant, now);
         double excess = Math.max(1, counter.localCount() + 1 - tenant.burst());
         return (long) (excess / Math.max(MIN_RATE_FOR_WAIT, tenant.requestsPerSecond()) * MICROS_PER_SECOND);
     }
 
-    /** The requests that are counted for a tenant here; for tests and diagnosis. */
+    /** Returns the requests that this proxy counts for a tenant; for tests and diagnostics. */
     public double countedUnits(TenantItem tenant, long now) {
         return counterOf(tenant, now).localCount();
     }
@@ -302,7 +310,7 @@
         return counter;
     }
 
-    /** Drains a count by this side's share of the rate since it was drained last. */
+    /** Drains a count by this side's share of the rate for the time since the last drain. */
     private void drain(TenantCounter counter, long now) {
         departedMembers.values().removeIf(since -> now - since > DEPARTED_RETENTION_MICROS);
         int members = neighbours.memberCount();
@@ -311,7 +319,7 @@
             return;
         }
         double share = (double) reachableMembers / (members + departedMembers.size());
-        // As if what was lost on the way had been counted, and all had drained.
+        // Drains only the counted fraction, as if the lost units had been counted and had drained as well.
         double units = counter.elapsedUnits(share * churn.countedFraction(now), now);
         counter.deferDrain(units / reachableMembers * (members - reachableMembers));
         counter.drainAfterFormerReserve(units);
@@ -319,7 +327,7 @@
 
     // ---- Exchange with the neighbours --------------------------------------------------------------
 
-    /** How long until {@link #collectUpdates} is to be called again, in microseconds. */
+    /** Returns the time until {@link #collectUpdates} must be called again, in microseconds. */
     public long sendIntervalMicros() {
         return anyTenantAbove(NEAR_BURST_FRACTION) ? FAST_SEND_INTERVAL_MICROS : SEND_INTERVAL_MICROS;
     }
@@ -333,13 +341,13 @@
         return false;
     }
 
-    /** The updates that are due: to each neighbour what has changed for it, or a heartbeat. */
+    /** Returns the updates that are due: for each neighbour its changed totals, or a heartbeat. */
     public List<OutgoingUpdate> collectUpdates(long now) {
         neighbours.setSurge(anyTenantAbove(SURGE_BURST_FRACTION), now);
         updateReachableMembers(now);
         long heartbeatInterval =
                 anyTenantAbove(NEAR_BURST_FRACTION) ? FAST_HEARTBEAT_INTERVAL_MICROS : HEARTBEAT_INTERVAL_MICROS;
-        // After a view change neighbours may be new and are sent the counts themselves.
+        // After a view change neighbours may be new, so the updates also contain the counts.
         boolean sendsCounts = now - viewChangedAt < latency.settleMicros(now);
         List<OutgoingUpdate> updates = new ArrayList<>();
         for (int link = 0; link < HeapNeighbours.COUNT; link++) {
@@ -389,10 +397,12 @@
     }
 
     /**
-     * Counts what a member reports, and passes it on to the other neighbours of the view that it belongs to, so that
-     * none can go round while views differ.
+     * Counts the units that a member reports. They are forwarded only to the other neighbours in the view that they belong
+     * to, so that no unit can circulate while members have different views.
      *
-     * @param tenants finds a tenant by its name, null where there is none
+     * @param update  the received update
+     * @param tenants finds a tenant by its name, or returns null if there is none
+     * @param now     the current time, in microseconds
      */
     public void onUpdate(QuotaUpdate update, Function<String, TenantItem> tenants, long now) {
         int senderIndex = currentView.members().indexOf(update.sender());
@@ -425,7 +435,7 @@
                 }
             }
             counter.capAt(counter.deferredDrain() + maxCount(tenant));
-            // A process that is new may take over what its neighbours count.
+            // A new process may adopt the counts of its neighbours.
             if (entry.senderCount() >= 0 && joinedWithin(2 * latency.settleMicros(now), now)) {
                 counter.raiseTo(entry.senderCount());
             }
--- a/src/main/java/reedmux/proxy/quota/ReceivedTotals.java
+++ b/src/main/java/reedmux/proxy/quota/ReceivedTotals.java
@@ -6,22 +6,22 @@
 import reedmux.common.quota.QuotaUpdate;
 
 /**
- * The totals received from each member, so that a repeated, late or lost datagram neither counts units twice nor loses
- * them: what is counted is the difference to the last total of the same incarnation and generation of the sender.
+ * Stores the last totals received from each member. Only the difference to the last total of the same incarnation and
+ * generation of the sender is counted, so that duplicate, late or lost datagrams neither count units twice nor lose them.
  */
 final class ReceivedTotals {
-    /** How long a sender reports in a generation that it has left: until then its totals are compared. */
+    /** How long a sender may still report in a generation that it has left; its totals are retained for this time. */
     private static final long RETENTION_MICROS = 10_000_000;
 
     private final Map<String, SenderTotals> bySender = new HashMap<>();
 
-    /** The totals by tenant of one generation of a sender. */
+    /** The totals by tenant that a sender reported in one generation. */
     private static final class Generation {
         private final Map<String, Double> totals = new HashMap<>();
         private long updatedAt;
     }
 
-    /** The late generations of a sender, which reports in several as long as views differ. */
+    /** The recent generations of a sender, which reports in several of them while members have different views. */
     private static final class SenderTotals {
         private final long incarnation;
         private final long previousIncarnation;
@@ -47,9 +47,9 @@
     }
 
     /**
-     * The totals by tenant that an update is to be compared with; the caller enters the new ones. Empty where the
-     * sender's totals have begun anew, null where the update is of an earlier incarnation, or of a generation that is
-     * forgotten: its totals have been counted already.
+     * Returns the mutable totals by tenant to compare an update with; the caller stores the new totals in them. The map
+     * is empty if the sender's totals have restarted from zero. Returns null if the update is from an earlier incarnation
+     * or from a discarded generation, whose totals have been counted already.
      */
     Map<String, Double> baselineOf(QuotaUpdate update, long now) {
         SenderTotals senderTotals = bySender.get(update.sender());
@@ -57,7 +57,7 @@
             return null;
         }
         if (senderTotals == null || senderTotals.incarnation != update.incarnation()) {
-            // No incarnation was seen before: any number but the sender's own will do.
+            // Without a previous incarnation, any number other than the sender's own can be used.
             long previous = senderTotals == null ? update.incarnation() - 1 : senderTotals.incarnation;
             senderTotals = new SenderTotals(update.incarnation(), previous);
             bySender.put(update.sender(), senderTotals);
--- a/src/main/java/reedmux/proxy/quota/TenantCounter.java
+++ b/src/main/java/reedmux/proxy/quota/TenantCounter.java
@@ -3,48 +3,49 @@
 import reedmux.common.quota.RunAheadLimit;
 
 /**
- * One tenant's counters at this proxy: the count and the links of the view in force, and the part of the quota that is
- * set aside for members that cannot be reached. All amounts are requests.
+ * Holds one tenant's counters at this proxy: the count, the links in the current view, and the part of the quota that is
+ * reserved for unreachable members. All amounts are in requests.
  */
 final class TenantCounter extends LinkTotals {
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** What members that cannot be reached may use, in what the quota's rate allows for them. */
+    /** Estimated usage of unreachable members, as a multiple of what the quota rate allows them. */
     private static final double SURGE_FACTOR = 2;
     /**
-     * The part of the reserve that holds at once when members become unreachable; the rest follows with the time that
-     * they have to use it. Higher refuses more where a member is only restarted, lower has both sides use a burst.
+     * Fraction of the reserve that applies as soon as members become unreachable; the rest is added as they have had time
+     * to use it. A higher value rejects more requests when a member merely restarts; a lower one lets both sides of a
+     * partition use the burst.
      */
     private static final double FIRST_RESERVED_FRACTION = 0.5;
-    /** As much may be used twice at a change of view: the bound on a window is wider than the burst by more. */
+    /** Fraction of the burst that may be used twice at a view change; the tolerance of the window limit exceeds it. */
     private static final double TOLERATED_BURST_FRACTION = 0.15;
 
     private double requestsPerSecond;
     private double burst;
     private long drainedAt;
     private double admittedAtStart;
-    /** The part of the burst that members use which are unreachable in this view. */
+    /** Part of the burst reserved for the members that are unreachable in this view. */
     private double reservedForUnreachable;
-    /** The same for earlier views: such members never report what they used, so the reserve is paid off by draining. */
+    /** The same for former views. Those members never report their usage, so the reserve is released by draining. */
     private double reservedInFormerViews;
-    /** Units not drained here because unreachable members of this view may drain them on their side. */
+    /** Units not drained here because the unreachable members of this view may use that part of the rate themselves. */
     private double deferredDrain;
 
     private final RunAheadLimit runAhead;
 
-    /** {@code knownSince}: from when on this process knows what all members admit. */
+    /** Creates a counter; {@code knownSince} is the time since which this process receives the units of all members. */
     TenantCounter(long now, long knownSince) {
         drainedAt = now;
         runAhead = new RunAheadLimit(now, knownSince);
     }
 
-    /** Counts units that were admitted here; negative where they are taken back. */
+    /** Counts units that were admitted at this proxy; a negative number refunds units. */
     void countAdmitted(double units, long now) {
         runAhead.onAdmitted(units, now);
         add(units, LOCAL);
     }
 
-    /** What may be admitted before the other members know of it. */
+    /** Returns the limit on units that are admitted before the other members know of them. */
     RunAheadLimit runAhead() {
         return runAhead;
     }
@@ -54,7 +55,7 @@
         burst = nextBurst;
     }
 
-    /** Whether more than this fraction of the burst is counted; never for a tenant without a burst. */
+    /** Returns whether the count exceeds this fraction of the burst; always false for a tenant without a burst. */
     boolean isAbove(double fractionOfBurst) {
         return burst > 0 && localCount() > fractionOfBurst * burst;
     }
@@ -67,7 +68,7 @@
         admittedAtStart++;
     }
 
-    /** What the share of the rate allows since the last call, in requests. */
+    /** Returns the requests that the given share of the rate allows for the time since the last call. */
     double elapsedUnits(double share, long now) {
         double seconds = (now - drainedAt) / MICROS_PER_SECOND;
         drainedAt = now;
@@ -78,7 +79,7 @@
         deferredDrain += units;
     }
 
-    /** Drains, with half of the units at most going into the reserve of former views first. */
+    /** Drains the count, after at most half of the units have reduced the reserve for former views. */
     void drainAfterFormerReserve(double units) {
         double toReserve = Math.min(reservedInFormerViews, units / 2);
         reservedInFormerViews -= toReserve;
@@ -98,17 +99,17 @@
         reservedForUnreachable = units;
     }
 
-    /** Members became unreachable: their fraction of what is left of the burst is theirs to use. */
+    /** Reserves the unreachable members' fraction of the remaining burst when members become unreachable. */
     void onMembersLost(double unreachableFraction) {
         double remaining = Math.max(0, burst - localCount());
         reservedForUnreachable = Math.max(reservedForUnreachable, remaining * unreachableFraction);
     }
 
     /**
-     * Members became reachable again in the same view and report all that they used meanwhile, so what was not
-     * drained for their sake drains now.
+     * Drains the deferred units when members become reachable again in the same view, since these members report all
+     * units that they used in the meantime.
      *
-     * @param stillUnreachable the fraction of the unreachable members that is unreachable still
+     * @param stillUnreachable the fraction of the previously unreachable members that is still unreachable
      */
     void onMembersRestored(double stillUnreachable) {
         drain(deferredDrain * (1 - stillUnreachable));
@@ -116,10 +117,11 @@
         reservedForUnreachable *= stillUnreachable;
     }
 
-    /** Begins the links of a new view, and returns those of the former one. */
+    /** Starts the links of a new view and returns those of the former view. */
     LinkTotals onViewChange(int[] next, long now) {
-        // Members that were unreachable in the former view do not report in this one what they used in that: the
-        // reserve is as much as they can have used at several times their usual, and the drain what they left.
+        // Members that were unreachable in the former view do not report its units in this view. The reserve covers
+        // what
+        // they can have used at several times their usual rate; the drain covers what they have left unused.
         double usedRateFraction = runAhead.ratePerSecond(now) / Math.max(requestsPerSecond, Double.MIN_NORMAL);
         double usedShare = Math.min(1, Math.max(usedRateFraction, localCount() / Math.max(burst, 1)));
         double possiblyUsed = deferredDrain * SURGE_FACTOR - TOLERATED_BURST_FRACTION * burst;
--- a/src/main/java/reedmux/proxy/quota/ViewChurn.java
+++ b/src/main/java/reedmux/proxy/quota/ViewChurn.java
@@ -1,14 +1,17 @@
 package reedmux.proxy.quota;
 
 /**
- * How often the view changes, and what of the counts is lost by it: a member that ends cannot pass on what it was told,
- * so that some members never hear of some units. Times are microseconds.
+ * Tracks how often the view changes and estimates the units that are lost as a result. A member that stops cannot forward
+ * the units it has received, so some members never count them. Times are in microseconds.
  */
 final class ViewChurn {
     private static final double MICROS_PER_SECOND = 1e6;
-    /** Over which changes are counted: shorter forgets sooner, longer refuses for longer after a series of restarts. */
+    /**
+     * Time constant with which past changes decay exponentially. A longer one rejects requests for longer after a series
+     * of restarts.
+     */
     private static final double DECAY_MICROS = 3e6;
-    /** The part of the counts that is lost for each change a second, as measured with restarts in series. */
+    /** Part of the counts that is lost for each view change per second, derived from runs with restarts in series. */
     private static final double LOSS_SECONDS = 0.03;
 
     private double decayedChanges;
@@ -24,7 +27,7 @@
         decayedAt = now;
     }
 
-    /** The part of the units that is counted. */
+    /** Returns the estimated fraction of units that reaches the counts. */
     double countedFraction(long now) {
         decay(now);
         return 1 / (1 + LOSS_SECONDS * decayedChanges / DECAY_MICROS * MICROS_PER_SECOND);
--- a/src/main/java/reedmux/proxy/quota/package-info.java
+++ b/src/main/java/reedmux/proxy/quota/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The tenants' request quotas, enforced by all proxies together: each counts all admitted requests, exchanged with its
- * neighbours in a heap over the members of the session view. Deterministic; knows no socket and no clock.
+ * Enforces the tenants' request quotas across all proxies. Each proxy counts all admitted requests, which the proxies
+ * exchange with their neighbours in a heap over the members of the session view. The package is deterministic and uses
+ * neither sockets nor a clock.
  */
 package reedmux.proxy.quota;
