--- a/src/main/java/reedmux/common/quota/QuotaUpdate.java
+++ b/src/main/java/reedmux/common/quota/QuotaUpdate.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 
 /**
- * A datagram that one member of the proxies' heap sends to a neighbour, with cumulative totals of the units that tenants
- * have used.
+ * A datagram that one member of the proxies' heap sends to a neighbour, with cumulative totals of the units that
+ * tenants have used.
  *
  * @param sender           the name of the sending node
  * @param incarnation      identifies the sender's process; assigned when the process starts
--- a/src/main/java/reedmux/common/quota/RunAheadLimit.java
+++ b/src/main/java/reedmux/common/quota/RunAheadLimit.java
@@ -31,11 +31,13 @@
      * room for such demand until it is reported.
      */
     private static final double SURGE_FACTOR = 4.5;
-    /** Upper limit on the assumed report delay; with a longer one, members would know too little of their own shares. */
+    /**
+     * Upper limit on the assumed report delay; with a longer one, members would know too little of their own shares.
+     */
     private static final long MAX_UNREPORTED_MICROS = 2_000_000;
     /**
-     * Time constant of the exponential decay with which shares are measured. A shorter one adapts faster to clients that
-     * move between members; a longer one is steadier at low request rates.
+     * Time constant of the exponential decay with which shares are measured. A shorter one adapts faster to clients
+     * that move between members; a longer one is steadier at low request rates.
      */
     private static final double SHARE_DECAY_MICROS = 8e6;
     /**
@@ -51,13 +53,13 @@
      */
     private static final double LOW_USAGE_DEVIATIONS = 3;
     /**
-     * Units that a member may admit for a customer that it has not seen before. A larger value admits more in total when
-     * all members are new to the customer.
+     * Units that a member may admit for a customer that it has not seen before. A larger value admits more in total
+     * when all members are new to the customer.
      */
     private static final double LOW_USAGE_BASE_UNITS = 1.5;
     /**
-     * Report delay from which {@link #LOW_USAGE_BASE_UNITS} is reduced: with a longer delay more members may be new to the
-     * customer at once, so each may admit less.
+     * Report delay from which {@link #LOW_USAGE_BASE_UNITS} is reduced: with a longer delay more members may be new to
+     * the customer at once, so each may admit less.
      */
     private static final double LOW_USAGE_BASE_MICROS = 1e6;
 
--- a/src/main/java/reedmux/proxy/quota/HeapNeighbours.java
+++ b/src/main/java/reedmux/proxy/quota/HeapNeighbours.java
@@ -130,7 +130,10 @@
         return Math.min(memberCount(), reachable);
     }
 
-    /** A neighbour that timed out stays unreachable until its next update, even if the end of a surge raises the timeout. */
+    /**
+     * A neighbour that timed out stays unreachable until its next update, even if the end of a surge raises the
+     * timeout.
+     */
     private boolean isAlive(int link, long now) {
         timedOut[link] |= now - lastReceivedAt[link] > TIMEOUT_MICROS
                 || surge && now - Math.max(lastReceivedAt[link], surgeStartedAt) > SURGE_TIMEOUT_MICROS;
--- a/src/main/java/reedmux/proxy/quota/HeapView.java
+++ b/src/main/java/reedmux/proxy/quota/HeapView.java
@@ -8,8 +8,8 @@
 import reedmux.control.session.SessionView;
 
 /**
- * The heap over one view of the members, and this proxy's position in it. A unit is forwarded along the heap of the view
- * in which it was admitted, even by members that have switched to another view. Members learn of a view change at
+ * The heap over one view of the members, and this proxy's position in it. A unit is forwarded along the heap of the
+ * view in which it was admitted, even by members that have switched to another view. Members learn of a view change at
  * different times, and a unit that some forward in one heap and others in another would reach only some of them.
  */
 final class HeapView {
--- a/src/main/java/reedmux/proxy/quota/InactiveHeapViews.java
+++ b/src/main/java/reedmux/proxy/quota/InactiveHeapViews.java
@@ -15,8 +15,8 @@
  */
 final class InactiveHeapViews {
     /**
-     * How long the members' views may differ. A longer time retains more totals; a shorter one loses units of members that
-     * receive a view late.
+     * How long the members' views may differ. A longer time retains more totals; a shorter one loses units of members
+     * that receive a view late.
      */
     private static final long RETENTION_MICROS = 4_000_000;
     /** Limits memory by the total number of members in former views; {@link #MIN_FORMER_VIEWS} are always retained. */
--- a/src/main/java/reedmux/proxy/quota/QuotaTracker.java
+++ b/src/main/java/reedmux/proxy/quota/QuotaTracker.java
@@ -40,7 +40,9 @@
     private static final long SEND_INTERVAL_MICROS = 50_000;
     /** Interval between sends while some tenant is near its burst, when delayed counts admit too many requests. */
     private static final long FAST_SEND_INTERVAL_MICROS = 20_000;
-    /** Fraction of a burst above which sends are fast; a lower one sends more datagrams for tenants far from a limit. */
+    /**
+     * Fraction of a burst above which sends are fast; a lower one sends more datagrams for tenants far from a limit.
+     */
     private static final double NEAR_BURST_FRACTION = 0.1;
     /**
      * Fraction of a burst above which a silent neighbour counts as unreachable after a shorter timeout. A lower one
@@ -51,14 +53,15 @@
 
     private static final double MICROS_PER_SECOND = 1e6;
     /**
-     * Maximum count, in bursts. Counts are delayed when proxies or links are busy, and requests admitted above the quota
-     * are compensated by rejecting more later. A higher value compensates all of them; a lower one rejects requests for a
-     * shorter time.
+     * Maximum count, in bursts. Counts are delayed when proxies or links are busy, and requests admitted above the
+     * quota are compensated by rejecting more later. A higher value compensates all of them; a lower one rejects
+     * requests for a shorter time.
      */
     private static final double MAX_COUNT_BURSTS = 3.5;
     /**
      * Maximum count above one burst, as a multiple of the units that the quota rate allows in a propagation time. That
-     * many units of a surge are admitted before all members know of it, and units above the maximum are not compensated.
+     * many units of a surge are admitted before all members know of it, and units above the maximum are not
+     * compensated.
      */
     private static final double MAX_COUNT_PROPAGATION_TIMES = 3;
     /** Interval between heartbeats, the updates that are sent to a neighbour when there is nothing to report. */
@@ -68,18 +71,18 @@
     /** How long a member that left the view may still serve clients and use its share of the rate. */
     private static final long DEPARTED_RETENTION_MICROS = 10_000_000;
     /**
-     * Without a registry, this proxy counts as a member only while other members of its view send updates to it. This is
-     * the time without an update after which it does not.
+     * Without a registry, this proxy counts as a member only while other members of its view send updates; after this
+     * time without an update it uses only its own share.
      */
     private static final long VIEW_CONTACT_TIMEOUT_MICROS = 300_000;
     /**
-     * Fraction of a burst that a restarted proxy assumes to be used. A higher value rejects requests that are within the
-     * quota; a lower one admits again what the proxy had already admitted before its restart.
+     * Fraction of a burst that a restarted proxy assumes to be used. A higher value rejects requests that are within
+     * the quota; a lower one admits again what the proxy had already admitted before its restart.
      */
     private static final double RESTART_USED_FRACTION = 0.2;
 
     private static final long NOT_JOINED = -1;
-    /** A process that has not become a member of its view within this time no longer limits admission as a new member. */
+    /** Longest wait for a process to become a member of its view; afterwards it continues on its own. */
     private static final long MAX_JOIN_MICROS = 5_000_000;
     /** Minimum rate for computing a retry delay, in requests per second. */
     private static final double MIN_RATE_FOR_WAIT = 0.01;
@@ -181,8 +184,8 @@
 
     /**
      * Returns whether this proxy is partitioned both from the registries and from the members of its view. The others
-     * then continue without it, and it may use only one member's share. If only the registries are unreachable, members of
-     * the view still send updates and the heap continues to work.
+     * then continue without it, and it may use only one member's share. If only the registries are unreachable, members
+     * of the view still send updates and the heap continues to work.
      */
     private boolean isIsolated(long now) {
         return registriesUnreachable && now - viewContactAt > VIEW_CONTACT_TIMEOUT_MICROS;
@@ -397,8 +400,8 @@
     }
 
     /**
-     * Counts the units that a member reports. They are forwarded only to the other neighbours in the view that they belong
-     * to, so that no unit can circulate while members have different views.
+     * Counts the units that a member reports. They are forwarded only to the other neighbours in the view that they
+     * belong to, so that no unit can circulate while members have different views.
      *
      * @param update  the received update
      * @param tenants finds a tenant by its name, or returns null if there is none
--- a/src/main/java/reedmux/proxy/quota/ReceivedTotals.java
+++ b/src/main/java/reedmux/proxy/quota/ReceivedTotals.java
@@ -7,7 +7,8 @@
 
 /**
  * Stores the last totals received from each member. Only the difference to the last total of the same incarnation and
- * generation of the sender is counted, so that duplicate, late or lost datagrams neither count units twice nor lose them.
+ * generation of the sender is counted, so that duplicate, late or lost datagrams neither count units twice nor lose
+ * them.
  */
 final class ReceivedTotals {
     /** How long a sender may still report in a generation that it has left; its totals are retained for this time. */
@@ -48,8 +49,8 @@
 
     /**
      * Returns the mutable totals by tenant to compare an update with; the caller stores the new totals in them. The map
-     * is empty if the sender's totals have restarted from zero. Returns null if the update is from an earlier incarnation
-     * or from a discarded generation, whose totals have been counted already.
+     * is empty if the sender's totals have restarted from zero. Returns null if the update is from an earlier
+     * incarnation or from a discarded generation, whose totals have been counted already.
      */
     Map<String, Double> baselineOf(QuotaUpdate update, long now) {
         SenderTotals senderTotals = bySender.get(update.sender());
--- a/src/main/java/reedmux/proxy/quota/TenantCounter.java
+++ b/src/main/java/reedmux/proxy/quota/TenantCounter.java
@@ -3,8 +3,8 @@
 import reedmux.common.quota.RunAheadLimit;
 
 /**
- * Holds one tenant's counters at this proxy: the count, the links in the current view, and the part of the quota that is
- * reserved for unreachable members. All amounts are in requests.
+ * Holds one tenant's counters at this proxy: the count, the links in the current view, and the part of the quota that
+ * is reserved for unreachable members. All amounts are in requests.
  */
 final class TenantCounter extends LinkTotals {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -12,9 +12,9 @@
     /** Estimated usage of unreachable members, as a multiple of what the quota rate allows them. */
     private static final double SURGE_FACTOR = 2;
     /**
-     * Fraction of the reserve that applies as soon as members become unreachable; the rest is added as they have had time
-     * to use it. A higher value rejects more requests when a member merely restarts; a lower one lets both sides of a
-     * partition use the burst.
+     * Fraction of the reserve that applies as soon as members become unreachable; the rest is added as they have had
+     * time to use it. A higher value rejects more requests when a member merely restarts; a lower one lets both sides
+     * of a partition use the burst.
      */
     private static final double FIRST_RESERVED_FRACTION = 0.5;
     /** Fraction of the burst that may be used twice at a view change; the tolerance of the window limit exceeds it. */
--- a/src/main/java/reedmux/proxy/quota/ViewChurn.java
+++ b/src/main/java/reedmux/proxy/quota/ViewChurn.java
@@ -1,17 +1,17 @@
 package reedmux.proxy.quota;
 
 /**
- * Tracks how often the view changes and estimates the units that are lost as a result. A member that stops cannot forward
- * the units it has received, so some members never count them. Times are in microseconds.
+ * Tracks how often the view changes and estimates the units that are lost as a result. A member that stops cannot
+ * forward the units it has received, so some members never count them. Times are in microseconds.
  */
 final class ViewChurn {
     private static final double MICROS_PER_SECOND = 1e6;
     /**
-     * Time constant with which past changes decay exponentially. A longer one rejects requests for longer after a series
-     * of restarts.
+     * Time constant with which past changes decay exponentially. A longer one rejects requests for longer after a
+     * series of restarts.
      */
     private static final double DECAY_MICROS = 3e6;
-    /** Part of the counts that is lost for each view change per second, derived from runs with restarts in series. */
+    /** Fraction of the counts that is lost for each view change per second when members restart in series. */
     private static final double LOSS_SECONDS = 0.03;
 
     private double decayedChanges;
