--- a/src/main/java/reedmux/common/quota/QuotaUpdate.java
+++ b/src/main/java/reedmux/common/quota/QuotaUpdate.java
@@ -26,7 +26,7 @@
      *
      * @param tenant      the name of the tenant
      * @param total       all units sent over the link in this generation
-     * @param senderCount the number of units the sender counts, from which a new receiver initializes its count; negative if absent
+     * @param senderCount the sender's count, which a new receiver may adopt; negative if absent
      */
     public record TenantTotal(String tenant, double total, double senderCount) {}
 }
--- a/src/main/java/reedmux/proxy/quota/QuotaTracker.java
+++ b/src/main/java/reedmux/proxy/quota/QuotaTracker.java
@@ -28,8 +28,8 @@
  *       leaky bucket.
  *   <li>Exchange: the pending units are sent to each neighbour periodically, as a cumulative total for the link in the
  *       view. The next datagram makes up for a lost one, and a duplicate has no effect.
- *   <li>Partition: a proxy uses the fraction of the rate that belongs to the members it can reach, and reserves the other
- *       members' part of the burst until the view changes or they send updates again.
+ *   <li>Partition: a proxy uses the fraction of the rate that belongs to the members it can reach, and reserves the
+ *       other members' part of the burst until the view changes or they send updates again.
  * </ol>
  *
  * <p>The class is deterministic: callers pass the time in microseconds and send the returned updates. It is not
--- a/src/test/java/reedmux/proxy/quota/QuotaCluster.java
+++ b/src/test/java/reedmux/proxy/quota/QuotaCluster.java
@@ -15,48 +15,52 @@
 import reedmux.control.session.ProxySession;
 import reedmux.control.session.SessionView;
 
-/** Some members in virtual time, a network that delays and loses, and one tenant. */
+/** Simulates proxies that share one tenant's quota in virtual time, over a network that delays and drops datagrams. */
 final class QuotaCluster {
     static final long MICROS_PER_SECOND = 1_000_000;
     private static final double WINDOW_SECONDS = 5;
 
-    private record DelayedUpdate(long at, long number, int to, QuotaUpdate packet) {}
+    private record DelayedUpdate(long deliverAt, long sequence, int receiver, QuotaUpdate update) {}
 
-    private record DelayedView(long at, long number, int member, SessionView view) {}
+    private record DelayedView(long deliverAt, long sequence, int member, SessionView view) {}
 
-    /** The limits that all members have. */
+    /** The tenant, with the same limits at all members. */
     TenantItem tenant;
 
     final List<QuotaTracker> members = new ArrayList<>();
     final List<ProxySession> sessions = new ArrayList<>();
-    private final PriorityQueue<DelayedUpdate> inTransit = new PriorityQueue<>((one, other) ->
-            one.at() != other.at() ? Long.compare(one.at(), other.at()) : Long.compare(one.number(), other.number()));
-    private final PriorityQueue<DelayedView> delayedViews = new PriorityQueue<>((one, other) ->
-            one.at() != other.at() ? Long.compare(one.at(), other.at()) : Long.compare(one.number(), other.number()));
+    private final PriorityQueue<DelayedUpdate> inTransit =
+            new PriorityQueue<>((left, right) -> left.deliverAt() != right.deliverAt()
+                    ? Long.compare(left.deliverAt(), right.deliverAt())
+                    : Long.compare(left.sequence(), right.sequence()));
+    private final PriorityQueue<DelayedView> delayedViews =
+            new PriorityQueue<>((left, right) -> left.deliverAt() != right.deliverAt()
+                    ? Long.compare(left.deliverAt(), right.deliverAt())
+                    : Long.compare(left.sequence(), right.sequence()));
     private final long[] nextSendAt;
     private final Random random;
     private final double lossRate;
     final List<Long> admissionTimes = new ArrayList<>();
     final boolean[] withoutRegistries;
-    /** Members that are cut off from the others, or dead, without anybody having been told. */
+    /** Members that cannot exchange datagrams with the others. The others' views may still contain them. */
     final Set<Integer> partitioned = new HashSet<>();
 
     final Set<Integer> dead = new HashSet<>();
-    /** How long each member's link is full in every second, so that what it sends and gets waits. */
+    /** How long each member's link is congested in every second; its datagrams in both directions wait meanwhile. */
     long linkBusyMicros;
-    /** How late each datagram is, beyond the usual. */
+    /** Delay of each datagram in addition to the usual transit time. */
     long extraDelayMicros;
-    /** How long a member stands still between its turns at the processor, at most; all that it gets waits meanwhile. */
+    /** Longest pause of a member between its CPU time slices; requests and updates to it are queued meanwhile. */
     long maxPauseMicros;
-    /** How late members hear of a new view, at most. */
+    /** Longest delay until a member receives a new view. */
     long maxViewDelayMicros;
-    /** The members that clients connect to; null for all of them. */
+    /** The members that clients connect to, or null for all members. */
     int[] clientMembers;
 
-    /** How long a turn at the processor lasts. */
+    /** Length of a CPU time slice. */
     private static final long TIME_SLICE_MICROS = 30_000;
 
-    /** When the new processes of members begin to serve. */
+    /** When the new processes of restarting members begin to serve. */
     private final Map<Integer, Long> restartCompletesAt = new TreeMap<>();
 
     private final long[] timeSliceStartsAt;
@@ -65,12 +69,12 @@
     private final int[] queuedRequests;
 
     SessionView view;
-    /** What each member has as its view. */
+    /** The current view of each member. */
     final SessionView[] views;
 
     long now = MICROS_PER_SECOND;
     long requests;
-    private long nextNumber;
+    private long nextSequence;
     private long nextIncarnation;
 
     QuotaCluster(TenantItem tenant, int count, double loss, long seed) {
@@ -93,14 +97,16 @@
         changeViews(SessionView.of(sessions));
     }
 
-    /** What a tenant with these limits may have admitted in five seconds. */
+    /** Returns how many requests of a tenant with these limits may be admitted in five seconds. */
     static double maxAdmitted(double rate, double burst) {
         return (rate * WINDOW_SECONDS + burst) * 1.1 + 20;
     }
 
     // ---- Members -----------------------------------------------------------------------------------
 
-    /** All but those without registries hear of a view, each within the longest delay. */
+    /**
+     * Delivers a view to all members that can reach the registries, each after a random delay up to the longest one.
+     */
     void changeViews(SessionView nextView) {
         view = nextView;
         for (int i = 0; i < members.size(); i++) {
@@ -111,7 +117,7 @@
                 changeView(i, nextView);
             } else {
                 long deliverAt = now + random.nextInt((int) maxViewDelayMicros);
-                delayedViews.add(new DelayedView(deliverAt, nextNumber++, i, nextView));
+                delayedViews.add(new DelayedView(deliverAt, nextSequence++, i, nextView));
             }
         }
     }
@@ -121,7 +127,7 @@
         members.get(member).onViewChange(nextView, now);
     }
 
-    /** A member ends, and a new process serves after a while; the others are told of both. */
+    /** Stops a member and starts a new process after the given time; the others receive a view for each of both. */
     void restart(int member, double downSeconds, double rate) {
         beginRestart(member, 0);
         run(downSeconds, rate);
@@ -129,7 +135,10 @@
         completeRestart(member);
     }
 
-    /** The same beside all that goes on: the new process exists at once, and hears of its view and serves later. */
+    /**
+     * Starts a restart that completes while {@link #run} continues. The new process exists at once, but receives its
+     * view and begins to serve later.
+     */
     void beginRestart(int member, double startSeconds) {
         dead.add(member);
         partitioned.add(member);
@@ -172,7 +181,7 @@
 
     // ---- Time --------------------------------------------------------------------------------------
 
-    /** Lets time pass with requests at a rate, evenly drawn over the members or those that clients connect to. */
+    /** Advances time and sends requests at a rate, uniformly distributed over {@link #clientMembers} or all members. */
     void run(double seconds, double rate) {
         long end = now + (long) (seconds * MICROS_PER_SECOND);
         double nextRequestAt = now;
@@ -183,14 +192,14 @@
                 nextRequestAt += MICROS_PER_SECOND / rate * 2 * random.nextDouble();
                 sendRequest(clientMembers == null ? random.nextInt(members.size()) : randomClientMember());
             }
-            while (!delayedViews.isEmpty() && delayedViews.peek().at() <= now) {
+            while (!delayedViews.isEmpty() && delayedViews.peek().deliverAt() <= now) {
                 DelayedView delayedView = delayedViews.poll();
                 changeView(delayedView.member(), delayedView.view());
             }
-            while (!inTransit.isEmpty() && inTransit.peek().at() <= now) {
+            while (!inTransit.isEmpty() && inTransit.peek().deliverAt() <= now) {
                 DelayedUpdate delayedUpdate = inTransit.poll();
-                if (!partitioned.contains(delayedUpdate.to())) {
-                    deliver(delayedUpdate.to(), delayedUpdate.packet());
+                if (!partitioned.contains(delayedUpdate.receiver())) {
+                    deliver(delayedUpdate.receiver(), delayedUpdate.update());
                 }
             }
             for (int i = 0; i < members.size(); i++) {
@@ -233,7 +242,7 @@
         }
     }
 
-    /** A member whose turn has come sends what is due, and then takes what has waited, in any order of sockets. */
+    /** Lets an unpaused member send its due updates and then process its queued input, in either order of sockets. */
     private void runTimeSlice(int member) {
         if (isPaused(member)) {
             return;
@@ -265,29 +274,30 @@
         }
     }
 
-    private void send(int from) {
-        for (QuotaTracker.OutgoingUpdate outgoing : members.get(from).collectUpdates(now)) {
-            if (partitioned.contains(from)) {
+    private void send(int sender) {
+        for (QuotaTracker.OutgoingUpdate outgoing : members.get(sender).collectUpdates(now)) {
+            if (partitioned.contains(sender)) {
                 continue;
             }
-            int to = Integer.parseInt(outgoing.receiver().node().substring(1));
+            int receiver = Integer.parseInt(outgoing.receiver().node().substring(1));
             if (random.nextDouble() >= lossRate) {
                 inTransit.add(new DelayedUpdate(
                         nextFreeLinkTime(
-                                to, nextFreeLinkTime(from, now + extraDelayMicros + 1_400 + random.nextInt(3_000))),
-                        nextNumber++,
-                        to,
+                                receiver,
+                                nextFreeLinkTime(sender, now + extraDelayMicros + 1_400 + random.nextInt(3_000))),
+                        nextSequence++,
+                        receiver,
                         outgoing.update()));
             }
         }
     }
 
-    private long nextFreeLinkTime(int member, long at) {
-        long sinceBusyStart = (at + member * 700_001L) % MICROS_PER_SECOND;
-        return sinceBusyStart < linkBusyMicros ? at + linkBusyMicros - sinceBusyStart : at;
+    private long nextFreeLinkTime(int member, long arrivalTime) {
+        long sinceBusyStart = (arrivalTime + member * 700_001L) % MICROS_PER_SECOND;
+        return sinceBusyStart < linkBusyMicros ? arrivalTime + linkBusyMicros - sinceBusyStart : arrivalTime;
     }
 
-    /** The most that was let through in any five seconds. */
+    /** Returns the largest number of requests admitted in any window of five seconds. */
     long maxAdmittedInFiveSeconds() {
         int first = 0;
         long most = 0;
--- a/src/test/java/reedmux/proxy/quota/QuotaFleetTest.java
+++ b/src/test/java/reedmux/proxy/quota/QuotaFleetTest.java
@@ -8,21 +8,20 @@
 import reedmux.control.configuration.TenantItem;
 
 /**
- * Seen: on a fleet of 75 proxies as real processes, customers got more than their limits in most runs: 188 requests in
- * five seconds where 158 were allowed, 128 where 109 were.
+ * Guards against tenants exceeding their quota while proxies restart in series and run late. On a fleet of 75 proxies
+ * as real processes, customers exceeded their limits in most runs: 188 requests in five seconds with 158 allowed, and
+ * 128 with 109 allowed. A customer sent many times its usual load during restarts, on machines that gave each process
+ * only part of a processor, so that everything was delayed by some tenths of a second.
  *
- * <p>How it came about: proxies were restarted in series while a customer sent many times its usual, on machines that
- * gave each process a part of a processor, so that everything was late by some tenths of a second.
+ * <p>Each proxy admitted whatever fitted into its own count, regardless of how late that was, and without a limit on
+ * what it admitted before the others knew. Units were also forwarded along the heap of the sender's view only if the
+ * receiver had the same view. While proxies learned of a restart at different times, the next proxy counted units but
+ * did not forward them, and they were not reported to the remaining proxies again.
  *
- * <p>Cause: each proxy admitted what fitted into its own count, however late that was, and with no bound on what it
- * admitted before the others knew. And units went along the heap of the sender's view only where the receiver had the
- * same view: while proxies heard of a restart at different times, units were counted by the next proxy and went no
- * further, and nobody told them again.
- *
- * <p>What proved it: here, with views that all hear of at once, the customer stays within its limit; with the same
- * views within 0.4 s it had 1.5 times of it, whether a process was restarted or only its session came and went. With
- * views that stay, pauses of up to 0.3 s alone gave 1.15 times. Of real processes, a fleet that was only busy kept the
- * limits, and broke them once each proxy stood still for a part of every tenth of a second.
+ * <p>In this simulation, customers stay within the limit if all members receive views at the same time. With the same
+ * views delivered within 0.4 s, they reached 1.5 times the limit, whether a process was restarted or only its session
+ * ended and returned. With stable views, pauses of up to 0.3 s alone led to 1.15 times the limit. Of real processes, a
+ * fleet that was merely busy kept the limits, and exceeded them once each proxy was paused for part of every 100 ms.
  */
 public class QuotaFleetTest {
     private static final int MEMBERS = 75;
@@ -33,7 +32,7 @@
     private static final int RESTARTS = 6;
     private static final int SEEDS = 4;
 
-    /** A fleet, and a customer with a limit of so many requests a second and at once. */
+    /** A fleet and one customer, whose rate (in requests per second) and burst are equal. */
     private static final class Fleet {
         private final Random random;
         private final double rate;
@@ -56,7 +55,7 @@
             return usualDemand() * SURGE_FACTOR;
         }
 
-        /** Clients come to all members from now on. */
+        /** Lets clients connect to all members from now on. */
         private void spreadClients() {
             cluster.clientMembers = null;
         }
@@ -69,7 +68,7 @@
             }
         }
 
-        /** Five restarts a second of any members, which take over a second to begin. */
+        /** Restarts five random members per second; their new processes take over a second to start. */
         private void restartManyWithSlowStart() {
             cluster.maxViewDelayMicros = VIEW_DELAY_MICROS;
             for (int i = 0; i < 7 * RESTARTS; i++) {
@@ -78,7 +77,7 @@
             }
         }
 
-        /** Eight restarts a second, before and in the surge; each takes about a second. */
+        /** Restarts eight members per second before and during the surge; each restart takes about a second. */
         private void restartEightPerSecond(long viewDelayMicros) {
             cluster.maxViewDelayMicros = viewDelayMicros;
             for (int i = 0; i < 80; i++) {
@@ -92,12 +91,12 @@
         }
     }
 
-    /** What is tried with each fleet. */
+    /** A sequence of load and restarts to run on a fleet. */
     private interface Scenario {
         void run(Fleet fleet);
     }
 
-    private static void assertQuotaHolds(long pauseMicros, Scenario course) {
+    private static void assertQuotaHolds(long pauseMicros, Scenario scenario) {
         StringBuilder violations = new StringBuilder();
         for (double rate : new double[] {5, 15, 40, 150}) {
             for (int seed = 0; seed < SEEDS; seed++) {
@@ -105,10 +104,10 @@
                 if (seed % 2 == 1) {
                     fleet.spreadClients();
                 }
-                course.run(fleet);
+                scenario.run(fleet);
                 if (fleet.maxFractionOfLimit() > 1) {
                     violations.append(String.format(
-                            "rate %.0f, pauses of %d ms, seed %d: %.2f of its quota%n",
+                            "rate %.0f, pauses of %d ms, seed %d: %.2f of the limit%n",
                             rate, pauseMicros / 1000, seed, fleet.maxFractionOfLimit()));
                 }
             }
@@ -136,9 +135,9 @@
     }
 
     /**
-     * Seen after the first repair, with real processes: a customer had 320 requests in a window of 310 while proxies
-     * were restarted in series. One that took over a second to begin was told the counts too late to believe them,
-     * and knew nothing of what the window had used.
+     * Guards against restarted proxies that take over a second to start. With real processes restarted in series, a
+     * customer had 320 requests in a window that allows 310: a proxy that started slowly received the counts too late
+     * to adopt them, and did not know how much of the window was used.
      */
     @Test
     public void quotaHoldsWhileRestartedProxiesStartSlowly() {
@@ -151,8 +150,8 @@
     }
 
     /**
-     * Seen after the second repair, with real processes, seven of which were restarted each second: 295 requests in a
-     * window of 241. A member that ends takes with it what it had yet to pass on, so that all count too little.
+     * Guards against units that are lost when a member stops before forwarding them, so that all members count too few.
+     * With real processes, seven of them restarted each second, 295 requests were admitted in a window that allows 241.
      */
     @Test
     public void quotaHoldsWhileMembersStopBeforeForwardingUnits() {
@@ -161,7 +160,7 @@
         }
     }
 
-    /** The same where members hear of a view up to 0.8 s after each other. */
+    /** Same as above, with members that receive a view up to 0.8 s apart. */
     @Test
     public void quotaHoldsWhileMembersEndAndViewsDifferForLong() {
         for (long pause : new long[] {0, 85_000}) {
@@ -169,8 +168,8 @@
         }
     }
 
-    /** A customer that keeps to its limit is not refused: the mean over sizes and seeds. */
-    private static double refusedFraction(long pauseMicros, Scenario course) {
+    /** Returns the fraction of requests rejected in a scenario, as the mean over rates and seeds. */
+    private static double refusedFraction(long pauseMicros, Scenario scenario) {
         double refused = 0;
         int fleets = 0;
         for (double rate : new double[] {15, 40, 150}) {
@@ -178,7 +177,7 @@
                 Fleet fleet = new Fleet(rate, pauseMicros, seed);
                 long requests = fleet.cluster.requests;
                 long admitted = fleet.cluster.admissionTimes.size();
-                course.run(fleet);
+                scenario.run(fleet);
                 refused += 1
                         - (fleet.cluster.admissionTimes.size() - admitted)
                                 / (double) (fleet.cluster.requests - requests);
@@ -192,9 +191,11 @@
     public void requestsWithinTheQuotaAreNotRefused() {
         for (long pause : new long[] {0, 30_000, 100_000}) {
             double refused = refusedFraction(pause, fleet -> fleet.cluster.run(7, fleet.usualDemand()));
-            assertTrue(refused < 0.015, "pauses of " + pause + ": " + refused);
+            assertTrue(refused < 0.015, "rejected fraction with pauses of " + pause + " us: " + refused);
             double refusedInRestarts = refusedFraction(pause, fleet -> fleet.restartInSeries(fleet.usualDemand()));
-            assertTrue(refusedInRestarts < 0.025, "restarts, pauses of " + pause + ": " + refusedInRestarts);
+            assertTrue(
+                    refusedInRestarts < 0.025,
+                    "rejected fraction with restarts and pauses of " + pause + " us: " + refusedInRestarts);
         }
     }
 }
--- a/src/test/java/reedmux/proxy/quota/QuotaTrackerTest.java
+++ b/src/test/java/reedmux/proxy/quota/QuotaTrackerTest.java
@@ -13,7 +13,7 @@
 import reedmux.control.session.ProxySession;
 import reedmux.control.session.SessionView;
 
-/** Members of the heap in virtual time: what they let through together, and what they count. */
+/** Tests what the members of a heap admit together and what each of them counts, in virtual time. */
 public class QuotaTrackerTest {
     private static final TenantItem TENANT = new TenantItem("t", List.of("k"), 0, 65, 65);
 
@@ -32,12 +32,15 @@
                         "loss " + loss + ", seed " + seed + ": " + cluster.maxAdmittedInFiveSeconds());
                 assertTrue(
                         cluster.maxAdmittedInFiveSeconds() >= 0.9 * (65 * 5 + 65),
-                        "too little was let through: " + cluster.maxAdmittedInFiveSeconds());
+                        "too few requests admitted: " + cluster.maxAdmittedInFiveSeconds());
             }
         }
     }
 
-    /** As in shannonside-line-grown hunt-2b28-3: 65 members, and what crosses twelve links is late. */
+    /**
+     * Guards against a surge over 65 members, where counts that cross twelve links are late (shannonside-line-grown
+     * hunt-2b28-3).
+     */
     @Test
     public void admitsNoMoreThanTheQuotaInASurgeOverManyMembers() {
         for (int seed = 0; seed < 6; seed++) {
@@ -62,7 +65,7 @@
     }
 
     /**
-     * One is cut off from the registries, so that the others go on without it while it serves its clients.
+     * A member that loses its registries is removed from the others' view but continues to serve its clients.
      */
     @Test
     public void partitionedMemberAndTheOthersEachUseOnlyTheirShare() {
@@ -71,9 +74,9 @@
             cluster.run(2, 40);
             cluster.withoutRegistries[4] = true;
             cluster.members.get(4).setRegistriesUnreachable(true);
-            List<ProxySession> rest = new ArrayList<>(cluster.sessions);
-            rest.remove(4);
-            cluster.changeViews(SessionView.of(rest));
+            List<ProxySession> remainingSessions = new ArrayList<>(cluster.sessions);
+            remainingSessions.remove(4);
+            cluster.changeViews(SessionView.of(remainingSessions));
             cluster.run(6, 276);
             assertTrue(
                     cluster.maxAdmittedInFiveSeconds() <= MAX_ADMITTED,
@@ -81,7 +84,7 @@
         }
     }
 
-    /** As in hsinhe-ccd trouble-2: the registries are gone for all, and the heap goes on. */
+    /** All members lose the registries, and the heap continues to exchange counts (hsinhe-ccd trouble-2). */
     @Test
     public void heapExchangesCountsWithoutRegistries() {
         QuotaCluster cluster = new QuotaCluster(TENANT, 8, 0, 1);
@@ -93,35 +96,35 @@
     }
 
     /**
-     * A member falls silent, and with it every path through it, two seconds and a half before the registries
-     * tell: each part of the heap went on with the whole rate. Before, during and after the beginning of a
-     * surge; cut off with clients of its own, or dead.
+     * Guards against each part of the heap using the whole rate when a member, and with it every path through it,
+     * becomes unreachable 2.5 s before the registries report it. Covers the time before, during and after the start of
+     * a surge, and a member that is partitioned with its own clients or dead.
      */
     @Test
     public void membersBehindAnUnreachableMemberUseOnlyTheirShare() {
         for (int unreachable = 0; unreachable < 8; unreachable++) {
             for (double before : new double[] {0.2, 0.8, 1.5, 3.5}) {
-                for (boolean dies : new boolean[] {false, true}) {
+                for (boolean isDead : new boolean[] {false, true}) {
                     QuotaCluster cluster = new QuotaCluster(TENANT, 10, 0.01, unreachable);
                     cluster.run(2, 40);
                     if (before < 2) {
                         cluster.run(before, 276);
                     }
                     cluster.partitioned.add(unreachable);
-                    if (dies) {
+                    if (isDead) {
                         cluster.dead.add(unreachable);
                     }
                     cluster.run(before < 2 ? 2.5 : 1, before < 2 ? 276 : 40);
                     cluster.run(before < 2 ? 0 : 1.5, 276);
-                    List<ProxySession> rest = new ArrayList<>(cluster.sessions);
-                    rest.remove(unreachable);
+                    List<ProxySession> remainingSessions = new ArrayList<>(cluster.sessions);
+                    remainingSessions.remove(unreachable);
                     cluster.withoutRegistries[unreachable] = true;
                     cluster.members.get(unreachable).setRegistriesUnreachable(true);
-                    cluster.changeViews(SessionView.of(rest));
+                    cluster.changeViews(SessionView.of(remainingSessions));
                     cluster.run(4, 276);
                     assertTrue(
                             cluster.maxAdmittedInFiveSeconds() <= MAX_ADMITTED,
-                            "member " + unreachable + ", after " + before + (dies ? ", dead: " : ": ")
+                            "member " + unreachable + ", after " + before + (isDead ? ", dead: " : ": ")
                                     + cluster.maxAdmittedInFiveSeconds());
                 }
             }
@@ -129,8 +132,8 @@
     }
 
     /**
-     * As in shannonside-line-grown scale-1: uploads fill the proxies' links for a while, again and again. Who
-     * is silent for that long and comes back has told what it used, and holds nobody's quota back after it.
+     * Uploads repeatedly congest the proxies' links for a while (shannonside-line-grown scale-1). A member that was
+     * silent for that long reports its usage when it sends again, after which no quota stays reserved for it.
      */
     @Test
     public void reservedShareIsReleasedWhenASilentMemberSendsAgain() {
@@ -147,7 +150,7 @@
         }
     }
 
-    /** The same with a surge: what is given back is no more than was owed. */
+    /** Releases no more than was reserved when congested links coincide with a surge. */
     @Test
     public void admitsNoMoreThanTheQuotaInASurgeOverCongestedLinks() {
         for (int count : new int[] {10, 65}) {
@@ -166,13 +169,16 @@
         }
     }
 
-    /** As in a drawn day at hsinhe: what busy proxies are told late is paid back all the same. */
+    /**
+     * Excess admissions are compensated even if they are reported late to busy proxies, as in a generated day at
+     * hsinhe.
+     */
     @Test
     public void admitsNoMoreThanTheQuotaInASurgeThatIsReportedLate() {
-        TenantItem big = new TenantItem("t", List.of("k"), 0, 222, 222);
+        TenantItem largeTenant = new TenantItem("t", List.of("k"), 0, 222, 222);
         for (long delayMicros : new long[] {40_000, 80_000, 120_000}) {
             for (double rate : new double[] {1110, 1500}) {
-                QuotaCluster cluster = new QuotaCluster(big, 10, 0.01, 1);
+                QuotaCluster cluster = new QuotaCluster(largeTenant, 10, 0.01, 1);
                 cluster.extraDelayMicros = delayMicros;
                 cluster.run(4, 130);
                 cluster.run(7, rate);
@@ -183,7 +189,7 @@
         }
     }
 
-    /** Loss of datagrams alone is no silence. */
+    /** Datagram loss alone must not make a neighbour time out. */
     @Test
     public void datagramLossAloneMakesNoMemberUnreachable() {
         for (int seed = 0; seed < 6; seed++) {
@@ -194,11 +200,11 @@
             cluster.run(8, 276);
             assertTrue(
                     cluster.admissionTimes.size() - before > 8 * 65 * 0.93,
-                    "let through: " + (cluster.admissionTimes.size() - before));
+                    "admitted: " + (cluster.admissionTimes.size() - before));
         }
     }
 
-    /** Every order of a total, its repeat and the next one: what is counted is the last total. */
+    /** In any order of a total, its duplicate and the next total, exactly the last total is counted. */
     @Test
     public void countsEachUnitOnceInAnyOrderOfUpdates() {
         double[] totals = {3, 3, 5};
@@ -211,20 +217,20 @@
                         new QuotaUpdate("n1", 2, 1, cluster.view.digest(), 1, entries), name -> TENANT, cluster.now);
             }
             assertEquals(parent.countedUnits(TENANT, cluster.now), 5.0);
-            // It goes on to the other child, and not back.
-            List<QuotaTracker.OutgoingUpdate> letters = parent.collectUpdates(cluster.now);
+            // The units are forwarded to the other child, and not back to the sender.
+            List<QuotaTracker.OutgoingUpdate> updates = parent.collectUpdates(cluster.now);
             assertEquals(
-                    letters.stream()
-                            .filter(letter -> letter.receiver().node().equals("n2"))
+                    updates.stream()
+                            .filter(outgoing -> outgoing.receiver().node().equals("n2"))
                             .count(),
                     1);
-            assertTrue(letters.stream()
-                    .noneMatch(letter -> letter.receiver().node().equals("n1")
-                            && letter.update().entries().stream().anyMatch(entry -> entry.total() != 0)));
+            assertTrue(updates.stream()
+                    .noneMatch(outgoing -> outgoing.receiver().node().equals("n1")
+                            && outgoing.update().entries().stream().anyMatch(entry -> entry.total() != 0)));
         }
     }
 
-    /** Where two have different views, units are counted and go no further: no circle can form. */
+    /** Units from a member with a different view are counted but not forwarded, so that they cannot circulate. */
     @Test
     public void doesNotForwardUnitsFromAnotherView() {
         QuotaCluster cluster = new QuotaCluster(TENANT, 3, 0, 0);
@@ -235,13 +241,13 @@
                 cluster.now);
         assertEquals(parent.countedUnits(TENANT, cluster.now), 4.0);
         assertTrue(parent.collectUpdates(cluster.now).stream()
-                .allMatch(letter -> letter.update().entries().stream().allMatch(entry -> entry.total() == 0)));
+                .allMatch(outgoing -> outgoing.update().entries().stream().allMatch(entry -> entry.total() == 0)));
     }
 
     /**
-     * As in hsinhe-ccd hunt-bc35-15: after a loss of the registries views come and go, and a former one
-     * comes back. Totals that began anew were taken for less than before, told on, and then for more: 429
-     * for many seconds.
+     * Guards against views that alternate after a loss of the registries until a former view returns (hsinhe-ccd
+     * hunt-bc35-15). Totals that restarted from zero were treated as a decrease, forwarded, and then treated as an
+     * increase, which caused 429 responses for many seconds.
      */
     @Test
     public void returningToAFormerViewDoesNotChangeCounts() {
@@ -251,9 +257,9 @@
             SessionView all = cluster.view;
             Random random = new Random(seed);
             for (int flip = 0; flip < 12; flip++) {
-                List<ProxySession> some = new ArrayList<>(cluster.sessions);
-                some.remove(random.nextInt(some.size()));
-                SessionView next = flip % 2 == 0 ? SessionView.of(some) : all;
+                List<ProxySession> allButOne = new ArrayList<>(cluster.sessions);
+                allButOne.remove(random.nextInt(allButOne.size()));
+                SessionView next = flip % 2 == 0 ? SessionView.of(allButOne) : all;
                 for (int i = 0; i < cluster.members.size(); i++) {
                     cluster.changeView(i, next);
                     cluster.run(0.004, 40);
--- a/src/test/java/reedmux/proxy/quota/QuotaUpdateOrderTest.java
+++ b/src/test/java/reedmux/proxy/quota/QuotaUpdateOrderTest.java
@@ -13,7 +13,7 @@
 import reedmux.control.session.SessionView;
 import reedmux.testing.ScheduleExplorer;
 
-/** Letters of older generations and incarnations, in every order and twice: nothing is counted twice. */
+/** Updates of older generations and incarnations, in any order and duplicated, must not count a unit twice. */
 public class QuotaUpdateOrderTest {
     private static final long NOW = 20_000_000;
     private static final TenantItem TENANT = new TenantItem("t", List.of("k"), 0, 65, 65);
@@ -32,27 +32,30 @@
     public void countsNoUnitTwiceInAnyOrderOfGenerationsAndIncarnations() {
         SessionView view = SessionView.of(
                 List.of(new ProxySession("n0", "10.0.0.1", "z", 2), new ProxySession("n1", "10.0.0.2", "z", 1)));
-        int schedules = ScheduleExplorer.exploreAll(10_000, orders -> {
-            QuotaTracker quotas = new QuotaTracker("n1", 1, false, 0);
-            quotas.onViewChange(view, 0);
+        int schedules = ScheduleExplorer.exploreAll(10_000, explorer -> {
+            QuotaTracker tracker = new QuotaTracker("n1", 1, false, 0);
+            tracker.onViewChange(view, 0);
             List<QuotaUpdate> oldUpdates =
                     new ArrayList<>(List.of(update(1, 1, view.digest(), 3), update(1, 2, view.digest() + 1, 2)));
             List<QuotaUpdate> newUpdates = new ArrayList<>(List.of(
                     update(2, 1, view.digest() + 1, 4),
                     update(2, 2, view.digest(), 1),
                     update(2, 2, view.digest(), 1)));
-            quotas.onUpdate(update(1, 1, view.digest(), 3), name -> TENANT, NOW); // it was known before it was late
+            tracker.onUpdate(
+                    update(1, 1, view.digest(), 3),
+                    name -> TENANT,
+                    NOW); // the first generation is known before its late duplicate arrives
             while (oldUpdates.size() + newUpdates.size() > 0) {
-                int which = orders.choose(oldUpdates.size() + newUpdates.size());
-                quotas.onUpdate(
-                        which < oldUpdates.size()
-                                ? oldUpdates.remove(which)
-                                : newUpdates.remove(which - oldUpdates.size()),
+                int choice = explorer.choose(oldUpdates.size() + newUpdates.size());
+                tracker.onUpdate(
+                        choice < oldUpdates.size()
+                                ? oldUpdates.remove(choice)
+                                : newUpdates.remove(choice - oldUpdates.size()),
                         name -> TENANT,
                         NOW);
             }
-            double counted = quotas.countedUnits(TENANT, NOW);
-            assertTrue(counted >= 4 && counted <= 3 + 2 + 4 + 1, counted + " counted of 10");
+            double counted = tracker.countedUnits(TENANT, NOW);
+            assertTrue(counted >= 4 && counted <= 3 + 2 + 4 + 1, counted + " units counted, expected 4 to 10");
         });
         assertEquals(schedules, 120);
     }
