--- a/src/test/java/reedmux/proxy/quota/QuotaUpdateOrderTest.java
+++ b/src/test/java/reedmux/proxy/quota/QuotaUpdateOrderTest.java
@@ -41,10 +41,8 @@
                     update(2, 1, view.digest() + 1, 4),
                     update(2, 2, view.digest(), 1),
                     update(2, 2, view.digest(), 1)));
-            tracker.onUpdate(
-                    update(1, 1, view.digest(), 3),
-                    name -> TENANT,
-                    NOW); // the first generation is known before its late duplicate arrives
+            // The first generation is known before its late duplicate arrives.
+            tracker.onUpdate(update(1, 1, view.digest(), 3), name -> TENANT, NOW);
             while (oldUpdates.size() + newUpdates.size() > 0) {
                 int choice = explorer.choose(oldUpdates.size() + newUpdates.size());
                 tracker.onUpdate(
