--- a/src/test/java/reedmux/proxy/quota/QuotaCluster.java
+++ b/src/test/java/reedmux/proxy/quota/QuotaCluster.java
@@ -127,7 +127,7 @@
         members.get(member).onViewChange(nextView, now);
     }
 
-    /** Stops a member and starts a new process after the given time; the others receive a view for each of both. */
+    /** Stops a member and starts a new process after the given time; the others receive a new view each time. */
     void restart(int member, double downSeconds, double rate) {
         beginRestart(member, 0);
         run(downSeconds, rate);
--- a/src/test/java/reedmux/proxy/quota/QuotaTrackerTest.java
+++ b/src/test/java/reedmux/proxy/quota/QuotaTrackerTest.java
@@ -162,7 +162,7 @@
                     cluster.run(8, 276);
                     assertTrue(
                             cluster.maxAdmittedInFiveSeconds() <= MAX_ADMITTED,
-                            count + " members, full for " + busyMicros + ", seed " + seed + ": "
+                            count + " members, links congested for " + busyMicros + " us, seed " + seed + ": "
                                     + cluster.maxAdmittedInFiveSeconds());
                 }
             }
@@ -184,7 +184,7 @@
                 cluster.run(7, rate);
                 assertTrue(
                         cluster.maxAdmittedInFiveSeconds() <= (222 * 5 + 222) * 1.1 + 20,
-                        delayMicros + " late, rate " + rate + ": " + cluster.maxAdmittedInFiveSeconds());
+                        "delay " + delayMicros + " us, rate " + rate + ": " + cluster.maxAdmittedInFiveSeconds());
             }
         }
     }
