--- a/src/test/java/reedmux/proxy/quota/QuotaTrackerTest.java
+++ b/src/test/java/reedmux/proxy/quota/QuotaTrackerTest.java
@@ -184,7 +184,7 @@
                 cluster.run(7, rate);
                 assertTrue(
                         cluster.maxAdmittedInFiveSeconds() <= (222 * 5 + 222) * 1.1 + 20,
-                        "delay " + delayMicros + " us, rate " + rate + ": " + cluster.maxAdmittedInFiveSeconds());
+                        delayMicros + " us delay, rate " + rate + ": " + cluster.maxAdmittedInFiveSeconds());
             }
         }
     }
