--- a/src/test/java/reedmux/proxy/quota/QuotaTrackerTest.java
+++ b/src/test/java/reedmux/proxy/quota/QuotaTrackerTest.java
@@ -162,7 +162,7 @@
                     cluster.run(8, 276);
                     assertTrue(
                             cluster.maxAdmittedInFiveSeconds() <= MAX_ADMITTED,
-                            count + " members, links congested for " + busyMicros + " us, seed " + seed + ": "
+                            count + " members, links congested for (us) " + busyMicros + ", seed " + seed + ": "
                                     + cluster.maxAdmittedInFiveSeconds());
                 }
             }
