--- a/src/main/java/reedmux/control/registry/CoreConnections.java
+++ b/src/main/java/reedmux/control/registry/CoreConnections.java
@@ -46,9 +46,9 @@
 
     /** Connects to every machine that the settings name, and to this machine's store first of the stores. */
     void connectToAll() {
-        addresses.others(settings.registryPort()).forEach(registry -> connect(registries, registry));
+        addresses.peerAddresses(settings.registryPort()).forEach(registry -> connect(registries, registry));
         connect(stores, SocketAddresses.parse(settings.ip() + ':' + settings.storePort()));
-        addresses.others(settings.storePort()).forEach(store -> connect(stores, store));
+        addresses.peerAddresses(settings.storePort()).forEach(store -> connect(stores, store));
     }
 
     private void connect(List<RpcDialer> dialers, InetSocketAddress address) {
@@ -72,7 +72,7 @@
 
     /** Connects to those of the machines that were not known yet. */
     void addMachines(List<String> ips) {
-        addresses.learn(ips, settings.registryPort()).forEach(this::connectToMachine);
+        addresses.addDiscovered(ips, settings.registryPort()).forEach(this::connectToMachine);
     }
 
     /** Connects to machines that have joined the core, and closes the connections to those that have left it. */
@@ -83,7 +83,7 @@
         }
         closeRemoved(registries);
         closeRemoved(stores);
-        for (InetSocketAddress registry : addresses.others(settings.registryPort())) {
+        for (InetSocketAddress registry : addresses.peerAddresses(settings.registryPort())) {
             if (!before.contains(registry.getAddress().getHostAddress())) {
                 connectToMachine(registry);
             }
--- a/src/main/java/reedmux/control/store/ChangePublisher.java
+++ b/src/main/java/reedmux/control/store/ChangePublisher.java
@@ -48,7 +48,7 @@
     private final ConsensusNode consensus;
     private final EncodedBatchCache encodedBatches;
     /** Connections with a request that is not answered yet. */
-    private final Set<RpcConnection> waiting = new LinkedHashSet<>();
+    private final Set<RpcConnection> awaitingReply = new LinkedHashSet<>();
     /** Connections of proxies for which contact with a quorum was not confirmed since their first request. */
     private final Set<RpcConnection> proxiesAwaitingContact = new LinkedHashSet<>();
 
@@ -79,16 +79,16 @@
 
     /** The follower has applied everything up to its position and wants what has changed since. */
     void onChangesRequest(RpcConnection connection, ChangesRequest request) {
-        onPull(connection, positionHere(request.incarnation(), request.sinceChange()), true);
+        onPull(connection, localPosition(request.incarnation(), request.sinceChange()), true);
     }
 
     /** The follower has received a chunk and wants the next one. */
     void onSnapshotChunkRequest(RpcConnection connection, SnapshotChunkRequest request) {
-        onPull(connection, positionHere(request.incarnation(), request.sinceChange()), false);
+        onPull(connection, localPosition(request.incarnation(), request.sinceChange()), false);
     }
 
-    private long positionHere(long ofIncarnation, long change) {
-        return ofIncarnation == incarnation ? change : PullSession.UNKNOWN;
+    private long localPosition(long requestIncarnation, long change) {
+        return requestIncarnation == incarnation ? change : PullSession.UNKNOWN;
     }
 
     /** Another store sends its digests, first of the coarse ranges and then of the fine ones where those differ. */
@@ -118,8 +118,8 @@
         session.sinceChange = !applied && since < 0 ? session.repairReadAtChange : since;
         session.appliedSince = applied;
         session.sentUpToChange = applied ? since : PullSession.UNKNOWN;
-        waiting.add(connection);
-        sendDue(connection);
+        awaitingReply.add(connection);
+        sendReplyAndNotices(connection);
         if (!session.notifiedCaughtUp
                 && session.contactAtChange < 0
                 && !isStore(connection)
@@ -146,7 +146,7 @@
 
     /** A connection has ended. */
     void onDisconnected(RpcConnection connection) {
-        waiting.remove(connection);
+        awaitingReply.remove(connection);
         proxiesAwaitingContact.remove(connection);
     }
 
@@ -154,12 +154,12 @@
 
     /** The replica has changed, or this store has become complete: answers who waits for that. */
     void onConfigurationChanged() {
-        for (RpcConnection connection : List.copyOf(waiting)) {
-            sendDue(connection);
+        for (RpcConnection connection : List.copyOf(awaitingReply)) {
+            sendReplyAndNotices(connection);
         }
     }
 
-    private void sendDue(RpcConnection connection) {
+    private void sendReplyAndNotices(RpcConnection connection) {
         sendNextBatch(connection);
         sendDueNotices(connection);
     }
@@ -167,12 +167,12 @@
     private void sendNextBatch(RpcConnection connection) {
         PullSession session = sessionOf(connection);
         boolean toStore = isStore(connection);
-        if (!session.replyDue || !hasAnswer(session, toStore)) {
+        if (!session.replyDue || !isReplyReady(session, toStore)) {
             return;
         }
         session.replyDue = false;
         session.replied = true;
-        waiting.remove(connection);
+        awaitingReply.remove(connection);
         if (toStore) {
             sendToStore(connection, session);
         } else {
@@ -180,14 +180,14 @@
         }
     }
 
-    private boolean hasAnswer(PullSession session, boolean toStore) {
+    private boolean isReplyReady(PullSession session, boolean toStore) {
         if (session.sinceChange < 0) {
             return toStore || consensus.isComplete(); // a proxy starts with a complete configuration only
         }
         // A store that has reconnected is answered even if nothing is new: it counts no peer that has not answered.
         boolean firstReply = toStore && !session.replied;
-        boolean completeSince = toStore && session.repliedIncomplete && consensus.isComplete();
-        return firstReply || completeSince || !session.appliedSince || replica.lastChange() > session.sinceChange;
+        boolean becameComplete = toStore && session.repliedIncomplete && consensus.isComplete();
+        return firstReply || becameComplete || !session.appliedSince || replica.lastChange() > session.sinceChange;
     }
 
     private void sendToProxy(RpcConnection connection, PullSession session) {
@@ -233,7 +233,7 @@
     /** Confirms a store's request for contact once it was sent everything that is committed now. */
     void confirmContact(RpcConnection connection, long contactId) {
         sessionOf(connection).dueConfirmations.add(new PullSession.DueConfirmation(contactId, replica.lastChange()));
-        sendDue(connection);
+        sendReplyAndNotices(connection);
     }
 
     private void sendDueNotices(RpcConnection connection) {
@@ -282,7 +282,7 @@
     private void onProxyContact(RpcConnection connection) {
         if (proxiesAwaitingContact.remove(connection)) {
             sessionOf(connection).contactAtChange = replica.lastChange();
-            sendDue(connection);
+            sendReplyAndNotices(connection);
         }
     }
 }
--- a/src/main/java/reedmux/control/store/CoreAddresses.java
+++ b/src/main/java/reedmux/control/store/CoreAddresses.java
@@ -78,20 +78,20 @@
     }
 
     /** The addresses of all machines but this one, at a port. */
-    public List<InetSocketAddress> others(int port) {
+    public List<InetSocketAddress> peerAddresses(int port) {
         return toAddresses(machines, port);
     }
 
     /** Adds machines that a peer tells of; returns the addresses of those that were not known, at a port. */
-    public List<InetSocketAddress> learn(List<String> ips, int port) {
-        List<String> added = new ArrayList<>();
+    public List<InetSocketAddress> addDiscovered(List<String> ips, int port) {
+        List<String> addedIps = new ArrayList<>();
         for (String ip : ips) {
             boolean isAddress = SocketAddresses.parse(ip + ":1") != null;
             if (isAddress && !removed.contains(ip) && machines.add(ip)) {
-                added.add(ip);
+                addedIps.add(ip);
             }
         }
-        return toAddresses(added, port);
+        return toAddresses(addedIps, port);
     }
 
     /** Takes a machine that would join the core for one to dial again; returns its address at a port. */
--- a/src/main/java/reedmux/control/store/MessageDispatcher.java
+++ b/src/main/java/reedmux/control/store/MessageDispatcher.java
@@ -96,7 +96,7 @@
         long now = reactor.now();
         String from = connection.peer().ip();
         if (message instanceof ProposeRequest request) {
-            peers.onProposalFrom(connection);
+            peers.recordProposalConnection(connection);
             if (membership.acceptsEpoch(from, request.epoch())) {
                 consensus.onProposal(now, from, request.proposal());
             }
@@ -105,7 +105,7 @@
         } else if (message instanceof DecisionNotice notice) {
             consensus.onDecision(now, notice.proposalId(), notice.ballot(), notice.committed(), notice.items());
         } else if (message instanceof QuorumContactRequest request) {
-            peers.onContactRequestFrom(connection);
+            peers.recordContactConnection(connection);
             // While this store is fenced the next core may be deciding already.
             if (membership.acceptsEpoch(from, request.epoch()) && !membership.isFenced()) {
                 consensus.onContactRequest(now, from, request.id(), request.afterPendingDecisions());
@@ -130,7 +130,7 @@
         } else if (message instanceof CoreRemovalRequest request && request.isOrder()) {
             membership.onRemovalOrder();
         } else if (message instanceof EpochMessage epochMessage) {
-            peers.onProposalFrom(connection);
+            peers.recordProposalConnection(connection);
             membership.onEpochMessage(now, from, epochMessage);
         } else if (message instanceof StateTransferRequest request) {
             if (membership.maySendHandover(from, request.epoch())) {
@@ -155,11 +155,11 @@
         } else if (message instanceof CoreRemovalRequest request) {
             removals.requestRemoval(request.node(), (status, text) -> respond(connection, request.id(), status, text));
         } else if (message instanceof StoreStatusRequest request) {
-            StatusRequest pending = new StatusRequest(connection, request, now, server::status);
-            reactor.scheduleAfter(StatusRequest.TIMEOUT_MICROS, () -> pending.accept(false));
+            PendingStatusRequest pending = new PendingStatusRequest(connection, request, now, server::status);
+            reactor.scheduleAfter(PendingStatusRequest.TIMEOUT_MICROS, () -> pending.accept(false));
             consensus.contactQuorum(now, false, pending);
         } else if (message instanceof OperatorResponse response) {
-            removals.onResponse(response);
+            removals.onLeaderResponse(response);
         }
     }
 
--- a/src/main/java/reedmux/control/store/PeerConnections.java
+++ b/src/main/java/reedmux/control/store/PeerConnections.java
@@ -79,7 +79,7 @@
     }
 
     /** The established connection that this store has dialed to a peer; null for none. */
-    RpcConnection outgoingTo(String ip) {
+    RpcConnection outgoingConnectionTo(String ip) {
         for (RpcDialer dialer : dialers.values()) {
             RpcConnection connection = dialer.connection();
             if (connection != null && connection.peer().ip().equals(ip)) {
@@ -89,9 +89,9 @@
         return null;
     }
 
-    /** As {@link #outgoingTo}; where there is none, the one over which the peer has last sent a proposal. */
-    RpcConnection anyTo(String ip) {
-        RpcConnection outgoing = outgoingTo(ip);
+    /** As {@link #outgoingConnectionTo}; where there is none, the one over which the peer has last sent a proposal. */
+    RpcConnection connectionTo(String ip) {
+        RpcConnection outgoing = outgoingConnectionTo(ip);
         return outgoing != null ? outgoing : proposalConnections.get(ip);
     }
 
@@ -120,12 +120,12 @@
     // ---- Connections to answer over ----------------------------------------------------------------
 
     /** A proposal or epoch message came over this connection: votes go back the same way. */
-    void onProposalFrom(RpcConnection connection) {
+    void recordProposalConnection(RpcConnection connection) {
         proposalConnections.put(connection.peer().ip(), connection);
     }
 
     /** A request for contact came over this connection: its confirmation goes back the same way. */
-    void onContactRequestFrom(RpcConnection connection) {
+    void recordContactConnection(RpcConnection connection) {
         contactConnections.put(connection.peer().ip(), connection);
     }
 
--- a/src/main/java/reedmux/control/store/StatusRequest.java
+++ b/src/main/java/reedmux/control/store/PendingStatusRequest.java
@@ -11,7 +11,7 @@
  * An operator's request for this store's status, until it is answered: as soon as a quorum has confirmed contact, or
  * without that after a time. Only the first outcome counts.
  */
-final class StatusRequest implements Consumer<Boolean> {
+final class PendingStatusRequest implements Consumer<Boolean> {
     /** How long an operator is kept waiting for contact with a quorum. */
     static final long TIMEOUT_MICROS = 500_000;
 
@@ -28,7 +28,8 @@
      * @param receivedAt when the request came, in microseconds of the reactor's clock
      * @param status reads the status at the time of the answer
      */
-    StatusRequest(RpcConnection connection, StoreStatusRequest request, long receivedAt, Supplier<StoreStatus> status) {
+    PendingStatusRequest(
+            RpcConnection connection, StoreStatusRequest request, long receivedAt, Supplier<StoreStatus> status) {
         this.connection = connection;
         this.request = request;
         this.receivedAt = receivedAt;
--- a/src/main/java/reedmux/control/store/RemovalForwarder.java
+++ b/src/main/java/reedmux/control/store/RemovalForwarder.java
@@ -21,7 +21,7 @@
     private final CoreMembership membership;
     private final PeerConnections peers;
     /** Who is to be answered, by the id of the forwarded request. */
-    private final Map<Long, BiConsumer<Integer, String>> forwarded = new HashMap<>();
+    private final Map<Long, BiConsumer<Integer, String>> pendingReplies = new HashMap<>();
 
     private long lastRequestId;
 
@@ -40,20 +40,20 @@
     void requestRemoval(String node, BiConsumer<Integer, String> reply) {
         RpcConnection leader = membership.isLeader()
                 ? null
-                : peers.outgoingTo(membership.leader().ip());
+                : peers.outgoingConnectionTo(membership.leader().ip());
         if (leader == null) {
             membership.requestRemoval(reactor.now(), node, reply);
             return;
         }
         long id = ++lastRequestId;
-        forwarded.put(id, reply);
+        pendingReplies.put(id, reply);
         leader.sendMessage(new CoreRemovalRequest(id, node));
-        reactor.scheduleAfter(FORWARD_TIMEOUT_MICROS, () -> forwarded.remove(id));
+        reactor.scheduleAfter(FORWARD_TIMEOUT_MICROS, () -> pendingReplies.remove(id));
     }
 
     /** The leader has answered a request that was forwarded to it. */
-    void onResponse(OperatorResponse response) {
-        BiConsumer<Integer, String> reply = forwarded.remove(response.id());
+    void onLeaderResponse(OperatorResponse response) {
+        BiConsumer<Integer, String> reply = pendingReplies.remove(response.id());
         if (reply != null) {
             reply.accept(response.status(), response.body());
         }
--- a/src/main/java/reedmux/control/store/StoreServer.java
+++ b/src/main/java/reedmux/control/store/StoreServer.java
@@ -113,7 +113,7 @@
         synchronizer = new PeerSynchronizer(reactor, replica, storage, consensus, membership);
         dispatcher = new MessageDispatcher(reactor, peers, publisher, synchronizer, consensus, membership, this);
         coreAddresses.restore(membership.core());
-        peers.dial(coreAddresses.others(settings.storePort()));
+        peers.dial(coreAddresses.peerAddresses(settings.storePort()));
         notifyCoreChanged();
         new TcpListener(
                 reactor,
@@ -129,12 +129,12 @@
 
     /** Takes in new seeds; nothing else of the settings can change while the store runs. */
     @Override
-    public void reload(ProcessSettings next) {
-        dialNewMachines(new CoreAddresses(next, false).machines());
+    public void reload(ProcessSettings newSettings) {
+        dialNewMachines(new CoreAddresses(newSettings, false).machines());
     }
 
     private void dialNewMachines(List<String> machines) {
-        peers.dial(coreAddresses.learn(machines, settings.storePort()));
+        peers.dial(coreAddresses.addDiscovered(machines, settings.storePort()));
     }
 
     private void onTick() {
@@ -172,8 +172,8 @@
         }
         peers.onDisconnected(connection);
         String ip = connection.peer().ip();
-        boolean ofStore = connection.peer().program().equals(PROGRAM_NAME);
-        if (ofStore && peers.outgoingTo(ip) == null) {
+        boolean isStore = connection.peer().program().equals(PROGRAM_NAME);
+        if (isStore && peers.outgoingConnectionTo(ip) == null) {
             consensus.onPeerDisconnected(ip);
             membership.onPeerDisconnected(reactor.now(), ip);
         }
@@ -201,7 +201,7 @@
 
     @Override
     public void sendEpochMessage(String to, EpochMessage message) {
-        RpcConnection connection = peers.anyTo(to);
+        RpcConnection connection = peers.connectionTo(to);
         if (connection != null) {
             connection.sendMessage(message);
         }
@@ -209,7 +209,7 @@
 
     @Override
     public void sendRemovalOrder(String to) {
-        RpcConnection connection = peers.outgoingTo(to);
+        RpcConnection connection = peers.outgoingConnectionTo(to);
         if (connection != null) {
             connection.sendMessage(CoreRemovalRequest.order(to));
         }
@@ -217,7 +217,7 @@
 
     @Override
     public void announceCore(String to) {
-        RpcConnection connection = peers.anyTo(to);
+        RpcConnection connection = peers.connectionTo(to);
         if (connection != null) {
             announceCore(connection);
         }
@@ -228,10 +228,10 @@
     }
 
     @Override
-    public void requestHandover(String from, long ofEpoch) {
-        RpcConnection connection = peers.outgoingTo(from);
+    public void requestHandover(String from, long handoverEpoch) {
+        RpcConnection connection = peers.outgoingConnectionTo(from);
         if (connection != null) {
-            synchronizer.requestStateTransfer(connection, ofEpoch);
+            synchronizer.requestStateTransfer(connection, handoverEpoch);
         }
     }
 
@@ -252,7 +252,7 @@
             epoch = membership.epoch();
             if (coreAddresses.adopt(membership.core())) {
                 peers.closeRemoved(coreAddresses);
-                peers.dialMissing(coreAddresses.others(settings.storePort()));
+                peers.dialMissing(coreAddresses.peerAddresses(settings.storePort()));
             }
             consensus.onQuorumChanged(membership.quorum());
         }
--- a/src/main/java/reedmux/control/store/StoreStatus.java
+++ b/src/main/java/reedmux/control/store/StoreStatus.java
@@ -65,29 +65,29 @@
      * @param quorumReached whether a quorum has confirmed contact since {@code receivedAt}, when the request came
      */
     String toJson(StoreStatusRequest request, boolean quorumReached, long receivedAt) {
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("node", settings.node());
-        all.put("ip", settings.ip());
-        all.put("incarnation", Long.toHexString(incarnation));
-        all.put("majority", quorumReached);
-        all.put("ageMs", ageMillis(quorumReached ? receivedAt : consensus.lastQuorumContactAt()));
-        all.put("linkedMs", ageMillis(quorumConnectedAt));
-        all.put("epoch", membership.epoch());
-        all.put("member", membership.isMember());
-        all.put("whole", consensus.isComplete());
-        all.put("fenced", membership.isFenced());
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("node", settings.node());
+        fields.put("ip", settings.ip());
+        fields.put("incarnation", Long.toHexString(incarnation));
+        fields.put("majority", quorumReached);
+        fields.put("ageMs", ageMillis(quorumReached ? receivedAt : consensus.lastQuorumContactAt()));
+        fields.put("linkedMs", ageMillis(quorumConnectedAt));
+        fields.put("epoch", membership.epoch());
+        fields.put("member", membership.isMember());
+        fields.put("whole", consensus.isComplete());
+        fields.put("fenced", membership.isFenced());
         switch (request.subject()) {
-            case "Core" -> all.put("entries", memberEntries());
-            case "Duties" -> all.put("entries", List.of(coreChangesRoleEntry()));
-            case "Items" -> addItems(all, request.afterName(), request.limit());
+            case "Core" -> fields.put("entries", memberEntries());
+            case "Duties" -> fields.put("entries", List.of(leaderEntry()));
+            case "Items" -> addItems(fields, request.afterName(), request.limit());
             default -> {}
         }
-        return ItemJson.write(all);
+        return ItemJson.write(fields);
     }
 
     /** How long ago a time was; null where it is below 0, which means never. */
-    private Long ageMillis(long at) {
-        return at < 0 ? null : Long.valueOf((now - at) / MICROS_PER_MILLI);
+    private Long ageMillis(long timeMicros) {
+        return timeMicros < 0 ? null : Long.valueOf((now - timeMicros) / MICROS_PER_MILLI);
     }
 
     /** The members of the core. */
@@ -97,12 +97,12 @@
         if (core != null) {
             for (Map.Entry<String, String> member : core.nodeNames().entrySet()) {
                 Map<String, Object> entry = new LinkedHashMap<>();
-                boolean self = member.getKey().equals(settings.ip());
+                boolean isSelf = member.getKey().equals(settings.ip());
                 Long lastReceived = lastReceivedMicros.get(member.getKey());
                 entry.put("node", member.getValue());
                 entry.put("ip", member.getKey());
-                entry.put("linked", self || lastReceived != null);
-                entry.put("heardMs", self ? Long.valueOf(0) : lastReceived == null ? null : ageMillis(lastReceived));
+                entry.put("linked", isSelf || lastReceived != null);
+                entry.put("heardMs", isSelf ? Long.valueOf(0) : lastReceived == null ? null : ageMillis(lastReceived));
                 entries.add(entry);
             }
         }
@@ -110,7 +110,7 @@
     }
 
     /** The leader, which makes changes of the core. */
-    private Map<String, Object> coreChangesRoleEntry() {
+    private Map<String, Object> leaderEntry() {
         CoreLeader leader = membership.leader();
         Map<String, Object> entry = new LinkedHashMap<>();
         entry.put("duty", "core changes");
@@ -125,7 +125,7 @@
     }
 
     /** One page of the committed items, in the order of their keys, and the pending proposals. */
-    private void addItems(Map<String, Object> all, String afterKey, int limit) {
+    private void addItems(Map<String, Object> fields, String afterKey, int limit) {
         List<Object> entries = new ArrayList<>();
         String lastKey = null;
         String nextAfter = null;
@@ -139,11 +139,11 @@
             bodyChars += item.body().length();
             lastKey = item.key();
         }
-        all.put("change", replica.lastChange());
-        all.put("total", replica.committed().size());
-        all.put("held", pendingEntries(limit));
-        all.put("entries", entries);
-        all.put("next", nextAfter);
+        fields.put("change", replica.lastChange());
+        fields.put("total", replica.committed().size());
+        fields.put("held", pendingEntries(limit));
+        fields.put("entries", entries);
+        fields.put("next", nextAfter);
     }
 
     /** The first {@code count} items behind a key. */
--- a/src/main/java/reedmux/proxy/ControlPlaneClient.java
+++ b/src/main/java/reedmux/proxy/ControlPlaneClient.java
@@ -97,12 +97,12 @@
 
     /** Dials the core machines that the settings name. */
     void connect() {
-        core.others(settings.storePort()).forEach(this::dial);
+        core.peerAddresses(settings.storePort()).forEach(this::dial);
     }
 
     /** Dials the core machines that changed settings name beyond those that are known. */
     void onSettingsChange(ProcessSettings next) {
-        dialAll(core.learn(new CoreAddresses(next, false).machines(), settings.storePort()));
+        dialAll(core.addDiscovered(new CoreAddresses(next, false).machines(), settings.storePort()));
     }
 
     private void dialAll(List<InetSocketAddress> storeAddresses) {
@@ -149,7 +149,7 @@
 
     @Override
     public void onConnected(RpcConnection connection) {
-        dialAll(core.learn(connection.peer().coreIps(), settings.storePort()));
+        dialAll(core.addDiscovered(connection.peer().coreIps(), settings.storePort()));
         pull(connection);
     }
 
@@ -249,7 +249,7 @@
         }
         closeRemoved(stores);
         closeRemoved(registries);
-        for (InetSocketAddress address : core.others(settings.storePort())) {
+        for (InetSocketAddress address : core.peerAddresses(settings.storePort())) {
             if (stores.stream().noneMatch(dialer -> dialer.address().equals(address))) {
                 dial(address);
             }
--- a/src/test/java/reedmux/control/store/ReplicaStorageTest.java
+++ b/src/test/java/reedmux/control/store/ReplicaStorageTest.java
@@ -69,29 +69,29 @@
     /** Proposals, compactions and a full disk in all orders with the disk's own tasks; a crash after every step. */
     @Test
     public void durableWritesSurviveACrashAtAnyStepOfACompaction() {
-        int[] images = {0};
-        int orders = 0;
+        int[] imageCount = {0};
+        int schedules = 0;
         for (List<String> script : List.of(
                 List.of("one", "compact", "two", "three", "compact", "four"),
                 List.of("one", "full", "two", "compact", "three", "room", "compact", "four"))) {
-            orders += ScheduleExplorer.exploreAll(10_000, order -> play(script, order, images));
+            schedules += ScheduleExplorer.exploreAll(10_000, order -> runSchedule(script, order, imageCount));
         }
-        assertEquals(orders, 86);
-        assertTrue(images[0] > 10_000, images[0] + " disks");
+        assertEquals(schedules, 86);
+        assertTrue(imageCount[0] > 10_000, imageCount[0] + " disks");
     }
 
-    private static void play(List<String> script, ScheduleExplorer order, int[] images) {
+    private static void runSchedule(List<String> steps, ScheduleExplorer schedule, int[] imageCount) {
         CrashSimulatingVolume volume = new CrashSimulatingVolume();
         StoreProcess store = new StoreProcess(volume, true);
         volume.onStep(() -> {
             Set<String> durable = Set.copyOf(store.durable);
             assertRecovers(volume.imageAfterKill(), durable);
-            images[0] += 1 + volume.forEachImageAfterPowerLoss(image -> assertRecovers(image, durable));
+            imageCount[0] += 1 + volume.forEachImageAfterPowerLoss(image -> assertRecovers(image, durable));
         });
-        List<String> next = new ArrayList<>(script);
-        while (!next.isEmpty() || !store.environment.diskTasks.isEmpty()) {
-            if (!next.isEmpty() && (store.environment.diskTasks.isEmpty() || order.choose(2) == 0)) {
-                String step = next.remove(0);
+        List<String> remainingSteps = new ArrayList<>(steps);
+        while (!remainingSteps.isEmpty() || !store.environment.diskTasks.isEmpty()) {
+            if (!remainingSteps.isEmpty() && (store.environment.diskTasks.isEmpty() || schedule.choose(2) == 0)) {
+                String step = remainingSteps.remove(0);
                 if (step.equals("compact")) {
                     store.storage.compact();
                 } else if (step.equals("full") || step.equals("room")) {
@@ -105,7 +105,7 @@
         }
         store.environment.runUntilIdle();
         assertEquals(store.durable.size() + store.rejected.size(), 4);
-        assertTrue(script.contains("full") || store.rejected.isEmpty());
+        assertTrue(steps.contains("full") || store.rejected.isEmpty());
         assertRecovers(volume.imageAfterKill(), store.durable);
     }
 
@@ -145,15 +145,15 @@
         StoreProcess before = new StoreProcess(volume, true);
         before.propose("one");
         before.environment.runUntilIdle();
-        CrashSimulatingVolume left = volume.imageAfterKill();
-        left.setFull(true);
-        StoreProcess store = new StoreProcess(left, false);
+        CrashSimulatingVolume image = volume.imageAfterKill();
+        image.setFull(true);
+        StoreProcess store = new StoreProcess(image, false);
         assertTrue(store.complete);
         assertEquals(store.replica.pending().keySet(), Set.of("one"));
         store.propose("two");
         store.environment.runUntilIdle();
         assertEquals(store.rejected, Set.of("two"));
-        left.setFull(false);
+        image.setFull(false);
         for (int i = 0; i < 20; i++) {
             store.environment.advanceClockMicros(125_000);
             store.environment.runUntilIdle();
@@ -161,7 +161,7 @@
         store.propose("three");
         store.environment.runUntilIdle();
         assertEquals(store.durable, Set.of("three"));
-        assertRecovers(left.imageAfterKill(), Set.of("one", "three"));
+        assertRecovers(image.imageAfterKill(), Set.of("one", "three"));
     }
 
     /** What a later version has written stays as it is, and what can't be read counts as lost. */
@@ -230,7 +230,7 @@
             if (i % 100 == 0) {
                 environment.advanceClockMicros(125_000);
                 environment.runUntilIdle();
-                maxBytes = Math.max(maxBytes, bytes(directory));
+                maxBytes = Math.max(maxBytes, totalFileBytes(directory));
             }
         }
         assertTrue(maxBytes < 10 * 1024 * 1024, maxBytes + " bytes");
@@ -249,7 +249,7 @@
         directory.toFile().delete();
     }
 
-    private static long bytes(Path directory) {
+    private static long totalFileBytes(Path directory) {
         long sum = 0;
         for (File file : directory.toFile().listFiles()) {
             sum += file.length();
--- a/src/test/java/reedmux/control/store/StoreCompatibilityTest.java
+++ b/src/test/java/reedmux/control/store/StoreCompatibilityTest.java
@@ -16,74 +16,75 @@
 
 /** The data folder of a store of an earlier version is read, and this version writes the same bytes. */
 public class StoreCompatibilityTest {
-    private Path folder;
+    private Path directory;
 
     @BeforeMethod
     public void createFolder() throws IOException {
-        folder = Files.createTempDirectory("reedmux-store");
+        directory = Files.createTempDirectory("reedmux-store");
     }
 
     @AfterMethod
     public void deleteFolder() throws IOException {
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(directory)) {
             for (Path file : files) {
                 Files.delete(file);
             }
         }
-        Files.delete(folder);
+        Files.delete(directory);
     }
 
-    private StoreFixtures.Life start(String resources, String... files) throws IOException {
-        FixtureFiles.copy(resources, folder, files);
-        return new StoreFixtures.Life(folder, false);
+    private StoreFixtures.TestStore startStore(String resources, String... files) throws IOException {
+        FixtureFiles.copy(resources, directory, files);
+        return new StoreFixtures.TestStore(directory, false);
     }
 
     @Test
     public void readsTheFirstGenerationAndItsRecords() throws IOException {
-        check(start("store", "items-1"), StoreFixtures.FIRST_GENERATION, List.of());
+        assertContents(startStore("store", "items-1"), StoreFixtures.FIRST_GENERATION, List.of());
     }
 
     @Test
     public void readsTheSecondGenerationAndItsRecords() throws IOException {
-        check(start("store", "items-1", "items-2"), StoreFixtures.SECOND_GENERATION, List.of());
+        assertContents(startStore("store", "items-1", "items-2"), StoreFixtures.SECOND_GENERATION, List.of());
     }
 
     @Test
     public void readsTheSecondGenerationAlone() throws IOException {
-        check(start("store", "items-2"), StoreFixtures.SECOND_GENERATION, List.of());
+        assertContents(startStore("store", "items-2"), StoreFixtures.SECOND_GENERATION, List.of());
     }
 
     @Test
-    public void readsWhatIsBeforeARecordThatIsCut() throws IOException {
-        StoreFixtures.Life life = start("store-torn", "items-2");
+    public void readsTheRecordsBeforeATornRecord() throws IOException {
+        StoreFixtures.TestStore life = startStore("store-torn", "items-2");
         assertEquals(life.environment.logLines.size(), 1, life.environment.logLines.toString());
         String line = life.environment.logLines.get(0);
         assertTrue(line.contains("disk: items-2 at "), line);
-        check(life, StoreFixtures.TORN, life.environment.logLines);
+        assertContents(life, StoreFixtures.TORN_SECOND_GENERATION, life.environment.logLines);
     }
 
-    private static void check(StoreFixtures.Life life, StoreFixtures.Contents expected, List<String> log) {
+    private static void assertContents(
+            StoreFixtures.TestStore life, StoreFixtures.Contents expected, List<String> log) {
         StoreFixtures.Contents contents = life.contents();
         assertEquals(contents.core(), expected.core());
         assertEquals(contents.items(), expected.items());
-        assertEquals(contents.marks(), expected.marks());
-        assertEquals(contents.held(), expected.held());
+        assertEquals(contents.watermarks(), expected.watermarks());
+        assertEquals(contents.pending(), expected.pending());
         assertTrue(life.complete, "nothing that was safe is missing");
         assertEquals(life.environment.logLines, log);
     }
 
     @Test
     public void writesTheBytesOfTheFixture() throws IOException {
-        StoreFixtures.writeDataFolder(folder);
+        StoreFixtures.writeDataFolder(directory);
         for (String file : List.of("items-1", "items-2")) {
-            assertEquals(Files.readAllBytes(folder.resolve(file)), FixtureFiles.bytes("store/" + file), file);
+            assertEquals(Files.readAllBytes(directory.resolve(file)), FixtureFiles.bytes("store/" + file), file);
         }
     }
 
     /** Stores compare these to find what one of them lacks, whatever their versions. */
     @Test
-    public void theDigestsOfTheContentsStayTheSame() throws IOException {
-        Map<String, byte[]> digests = start("store", "items-2").digests();
+    public void digestsMatchTheFixture() throws IOException {
+        Map<String, byte[]> digests = startStore("store", "items-2").digests();
         Map<String, byte[]> expected = FixtureFiles.frames("store-digests.txt");
         assertEquals(digests.keySet(), expected.keySet());
         digests.forEach((name, bytes) -> assertEquals(bytes, expected.get(name), name));
