--- a/src/main/java/reedmux/control/consensus/Acceptor.java
+++ b/src/main/java/reedmux/control/consensus/Acceptor.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import reedmux.control.replication.Replica.ProposalVerdict;
+import reedmux.control.replication.Replica.ValidationResult;
 
 /**
  * The acceptor of a node: prepares proposals on its disk and votes on them.
@@ -149,7 +149,8 @@
     /** Prepares a proposal that may have been acknowledged with a vote of this node that it has lost. */
     void adopt(Proposal proposal) {
         String id = proposal.id();
-        if (!context.replica.isPending(id) && context.replica.validate(id, proposal.items()) == ProposalVerdict.VALID) {
+        if (!context.replica.isPending(id)
+                && context.replica.validate(id, proposal.items()) == ValidationResult.VALID) {
             proposersVotedFor.put(id, new HashSet<>(Set.of(UNKNOWN_PROPOSER)));
             prepare(proposal);
         }
@@ -178,7 +179,7 @@
         }
         adopt(proposal);
         for (Proposal other : preparedOnly) {
-            if (context.replica.validate(other.id(), other.items()) == ProposalVerdict.VALID) {
+            if (context.replica.validate(other.id(), other.items()) == ValidationResult.VALID) {
                 context.replica.addPending(other);
             } else {
                 discard(other);
--- a/src/main/java/reedmux/control/consensus/OperatorRequests.java
+++ b/src/main/java/reedmux/control/consensus/OperatorRequests.java
@@ -5,7 +5,7 @@
 import reedmux.control.configuration.ConfigurationChangeFormat;
 import reedmux.control.configuration.ConfigurationItem;
 import reedmux.control.configuration.InvalidConfigurationException;
-import reedmux.control.replication.Replica.ProposalVerdict;
+import reedmux.control.replication.Replica.ValidationResult;
 
 /**
  * The operator's changes and reads, from the request to the answer.
@@ -97,16 +97,16 @@
 
     /** {@code settled}: everything that was acknowledged before the change was received is committed here. */
     private void attempt(PendingChange change, boolean settled) {
-        List<ConfigurationItem> newItems = context.replica.unrecordedItems(change.items);
-        ProposalVerdict verdict = context.replica.validate("", change.items);
-        if (verdict == ProposalVerdict.VALID && !newItems.isEmpty()) {
+        List<ConfigurationItem> newItems = context.replica.findUncommitted(change.items);
+        ValidationResult result = context.replica.validate("", change.items);
+        if (result == ValidationResult.VALID && !newItems.isEmpty()) {
             String id = context.self + '/' + incarnation + '/' + ++lastProposalNumber;
             Proposal proposal = new Proposal(id, new Ballot(1, context.self), newItems);
             proposer.propose(proposal, change, change.receivedAt);
-        } else if (!settled || verdict == ProposalVerdict.CONFLICTS_WITH_PENDING) {
+        } else if (!settled || result == ValidationResult.CONFLICTS_WITH_PENDING) {
             retryAfterContact(change);
         } else {
-            answer(change, verdict);
+            answer(change, result);
         }
     }
 
@@ -120,8 +120,8 @@
         });
     }
 
-    private void answer(PendingChange change, ProposalVerdict verdict) {
-        switch (verdict) {
+    private void answer(PendingChange change, ValidationResult result) {
+        switch (result) {
             case VALID -> change.reply.accept(OperationStatus.OK, NO_CONTENT); // committed already, or superseded
             case REVISION_EXPIRED ->
                 change.reply.accept(OperationStatus.UNAVAILABLE, "a revision is too old to be known");
--- a/src/main/java/reedmux/control/instances/InstanceDirectory.java
+++ b/src/main/java/reedmux/control/instances/InstanceDirectory.java
@@ -50,9 +50,9 @@
 
     /** One incarnation here. */
     private static final class InstanceEntry {
-        private CheckerIncarnation incarnation;
+        private InstanceIncarnation incarnation;
         /** When a report with a higher sequence came last. */
-        private long lastHeardMicros;
+        private long lastReportMicros;
 
         private long slowStartEndMicros;
         private final ChangeListNode<InstanceEntry> changeNode = new ChangeListNode<>(this);
@@ -66,7 +66,7 @@
         private String addressClaimantId;
 
         private boolean isGone() {
-            return incarnation.phase() == CheckerIncarnation.GONE;
+            return incarnation.phase() == InstanceIncarnation.GONE;
         }
     }
 
@@ -94,7 +94,7 @@
     // ---- Reports on instances -----------------------------------------------------------------------
 
     /** Applies a heartbeat that an instance has sent to this registry; returns whether others need to know. */
-    public boolean onHeartbeat(CheckerIncarnation reported, long now) {
+    public boolean onHeartbeat(InstanceIncarnation reported, long now) {
         boolean changed = merge(reported, now);
         InstanceEntry entry = entries.get(reported.id());
         if (isOwnedHere(entry)) {
@@ -106,7 +106,7 @@
     }
 
     /** Applies what somebody else reports; returns whether others need to know. */
-    public boolean merge(CheckerIncarnation reported, long now) {
+    public boolean merge(InstanceIncarnation reported, long now) {
         InstanceEntry entry = entries.get(reported.id());
         if (entry == null) {
             add(reported, now);
@@ -115,11 +115,11 @@
         return update(entry, reported, now);
     }
 
-    private void add(CheckerIncarnation reported, long now) {
+    private void add(InstanceIncarnation reported, long now) {
         InstanceEntry entry = new InstanceEntry();
         entries.put(reported.id(), entry);
         entry.incarnation = reported;
-        entry.lastHeardMicros = now;
+        entry.lastReportMicros = now;
         entry.slowStartEndMicros = now + reported.slowStartMillis() * MICROS_PER_MILLI;
         markChanged(entry);
         if (!entry.isGone()) {
@@ -131,17 +131,17 @@
         }
     }
 
-    private boolean update(InstanceEntry entry, CheckerIncarnation reported, long now) {
-        CheckerIncarnation known = entry.incarnation;
+    private boolean update(InstanceEntry entry, InstanceIncarnation reported, long now) {
+        InstanceIncarnation known = entry.incarnation;
         boolean newer = reported.sequence() > known.sequence();
         if (newer) {
-            entry.lastHeardMicros = now;
+            entry.lastReportMicros = now;
             entry.slowStartEndMicros = now + reported.slowStartMillis() * MICROS_PER_MILLI;
         }
-        CheckerIncarnation latest = newer ? reported : known;
+        InstanceIncarnation latest = newer ? reported : known;
         int phase = Math.max(known.phase(), reported.phase());
         boolean unresponsive = reported.sequence() >= known.sequence() ? reported.unresponsive() : known.unresponsive();
-        entry.incarnation = latest.with(phase, unresponsive, 0);
+        entry.incarnation = latest.withStatus(phase, unresponsive, 0);
         boolean changed = phase != known.phase()
                 || unresponsive != known.unresponsive()
                 || !latest.address().equals(known.address())
@@ -165,7 +165,7 @@
         String holderId = idByAddress.get(address);
         InstanceEntry holder = holderId == null || holderId.equals(id) ? null : entries.get(holderId);
         boolean held = holder != null && !holder.isGone();
-        if (held && !holder.incarnation.unresponsive() && now - lastHeardMicros(holder) <= ADDRESS_HOLD_MICROS) {
+        if (held && !holder.incarnation.unresponsive() && now - lastContactMicros(holder) <= ADDRESS_HOLD_MICROS) {
             return false;
         }
         idByAddress.put(address, id);
@@ -180,14 +180,14 @@
         InstanceEntry claimant = entries.get(entry.addressClaimantId);
         if (claimant == null || claimant.isGone() || claimant.incarnation.unresponsive()) {
             entry.addressClaimantId = null;
-        } else if (!entry.isGone() && isOwnedHere(entry) && now - entry.lastHeardMicros > ADDRESS_HOLD_MICROS) {
+        } else if (!entry.isGone() && isOwnedHere(entry) && now - entry.lastReportMicros > ADDRESS_HOLD_MICROS) {
             idByAddress.put(claimant.incarnation.address(), claimant.incarnation.id());
             markGone(entry);
         }
     }
 
     private void markGone(InstanceEntry entry) {
-        entry.incarnation = entry.incarnation.with(CheckerIncarnation.GONE, entry.incarnation.unresponsive(), 0);
+        entry.incarnation = entry.incarnation.withStatus(InstanceIncarnation.GONE, entry.incarnation.unresponsive(), 0);
         markChanged(entry);
     }
 
@@ -207,17 +207,17 @@
     }
 
     /** Applies what another registry states about an instance's owner; without effect for unknown instances. */
-    public void mergeOwner(InstanceOwner stated, long now) {
-        InstanceEntry entry = entries.get(stated.instanceId());
+    public void mergeOwner(InstanceOwner reported, long now) {
+        InstanceEntry entry = entries.get(reported.instanceId());
         if (entry == null) {
             return;
         }
         long knownSequence = entry.owner == null ? NO_SEQUENCE : entry.ownerSequence;
-        boolean supersedes = stated.sequence() > knownSequence
-                || stated.sequence() == knownSequence && stated.processId() > entry.owner.id();
+        boolean supersedes = reported.sequence() > knownSequence
+                || reported.sequence() == knownSequence && reported.processId() > entry.owner.id();
         if (supersedes) {
-            setOwner(entry, registries.process(stated.processId(), now), stated.sequence());
-        } else if (stated.processId() != entry.owner.id()) {
+            setOwner(entry, registries.process(reported.processId(), now), reported.sequence());
+        } else if (reported.processId() != entry.owner.id()) {
             setOwner(entry, entry.owner, knownSequence); // a change, so that the sender hears who the owner is
         }
     }
@@ -247,10 +247,10 @@
     // ---- Time-outs ----------------------------------------------------------------------------------
 
     /** When an instance counts as heard of: by its own heartbeats, or by those of an owner elsewhere. */
-    private long lastHeardMicros(InstanceEntry entry) {
+    private long lastContactMicros(InstanceEntry entry) {
         return entry.owner == null || isOwnedHere(entry)
-                ? entry.lastHeardMicros
-                : Math.max(entry.lastHeardMicros, entry.owner.lastAdvanceMicros());
+                ? entry.lastReportMicros
+                : Math.max(entry.lastReportMicros, entry.owner.lastAdvanceMicros());
     }
 
     /**
@@ -258,15 +258,15 @@
      * ended long ago. Returns how many have become unresponsive.
      */
     public int detectTimeouts(long now, long timeoutMicros) {
-        forgetEnded(now);
+        removeExpired(now);
         int timedOut = 0;
         for (InstanceEntry entry : entries.values()) {
             if (entry.addressClaimantId != null) {
                 resolveAddressClaim(entry, now);
             }
-            CheckerIncarnation incarnation = entry.incarnation;
-            if (!incarnation.unresponsive() && !entry.isGone() && now - lastHeardMicros(entry) > timeoutMicros) {
-                entry.incarnation = incarnation.with(incarnation.phase(), true, 0);
+            InstanceIncarnation incarnation = entry.incarnation;
+            if (!incarnation.unresponsive() && !entry.isGone() && now - lastContactMicros(entry) > timeoutMicros) {
+                entry.incarnation = incarnation.withStatus(incarnation.phase(), true, 0);
                 markChanged(entry);
                 timedOut++;
             }
@@ -274,10 +274,10 @@
         return timedOut;
     }
 
-    private void forgetEnded(long now) {
+    private void removeExpired(long now) {
         for (Iterator<InstanceEntry> iterator = entries.values().iterator(); iterator.hasNext(); ) {
             InstanceEntry entry = iterator.next();
-            if (entry.isGone() && now - entry.lastHeardMicros > RETENTION_MICROS) {
+            if (entry.isGone() && now - entry.lastReportMicros > RETENTION_MICROS) {
                 iterator.remove();
                 changeOrder.remove(entry.changeNode);
                 if (entry.ownerChangeNode != null) {
@@ -291,21 +291,21 @@
     // ---- Queries ------------------------------------------------------------------------------------
 
     /** Returns the incarnation with an id, or null where it is not known. */
-    public CheckerIncarnation get(String id, long now) {
+    public InstanceIncarnation get(String id, long now) {
         InstanceEntry entry = entries.get(id);
-        return entry == null ? null : asOf(entry, now);
+        return entry == null ? null : withRemainingSlowStart(entry, now);
     }
 
     /** How many milliseconds ago an instance was last heard of; -1 where it is not known. */
-    public long millisSinceHeard(String id, long now) {
+    public long millisSinceLastContact(String id, long now) {
         InstanceEntry entry = entries.get(id);
-        return entry == null ? -1 : (now - lastHeardMicros(entry)) / MICROS_PER_MILLI;
+        return entry == null ? -1 : (now - lastContactMicros(entry)) / MICROS_PER_MILLI;
     }
 
-    private static CheckerIncarnation asOf(InstanceEntry entry, long now) {
-        CheckerIncarnation incarnation = entry.incarnation;
+    private static InstanceIncarnation withRemainingSlowStart(InstanceEntry entry, long now) {
+        InstanceIncarnation incarnation = entry.incarnation;
         long slowStartMillis = Math.max(0, (entry.slowStartEndMicros - now) / MICROS_PER_MILLI);
-        return incarnation.with(incarnation.phase(), incarnation.unresponsive(), slowStartMillis);
+        return incarnation.withStatus(incarnation.phase(), incarnation.unresponsive(), slowStartMillis);
     }
 
     /** The number of the last change of an instance; 0 before the first one. */
@@ -314,18 +314,18 @@
     }
 
     /** Returns the incarnations that have changed after a change, the oldest change first. */
-    public List<CheckerIncarnation> changedSince(long change, long now) {
-        List<CheckerIncarnation> changed = new ArrayList<>();
+    public List<InstanceIncarnation> changedSince(long change, long now) {
+        List<InstanceIncarnation> changed = new ArrayList<>();
         ChangeListNode<InstanceEntry> listNode = changeOrder.firstAfterChange(change);
         while (listNode != null) {
-            changed.add(asOf(listNode.value(), now));
+            changed.add(withRemainingSlowStart(listNode.value(), now));
             listNode = changeOrder.nextNewer(listNode);
         }
         return changed;
     }
 
     /** Returns all incarnations, also those that are gone and still kept, the oldest change first. */
-    public Collection<CheckerIncarnation> all(long now) {
+    public Collection<InstanceIncarnation> all(long now) {
         return changedSince(0, now);
     }
 }
--- a/src/main/java/reedmux/control/instances/CheckerIncarnation.java
+++ b/src/main/java/reedmux/control/instances/InstanceIncarnation.java
@@ -14,7 +14,7 @@
  * @param slowStartMillis how much longer its slow start lasts, as of the report
  * @param unresponsive whether its heartbeats have timed out
  */
-public record CheckerIncarnation(
+public record InstanceIncarnation(
         String id,
         String service,
         String address,
@@ -31,8 +31,8 @@
     /** Has ended, or was replaced at its address. */
     public static final int GONE = 2;
 
-    CheckerIncarnation with(int newPhase, boolean newUnresponsive, long newSlowStartMillis) {
-        return new CheckerIncarnation(
+    InstanceIncarnation withStatus(int newPhase, boolean newUnresponsive, long newSlowStartMillis) {
+        return new InstanceIncarnation(
                 id, service, address, zone, capacity, newPhase, sequence, newSlowStartMillis, newUnresponsive);
     }
 }
--- a/src/main/java/reedmux/control/instances/RegistryHeartbeatTable.java
+++ b/src/main/java/reedmux/control/instances/RegistryHeartbeatTable.java
@@ -13,7 +13,7 @@
  */
 final class RegistryHeartbeatTable {
     /** Heartbeats of processes whose counter rose within this are forwarded: three intervals. */
-    private static final long FORWARD_MICROS = 3_000_000;
+    private static final long FORWARD_WINDOW_MICROS = 3_000_000;
 
     private final long localProcessId;
     private final Map<Long, RegistryProcess> processes = new HashMap<>();
@@ -73,7 +73,7 @@
                 continue;
             }
             long silence = now - process.lastAdvanceMicros;
-            if (silence <= FORWARD_MICROS) {
+            if (silence <= FORWARD_WINDOW_MICROS) {
                 heartbeats.add(new RegistryHeartbeat(process.id, process.heartbeatCount));
             } else if (silence > InstanceDirectory.RETENTION_MICROS) {
                 iterator.remove();
--- a/src/main/java/reedmux/control/registry/ControlCall.java
+++ b/src/main/java/reedmux/control/registry/ControlCall.java
@@ -1,12 +1,12 @@
 package reedmux.control.registry;
 
-import reedmux.control.instances.CheckerIncarnation;
+import reedmux.control.instances.InstanceIncarnation;
 
 /** A call of the control API whose form is valid, as {@link ControlCallParser} reads it. */
 sealed interface ControlCall {
 
     /** An instance reports itself. */
-    record HeartbeatCall(CheckerIncarnation incarnation) implements ControlCall {}
+    record HeartbeatCall(InstanceIncarnation incarnation) implements ControlCall {}
 
     /** An instance ends. */
     record InstanceLeaveCall(String id) implements ControlCall {}
--- a/src/main/java/reedmux/control/registry/ControlCallParser.java
+++ b/src/main/java/reedmux/control/registry/ControlCallParser.java
@@ -11,7 +11,7 @@
 import reedmux.common.net.SocketAddresses;
 import reedmux.control.configuration.InvalidConfigurationException;
 import reedmux.control.configuration.ItemJson;
-import reedmux.control.instances.CheckerIncarnation;
+import reedmux.control.instances.InstanceIncarnation;
 import reedmux.control.registry.ControlCall.ConfigAdjustCall;
 import reedmux.control.registry.ControlCall.ConfigReadCall;
 import reedmux.control.registry.ControlCall.CoreLeaveCall;
@@ -158,7 +158,7 @@
         }
     }
 
-    private static CheckerIncarnation parseIncarnation(String id, String body) throws InvalidConfigurationException {
+    private static InstanceIncarnation parseIncarnation(String id, String body) throws InvalidConfigurationException {
         if (body.length() > MAX_HEARTBEAT_CHARS) {
             throw new InvalidConfigurationException("the body is longer than " + MAX_HEARTBEAT_CHARS);
         }
@@ -168,7 +168,7 @@
             throw new InvalidConfigurationException("address is no address:port");
         }
         int phase = parsePhase(fields);
-        return new CheckerIncarnation(
+        return new InstanceIncarnation(
                 id,
                 requiredName(fields, "plant"),
                 address,
@@ -183,9 +183,9 @@
     private static int parsePhase(Map<String, Object> fields) throws InvalidConfigurationException {
         String phase = requiredName(fields, "phase");
         if (phase.equals("ready")) {
-            return CheckerIncarnation.READY;
+            return InstanceIncarnation.READY;
         } else if (phase.equals("draining")) {
-            return CheckerIncarnation.DRAINING;
+            return InstanceIncarnation.DRAINING;
         }
         throw new InvalidConfigurationException("phase is neither ready nor draining");
     }
--- a/src/main/java/reedmux/control/registry/IncarnationStorage.java
+++ b/src/main/java/reedmux/control/registry/IncarnationStorage.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.Executor;
 import reedmux.common.disk.Journal;
 import reedmux.common.eventloop.Reactor;
-import reedmux.control.instances.CheckerIncarnation;
 import reedmux.control.instances.InstanceDirectory;
+import reedmux.control.instances.InstanceIncarnation;
 import reedmux.control.rpc.MessageCodec;
 import reedmux.control.rpc.Messages.IncarnationNotice;
 
@@ -68,7 +68,7 @@
         }
         writeInProgress = true;
         long change = directory.lastChange();
-        List<CheckerIncarnation> instances = new ArrayList<>(directory.all(reactor.now()));
+        List<InstanceIncarnation> instances = new ArrayList<>(directory.all(reactor.now()));
         byte[] record = codec.encode(new IncarnationNotice(0, instances));
         diskWorker.execute(() -> {
             boolean written = write(record);
--- a/src/main/java/reedmux/control/registry/InstanceCalls.java
+++ b/src/main/java/reedmux/control/registry/InstanceCalls.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import reedmux.common.eventloop.Reactor;
 import reedmux.common.http1.Http1ServerConnection;
-import reedmux.control.instances.CheckerIncarnation;
 import reedmux.control.instances.InstanceDirectory;
+import reedmux.control.instances.InstanceIncarnation;
 import reedmux.control.rpc.Messages.IncarnationAck;
 import reedmux.control.rpc.Messages.IncarnationNotice;
 import reedmux.control.rpc.RpcConnection;
@@ -53,23 +53,23 @@
         heartbeatResponse = "{\"beatTarget\":\"" + endpoint + "\"}";
     }
 
-    void onHeartbeat(CheckerIncarnation instance, Http1ServerConnection caller) {
+    void onHeartbeat(InstanceIncarnation instance, Http1ServerConnection caller) {
         directory.onHeartbeat(instance, reactor.now());
         acknowledge(instance.id(), heartbeatResponse, caller);
     }
 
     void onLeave(String id, Http1ServerConnection caller) {
-        CheckerIncarnation known = directory.get(id, reactor.now());
+        InstanceIncarnation known = directory.get(id, reactor.now());
         if (known == null) { // all that can be known of it is that it has ended
-            known = new CheckerIncarnation(id, "", UNKNOWN_ADDRESS, "", 1, CheckerIncarnation.READY, 0, 0, false);
+            known = new InstanceIncarnation(id, "", UNKNOWN_ADDRESS, "", 1, InstanceIncarnation.READY, 0, 0, false);
         }
-        CheckerIncarnation gone = new CheckerIncarnation(
+        InstanceIncarnation gone = new InstanceIncarnation(
                 id,
                 known.service(),
                 known.address(),
                 known.zone(),
                 known.capacity(),
-                CheckerIncarnation.GONE,
+                InstanceIncarnation.GONE,
                 known.sequence(),
                 0,
                 false);
@@ -78,9 +78,9 @@
     }
 
     private void acknowledge(String id, String response, Http1ServerConnection caller) {
-        CheckerIncarnation instance = directory.get(id, reactor.now());
+        InstanceIncarnation instance = directory.get(id, reactor.now());
         publisher.publishChanges();
-        if (instance.phase() == CheckerIncarnation.READY || registries.isEmpty()) {
+        if (instance.phase() == InstanceIncarnation.READY || registries.isEmpty()) {
             caller.respond(STATUS_OK, response);
             return;
         }
--- a/src/main/java/reedmux/control/registry/RegistryStatusReport.java
+++ b/src/main/java/reedmux/control/registry/RegistryStatusReport.java
@@ -9,8 +9,8 @@
 import java.util.TreeMap;
 import reedmux.control.configuration.InvalidConfigurationException;
 import reedmux.control.configuration.ItemJson;
-import reedmux.control.instances.CheckerIncarnation;
 import reedmux.control.instances.InstanceDirectory;
+import reedmux.control.instances.InstanceIncarnation;
 import reedmux.control.registry.ControlCall.ShowCall;
 import reedmux.control.rpc.Messages.Hello;
 import reedmux.control.rpc.RpcConnection;
@@ -29,7 +29,7 @@
     private static final long MICROS_PER_MILLI = 1000;
     /** The fields of a store's status that belong to the report itself, and not to the store. */
     private static final List<String> STORE_ENTRY_FIELDS = List.of("change", "total", "held", "entries", "next");
-    /** By the phases of {@link CheckerIncarnation}. */
+    /** By the phases of {@link InstanceIncarnation}. */
     private static final List<String> PHASE_NAMES = List.of("ready", "draining", "gone");
 
     private final Hello localHello;
@@ -175,9 +175,9 @@
 
     private void addInstances(Map<String, Object> fields, ShowCall show) {
         // The page and one more, by id; the directory is in the order of changes.
-        TreeMap<String, CheckerIncarnation> page = new TreeMap<>();
+        TreeMap<String, InstanceIncarnation> page = new TreeMap<>();
         int total = 0;
-        for (CheckerIncarnation instance : directory.all(now)) {
+        for (InstanceIncarnation instance : directory.all(now)) {
             if (!show.service().isEmpty() && !show.service().equals(instance.service())) {
                 continue;
             }
@@ -200,7 +200,7 @@
         fields.put("next", more ? page.lastKey() : null);
     }
 
-    private Map<String, Object> instanceEntry(CheckerIncarnation instance) {
+    private Map<String, Object> instanceEntry(InstanceIncarnation instance) {
         Map<String, Object> entry = new LinkedHashMap<>();
         entry.put("id", instance.id());
         entry.put("service", instance.service());
@@ -209,7 +209,7 @@
         entry.put("phase", PHASE_NAMES.get(instance.phase()));
         entry.put("silent", instance.unresponsive());
         entry.put("seq", instance.sequence());
-        entry.put("heardMs", directory.millisSinceHeard(instance.id(), now));
+        entry.put("heardMs", directory.millisSinceLastContact(instance.id(), now));
         return entry;
     }
 }
--- a/src/main/java/reedmux/control/replication/ConfigurationFollower.java
+++ b/src/main/java/reedmux/control/replication/ConfigurationFollower.java
@@ -26,7 +26,7 @@
     private String problem;
 
     /** The chunks of snapshots that aren't complete. */
-    public SnapshotAssembler snapshot() {
+    public SnapshotAssembler snapshotAssembler() {
         return snapshots;
     }
 
--- a/src/main/java/reedmux/control/replication/Replica.java
+++ b/src/main/java/reedmux/control/replication/Replica.java
@@ -20,7 +20,7 @@
 public final class Replica {
 
     /** What a store says of a proposal. */
-    public enum ProposalVerdict {
+    public enum ValidationResult {
         /** It may become pending. */
         VALID,
         /** It is not valid together with the committed items. */
@@ -57,38 +57,38 @@
     // ---- Validation --------------------------------------------------------------------------------
 
     /** Judges a proposal; what is wrong with it is told by {@link #problem()}. One that is pending stays valid. */
-    public ProposalVerdict validate(String proposalId, List<ConfigurationItem> items) {
+    public ValidationResult validate(String proposalId, List<ConfigurationItem> items) {
         if (pending.containsKey(proposalId)) {
-            return ProposalVerdict.VALID;
+            return ValidationResult.VALID;
         }
-        List<ConfigurationItem> unrecorded = new ArrayList<>();
+        List<ConfigurationItem> uncommitted = new ArrayList<>();
         for (ConfigurationItem item : items) {
-            ProposalVerdict verdict = classify(item);
-            if (verdict == ProposalVerdict.VALID) {
-                unrecorded.add(item);
-            } else if (verdict != null) {
-                return verdict;
+            ValidationResult result = classify(item);
+            if (result == ValidationResult.VALID) {
+                uncommitted.add(item);
+            } else if (result != null) {
+                return result;
             }
         }
-        if (reusesPendingRevision(unrecorded)) {
-            return ProposalVerdict.CONFLICTS_WITH_PENDING;
+        if (reusesPendingRevision(uncommitted)) {
+            return ValidationResult.CONFLICTS_WITH_PENDING;
         }
-        boolean validAlone = isValidTogether(List.of(unrecorded));
+        boolean validAlone = isValidTogether(List.of(uncommitted));
         if (pending.isEmpty()) {
-            return validAlone ? ProposalVerdict.VALID : ProposalVerdict.INVALID;
+            return validAlone ? ValidationResult.VALID : ValidationResult.INVALID;
         }
         String problemAlone = problem;
         List<List<ConfigurationItem>> withPending = new ArrayList<>();
         for (Proposal other : pending.values()) {
             withPending.add(other.items());
         }
-        withPending.add(unrecorded);
+        withPending.add(uncommitted);
         boolean validWithPending = isValidTogether(withPending);
         if (validAlone) {
-            return validWithPending ? ProposalVerdict.VALID : ProposalVerdict.CONFLICTS_WITH_PENDING;
+            return validWithPending ? ValidationResult.VALID : ValidationResult.CONFLICTS_WITH_PENDING;
         }
         problem = problemAlone;
-        return validWithPending ? ProposalVerdict.CONFLICTS_WITH_PENDING : ProposalVerdict.INVALID;
+        return validWithPending ? ValidationResult.CONFLICTS_WITH_PENDING : ValidationResult.INVALID;
     }
 
     private boolean reusesPendingRevision(List<ConfigurationItem> items) {
@@ -106,10 +106,10 @@
     }
 
     /**
-     * What is known of one item's revision: null where it was committed with this body, {@link ProposalVerdict#VALID}
+     * What is known of one item's revision: null where it was committed with this body, {@link ValidationResult#VALID}
      * where it was not committed.
      */
-    private ProposalVerdict classify(ConfigurationItem item) {
+    private ValidationResult classify(ConfigurationItem item) {
         ConfigurationItem current = committed.get(item.key());
         if (current != null && current.revision() == item.revision()) {
             return current.equals(item) ? null : revisionReused(item);
@@ -119,13 +119,13 @@
             return digest == Watermark.of(item).digest() ? null : revisionReused(item);
         }
         return item.revision() <= watermarks.lowWatermark(item.key())
-                ? ProposalVerdict.REVISION_EXPIRED
-                : ProposalVerdict.VALID;
+                ? ValidationResult.REVISION_EXPIRED
+                : ValidationResult.VALID;
     }
 
-    private ProposalVerdict revisionReused(ConfigurationItem item) {
+    private ValidationResult revisionReused(ConfigurationItem item) {
         problem = item.key() + " was taken with another content under the revision " + item.revision();
-        return ProposalVerdict.REVISION_REUSED;
+        return ValidationResult.REVISION_REUSED;
     }
 
     /** Why the last proposal that was validated was not valid. */
@@ -134,14 +134,14 @@
     }
 
     /** Those of some items whose revisions were not committed yet, as far as is known here. */
-    public List<ConfigurationItem> unrecordedItems(List<ConfigurationItem> items) {
-        List<ConfigurationItem> unrecorded = new ArrayList<>();
+    public List<ConfigurationItem> findUncommitted(List<ConfigurationItem> items) {
+        List<ConfigurationItem> uncommitted = new ArrayList<>();
         for (ConfigurationItem item : items) {
-            if (classify(item) == ProposalVerdict.VALID) {
-                unrecorded.add(item);
+            if (classify(item) == ValidationResult.VALID) {
+                uncommitted.add(item);
             }
         }
-        return unrecorded;
+        return uncommitted;
     }
 
     /** Whether the committed items would be valid after these proposals, each with its items. */
--- a/src/main/java/reedmux/control/rpc/InstanceSerializer.java
+++ b/src/main/java/reedmux/control/rpc/InstanceSerializer.java
@@ -3,7 +3,7 @@
 import com.esotericsoftware.kryo.io.Input;
 import com.esotericsoftware.kryo.io.Output;
 import java.util.List;
-import reedmux.control.instances.CheckerIncarnation;
+import reedmux.control.instances.InstanceIncarnation;
 import reedmux.control.instances.InstanceOwner;
 import reedmux.control.instances.RegistryHeartbeat;
 import reedmux.control.rpc.Messages.IncarnationAck;
@@ -54,9 +54,9 @@
         };
     }
 
-    private static void writeInstances(List<CheckerIncarnation> instances, Output out) {
+    private static void writeInstances(List<InstanceIncarnation> instances, Output out) {
         out.writeVarInt(instances.size(), true);
-        for (CheckerIncarnation instance : instances) {
+        for (InstanceIncarnation instance : instances) {
             out.writeString(instance.id());
             out.writeString(instance.service());
             out.writeString(instance.address());
@@ -69,23 +69,23 @@
         }
     }
 
-    private static List<CheckerIncarnation> readInstances(Input in) {
+    private static List<InstanceIncarnation> readInstances(Input in) {
         int size = in.readVarInt(true);
-        List<CheckerIncarnation> instances = ListSerializer.newList(size);
+        List<InstanceIncarnation> instances = ListSerializer.newList(size);
         for (int i = 0; i < size; i++) {
             instances.add(readInstance(in));
         }
         return instances;
     }
 
-    private static CheckerIncarnation readInstance(Input in) {
-        return new CheckerIncarnation(
+    private static InstanceIncarnation readInstance(Input in) {
+        return new InstanceIncarnation(
                 in.readString(),
                 in.readString(),
                 in.readString(),
                 in.readString(),
                 (int) RpcFrame.requireInRange(1, in.readVarInt(true), Integer.MAX_VALUE),
-                (int) RpcFrame.requireInRange(CheckerIncarnation.READY, in.readByte(), CheckerIncarnation.GONE),
+                (int) RpcFrame.requireInRange(InstanceIncarnation.READY, in.readByte(), InstanceIncarnation.GONE),
                 in.readVarLong(true),
                 in.readVarLong(true),
                 in.readBoolean());
--- a/src/main/java/reedmux/control/rpc/Messages.java
+++ b/src/main/java/reedmux/control/rpc/Messages.java
@@ -8,7 +8,7 @@
 import reedmux.control.consensus.PersistentCoreState;
 import reedmux.control.consensus.Proposal;
 import reedmux.control.consensus.Vote;
-import reedmux.control.instances.CheckerIncarnation;
+import reedmux.control.instances.InstanceIncarnation;
 import reedmux.control.instances.InstanceOwner;
 import reedmux.control.instances.RegistryHeartbeat;
 import reedmux.control.replication.Watermark;
@@ -208,7 +208,7 @@
     public record MembershipUpdate(
             long incarnation,
             long upToChange,
-            List<CheckerIncarnation> instances,
+            List<InstanceIncarnation> instances,
             List<InstanceOwner> owners,
             SessionChanges sessions) {
         /** Copies the lists. */
@@ -219,7 +219,7 @@
     }
 
     /** Incarnations that the receiver is to acknowledge; also as a registry keeps them on disk. */
-    public record IncarnationNotice(long id, List<CheckerIncarnation> instances) {
+    public record IncarnationNotice(long id, List<InstanceIncarnation> instances) {
         /** Copies the list. */
         public IncarnationNotice {
             instances = new ArrayList<>(instances);
--- a/src/main/java/reedmux/control/session/SessionChangeLog.java
+++ b/src/main/java/reedmux/control/session/SessionChangeLog.java
@@ -23,7 +23,7 @@
 
     private int endedCount;
     /** Ends up to this change may be forgotten. */
-    private long forgottenUpTo;
+    private long evictedUpToChange;
 
     /** A node, and its session or null. */
     private static final class SessionEntry {
@@ -69,14 +69,14 @@
         endOrder.moveToNewest(entry.endNode, counter.last());
         endedCount++;
         if (endedCount > MAX_ENDED_ENTRIES) {
-            forgetOldestEnd();
+            evictOldestEnded();
         }
         return true;
     }
 
-    private void forgetOldestEnd() {
+    private void evictOldestEnded() {
         ChangeListNode<SessionEntry> oldest = endOrder.oldest();
-        forgottenUpTo = oldest.change();
+        evictedUpToChange = oldest.change();
         endedCount--;
         endOrder.remove(oldest);
         changeOrder.remove(entries.remove(oldest.value().node));
@@ -84,7 +84,7 @@
 
     /** Returns the changes behind a change; negative stands for a reader that has nothing. */
     SessionChanges changesSince(long change) {
-        boolean complete = change < forgottenUpTo;
+        boolean complete = change < evictedUpToChange;
         List<ProxySession> started = new ArrayList<>();
         List<String> ended = new ArrayList<>();
         ChangeListNode<SessionEntry> listNode = changeOrder.firstAfterChange(complete ? -1 : change);
--- a/src/main/java/reedmux/control/session/SessionTable.java
+++ b/src/main/java/reedmux/control/session/SessionTable.java
@@ -148,7 +148,7 @@
     /** Returns the view of all sessions that count at a time. */
     public SessionView view(long now) {
         if (view == null || now > viewValidUntilMicros) {
-            Map<String, ProxySession> sessions = mergeReported(countingSources(now));
+            Map<String, ProxySession> sessions = mergeReported(sourcesInEffect(now));
             localSessions().forEach(session -> sessions.put(session.node(), session));
             view = SessionView.of(sessions.values());
         }
@@ -156,28 +156,28 @@
     }
 
     /** Returns the sources whose sessions count, and sets until when that holds. */
-    private List<SessionSource> countingSources(long now) {
-        List<SessionSource> counting = new ArrayList<>();
+    private List<SessionSource> sourcesInEffect(long now) {
+        List<SessionSource> inEffect = new ArrayList<>();
         List<SessionSource> expired = new ArrayList<>();
         viewValidUntilMicros = Long.MAX_VALUE;
         for (SessionSource source : sources.values()) {
             if (!source.isLost()) {
-                counting.add(source);
+                inEffect.add(source);
             } else if (now - source.lostAtMicros() <= lostSourceGraceMicros) {
-                counting.add(source);
+                inEffect.add(source);
                 viewValidUntilMicros = Math.min(viewValidUntilMicros, source.lostAtMicros() + lostSourceGraceMicros);
             } else {
                 expired.add(source);
             }
         }
-        return counting.isEmpty() ? expired : counting;
+        return inEffect.isEmpty() ? expired : inEffect;
     }
 
     /** Returns for each node the session that was first reported last. */
-    private static Map<String, ProxySession> mergeReported(List<SessionSource> counting) {
+    private static Map<String, ProxySession> mergeReported(List<SessionSource> sourcesInEffect) {
         Map<String, ProxySession> latest = new HashMap<>();
         Map<String, Long> reportedMicros = new HashMap<>();
-        for (SessionSource source : counting) {
+        for (SessionSource source : sourcesInEffect) {
             for (ProxySession session : source.sessions()) {
                 long reported = source.firstReportedMicros(session.node());
                 if (reported >= reportedMicros.getOrDefault(session.node(), Long.MIN_VALUE)) {
--- a/src/main/java/reedmux/control/session/SessionView.java
+++ b/src/main/java/reedmux/control/session/SessionView.java
@@ -72,8 +72,8 @@
         return new int[] {parent, childOf(index, 1), childOf(index, 2)};
     }
 
-    private int childOf(int index, int which) {
-        int child = 2 * index + which;
+    private int childOf(int index, int childNumber) {
+        int child = 2 * index + childNumber;
         return index >= 0 && child < members.size() ? child : NONE;
     }
 }
--- a/src/main/java/reedmux/proxy/CheckerConnectionPool.java
+++ b/src/main/java/reedmux/proxy/CheckerConnectionPool.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import reedmux.common.eventloop.Reactor;
-import reedmux.control.instances.CheckerIncarnation;
+import reedmux.control.instances.InstanceIncarnation;
 import reedmux.proxy.loadbalancer.CheckerStats;
 import reedmux.proxy.request.ExecutionStatus;
 import reedmux.proxy.request.ProxyResponse;
@@ -87,7 +87,7 @@
     void closeUnusable() {
         for (Deque<CheckerConnection> connections : List.copyOf(idle.values())) {
             for (CheckerConnection connection : List.copyOf(connections)) {
-                boolean checkerReady = connection.checker().incarnation().phase() == CheckerIncarnation.READY;
+                boolean checkerReady = connection.checker().incarnation().phase() == InstanceIncarnation.READY;
                 if (connection.isExpired(reactor.now()) || !checkerReady) {
                     connection.close();
                 }
--- a/src/main/java/reedmux/proxy/ControlPlaneClient.java
+++ b/src/main/java/reedmux/proxy/ControlPlaneClient.java
@@ -9,8 +9,8 @@
 import reedmux.common.settings.ProcessSettings;
 import reedmux.control.configuration.ConfigurationTable;
 import reedmux.control.consensus.CoreMembers;
-import reedmux.control.instances.CheckerIncarnation;
 import reedmux.control.instances.InstanceDirectory;
+import reedmux.control.instances.InstanceIncarnation;
 import reedmux.control.replication.ConfigurationFollower;
 import reedmux.control.replication.ReplicationPosition;
 import reedmux.control.rpc.MessageCodec;
@@ -165,7 +165,7 @@
         String source = connection.peer().node();
         long incarnation = connection.peer().incarnation();
         if (connection.peer().program().equals(STORE)) {
-            long resumeFrom = configuration.snapshot().resumeFrom(source, incarnation);
+            long resumeFrom = configuration.snapshotAssembler().resumeFrom(source, incarnation);
             if (resumeFrom >= 0) {
                 connection.sendMessage(new SnapshotChunkRequest(incarnation, resumeFrom));
                 return;
@@ -223,7 +223,7 @@
 
     private void onSnapshotChunk(RpcConnection connection, SnapshotChunk chunk) {
         configuration
-                .snapshot()
+                .snapshotAssembler()
                 .addChunk(connection.peer().node(), chunk.incarnation(), chunk.upToChange(), chunk.items());
         connection.sendMessage(new SnapshotChunkRequest(chunk.incarnation(), chunk.upToChange()));
     }
@@ -231,7 +231,7 @@
     private void onMembershipUpdate(RpcConnection connection, MembershipUpdate update) {
         String registry = connection.peer().node();
         registryPositions.put(registry, new ReplicationPosition(update.incarnation(), update.upToChange()));
-        for (CheckerIncarnation incarnation : update.instances()) {
+        for (InstanceIncarnation incarnation : update.instances()) {
             if (instances.merge(incarnation, reactor.now())) {
                 loadBalancer.onIncarnationUpdate(instances.get(incarnation.id(), reactor.now()), reactor.now());
             }
--- a/src/main/java/reedmux/proxy/loadbalancer/CheckerStats.java
+++ b/src/main/java/reedmux/proxy/loadbalancer/CheckerStats.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import reedmux.common.net.SocketAddresses;
-import reedmux.control.instances.CheckerIncarnation;
+import reedmux.control.instances.InstanceIncarnation;
 
 /**
  * Statistics on one incarnation of a checker, collected from this proxy's own traffic: requests in flight, latency,
@@ -31,7 +31,7 @@
     private static final long UNRESPONSIVE_GRACE_MICROS = 3_000_000;
 
     private final InetSocketAddress address;
-    private CheckerIncarnation incarnation;
+    private InstanceIncarnation incarnation;
     private long slowStartUntil;
     private int inFlight;
     /** Moving average of the checker's latencies, in multiples of each route's mean latency. */
@@ -48,12 +48,12 @@
     /** Whether this proxy may have one request in flight at the checker even without a share of its slots. */
     private boolean guaranteedSlot;
 
-    CheckerStats(CheckerIncarnation incarnation, long now) {
+    CheckerStats(InstanceIncarnation incarnation, long now) {
         address = SocketAddresses.parse(incarnation.address());
         updateIncarnation(incarnation, now);
     }
 
-    void updateIncarnation(CheckerIncarnation next, long now) {
+    void updateIncarnation(InstanceIncarnation next, long now) {
         incarnation = next;
         slowStartUntil = now + next.slowStartMillis() * 1000;
     }
@@ -64,7 +64,7 @@
     }
 
     /** Returns the last state of the incarnation that the control plane reported. */
-    public CheckerIncarnation incarnation() {
+    public InstanceIncarnation incarnation() {
         return incarnation;
     }
 
@@ -157,13 +157,13 @@
 
     /** Marks this incarnation as gone because another incarnation responded at its address. */
     public void onAddressReassigned() {
-        incarnation = new CheckerIncarnation(
+        incarnation = new InstanceIncarnation(
                 incarnation.id(),
                 incarnation.service(),
                 incarnation.address(),
                 incarnation.zone(),
                 incarnation.capacity(),
-                CheckerIncarnation.GONE,
+                InstanceIncarnation.GONE,
                 incarnation.sequence(),
                 0,
                 incarnation.unresponsive());
@@ -181,6 +181,6 @@
     }
 
     boolean acceptsRequests() {
-        return incarnation.phase() == CheckerIncarnation.READY;
+        return incarnation.phase() == InstanceIncarnation.READY;
     }
 }
--- a/src/main/java/reedmux/proxy/loadbalancer/LoadBalancer.java
+++ b/src/main/java/reedmux/proxy/loadbalancer/LoadBalancer.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import reedmux.control.instances.CheckerIncarnation;
+import reedmux.control.instances.InstanceIncarnation;
 import reedmux.control.session.ProxySession;
 import reedmux.control.session.SessionView;
 
@@ -73,9 +73,9 @@
     }
 
     /** Applies the state of a checker's incarnation that the control plane reports. */
-    public void onIncarnationUpdate(CheckerIncarnation incarnation, long now) {
+    public void onIncarnationUpdate(InstanceIncarnation incarnation, long now) {
         CheckerStats checker = checkers.get(incarnation.id());
-        boolean gone = incarnation.phase() == CheckerIncarnation.GONE;
+        boolean gone = incarnation.phase() == InstanceIncarnation.GONE;
         if (checker != null) {
             checker.updateIncarnation(incarnation, now);
         } else if (!gone && !incarnation.service().isEmpty()) {
@@ -307,7 +307,7 @@
     /** Removes the checkers that are gone and have no request in flight. */
     private void removeGone() {
         checkers.values()
-                .removeIf(
-                        checker -> checker.incarnation().phase() == CheckerIncarnation.GONE && checker.inFlight() == 0);
+                .removeIf(checker ->
+                        checker.incarnation().phase() == InstanceIncarnation.GONE && checker.inFlight() == 0);
     }
 }
--- a/src/main/java/reedmux/simulation/scenario/ControlStateSize.java
+++ b/src/main/java/reedmux/simulation/scenario/ControlStateSize.java
@@ -6,8 +6,8 @@
 import java.util.function.IntFunction;
 import java.util.function.ToLongFunction;
 import reedmux.control.changes.ChangeCounter;
-import reedmux.control.instances.CheckerIncarnation;
 import reedmux.control.instances.InstanceDirectory;
+import reedmux.control.instances.InstanceIncarnation;
 import reedmux.control.rpc.MessageCodec;
 import reedmux.control.rpc.Messages;
 import reedmux.control.session.ProxySession;
@@ -29,14 +29,14 @@
         recordBytes(claims, "news of sessions, to a newcomer", ControlStateSize::sessionUpdateBytes, 7_400);
     }
 
-    private static CheckerIncarnation incarnation(int number) {
-        return new CheckerIncarnation(
+    private static InstanceIncarnation incarnation(int number) {
+        return new InstanceIncarnation(
                 "instance-" + number,
                 "service-" + number % 3_600,
                 "10." + number / 62_500 + '.' + number / 250 % 250 + '.' + number % 250 + ":8080",
                 "zone-" + number % 11,
                 4,
-                CheckerIncarnation.READY,
+                InstanceIncarnation.READY,
                 1_000 + number,
                 0,
                 false);
@@ -76,7 +76,7 @@
     }
 
     private static long instanceUpdateBytes(int many) {
-        List<CheckerIncarnation> all = new ArrayList<>();
+        List<InstanceIncarnation> all = new ArrayList<>();
         for (int i = 0; i < many; i++) {
             all.add(incarnation(i));
         }
--- a/src/main/java/reedmux/simulation/scenario/ItemScenario.java
+++ b/src/main/java/reedmux/simulation/scenario/ItemScenario.java
@@ -83,7 +83,7 @@
             List<ConfigurationItem> call = List.of(item(i * 7 % items, i + 2));
             long from = replica.lastChange();
             long begin = System.nanoTime();
-            boolean good = replica.validate("", call) == Replica.ProposalVerdict.VALID;
+            boolean good = replica.validate("", call) == Replica.ValidationResult.VALID;
             replica.merge(call);
             List<ConfigurationItem> told = replica.committedSince(from);
             long between = System.nanoTime();
--- a/src/test/java/reedmux/control/configuration/ConfigurationTableTest.java
+++ b/src/test/java/reedmux/control/configuration/ConfigurationTableTest.java
@@ -132,7 +132,7 @@
                     }
                 }
                 boolean stands = isValidFromScratch(after.values());
-                if (stands != (replica.validate("", call) == Replica.ProposalVerdict.VALID)) {
+                if (stands != (replica.validate("", call) == Replica.ValidationResult.VALID)) {
                     throw new AssertionError(call + " beside " + all + ": " + replica.problem());
                 }
                 good += stands ? 1 : 0;
--- a/src/test/java/reedmux/control/instances/InstanceDirectoryTest.java
+++ b/src/test/java/reedmux/control/instances/InstanceDirectoryTest.java
@@ -12,23 +12,23 @@
 public class InstanceDirectoryTest {
     private static final long NOW = 5_000_000;
 
-    private static CheckerIncarnation incarnation(String id, String address, int phase, long seq) {
-        return new CheckerIncarnation(id, "desk", address, "here", 3, phase, seq, 0, false);
+    private static InstanceIncarnation incarnation(String id, String address, int phase, long seq) {
+        return new InstanceIncarnation(id, "desk", address, "here", 3, phase, seq, 0, false);
     }
 
     @Test
     public void phaseNeverGoesBackInAnyOrder() {
-        List<CheckerIncarnation> reports = List.of(
-                incarnation("a", "10.0.0.1:80", CheckerIncarnation.READY, 1),
-                incarnation("a", "10.0.0.1:80", CheckerIncarnation.READY, 2),
-                incarnation("a", "10.0.0.1:80", CheckerIncarnation.DRAINING, 3),
-                incarnation("a", "10.0.0.1:80", CheckerIncarnation.GONE, 3));
+        List<InstanceIncarnation> reports = List.of(
+                incarnation("a", "10.0.0.1:80", InstanceIncarnation.READY, 1),
+                incarnation("a", "10.0.0.1:80", InstanceIncarnation.READY, 2),
+                incarnation("a", "10.0.0.1:80", InstanceIncarnation.DRAINING, 3),
+                incarnation("a", "10.0.0.1:80", InstanceIncarnation.GONE, 3));
         int orderings = ScheduleExplorer.exploreAll(1000, orders -> {
             InstanceDirectory directory = new InstanceDirectory();
-            List<CheckerIncarnation> left = new ArrayList<>(reports);
-            int reached = CheckerIncarnation.READY;
+            List<InstanceIncarnation> left = new ArrayList<>(reports);
+            int reached = InstanceIncarnation.READY;
             while (!left.isEmpty()) {
-                CheckerIncarnation next = left.remove(orders.choose(left.size()));
+                InstanceIncarnation next = left.remove(orders.choose(left.size()));
                 directory.merge(next, NOW);
                 reached = Math.max(reached, next.phase());
                 assertEquals(directory.get("a", NOW).phase(), reached);
@@ -41,13 +41,13 @@
     /** Two directories that merge each other's changes hold the same, whichever received a report first. */
     @Test
     public void directoriesThatExchangeUpdatesConverge() {
-        List<CheckerIncarnation> reports = List.of(
-                incarnation("a", "10.0.0.1:80", CheckerIncarnation.READY, 1),
-                incarnation("a", "10.0.0.1:80", CheckerIncarnation.DRAINING, 4),
-                incarnation("b", "10.0.0.2:80", CheckerIncarnation.READY, 7));
+        List<InstanceIncarnation> reports = List.of(
+                incarnation("a", "10.0.0.1:80", InstanceIncarnation.READY, 1),
+                incarnation("a", "10.0.0.1:80", InstanceIncarnation.DRAINING, 4),
+                incarnation("b", "10.0.0.2:80", InstanceIncarnation.READY, 7));
         ScheduleExplorer.exploreAll(1000, orders -> {
             InstanceDirectory[] directories = {new InstanceDirectory(), new InstanceDirectory()};
-            for (CheckerIncarnation report : reports) {
+            for (InstanceIncarnation report : reports) {
                 directories[orders.choose(2)].merge(report, NOW);
             }
             directories[0].changedSince(0, NOW).forEach(report -> directories[1].merge(report, NOW));
@@ -66,43 +66,43 @@
     @Test
     public void newIncarnationAtAnAddressEndsThePreviousOne() {
         InstanceDirectory directory = new InstanceDirectory();
-        directory.onHeartbeat(incarnation("a", "10.0.0.1:80", CheckerIncarnation.READY, 9), NOW);
-        directory.onHeartbeat(incarnation("b", "10.0.0.1:80", CheckerIncarnation.READY, 1), NOW + 3_000_000);
-        assertEquals(directory.get("a", NOW).phase(), CheckerIncarnation.READY); // its heartbeat may only be late
+        directory.onHeartbeat(incarnation("a", "10.0.0.1:80", InstanceIncarnation.READY, 9), NOW);
+        directory.onHeartbeat(incarnation("b", "10.0.0.1:80", InstanceIncarnation.READY, 1), NOW + 3_000_000);
+        assertEquals(directory.get("a", NOW).phase(), InstanceIncarnation.READY); // its heartbeat may only be late
         assertTrue(
-                directory.onHeartbeat(incarnation("b", "10.0.0.1:80", CheckerIncarnation.READY, 2), NOW + 4_500_000));
-        assertEquals(directory.get("a", NOW).phase(), CheckerIncarnation.GONE);
-        assertEquals(directory.get("b", NOW).phase(), CheckerIncarnation.READY);
-        directory.onHeartbeat(incarnation("a", "10.0.0.1:80", CheckerIncarnation.READY, 10), NOW + 5_000_000);
-        assertEquals(directory.get("b", NOW).phase(), CheckerIncarnation.READY);
+                directory.onHeartbeat(incarnation("b", "10.0.0.1:80", InstanceIncarnation.READY, 2), NOW + 4_500_000));
+        assertEquals(directory.get("a", NOW).phase(), InstanceIncarnation.GONE);
+        assertEquals(directory.get("b", NOW).phase(), InstanceIncarnation.READY);
+        directory.onHeartbeat(incarnation("a", "10.0.0.1:80", InstanceIncarnation.READY, 10), NOW + 5_000_000);
+        assertEquals(directory.get("b", NOW).phase(), InstanceIncarnation.READY);
     }
 
     @Test
     public void instanceIsUnresponsiveUntilItsNextHeartbeat() {
         InstanceDirectory directory = new InstanceDirectory();
-        directory.merge(incarnation("a", "10.0.0.1:80", CheckerIncarnation.READY, 1), NOW);
+        directory.merge(incarnation("a", "10.0.0.1:80", InstanceIncarnation.READY, 1), NOW);
         long before = directory.lastChange();
         directory.detectTimeouts(NOW + 7_000_000, 6_000_000);
         assertTrue(directory.get("a", NOW).unresponsive() && directory.lastChange() > before);
-        directory.onHeartbeat(incarnation("a", "10.0.0.1:80", CheckerIncarnation.READY, 2), NOW + 8_000_000);
+        directory.onHeartbeat(incarnation("a", "10.0.0.1:80", InstanceIncarnation.READY, 2), NOW + 8_000_000);
         assertTrue(!directory.get("a", NOW).unresponsive());
     }
 
     /** Reports of others come late and in any order, so they claim no address. */
     @Test
     public void lateUpdateOfAPreviousAddressHolderEndsNobody() {
-        CheckerIncarnation old = incarnation("a", "10.0.0.1:80", CheckerIncarnation.READY, 9);
-        CheckerIncarnation next = incarnation("b", "10.0.0.1:80", CheckerIncarnation.READY, 4);
+        InstanceIncarnation old = incarnation("a", "10.0.0.1:80", InstanceIncarnation.READY, 9);
+        InstanceIncarnation next = incarnation("b", "10.0.0.1:80", InstanceIncarnation.READY, 4);
         int orderings = ScheduleExplorer.exploreAll(1000, orders -> {
             InstanceDirectory directory = new InstanceDirectory();
-            List<CheckerIncarnation> left =
-                    new ArrayList<>(List.of(old, next, incarnation("b", "10.0.0.1:80", CheckerIncarnation.READY, 5)));
+            List<InstanceIncarnation> left =
+                    new ArrayList<>(List.of(old, next, incarnation("b", "10.0.0.1:80", InstanceIncarnation.READY, 5)));
             long now = NOW;
             while (!left.isEmpty()) {
                 directory.merge(left.remove(orders.choose(left.size())), now);
                 now += 3_000_000;
             }
-            assertEquals(directory.get("b", now).phase(), CheckerIncarnation.READY);
+            assertEquals(directory.get("b", now).phase(), InstanceIncarnation.READY);
         });
         assertEquals(orderings, 6);
     }
--- a/src/test/java/reedmux/control/instances/InstanceOwnershipTest.java
+++ b/src/test/java/reedmux/control/instances/InstanceOwnershipTest.java
@@ -37,8 +37,8 @@
         return new RegistryPeer[] {new RegistryPeer(0), new RegistryPeer(1), new RegistryPeer(2)};
     }
 
-    private static CheckerIncarnation heartbeat(String id, long seq) {
-        return new CheckerIncarnation(id, "desk", "10.0.0.1:80", "here", 3, CheckerIncarnation.READY, seq, 0, false);
+    private static InstanceIncarnation heartbeat(String id, long seq) {
+        return new InstanceIncarnation(id, "desk", "10.0.0.1:80", "here", 3, InstanceIncarnation.READY, seq, 0, false);
     }
 
     private static boolean isUnresponsive(RegistryPeer registry, long now) {
@@ -215,12 +215,12 @@
         registries[1].directory.onHeartbeat(heartbeat("b", 1), 2 * SECOND);
         pullAll(registries, 2 * SECOND);
         registries[0].directory.detectTimeouts(5 * SECOND, SILENCE);
-        assertEquals(registries[0].directory.get("a", SECOND).phase(), CheckerIncarnation.READY);
+        assertEquals(registries[0].directory.get("a", SECOND).phase(), InstanceIncarnation.READY);
         registries[0].directory.detectTimeouts(5 * SECOND + 1, SILENCE);
         pullAll(registries, 6 * SECOND);
         for (RegistryPeer registry : registries) {
-            assertEquals(registry.directory.get("a", SECOND).phase(), CheckerIncarnation.GONE);
-            assertEquals(registry.directory.get("b", SECOND).phase(), CheckerIncarnation.READY);
+            assertEquals(registry.directory.get("a", SECOND).phase(), InstanceIncarnation.GONE);
+            assertEquals(registry.directory.get("b", SECOND).phase(), InstanceIncarnation.READY);
         }
     }
 }
--- a/src/test/java/reedmux/control/registry/ControlCallParserTest.java
+++ b/src/test/java/reedmux/control/registry/ControlCallParserTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.Test;
 import reedmux.common.http1.Http1Head;
 import reedmux.common.http1.MalformedMessageException;
-import reedmux.control.instances.CheckerIncarnation;
+import reedmux.control.instances.InstanceIncarnation;
 
 /** Valid and invalid requests to the control API. */
 public class ControlCallParserTest {
@@ -29,8 +29,8 @@
     public void parsesAHeartbeat() throws MalformedMessageException {
         assertEquals(
                 parseHeartbeat("i-1", bytes(HEARTBEAT_JSON)),
-                new ControlCall.HeartbeatCall(new CheckerIncarnation(
-                        "i-1", "desk", "10.1.0.9:8080", "hall", 6, CheckerIncarnation.READY, 4, 0, false)));
+                new ControlCall.HeartbeatCall(new InstanceIncarnation(
+                        "i-1", "desk", "10.1.0.9:8080", "hall", 6, InstanceIncarnation.READY, 4, 0, false)));
     }
 
     @DataProvider
@@ -78,7 +78,7 @@
                 body[i % whole.length] ^= (byte) (1 << i / whole.length - 1);
             }
             try {
-                CheckerIncarnation life = ((ControlCall.HeartbeatCall) parseHeartbeat("i-1", body)).incarnation();
+                InstanceIncarnation life = ((ControlCall.HeartbeatCall) parseHeartbeat("i-1", body)).incarnation();
                 assertTrue(i >= whole.length && life.capacity() > 0 && life.sequence() >= 0);
             } catch (MalformedMessageException e) {
                 assertTrue(e.status() == 400 && e.getMessage().contains("i-1"), e.getMessage());
--- a/src/test/java/reedmux/control/registry/RegistryCompatibilityTest.java
+++ b/src/test/java/reedmux/control/registry/RegistryCompatibilityTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 import reedmux.compatibility.FixtureFiles;
-import reedmux.control.instances.CheckerIncarnation;
+import reedmux.control.instances.InstanceIncarnation;
 
 /** The files of a registry of an earlier version are read, and this version writes the same bytes. */
 public class RegistryCompatibilityTest {
@@ -21,7 +21,7 @@
         check(RegistryFixtures.SECOND_GENERATION, "items-2");
     }
 
-    private static void check(List<CheckerIncarnation> expected, String... files) throws IOException {
+    private static void check(List<InstanceIncarnation> expected, String... files) throws IOException {
         Path folder = Files.createTempDirectory("reedmux-registry");
         FixtureFiles.copy(FOLDER, folder, files);
         RegistryFixtures.Life life = new RegistryFixtures.Life(folder);
--- a/src/test/java/reedmux/control/registry/RegistryFixtures.java
+++ b/src/test/java/reedmux/control/registry/RegistryFixtures.java
@@ -3,26 +3,26 @@
 import java.nio.file.Path;
 import java.util.List;
 import reedmux.common.disk.FileSystemVolume;
-import reedmux.control.instances.CheckerIncarnation;
 import reedmux.control.instances.InstanceDirectory;
+import reedmux.control.instances.InstanceIncarnation;
 import reedmux.control.rpc.MessageCodec;
 import reedmux.control.store.DiskEnvironment;
 
 /** The checkers that a registry keeps on its disk, in two generations. */
 public final class RegistryFixtures {
     private static final long LATER_MICROS = 300_000;
-    private static final CheckerIncarnation READY = new CheckerIncarnation(
-            "i-1", "desk", "10.0.0.1:80", "zone-a", 300, CheckerIncarnation.READY, 1L << 35, 100_000, false);
-    private static final CheckerIncarnation SILENT =
-            new CheckerIncarnation("i-2", "desk", "10.0.0.2:80", "zone-b", 2, CheckerIncarnation.DRAINING, 4, 0, true);
-    private static final CheckerIncarnation GONE = new CheckerIncarnation(
-            "i-3", "office", "10.0.0.3:80", "zone-c", 1, CheckerIncarnation.GONE, 9, 7_000, true);
+    private static final InstanceIncarnation READY = new InstanceIncarnation(
+            "i-1", "desk", "10.0.0.1:80", "zone-a", 300, InstanceIncarnation.READY, 1L << 35, 100_000, false);
+    private static final InstanceIncarnation SILENT = new InstanceIncarnation(
+            "i-2", "desk", "10.0.0.2:80", "zone-b", 2, InstanceIncarnation.DRAINING, 4, 0, true);
+    private static final InstanceIncarnation GONE = new InstanceIncarnation(
+            "i-3", "office", "10.0.0.3:80", "zone-c", 1, InstanceIncarnation.GONE, 9, 7_000, true);
     /** What the first generation of the files holds. */
-    static final List<CheckerIncarnation> FIRST_GENERATION = List.of(READY, SILENT);
+    static final List<InstanceIncarnation> FIRST_GENERATION = List.of(READY, SILENT);
     /** What the second one holds: one checker more, and the first one a while later. */
-    static final List<CheckerIncarnation> SECOND_GENERATION = List.of(
-            new CheckerIncarnation(
-                    "i-1", "desk", "10.0.0.1:80", "zone-a", 300, CheckerIncarnation.READY, 1L << 35, 99_700, false),
+    static final List<InstanceIncarnation> SECOND_GENERATION = List.of(
+            new InstanceIncarnation(
+                    "i-1", "desk", "10.0.0.1:80", "zone-a", 300, InstanceIncarnation.READY, 1L << 35, 99_700, false),
             SILENT,
             GONE);
 
--- a/src/test/java/reedmux/control/rpc/MessageCodecTest.java
+++ b/src/test/java/reedmux/control/rpc/MessageCodecTest.java
@@ -21,7 +21,7 @@
 import reedmux.control.consensus.PersistentCoreState;
 import reedmux.control.consensus.Proposal;
 import reedmux.control.consensus.Vote;
-import reedmux.control.instances.CheckerIncarnation;
+import reedmux.control.instances.InstanceIncarnation;
 import reedmux.control.instances.InstanceOwner;
 import reedmux.control.instances.RegistryHeartbeat;
 import reedmux.control.replication.Watermark;
@@ -31,8 +31,8 @@
 /** Every message encoded and decoded, and bytes that are no message. */
 public class MessageCodecTest {
     private static final ConfigurationItem ITEM = new ConfigurationItem("routes", "r", 7, "{\"host\":\"h\"}");
-    private static final CheckerIncarnation INCARNATION =
-            new CheckerIncarnation("i-1", "desk", "10.0.0.1:80", "a", 3, CheckerIncarnation.DRAINING, 9, 100, true);
+    private static final InstanceIncarnation INCARNATION =
+            new InstanceIncarnation("i-1", "desk", "10.0.0.1:80", "a", 3, InstanceIncarnation.DRAINING, 9, 100, true);
     private static final Proposal PROPOSAL = new Proposal("c", new Ballot(3, "core-1"), List.of(ITEM));
     private static final CoreMembers CORE = new CoreMembers(4, Map.of("10.0.0.1", "core-1", "10.0.0.2", ""));
     private static final ProxySession SESSION = new ProxySession("edge-1", "10.1.0.1", "a", -5);
@@ -150,8 +150,8 @@
                 } else if (read instanceof Messages.IncarnationNotice notice) {
                     notice.instances()
                             .forEach(instance -> assertEquals(
-                                    instance.phase() >= CheckerIncarnation.READY
-                                            && instance.phase() <= CheckerIncarnation.GONE
+                                    instance.phase() >= InstanceIncarnation.READY
+                                            && instance.phase() <= InstanceIncarnation.GONE
                                             && instance.capacity() > 0,
                                     true));
                 }
--- a/src/test/java/reedmux/control/rpc/RpcFixtures.java
+++ b/src/test/java/reedmux/control/rpc/RpcFixtures.java
@@ -16,7 +16,7 @@
 import reedmux.control.consensus.PersistentCoreState;
 import reedmux.control.consensus.Proposal;
 import reedmux.control.consensus.Vote;
-import reedmux.control.instances.CheckerIncarnation;
+import reedmux.control.instances.InstanceIncarnation;
 import reedmux.control.instances.InstanceOwner;
 import reedmux.control.instances.RegistryHeartbeat;
 import reedmux.control.replication.Watermark;
@@ -41,12 +41,12 @@
     private static final CoreMembers CORE =
             new CoreMembers(4, Map.of("10.0.0.1", "core-1", "10.0.0.2", "", "10.0.0.3", "core-3"));
     private static final CoreMembers NEXT_CORE = new CoreMembers(5, Map.of("10.0.0.1", "core-1", "10.0.0.4", "core-4"));
-    private static final CheckerIncarnation DRAINING = new CheckerIncarnation(
-            "i-1", "desk", "10.0.0.1:80", "zone-a", 300, CheckerIncarnation.DRAINING, 1L << 35, 100_000, true);
-    private static final CheckerIncarnation READY =
-            new CheckerIncarnation("i-2", "desk", "10.0.0.2:80", "zone-b", 2, CheckerIncarnation.READY, 3, 1, false);
-    private static final CheckerIncarnation GONE =
-            new CheckerIncarnation("i-3", "office", "10.0.0.3:80", "zone-c", 1, CheckerIncarnation.GONE, 9, 7, true);
+    private static final InstanceIncarnation DRAINING = new InstanceIncarnation(
+            "i-1", "desk", "10.0.0.1:80", "zone-a", 300, InstanceIncarnation.DRAINING, 1L << 35, 100_000, true);
+    private static final InstanceIncarnation READY =
+            new InstanceIncarnation("i-2", "desk", "10.0.0.2:80", "zone-b", 2, InstanceIncarnation.READY, 3, 1, false);
+    private static final InstanceIncarnation GONE =
+            new InstanceIncarnation("i-3", "office", "10.0.0.3:80", "zone-c", 1, InstanceIncarnation.GONE, 9, 7, true);
     private static final ProxySession SESSION = new ProxySession("edge-1", "10.1.0.1", "zone-a", -5);
 
     private RpcFixtures() {}
--- a/src/test/java/reedmux/proxy/CheckerConnectionTest.java
+++ b/src/test/java/reedmux/proxy/CheckerConnectionTest.java
@@ -13,7 +13,7 @@
 import reedmux.common.eventloop.ScriptedEnvironment;
 import reedmux.common.http1.Http1Head;
 import reedmux.control.configuration.RouteItem;
-import reedmux.control.instances.CheckerIncarnation;
+import reedmux.control.instances.InstanceIncarnation;
 import reedmux.proxy.loadbalancer.LoadBalancer;
 import reedmux.proxy.request.ProxyRequest;
 import reedmux.proxy.request.ProxyResponse;
@@ -51,13 +51,13 @@
         CheckerHarness(int checkers) {
             for (int i = 0; i < checkers; i++) {
                 loadBalancer.onIncarnationUpdate(
-                        new CheckerIncarnation(
+                        new InstanceIncarnation(
                                 "c" + i,
                                 "desk",
                                 "10.0.0." + (i + 1) + ":80",
                                 "here",
                                 3,
-                                CheckerIncarnation.READY,
+                                InstanceIncarnation.READY,
                                 1,
                                 0,
                                 false),
--- a/src/test/java/reedmux/proxy/loadbalancer/LoadBalancerTest.java
+++ b/src/test/java/reedmux/proxy/loadbalancer/LoadBalancerTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import reedmux.control.instances.CheckerIncarnation;
+import reedmux.control.instances.InstanceIncarnation;
 import reedmux.control.session.ProxySession;
 import reedmux.control.session.SessionView;
 
@@ -22,8 +22,8 @@
     private static final long NOW = 10_000_000;
     private static final String[] ZONES = {"a", "b", "c"};
 
-    private static CheckerIncarnation incarnation(String id, String zone, int capacity, int phase) {
-        return new CheckerIncarnation(id, "desk", "10.0.0.1:80", zone, capacity, phase, 1, 0, false);
+    private static InstanceIncarnation incarnation(String id, String zone, int capacity, int phase) {
+        return new InstanceIncarnation(id, "desk", "10.0.0.1:80", zone, capacity, phase, 1, 0, false);
     }
 
     /**
@@ -59,7 +59,7 @@
             loadBalancer.setConnectionLimit("desk", connectionLimit);
             for (int i = 0; i < checkers; i++) {
                 loadBalancer.onIncarnationUpdate(
-                        incarnation("c-" + i, ZONES[i % 3], capacity, CheckerIncarnation.READY), NOW);
+                        incarnation("c-" + i, ZONES[i % 3], capacity, InstanceIncarnation.READY), NOW);
             }
             loadBalancer.onViewChange(SessionView.of(members));
             while (true) {
@@ -80,17 +80,17 @@
     @Test
     public void neverChoosesDrainingCheckersAndChoosesFailedOnesOnlyAsALastResort() {
         LoadBalancer loadBalancer = new LoadBalancer("me", "a", 1);
-        loadBalancer.onIncarnationUpdate(incarnation("one", "a", 3, CheckerIncarnation.READY), NOW);
-        loadBalancer.onIncarnationUpdate(incarnation("two", "a", 3, CheckerIncarnation.READY), NOW);
+        loadBalancer.onIncarnationUpdate(incarnation("one", "a", 3, InstanceIncarnation.READY), NOW);
+        loadBalancer.onIncarnationUpdate(incarnation("two", "a", 3, InstanceIncarnation.READY), NOW);
         loadBalancer.get("one").onFailure(NOW);
         for (int i = 0; i < 20; i++) {
             assertEquals(
                     loadBalancer.choose("desk", Set.of(), false, 400_000, NOW).id(), "two");
         }
-        loadBalancer.onIncarnationUpdate(incarnation("two", "a", 3, CheckerIncarnation.DRAINING), NOW);
+        loadBalancer.onIncarnationUpdate(incarnation("two", "a", 3, InstanceIncarnation.DRAINING), NOW);
         assertEquals(loadBalancer.choose("desk", Set.of(), false, 400_000, NOW).id(), "one");
         assertNull(loadBalancer.choose("desk", new HashSet<>(Set.of("one")), false, 400_000, NOW));
-        loadBalancer.onIncarnationUpdate(incarnation("one", "a", 3, CheckerIncarnation.GONE), NOW);
+        loadBalancer.onIncarnationUpdate(incarnation("one", "a", 3, InstanceIncarnation.GONE), NOW);
         assertNull(loadBalancer.choose("desk", Set.of(), false, 400_000, NOW));
     }
 
@@ -98,8 +98,8 @@
     public void choosesTheOwnZoneForLargeBodiesWhileItHasCapacity() {
         LoadBalancer loadBalancer = new LoadBalancer("me", "a", 1);
         loadBalancer.onViewChange(SessionView.of(List.of(new ProxySession("me", "10.1.0.1", "a", 1))));
-        loadBalancer.onIncarnationUpdate(incarnation("near", "a", 3, CheckerIncarnation.READY), NOW);
-        loadBalancer.onIncarnationUpdate(incarnation("far", "b", 3, CheckerIncarnation.READY), NOW);
+        loadBalancer.onIncarnationUpdate(incarnation("near", "a", 3, InstanceIncarnation.READY), NOW);
+        loadBalancer.onIncarnationUpdate(incarnation("far", "b", 3, InstanceIncarnation.READY), NOW);
         assertEquals(loadBalancer.choose("desk", Set.of(), true, 400_000, NOW).id(), "near");
         for (int i = 0; i < 6; i++) {
             loadBalancer.get("near").onRequestStarted(NOW);
--- a/src/test/java/reedmux/proxy/request/RequestTrackerTest.java
+++ b/src/test/java/reedmux/proxy/request/RequestTrackerTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 import reedmux.common.http1.Http1Head;
 import reedmux.control.configuration.RouteItem;
-import reedmux.control.instances.CheckerIncarnation;
+import reedmux.control.instances.InstanceIncarnation;
 import reedmux.proxy.loadbalancer.LoadBalancer;
 import reedmux.proxy.retry.RetryBudget;
 
@@ -41,13 +41,13 @@
             budget = new RetryBudget(0.2, slack, false);
             for (int i = 0; i < checkers; i++) {
                 loadBalancer.onIncarnationUpdate(
-                        new CheckerIncarnation(
+                        new InstanceIncarnation(
                                 "c" + i,
                                 "desk",
                                 "10.0.0." + (i + 1) + ":80",
                                 "here",
                                 3,
-                                CheckerIncarnation.READY,
+                                InstanceIncarnation.READY,
                                 1,
                                 0,
                                 false),
