--- a/src/main/java/reedmux/control/consensus/Acceptor.java
+++ b/src/main/java/reedmux/control/consensus/Acceptor.java
@@ -10,18 +10,22 @@
 import reedmux.control.replication.Replica.ValidationResult;
 
 /**
- * The acceptor of a node: prepares proposals on its disk and votes on them.
+ * The acceptor of a node. It persists proposals and votes on them.
  *
  * <p>Invariants:
  *
  * <ul>
- *   <li>A proposal is voted for only once it is on the disk, under the ballot of the attempt that is answered.
- *   <li>The proposals that are pending here are valid together with one another and with what is committed here.
- *   <li>A proposal stays pending until it is decided, also over restarts; a precommitted one stays precommitted.
+ *   <li>The acceptor votes for a proposal only after persisting it under the ballot of the attempt that it answers.
+ *   <li>The proposals pending at this node are valid together with one another and with the committed items.
+ *   <li>A proposal stays pending until it is decided, also across restarts; a precommitted proposal stays
+ *     precommitted.
  * </ul>
  */
 final class Acceptor {
-    /** A proposer, where a vote was given before this process began or by a disk that is lost. */
+    /**
+     * Placeholder for the proposer of a vote that was cast before this process started or whose record was lost with
+     * the disk.
+     */
     private static final String UNKNOWN_PROPOSER = "?";
 
     private final ConsensusContext context;
@@ -30,13 +34,16 @@
     private final QuorumContacts contacts;
     private final VoteListener ownVotes;
 
-    /** Since when each proposal is pending, or when its recovery is due if that is later. */
+    /**
+     * The time in microseconds since which each proposal has been pending, or a later time from which the recovery
+     * delay is measured.
+     */
     private final Map<String, Long> pendingSince = new LinkedHashMap<>();
-    /** The ballots that are on the disk, of the proposals that are pending. */
+    /** The persisted ballots of the pending proposals. */
     private final Map<String, Ballot> persistedBallots = new HashMap<>();
-    /** By proposal the proposers that are answered once it is on the disk, with the ballots they asked under. */
+    /** Proposers to answer once their proposal is persisted, with the requested ballots, by proposal ID. */
     private final Map<String, Map<String, Ballot>> votesAwaitingDisk = new LinkedHashMap<>();
-    /** By pending proposal the proposers that have this node's vote for it. */
+    /** Proposers that have received this node's vote, by the ID of the pending proposal. */
     private final Map<String, Set<String>> proposersVotedFor = new HashMap<>();
 
     Acceptor(
@@ -52,7 +59,7 @@
         this.ownVotes = ownVotes;
     }
 
-    /** Takes up what was found pending on the disk: its recovery is due at once. */
+    /** Restores the proposals that were pending on the disk. Their recovery is due immediately. */
     void onStart() {
         for (Proposal proposal : context.replica.pending().values()) {
             pendingSince.put(proposal.id(), Long.MIN_VALUE / 2);
@@ -62,17 +69,17 @@
         }
     }
 
-    /** When each pending proposal became pending or is to be recovered. */
+    /** Returns the time in microseconds from which the recovery delay of each pending proposal is measured. */
     Map<String, Long> pendingSince() {
         return pendingSince;
     }
 
-    /** The proposers whose attempts may have been decided with this node's vote. */
+    /** Returns the proposers whose attempts may have been decided with this node's vote. */
     List<String> proposersVotedFor(String proposalId) {
         return List.copyOf(proposersVotedFor.getOrDefault(proposalId, Set.of(UNKNOWN_PROPOSER)));
     }
 
-    /** A proposer, possibly this node's own, asks for a vote. */
+    /** Handles a vote request from a proposer, which may be this node. */
     void onProposal(String proposer, Proposal proposal) {
         Vote vote = voteWithoutDisk(proposal);
         if (vote != null) {
@@ -85,7 +92,9 @@
         prepare(proposal);
     }
 
-    /** The vote, where it is known already; null where the proposal has to be written to the disk first. */
+    /**
+     * Returns the vote if it can be determined without a disk write, or null if the proposal has to be persisted first.
+     */
     private Vote voteWithoutDisk(Proposal proposal) {
         String id = proposal.id();
         Ballot ballot = proposal.ballot();
@@ -107,7 +116,7 @@
             return Vote.PREPARED;
         }
         return switch (context.replica.validate(id, proposal.items())) {
-            case VALID -> null; // also where it is pending already
+            case VALID -> null; // also if the proposal is already pending
             case INVALID -> Vote.INVALID;
             case REVISION_REUSED -> Vote.CONFLICT;
             default -> Vote.BUSY;
@@ -119,7 +128,7 @@
         ballots.record(id, proposal.ballot());
         Proposal proposalToPersist = isPrecommitted(id) ? proposal.asPrecommitted() : proposal;
         if (proposalToPersist.precommitted() && !isPrecommitted(id)) {
-            persistedBallots.remove(id); // what is on the disk is not marked as precommitted
+            persistedBallots.remove(id); // the persisted copy is not marked as precommitted
         }
         context.replica.addPending(proposalToPersist);
         pendingSince.put(id, context.now);
@@ -132,8 +141,8 @@
     }
 
     /**
-     * Prepares what is pending at other nodes, as far as it is valid here. Precommitted proposals come first: of two
-     * that contend only a precommitted one may have been acknowledged.
+     * Prepares the proposals that are pending at other nodes if they are valid at this node. Precommitted proposals
+     * come first: of two contending proposals, only a precommitted one may have been acknowledged.
      */
     void adoptAll(List<Proposal> proposals) {
         for (Proposal proposal : proposals) {
@@ -146,7 +155,7 @@
         }
     }
 
-    /** Prepares a proposal that may have been acknowledged with a vote of this node that it has lost. */
+    /** Prepares a proposal that may have been acknowledged with a vote of this node whose record was lost. */
     void adopt(Proposal proposal) {
         String id = proposal.id();
         if (!context.replica.isPending(id)
@@ -157,9 +166,10 @@
     }
 
     /**
-     * Takes over a precommitted proposal of a fenced node, if nothing that is precommitted or committed here stands in
-     * its way. What is only prepared here and can't be pending beside it is forgotten: of two that contend only the
-     * precommitted one may have been acknowledged, and under a fence nothing else is precommitted any more.
+     * Adopts a precommitted proposal of a fenced node unless it conflicts with a precommitted proposal or a committed
+     * item of this node. Conflicting proposals that are only prepared at this node are discarded: of two contending
+     * proposals, only the precommitted one may have been acknowledged, and no other proposal can become precommitted
+     * while the core is fenced.
      */
     void adoptPrecommitted(Proposal proposal) {
         String id = proposal.id();
@@ -193,7 +203,7 @@
         contacts.onProposalResolved(proposal.id());
     }
 
-    /** The disk has written a pending proposal, or has failed to. */
+    /** Handles the result of persisting a pending proposal. */
     void onPersisted(String proposalId, Ballot ballot, boolean written) {
         if (context.replica.isPending(proposalId)) {
             if (written) {
@@ -243,7 +253,7 @@
         }
     }
 
-    /** Forgets a proposal that was decided. */
+    /** Removes the state of a decided proposal. */
     void remove(String proposalId) {
         pendingSince.remove(proposalId);
         persistedBallots.remove(proposalId);
--- a/src/main/java/reedmux/control/consensus/Ballot.java
+++ b/src/main/java/reedmux/control/consensus/Ballot.java
@@ -1,14 +1,14 @@
 package reedmux.control.consensus;
 
 /**
- * The number of an attempt to decide. Ballots are ordered by number, and those with the same number by the name of the
- * proposer, so that two proposers never have the same one.
+ * The ballot of one attempt to decide on a proposal. Ballots are ordered by number, and ballots with the same number by
+ * the IP address of the proposer, so two proposers never use the same ballot.
  *
- * @param proposer the ip of the node whose attempt it is
+ * @param proposer the IP address of the node that makes the attempt
  */
 public record Ballot(long number, String proposer) implements Comparable<Ballot> {
 
-    // Written out: the generated methods of a record are linked on first use, which delays a start.
+    // Implemented explicitly because the generated methods of a record are linked on first use, which delays startup.
     @Override
     public boolean equals(Object other) {
         return other instanceof Ballot ballot && number == ballot.number && proposer.equals(ballot.proposer);
--- a/src/main/java/reedmux/control/consensus/BallotHistory.java
+++ b/src/main/java/reedmux/control/consensus/BallotHistory.java
@@ -8,25 +8,29 @@
 import java.util.Set;
 
 /**
- * The highest ballot that this node has seen of each proposal, and the proposals it knows to be dropped.
+ * Tracks the highest ballot that this node has seen for each proposal, and the proposals that are known to be dropped.
  *
- * <p>Invariant: once a node has taken part in one attempt at a proposal, it takes part in none with a lower ballot.
- * So an attempt that a quorum has answered can rule out that any earlier attempt still commits the proposal.
+ * <p>Invariant: once a node has taken part in one attempt at a proposal, it takes part in no attempt with a lower
+ * ballot. An attempt that a quorum has answered can therefore rule out that any earlier attempt still commits the
+ * proposal.
  */
 final class BallotHistory {
     /**
-     * How long the ballot of a proposal that is not pending is remembered. No connection is silent for longer
-     * without being closed, so no message with a lower ballot can arrive after it.
+     * How long the ballot of a proposal that is not pending is retained. A connection is closed before it has been
+     * silent for this long, so no message with a lower ballot can arrive afterwards.
      */
     private static final long BALLOT_RETENTION_MICROS = 10_000_000;
-    /** Dropped proposals are remembered as a node that was away may propose them again: bounds their memory. */
+    /**
+     * Maximum number of dropped proposals that are retained. They are retained because a node that was disconnected may
+     * propose them again; the limit bounds the memory they use.
+     */
     private static final int MAX_DROPPED_PROPOSALS = 4096;
 
     private final ConsensusContext context;
     private final Map<String, Ballot> highestBallots = new HashMap<>();
-    /** When each of them was seen last, the latest at the end. */
+    /** The time at which each ballot was last seen, in microseconds, in ascending order. */
     private final Map<String, Long> lastSeenAt = new LinkedHashMap<>();
-    /** The oldest first. */
+    /** Ordered from the oldest to the newest. */
     private final Set<String> droppedProposals = new LinkedHashSet<>();
 
     BallotHistory(ConsensusContext context) {
@@ -38,17 +42,17 @@
         if (highest == null || ballot.compareTo(highest) > 0) {
             highestBallots.put(proposalId, ballot);
         }
-        lastSeenAt.remove(proposalId); // so that it is put at the end
+        lastSeenAt.remove(proposalId); // moves the entry to the end
         lastSeenAt.put(proposalId, context.now);
     }
 
-    /** Whether an attempt with a higher ballot has been seen. */
+    /** Returns whether an attempt with a higher ballot has been seen. */
     boolean isSuperseded(String proposalId, Ballot ballot) {
         Ballot highest = highestBallots.get(proposalId);
         return highest != null && ballot.compareTo(highest) < 0;
     }
 
-    /** The proposal under a ballot of this node that is higher than any it has seen. */
+    /** Returns the proposal with a ballot of this node that is higher than any ballot seen for it. */
     Proposal withHigherBallot(Proposal proposal) {
         Ballot highest = highestBallots.getOrDefault(proposal.id(), proposal.ballot());
         return proposal.withBallot(new Ballot(highest.number() + 1, context.self));
@@ -62,7 +66,7 @@
         return droppedProposals.contains(proposalId);
     }
 
-    /** Forgets what can't matter any more. */
+    /** Discards ballots past their retention time, and the oldest dropped proposals beyond the limit. */
     void expireOldEntries() {
         Iterator<Map.Entry<String, Long>> oldest = lastSeenAt.entrySet().iterator();
         while (oldest.hasNext()) {
--- a/src/main/java/reedmux/control/consensus/ConsensusContext.java
+++ b/src/main/java/reedmux/control/consensus/ConsensusContext.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import reedmux.control.replication.Replica;
 
-/** What the parts of one {@link ConsensusNode} share. Confined to the thread that calls the node. */
+/** State shared by the components of one {@link ConsensusNode}. Confined to the thread that calls the node. */
 final class ConsensusContext {
     /**
-     * How long a round, a contact or a peer's contact request may take before it has failed. Shorter than the
-     * time an operator's request waits, so that the operator is told.
+     * Timeout of a round, a quorum contact or a peer's contact request, in microseconds. It is shorter than the timeout
+     * of an operator's request, so that the operator receives the result.
      */
     static final long PROPOSAL_TIMEOUT_MICROS = 800_000;
 
@@ -15,9 +15,11 @@
     final Replica replica;
     final ConsensusPort port;
     Quorum quorum;
-    /** Whether the core is being changed: nothing new is prepared and nothing is decided until it is. */
+    /**
+     * Whether the core is being changed; no new proposal is prepared and nothing is decided until the change completes.
+     */
     boolean fenced;
-    /** The time of the event that is being handled, in microseconds of a monotonic clock. */
+    /** The time of the current event, in microseconds of a monotonic clock. */
     long now;
 
     ConsensusContext(String self, Replica replica, ConsensusPort port) {
--- a/src/main/java/reedmux/control/consensus/ConsensusNode.java
+++ b/src/main/java/reedmux/control/consensus/ConsensusNode.java
@@ -8,34 +8,36 @@
 import reedmux.control.replication.Replica;
 
 /**
- * One node's part in deciding on changes of the configuration. Each change is a proposal of its own: there is no
- * leader and no log, and any node may propose.
+ * Decides on changes of the configuration together with the other nodes. Each change is a separate proposal: there is
+ * no leader and no log, and any node may propose.
  *
- * <p>Phases, as in three-phase commit: a quorum <em>prepares</em> a proposal, each node checking that it is valid
- * together with what it has, and writing it to its disk; a quorum <em>precommits</em> it; then it is <em>committed</em>
- * and acknowledged. What each role does, and its invariants:
+ * <p>As in three-phase commit, a quorum <em>prepares</em> a proposal: each node checks that it is valid together with
+ * its own state, and persists it. Then a quorum <em>precommits</em> the proposal, and finally it is <em>committed</em>
+ * and acknowledged. The components and their responsibilities are:
  *
  * <ul>
- *   <li>{@link Proposer}: the rounds of the proposals of this node.
- *   <li>{@link Acceptor}: prepares proposals and votes; {@link BallotHistory} has the ballots it must not go below.
- *   <li>{@link Learner}: carries out decisions.
- *   <li>{@link UndecidedProposalRecovery}: completes what nobody decides any more.
- *   <li>{@link PeerSynchronization}: when a node that lost its disk counts again, and which peers are in touch.
+ *   <li>{@link Proposer}: runs the rounds of this node's proposals.
+ *   <li>{@link Acceptor}: prepares proposals and votes; {@link BallotHistory} tracks the minimum ballots for its
+ *     votes.
+ *   <li>{@link Learner}: applies decisions.
+ *   <li>{@link UndecidedProposalRecovery}: recovers proposals that their proposer has not decided.
+ *   <li>{@link PeerSynchronization}: tracks the synchronized peers, and when a node that lost its disk may vote
+ *     again.
  *   <li>{@link QuorumContacts}: linearizable reads.
- *   <li>{@link OperatorRequests}: from an operator's request to the answer.
- *   <li>{@link InDoubtProposals}: what is left open when a core hands over to the next one.
+ *   <li>{@link OperatorRequests}: handles an operator's requests and replies to them.
+ *   <li>{@link InDoubtProposals}: proposals that remain undecided when a core hands over to the next one.
  * </ul>
  *
  * <p>Safety: any two quorums share a node, and a node doesn't prepare two proposals that are invalid together, so two
  * such proposals are never both acknowledged. An acknowledged proposal is precommitted on the disks of a quorum, so it
- * outlives the loss of as many disks as the quorum allows for.
+ * survives the loss of as many disks as the quorum tolerates.
  *
- * <p>It differs from Paxos in that proposals have no slot to contend for: validity together with other proposals
- * decides whether two contend. It differs from three-phase commit in that a quorum suffices in place of all, which the
- * ballots make safe: a node that has taken part in one attempt takes part in none with a lower ballot.
+ * <p>Unlike in Paxos, proposals don't compete for a slot: two proposals contend if they are not valid together. Unlike
+ * in three-phase commit, a quorum is sufficient instead of all nodes. The ballots make this safe: a node that has taken
+ * part in one attempt takes part in no attempt with a lower ballot.
  *
- * <p>Pure: no I/O, no clock; what is to be done goes to the {@link ConsensusPort}. Confined to one thread. Times are
- * in microseconds of a monotonic clock and never go back.
+ * <p>Performs no I/O and reads no clock; actions are requested through the {@link ConsensusPort}. Confined to one
+ * thread. Times are in microseconds of a monotonic clock and never decrease.
  */
 public final class ConsensusNode {
     private final ConsensusContext context;
@@ -50,12 +52,12 @@
     private final OperatorRequests requests;
 
     /**
-     * Begins with what was found on the disk.
+     * Creates a node from the state found on the disk.
      *
-     * @param self the ip of this node
-     * @param incarnation tells this process from the earlier ones of the node
-     * @param replica what was on the disk: the committed items and the pending proposals
-     * @param complete whether nothing of it was lost
+     * @param self the IP address of this node
+     * @param incarnation distinguishes this process from earlier processes of the node
+     * @param replica the state found on the disk: the committed items and the pending proposals
+     * @param complete whether no part of that state was lost
      */
     public ConsensusNode(String self, long incarnation, Replica replica, boolean complete, ConsensusPort port) {
         context = new ConsensusContext(self, replica, port);
@@ -80,24 +82,27 @@
 
     // ---- State -------------------------------------------------------------------------------------
 
-    /** Whether nothing that was acknowledged with a vote of this node can be missing here. */
+    /** Returns whether nothing acknowledged with a vote of this node can be missing from its state. */
     public boolean isComplete() {
         return peers.isComplete();
     }
 
-    /** Whether this node is complete and connected to a quorum whose state is merged here. */
+    /** Returns whether this node is complete and connected to a quorum whose state it has merged. */
     public boolean isCurrent() {
         return peers.isCurrent();
     }
 
-    /** When the last contact that a quorum has confirmed began, in microseconds; negative where there was none. */
+    /**
+     * Returns the start time of the latest contact that a quorum has confirmed, in microseconds; negative if there was
+     * none.
+     */
     public long lastQuorumContactAt() {
         return contacts.lastQuorumContactAt();
     }
 
     // ---- Changes of the core -----------------------------------------------------------------------
 
-    /** Other nodes decide from now on; rounds and contacts that are under way begin again among them. */
+    /** Installs a new quorum and restarts the rounds and contacts that are in progress. */
     public void onQuorumChanged(Quorum quorum) {
         context.quorum = quorum;
         inDoubt.clear();
@@ -106,22 +111,25 @@
         proposer.restartAll();
     }
 
-    /** While the core is being changed nothing new is prepared here and nothing is decided. */
+    /**
+     * Sets whether this node is fenced. While the core is being changed, this node prepares no new proposals and
+     * decides nothing.
+     */
     public void setFenced(boolean fenced) {
         context.fenced = fenced;
     }
 
-    /** The proposers that may have decided on a pending proposal with this node's vote. */
+    /** Returns the proposers that may have decided on a pending proposal with this node's vote. */
     public List<String> proposersVotedFor(String proposalId) {
         return acceptor.proposersVotedFor(proposalId);
     }
 
     /**
-     * Takes over all that a fenced node has. A proposal that is not precommitted there gives way to what is pending
-     * here: nobody has committed it with the vote of that node, nor can any more. A precommitted one stays in doubt
-     * where it can't be pending here.
+     * Takes over the state of a fenced node. A proposal that is not precommitted there is discarded if it conflicts
+     * with a proposal pending at this node: no node has committed it with the fenced node's vote, nor can any node do
+     * so later. A precommitted proposal stays in doubt if it can't be made pending at this node.
      *
-     * @param proposers for each of the pending proposals, who may have decided on it
+     * @param proposers for each pending proposal, the nodes that may have decided on it
      */
     public void onHandover(
             long time, List<ConfigurationItem> items, List<Proposal> pending, List<List<String>> proposers) {
@@ -141,7 +149,7 @@
         }
     }
 
-    /** Whether the states that these fenced nodes have handed over leave no proposal in doubt. */
+    /** Returns whether no proposal is in doubt after these fenced nodes have handed over their states. */
     public boolean resolvesInDoubtProposals(Set<String> handedOver) {
         return inDoubt.areResolvedBy(handedOver);
     }
@@ -149,9 +157,9 @@
     // ---- Peers -------------------------------------------------------------------------------------
 
     /**
-     * A peer has told all that is committed and pending there, up to now.
+     * Handles the committed items and pending proposals of a peer, which are current as of this message.
      *
-     * @param peerComplete whether the peer counts itself
+     * @param peerComplete whether the peer is complete and may vote
      */
     public void onPeerState(
             long time, String peer, boolean peerComplete, List<ConfigurationItem> items, List<Proposal> pending) {
@@ -163,12 +171,12 @@
         }
         if (peers.tryComplete()) {
             acceptor.adoptAll(peers.takePeerProposals());
-            // The simulation looks for this line.
+            // The simulation matches this line.
             context.port.log("whole again, with " + context.replica.committed().size() + " items");
             context.port.notifyConfigurationChanged();
         }
         if (!wasCurrent && peers.isCurrent()) {
-            recovery.recoverOverdueProposals(); // what was found pending on the disk waits for nobody
+            recovery.recoverOverdueProposals(); // proposals found pending on the disk are overdue already
         }
     }
 
@@ -178,7 +186,10 @@
         }
     }
 
-    /** A peer can't be reached any more: what is committed there from now on is not known here. */
+    /**
+     * Handles the loss of the connection to a peer: this node does not learn of items that the peer commits from now
+     * on.
+     */
     public void onPeerDisconnected(String peer) {
         peers.onPeerDisconnected(peer);
         if (!peers.isCurrent()) {
@@ -189,23 +200,30 @@
     // ---- Contact with a quorum ---------------------------------------------------------------------
 
     /**
-     * Seeks contact with a quorum.
+     * Requests contact with a quorum.
      *
-     * @param settled whether everything acknowledged before is to be committed here by then
-     * @param callback is told once whether a quorum has been in touch since now
+     * @param settled whether everything acknowledged before this call must be committed at this node when the contact
+     *     succeeds
+     * @param callback receives once whether a quorum has confirmed contact since this call
      */
     public void contactQuorum(long time, boolean settled, Consumer<Boolean> callback) {
         context.now = time;
         contacts.begin(time, settled, callback);
     }
 
-    /** A peer asks for contact; with {@code settled}, once what is pending here now is decided. */
+    /**
+     * Handles a peer's contact request. If {@code settled} is set, the node confirms after the proposals that are
+     * pending now are decided.
+     */
     public void onContactRequest(long time, String peer, long contactId, boolean settled) {
         context.now = time;
         contacts.onRequest(peer, contactId, settled);
     }
 
-    /** A peer has been in touch since it was asked, and all that was committed there is merged here. */
+    /**
+     * Handles the confirmation of a contact by a peer; everything committed at that peer has been merged into this
+     * node.
+     */
     public void onContactConfirmation(long time, String peer, long contactId) {
         context.now = time;
         contacts.onConfirmation(peer, contactId);
@@ -214,9 +232,9 @@
     // ---- The operator ------------------------------------------------------------------------------
 
     /**
-     * A request to change items.
+     * Handles a request to change items.
      *
-     * @param reply is told once an {@link OperationStatus} and a line, or JSON, for the operator
+     * @param reply receives once an {@link OperationStatus}, and a message or JSON for the operator
      */
     public void onChangeRequest(long time, String body, BiConsumer<Integer, String> reply) {
         context.now = time;
@@ -224,9 +242,9 @@
     }
 
     /**
-     * A request for all committed items.
+     * Handles a request for all committed items.
      *
-     * @param reply is told once an {@link OperationStatus}, and the items as JSON or a line for the operator
+     * @param reply receives once an {@link OperationStatus}, and the items as JSON or a message for the operator
      */
     public void onReadRequest(long time, BiConsumer<Integer, String> reply) {
         context.now = time;
@@ -235,32 +253,32 @@
 
     // ---- Proposals ---------------------------------------------------------------------------------
 
-    /** A peer asks for a vote on a proposal. */
+    /** Handles a peer's request for a vote on a proposal. */
     public void onProposal(long time, String peer, Proposal proposal) {
         context.now = time;
         acceptor.onProposal(peer, proposal);
     }
 
-    /** The disk has written a pending proposal under that ballot, or has failed to. */
+    /** Handles the result of persisting a pending proposal under this ballot. */
     public void onPersisted(long time, String proposalId, Ballot ballot, boolean written) {
         context.now = time;
         acceptor.onPersisted(proposalId, ballot, written);
     }
 
-    /** A peer has voted. */
+    /** Handles the vote of a peer. */
     public void onVote(long time, String peer, String proposalId, Ballot ballot, Vote vote) {
         context.now = time;
         proposer.onVote(peer, proposalId, ballot, vote);
     }
 
-    /** A peer has decided: the items are committed, or the proposal is dropped. */
+    /** Handles the decision of a peer: the items are committed, or the proposal is dropped. */
     public void onDecision(
             long time, String proposalId, Ballot ballot, boolean committed, List<ConfigurationItem> items) {
         context.now = time;
         learner.onDecision(proposalId, ballot, committed, items);
     }
 
-    /** To be called several times a second: time-outs, repeated rounds and recoveries. */
+    /** Processes timeouts, repeated rounds and recoveries. Must be called several times a second. */
     public void onTick(long time) {
         context.now = time;
         proposer.onTick();
--- a/src/main/java/reedmux/control/consensus/ConsensusPort.java
+++ b/src/main/java/reedmux/control/consensus/ConsensusPort.java
@@ -4,37 +4,41 @@
 import reedmux.control.configuration.ConfigurationItem;
 
 /**
- * What a {@link ConsensusNode} asks of the program around it: messages to the other nodes and writes to the disk.
- * Called on the thread that calls the node; an implementation may call back into the node before it returns.
+ * The messages and disk writes that a {@link ConsensusNode} requests from its environment. The methods are called on
+ * the thread that calls the node; an implementation may call back into the node before it returns.
  */
 public interface ConsensusPort {
 
-    /** Asks all reachable peers to prepare a proposal; they answer with {@link ConsensusNode#onVote}. */
+    /** Asks all reachable peers to prepare a proposal; they reply through {@link ConsensusNode#onVote}. */
     void broadcastProposal(Proposal proposal);
 
-    /** Answers the proposer of an attempt. */
+    /** Sends a vote to the proposer of an attempt. */
     void sendVote(String to, String proposalId, Ballot ballot, Vote vote);
 
     /**
-     * Asks all reachable peers for contact; they answer with {@link ConsensusNode#onContactConfirmation}.
+     * Asks all reachable peers to confirm contact; they reply through {@link ConsensusNode#onContactConfirmation}.
      *
-     * @param settled whether a peer answers only once all that is pending there now is decided
+     * @param settled whether a peer replies only after every proposal pending there on receipt of the request is
+     *     decided
      */
     void broadcastContactRequest(long contactId, boolean settled);
 
-    /** Confirms contact, behind everything that is committed here now. */
+    /** Confirms contact. The confirmation is sent after everything that is currently committed at this node. */
     void sendContactConfirmation(String to, long contactId);
 
-    /** Tells all reachable peers what was decided; {@code items} is empty where the proposal was dropped. */
+    /** Broadcasts a decision to all reachable peers; {@code items} is empty if the proposal was dropped. */
     void broadcastDecision(String proposalId, Ballot ballot, boolean committed, List<ConfigurationItem> items);
 
-    /** Writes a pending proposal to the disk; ends with {@link ConsensusNode#onPersisted}. */
+    /** Persists a pending proposal; the result is passed to {@link ConsensusNode#onPersisted}. */
     void persistProposal(Proposal proposal);
 
-    /** Writes a decision to the disk. Nothing waits for it: the proposals on a quorum's disks stand for it. */
+    /**
+     * Persists a decision. No caller waits for this write: the proposals on the disks of a quorum already guarantee
+     * durability.
+     */
     void persistDecision(String proposalId, Ballot ballot, boolean committed, List<ConfigurationItem> items);
 
-    /** The committed configuration has changed. */
+    /** Reports that the committed configuration has changed. */
     void notifyConfigurationChanged();
 
     /** Writes a line to the log. */
--- a/src/main/java/reedmux/control/consensus/CoreChangePlanner.java
+++ b/src/main/java/reedmux/control/consensus/CoreChangePlanner.java
@@ -8,33 +8,41 @@
 import java.util.function.BiConsumer;
 
 /**
- * Which change of the core the leader proposes next: first who is to be removed by order of the operator, then who asks
- * to join, then who is dead. One machine is removed, added or replaced at a time.
+ * Selects the next change of the core for the leader to propose. Removals requested by the operator come first, then
+ * candidates that request to join, then dead members. One machine is removed, added or replaced at a time.
  *
- * <p>Who joins takes the place of the member that had its name before, or else of a member that is dead. The dead are
- * removed without a successor only while enough others stay: the core never gets smaller by that than it needs to be to
- * outlive the losses that the settings promise.
+ * <p>A candidate replaces the member that previously had its name, or otherwise a dead member. A dead member is removed
+ * without a replacement only if enough members remain: such a removal never makes the core smaller than is needed to
+ * survive the losses that the settings promise to tolerate.
  */
 final class CoreChangePlanner {
-    /** How long a candidate has to be ready before it takes a place, so that one that flaps is not taken in. */
+    /**
+     * How long a candidate must be ready before it may replace a member, in microseconds, so that a flapping candidate
+     * is not added.
+     */
     private static final long CANDIDATE_STABLE_MICROS = 1_000_000;
     /**
-     * How long it has to be ready before the core grows by it: longer than it takes to notice that a member does not
-     * answer any more, whose place it may have come to take. A new member has no vote for 4 s, so a core that has grown
-     * loses its dead ones late.
+     * How long a candidate must be ready before the core grows by it, in microseconds. This is longer than it takes to
+     * detect an unresponsive member that the candidate may be intended to replace. A new member can't vote for 4 s, so
+     * a core that has grown removes its dead members late.
      */
     private static final long GROWTH_STABLE_MICROS = 2_500_000;
 
-    /** How long a removal is tried. The operator's request has timed out by then and may be repeated. */
+    /**
+     * How long a removal is retried, in microseconds. The operator's request has timed out by then and may be repeated.
+     */
     private static final long REMOVAL_TIMEOUT_MICROS = 30_000_000;
 
-    /** Below this a core has no majority that outlives the loss of one. */
+    /** Minimum size of a core whose majority survives the loss of one member. */
     private static final int MIN_CORE_SIZE = 3;
 
     private final CoreContext context;
-    /** When each member that was removed by order was, by its ip: it has to hear of that before it may join again. */
+    /**
+     * The time of each removal request by the operator, in microseconds, by IP address. The member must receive the
+     * removal order before it may join again.
+     */
     private final Map<String, Long> removedByOrderAt = new HashMap<>();
-    /** By the name of the machine. */
+    /** Pending removals by the name or IP address that the operator gave. */
     private final Map<String, PendingRemoval> pendingRemovals = new LinkedHashMap<>();
 
     private record PendingRemoval(long requestedAt, List<BiConsumer<Integer, String>> replies) {}
@@ -44,9 +52,9 @@
     }
 
     /**
-     * The operator removes a member, by name or ip; the core is known.
+     * Handles an operator's request to remove a member, given by name or IP address. The core must be known.
      *
-     * @return whether the removal is pending now; else it is answered already
+     * @return whether the removal is now pending; otherwise the reply has already been sent
      */
     boolean requestRemoval(String node, BiConsumer<Integer, String> reply) {
         String ip = context.core.findIp(node);
@@ -76,7 +84,7 @@
         removedByOrderAt.values().removeIf(at -> context.now - at > REMOVAL_TIMEOUT_MICROS);
     }
 
-    /** Answers the removals that the core of a new epoch has carried out. */
+    /** Replies to the removal requests that the new core has fulfilled. */
     void onInstalled() {
         for (String node : List.copyOf(pendingRemovals.keySet())) {
             if (context.core.findIp(node) == null) {
@@ -87,7 +95,7 @@
         }
     }
 
-    /** The core to propose next; null for no change, or where too few are connected to make it. */
+    /** Returns the core to propose next; null if no change is wanted or too few nodes are connected to decide on it. */
     CoreMembers nextChange() {
         for (String node : pendingRemovals.keySet()) {
             String ip = context.core.findIp(node);
@@ -109,7 +117,7 @@
         return deadMember == null ? null : context.core.successor(deadMember, null, null);
     }
 
-    /** A dead member without which the core is large enough and can be decided on; null for none. */
+    /** Returns a dead member without which the core is still large enough and can decide; null if there is none. */
     String deadMemberToRemove() {
         int requiredSize = Math.max(MIN_CORE_SIZE, 2 * context.minimumReplicas - 1);
         String deadMember = context.unreachableMembers.longestDeadMember(context.now);
@@ -121,8 +129,9 @@
     }
 
     /**
-     * The core with a candidate, in place of the member that had the same name before, or else of a dead one, or else
-     * as one member more; null where the candidate is not ready, or that member is still up at another address.
+     * Returns the core with the candidate added. The candidate replaces the member that previously had the same name,
+     * or otherwise a dead member, or otherwise is an additional member. Returns null if the candidate is not ready, or
+     * if the member of the same name is still connected at another address.
      */
     private CoreMembers withCandidate(String ip, CoreContext.CorePeer candidate) {
         if (context.core.contains(ip)
@@ -141,7 +150,10 @@
         return context.core.successor(replacedIp, ip, candidate.node);
     }
 
-    /** While a member is out of reach a candidate waits for its place, or for its return. */
+    /**
+     * Returns whether the core may grow by a candidate. While a member is unreachable, the candidate waits for that
+     * member to be replaced or to return.
+     */
     private boolean mayGrow(CoreContext.CorePeer candidate) {
         return candidate.readySince <= context.now - GROWTH_STABLE_MICROS
                 && context.core.ips().stream().allMatch(context::isUp);
--- a/src/main/java/reedmux/control/consensus/CoreContext.java
+++ b/src/main/java/reedmux/control/consensus/CoreContext.java
@@ -7,35 +7,35 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** What the parts of one {@link CoreMembership} share. Confined to the thread that calls the membership. */
+/** State shared by the components of one {@link CoreMembership}. Confined to the thread that calls the membership. */
 abstract class CoreContext {
     final String self;
     final int minimumReplicas;
     final CoreMembershipPort port;
-    /** The core of the latest epoch known; null where none is. */
+    /** The core of the latest known epoch; null if none is known. */
     CoreMembers core;
-    /** Whether this node was a member and was taken out by order, so that it doesn't ask to join. */
+    /** Whether this node was a member and was removed permanently, so that it doesn't request to join. */
     boolean removed;
-    /** Whether the leader has told this node that it is to be removed by order. */
+    /** Whether the leader has notified this node that the operator has ordered its removal. */
     boolean removalOrdered;
-    /** Which members this node can't reach. */
+    /** The members that are unreachable from this node. */
     final UnreachableMembers unreachableMembers = new UnreachableMembers();
-    /** The other nodes that are connected, by ip. */
+    /** The connected nodes by IP address. */
     final Map<String, CorePeer> peers = new LinkedHashMap<>();
     /**
-     * From when on this node may promise and accept as a member, in microseconds. Later than ever while it has lost
-     * its disk and not recovered.
+     * The earliest time at which this node may promise and accept as a member, in microseconds; {@link Long#MAX_VALUE}
+     * while it has lost its disk and not recovered.
      */
     long mayVoteFrom;
     /** The time of the event that is being handled, in microseconds of a monotonic clock. */
     long now;
 
-    /** Another node that is connected. */
+    /** A connected node. */
     static final class CorePeer {
         final String node;
-        /** Since when it has asked to join; the latest time there is while it doesn't. */
+        /** Since when the node has requested to join, in microseconds; {@link Long#MAX_VALUE} while it doesn't. */
         long readySince = Long.MAX_VALUE;
-        /** Whether it has accepted a successor of our epoch. */
+        /** Whether the node has accepted a successor of this node's epoch. */
         boolean fenced;
 
         CorePeer(String node) {
@@ -61,13 +61,16 @@
         return Quorum.of(core == null ? Set.of() : core.ips(), minimumReplicas);
     }
 
-    /** Who decides on a change to {@code next}: a quorum of the members and one of those after it. */
+    /**
+     * Returns the quorum for a change to {@code next}: a quorum of the current members and a quorum of the next
+     * members.
+     */
     Quorum jointQuorum(CoreMembers next) {
         Collection<String> members = core.ips();
         return Quorum.joint(members, next.ips(), minimumReplicas);
     }
 
-    /** This node and the connected ones. */
+    /** Returns the IP addresses of this node and the connected nodes. */
     Set<String> connectedIps() {
         Set<String> live = new HashSet<>(peers.keySet());
         live.add(self);
@@ -82,12 +85,12 @@
         return now >= mayVoteFrom;
     }
 
-    /** Sends a message of a round, also to this node itself. */
+    /** Sends a message of a Paxos round; the receiver may be this node. */
     abstract void send(String to, EpochMessage message);
 
-    /** Writes the core, and what was promised and accepted, to the disk. */
+    /** Persists the core together with the promised ballot and the accepted value. */
     abstract void persist(Consumer<Boolean> onDone);
 
-    /** The core of the next epoch is decided on. */
+    /** Installs the decided core of the next epoch. */
     abstract void install(CoreMembers next);
 }
--- a/src/main/java/reedmux/control/consensus/CoreMembers.java
+++ b/src/main/java/reedmux/control/consensus/CoreMembers.java
@@ -5,18 +5,18 @@
 import java.util.TreeMap;
 
 /**
- * The core: the machines whose stores decide. It is changed by {@link CoreMembership} alone.
+ * The members of the core, the machines whose stores vote. Only {@link CoreMembership} changes the core.
  *
- * @param epoch how many changes led to it
- * @param nodeNames the names of the machines by ip; a name is empty where it is not known yet
+ * @param epoch the number of changes since the first core
+ * @param nodeNames the machine names by IP address; a name is empty if it is not known yet
  */
 public record CoreMembers(long epoch, Map<String, String> nodeNames) {
-    /** Copies the nodes, in the order of their IP addresses. */
+    /** Creates a core with a copy of the names, in the order of their IP addresses. */
     public CoreMembers {
         nodeNames = new TreeMap<>(nodeNames);
     }
 
-    /** The first core of a system that starts for the first time. */
+    /** Returns the core of a system that starts for the first time. */
     public static CoreMembers initial(Collection<String> ips) {
         Map<String, String> nodeNames = new TreeMap<>();
         for (String ip : ips) {
@@ -25,17 +25,17 @@
         return new CoreMembers(0, nodeNames);
     }
 
-    /** Whether the machine with that IP address is a member. */
+    /** Returns whether the machine with that IP address is a member. */
     public boolean contains(String ip) {
         return nodeNames.containsKey(ip);
     }
 
-    /** All ips in ascending order, which is the order in which members become the leader. */
+    /** Returns all IP addresses in ascending order, which is the order in which members become the leader. */
     public Collection<String> ips() {
         return nodeNames.keySet();
     }
 
-    /** The ip of the member with that name or ip; null where there is none. */
+    /** Returns the IP address of the member with that name or IP address, or null if there is none. */
     public String findIp(String nodeOrIp) {
         for (Map.Entry<String, String> member : nodeNames.entrySet()) {
             if (member.getValue().equals(nodeOrIp) || member.getKey().equals(nodeOrIp)) {
@@ -46,11 +46,11 @@
     }
 
     /**
-     * The core of the next epoch.
+     * Returns the core of the next epoch.
      *
-     * @param removedIp who is no member any more, or null
-     * @param addedIp who becomes one, or null
-     * @param addedNode the name of its machine
+     * @param removedIp the IP address of the member to remove, or null
+     * @param addedIp the IP address of the member to add, or null
+     * @param addedNode the machine name of the member to add
      */
     CoreMembers successor(String removedIp, String addedIp, String addedNode) {
         Map<String, String> next = new TreeMap<>(nodeNames);
@@ -63,7 +63,7 @@
         return new CoreMembers(epoch + 1, next);
     }
 
-    /** The same core with a name that was not known yet; a member never changes its name. */
+    /** Returns this core with a name that was not known yet. The known name of a member never changes. */
     CoreMembers withNodeName(String ip, String node) {
         if (node.isEmpty() || !"".equals(nodeNames.get(ip))) {
             return this;
--- a/src/main/java/reedmux/control/consensus/CoreMembership.java
+++ b/src/main/java/reedmux/control/consensus/CoreMembership.java
@@ -6,35 +6,39 @@
 import java.util.function.Consumer;
 
 /**
- * One node's part in changing the core, the machines whose stores decide.
+ * Changes the core, the machines whose stores vote, together with the other nodes.
  *
- * <p>Cores are numbered by epochs. The successor of each epoch is one decision by Paxos ({@link EpochProposer},
- * {@link EpochAcceptor}); the first live member in the order of ips proposes it ({@link CoreLeader}). A change goes
- * through these phases: <em>prepare</em> (a quorum promises), <em>accept and fence</em> (who accepts prepares nothing
- * new under the old epoch), <em>fetch</em> (the next members take over what a quorum of fenced ones has),
- * <em>install</em> (once a quorum of both cores has accepted, the next epoch begins and is announced to all).
+ * <p>Cores are numbered by epochs. The successor of each epoch is decided by one instance of Paxos ({@link
+ * EpochProposer}, {@link EpochAcceptor}); the first live member in the order of IP addresses proposes it ({@link
+ * CoreLeader}). A change has these phases: <em>prepare</em> (a quorum promises), <em>accept and fence</em> (a node that
+ * accepts prepares no new proposals under the old epoch), <em>fetch</em> (the next members take over the state of a
+ * quorum of fenced members), <em>install</em> (once a quorum of both cores has accepted, the next epoch starts and is
+ * announced to all nodes).
  *
- * <p>Invariants: for each epoch there is one core. When an epoch begins, a quorum of its members has everything that
- * was acknowledged under the epochs before. A node counts votes under its own epoch alone ({@link #acceptsEpoch}).
+ * <p>Invariants: each epoch has exactly one core. When an epoch starts, a quorum of its members has everything that was
+ * acknowledged under the previous epochs. A node counts only votes of its own epoch ({@link #acceptsEpoch}).
  *
- * <p>It differs from Raft's joint consensus in that the old core stops deciding during a change, which takes a few
- * round trips, and in that no log carries the membership.
+ * <p>Unlike in Raft's joint consensus, the old core stops deciding during a change, which takes a few round trips, and
+ * no log carries the membership.
  *
- * <p>Members that are gone for good leave by themselves ({@link CoreChangePlanner}): a member that is out of reach
- * gives its place to who joins, or is removed while the core stays large enough. Otherwise each machine that is
- * replaced would leave a member behind, until those that are left are no quorum any more.
+ * <p>Permanently failed members are removed automatically ({@link CoreChangePlanner}): an unreachable member is
+ * replaced by a candidate, or is removed while the core stays large enough. Otherwise each replaced machine would leave
+ * a dead member behind, until the remaining members no longer form a quorum.
  *
- * <p>Pure: no I/O, no clock; what is to be done goes to the {@link CoreMembershipPort}. Confined to one thread. Times
- * are in microseconds of a monotonic clock and never go back.
+ * <p>Performs no I/O and reads no clock; actions are requested through the {@link CoreMembershipPort}. Confined to one
+ * thread. Times are in microseconds of a monotonic clock and never decrease.
  */
 public final class CoreMembership {
     /**
-     * How long a node that has recovered from the loss of its disk doesn't vote yet: all that it was sent before the
-     * loss, and might answer in contradiction to what it has forgotten, has come in by then.
+     * How long a node that has recovered from the loss of its disk doesn't vote, in microseconds. All messages sent to
+     * it before the loss, whose answers might contradict its lost state, have arrived by then.
      */
     private static final long DISK_LOSS_DELAY_MICROS = 4_000_000;
 
-    /** How long a dead member may stay while it could be removed; rounds that fail are repeated meanwhile. */
+    /**
+     * How long a dead member may stay in the core while it could be removed, in microseconds; failed rounds are
+     * repeated during this time.
+     */
     private static final long MAX_DEAD_MEMBER_MICROS = 10_000_000;
 
     private static final long NEVER = -1;
@@ -44,15 +48,18 @@
     private final CoreChangePlanner planner;
     private final EpochProposer proposer;
     private CoreLeader leader = new CoreLeader("", -1, 0);
-    /** Since when this node as the leader could remove a dead member. */
+    /**
+     * Since when this node, as the leader, could have removed a dead member, in microseconds; {@link #NEVER} if it
+     * couldn't.
+     */
     private long removableSince = NEVER;
 
     /**
-     * Begins with what was found on the disk.
+     * Creates the membership from the state found on the disk.
      *
-     * @param minimumReplicas on how many disks a decision has to be, whatever the size of the core
-     * @param storedState what was on the disk; null where nothing was and the peers are to tell of the core
-     * @param diskIntact whether nothing of it was lost
+     * @param minimumReplicas the number of disks on which a decision must be stored, whatever the size of the core
+     * @param storedState the state found on the disk; null if there was none and the peers announce the core
+     * @param diskIntact whether no part of that state was lost
      */
     public CoreMembership(
             String self,
@@ -98,17 +105,17 @@
 
     // ---- State -------------------------------------------------------------------------------------
 
-    /** The core of the latest epoch that is known; null where none is known yet. */
+    /** Returns the core of the latest known epoch; null if none is known yet. */
     public CoreMembers core() {
         return context.core;
     }
 
-    /** The latest epoch that is known; negative where none is known yet. */
+    /** Returns the latest known epoch; negative if none is known yet. */
     public long epoch() {
         return context.epoch();
     }
 
-    /** Who decides on changes of the configuration under this epoch. */
+    /** Returns the quorum that decides on changes of the configuration in this epoch. */
     public Quorum quorum() {
         return context.quorum();
     }
@@ -117,27 +124,27 @@
         return context.isMember();
     }
 
-    /** The ips of this node and of those that are connected. */
+    /** Returns the IP addresses of this node and the connected nodes. */
     public Set<String> connectedIps() {
         return context.connectedIps();
     }
 
-    /** Whether a successor was accepted here, so that nothing new is prepared under this epoch. */
+    /** Returns whether this node has accepted a successor and therefore prepares no new proposals under this epoch. */
     public boolean isFenced() {
         return acceptor.isFenced();
     }
 
-    /** Whether this node would join the core, once it is current. */
+    /** Returns whether this node requests to join the core once it is current. */
     public boolean isCandidate() {
         return context.core != null && !isMember() && !context.removed;
     }
 
-    /** What has to be on the disk. */
+    /** Returns the state to persist. */
     public PersistentCoreState persistentState() {
         return acceptor.persistentState();
     }
 
-    /** Who proposes changes of the core, as far as is known here. */
+    /** Returns the node that proposes changes of the core, as known to this node. */
     public CoreLeader leader() {
         return leader;
     }
@@ -148,7 +155,7 @@
 
     // ---- Peers -------------------------------------------------------------------------------------
 
-    /** A connection with another node is up; {@code node} is the name of its machine. */
+    /** Handles a new connection to another node; {@code node} is the name of its machine. */
     public void onPeerConnected(long time, String ip, String node) {
         context.now = time;
         context.peers.put(ip, new CoreContext.CorePeer(node));
@@ -156,7 +163,7 @@
         updateLeader();
     }
 
-    /** The last connection with another store has ended. */
+    /** Handles the end of the last connection to another store. */
     public void onPeerDisconnected(long time, String ip) {
         context.now = time;
         context.peers.remove(ip);
@@ -164,17 +171,17 @@
         updateLeader();
     }
 
-    /** This node has recovered from the loss of its disk; may be told again. */
+    /** Records that this node has recovered from the loss of its disk; may be called repeatedly. */
     public void onDiskRecovered(long time) {
         context.mayVoteFrom = Math.min(context.mayVoteFrom, time + DISK_LOSS_DELAY_MICROS);
     }
 
     /**
-     * Another process announces the core that it knows.
+     * Handles the announcement of the core that another process knows.
      *
-     * @param announced null where it knows none
-     * @param ready whether it would join the core
-     * @param fenced whether it has accepted a successor of that core
+     * @param announced the announced core; null if the process knows none
+     * @param ready whether the process requests to join the core
+     * @param fenced whether the process has accepted a successor of that core
      */
     public void onCoreAnnounced(long time, String ip, CoreMembers announced, boolean ready, boolean fenced) {
         context.now = time;
@@ -209,8 +216,8 @@
     }
 
     /**
-     * Whether a message was sent under this node's epoch. Who acts under another one is told of the core known here,
-     * and tells of its own if that is newer.
+     * Returns whether a message was sent under this node's epoch. Otherwise this node announces its core to the sender,
+     * which announces its own core in return if that is newer.
      */
     public boolean acceptsEpoch(String from, long epoch) {
         if (context.core == null) {
@@ -222,10 +229,10 @@
         return epoch == epoch();
     }
 
-    /** Begins the epoch of a core that is decided on. */
+    /** Installs a decided core and starts its epoch. */
     private void install(CoreMembers next) {
         context.removed = (context.removed || isPermanentlyRemovedFrom(next)) && !next.contains(context.self);
-        context.removalOrdered = false; // an order that is still pending is sent again
+        context.removalOrdered = false; // a pending order is sent again
         context.port.log("core of epoch " + next.epoch() + ": " + next.nodeNames());
         context.core = next;
         acceptor.reset();
@@ -241,8 +248,8 @@
     }
 
     /**
-     * Whether this node was removed by order, or another machine of its name has its place. Who was out of reach and
-     * taken for dead may join again.
+     * Returns whether this node was removed by the operator, or was replaced by another machine with its name. A node
+     * that was unreachable and considered dead may join again.
      */
     private boolean isPermanentlyRemovedFrom(CoreMembers next) {
         if (!isMember()) {
@@ -270,10 +277,10 @@
     // ---- Changes -----------------------------------------------------------------------------------
 
     /**
-     * The operator removes a member; to be asked of the leader.
+     * Handles an operator's request to remove a member. Must be called on the leader.
      *
-     * @param node the name or the ip of its machine
-     * @param reply is told once an {@link OperationStatus} and a line, or JSON, for the operator
+     * @param node the name or the IP address of the machine
+     * @param reply receives once an {@link OperationStatus}, and a message or JSON for the operator
      */
     public void requestRemoval(long time, String node, BiConsumer<Integer, String> reply) {
         context.now = time;
@@ -284,12 +291,14 @@
         }
     }
 
-    /** The leader tells this node that it is to be removed by order of the operator. */
+    /** Handles the leader's notice that the operator has ordered the removal of this node. */
     public void onRemovalOrder() {
         context.removalOrdered = true;
     }
 
-    /** To be called several times a second: goes on with what is half done, and begins what is wanted. */
+    /**
+     * Continues changes that are in progress and starts those that are wanted. Must be called several times a second.
+     */
     public void onTick(long time) {
         context.now = time;
         updateLeader();
@@ -302,7 +311,10 @@
         }
     }
 
-    /** Violated where the leader could change the core for long and members that are dead still count. */
+    /**
+     * Reports an invariant violation if the leader could have changed the core for {@link #MAX_DEAD_MEMBER_MICROS} and
+     * dead members are still in it.
+     */
     private void checkDeadMembersAreRemoved() {
         boolean couldRemove = isLeader() && context.mayVote() && planner.deadMemberToRemove() != null;
         if (!couldRemove) {
@@ -310,13 +322,13 @@
         } else if (removableSince == NEVER) {
             removableSince = context.now;
         } else if (context.now - removableSince > MAX_DEAD_MEMBER_MICROS) {
-            context.port.reportInvariantViolation("dead members leave a core that is large enough without them: "
+            context.port.reportInvariantViolation("dead members remain in a core that is large enough without them: "
                     + planner.deadMemberToRemove() + " of " + context.core.nodeNames());
             removableSince = NEVER;
         }
     }
 
-    /** A message of a round has come in. */
+    /** Handles a message of a Paxos round. */
     public void onEpochMessage(long time, String from, EpochMessage message) {
         context.now = time;
         if (!acceptsEpoch(from, message.epoch())) {
@@ -333,12 +345,14 @@
 
     // ---- Handover ----------------------------------------------------------------------------------
 
-    /** Whether this node's state under that epoch is final and may be handed over to a member of the next core. */
+    /**
+     * Returns whether this node's state under that epoch is final and may be handed over to a member of the next core.
+     */
     public boolean maySendHandover(String to, long epoch) {
         return acceptsEpoch(to, epoch) && isMember() && acceptor.isFencedOnDisk() && context.mayVote();
     }
 
-    /** All that a fenced member had under that epoch is here now, its pending proposals among it. */
+    /** Handles the completed transfer of a fenced member's state under that epoch, including its pending proposals. */
     public void onHandover(long time, String from, long epoch) {
         context.now = time;
         if (epoch == epoch() && context.core.contains(from)) {
--- a/src/main/java/reedmux/control/consensus/CoreMembershipPort.java
+++ b/src/main/java/reedmux/control/consensus/CoreMembershipPort.java
@@ -4,36 +4,39 @@
 import java.util.function.Consumer;
 
 /**
- * What a {@link CoreMembership} asks of the program around it. Called on the thread that calls the membership; an
- * implementation may call back before it returns.
+ * The messages and disk writes that a {@link CoreMembership} requests from its environment. The methods are called on
+ * the thread that calls the membership; an implementation may call back before it returns.
  */
 public interface CoreMembershipPort {
 
-    /** Sends a message of a round; it may be lost. */
+    /** Sends a message of a Paxos round; the message may be lost. */
     void sendEpochMessage(String to, EpochMessage message);
 
-    /** Tells a member that it is to be removed by order; ends as {@link CoreMembership#onRemovalOrder} there. */
+    /**
+     * Notifies a member that the operator has ordered its removal; it is received by {@link
+     * CoreMembership#onRemovalOrder}.
+     */
     void sendRemovalOrder(String to);
 
-    /** Tells a peer which core is known here; ends as {@link CoreMembership#onCoreAnnounced} there. */
+    /** Announces the core that this node knows to a peer; it is received by {@link CoreMembership#onCoreAnnounced}. */
     void announceCore(String to);
 
     /**
-     * Asks a fenced member for its state; ends with {@link ConsensusNode#onHandover} and
-     * {@link CoreMembership#onHandover}.
+     * Requests the state of a fenced member; the state is passed to {@link ConsensusNode#onHandover} and {@link
+     * CoreMembership#onHandover}.
      */
     void requestHandover(String from, long epoch);
 
-    /** {@link ConsensusNode#resolvesInDoubtProposals}. */
+    /** Returns the result of {@link ConsensusNode#resolvesInDoubtProposals}. */
     boolean resolvesInDoubtProposals(Set<String> handedOver);
 
-    /** Writes the state to the disk, and tells whether that has succeeded. */
+    /** Persists the state and reports whether the write succeeded. */
     void persistCore(PersistentCoreState state, Consumer<Boolean> onDone);
 
-    /** Another core holds from now on, or this node is fenced or no longer fenced. */
+    /** Reports that a new core is installed, or that this node is fenced or no longer fenced. */
     void notifyCoreChanged();
 
-    /** What must always hold does not. */
+    /** Reports that an invariant was violated. */
     void reportInvariantViolation(String violation);
 
     /** Writes a line to the log. */
--- a/src/main/java/reedmux/control/consensus/EpochAcceptor.java
+++ b/src/main/java/reedmux/control/consensus/EpochAcceptor.java
@@ -1,13 +1,13 @@
 package reedmux.control.consensus;
 
 /**
- * The acceptor of a node: promises and accepts the successor of the epoch.
+ * The acceptor of a node. It promises ballots and accepts the successor of the epoch.
  *
- * <p>Phases of one that accepts: <em>fence</em> (it writes what it accepts to the disk and prepares no new proposal
- * under the epoch from then on), <em>fetch</em> (who is to be a member of the next core takes over the state of the
- * fenced members, {@link EpochHandover}), <em>confirm</em> (it answers the proposer).
+ * <p>A node that accepts goes through three phases. <em>Fence</em>: it persists the accepted value and from then on
+ * prepares no new proposals under the epoch. <em>Fetch</em>: a member of the next core takes over the state of the
+ * fenced members ({@link EpochHandover}). <em>Confirm</em>: it replies to the proposer.
  *
- * <p>Invariant: whatever is answered is on the disk before.
+ * <p>Invariant: the node persists its state before it replies.
  */
 final class EpochAcceptor {
     private final CoreContext context;
@@ -15,10 +15,10 @@
     private Ballot promised;
     private Ballot accepted;
     private CoreMembers acceptedValue;
-    /** Whether what was accepted is on the disk. */
+    /** Whether the accepted value is persisted. */
     private boolean acceptedPersisted;
 
-    /** {@code found}: what was on the disk, or null. */
+    /** Creates an acceptor from the state found on the disk, or from null if there was none. */
     EpochAcceptor(CoreContext context, PersistentCoreState storedState) {
         this.context = context;
         handover = new EpochHandover(context);
@@ -30,17 +30,17 @@
         }
     }
 
-    /** Whether a successor was accepted here, so that nothing new is prepared under this epoch. */
+    /** Returns whether this node has accepted a successor and therefore prepares no new proposals under this epoch. */
     boolean isFenced() {
         return accepted != null;
     }
 
-    /** Whether that is on the disk, so that this node's state under the epoch is final. */
+    /** Returns whether the accepted successor is persisted, which makes this node's state under the epoch final. */
     boolean isFencedOnDisk() {
         return acceptedPersisted;
     }
 
-    /** The number of the highest ballot promised; 0 for none. */
+    /** Returns the number of the highest promised ballot; 0 if there is none. */
     long promisedNumber() {
         return promised == null ? 0 : promised.number();
     }
@@ -49,7 +49,7 @@
         return new PersistentCoreState(context.core, promised, accepted, acceptedValue, context.removed);
     }
 
-    /** The next epoch has begun. */
+    /** Clears all state because the next epoch has started. */
     void reset() {
         promised = null;
         accepted = null;
@@ -58,7 +58,7 @@
         handover.reset();
     }
 
-    /** A proposer asks for a promise. */
+    /** Handles a proposer's request for a promise. */
     void onPrepare(String from, EpochMessage prepare) {
         if (!context.isMember() || !context.mayVote() || rejectIfSuperseded(from, prepare.ballot())) {
             return;
@@ -81,7 +81,10 @@
         });
     }
 
-    /** A proposer asks to accept a value: to be asked of members and of who is to be one. */
+    /**
+     * Handles a proposer's request to accept a value. Such requests are sent to the members of the current and the next
+     * core.
+     */
     void onAccept(String from, EpochMessage accept) {
         boolean eligible =
                 context.isMember() ? context.mayVote() : accept.value().contains(context.self);
@@ -114,7 +117,7 @@
         return false;
     }
 
-    /** Asks for the state that is missing where this node is to be a member of the next core. */
+    /** Requests the missing states of fenced members if this node is a member of the next core. */
     void requestHandovers() {
         if (acceptedPersisted && acceptedValue.contains(context.self) && !handover.isPersisted()) {
             handover.request();
@@ -122,7 +125,7 @@
         }
     }
 
-    /** The state of a fenced member has been taken over. */
+    /** Handles the completed transfer of the state of a fenced member. */
     void onHandover(String from) {
         handover.onHandover(from);
         completeHandover();
@@ -142,7 +145,7 @@
         });
     }
 
-    /** Tells the proposer that this node has accepted, once it is ready for what it is to be afterwards. */
+    /** Replies to the proposer that this node has accepted, once it is ready for its role in the next core. */
     private void confirm() {
         if (acceptedPersisted && (handover.isPersisted() || !acceptedValue.contains(context.self))) {
             context.send(
--- a/src/main/java/reedmux/control/consensus/EpochHandover.java
+++ b/src/main/java/reedmux/control/consensus/EpochHandover.java
@@ -4,17 +4,17 @@
 import java.util.Set;
 
 /**
- * What a member of the next core takes over from the fenced members of this one.
+ * Tracks the state that a member of the next core takes over from the fenced members of the current one.
  *
- * <p>Invariant: a quorum of fenced members has everything the epoch has decided or can still decide, so a node that has
- * taken over their states has it, too. Until every proposal in it is either pending here or known not to be decided,
- * the handover is not complete.
+ * <p>Invariant: a quorum of fenced members has everything that the epoch has decided or can still decide, so a node
+ * that has taken over their states has it too. The handover is complete only when every proposal in it is either
+ * pending at this node or known not to be decided.
  */
 final class EpochHandover {
     private final CoreContext context;
-    /** Fenced members whose committed items and pending proposals are here. */
+    /** Fenced members whose committed items and pending proposals have been merged into this node. */
     private final Set<String> receivedFrom = new HashSet<>();
-    /** Whether that is a complete handover which is on the disk, or on its way there. */
+    /** Whether a complete handover has been persisted or is being persisted. */
     private boolean persisting;
 
     private boolean persisted;
@@ -27,7 +27,7 @@
         return persisted;
     }
 
-    /** Asks all members whose state is missing for it. */
+    /** Requests the state of every member that has not handed it over yet. */
     void request() {
         if (context.isMember()) {
             receivedFrom.add(context.self);
@@ -43,7 +43,7 @@
         receivedFrom.add(from);
     }
 
-    /** Whether it is complete and has not been written to the disk yet. */
+    /** Returns whether the handover is complete and has not been passed to the disk yet. */
     boolean isReadyToPersist() {
         return !persisting
                 && context.quorum().isReachedBy(receivedFrom)
@@ -59,7 +59,7 @@
         persisted = written;
     }
 
-    /** The next epoch has begun. */
+    /** Clears the handover because the next epoch has started. */
     void reset() {
         receivedFrom.clear();
         persisting = false;
--- a/src/main/java/reedmux/control/consensus/EpochMessage.java
+++ b/src/main/java/reedmux/control/consensus/EpochMessage.java
@@ -1,13 +1,14 @@
 package reedmux.control.consensus;
 
 /**
- * One message of a round of Paxos on the core that succeeds an epoch's.
+ * A message of a Paxos round on the core that succeeds an epoch.
  *
- * @param epoch the epoch whose successor is decided on
- * @param ballot the ballot of the round; in a {@link EpochMessageType#REJECTED} the one promised to another
- * @param acceptedBallot in a {@link EpochMessageType#PROMISE} the ballot under which a value was accepted before, else
- *     null
- * @param value what is to be accepted, or was accepted before; else null
+ * @param epoch the epoch whose successor is being decided
+ * @param ballot the ballot of the round; in a {@link EpochMessageType#REJECTED} message, the ballot promised to another
+ *     proposer
+ * @param acceptedBallot in a {@link EpochMessageType#PROMISE} message, the ballot under which a value was accepted
+ *     earlier; otherwise null
+ * @param value the value to accept or the value accepted earlier; otherwise null
  */
 public record EpochMessage(
         EpochMessageType type, long epoch, Ballot ballot, Ballot acceptedBallot, CoreMembers value) {}
--- a/src/main/java/reedmux/control/consensus/EpochMessageType.java
+++ b/src/main/java/reedmux/control/consensus/EpochMessageType.java
@@ -1,19 +1,19 @@
 package reedmux.control.consensus;
 
 /**
- * The messages of a round of Paxos on the next core.
+ * The message types of a Paxos round on the next core.
  *
- * <p>The ordinal is what goes over the wire: constants are appended, never reordered or removed.
+ * <p>Types are encoded by their ordinal on the wire: constants are appended, never reordered or removed.
  */
 public enum EpochMessageType {
-    /** The proposer asks for a promise to take part in no round with a lower ballot. */
+    /** The proposer requests a promise to take part in no round with a lower ballot. */
     PREPARE,
-    /** A member has promised. */
+    /** A member promises. */
     PROMISE,
-    /** The proposer asks to accept a value. */
+    /** The proposer requests that a value be accepted. */
     ACCEPT,
-    /** A member, or who is to be one, has accepted. */
+    /** A member of the current or the next core has accepted. */
     ACCEPTED,
-    /** The receiver has promised a higher ballot, which is in the message. */
+    /** The receiver has promised a higher ballot, which the message contains. */
     REJECTED
 }
--- a/src/main/java/reedmux/control/consensus/EpochProposer.java
+++ b/src/main/java/reedmux/control/consensus/EpochProposer.java
@@ -4,24 +4,27 @@
 import java.util.TreeSet;
 
 /**
- * The proposer of a node: has the successor of the epoch decided on by one instance of Paxos.
+ * The proposer of a node. It gets the successor of an epoch decided by one instance of Paxos.
  *
- * <p>Phase 1 is prepared by a quorum of the members. Phase 2 is accepted by a quorum of the members and by one of those
- * afterwards. Unlike plain Paxos the acceptors of phase 2 include nodes outside the members, as the next core has to
- * hold what this one has decided before it begins.
+ * <p>In phase 1, a quorum of the members promises. In phase 2, a quorum of the current members and a quorum of the next
+ * members accept. Unlike in plain Paxos, the acceptors of phase 2 include nodes outside the current members, because
+ * the next core must hold everything that this core has decided before the next epoch starts.
  */
 final class EpochProposer {
-    /** After how long a message that was not answered is sent again. */
+    /** The interval after which an unanswered message is sent again, in microseconds. */
     private static final long RESEND_INTERVAL_MICROS = 125_000;
-    /** After how long a round is given up, and begun again with a higher ballot if it is still wanted. */
+    /**
+     * The timeout of a round, in microseconds. A round that times out is repeated with a higher ballot if a change is
+     * still wanted.
+     */
     private static final long ROUND_TIMEOUT_MICROS = 2_000_000;
-    /** How long this node proposes nothing after it was rejected for a higher ballot. */
+    /** How long this node proposes nothing after a rejection for a higher ballot, in microseconds. */
     private static final long REJECTED_BACKOFF_MICROS = 2 * RESEND_INTERVAL_MICROS;
 
     private final CoreContext context;
     private final EpochAcceptor acceptor;
     private final CoreChangePlanner planner;
-    /** The round under way, or null. */
+    /** The round in progress, or null. */
     private EpochRound round;
 
     private long lastBallotNumber;
@@ -33,23 +36,23 @@
         this.planner = planner;
     }
 
-    /** The next epoch has begun. */
+    /** Discards the round in progress because the next epoch has started. */
     void reset() {
         round = null;
     }
 
-    /** A peer that comes back may have lost what it answered. */
+    /** Discards the response of a disconnected peer: the peer may have lost that state when it reconnects. */
     void onPeerDisconnected(String ip) {
         if (round != null) {
             round.respondents.remove(ip);
         }
     }
 
-    /** Goes on with the round under way, or begins one as a leader. */
+    /** Continues the round in progress, or starts one if this node is the leader. */
     void onTick(boolean leader) {
         if (round != null && context.now - round.startedAt > ROUND_TIMEOUT_MICROS) {
-            context.port.log("a change of the core is not made in time, " + (round.accepting ? "accepted" : "promised")
-                    + " only by " + round.respondents);
+            context.port.log("core change timed out, " + (round.accepting ? "accepted" : "promised") + " only by "
+                    + round.respondents);
             round = null;
         }
         if (round != null) {
@@ -61,7 +64,7 @@
         }
     }
 
-    /** Begins a round where a change is wanted, or one may be half done. */
+    /** Starts a round if a change is wanted or an earlier change may be incomplete. */
     private void beginRound() {
         CoreMembers next = planner.nextChange();
         if (next == null && !isChangeIncomplete()) {
@@ -81,11 +84,12 @@
     }
 
     /**
-     * Sends the message of the phase to who has not answered it. This node's own promise comes first: a ballot that
-     * others have seen is on this disk, so that it is not used for another value after a restart.
+     * Sends the message of the current phase to the nodes that have not answered it. In phase 1 this node promises
+     * first, so that a ballot which other nodes have seen is on this node's disk and is not reused for another value
+     * after a restart.
      */
     private void sendRoundMessages() {
-        EpochRound current = round; // the answers that come at once may end the round
+        EpochRound current = round; // replies received during a send may end the round
         current.sentAt = context.now;
         Set<String> receivers = new TreeSet<>(context.core.ips());
         if (current.accepting) {
@@ -105,7 +109,7 @@
         }
     }
 
-    /** A member has promised. */
+    /** Handles the promise of a member. */
     void onPromise(String from, EpochMessage promise) {
         if (round == null || round.accepting || !round.ballot.equals(promise.ballot())) {
             return;
@@ -116,14 +120,14 @@
                 sendRoundMessages();
             }
         } else if (round.value == null) {
-            round = null; // what was wanted, or half done, is not any more
+            round = null; // the change is no longer wanted or incomplete
         } else {
             round.beginAccepting();
             sendRoundMessages();
         }
     }
 
-    /** A member, or who is to be one, has accepted. */
+    /** Handles the acceptance by a member of the current or the next core. */
     void onAccepted(String from, EpochMessage accepted) {
         if (round == null || !round.accepting || !round.ballot.equals(accepted.ballot())) {
             return;
@@ -134,11 +138,11 @@
         }
     }
 
-    /** A member has promised a higher ballot. */
+    /** Handles the rejection by a member that has promised a higher ballot. */
     void onRejected(Ballot higher) {
         lastBallotNumber = Math.max(lastBallotNumber, higher.number());
         if (round != null && round.ballot.compareTo(higher) < 0) {
-            context.port.log("another node has proposed a core since: " + higher);
+            context.port.log("round superseded by the higher ballot " + higher);
             round = null;
             backoffUntil = context.now + REJECTED_BACKOFF_MICROS;
         }
--- a/src/main/java/reedmux/control/consensus/EpochRound.java
+++ b/src/main/java/reedmux/control/consensus/EpochRound.java
@@ -3,20 +3,23 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** One round of this node as a proposer of the next core. */
+/** One Paxos round in which this node proposes the next core. */
 final class EpochRound {
     final Ballot ballot;
-    /** When it began and when its messages were sent last, in microseconds. */
+    /** The start time of the round and the time its messages were last sent, in microseconds. */
     final long startedAt;
 
     long sentAt;
-    /** Who has promised, and later who has accepted. */
+    /** The nodes that have promised in the first phase, or accepted in the second phase. */
     final Set<String> respondents = new HashSet<>();
-    /** What is to be accepted: what is wanted, or what a member may have accepted before; null for neither. */
+    /**
+     * The proposed value: the core that this node wants, or one that a member may have accepted earlier; null if there
+     * is neither.
+     */
     CoreMembers value;
-    /** The highest ballot under which a member had accepted {@link #value} before; null for none. */
+    /** The highest ballot under which a member had already accepted {@link #value}; null if there is none. */
     Ballot highestAccepted;
-    /** Whether the second phase has begun. */
+    /** Whether the second phase has started. */
     boolean accepting;
 
     EpochRound(Ballot ballot, CoreMembers value, long startedAt) {
@@ -25,7 +28,10 @@
         this.startedAt = startedAt;
     }
 
-    /** Records a promise: a value that may have been decided on goes before what is wanted. */
+    /**
+     * Records a promise. A previously accepted value, which may have been decided, takes precedence over the value that
+     * this node wants.
+     */
     void onPromise(String from, EpochMessage promise) {
         Ballot accepted = promise.acceptedBallot();
         if (accepted != null && (highestAccepted == null || accepted.compareTo(highestAccepted) > 0)) {
--- a/src/main/java/reedmux/control/consensus/InDoubtProposals.java
+++ b/src/main/java/reedmux/control/consensus/InDoubtProposals.java
@@ -7,16 +7,16 @@
 import java.util.Set;
 
 /**
- * Precommitted proposals that another member of the core handed over and that can't be pending here beside what is
- * pending here. Those that are not precommitted are never in doubt: whoever has committed one has the precommitted
- * votes of a quorum, which shares a node with the quorum that hands over.
+ * Precommitted proposals that were handed over by another member of the core and conflict with proposals pending at
+ * this node. Proposals that are not precommitted are never in doubt: a node that has committed a proposal has received
+ * the precommitted votes of a quorum, which shares a node with the quorum that hands over its state.
  *
- * <p>Such a proposal may have been committed by a proposer that has the other member's vote. It is in doubt until
- * each such proposer is fenced and has handed over its own state: it didn't commit the proposal before, or it would
- * have handed it over as committed, and it can't do so afterwards.
+ * <p>An in-doubt proposal may have been committed by a proposer that received the other member's vote. It stays in
+ * doubt until each such proposer is fenced and has handed over its own state. If that proposer had committed the
+ * proposal earlier, it would have handed it over as committed, and it can't commit the proposal once it is fenced.
  */
 final class InDoubtProposals {
-    /** By proposal the nodes that may have decided on it. */
+    /** The nodes that may have decided on each proposal, by proposal ID. */
     private final Map<String, Set<String>> possibleDeciders = new HashMap<>();
 
     void add(String proposalId, Collection<String> proposers) {
@@ -31,7 +31,7 @@
         possibleDeciders.clear();
     }
 
-    /** Whether the states that these fenced nodes have handed over leave nothing in doubt. */
+    /** Returns whether no proposal is in doubt after these fenced nodes have handed over their states. */
     boolean areResolvedBy(Set<String> handedOver) {
         for (Set<String> deciders : possibleDeciders.values()) {
             if (!handedOver.containsAll(deciders)) {
--- a/src/main/java/reedmux/control/consensus/Learner.java
+++ b/src/main/java/reedmux/control/consensus/Learner.java
@@ -4,10 +4,10 @@
 import reedmux.control.configuration.ConfigurationItem;
 
 /**
- * The learner of a node: carries out decisions, whoever has made them.
+ * The learner of a node. It applies the decisions of all proposers.
  *
- * <p>A commit holds under any ballot. A drop holds only under the highest ballot seen: a higher attempt may be counting
- * this node's vote.
+ * <p>A commit is valid under any ballot. A drop is valid only under the highest ballot seen, because an attempt with a
+ * higher ballot may be counting this node's vote.
  */
 final class Learner {
     private final ConsensusContext context;
@@ -29,7 +29,7 @@
         this.contacts = contacts;
     }
 
-    /** Commits a proposal, or drops it where {@code committed} is false. */
+    /** Commits a proposal, or drops it if {@code committed} is false. */
     void onDecision(String proposalId, Ballot ballot, boolean committed, List<ConfigurationItem> items) {
         if (!committed && ballots.isSuperseded(proposalId, ballot)) {
             return;
--- a/src/main/java/reedmux/control/consensus/OperatorRequests.java
+++ b/src/main/java/reedmux/control/consensus/OperatorRequests.java
@@ -8,14 +8,16 @@
 import reedmux.control.replication.Replica.ValidationResult;
 
 /**
- * The operator's changes and reads, from the request to the answer.
+ * Handles the operator's changes and reads, from the request to the reply.
  *
- * <p>A change that is valid and new here is proposed at once. Whatever is answered without a decision of its own (a
- * read, a change that is committed already, a rejection) is answered only after a settled contact with a quorum, so
- * that it rests on everything that was acknowledged before.
+ * <p>A change that is valid and new to this node is proposed immediately. A reply that doesn't result from a decision
+ * of its own (a read, a change that is already committed, a rejection) is sent only after a settled contact with a
+ * quorum, so that it is based on everything that was acknowledged earlier.
  */
 final class OperatorRequests {
-    /** How often a change is proposed where it is dropped for what contended with it or was missing. */
+    /**
+     * The maximum number of times that a change is proposed if it is dropped because of contending or missing items.
+     */
     private static final int MAX_ATTEMPTS = 3;
 
     private static final String NO_QUORUM = "too few of the others can be reached";
@@ -27,7 +29,7 @@
     private final PeerSynchronization peers;
     private final QuorumContacts contacts;
     private final Proposer proposer;
-    /** Tells the proposals of this process from those of the earlier ones of this node. */
+    /** Distinguishes the proposals of this process from those of earlier processes of this node. */
     private final long incarnation;
 
     private long lastProposalNumber;
@@ -45,7 +47,7 @@
         this.proposer = proposer;
     }
 
-    /** A change on its way; its attempts follow one another. */
+    /** A change in progress; its attempts run one after another. */
     private final class PendingChange implements RoundListener {
         private final List<ConfigurationItem> items;
         private final BiConsumer<Integer, String> reply;
@@ -67,7 +69,7 @@
         public void onDropped() {
             if (attempt < MAX_ATTEMPTS) {
                 attempt++;
-                retryAfterContact(this); // what contended with it or was missing is known then
+                retryAfterContact(this); // the contending or missing items are known by then
             } else {
                 onAbandoned();
             }
@@ -79,7 +81,7 @@
         }
     }
 
-    /** A change of the configuration. */
+    /** Handles a change of the configuration. */
     void onChange(String body, BiConsumer<Integer, String> reply) {
         List<ConfigurationItem> items;
         try {
@@ -95,7 +97,10 @@
         }
     }
 
-    /** {@code settled}: everything that was acknowledged before the change was received is committed here. */
+    /**
+     * Proposes a change or replies to it. {@code settled} means that everything acknowledged before the change was
+     * received is committed at this node.
+     */
     private void attempt(PendingChange change, boolean settled) {
         List<ConfigurationItem> newItems = context.replica.findUncommitted(change.items);
         ValidationResult result = context.replica.validate("", change.items);
@@ -122,7 +127,7 @@
 
     private void answer(PendingChange change, ValidationResult result) {
         switch (result) {
-            case VALID -> change.reply.accept(OperationStatus.OK, NO_CONTENT); // committed already, or superseded
+            case VALID -> change.reply.accept(OperationStatus.OK, NO_CONTENT); // already committed or superseded
             case REVISION_EXPIRED ->
                 change.reply.accept(OperationStatus.UNAVAILABLE, "a revision is too old to be known");
             case REVISION_REUSED -> change.reply.accept(OperationStatus.CONFLICT, context.replica.problem());
@@ -130,7 +135,7 @@
         }
     }
 
-    /** A read of all committed items. */
+    /** Handles a read of all committed items. */
     void onRead(BiConsumer<Integer, String> reply) {
         contacts.begin(context.now, true, reached -> {
             if (reached) {
--- a/src/main/java/reedmux/control/consensus/PeerSynchronization.java
+++ b/src/main/java/reedmux/control/consensus/PeerSynchronization.java
@@ -6,12 +6,12 @@
 import java.util.Set;
 
 /**
- * Whose state is merged here, and whether this node may count itself.
+ * Tracks the peers whose state this node has merged, and whether this node may vote.
  *
- * <p>A node is <em>complete</em> when nothing that was acknowledged with its vote can be missing here. A node that
- * has lost its disk is not: it votes for nothing until it has merged the state of so many complete peers that every
- * quorum contains one of them. Then it has everything committed, and also the proposals pending at those peers,
- * because its lost vote may have helped to commit them.
+ * <p>A node is <em>complete</em> when nothing that was acknowledged with its vote can be missing from its state. A node
+ * that has lost its disk is incomplete: it votes for nothing until it has merged the state of enough complete peers
+ * that every quorum contains one of them. It then has everything that was committed, and also the proposals pending at
+ * those peers, because its lost vote may have helped to commit them.
  *
  * <p>A complete node is <em>current</em> while it is connected to a quorum whose state it has merged.
  */
@@ -19,11 +19,11 @@
     private final ConsensusContext context;
     /** Connected peers whose state has been merged since they connected. */
     private final Set<String> synchronizedPeers = new HashSet<>();
-    /** What was pending at these peers, until this node is complete. */
+    /** The proposals pending at these peers; collected until this node is complete. */
     private final List<Proposal> peerProposals = new ArrayList<>();
 
     private boolean complete;
-    /** Whether this process began without its disk and has become complete since. */
+    /** Whether this process started without its disk and has since become complete. */
     private boolean recovered;
 
     PeerSynchronization(ConsensusContext context, boolean complete) {
@@ -44,7 +44,7 @@
         return context.quorum.isReachedBy(reachable);
     }
 
-    /** How many of the connected peers come before this node in the order of their names. */
+    /** Returns the number of synchronized peers whose IP address is less than this node's. */
     long rank() {
         return synchronizedPeers.stream()
                 .filter(peer -> peer.compareTo(context.self) < 0)
@@ -57,7 +57,10 @@
         }
     }
 
-    /** All that is committed at a complete peer has been merged, and that is pending there. */
+    /**
+     * Records that everything committed at a complete peer has been merged; {@code pending} are the proposals pending
+     * there.
+     */
     void onCompletePeer(String peer, List<Proposal> pending) {
         if (!complete) {
             peerProposals.addAll(pending);
@@ -65,7 +68,7 @@
         synchronizedPeers.add(peer);
     }
 
-    /** Makes this node complete if it can be now; returns whether it has become so. */
+    /** Marks this node as complete if it has merged enough peers; returns whether it became complete now. */
     boolean tryComplete() {
         if (complete || !context.quorum.isBlockedBy(synchronizedPeers)) {
             return false;
@@ -75,14 +78,17 @@
         return true;
     }
 
-    /** What was pending at the peers that made this node complete; returned once. */
+    /** Removes and returns the proposals that were pending at the peers from which this node recovered. */
     List<Proposal> takePeerProposals() {
         List<Proposal> proposals = List.copyOf(peerProposals);
         peerProposals.clear();
         return proposals;
     }
 
-    /** An incomplete node goes on counting what it has merged: that does not get lost with the connection. */
+    /**
+     * Removes a disconnected peer, unless this node is incomplete: what an incomplete node has merged stays merged
+     * after the connection is lost.
+     */
     void onPeerDisconnected(String peer) {
         if (complete) {
             synchronizedPeers.remove(peer);
--- a/src/main/java/reedmux/control/consensus/Proposal.java
+++ b/src/main/java/reedmux/control/consensus/Proposal.java
@@ -5,24 +5,25 @@
 import reedmux.control.configuration.ConfigurationItem;
 
 /**
- * A change of the configuration that is to be decided: all of its items are committed together, or none.
+ * A proposed change of the configuration. Its items are committed atomically.
  *
  * @param id unique in the whole system
- * @param ballot of the last attempt to decide on it that the node which has it took part in
- * @param precommitted whether a quorum is known to have prepared it; it is committed once a quorum has it marked so
+ * @param ballot the ballot of the last attempt at this proposal in which the node that holds this copy took part
+ * @param precommitted whether a quorum is known to have prepared the proposal; it is committed once a quorum has it
+ *     marked as precommitted
  */
 public record Proposal(String id, Ballot ballot, List<ConfigurationItem> items, boolean precommitted) {
-    /** Copies the items. */
+    /** Creates a proposal with a copy of the items. */
     public Proposal {
         items = new ArrayList<>(items);
     }
 
-    /** A proposal that is not precommitted. */
+    /** Creates a proposal that is not precommitted. */
     public Proposal(String id, Ballot ballot, List<ConfigurationItem> items) {
         this(id, ballot, items, false);
     }
 
-    // Written out: the generated methods of a record are linked on first use, which delays a start.
+    // Implemented explicitly because the generated methods of a record are linked on first use, which delays startup.
     @Override
     public boolean equals(Object other) {
         return other instanceof Proposal proposal
@@ -37,12 +38,12 @@
         return id.hashCode();
     }
 
-    /** The same proposal in another attempt. */
+    /** Returns this proposal with the ballot of another attempt. */
     Proposal withBallot(Ballot next) {
         return new Proposal(id, next, items, precommitted);
     }
 
-    /** The same proposal, marked as prepared by a quorum. */
+    /** Returns this proposal, marked as prepared by a quorum. */
     Proposal asPrecommitted() {
         return new Proposal(id, ballot, items, true);
     }
--- a/src/main/java/reedmux/control/consensus/ProposalRound.java
+++ b/src/main/java/reedmux/control/consensus/ProposalRound.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One attempt of this node to have a proposal decided, under one ballot. */
+/** One attempt of this node, under one ballot, to get a proposal decided. */
 final class ProposalRound {
     final Proposal proposal;
-    /** Who waits for the outcome; null in a recovery. */
+    /** Receives the outcome; null for a recovery. */
     final RoundListener listener;
-    /** When the first attempt of this row of attempts began, in microseconds. */
+    /** The start time of the first in this series of attempts, in microseconds. */
     final long startedAt;
 
     private final Map<String, Vote> votes = new HashMap<>();
@@ -29,7 +29,7 @@
         return votes.containsValue(vote);
     }
 
-    /** Who has prepared the proposal. */
+    /** Returns the nodes that have prepared the proposal. */
     Set<String> preparedVoters() {
         Set<String> prepared = new HashSet<>();
         for (Map.Entry<String, Vote> vote : votes.entrySet()) {
@@ -40,14 +40,14 @@
         return prepared;
     }
 
-    /** Who has answered without preparing the proposal. */
+    /** Returns the nodes that have answered without preparing the proposal. */
     Set<String> unpreparedVoters() {
         Set<String> others = new HashSet<>(votes.keySet());
         others.removeAll(preparedVoters());
         return others;
     }
 
-    /** Who can't prepare the proposal because of what is committed or pending there. */
+    /** Returns the nodes that can't prepare the proposal because of their committed items or pending proposals. */
     Set<String> refusingVoters() {
         Set<String> refused = new HashSet<>();
         for (Map.Entry<String, Vote> vote : votes.entrySet()) {
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Who takes part in no attempt with a lower ballot any more and has not precommitted the proposal: it has prepared
-     * or refused it under this one.
+     * Returns the nodes that no longer take part in any attempt with a lower ballot and have not precommitted the
+     * proposal: each has prepared or refused it under this ballot.
      */
     Set<String> votersWithoutPrecommit() {
         Set<String> answered = refusingVoters();
--- a/src/main/java/reedmux/control/consensus/Proposer.java
+++ b/src/main/java/reedmux/control/consensus/Proposer.java
@@ -6,36 +6,37 @@
 import reedmux.control.configuration.ConfigurationItem;
 
 /**
- * The proposer of a node: brings proposals to a decision in rounds.
+ * The proposer of a node. It gets proposals decided in rounds.
  *
- * <p>A proposal takes two rounds, as in three-phase commit. In the first, a quorum prepares it on its disks. In the
- * second, under a higher ballot, a quorum marks it as precommitted. Then it is committed and everybody is told.
+ * <p>A proposal takes two rounds, as in three-phase commit. In the first, a quorum persists it as prepared. In the
+ * second, under a higher ballot, a quorum marks it as precommitted. Then the proposer commits it and broadcasts the
+ * decision.
  *
  * <p>Invariants:
  *
  * <ul>
- *   <li>A committed proposal is precommitted on the disks of a quorum. A recovery therefore finds it and completes it;
- *       it never drops it.
- *   <li>A proposal is dropped only under a ballot for which no attempt, earlier or under way, can still commit it: a
- *       quorum can't be reached without a node that refuses it under this ballot, or one of its revisions was
- *       committed with another content.
- *   <li>Where a voter has something pending that contends with the proposal, that is decided first, so that of two
- *       proposals which contend at most one is committed.
+ *   <li>A committed proposal is precommitted on the disks of a quorum. A recovery therefore finds and completes it,
+ *     and never drops it.
+ *   <li>A proposal is dropped only under a ballot for which no attempt, earlier or in progress, can still commit it:
+ *     either every quorum contains a node that refuses it under this ballot, or one of its revisions was committed
+ *     with different content.
+ *   <li>If a contending proposal is pending at a voter, that proposal is decided first, so at most one of two
+ *     contending proposals is committed.
  * </ul>
  */
 final class Proposer {
     /**
-     * How long two proposals that contend, and of which neither can be committed, wait before one yields; a multiple
-     * of it by rank, so that they don't both yield.
+     * How long two contending proposals that block each other wait before one yields, in microseconds. The wait is
+     * multiplied by the rank of the node plus one, so that the two don't yield at the same time.
      */
     private static final long CONTENTION_TIMEOUT_MICROS = 200_000;
 
-    /** How a proposal's rounds end. */
+    /** The outcome of the rounds of a proposal. */
     private enum Outcome {
         COMMITTED,
-        /** No attempt can commit it any more. */
+        /** No attempt can still commit the proposal. */
         DROPPED,
-        /** Another attempt may still commit it. */
+        /** Another attempt may still commit the proposal. */
         ABANDONED
     }
 
@@ -44,7 +45,7 @@
     private final BallotHistory ballots;
     private final Acceptor acceptor;
     private final Learner learner;
-    /** The latest round of each proposal that this node tries to have decided. */
+    /** The latest round of each proposal for which this node seeks a decision, by proposal ID. */
     private final Map<String, ProposalRound> rounds = new LinkedHashMap<>();
 
     Proposer(
@@ -64,7 +65,7 @@
         return rounds.containsKey(proposalId);
     }
 
-    /** Begins the first round of a proposal; {@code listener} may be null. */
+    /** Starts the first round of a proposal; {@code listener} may be null. */
     void propose(Proposal proposal, RoundListener listener, long startedAt) {
         startRound(new ProposalRound(proposal, listener, startedAt));
     }
@@ -79,14 +80,14 @@
         startRound(new ProposalRound(ballots.withHigherBallot(proposal), round.listener, round.startedAt));
     }
 
-    /** Votes counted under another quorum are void: all rounds begin again. */
+    /** Restarts all rounds after a change of the quorum, because votes counted under the previous quorum are void. */
     void restartAll() {
         for (ProposalRound round : List.copyOf(rounds.values())) {
             startNextRound(round, round.proposal);
         }
     }
 
-    /** A vote has come in. While the core is being changed nothing is decided; rounds begin again after it. */
+    /** Handles a vote. While the core is fenced nothing is decided; rounds restart after the core change. */
     void onVote(String voter, String proposalId, Ballot ballot, Vote vote) {
         ProposalRound round = rounds.get(proposalId);
         if (round == null || context.fenced || !round.proposal.ballot().equals(ballot)) {
@@ -106,7 +107,7 @@
 
     private void onPreparedByQuorum(ProposalRound round) {
         if (round.hasVote(Vote.BUSY)) {
-            return; // what contends with it there is decided first
+            return; // the contending proposal at that voter is decided first
         }
         if (round.proposal.precommitted()) {
             finish(round.proposal.id(), Outcome.COMMITTED);
@@ -144,7 +145,7 @@
         context.port.broadcastDecision(id, ballot, committed, items);
     }
 
-    /** Ends rounds that have taken too long, and repeats those that had to wait for another proposal. */
+    /** Ends rounds that have timed out, and repeats those that had to wait for a contending proposal. */
     void onTick() {
         for (Map.Entry<String, ProposalRound> entry : List.copyOf(rounds.entrySet())) {
             ProposalRound round = entry.getValue();
@@ -160,8 +161,9 @@
     }
 
     /**
-     * Whether a proposal that contends with another may be dropped in its favour: a quorum has answered this round
-     * without having precommitted the proposal and takes part in no lower one, so no earlier attempt can commit it.
+     * Returns whether a proposal may be dropped in favour of a contending one: a quorum has answered this round without
+     * having precommitted the proposal, and takes part in no lower round, so no earlier attempt can commit the
+     * proposal.
      */
     private boolean mayYield(ProposalRound round) {
         if (context.fenced
--- a/src/main/java/reedmux/control/consensus/Quorum.java
+++ b/src/main/java/reedmux/control/consensus/Quorum.java
@@ -5,15 +5,15 @@
 import java.util.TreeSet;
 
 /**
- * Which sets of nodes decide: a majority of the members, and at least a given number of them, so that a decision
- * outlives the loss of all disks but one of that number. While the members are being changed, that of the members
- * before and of those after.
+ * Determines which sets of nodes form a quorum: a majority of the members that contains at least a minimum number of
+ * them, so that a decision survives the loss of all but one of that many disks. During a membership change, a quorum of
+ * both the old and the new members is required.
  *
- * <p>Invariant: any two sets that decide share a node.
+ * <p>Invariant: any two quorums share a node.
  */
 public final class Quorum {
     private final Set<String> members;
-    /** Empty where no change is under way. */
+    /** Empty unless a membership change is in progress. */
     private final Set<String> nextMembers;
 
     private final int minimumSize;
@@ -25,25 +25,26 @@
     }
 
     /**
-     * The quorum of members that are not being changed.
+     * Returns the quorum of a fixed set of members.
      *
-     * @param members their ips
+     * @param members the IP addresses of the members
+     * @param minimumSize the least number of members in a quorum
      */
     public static Quorum of(Collection<String> members, int minimumSize) {
         return new Quorum(new TreeSet<>(members), Set.of(), minimumSize);
     }
 
-    /** The quorum while {@code members} are being changed to {@code nextMembers}. */
+    /** Returns the joint quorum for a change from {@code members} to {@code nextMembers}. */
     public static Quorum joint(Collection<String> members, Collection<String> nextMembers, int minimumSize) {
         return new Quorum(new TreeSet<>(members), new TreeSet<>(nextMembers), minimumSize);
     }
 
-    /** Whether these nodes decide. */
+    /** Returns whether these nodes form a quorum. */
     public boolean isReachedBy(Collection<String> nodes) {
         return isReachedIn(members, nodes) && (nextMembers.isEmpty() || isReachedIn(nextMembers, nodes));
     }
 
-    /** Whether no set that decides is without one of these nodes. */
+    /** Returns whether every quorum contains at least one of these nodes. */
     public boolean isBlockedBy(Collection<String> nodes) {
         return isBlockedIn(members, nodes) || isBlockedIn(nextMembers, nodes);
     }
--- a/src/main/java/reedmux/control/consensus/QuorumContacts.java
+++ b/src/main/java/reedmux/control/consensus/QuorumContacts.java
@@ -10,37 +10,37 @@
 import java.util.function.Consumer;
 
 /**
- * Linearizable reads without a round of voting, in the manner of Raft's ReadIndex.
+ * Implements linearizable reads without a voting round, similar to Raft's ReadIndex.
  *
- * <p>A contact succeeds once a quorum has confirmed it. Each peer confirms behind all that is committed there, so
- * that this is merged here first. As there is no leader and no log, a peer may have prepared a proposal that is
- * committed already without knowing it; with {@code settled} it therefore confirms only once everything that was
- * pending there at the time of the request is decided.
+ * <p>A contact succeeds once a quorum has confirmed it. Each peer sends its confirmation after everything that is
+ * committed there, so that these items are merged at this node first. As there is no leader and no log, a peer may have
+ * prepared a proposal without knowing that it is already committed. With {@code settled}, the peer therefore confirms
+ * only after everything pending there at the time of the request is decided.
  *
- * <p>Invariant: when a settled contact succeeds, everything acknowledged before it began is committed here. Every
- * acknowledged proposal was on the disks of a quorum, which shares a node with the quorum that confirmed.
+ * <p>Invariant: when a settled contact succeeds, everything acknowledged before it began is committed at this node.
+ * Every acknowledged proposal was on the disks of a quorum, which shares a node with the quorum that confirmed.
  */
 final class QuorumContacts {
     private final ConsensusContext context;
     private final PeerSynchronization peers;
     private final Map<Long, QuorumContact> contacts = new LinkedHashMap<>();
-    /** The oldest first. */
+    /** Ordered from the oldest to the newest. */
     private final List<PendingConfirmation> pendingConfirmations = new ArrayList<>();
 
     private long lastContactId;
     private long lastQuorumContactAt = -1;
 
     /**
-     * A contact that this node seeks.
+     * A contact that was requested by this node.
      *
-     * @param confirmedBy who has confirmed it so far
-     * @param awaitedProposals what was pending here when it began and still is
-     * @param callback is told once whether a quorum has confirmed
+     * @param confirmedBy the nodes that have confirmed it so far
+     * @param awaitedProposals the proposals that were pending at this node when the contact began and still are
+     * @param callback receives once whether a quorum has confirmed
      */
     private record QuorumContact(
             Set<String> confirmedBy, Set<String> awaitedProposals, long startedAt, Consumer<Boolean> callback) {}
 
-    /** A peer that is answered once none of the awaited proposals is pending here any more. */
+    /** A contact request of a peer, which is confirmed once none of the awaited proposals is pending at this node. */
     private record PendingConfirmation(
             String requester, long contactId, Set<String> awaitedProposals, long receivedAt) {}
 
@@ -49,12 +49,12 @@
         this.peers = peers;
     }
 
-    /** When the last successful contact began, in microseconds; negative where none has succeeded. */
+    /** Returns the start time of the latest successful contact, in microseconds; negative if none has succeeded. */
     long lastQuorumContactAt() {
         return lastQuorumContactAt;
     }
 
-    /** Begins a contact; it fails at once where no quorum is connected or it is too late. */
+    /** Begins a contact. It fails immediately if no quorum is connected or the timeout has expired. */
     void begin(long startedAt, boolean settled, Consumer<Boolean> callback) {
         if (!peers.isCurrent() || context.isTimedOut(startedAt)) {
             callback.accept(false);
@@ -72,7 +72,10 @@
         return new HashSet<>(context.replica.pending().keySet());
     }
 
-    /** Confirmations counted under another quorum are void: all contacts begin again. */
+    /**
+     * Restarts all contacts after a change of the quorum, because confirmations counted under the previous quorum are
+     * void.
+     */
     void restartAll() {
         List<QuorumContact> restarted = List.copyOf(contacts.values());
         contacts.clear();
@@ -89,10 +92,10 @@
         }
     }
 
-    /** A peer asks for contact. */
+    /** Handles a peer's contact request. */
     void onRequest(String peer, long contactId, boolean settled) {
         if (!peers.isComplete()) {
-            return; // something acknowledged may be missing here
+            return; // acknowledged items may be missing from this node
         }
         if (!settled || context.replica.pending().isEmpty()) {
             context.port.sendContactConfirmation(peer, contactId);
@@ -101,7 +104,7 @@
         }
     }
 
-    /** A peer has confirmed a contact, and all that was committed there is merged here. */
+    /** Handles the confirmation of a peer; everything that was committed there has been merged into this node. */
     void onConfirmation(String peer, long contactId) {
         QuorumContact contact = contacts.get(contactId);
         if (contact != null) {
@@ -110,7 +113,7 @@
         }
     }
 
-    /** A proposal is not pending here any more. */
+    /** Removes a proposal that is no longer pending from the contacts and confirmations that wait for it. */
     void onProposalResolved(String proposalId) {
         Iterator<PendingConfirmation> confirmations = pendingConfirmations.iterator();
         while (confirmations.hasNext()) {
@@ -139,7 +142,7 @@
         }
     }
 
-    /** Fails contacts that have taken too long and forgets requests whose sender has given up. */
+    /** Fails contacts that have timed out, and discards contact requests that have timed out at their sender. */
     void onTick() {
         for (Map.Entry<Long, QuorumContact> contact : List.copyOf(contacts.entrySet())) {
             if (context.isTimedOut(contact.getValue().startedAt) && contacts.remove(contact.getKey()) != null) {
--- a/src/main/java/reedmux/control/consensus/RoundListener.java
+++ b/src/main/java/reedmux/control/consensus/RoundListener.java
@@ -1,14 +1,14 @@
 package reedmux.control.consensus;
 
-/** Hears once how the rounds of one proposal ended. */
+/** Receives the outcome of the rounds of one proposal, exactly once. */
 interface RoundListener {
 
     /** The proposal is committed. */
     void onCommitted();
 
-    /** The proposal was dropped and can't be committed any more; the same items may be proposed anew. */
+    /** The proposal was dropped and can no longer be committed; the same items may be proposed again. */
     void onDropped();
 
-    /** The rounds were given up; the proposal may still be committed by a recovery. */
+    /** The rounds were abandoned; a recovery may still commit the proposal. */
     void onAbandoned();
 }
--- a/src/main/java/reedmux/control/consensus/UndecidedProposalRecovery.java
+++ b/src/main/java/reedmux/control/consensus/UndecidedProposalRecovery.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 
 /**
- * Completes proposals that are pending here and that nobody decides, because their proposer has died or given up.
+ * Recovers pending proposals whose proposer has failed or abandoned them.
  *
- * <p>A pending proposal is proposed again with a higher ballot by every node that has it, one after the other by their
- * rank, so that they don't supersede each other's rounds. Only a precommitted one may have been acknowledged, and the
- * vote {@link Vote#PRECOMMITTED} of any node of a quorum keeps it from being dropped.
+ * <p>Every node that has a pending proposal proposes it again under a higher ballot. The nodes do so one after the
+ * other in the order of their ranks, so that they don't supersede each other's rounds. Only a precommitted proposal may
+ * have been acknowledged, and a {@link Vote#PRECOMMITTED} vote of any node of a quorum prevents it from being dropped.
  */
 final class UndecidedProposalRecovery {
-    /** How long a proposal is pending before the node of the lowest rank recovers it. */
+    /** How long a proposal is pending before the node of the lowest rank recovers it, in microseconds. */
     private static final long RECOVERY_DELAY_MICROS = 250_000;
-    /** How much longer the node of the next rank waits. */
+    /** Additional recovery delay per rank, in microseconds. */
     private static final long RECOVERY_STAGGER_MICROS = 300_000;
 
     private final ConsensusContext context;
@@ -35,7 +35,10 @@
         this.proposer = proposer;
     }
 
-    /** Proposes again what is due; to be called only while this node is current. */
+    /**
+     * Proposes again the pending proposals whose recovery delay has expired. Must be called only while this node is
+     * current.
+     */
     void recoverOverdueProposals() {
         long delay = RECOVERY_DELAY_MICROS + RECOVERY_STAGGER_MICROS * peers.rank();
         for (Map.Entry<String, Long> entry : List.copyOf(acceptor.pendingSince().entrySet())) {
--- a/src/main/java/reedmux/control/consensus/UnreachableMembers.java
+++ b/src/main/java/reedmux/control/consensus/UnreachableMembers.java
@@ -4,21 +4,22 @@
 import java.util.Map;
 
 /**
- * Since when each member of the core is out of reach, as seen by this node. A member that is out of reach for
- * {@link #DEAD_AFTER_MICROS} counts as dead: most likely it is gone for good. If it is not, nothing is lost by that; it
- * joins again once it is back. Times are in microseconds. Confined to one thread.
+ * Tracks how long each member of the core has been unreachable from this node. A member that has been unreachable for
+ * {@link #DEAD_AFTER_MICROS} is considered dead, because it has most likely failed permanently. If it has not, nothing
+ * is lost: it joins again after it becomes reachable. Times are in microseconds. Confined to one thread.
  */
 final class UnreachableMembers {
     /**
-     * Longer than a restart takes, so that few of those that come back are taken for dead; and short enough that a
-     * machine that is gone for good has left the core, together with the 2.2 s after which a silent connection ends,
-     * within the 4 s after which its successor counts and the next machine may go.
+     * How long a member must be unreachable to be considered dead, in microseconds. This is longer than a restart
+     * takes, so that few restarting members are considered dead. It is short enough that a permanently failed machine
+     * is removed from the core, including the 2.2 s after which a silent connection is closed, within the 4 s after
+     * which its successor may vote and the next machine may fail.
      */
     static final long DEAD_AFTER_MICROS = 1_500_000;
 
     private final Map<String, Long> unreachableSince = new HashMap<>();
 
-    /** To be called several times a second. */
+    /** Updates reachability from the current connections. Must be called several times a second. */
     void update(CoreContext context) {
         unreachableSince.keySet().retainAll(context.core.ips());
         for (String ip : context.core.ips()) {
@@ -30,12 +31,12 @@
         }
     }
 
-    /** How long a member has been out of reach; 0 for one that is in reach. */
+    /** Returns how long a member has been unreachable; 0 for a reachable member. */
     long unreachableMicros(String ip, long now) {
         return now - unreachableSince.getOrDefault(ip, now);
     }
 
-    /** The member that has been dead longest; null where none is. */
+    /** Returns the member that has been dead the longest, or null if no member is dead. */
     String longestDeadMember(long now) {
         String longest = null;
         for (String ip : unreachableSince.keySet()) {
--- a/src/main/java/reedmux/control/consensus/Vote.java
+++ b/src/main/java/reedmux/control/consensus/Vote.java
@@ -1,27 +1,30 @@
 package reedmux.control.consensus;
 
 /**
- * What one acceptor answers to a proposal.
+ * The vote of one acceptor on a proposal.
  *
- * <p>The ordinal is what goes over the wire: constants are appended, never reordered or removed.
+ * <p>Votes are encoded by their ordinal on the wire: constants are appended, never reordered or removed.
  */
 public enum Vote {
-    /** The proposal is on the acceptor's disk. */
+    /** The acceptor has persisted the proposal. */
     PREPARED,
-    /** The proposal is not valid together with what is committed at the acceptor. */
+    /** The proposal is not valid together with the items committed at the acceptor. */
     INVALID,
-    /** The proposal is not valid together with another proposal that is pending at the acceptor. */
+    /**
+     * The proposal conflicts with another proposal that is pending at the acceptor, one of its revisions is too old to
+     * be known there, the acceptor knows that the proposal was dropped, or the acceptor is fenced.
+     */
     BUSY,
-    /** The acceptor's disk fails, or the acceptor has lost its disk and does not count itself yet. */
+    /** The acceptor's disk has failed, or the acceptor has lost its disk and has not recovered yet. */
     UNAVAILABLE,
     /** The acceptor has taken part in an attempt with a higher ballot. */
     SUPERSEDED,
-    /** One of the revisions was committed with another content, so the proposal can never be committed. */
+    /** One of the revisions was already committed with different content, so the proposal can never be committed. */
     CONFLICT,
-    /** The proposal is on the acceptor's disk, marked as prepared by a quorum. */
+    /** The acceptor has persisted the proposal and marked it as prepared by a quorum. */
     PRECOMMITTED;
 
-    /** Whether the acceptor has the proposal on its disk. */
+    /** Returns whether the acceptor has persisted the proposal. */
     boolean isPrepared() {
         return this == PREPARED || this == PRECOMMITTED;
     }
--- a/src/main/java/reedmux/control/consensus/VoteListener.java
+++ b/src/main/java/reedmux/control/consensus/VoteListener.java
@@ -1,6 +1,6 @@
 package reedmux.control.consensus;
 
-/** Hears the votes of this node's own acceptor, which take no message. */
+/** Receives the votes of this node's own acceptor, which are not sent over the network. */
 interface VoteListener {
     void onOwnVote(String proposalId, Ballot ballot, Vote vote);
 }
