--- a/src/test/java/reedmux/control/consensus/ChangingCoreCluster.java
+++ b/src/test/java/reedmux/control/consensus/ChangingCoreCluster.java
@@ -12,17 +12,17 @@
 import java.util.TreeSet;
 import reedmux.control.replication.Replica;
 
-/** Nodes that join and leave the core, over connections that come up and go down. */
+/** Nodes that join and leave the core, with connections that are established and closed. */
 final class ChangingCoreCluster extends VirtualCluster {
     static final long TICK_MICROS = SECOND_MICROS / 5;
 
     final ConnectionNetwork links = new ConnectionNetwork(this);
-    /** Pairs of ips between which no connection can be made, each way. */
-    private final Set<String> partition = new HashSet<>();
-    /** The members of each epoch, wherever it was known. */
+    /** Ordered pairs of IP addresses between which no connection can be established; both directions are listed. */
+    private final Set<String> partitionedPairs = new HashSet<>();
+    /** The members of each epoch, as observed at any node. */
     final Map<Long, Set<String>> membersByEpoch = new TreeMap<>();
 
-    /** The nodes s0, s1, ... named n0, n1, ... are the first core. */
+    /** Creates a cluster whose first core consists of the nodes s0, s1, ... named n0, n1, ... */
     ChangingCoreCluster(int members) {
         network = links;
         TreeSet<String> ips = new TreeSet<>();
@@ -42,7 +42,7 @@
         assertEquals(reply.status, OperationStatus.OK);
     }
 
-    /** A new machine with an empty disk. */
+    /** Adds a new machine with an empty disk. */
     VirtualNode join(String ip, String name) {
         VirtualNode node = add(ip, name, null);
         node.start(false);
@@ -50,24 +50,24 @@
     }
 
     void partition(String firstIp, String secondIp) {
-        partition.add(firstIp + ' ' + secondIp);
-        partition.add(secondIp + ' ' + firstIp);
+        partitionedPairs.add(firstIp + ' ' + secondIp);
+        partitionedPairs.add(secondIp + ' ' + firstIp);
     }
 
     void heal(String firstIp, String secondIp) {
-        partition.remove(firstIp + ' ' + secondIp);
-        partition.remove(secondIp + ' ' + firstIp);
+        partitionedPairs.remove(firstIp + ' ' + secondIp);
+        partitionedPairs.remove(secondIp + ' ' + firstIp);
     }
 
     void healAll() {
-        partition.clear();
+        partitionedPairs.clear();
     }
 
     boolean canConnect(VirtualNode first, VirtualNode second) {
-        return first != second && first.up && second.up && !partition.contains(first.ip + ' ' + second.ip);
+        return first != second && first.up && second.up && !partitionedPairs.contains(first.ip + ' ' + second.ip);
     }
 
-    /** Whether a connection is up on which the first node sends to the second. */
+    /** Returns whether a connection is established on which the first node sends to the second. */
     boolean maySend(String from, String to) {
         return nodes.containsKey(to)
                 && canConnect(node(from), node(to))
@@ -92,37 +92,37 @@
         node.coreOnDisk = null;
     }
 
-    /** Connections come up and go down, and each node tells the others over them. */
+    /** Opens and closes connections, and makes the connected nodes exchange their states. */
     void connect() {
-        for (VirtualNode one : nodes.values()) {
-            for (VirtualNode other : nodes.values()) {
-                if (one == other || !one.up) {
+        for (VirtualNode node : nodes.values()) {
+            for (VirtualNode peer : nodes.values()) {
+                if (node == peer || !node.up) {
                     continue;
                 }
-                if (canConnect(one, other)) {
-                    connect(one, other);
-                } else if (one.connections.remove(other.ip)) {
-                    one.consensus.onPeerDisconnected(other.ip);
-                    one.membership.onPeerDisconnected(now, other.ip);
+                if (canConnect(node, peer)) {
+                    connect(node, peer);
+                } else if (node.connections.remove(peer.ip)) {
+                    node.consensus.onPeerDisconnected(peer.ip);
+                    node.membership.onPeerDisconnected(now, peer.ip);
                 }
             }
         }
         links.deliverAll();
-        for (VirtualNode one : nodes.values()) {
-            for (VirtualNode other : nodes.values()) {
-                if (canConnect(one, other)) {
-                    one.receiveStateOf(other);
-                    other.announceCore(one.ip);
+        for (VirtualNode node : nodes.values()) {
+            for (VirtualNode peer : nodes.values()) {
+                if (canConnect(node, peer)) {
+                    node.receiveStateOf(peer);
+                    peer.announceCore(node.ip);
                 }
             }
         }
     }
 
-    /** One node connects to another, if it is not connected yet. */
-    void connect(VirtualNode one, VirtualNode other) {
-        if (one.connections.add(other.ip)) {
-            one.membership.onPeerConnected(now, other.ip, other.name);
-            other.announceCore(one.ip);
+    /** Connects one node to another if they are not connected yet. */
+    void connect(VirtualNode node, VirtualNode peer) {
+        if (node.connections.add(peer.ip)) {
+            node.membership.onPeerConnected(now, peer.ip, peer.name);
+            peer.announceCore(node.ip);
         }
     }
 
@@ -152,7 +152,7 @@
         }
     }
 
-    /** Time passes, and all messages are delivered in one order. */
+    /** Advances time and delivers all messages in the selected order. */
     void settle(int seconds) {
         for (int i = 0; i < 5 * seconds; i++) {
             tick();
@@ -160,9 +160,9 @@
         }
     }
 
-    /** Messages are delivered in one order again, and time passes. */
+    /** Restores a fixed delivery order and advances time. */
     void settleInOrder(int seconds) {
-        links.connectionChooser = many -> 0;
+        links.connectionChooser = connectionCount -> 0;
         settle(seconds);
     }
 
@@ -170,7 +170,7 @@
         return node(ip).membership.core();
     }
 
-    /** All that are up have one core, of these members, and it takes changes. */
+    /** Asserts that all running nodes have the same core with these members, and that this core commits changes. */
     void assertCore(String... members) {
         for (VirtualNode node : nodes.values()) {
             if (node.up) {
@@ -180,7 +180,7 @@
                 assertFalse(node.membership.isFenced());
             }
         }
-        links.connectionChooser = many -> 0;
+        links.connectionChooser = connectionCount -> 0;
         String route = ConfigurationRequests.route("last", 2, "last.example");
         RecordedReply reply = change(node(members[0]), ConfigurationRequests.change(route));
         links.deliverAll();
--- a/src/test/java/reedmux/control/consensus/ConfigurationRequests.java
+++ b/src/test/java/reedmux/control/consensus/ConfigurationRequests.java
@@ -1,8 +1,8 @@
 package reedmux.control.consensus;
 
-/** The operator's changes, as JSON. */
+/** Builds the operator's change requests as JSON. */
 final class ConfigurationRequests {
-    /** The service that all routes name. */
+    /** A change that adds the service to which all routes refer. */
     static final String SERVICE = change(service("desk", 1));
 
     private ConfigurationRequests() {}
--- a/src/test/java/reedmux/control/consensus/ConnectionNetwork.java
+++ b/src/test/java/reedmux/control/consensus/ConnectionNetwork.java
@@ -8,14 +8,17 @@
 import java.util.TreeMap;
 import java.util.function.IntUnaryOperator;
 
-/** Connections that keep the order of their messages, each way; messages of different connections overtake. */
+/**
+ * A network of connections that preserve the message order in each direction. Messages of different connections may
+ * overtake each other.
+ */
 final class ConnectionNetwork implements VirtualNetwork {
-    /** By {@code from>to} what is under way. */
+    /** The messages in flight, by {@code from>to}. */
     private final Map<String, Deque<Runnable>> queues = new TreeMap<>();
 
     private final ChangingCoreCluster cluster;
-    /** Picks which connection delivers next. */
-    IntUnaryOperator connectionChooser = many -> 0;
+    /** Selects the connection that delivers next. */
+    IntUnaryOperator connectionChooser = connectionCount -> 0;
 
     ConnectionNetwork(ChangingCoreCluster cluster) {
         this.cluster = cluster;
@@ -60,7 +63,7 @@
         queues.keySet().removeIf(key -> key.startsWith(ip + '>') || key.endsWith('>' + ip));
     }
 
-    /** Takes what a node has sent out of the network, to be delivered by {@link #resume}. */
+    /** Removes the messages in flight from a node, to be delivered after {@link #resume}. */
     Map<String, Deque<Runnable>> suspendAllFrom(String ip) {
         Map<String, Deque<Runnable>> suspended = new TreeMap<>();
         for (String key : List.copyOf(queues.keySet())) {
--- a/src/test/java/reedmux/control/consensus/ConsensusNodeTest.java
+++ b/src/test/java/reedmux/control/consensus/ConsensusNodeTest.java
@@ -20,7 +20,7 @@
 import reedmux.control.configuration.InvalidConfigurationException;
 import reedmux.testing.ScheduleExplorer;
 
-/** Three nodes and every order in which their messages may come in; and single nodes, vote by vote. */
+/** Explores all delivery orders of the messages between three nodes, and tests the votes of single nodes. */
 public class ConsensusNodeTest {
     private static final int MAX_ORDERS = 20_000;
 
@@ -33,42 +33,43 @@
     @Test
     public void routesWithTheSameHostAndPrefixAreNeverBothCommitted() {
         int[] committed = {0};
-        int orders = explore("one host and prefix, two nodes", schedule -> {
+        int orders = explore("same host and prefix at two nodes", schedule -> {
             FixedCoreCluster cluster = new FixedCoreCluster();
-            RecordedReply one = cluster.change(cluster.node(0), change(route("one", 2, "h.example")));
-            RecordedReply two = cluster.change(cluster.node(1), change(route("two", 2, "h.example")));
+            RecordedReply firstReply = cluster.change(cluster.node(0), change(route("one", 2, "h.example")));
+            RecordedReply secondReply = cluster.change(cluster.node(1), change(route("two", 2, "h.example")));
             cluster.messages.deliverAll(schedule::choose);
             cluster.settle();
             cluster.assertAgreed();
-            assertFalse(one.isOk() && two.isOk());
-            committed[0] += one.isOk() || two.isOk() ? 1 : 0;
-            assertTrue(!one.isOk() || cluster.node(2).hasRoute("one", 2));
-            assertTrue(!two.isOk() || cluster.node(2).hasRoute("two", 2));
+            assertFalse(firstReply.isOk() && secondReply.isOk());
+            committed[0] += firstReply.isOk() || secondReply.isOk() ? 1 : 0;
+            assertTrue(!firstReply.isOk() || cluster.node(2).hasRoute("one", 2));
+            assertTrue(!secondReply.isOk() || cluster.node(2).hasRoute("two", 2));
         });
-        assertTrue(orders > 100 && committed[0] > 0, orders + " orders, " + committed[0] + " with one committed");
+        assertTrue(orders > 100 && committed[0] > 0, orders + " orders, " + committed[0] + " with one route committed");
     }
 
     @Test
     public void conflictingContentsOfARevisionAreNeverBothAcknowledged() {
-        explore("one revision, two contents, two nodes", schedule -> {
+        explore("same revision with two contents at two nodes", schedule -> {
             FixedCoreCluster cluster = new FixedCoreCluster();
-            RecordedReply one = cluster.change(cluster.node(0), change(route("one", 2, "h.example")));
-            RecordedReply other = cluster.change(cluster.node(1), change(route("one", 2, "other.example")));
+            RecordedReply firstReply = cluster.change(cluster.node(0), change(route("one", 2, "h.example")));
+            RecordedReply secondReply = cluster.change(cluster.node(1), change(route("one", 2, "other.example")));
             cluster.messages.deliverAll(schedule::choose);
             cluster.settle();
             cluster.assertAgreed();
-            assertFalse(one.isOk() && other.isOk());
+            assertFalse(firstReply.isOk() && secondReply.isOk());
         });
     }
 
     @Test
     public void acknowledgedChangeSurvivesFailureOfItsProposer() {
         for (boolean wiped : new boolean[] {false, true}) {
-            explore("the proposer dies" + (wiped ? " with its disk" : ""), schedule -> {
+            explore("the proposer crashes" + (wiped ? " and loses its disk" : ""), schedule -> {
                 FixedCoreCluster cluster = new FixedCoreCluster();
                 RecordedReply reply = cluster.change(cluster.node(0), change(route("one", 2, "h.example")));
-                cluster.messages.deliverAll(many -> {
-                    // It dies as soon as it has acknowledged, with or without what it has sent.
+                cluster.messages.deliverAll(messageCount -> {
+                    // The proposer crashes as soon as it has acknowledged the change, with or without losing the
+                    // messages it sent.
                     if (reply.isOk() && cluster.isUp(0)) {
                         cluster.setDown(0);
                         if (schedule.choose(2) == 0) {
@@ -76,7 +77,7 @@
                             return -1;
                         }
                     }
-                    return schedule.choose(many);
+                    return schedule.choose(messageCount);
                 });
                 boolean acknowledged = reply.isOk();
                 cluster.setDown(0);
@@ -102,7 +103,7 @@
         FixedCoreCluster cluster = new FixedCoreCluster();
         cluster.restart(0, true);
         RecordedReply reply = cluster.change(cluster.node(1), change(route("one", 2, "h.example")));
-        cluster.setDown(2); // so that only the wiped one could make up the quorum
+        cluster.setDown(2); // only the wiped node could complete the quorum
         cluster.deliverInOrder();
         assertNotEquals(reply.status, OperationStatus.OK);
         cluster.setAllUp();
@@ -138,13 +139,13 @@
         };
         for (String body : invalid) {
             FixedCoreCluster cluster = new FixedCoreCluster();
-            TreeMap<String, Long> before = cluster.committed(0);
+            TreeMap<String, Long> committedBefore = cluster.committed(0);
             RecordedReply reply = cluster.change(cluster.node(0), body);
             cluster.deliverInOrder();
             assertEquals(reply.status, OperationStatus.INVALID, body);
             assertTrue(reply.text.length() > 10, body);
             cluster.settle();
-            assertEquals(cluster.committed(2), before);
+            assertEquals(cluster.committed(2), committedBefore);
         }
     }
 
@@ -153,16 +154,16 @@
         FixedCoreCluster cluster = new FixedCoreCluster();
         cluster.change(cluster.node(0), change(route("one", 5, "h.example")));
         cluster.deliverInOrder();
-        TreeMap<String, Long> before = cluster.committed(0);
-        RecordedReply otherContent = cluster.change(cluster.node(1), change(route("one", 5, "other.example")));
-        RecordedReply older = cluster.change(cluster.node(2), change(route("one", 4, "third.example")));
-        RecordedReply same = cluster.change(cluster.node(1), change(route("one", 5, "h.example")));
+        TreeMap<String, Long> committedBefore = cluster.committed(0);
+        RecordedReply otherContentReply = cluster.change(cluster.node(1), change(route("one", 5, "other.example")));
+        RecordedReply olderRevisionReply = cluster.change(cluster.node(2), change(route("one", 4, "third.example")));
+        RecordedReply sameContentReply = cluster.change(cluster.node(1), change(route("one", 5, "h.example")));
         cluster.deliverInOrder();
-        assertEquals(otherContent.status, OperationStatus.CONFLICT);
-        assertEquals(older.status, OperationStatus.OK);
-        assertEquals(same.status, OperationStatus.OK);
+        assertEquals(otherContentReply.status, OperationStatus.CONFLICT);
+        assertEquals(olderRevisionReply.status, OperationStatus.OK);
+        assertEquals(sameContentReply.status, OperationStatus.OK);
         cluster.settle();
-        assertEquals(cluster.committed(1), before);
+        assertEquals(cluster.committed(1), committedBefore);
     }
 
     @Test
@@ -182,7 +183,7 @@
 
     // ---- One node, vote by vote --------------------------------------------------------------------
 
-    /** One of five members, which has committed the service. */
+    /** Creates one of five members, with the service committed. */
     private static SingleNodeCluster oneOfFive() throws InvalidConfigurationException {
         SingleNodeCluster cluster = SingleNodeCluster.ofMembers("s0", "s1", "s2", "s3", "s4");
         cluster.node.replica.merge(ConfigurationChangeFormat.parse(ConfigurationRequests.SERVICE));
@@ -194,20 +195,23 @@
         return new Proposal(id, new Ballot(number, proposer), ConfigurationChangeFormat.parse(change(item)));
     }
 
-    /** What the node answers to a proposal. */
+    /** Returns the node's reply to a proposal. */
     private static String vote(SingleNodeCluster cluster, String proposer, long number, String id, String item)
             throws InvalidConfigurationException {
         cluster.node.consensus.onProposal(cluster.now, proposer, proposal(proposer, number, id, item));
         return cluster.lastSent();
     }
 
-    /** Another attempt may be counting our vote: what one with a lower ballot decides does not take it back. */
+    /**
+     * An attempt with a higher ballot may be counting this node's vote, so a drop under a lower ballot must not revoke
+     * it.
+     */
     @Test
     public void dropUnderALowerBallotLeavesTheProposalPending() throws InvalidConfigurationException {
         SingleNodeCluster cluster = oneOfFive();
-        String one = route("one", 2, "h.example");
-        assertEquals(vote(cluster, "s1", 1, "x", one), "PREPARED under 1 of s1");
-        assertEquals(vote(cluster, "s2", 2, "x", one), "PREPARED under 2 of s2");
+        String routeOne = route("one", 2, "h.example");
+        assertEquals(vote(cluster, "s1", 1, "x", routeOne), "PREPARED under 1 of s1");
+        assertEquals(vote(cluster, "s2", 2, "x", routeOne), "PREPARED under 2 of s2");
         cluster.node.consensus.onDecision(cluster.now, "x", new Ballot(1, "s1"), false, List.of());
         assertTrue(cluster.node.replica.isPending("x"));
         assertEquals(vote(cluster, "s3", 1, "z", route("two", 2, "h.example")), "BUSY under 1 of s3");
@@ -215,19 +219,25 @@
         assertFalse(cluster.node.replica.isPending("x"));
     }
 
-    /** Who has refused under one ballot says nothing else under one before it, whatever is decided since. */
+    /**
+     * A node that has refused a proposal under one ballot must reject all lower ballots, whatever has been decided
+     * since.
+     */
     @Test
     public void lowerBallotIsRejected() throws InvalidConfigurationException {
         SingleNodeCluster cluster = oneOfFive();
-        String one = route("one", 2, "h.example");
+        String routeOne = route("one", 2, "h.example");
         vote(cluster, "s3", 1, "z", route("two", 2, "h.example"));
-        assertEquals(vote(cluster, "s2", 2, "x", one), "BUSY under 2 of s2");
+        assertEquals(vote(cluster, "s2", 2, "x", routeOne), "BUSY under 2 of s2");
         cluster.node.consensus.onDecision(cluster.now, "z", new Ballot(1, "s3"), false, List.of());
-        assertEquals(vote(cluster, "s1", 1, "x", one), "SUPERSEDED under 1 of s1");
-        assertEquals(vote(cluster, "s1", 3, "x", one), "PREPARED under 3 of s1");
+        assertEquals(vote(cluster, "s1", 1, "x", routeOne), "SUPERSEDED under 1 of s1");
+        assertEquals(vote(cluster, "s1", 3, "x", routeOne), "PREPARED under 3 of s1");
     }
 
-    /** A vote for a proposal may have gone with the disk: what is pending at the peers is pending here, too. */
+    /**
+     * A node may have lost its vote for a proposal with its disk, so proposals pending at its peers must become pending
+     * there too.
+     */
     @Test
     public void wipedNodePreparesProposalsPendingAtItsPeers() throws InvalidConfigurationException {
         SingleNodeCluster peer = oneOfFive();
@@ -248,19 +258,22 @@
         assertEquals(wiped.recorder.sent, List.of("BUSY under 1 of s3"));
     }
 
-    /** While the core is being changed nothing new is prepared; what is pending goes on. */
+    /** A fenced node prepares no new proposals, but continues to vote on proposals that are already pending. */
     @Test
     public void fencedNodePreparesNoNewProposals() throws InvalidConfigurationException {
         SingleNodeCluster cluster = oneOfFive();
-        String one = route("one", 2, "h.example");
-        assertEquals(vote(cluster, "s1", 1, "x", one), "PREPARED under 1 of s1");
+        String routeOne = route("one", 2, "h.example");
+        assertEquals(vote(cluster, "s1", 1, "x", routeOne), "PREPARED under 1 of s1");
         cluster.node.consensus.setFenced(true);
-        assertEquals(vote(cluster, "s2", 2, "x", one), "PREPARED under 2 of s2");
+        assertEquals(vote(cluster, "s2", 2, "x", routeOne), "PREPARED under 2 of s2");
         assertEquals(vote(cluster, "s2", 1, "y", route("three", 2, "three.example")), "BUSY under 1 of s2");
         assertEquals(new TreeSet<>(cluster.node.consensus.proposersVotedFor("x")), Set.of("s1", "s2"));
     }
 
-    /** What is handed over is pending here; what was not precommitted gives way, as nobody can have committed it. */
+    /**
+     * A handed-over proposal becomes pending. One that is not precommitted is discarded if it conflicts with a pending
+     * proposal, because no node can have committed it.
+     */
     @Test
     public void handedOverPreparedProposalIsAdoptedUnlessItConflicts() throws InvalidConfigurationException {
         SingleNodeCluster cluster = oneOfFive();
@@ -276,7 +289,10 @@
         assertTrue(node.resolvesInDoubtProposals(Set.of("s1", "s2")));
     }
 
-    /** What may have been committed takes the place of what can't have been, and is written to the disk. */
+    /**
+     * A precommitted proposal, which may have been committed, replaces a conflicting one that can't have been, and is
+     * persisted.
+     */
     @Test
     public void handedOverPrecommittedProposalReplacesConflictingPreparedOne() throws InvalidConfigurationException {
         SingleNodeCluster cluster = oneOfFive();
@@ -288,27 +304,29 @@
         node.onHandover(cluster.now, List.of(), List.of(contending), List.of(List.of("s3")));
         assertTrue(cluster.node.replica.pending().get("z").precommitted());
         assertFalse(cluster.node.replica.isPending("x"));
-        assertTrue(cluster.node.replica.isPending("y"), "what does not contend stays");
+        assertTrue(cluster.node.replica.isPending("y"), "a proposal that does not contend must stay pending");
         assertTrue(node.resolvesInDoubtProposals(Set.of("s1", "s2")));
     }
 
-    /** What is precommitted elsewhere is so here, too: nothing that comes later may take its place. */
+    /**
+     * A proposal that is precommitted at another node becomes precommitted here, so that no later proposal replaces it.
+     */
     @Test
     public void preparedProposalBecomesPrecommittedByHandover() throws InvalidConfigurationException {
         SingleNodeCluster cluster = oneOfFive();
         vote(cluster, "s1", 1, "x", route("one", 2, "h.example"));
-        Proposal elsewhere =
+        Proposal handedOver =
                 proposal("s1", 2, "x", route("one", 2, "h.example")).asPrecommitted();
         Proposal contending =
                 proposal("s3", 1, "z", route("two", 2, "h.example")).asPrecommitted();
         ConsensusNode node = cluster.node.consensus;
-        node.onHandover(cluster.now, List.of(), List.of(elsewhere, contending), List.of(List.of("s1"), List.of("s3")));
+        node.onHandover(cluster.now, List.of(), List.of(handedOver, contending), List.of(List.of("s1"), List.of("s3")));
         assertTrue(cluster.node.replica.pending().get("x").precommitted());
         assertFalse(cluster.node.replica.isPending("z"));
         assertFalse(node.resolvesInDoubtProposals(Set.of("s1", "s2")));
     }
 
-    /** Of two that are precommitted and contend one stays in doubt while somebody else may decide on it. */
+    /** Of two conflicting precommitted proposals, one stays in doubt while another node may still decide on it. */
     @Test
     public void handedOverProposalStaysInDoubtIfItConflictsWithAPrecommittedOne() throws InvalidConfigurationException {
         SingleNodeCluster cluster = oneOfFive();
--- a/src/test/java/reedmux/control/consensus/ContendingProposalsTest.java
+++ b/src/test/java/reedmux/control/consensus/ContendingProposalsTest.java
@@ -11,13 +11,13 @@
 import org.testng.annotations.Test;
 import reedmux.testing.ScheduleExplorer;
 
-/** Two proposals that contend while a node is lost, in every order of the messages. */
+/** Tests two contending proposals while a node is lost, in all explored message orders. */
 public class ContendingProposalsTest {
     private static final int MAX_ORDERS = 10_000;
     private static final String FIRST_CHANGE = change(route("one", 5, "h.example"));
-    /** Not valid together with the first: the same host and prefix. */
+    /** Conflicts with the first change: it has the same host and prefix. */
     private static final String SAME_HOST = change(route("two", 5, "h.example"));
-    /** Another content under the same revision. */
+    /** Has different content under the same revision. */
     private static final String SAME_REVISION = change(route("one", 5, "other.example"));
 
     private static void deliverAll(FixedCoreCluster cluster, ScheduleExplorer schedule) {
@@ -33,7 +33,7 @@
         }
     }
 
-    /** It comes back without its disk, and exchanges its state with the others in any order. */
+    /** Restarts a node without its disk. It exchanges its state with the other nodes in any order. */
     private static void restartWithoutDisk(FixedCoreCluster cluster, int index, ScheduleExplorer schedule) {
         cluster.setUp(index);
         cluster.now += SECOND_MICROS;
@@ -46,7 +46,7 @@
         cluster.node(second).receiveStateOf(cluster.node(index));
     }
 
-    /** How many acknowledged changes are committed nowhere at the end. */
+    /** Returns the number of acknowledged changes that are not committed at the end. */
     private static int countLost(String scenario, String contending) {
         int[] acknowledged = {0};
         int[] lost = {0};
@@ -62,7 +62,7 @@
             }
             acknowledged[0]++;
             cluster.crash(0);
-            if (schedule.choose(2) == 0) { // what is under way arrives before the node is back, or after
+            if (schedule.choose(2) == 0) { // messages in flight arrive before the node restarts, or after
                 deliverAll(cluster, schedule);
             }
             restartWithoutDisk(cluster, 0, schedule);
@@ -86,17 +86,22 @@
         return lost[0];
     }
 
-    /** The only node that knows of a decision loses its disk, and what contends is pending at another one. */
+    /**
+     * Guards against losing an acknowledged change: the only node that knows the decision loses its disk while a
+     * contending proposal is pending at another node.
+     */
     @Test
     public void acknowledgedChangeSurvivesDiskLossDespiteContendingProposal() {
-        int host = countLost("one host and prefix", SAME_HOST);
-        int revision = countLost("one revision, two contents", SAME_REVISION);
-        assertEquals(host + revision, 0, "acknowledged, and committed nowhere");
+        int lostWithSameHost = countLost("same host and prefix", SAME_HOST);
+        int lostWithSameRevision = countLost("same revision with two contents", SAME_REVISION);
+        assertEquals(
+                lostWithSameHost + lostWithSameRevision, 0, "acknowledged changes that are not committed at any node");
     }
 
     /**
-     * As in world --point 1 --cores 3 --seeds 47: the third node is away, and each of the others has prepared one of
-     * two proposals that contend. One yields within the time that a round has; none stays in the way of the other.
+     * Reproduces world --point 1 --cores 3 --seeds 47: the third node is down, and each of the other nodes has prepared
+     * one of two contending proposals. One proposal must yield within the timeout of a round, so that they don't block
+     * each other.
      */
     @Test
     public void oneOfTwoContendingProposalsYieldsWhileTheThirdNodeIsDown() {
@@ -104,8 +109,8 @@
             int orders = ScheduleExplorer.exploreAllOrSample(MAX_ORDERS, schedule -> {
                 FixedCoreCluster cluster = new FixedCoreCluster();
                 cluster.crash(2);
-                RecordedReply one = cluster.change(cluster.node(0), FIRST_CHANGE);
-                RecordedReply other = cluster.change(cluster.node(1), contending);
+                RecordedReply firstReply = cluster.change(cluster.node(0), FIRST_CHANGE);
+                RecordedReply secondReply = cluster.change(cluster.node(1), contending);
                 deliverAll(cluster, schedule);
                 for (int i = 0; i < 10; i++) {
                     cluster.now += SECOND_MICROS / 8;
@@ -114,11 +119,14 @@
                         deliverAll(cluster, schedule);
                     }
                 }
-                assertEquals((one.isOk() ? 1 : 0) + (other.isOk() ? 1 : 0), 1, one.status + " and " + other.status);
+                assertEquals(
+                        (firstReply.isOk() ? 1 : 0) + (secondReply.isOk() ? 1 : 0),
+                        1,
+                        firstReply.status + " and " + secondReply.status);
                 assertTrue(cluster.node(0).replica.pending().isEmpty()
                         && cluster.node(1).replica.pending().isEmpty());
             });
-            Reporter.log("two that contend, the third away: " + orders + " orders", true);
+            Reporter.log("two contending proposals, third node down: " + orders + " orders", true);
         }
     }
 }
--- a/src/test/java/reedmux/control/consensus/CoreMembershipTest.java
+++ b/src/test/java/reedmux/control/consensus/CoreMembershipTest.java
@@ -20,7 +20,9 @@
 import org.testng.annotations.Test;
 import reedmux.testing.ScheduleExplorer;
 
-/** Changes of the core, with messages in every order across connections; and single members, message by message. */
+/**
+ * Tests changes of the core with messages of different connections in any order, and single members message by message.
+ */
 public class CoreMembershipTest {
     private static final int EXPLORED_ORDERS = 500;
     private static final int SAMPLED_ORDERS = 500;
@@ -33,7 +35,7 @@
         return change(route(name, 2, host));
     }
 
-    /** All orders of the last messages, and as many drawn ones. */
+    /** Explores the orders of the last messages, and as many random orders. */
     private static int explore(
             String scenario, int members, BiConsumer<ChangingCoreCluster, IntUnaryOperator> runSchedule) {
         int orders = ScheduleExplorer.exploreAll(
@@ -47,7 +49,7 @@
         return orders;
     }
 
-    /** Where the change was acknowledged, all members that are up have its route. */
+    /** Asserts that all running members have the route if the change was acknowledged. */
     private static void assertCommittedIfAcknowledged(ChangingCoreCluster cluster, RecordedReply reply, String name) {
         if (reply.isOk()) {
             CoreMembers core = cluster.node("s0").up ? cluster.core("s0") : cluster.core("s1");
@@ -57,41 +59,47 @@
         }
     }
 
-    /** Changes go on while one joins and one leaves; all end with one core and all that was acknowledged. */
+    /**
+     * Configuration changes continue while one member joins and one leaves. All nodes must end with one core and every
+     * acknowledged change.
+     */
     @Test
     public void membersJoinAndLeaveWhileTheConfigurationIsChanged() {
         explore("join and leave", 3, (cluster, choice) -> {
             cluster.join("s3", "n3");
             cluster.settle(1);
             cluster.links.connectionChooser = choice;
-            RecordedReply one = null;
-            RecordedReply two = null;
-            RecordedReply three = null;
+            RecordedReply firstReply = null;
+            RecordedReply secondReply = null;
+            RecordedReply thirdReply = null;
             for (int i = 0; i < 12; i++) {
                 cluster.tick();
                 cluster.links.deliver(14);
                 if (i == 3) {
-                    one = cluster.change(cluster.node("s0"), routeChange("one"));
-                    two = cluster.change(cluster.node("s1"), routeChange("two"));
+                    firstReply = cluster.change(cluster.node("s0"), routeChange("one"));
+                    secondReply = cluster.change(cluster.node("s1"), routeChange("two"));
                 } else if (i == 8) {
-                    three = cluster.change(cluster.node("s2"), routeChange("three"));
+                    thirdReply = cluster.change(cluster.node("s2"), routeChange("three"));
                     cluster.node("s0").membership.requestRemoval(cluster.now, "n2", new RecordedReply());
                 }
             }
             cluster.links.deliverAll();
             cluster.settleInOrder(6);
-            assertCommittedIfAcknowledged(cluster, one, "one");
-            assertCommittedIfAcknowledged(cluster, two, "two");
-            assertCommittedIfAcknowledged(cluster, three, "three");
+            assertCommittedIfAcknowledged(cluster, firstReply, "one");
+            assertCommittedIfAcknowledged(cluster, secondReply, "two");
+            assertCommittedIfAcknowledged(cluster, thirdReply, "three");
             assertTrue(cluster.core("s0").contains("s3"));
             assertEquals(cluster.core("s0").contains("s2"), cluster.membersByEpoch.size() < 3);
         });
     }
 
-    /** What only the lost member and one other have is handed over first: then that other may be lost, too. */
+    /**
+     * A change that only the lost member and one other have must be handed over before the replacement is complete.
+     * Then that other member may be lost too.
+     */
     @Test
     public void secondMemberLossAfterAReplacementLosesNoAcknowledgedChange() {
-        int[] replaced = {0};
+        int[] replacements = {0};
         int orders = explore("second loss", 3, (cluster, choice) -> {
             cluster.partition("s0", "s1");
             cluster.partition("s2", "s1");
@@ -114,44 +122,47 @@
             if (!cluster.core("s1").contains("s3")) {
                 return;
             }
-            replaced[0]++;
+            replacements[0]++;
             assertTrue(cluster.node("s1").hasRoute("one") || cluster.node("s3").hasRoute("one"));
             cluster.crash(cluster.node("s0"));
             cluster.settleInOrder(6);
             assertTrue(cluster.node("s1").hasRoute("one") && cluster.node("s3").hasRoute("one"));
         });
-        assertTrue(replaced[0] > orders / 2, replaced[0] + " of " + orders);
-        Reporter.log("second loss: replaced in " + replaced[0], true);
+        assertTrue(replacements[0] > orders / 2, replacements[0] + " of " + orders);
+        Reporter.log("second loss: replacements completed: " + replacements[0], true);
     }
 
-    /** The candidate learns by a handover alone, and s1 has not been told of the change yet. */
+    /**
+     * Ticks a node without the states of its peers: the candidate learns only through a handover, and s1 has not
+     * received the change yet.
+     */
     private static void tickWithoutStateOfPeers(ChangingCoreCluster cluster, VirtualNode node) {
-        for (VirtualNode other : cluster.nodes.values()) {
-            if (cluster.canConnect(node, other)) {
-                cluster.connect(node, other);
+        for (VirtualNode peer : cluster.nodes.values()) {
+            if (cluster.canConnect(node, peer)) {
+                cluster.connect(node, peer);
             }
         }
         if (!node.up) {
             return;
         }
-        List<VirtualNode> others = cluster.nodes.values().stream()
-                .filter(other -> other != node && other.up)
+        List<VirtualNode> livePeers = cluster.nodes.values().stream()
+                .filter(peer -> peer != node && peer.up)
                 .toList();
         if (node.ip.equals("s3")) {
-            for (VirtualNode other : others) {
-                node.consensus.onPeerState(cluster.now, other.ip, true, List.of(), List.of());
+            for (VirtualNode peer : livePeers) {
+                node.consensus.onPeerState(cluster.now, peer.ip, true, List.of(), List.of());
             }
         }
-        for (VirtualNode other : others) {
-            node.announceCore(other.ip);
+        for (VirtualNode peer : livePeers) {
+            node.announceCore(peer.ip);
         }
         node.membership.onTick(cluster.now);
     }
 
-    /** Two nodes take themselves for the leader: of their changes one holds in each epoch. */
+    /** Two nodes consider themselves the leader. Only one of their changes may succeed in each epoch. */
     @Test
     public void concurrentCoreChangesAreSerialized() {
-        explore("two changes", 5, (cluster, choice) -> {
+        explore("concurrent core changes", 5, (cluster, choice) -> {
             cluster.join("s4", "n4");
             cluster.settle(2);
             cluster.partition("s0", "s1");
@@ -171,11 +182,14 @@
         });
     }
 
-    /** The power goes at any message of a change, at all nodes; with their disks it is carried through or not. */
+    /**
+     * All nodes lose power at an arbitrary message of a core change. After the restart the change must be completed or
+     * abandoned as a whole, even if a disk was lost.
+     */
     @Test
     public void incompleteCoreChangeIsCompletedAfterAPowerLoss() {
-        for (boolean wiped : new boolean[] {false, true}) {
-            explore("power" + (wiped ? ", a disk lost" : ""), 3, (cluster, choice) -> {
+        for (boolean diskLost : new boolean[] {false, true}) {
+            explore("power loss" + (diskLost ? ", one disk lost" : ""), 3, (cluster, choice) -> {
                 cluster.join("s3", "n3");
                 cluster.settle(1);
                 RecordedReply reply = cluster.change(cluster.node("s1"), routeChange("one"));
@@ -188,11 +202,11 @@
                     cluster.crash(node);
                 }
                 cluster.links.loseAll();
-                if (wiped) {
+                if (diskLost) {
                     ChangingCoreCluster.wipe(cluster.node("s2"));
                 }
                 for (VirtualNode node : cluster.nodes.values()) {
-                    node.start(!(wiped && node.ip.equals("s2")) && !node.ip.equals("s3"));
+                    node.start(!(diskLost && node.ip.equals("s2")) && !node.ip.equals("s3"));
                 }
                 cluster.settleInOrder(12);
                 assertCommittedIfAcknowledged(cluster, reply, "one");
@@ -201,7 +215,7 @@
         }
     }
 
-    /** The leader is frozen in the middle of a change and wakes after others have made another. */
+    /** The leader is frozen during a core change and resumes after the other nodes have made another change. */
     @Test
     public void resumedLeaderOfAnOlderEpochIsRejected() {
         explore("frozen leader", 4, (cluster, choice) -> {
@@ -212,10 +226,10 @@
                 cluster.tick();
             }
             cluster.links.deliver(choice.applyAsInt(25));
-            // What it has sent is delivered long after; it hears nothing.
-            Map<String, Deque<Runnable>> late = cluster.links.suspendAllFrom("s0");
-            for (String other : List.of("s1", "s2", "s3", "s4")) {
-                cluster.partition("s0", other);
+            // Its messages are delivered much later, and it receives none.
+            Map<String, Deque<Runnable>> delayedMessages = cluster.links.suspendAllFrom("s0");
+            for (String peer : List.of("s1", "s2", "s3", "s4")) {
+                cluster.partition("s0", peer);
             }
             cluster.settleInOrder(4);
             cluster.node("s1").membership.requestRemoval(cluster.now, "n3", new RecordedReply());
@@ -225,7 +239,7 @@
             assertEquals(leader.epoch(), cluster.core("s1").epoch());
             cluster.healAll();
             cluster.connect();
-            cluster.links.resume(late);
+            cluster.links.resume(delayedMessages);
             cluster.links.connectionChooser = choice;
             cluster.node("s0").membership.onTick(cluster.now);
             cluster.links.deliverAll();
@@ -235,10 +249,13 @@
         });
     }
 
-    /** A majority of the first core that slept through two changes decides nothing, and is told of the core. */
+    /**
+     * A majority of the first core was down during two core changes. It must decide nothing, and must learn the current
+     * core.
+     */
     @Test
     public void majorityOfAnOldCoreCannotDecide() {
-        for (boolean learns : new boolean[] {false, true}) {
+        for (boolean reconnects : new boolean[] {false, true}) {
             ChangingCoreCluster cluster = new ChangingCoreCluster(3);
             cluster.crash(cluster.node("s2"));
             cluster.join("s3", "n2");
@@ -247,36 +264,41 @@
             cluster.crash(cluster.node("s1"));
             cluster.join("s4", "n1");
             cluster.settle(4);
-            RecordedReply one = cluster.change(cluster.node("s0"), routeChange("one"));
+            RecordedReply currentCoreReply = cluster.change(cluster.node("s0"), routeChange("one"));
             cluster.links.deliverAll();
-            assertEquals(one.status, OperationStatus.OK);
-            for (String old : List.of("s1", "s2")) {
-                for (String other : List.of("s0", "s3", "s4")) {
-                    cluster.partition(old, other);
+            assertEquals(currentCoreReply.status, OperationStatus.OK);
+            for (String oldMember : List.of("s1", "s2")) {
+                for (String currentMember : List.of("s0", "s3", "s4")) {
+                    cluster.partition(oldMember, currentMember);
                 }
             }
             cluster.node("s1").start(true);
             cluster.node("s2").start(true);
             cluster.settle(2);
-            RecordedReply two = cluster.change(cluster.node("s2"), routeChange("two", "one.example"));
+            RecordedReply oldCoreReply = cluster.change(cluster.node("s2"), routeChange("two", "one.example"));
             cluster.links.deliverAll();
             cluster.settle(2);
-            assertNotEquals(two.status, OperationStatus.OK);
-            if (learns) {
+            assertNotEquals(oldCoreReply.status, OperationStatus.OK);
+            if (reconnects) {
                 cluster.healAll();
                 cluster.settle(3);
                 cluster.assertCore("s0", "s3", "s4");
-                assertFalse(cluster.node("s1").membership.isCandidate(), "who was taken out does not come back");
+                assertFalse(
+                        cluster.node("s1").membership.isCandidate(),
+                        "a replaced member must not request to join again");
             }
         }
     }
 
-    /** Without a disk and with no one who knows it, a node has no core; a stale one is taken until a newer comes. */
+    /**
+     * A node without a disk has no core until a peer announces one. It accepts an outdated core until it learns a newer
+     * one.
+     */
     @Test
     public void nodeWithoutDiskLearnsTheCoreFromItsPeers() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(3);
-        for (String other : List.of("s0", "s1", "s2")) {
-            cluster.partition("s3", other);
+        for (String memberIp : List.of("s0", "s1", "s2")) {
+            cluster.partition("s3", memberIp);
         }
         cluster.join("s3", "n3");
         cluster.settle(3);
@@ -284,7 +306,7 @@
         assertFalse(cluster.node("s3").consensus.isCurrent());
         RecordedReply reply = cluster.change(cluster.node("s3"), routeChange("one"));
         assertEquals(reply.status, OperationStatus.UNAVAILABLE);
-        // It reaches only a member that was cut off while the others took in another.
+        // It reaches only a member that was partitioned while the other members added a node.
         cluster.heal("s3", "s2");
         cluster.partition("s2", "s0");
         cluster.partition("s2", "s1");
@@ -296,11 +318,14 @@
         assertEquals(cluster.core("s3").epoch(), 0);
         assertFalse(cluster.node("s3").consensus.isCurrent());
         cluster.healAll();
-        cluster.settle(6); // s2 was taken for dead and has to join again, too
+        cluster.settle(6); // s2 was considered dead and has to join again, too
         cluster.assertCore("s0", "s1", "s2", "s3", "s4");
     }
 
-    /** A member whose disk comes back empty at its address is the same member; it has all before it counts. */
+    /**
+     * A member that restarts at its address with an empty disk is still the same member, and has the full state before
+     * it votes.
+     */
     @Test
     public void memberThatLostItsDiskKeepsItsMembership() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(3);
@@ -315,7 +340,7 @@
         assertEquals(cluster.core("s0").epoch(), 0);
     }
 
-    /** A removal is rejected where too few would be left, is idempotent, and takes out who is down. */
+    /** A removal is rejected if too few members would remain, is idempotent, and works for a member that is down. */
     @Test
     public void removalKeepsTheCoreLargeEnough() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(3);
@@ -327,7 +352,7 @@
         assertEquals(
                 immediateRemovalStatus(cluster, leader, "n2"),
                 OperationStatus.CONFLICT,
-                "three are needed while all are up");
+                "three members must remain while all are up");
         cluster.crash(cluster.node("s2"));
         cluster.settle(1);
         RecordedReply removal = new RecordedReply();
@@ -335,12 +360,14 @@
         cluster.settle(2);
         assertEquals(removal.status, OperationStatus.OK);
         cluster.assertCore("s0", "s1");
-        assertEquals(immediateRemovalStatus(cluster, leader, "n2"), OperationStatus.OK, "the same again");
+        assertEquals(immediateRemovalStatus(cluster, leader, "n2"), OperationStatus.OK, "a repeated removal");
         assertEquals(
-                immediateRemovalStatus(cluster, leader, "n1"), OperationStatus.CONFLICT, "two replicas are promised");
+                immediateRemovalStatus(cluster, leader, "n1"),
+                OperationStatus.CONFLICT,
+                "at least two replicas are required");
     }
 
-    /** What a removal is answered at once. */
+    /** Returns the status of the immediate reply to a removal request. */
     private static int immediateRemovalStatus(ChangingCoreCluster cluster, CoreMembership membership, String node) {
         RecordedReply reply = new RecordedReply();
         membership.requestRemoval(cluster.now, node, reply);
@@ -351,7 +378,9 @@
 
     private static final Ballot SECOND_OF_S1 = new Ballot(2, "s1");
 
-    /** s0, connected to s1 and s2; it has accepted {@code value} under {@code accepted}, unless they are null. */
+    /**
+     * Creates s0, connected to s1 and s2. It has accepted {@code value} under {@code accepted}, unless they are null.
+     */
     private static SingleNodeCluster memberOfThree(Ballot accepted, CoreMembers value, boolean diskIntact) {
         CoreMembers core = CoreMembers.initial(List.of("s0", "s1", "s2"));
         SingleNodeCluster cluster =
@@ -372,7 +401,7 @@
                 cluster.now, from, new EpochMessage(type, 0, ballot, acceptedBallot, value));
     }
 
-    /** The core of epoch 1. */
+    /** Returns the core of epoch 1. */
     private static CoreMembers nextCore(String... ips) {
         Map<String, String> nodeNames = new HashMap<>();
         for (String ip : ips) {
@@ -381,15 +410,15 @@
         return new CoreMembers(1, nodeNames);
     }
 
-    /** What another may have decided on goes before what is wanted here. */
+    /** A value that another node may have decided on takes precedence over the value that this node wants. */
     @Test
     public void valueAcceptedUnderTheHighestBallotIsProposedAgain() {
         SingleNodeCluster cluster = memberOfThree(new Ballot(1, "s0"), nextCore("s0", "s1", "s2", "s3"), true);
         cluster.node.membership.onTick(2 * SECOND_MICROS);
-        Ballot own = new Ballot(2, "s0");
+        Ballot ownBallot = new Ballot(2, "s0");
         cluster.recorder.sent.clear();
-        CoreMembers other = nextCore("s0", "s1", "s2", "s4");
-        receive(cluster, "s2", EpochMessageType.PROMISE, own, new Ballot(1, "s1"), other);
+        CoreMembers acceptedByPeer = nextCore("s0", "s1", "s2", "s4");
+        receive(cluster, "s2", EpochMessageType.PROMISE, ownBallot, new Ballot(1, "s1"), acceptedByPeer);
         assertEquals(
                 cluster.sentBesidesHandoverRequests(),
                 List.of(
@@ -398,18 +427,18 @@
                         "ACCEPT to s4 [s0, s1, s2, s4]"));
     }
 
-    /** A core is decided on by a quorum of the members and one of those after it, whichever comes first. */
+    /** A core is decided by a quorum of the current members and a quorum of the next members, in any order. */
     @Test
     public void quorumsOfBothCoresAreNeeded() {
         for (List<String> order : List.of(List.of("s1", "s2", "s3", "s4"), List.of("s3", "s4", "s1", "s2"))) {
             SingleNodeCluster cluster = memberOfThree(new Ballot(1, "s0"), nextCore("s1", "s3", "s4"), true);
             CoreMembership membership = cluster.node.membership;
             membership.onTick(2 * SECOND_MICROS);
-            Ballot own = new Ballot(2, "s0");
-            receive(cluster, "s2", EpochMessageType.PROMISE, own, null, null);
+            Ballot ownBallot = new Ballot(2, "s0");
+            receive(cluster, "s2", EpochMessageType.PROMISE, ownBallot, null, null);
             for (int i = 0; i < order.size(); i++) {
                 assertEquals(membership.epoch(), 0, "after " + i + " of " + order);
-                receive(cluster, order.get(i), EpochMessageType.ACCEPTED, own, null, null);
+                receive(cluster, order.get(i), EpochMessageType.ACCEPTED, ownBallot, null, null);
                 if (membership.epoch() == 1) {
                     assertTrue(i >= 2);
                     break;
--- a/src/test/java/reedmux/control/consensus/CoreReplacementTest.java
+++ b/src/test/java/reedmux/control/consensus/CoreReplacementTest.java
@@ -6,10 +6,10 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** Machines that are replaced, that are away, and that leave: who of them is a member of the core afterwards. */
+/** Tests which machines are members of the core after replacements, absences and removals. */
 public class CoreReplacementTest {
 
-    /** One after another is gone for good, and another machine, of another name and address, comes in its place. */
+    /** Machines fail permanently one after another, and each is replaced by a machine with another name and address. */
     @Test
     public void replacementsUnderNewNamesDoNotExhaustTheCore() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(3);
@@ -17,13 +17,13 @@
             cluster.crash(cluster.node("s" + i));
             cluster.settle(1);
             cluster.join("s" + (i + 3), "n" + (i + 3));
-            cluster.settle(4); // it counts from then on, and the next one may go
+            cluster.settle(4); // the new member may vote from now on, and the next machine may fail
             assertChangeIsCommitted(cluster, "s" + (i + 2), "r" + i);
         }
         cluster.assertCore("s5", "s6", "s7");
     }
 
-    /** As above, but the new machine comes before the old one ends, as in planned work. */
+    /** As in the previous test, but each new machine joins before the old one stops, as in planned maintenance. */
     @Test
     public void plannedReplacementsDoNotExhaustTheCore() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(3);
@@ -37,7 +37,7 @@
         cluster.assertCore("s5", "s6", "s7");
     }
 
-    /** A member that is only away gives its place up to who joins, and joins again once it is back. */
+    /** A member that is only temporarily unreachable is replaced by a candidate, and joins again when it returns. */
     @Test
     public void memberConsideredDeadJoinsAgain() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(3);
@@ -52,7 +52,7 @@
         cluster.assertCore("s0", "s1", "s2", "s3");
     }
 
-    /** A core that would be too small without them keeps its dead members. */
+    /** Dead members are kept if the core would be too small without them. */
     @Test
     public void deadMembersAreKeptIfTheCoreWouldBeTooSmall() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(3);
@@ -65,7 +65,7 @@
         assertEquals(cluster.core("s0").epoch(), 0);
     }
 
-    /** A short absence, as of a restart, changes nothing. */
+    /** A short absence, such as a restart, doesn't change the core. */
     @Test
     public void restartingMemberStaysInTheCore() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(4);
@@ -77,7 +77,7 @@
         assertEquals(cluster.core("s0").epoch(), 0);
     }
 
-    /** Who was removed by order stays out, also after a restart. */
+    /** A member removed by the operator doesn't join again, even after a restart. */
     @Test
     public void memberRemovedByTheOperatorDoesNotJoinAgain() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(4);
@@ -92,7 +92,7 @@
         cluster.assertCore("s0", "s1", "s2");
     }
 
-    /** Changes that contend, one of them proposed by the machine that joins, while it takes a dead member's place. */
+    /** Contending changes are proposed, some of them by the joining machine, while it replaces a dead member. */
     @Test
     public void contendingChangesDoNotBlockAReplacement() {
         for (int seed = 0; seed < 1500; seed++) {
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Two have lost their disks and recovered, one after the other, before the third one is replaced. */
+    /** Two members have lost their disks and recovered, one after the other, before the third member is replaced. */
     @Test
     public void membersRecoveredFromDiskLossSurviveAReplacement() {
         ChangingCoreCluster cluster = new ChangingCoreCluster(3);
--- a/src/test/java/reedmux/control/consensus/FixedCoreCluster.java
+++ b/src/test/java/reedmux/control/consensus/FixedCoreCluster.java
@@ -10,7 +10,7 @@
 import reedmux.control.configuration.InvalidConfigurationException;
 import reedmux.control.replication.Replica;
 
-/** Three members whose messages may come in any order; the core doesn't change. */
+/** Three members of a core that doesn't change. Their messages may arrive in any order. */
 final class FixedCoreCluster extends VirtualCluster {
     private static final int SIZE = 3;
 
@@ -31,7 +31,7 @@
         assertEquals(reply.status, OperationStatus.OK);
     }
 
-    /** The process at that index starts anew, with its disk or with an empty one. */
+    /** Restarts the process at that index, with its disk or with an empty one. */
     void restart(int index, boolean wiped) {
         VirtualNode node = node(index);
         if (wiped) {
@@ -58,14 +58,14 @@
         return !messages.isDown("s" + index);
     }
 
-    /** A node dies: what is under way to it and from it is lost, and the others notice. */
+    /** Crashes a node: messages in flight to and from it are lost, and the other nodes detect the disconnection. */
     void crash(int index) {
         setDown(index);
         messages.loseAllOf("s" + index);
         disconnect(index);
     }
 
-    /** The other nodes notice that one can't be reached. */
+    /** Makes the other nodes detect that this one is disconnected. */
     void disconnect(int index) {
         for (int i = 0; i < SIZE; i++) {
             if (i != index) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Each node that is up tells each other one all that it has. */
+    /** Makes each running node send its complete state to every other running node. */
     void exchangeStates() {
         for (int pass = 0; pass < 2; pass++) {
             for (int i = 0; i < SIZE; i++) {
@@ -88,14 +88,14 @@
     }
 
     void deliverInOrder() {
-        messages.deliverAll(many -> 0);
+        messages.deliverAll(messageCount -> 0);
     }
 
     void tick(int index) {
         node(index).consensus.onTick(now);
     }
 
-    /** Time passes, all that are up exchange their states, and what is undecided is brought to its end. */
+    /** Advances time, exchanges the states of the running nodes, and lets undecided proposals be decided. */
     void settle() {
         for (int i = 0; i < 6; i++) {
             now += SECOND_MICROS;
@@ -110,7 +110,7 @@
         exchangeStates();
     }
 
-    /** The status of a change, which is brought to its end. */
+    /** Sends a change, waits for the reply and returns its status. */
     int statusOf(int index, String body) {
         RecordedReply reply = change(node(index), body);
         deliverInOrder();
@@ -128,7 +128,7 @@
         return all;
     }
 
-    /** All have committed the same, which is valid, and nothing is pending. */
+    /** Asserts that all nodes have committed the same valid configuration and that no proposal is pending. */
     void assertAgreed() {
         assertEquals(committed(1), committed(0));
         assertEquals(committed(2), committed(0));
--- a/src/test/java/reedmux/control/consensus/QuorumContactTest.java
+++ b/src/test/java/reedmux/control/consensus/QuorumContactTest.java
@@ -21,12 +21,12 @@
 import reedmux.control.replication.WatermarkTable;
 import reedmux.testing.ScheduleExplorer;
 
-/** What three nodes answer without a decision of its own, in every order of their messages. */
+/** Tests the replies of three nodes that need a quorum contact but no new decision, in all explored message orders. */
 public class QuorumContactTest {
     private static final int MAX_ORDERS = 10_000;
     private static final String FIRST_CONTENT = change(route("one", 5, "h.example"));
     private static final String SECOND_CONTENT = change(route("one", 5, "other.example"));
-    /** A route that names a service which {@link #SHELF} adds. */
+    /** A route that refers to the service which {@link #SHELF} adds. */
     private static final String NEEDS_SHELF =
             change(route("two", 6, "g.example").replace("\"desk\"", "\"shelf\""));
 
@@ -34,7 +34,7 @@
     private static final String UNKNOWN_SERVICE =
             change(route("x", 3, "h.example").replace("desk", "none"));
 
-    /** What goes on besides the delivery of messages. */
+    /** A fault that is injected during message delivery. */
     private enum ContactFault {
         NONE,
         LOSS,
@@ -47,10 +47,10 @@
         Reporter.log(scenario + ": " + orders + " orders", true);
     }
 
-    /** Delivers all messages; a fault happens at most once, before any of them. */
+    /** Delivers all messages, and injects the fault at most once before any of them. */
     private static void deliverWithFault(FixedCoreCluster cluster, ScheduleExplorer schedule, Runnable fault) {
         int[] faultsLeft = {fault == null ? 0 : 1};
-        cluster.messages.deliverAll(many -> {
+        cluster.messages.deliverAll(messageCount -> {
             if (faultsLeft[0] > 0 && schedule.choose(4) == 0) {
                 faultsLeft[0]--;
                 fault.run();
@@ -71,7 +71,7 @@
         };
     }
 
-    /** The connections of the old process end, and what was under way to it is lost. */
+    /** Restarts a node. Its old connections are closed, and messages in flight to it are lost. */
     private static void restart(FixedCoreCluster cluster, int index, boolean wiped) {
         cluster.messages.loseAllTo("s" + index);
         cluster.restart(index, wiped);
@@ -80,76 +80,88 @@
     @Test
     public void twoContentsWithOneRevisionAreNeverBothAcknowledged() {
         for (ContactFault fault : ContactFault.values()) {
-            int[] refused = {0};
-            explore("one revision, two contents, " + fault, schedule -> {
+            int[] conflicts = {0};
+            explore("same revision with two contents, " + fault, schedule -> {
                 FixedCoreCluster cluster = new FixedCoreCluster();
-                RecordedReply first = cluster.change(cluster.node(0), FIRST_CONTENT);
-                RecordedReply second = cluster.change(cluster.node(1), SECOND_CONTENT);
+                RecordedReply firstReply = cluster.change(cluster.node(0), FIRST_CONTENT);
+                RecordedReply secondReply = cluster.change(cluster.node(1), SECOND_CONTENT);
                 deliverWithFault(cluster, schedule, fault(fault, cluster, schedule));
                 cluster.settle();
-                assertFalse(first.isOk() && second.isOk());
-                refused[0] += first.status == OperationStatus.CONFLICT ? 1 : 0;
-                refused[0] += second.status == OperationStatus.CONFLICT ? 1 : 0;
-                // Sent again, and elsewhere, until the answer is clear: for ever the same.
-                int one = cluster.statusOf(schedule.choose(3), FIRST_CONTENT);
-                int other = cluster.statusOf(2, SECOND_CONTENT);
-                assertEquals(one + other, OperationStatus.OK + OperationStatus.CONFLICT, one + " and " + other);
-                boolean oneHolds = one == OperationStatus.OK;
-                assertNotEquals(first.status, oneHolds ? OperationStatus.CONFLICT : OperationStatus.OK);
-                assertNotEquals(second.status, oneHolds ? OperationStatus.OK : OperationStatus.CONFLICT);
+                assertFalse(firstReply.isOk() && secondReply.isOk());
+                conflicts[0] += firstReply.status == OperationStatus.CONFLICT ? 1 : 0;
+                conflicts[0] += secondReply.status == OperationStatus.CONFLICT ? 1 : 0;
+                // A repeated request eventually receives a definite answer, at any node, and that answer never changes.
+                int firstContentStatus = cluster.statusOf(schedule.choose(3), FIRST_CONTENT);
+                int secondContentStatus = cluster.statusOf(2, SECOND_CONTENT);
+                assertEquals(
+                        firstContentStatus + secondContentStatus,
+                        OperationStatus.OK + OperationStatus.CONFLICT,
+                        firstContentStatus + " and " + secondContentStatus);
+                boolean firstContentCommitted = firstContentStatus == OperationStatus.OK;
+                assertNotEquals(
+                        firstReply.status, firstContentCommitted ? OperationStatus.CONFLICT : OperationStatus.OK);
+                assertNotEquals(
+                        secondReply.status, firstContentCommitted ? OperationStatus.OK : OperationStatus.CONFLICT);
                 cluster.assertAgreed();
             });
-            assertTrue(fault != ContactFault.NONE || refused[0] > 0);
+            assertTrue(fault != ContactFault.NONE || conflicts[0] > 0);
         }
     }
 
-    /** The first proposer has died, newer revisions have come since, one removes it, and the disk was compacted. */
+    /**
+     * Guards against losing track of a committed revision: its proposer has crashed, newer revisions or a removal have
+     * been committed since, and a disk was compacted. A repeated request must still be acknowledged.
+     */
     @Test
     public void committedChangeIsAcknowledgedAgainByAnyNode() {
         for (boolean wiped : new boolean[] {false, true}) {
-            explore("sent again after newer revisions, " + (wiped ? "wiped" : "dead"), schedule -> {
+            explore("repeated after newer revisions, proposer " + (wiped ? "wiped" : "crashed"), schedule -> {
                 FixedCoreCluster cluster = new FixedCoreCluster();
                 RecordedReply reply = cluster.change(cluster.node(0), FIRST_CONTENT);
-                cluster.messages.deliverAll(many -> {
+                cluster.messages.deliverAll(messageCount -> {
                     if (reply.isOk()) {
                         cluster.setDown(0);
                     }
-                    return schedule.choose(many);
+                    return schedule.choose(messageCount);
                 });
                 cluster.setDown(0);
                 cluster.disconnect(0);
                 cluster.settle();
                 boolean acknowledged = reply.isOk();
-                int newer = schedule.choose(3);
-                if (newer > 0) {
+                int newerRevisions = schedule.choose(3);
+                if (newerRevisions > 0) {
                     assertEquals(cluster.statusOf(1, change(route("one", 7, "h.example"))), OperationStatus.OK);
                 }
-                if (newer > 1) {
+                if (newerRevisions > 1) {
                     assertEquals(cluster.statusOf(2, removeRoute("one", 9)), OperationStatus.OK);
                 }
                 cluster.node(2).replica = compacted(cluster.node(2).replica);
                 cluster.restart(2, false);
                 cluster.settle();
-                boolean oneFirst = schedule.choose(2) == 0;
-                int one = oneFirst ? cluster.statusOf(2, FIRST_CONTENT) : 0;
-                int other = cluster.statusOf(1, SECOND_CONTENT);
-                one = oneFirst ? one : cluster.statusOf(2, FIRST_CONTENT);
+                boolean firstContentRepeatedFirst = schedule.choose(2) == 0;
+                int firstContentStatus = firstContentRepeatedFirst ? cluster.statusOf(2, FIRST_CONTENT) : 0;
+                int secondContentStatus = cluster.statusOf(1, SECOND_CONTENT);
+                firstContentStatus =
+                        firstContentRepeatedFirst ? firstContentStatus : cluster.statusOf(2, FIRST_CONTENT);
                 if (acknowledged) {
-                    assertEquals(one, OperationStatus.OK);
+                    assertEquals(firstContentStatus, OperationStatus.OK);
                 }
-                assertEquals(one + other, OperationStatus.OK + OperationStatus.CONFLICT, one + " and " + other);
+                assertEquals(
+                        firstContentStatus + secondContentStatus,
+                        OperationStatus.OK + OperationStatus.CONFLICT,
+                        firstContentStatus + " and " + secondContentStatus);
                 cluster.setAllUp();
                 cluster.restart(0, wiped);
                 cluster.settle();
-                assertEquals(cluster.statusOf(0, SECOND_CONTENT), other);
-                assertEquals(cluster.statusOf(0, FIRST_CONTENT), one);
+                assertEquals(cluster.statusOf(0, SECOND_CONTENT), secondContentStatus);
+                assertEquals(cluster.statusOf(0, FIRST_CONTENT), firstContentStatus);
                 cluster.assertAgreed();
-                assertFalse(newer == 2 && cluster.node(0).hasRoute("one"));
+                assertFalse(newerRevisions == 2 && cluster.node(0).hasRoute("one"));
             });
         }
     }
 
-    /** As a disk gives it back after a compaction. */
+    /** Returns the replica as it is read from the disk after a compaction. */
     private static Replica compacted(Replica replica) {
         Replica next = new Replica();
         next.merge(replica.committed());
@@ -158,47 +170,50 @@
         return next;
     }
 
-    /** The second comes to another node once the first is acknowledged, wherever that is known by then. */
+    /**
+     * The dependent change is sent to another node after the first change is acknowledged, whether or not that node has
+     * received the decision.
+     */
     @Test
     public void changeThatDependsOnAnAcknowledgedChangeIsNeverInvalid() {
-        for (boolean dies : new boolean[] {false, true}) {
-            int[] ok = {0};
-            explore("a change that needs an earlier one" + (dies ? ", its proposer dies" : ""), schedule -> {
+        for (boolean proposerCrashes : new boolean[] {false, true}) {
+            int[] acknowledgedCount = {0};
+            explore("dependent change" + (proposerCrashes ? ", proposer of the first crashes" : ""), schedule -> {
                 FixedCoreCluster cluster = new FixedCoreCluster();
-                RecordedReply earlier = cluster.change(cluster.node(0), SHELF);
-                RecordedReply[] later = new RecordedReply[1];
-                cluster.messages.deliverAll(many -> {
-                    if (earlier.isOk() && later[0] == null) {
-                        if (dies) {
+                RecordedReply requiredReply = cluster.change(cluster.node(0), SHELF);
+                RecordedReply[] dependentReply = new RecordedReply[1];
+                cluster.messages.deliverAll(messageCount -> {
+                    if (requiredReply.isOk() && dependentReply[0] == null) {
+                        if (proposerCrashes) {
                             cluster.setDown(0);
                         }
-                        later[0] = cluster.change(cluster.node(1 + schedule.choose(2)), NEEDS_SHELF);
+                        dependentReply[0] = cluster.change(cluster.node(1 + schedule.choose(2)), NEEDS_SHELF);
                     }
                     return schedule.choose(cluster.messages.size());
                 });
                 cluster.disconnect(0);
                 cluster.settle();
                 assertTrue(
-                        later[0].isOk() || later[0].status == OperationStatus.UNAVAILABLE,
-                        "answered " + later[0].status);
-                ok[0] += later[0].isOk() ? 1 : 0;
+                        dependentReply[0].isOk() || dependentReply[0].status == OperationStatus.UNAVAILABLE,
+                        "unexpected status " + dependentReply[0].status);
+                acknowledgedCount[0] += dependentReply[0].isOk() ? 1 : 0;
                 cluster.setAllUp();
                 cluster.settle();
                 assertEquals(cluster.statusOf(0, NEEDS_SHELF), OperationStatus.OK);
             });
-            assertTrue(ok[0] > 0);
+            assertTrue(acknowledgedCount[0] > 0);
         }
     }
 
-    /** A node that has never heard of a change says what a complete state says. */
+    /** A node that has not received a decision yet must still include it in a read. */
     @Test
     public void readReturnsAllPreviouslyAcknowledgedChanges() {
-        int[] ok = {0};
-        explore("reads once a change is acknowledged", schedule -> {
+        int[] successfulReads = {0};
+        explore("read after an acknowledged change", schedule -> {
             FixedCoreCluster cluster = new FixedCoreCluster();
             RecordedReply reply = cluster.change(cluster.node(0), FIRST_CONTENT);
             RecordedReply[] read = new RecordedReply[1];
-            cluster.messages.deliverAll(many -> {
+            cluster.messages.deliverAll(messageCount -> {
                 if (reply.isOk() && read[0] == null) {
                     read[0] = cluster.read(cluster.node(1 + schedule.choose(2)));
                 }
@@ -208,22 +223,25 @@
             assertEquals(read[0].replyCount, 1);
             assertTrue(
                     read[0].status == OperationStatus.UNAVAILABLE || read[0].text.contains("h.example"), read[0].text);
-            ok[0] += read[0].isOk() ? 1 : 0;
+            successfulReads[0] += read[0].isOk() ? 1 : 0;
         });
-        assertTrue(ok[0] > 0);
+        assertTrue(successfulReads[0] > 0);
     }
 
-    /** One is cut off and does not know it yet, or was frozen: it seems connected, what it has is old. */
+    /**
+     * Guards against replies from outdated state: a node was partitioned without noticing it, or was frozen, so it
+     * seems connected although its state is old.
+     */
     @Test
     public void staleNodeAnswersOnlyAfterQuorumContact() {
-        explore("cut off, then heard again", schedule -> {
+        explore("partitioned, then reconnected", schedule -> {
             FixedCoreCluster cluster = new FixedCoreCluster();
             cluster.setDown(2);
             cluster.change(cluster.node(0), SHELF);
             cluster.deliverInOrder();
-            RecordedReply one = cluster.change(cluster.node(1), FIRST_CONTENT);
+            RecordedReply acknowledged = cluster.change(cluster.node(1), FIRST_CONTENT);
             cluster.deliverInOrder();
-            assertEquals(one.status, OperationStatus.OK);
+            assertEquals(acknowledged.status, OperationStatus.OK);
             cluster.setAllUp();
             List<RecordedReply> replies = new ArrayList<>();
             for (String body : List.of(NEEDS_SHELF, SECOND_CONTENT, "{\"apply\":{\"signals\":[]}}", UNKNOWN_SERVICE)) {
@@ -231,9 +249,9 @@
             }
             replies.add(cluster.read(cluster.node(2)));
             assertEquals(countOfReplies(replies), 0);
-            // Its requests reach the others, and it hears them in any order; or not.
-            boolean heard = schedule.choose(2) == 0;
-            if (heard) {
+            // Its requests are answered in any order, or all messages are lost.
+            boolean confirmed = schedule.choose(2) == 0;
+            if (confirmed) {
                 cluster.messages.deliverAll(schedule::choose);
             } else {
                 cluster.messages.loseAll();
@@ -243,7 +261,7 @@
             assertEquals(countOfReplies(replies), 5);
             List<Integer> statuses =
                     replies.stream().map(reply -> reply.status).sorted().toList();
-            assertEquals(statuses, heard ? List.of(200, 200, 200, 400, 409) : List.of(503, 503, 503, 503, 503));
+            assertEquals(statuses, confirmed ? List.of(200, 200, 200, 400, 409) : List.of(503, 503, 503, 503, 503));
             cluster.settle();
             assertTrue(cluster.node(2).hasRoute("one", 5));
         });
@@ -253,7 +271,7 @@
         return replies.stream().mapToInt(reply -> reply.replyCount).sum();
     }
 
-    /** It had a part in what was acknowledged, and nobody else can be reached who has. */
+    /** The wiped node helped to acknowledge the change, and no other node that did is reachable. */
     @Test
     public void nodeThatLostItsDiskDoesNotConfirmAContact() {
         FixedCoreCluster cluster = new FixedCoreCluster();
@@ -272,15 +290,17 @@
         assertEquals(read.replyCount, 1);
     }
 
-    /** A contact for a proxy or a status request waits for no decision, and decisions go on meanwhile. */
+    /**
+     * A contact for a proxy or a status request doesn't wait for decisions, and decisions continue during the contact.
+     */
     @Test
     public void changeIsCommittedDuringAQuorumContact() {
         for (int index = 0; index < 2; index++) {
-            int asked = index;
+            int requester = index;
             ScheduleExplorer.exploreAllOrSample(MAX_ORDERS, schedule -> {
                 FixedCoreCluster cluster = new FixedCoreCluster();
                 boolean[] reached = {false};
-                cluster.node(asked).consensus.contactQuorum(cluster.now, false, success -> reached[0] = success);
+                cluster.node(requester).consensus.contactQuorum(cluster.now, false, success -> reached[0] = success);
                 RecordedReply reply = cluster.change(cluster.node(0), FIRST_CONTENT);
                 cluster.messages.deliverAll(schedule::choose);
                 assertTrue(reached[0]);
@@ -291,7 +311,7 @@
         }
     }
 
-    /** A connection is gone, and with it the quorum: that is told at once. */
+    /** When the lost connections leave no quorum, pending requests fail immediately. */
     @Test
     public void requestsFailImmediatelyWithoutConnections() {
         FixedCoreCluster cluster = new FixedCoreCluster();
@@ -325,7 +345,7 @@
         assertEquals(cluster.statusOf(1, twoContents), OperationStatus.INVALID);
     }
 
-    /** What was dropped and answered as unavailable is not committed after its content was rejected. */
+    /** A change that was dropped and answered as unavailable must not be committed after its content was rejected. */
     @Test
     public void droppedProposalIsNotCommittedWhenItsProposerRepeatsIt() throws InvalidConfigurationException {
         FixedCoreCluster cluster = new FixedCoreCluster();
--- a/src/test/java/reedmux/control/consensus/QuorumTest.java
+++ b/src/test/java/reedmux/control/consensus/QuorumTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Every set of up to six stores, against every other. */
+/** Checks quorums of every set of up to six stores against those of every other set. */
 public class QuorumTest {
     private static final List<String> ALL_STORES = List.of("a", "b", "c", "d", "e", "f");
 
@@ -39,13 +39,13 @@
 
     @Test
     public void anyTwoQuorumsIntersectDuringMembershipChanges() {
-        for (List<String> before : allSubsets()) {
-            for (List<String> after : allSubsets()) {
-                if (!before.isEmpty() && !after.isEmpty()) {
-                    Quorum joint = Quorum.joint(before, after, 2);
+        for (List<String> members : allSubsets()) {
+            for (List<String> nextMembers : allSubsets()) {
+                if (!members.isEmpty() && !nextMembers.isEmpty()) {
+                    Quorum joint = Quorum.joint(members, nextMembers, 2);
                     assertIntersect(joint, joint);
-                    assertIntersect(joint, Quorum.of(before, 2));
-                    assertIntersect(joint, Quorum.of(after, 2));
+                    assertIntersect(joint, Quorum.of(members, 2));
+                    assertIntersect(joint, Quorum.of(nextMembers, 2));
                 }
             }
         }
--- a/src/test/java/reedmux/control/consensus/RecordedReply.java
+++ b/src/test/java/reedmux/control/consensus/RecordedReply.java
@@ -2,13 +2,13 @@
 
 import java.util.function.BiConsumer;
 
-/** What an operator's request was answered. */
+/** Records the reply to an operator's request. */
 final class RecordedReply implements BiConsumer<Integer, String> {
-    /** An {@link OperationStatus}; 0 before there is an answer. */
+    /** The {@link OperationStatus} of the reply; 0 before the reply. */
     int status;
 
     String text = "";
-    /** How often it was answered. */
+    /** The number of replies received. */
     int replyCount;
 
     @Override
--- a/src/test/java/reedmux/control/consensus/RecordingNetwork.java
+++ b/src/test/java/reedmux/control/consensus/RecordingNetwork.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Records what one node sends, and delivers nothing. */
+/** Records the messages that one node sends and delivers none of them. */
 final class RecordingNetwork implements VirtualNetwork {
     final List<String> sent = new ArrayList<>();
 
--- a/src/test/java/reedmux/control/consensus/SingleNodeCluster.java
+++ b/src/test/java/reedmux/control/consensus/SingleNodeCluster.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** One node, s0, whose messages are recorded; the other members exist by name only. */
+/** A cluster of one real node, s0, whose messages are recorded. The other members exist by name only. */
 final class SingleNodeCluster extends VirtualCluster {
     final RecordingNetwork recorder = new RecordingNetwork();
     final VirtualNode node;
@@ -17,12 +17,12 @@
         return new SingleNodeCluster(firstCore(CoreMembers.initial(List.of(ips))), true);
     }
 
-    /** The last message that was sent. */
+    /** Returns the last message that was sent. */
     String lastSent() {
         return recorder.sent.get(recorder.sent.size() - 1);
     }
 
-    /** All messages but the requests for a handover, which are repeated. */
+    /** Returns all messages except handover requests, which are repeated. */
     List<String> sentBesidesHandoverRequests() {
         return recorder.sent.stream()
                 .filter(message -> !message.equals("handover request"))
--- a/src/test/java/reedmux/control/consensus/UnorderedNetwork.java
+++ b/src/test/java/reedmux/control/consensus/UnorderedNetwork.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.function.IntUnaryOperator;
 
-/** Messages that may be delivered in any order; nodes that are down neither send nor receive. */
+/** A network that delivers messages in any order. Nodes that are down neither send nor receive. */
 final class UnorderedNetwork implements VirtualNetwork {
     private final List<Message> messages = new ArrayList<>();
     private final Set<String> down = new HashSet<>();
@@ -24,7 +24,7 @@
         return down.contains(ip);
     }
 
-    /** From now on what is sent to the node is lost on arrival. */
+    /** Marks a node as down: messages to it are lost on arrival. */
     void setDown(String ip) {
         down.add(ip);
     }
@@ -65,9 +65,10 @@
     }
 
     /**
-     * Delivers messages until there are none.
+     * Delivers messages until none are left.
      *
-     * @param choice picks one of so many messages; a negative number where it has lost them all
+     * @param choice selects the index of the next message, given the number of messages; negative if it has discarded
+     *     them all
      */
     void deliverAll(IntUnaryOperator choice) {
         while (!messages.isEmpty()) {
--- a/src/test/java/reedmux/control/consensus/VirtualCluster.java
+++ b/src/test/java/reedmux/control/consensus/VirtualCluster.java
@@ -3,12 +3,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Nodes in virtual time, by ip; the tests' one world for consensus and core membership. */
+/** Nodes in virtual time, by IP address; the base of all clusters in the tests of consensus and core membership. */
 class VirtualCluster {
     static final long SECOND_MICROS = 1_000_000;
 
     final Map<String, VirtualNode> nodes = new TreeMap<>();
-    /** Set by the constructor of each cluster before a node is started. */
+    /** Set by the constructor of each cluster before it starts a node. */
     VirtualNetwork network;
 
     long now = SECOND_MICROS;
@@ -22,7 +22,7 @@
         return nodes.get("s" + index);
     }
 
-    /** Adds a node, which is not started yet. */
+    /** Adds a node without starting it. */
     VirtualNode add(String ip, String name, PersistentCoreState coreOnDisk) {
         VirtualNode node = new VirtualNode(this, ip, name);
         node.coreOnDisk = coreOnDisk;
@@ -30,7 +30,7 @@
         return node;
     }
 
-    /** The state on the disk of a member that has seen no change of the core. */
+    /** Returns the persisted state of a member that has seen no change of the core. */
     static PersistentCoreState firstCore(CoreMembers core) {
         return new PersistentCoreState(core, null, null, null, false);
     }
--- a/src/test/java/reedmux/control/consensus/VirtualNetwork.java
+++ b/src/test/java/reedmux/control/consensus/VirtualNetwork.java
@@ -1,13 +1,13 @@
 package reedmux.control.consensus;
 
-/** How messages travel between virtual nodes. */
+/** A simulated network between virtual nodes. */
 interface VirtualNetwork {
 
     /**
      * Sends a message, which may be lost.
      *
-     * @param description what the message says, for tests that look at single messages
-     * @param delivery what the receiver does with it
+     * @param description describes the message, for tests that inspect single messages
+     * @param delivery the action of the receiver
      */
     void send(String from, String to, String description, Runnable delivery);
 }
--- a/src/test/java/reedmux/control/consensus/VirtualNode.java
+++ b/src/test/java/reedmux/control/consensus/VirtualNode.java
@@ -8,11 +8,14 @@
 import reedmux.control.replication.Replica;
 import reedmux.control.replication.Watermark;
 
-/** One node of a {@link VirtualCluster}: what decides, the disk, and messages to the other nodes. */
+/**
+ * One node of a {@link VirtualCluster}: its consensus and core membership, its disk, and its messages to the other
+ * nodes.
+ */
 final class VirtualNode implements ConsensusPort, CoreMembershipPort {
     private static final int MINIMUM_REPLICAS = 2;
 
-    /** What becomes of writes. */
+    /** How the disk handles writes. */
     enum Disk {
         WORKING,
         STALLED,
@@ -22,9 +25,9 @@
     final String ip;
     final String name;
     final VirtualCluster cluster;
-    /** To whom a connection is up; kept by the clusters that have connections. */
+    /** The IP addresses of the connected nodes; maintained by clusters that simulate connections. */
     final Set<String> connections = new TreeSet<>();
-    /** What is on the disk, and in memory. */
+    /** The replica on the disk and in memory. */
     Replica replica = new Replica();
 
     PersistentCoreState coreOnDisk;
@@ -41,7 +44,7 @@
         this.name = name;
     }
 
-    /** Starts a new process on the disk; {@code complete}: nothing of it was lost. */
+    /** Starts a new process with the state on the disk; {@code complete} states that none of it was lost. */
     void start(boolean complete) {
         up = true;
         incarnation = cluster.nextIncarnation();
@@ -59,7 +62,7 @@
                 .anyMatch(item -> item.key().equals("routes/" + route) && item.revision() == revision);
     }
 
-    /** Another node tells all that it has. */
+    /** Receives the complete state of another node. */
     void receiveStateOf(VirtualNode other) {
         replica.mergeWatermarks(List.copyOf(other.replica.watermarks()));
         consensus.onPeerState(
