--- a/src/main/java/reedmux/gatekeeper/policy/AdmissionPolicy.java
+++ b/src/main/java/reedmux/gatekeeper/policy/AdmissionPolicy.java
@@ -20,23 +20,23 @@
     /** Most that another region's request may take against the best mean: own requests begin to queue there. */
     private static final double REMOTE_BEST_MULTIPLE = 2;
     /** First sends for a good answer: load that lets half of all go bad, against hung servers that set it off. */
-    private static final double SENDS_PER_GOOD = 2;
+    private static final double SENDS_PER_GOOD_ANSWER = 2;
     /** Time constant of good answers and of what is wanted: how soon congestion is seen and its end believed. */
-    private static final double GOOD_MEMORY_MICROS = 2 * PolicyContext.MICROS_PER_SECOND;
+    private static final double THROTTLE_DECAY_MICROS = 2 * PolicyContext.MICROS_PER_SECOND;
     /** Sent on trial at least, and as a share of what is wanted: from single ones it took 9 s to recover. */
     private static final double MIN_TRIALS = 1;
 
     private static final double TRIAL_SHARE = 0.05;
     /** For so many first latency guesses what is in flight counts as good: a start without answers yet. */
-    private static final double YOUNG_LATENCIES = 2;
+    private static final double RECENT_SEND_LATENCIES = 2;
 
     private final PolicyContext context;
     private final LatencyEstimator latencies;
     private final ServerPool pool;
     private double meanValue;
-    private double wanted;
-    private double good;
-    private double young;
+    private double demand;
+    private double goodAnswers;
+    private double recentSends;
     private long decayedAt;
 
     AdmissionPolicy(PolicyContext context, LatencyEstimator latencies, ServerPool pool) {
@@ -51,16 +51,16 @@
         double value = requestClass.value() * request.account.plan.price() * request.request.units();
         double density = value / latencies.serviceTime(request);
         meanValue = meanValue == 0 ? density : meanValue + VALUE_SAMPLE_WEIGHT * (density - meanValue);
-        double share = Math.min(MAX_TARGET_SHARE, MIN_TARGET_SHARE + TARGET_SHARE_SLOPE * density / meanValue);
-        double fill = Math.min(MAX_LIMIT_SHARE, MIN_LIMIT_SHARE + LIMIT_SHARE_SLOPE * density / meanValue);
-        double longest = share * requestClass.latencyTarget();
+        double targetShare = Math.min(MAX_TARGET_SHARE, MIN_TARGET_SHARE + TARGET_SHARE_SLOPE * density / meanValue);
+        double limitShare = Math.min(MAX_LIMIT_SHARE, MIN_LIMIT_SHARE + LIMIT_SHARE_SLOPE * density / meanValue);
+        double maxTime = targetShare * requestClass.latencyTarget();
         if (remote) {
             double best = request.classLatency.bestMean;
-            longest = Math.min(longest, REMOTE_BEST_MULTIPLE * best * LatencyEstimator.size(request));
+            maxTime = Math.min(maxTime, REMOTE_BEST_MULTIPLE * best * LatencyEstimator.relativeSize(request));
         }
         return isThrottled(density / meanValue)
-                || pool.inFlight() > fill * pool.concurrencyLimit()
-                || latencies.expectedTime(request, server) > longest;
+                || pool.inFlight() > limitShare * pool.concurrencyLimit()
+                || latencies.expectedTime(request, server) > maxTime;
     }
 
     /**
@@ -73,22 +73,22 @@
      */
     private boolean isThrottled(double relativeValue) {
         decay();
-        double trials = Math.max(MIN_TRIALS, TRIAL_SHARE * wanted);
-        double chance = SENDS_PER_GOOD * (good + young + trials) / (wanted + MIN_TRIALS);
-        wanted++;
-        return context.random.nextDouble() >= chance * Math.sqrt(relativeValue);
+        double trials = Math.max(MIN_TRIALS, TRIAL_SHARE * demand);
+        double probability = SENDS_PER_GOOD_ANSWER * (goodAnswers + recentSends + trials) / (demand + MIN_TRIALS);
+        demand++;
+        return context.random.nextDouble() >= probability * Math.sqrt(relativeValue);
     }
 
     private void decay() {
-        double passed = context.now - decayedAt;
+        double elapsed = context.now - decayedAt;
         decayedAt = context.now;
-        wanted *= Math.exp(-passed / GOOD_MEMORY_MICROS);
-        good *= Math.exp(-passed / GOOD_MEMORY_MICROS);
-        young *= Math.exp(-passed / (YOUNG_LATENCIES * latencies.firstGuess()));
+        demand *= Math.exp(-elapsed / THROTTLE_DECAY_MICROS);
+        goodAnswers *= Math.exp(-elapsed / THROTTLE_DECAY_MICROS);
+        recentSends *= Math.exp(-elapsed / (RECENT_SEND_LATENCIES * latencies.initialEstimate()));
     }
 
     void onFirstSent() {
-        young++;
+        recentSends++;
     }
 
     /** A first attempt ended; an error in time speaks of the server, not of the load. */
@@ -96,7 +96,7 @@
         boolean inTime = elapsed <= ServerHealth.SLOW_TARGET_SHARE * request.requestClass.latencyTarget();
         if (outcome == AttemptOutcome.ERROR || outcome == AttemptOutcome.OK && inTime) {
             decay();
-            good++;
+            goodAnswers++;
         }
     }
 }
--- a/src/main/java/reedmux/gatekeeper/policy/ClassLatency.java
+++ b/src/main/java/reedmux/gatekeeper/policy/ClassLatency.java
@@ -9,8 +9,8 @@
     double meanUnits = 1;
     long sampledAt;
 
-    ClassLatency(double firstGuess) {
-        mean = firstGuess;
-        bestMean = firstGuess;
+    ClassLatency(double initialEstimate) {
+        mean = initialEstimate;
+        bestMean = initialEstimate;
     }
 }
--- a/src/main/java/reedmux/gatekeeper/policy/CustomerAccount.java
+++ b/src/main/java/reedmux/gatekeeper/policy/CustomerAccount.java
@@ -95,7 +95,7 @@
     @Override
     public void add(double units, int from) {
         super.add(units, from);
-        if (from == PeerTable.NOBODY) {
+        if (from == PeerTable.NO_PEER) {
             runAhead.onAdmitted(units, Math.max(drainedAt, usedAt));
         } else {
             runAhead.onCounted(units, Math.max(drainedAt, usedAt));
@@ -184,8 +184,8 @@
         pendingGrant = new double[SLOTS];
         countRequested = new boolean[SLOTS];
         for (int slot = 0; slot < SLOTS; slot++) {
-            int before = slotIn(old, neighbours[slot]);
-            branchUnits[slot] = before >= 0 ? oldBranchUnits[before] : 0;
+            int oldSlot = slotIn(old, neighbours[slot]);
+            branchUnits[slot] = oldSlot >= 0 ? oldBranchUnits[oldSlot] : 0;
         }
     }
 
@@ -203,8 +203,8 @@
 
     /** Attempts in flight here and behind all neighbours but one, or behind all at -1. */
     int inFlightExcept(int slot) {
-        int everywhere = inFlight + branchConcurrency[0] + branchConcurrency[1] + branchConcurrency[2];
-        return everywhere - (slot < 0 ? 0 : branchConcurrency[slot]);
+        int total = inFlight + branchConcurrency[0] + branchConcurrency[1] + branchConcurrency[2];
+        return total - (slot < 0 ? 0 : branchConcurrency[slot]);
     }
 
     void decayBranches(double factor) {
--- a/src/main/java/reedmux/gatekeeper/policy/CustomerAccounts.java
+++ b/src/main/java/reedmux/gatekeeper/policy/CustomerAccounts.java
@@ -34,13 +34,13 @@
     }
 
     /** An account that all requests of other regions have in common, which is never reported to peers. */
-    CustomerAccount ofRemoteRequests(CustomerPlan plan) {
+    CustomerAccount createRemoteAccount(CustomerPlan plan) {
         int none = TrafficPolicy.REMOTE_REQUEST_PLAN;
         return new CustomerAccount(none, plan, none, context.settings.self(), 1, quotaShare, 0);
     }
 
     /** The account of a customer; a new one has the rate limit's tokens that it would have gathered since the start. */
-    CustomerAccount of(long customer, int plan, int firstMember, int memberCount) {
+    CustomerAccount getOrCreate(long customer, int plan, int firstMember, int memberCount) {
         CustomerAccount account = find(customer);
         if (account == null) {
             CustomerPlan configured = context.settings.plans().get(plan);
@@ -59,8 +59,9 @@
     }
 
     /** The account of a request, whose plan and gateways hold: what a peer says of them may be of older settings. */
-    CustomerAccount of(IncomingRequest request) {
-        CustomerAccount account = of(request.customer(), request.plan(), request.firstMember(), request.memberCount());
+    CustomerAccount getOrCreate(IncomingRequest request) {
+        CustomerAccount account =
+                getOrCreate(request.customer(), request.plan(), request.firstMember(), request.memberCount());
         if (account.planIndex != request.plan()
                 || account.firstMember != request.firstMember()
                 || account.memberCount != request.memberCount()) {
--- a/src/main/java/reedmux/gatekeeper/policy/GatekeeperPolicy.java
+++ b/src/main/java/reedmux/gatekeeper/policy/GatekeeperPolicy.java
@@ -67,10 +67,10 @@
         context.now = now;
         context.actions = actions;
         if (context.startedAt < 0) {
-            begin();
+            start();
         }
         failureDetector.excludeOwnStall();
-        quotas.forgetIdleAccounts();
+        quotas.evictIdleAccounts();
         if (event instanceof IncomingRequest e) {
             onRequest(e);
         } else if (event instanceof AttemptEnded e) {
@@ -94,10 +94,10 @@
         }
     }
 
-    private void begin() {
+    private void start() {
         context.startedAt = context.now;
         if (context.settings.limits().peerMessages() && context.settings.groupSize() > 1) {
-            failureDetector.begin();
+            failureDetector.start();
         }
         if (context.settings.pollsDiscovery()) {
             context.actions.watchServers(true);
@@ -158,7 +158,7 @@
         if (ended.actualUnits() > 0 && !request.unitsSettled) {
             request.unitsSettled = true;
             quotas.drain(request.account);
-            quotas.count(request.account, ended.actualUnits() - request.request.units(), PeerTable.NOBODY);
+            quotas.count(request.account, ended.actualUnits() - request.request.units(), PeerTable.NO_PEER);
         }
         if (ended.requestOver() || request.closed) {
             close(request);
--- a/src/main/java/reedmux/gatekeeper/policy/HandoverCounts.java
+++ b/src/main/java/reedmux/gatekeeper/policy/HandoverCounts.java
@@ -62,12 +62,12 @@
         for (PeerState peer : peers.all()) {
             exchange.restoreUnacknowledged(peer);
         }
-        List<AccountSnapshot> all = new ArrayList<>();
+        List<AccountSnapshot> snapshots = new ArrayList<>();
         for (CustomerAccount account : accounts.all()) {
-            quotas.refreshed(account);
+            quotas.refresh(account);
             account.rateLimitTokens *= SHARE_DURING_HANDOVER;
             account.unreportedToHandover = 0;
-            all.add(new AccountSnapshot(
+            snapshots.add(new AccountSnapshot(
                     account.customer,
                     account.planIndex,
                     account.firstMember,
@@ -82,7 +82,7 @@
                     account.pendingCopy()));
         }
         accounts.quotaShare().fraction = SHARE_DURING_HANDOVER;
-        return all;
+        return snapshots;
     }
 
     /** Goes on from what another process has counted, which goes on beside this one. */
@@ -98,7 +98,7 @@
 
     private void restore(long now, AccountSnapshot snapshot) {
         CustomerAccount account =
-                accounts.of(snapshot.customer, snapshot.plan, snapshot.firstMember, snapshot.memberCount);
+                accounts.getOrCreate(snapshot.customer, snapshot.plan, snapshot.firstMember, snapshot.memberCount);
         peers.refresh(account);
         account.firstSeenAt = Math.min(account.firstSeenAt, now - Math.max(0, snapshot.knownFor));
         account.maxMemberCount = Math.max(account.maxMemberCount, snapshot.maxMemberCount);
@@ -112,15 +112,15 @@
                 account.addPending(slot, snapshot.unreportedUnits[i]);
             }
         }
-        peers.markPending(account, PeerTable.NOBODY);
+        peers.markPending(account, PeerTable.NO_PEER);
     }
 
     /** What was counted here since the last time and is not the other process's own report. */
     public List<AccountUsage> takeUsage() {
-        List<AccountUsage> all = new ArrayList<>();
+        List<AccountUsage> usages = new ArrayList<>();
         for (CustomerAccount account : accounts.all()) {
             if (account.unreportedToHandover != 0) {
-                all.add(new AccountUsage(
+                usages.add(new AccountUsage(
                         account.customer,
                         account.planIndex,
                         account.firstMember,
@@ -129,7 +129,7 @@
                 account.unreportedToHandover = 0;
             }
         }
-        return all;
+        return usages;
     }
 
     /** Counts what the other process has counted. */
@@ -137,8 +137,8 @@
         context.now = now;
         for (AccountUsage usage : usages) {
             if (isValid(usage.customer, usage.plan, usage.firstMember, usage.memberCount)) {
-                CustomerAccount account =
-                        quotas.refreshed(accounts.of(usage.customer, usage.plan, usage.firstMember, usage.memberCount));
+                CustomerAccount account = quotas.refresh(
+                        accounts.getOrCreate(usage.customer, usage.plan, usage.firstMember, usage.memberCount));
                 account.usedAt = now;
                 quotas.count(account, usage.units, HANDOVER_SOURCE);
             }
--- a/src/main/java/reedmux/gatekeeper/policy/HeapTopology.java
+++ b/src/main/java/reedmux/gatekeeper/policy/HeapTopology.java
@@ -42,11 +42,11 @@
         versions[member] = version;
     }
 
-    boolean isSilent(int member) {
-        return isSilentVersion(versions[member]);
+    boolean isUnreachable(int member) {
+        return isUnreachableVersion(versions[member]);
     }
 
-    static boolean isSilentVersion(int version) {
+    static boolean isUnreachableVersion(int version) {
         return (version & 1) == 1;
     }
 
@@ -60,12 +60,12 @@
     }
 
     /** The share of a customer's gateways that are silent. */
-    double silentShare(int first, int count) {
-        int silent = 0;
+    double unreachableShare(int first, int count) {
+        int unreachable = 0;
         for (int i = 0; i < count; i++) {
-            silent += versions[(first + i) % versions.length] & 1;
+            unreachable += versions[(first + i) % versions.length] & 1;
         }
-        return (double) silent / count;
+        return (double) unreachable / count;
     }
 
     /** Levels of a heap of so many members. */
@@ -75,17 +75,17 @@
 
     /** This gateway's parent, left and right child among a customer's gateways; -1 for none. */
     int[] neighbours(int first, int count) {
-        int[] lower = side(first, count, -1);
-        int[] upper = side(first, count, 1);
+        int[] lower = nearestOnSide(first, count, -1);
+        int[] upper = nearestOnSide(first, count, 1);
         int parent = lower[0] < 0 || upper[0] >= 0 && outranks(lower[0], upper[0]) ? upper[0] : lower[0];
         return includesSelf(first, count) ? new int[] {parent, lower[1], upper[1]} : new int[] {NONE, NONE, NONE};
     }
 
     /** On one side of this gateway: the nearest member that outranks it, and the highest of those before that one. */
-    private int[] side(int first, int count, int step) {
+    private int[] nearestOnSide(int first, int count, int step) {
         int child = NONE;
         for (int member = self + step; member >= 0 && member < versions.length; member += step) {
-            if (includes(member, first, count) && !isSilent(member)) {
+            if (includes(member, first, count) && !isUnreachable(member)) {
                 if (outranks(member, self)) {
                     return new int[] {member, child};
                 }
@@ -95,9 +95,9 @@
         return new int[] {NONE, child};
     }
 
-    private static boolean outranks(int one, int other) {
-        int rank = Integer.numberOfTrailingZeros(one + 1);
-        int otherRank = Integer.numberOfTrailingZeros(other + 1);
-        return rank > otherRank || rank == otherRank && one < other;
+    private static boolean outranks(int first, int second) {
+        int firstRank = Integer.numberOfTrailingZeros(first + 1);
+        int secondRank = Integer.numberOfTrailingZeros(second + 1);
+        return firstRank > secondRank || firstRank == secondRank && first < second;
     }
 }
--- a/src/main/java/reedmux/gatekeeper/policy/PeerExchange.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerExchange.java
@@ -12,7 +12,7 @@
  */
 final class PeerExchange {
     /** The numbers by which a new incarnation is known at once. */
-    private static final int FIRST_PACKETS = 4;
+    private static final int MAX_INITIAL_PACKET_NUMBER = 4;
     /** Packets that may be lost in a row: a number beyond is a spoilt one. */
     private static final int MAX_PACKETS_AHEAD = 1 << 16;
 
@@ -55,7 +55,7 @@
         boolean replyRequested = peer.awaitingReplySince >= 0
                 || !members.isEmpty()
                 || !peer.pendingAccounts.isEmpty()
-                || topology.isSilent(peer.peer);
+                || topology.isUnreachable(peer.peer);
         PeerPacketWriter packet = new PeerPacketWriter(
                 peer.aliases,
                 incarnation,
@@ -116,15 +116,15 @@
             return;
         }
         boolean restarted = peer.peerIncarnation != packet.incarnation();
-        boolean returned = topology.isSilent(from);
-        if (returned) { // it has missed all news
+        boolean recovered = topology.isUnreachable(from);
+        if (recovered) { // it has missed all news
             failureDetector.onReturn(from);
             peer.queueAllMembers(topology);
         }
         if (restarted) {
             beginIncarnation(peer, packet.incarnation());
         }
-        if (returned || peer.previousIncarnation != 0 && restarted) {
+        if (recovered || peer.previousIncarnation != 0 && restarted) {
             requestReports(peer);
         }
         peer.syncInterval =
@@ -132,7 +132,7 @@
         if (packet.replyRequested() && peer.replyOwedSince < 0) {
             peer.replyOwedSince = context.now;
         }
-        peer.receive(packet.number());
+        peer.recordReceived(packet.number());
         if (packet.receiverIncarnation() == incarnation) {
             restore(peer, peer.acknowledge(packet.acknowledgedNumber(), packet.acceptedBits()));
             peer.awaitingReplySince = peer.unacknowledged.isEmpty() ? -1 : context.now;
@@ -140,7 +140,7 @@
             restartDetected = true;
             return; // meant for our earlier incarnation; our answer tells of the new one
         }
-        takeIn(peer, packet);
+        applyContents(peer, packet);
     }
 
     /**
@@ -156,7 +156,7 @@
                     && packet.number() <= peer.lastReceivedNumber + MAX_PACKETS_AHEAD;
         }
         if (peer.peerIncarnation != 0
-                && packet.number() > FIRST_PACKETS
+                && packet.number() > MAX_INITIAL_PACKET_NUMBER
                 && peer.unconfirmedIncarnation != packet.incarnation()) {
             peer.unconfirmedIncarnation = packet.incarnation();
             return false;
@@ -164,10 +164,10 @@
         return true;
     }
 
-    private void takeIn(PeerState peer, PeerPacket packet) {
+    private void applyContents(PeerState peer, PeerPacket packet) {
         peer.acceptedBits |= 1;
         for (MemberVersion member : packet.members()) {
-            peers.learn(member.member(), member.version(), peer.peer);
+            peers.applyVersion(member.member(), member.version(), peer.peer);
         }
         for (AccountEntry entry : packet.entries()) {
             AccountEntry resolved = peer.aliases.resolve(entry);
--- a/src/main/java/reedmux/gatekeeper/policy/PeerFailureDetector.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerFailureDetector.java
@@ -20,17 +20,17 @@
 
     private static final double MAX_ADAPT_FACTOR = 1.5;
     /** Intervals without an answer until it is asked for again: messages against late notice of a loss. */
-    private static final int ASK_AGAIN_INTERVALS = 2;
+    private static final int REPLY_RETRY_INTERVALS = 2;
     /** Intervals until an answer that is owed goes out without any other news. */
-    private static final int ANSWER_INTERVALS = 1;
+    private static final int REPLY_INTERVALS = 1;
     /** Intervals without an answer until a peer is silent: rerouting round a dead one, against false alarms. */
-    private static final int SILENT_INTERVALS = 12;
+    private static final int TIMEOUT_INTERVALS = 12;
     /** Bounds of the least time until then, which each false alarm doubles. */
-    private static final long MIN_SILENT_MICROS = 300_000;
+    private static final long MIN_TIMEOUT_MICROS = 300_000;
 
-    private static final long MAX_SILENT_MICROS = 4_000_000;
+    private static final long MAX_TIMEOUT_MICROS = 4_000_000;
     /** What is kept of it at each interval: a machine that stalls often, against one that has come to rest. */
-    private static final double SILENT_TIME_DECAY = 0.999;
+    private static final double TIMEOUT_DECAY = 0.999;
     /** How often a silent peer is asked: notice of its return, against messages to nobody. */
     private static final long PROBE_INTERVAL_MICROS = 1_000_000;
     /** Intervals without any event that are a stall of our own, in which nobody is called silent. */
@@ -41,10 +41,10 @@
     private final PeerTable peers;
     private final QuotaPolicy quotas;
     private double plannedMessagesPerSecond;
-    private double silentTime = MIN_SILENT_MICROS;
+    private double timeout = MIN_TIMEOUT_MICROS;
     private int messagesReceived;
     private long adaptedAt;
-    private long handledAt;
+    private long lastEventAt;
 
     PeerFailureDetector(PolicyContext context, HeapTopology topology, PeerTable peers, QuotaPolicy quotas) {
         this.context = context;
@@ -62,15 +62,15 @@
     }
 
     /** Starts the timer, and asks the neighbours in the heap of all gateways for what they have counted. */
-    void begin() {
+    void start() {
         context.actions.setTimer(context.now + peers.syncInterval, SYNC_TIMER);
         peers.requestCounts();
     }
 
     /** After a stall of our own, or long without any event, nobody else is called silent for that time. */
     void excludeOwnStall() {
-        long gap = context.now - handledAt;
-        handledAt = context.now;
+        long gap = context.now - lastEventAt;
+        lastEventAt = context.now;
         if (gap > STALL_INTERVALS * peers.syncInterval) {
             for (PeerState peer : peers.all()) {
                 peer.awaitingReplySince = peer.awaitingReplySince < 0 ? -1 : peer.awaitingReplySince + gap;
@@ -84,58 +84,59 @@
 
     /** A silent peer was heard: a false alarm, or it is back. */
     void onReturn(int member) {
-        silentTime = Math.min(MAX_SILENT_MICROS, 2 * silentTime);
-        peers.learn(member, topology.version(member) + 1, PeerTable.NOBODY);
+        timeout = Math.min(MAX_TIMEOUT_MICROS, 2 * timeout);
+        peers.applyVersion(member, topology.version(member) + 1, PeerTable.NO_PEER);
     }
 
     /** At each interval, which the message limit sets: sends each neighbour its counters, judges who is silent. */
     void synchronise(PeerExchange exchange) {
         adaptInterval();
         peers.onSynchronisation();
-        long sync = peers.syncInterval;
-        context.actions.setTimer(context.now + sync, SYNC_TIMER); // first: a fault below must not end it
-        silentTime = Math.max(MIN_SILENT_MICROS, silentTime * SILENT_TIME_DECAY);
+        long syncInterval = peers.syncInterval;
+        context.actions.setTimer(context.now + syncInterval, SYNC_TIMER); // first: a fault below must not end it
+        timeout = Math.max(MIN_TIMEOUT_MICROS, timeout * TIMEOUT_DECAY);
         double intervals = 0;
-        int heard = 0;
-        List<Integer> unheard = new ArrayList<>();
+        int reachable = 0;
+        List<Integer> timedOut = new ArrayList<>();
         for (int i = 0; i < peers.all().size(); i++) { // sending may bring up further peers
             PeerState peer = peers.all().get(i);
-            boolean silent = topology.isSilent(peer.peer);
-            long interval = silent ? PROBE_INTERVAL_MICROS : Math.max(sync, peer.syncInterval);
-            if (!silent) {
-                heard++;
+            boolean unreachable = topology.isUnreachable(peer.peer);
+            long interval = unreachable ? PROBE_INTERVAL_MICROS : Math.max(syncInterval, peer.syncInterval);
+            if (!unreachable) {
+                reachable++;
                 intervals += interval;
-                if (isOverdue(peer, interval)) {
-                    unheard.add(peer.peer);
+                if (hasTimedOut(peer, interval)) {
+                    timedOut.add(peer.peer);
                 }
             }
-            if (context.now - peer.sentAt >= interval - sync / 4 && (silent || isDue(peer, interval))) {
+            if (context.now - peer.sentAt >= interval - syncInterval / 4
+                    && (unreachable || isSendDue(peer, interval))) {
                 exchange.send(peer);
             }
         }
-        unheard.forEach(peer -> peers.learn(peer, topology.version(peer) | 1, PeerTable.NOBODY));
-        quotas.meanSyncInterval = heard == 0 ? sync : intervals / heard;
+        timedOut.forEach(peer -> peers.applyVersion(peer, topology.version(peer) | 1, PeerTable.NO_PEER));
+        quotas.meanSyncInterval = reachable == 0 ? syncInterval : intervals / reachable;
     }
 
-    private boolean isOverdue(PeerState peer, long interval) {
+    private boolean hasTimedOut(PeerState peer, long interval) {
         return peer.awaitingReplySince >= 0
-                && context.now - peer.awaitingReplySince > Math.max(silentTime, SILENT_INTERVALS * interval);
+                && context.now - peer.awaitingReplySince > Math.max(timeout, TIMEOUT_INTERVALS * interval);
     }
 
-    private boolean isDue(PeerState peer, long interval) {
+    private boolean isSendDue(PeerState peer, long interval) {
         return !peer.pendingAccounts.isEmpty()
                 || !peer.pendingMembers.isEmpty()
-                || peer.replyOwedSince >= 0 && context.now - peer.replyOwedSince >= ANSWER_INTERVALS * interval
-                || peer.awaitingReplySince >= 0 && context.now - peer.sentAt >= ASK_AGAIN_INTERVALS * interval;
+                || peer.replyOwedSince >= 0 && context.now - peer.replyOwedSince >= REPLY_INTERVALS * interval
+                || peer.awaitingReplySince >= 0 && context.now - peer.sentAt >= REPLY_RETRY_INTERVALS * interval;
     }
 
     /** The interval, which is sent to neighbours, follows the messages that come in towards the planned share. */
     private void adaptInterval() {
         if (context.now - adaptedAt >= ADAPT_INTERVAL_MICROS) {
             double perSecond = messagesReceived * PolicyContext.MICROS_PER_SECOND / (context.now - adaptedAt);
-            double used = perSecond / plannedMessagesPerSecond;
-            peers.syncInterval =
-                    bounded(peers.syncInterval * Math.max(1 / MAX_ADAPT_FACTOR, Math.min(MAX_ADAPT_FACTOR, used)));
+            double utilisation = perSecond / plannedMessagesPerSecond;
+            peers.syncInterval = bounded(
+                    peers.syncInterval * Math.max(1 / MAX_ADAPT_FACTOR, Math.min(MAX_ADAPT_FACTOR, utilisation)));
             messagesReceived = 0;
             adaptedAt = context.now;
         }
--- a/src/main/java/reedmux/gatekeeper/policy/PeerPacketWriter.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerPacketWriter.java
@@ -102,10 +102,10 @@
     }
 
     private void writeVarint(long value) {
-        long rest = value;
-        for (; rest > 0x7F || rest < 0; rest >>>= 7) {
-            out.put((byte) (rest | 0x80));
+        long remaining = value;
+        for (; remaining > 0x7F || remaining < 0; remaining >>>= 7) {
+            out.put((byte) (remaining | 0x80));
         }
-        out.put((byte) rest);
+        out.put((byte) remaining);
     }
 }
--- a/src/main/java/reedmux/gatekeeper/policy/PeerState.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerState.java
@@ -51,7 +51,7 @@
     }
 
     /** Moves the window of what was accepted up to a packet just received. */
-    void receive(long number) {
+    void recordReceived(long number) {
         long steps = number - lastReceivedNumber;
         acceptedBits =
                 steps >= PeerPacket.ACK_WINDOW_PACKETS ? 0 : acceptedBits << steps & PeerPacket.INCARNATION_BOUND - 1;
@@ -75,10 +75,10 @@
 
     /** Takes all packets without an answer, which is awaited no longer. */
     List<UnacknowledgedPacket> takeUnacknowledged() {
-        List<UnacknowledgedPacket> all = new ArrayList<>(unacknowledged);
+        List<UnacknowledgedPacket> packets = new ArrayList<>(unacknowledged);
         unacknowledged.clear();
         awaitingReplySince = -1;
-        return all;
+        return packets;
     }
 
     /** Queues all that is known of members for the peer. */
@@ -92,8 +92,8 @@
 
     /** Takes the members that have waited longest, so many at most. */
     List<Integer> takePendingMembers(int max) {
-        List<Integer> taken = pendingMembers.stream().limit(max).toList();
-        taken.forEach(pendingMembers::remove);
-        return taken;
+        List<Integer> members = pendingMembers.stream().limit(max).toList();
+        members.forEach(pendingMembers::remove);
+        return members;
     }
 }
--- a/src/main/java/reedmux/gatekeeper/policy/PeerTable.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerTable.java
@@ -6,10 +6,10 @@
 /** The gateways that this one exchanges counters with, and which of a customer's are its neighbours in the heap. */
 final class PeerTable {
     /** In place of a member's number: no peer is left out. */
-    static final int NOBODY = -1;
+    static final int NO_PEER = -1;
 
     /** Over how many synchronisations the mean lateness is taken. */
-    private static final int LATENESS_MEMORY = 16;
+    private static final int LATENESS_SAMPLES = 16;
 
     /** A higher version comes from a spoilt packet: no member lives through so many changes. */
     private static final int MAX_VERSION = 1 << 30;
@@ -17,7 +17,7 @@
     private final PolicyContext context;
     private final HeapTopology topology;
     private final PeerState[] byMember;
-    private final List<PeerState> inOrderOfContact = new ArrayList<>();
+    private final List<PeerState> peers = new ArrayList<>();
     /** The interval in which this gateway wants to hear from each neighbour, in microseconds; the paper's Δs. */
     long syncInterval;
     /** How late synchronisations are in the mean, in microseconds, and when the next one is due; 0 before the first. */
@@ -33,13 +33,13 @@
 
     /** All peers that there has been anything to tell or to hear from, in the order of their first contact. */
     List<PeerState> all() {
-        return inOrderOfContact;
+        return peers;
     }
 
     PeerState get(int member) {
         if (byMember[member] == null) {
             byMember[member] = new PeerState(member, syncInterval, context.now);
-            inOrderOfContact.add(byMember[member]);
+            peers.add(byMember[member]);
         }
         return byMember[member];
     }
@@ -60,25 +60,25 @@
             return;
         }
         account.membershipView = topology.revision();
-        account.unreachableShare = topology.silentShare(account.firstMember, account.memberCount);
+        account.unreachableShare = topology.unreachableShare(account.firstMember, account.memberCount);
         int[] neighbours = topology.neighbours(account.firstMember, account.memberCount);
         if (!account.hasNeighbours(neighbours)) {
             account.rewire(neighbours);
-            markPending(account, NOBODY);
+            markPending(account, NO_PEER);
         }
     }
 
     /** Has what waits for a peer that is silent now go to those who take its place. */
-    private void moveAway(PeerState silent) {
-        List<CustomerAccount> moving = new ArrayList<>(silent.pendingAccounts);
-        silent.pendingAccounts.clear();
-        moving.forEach(this::refresh);
+    private void reassignPending(PeerState unreachablePeer) {
+        List<CustomerAccount> reassigned = new ArrayList<>(unreachablePeer.pendingAccounts);
+        unreachablePeer.pendingAccounts.clear();
+        reassigned.forEach(this::refresh);
     }
 
     /** A synchronisation begins now, and the next one follows after the interval. */
     void onSynchronisation() {
         long late = nextSyncAt == 0 ? 0 : Math.max(0, context.now - nextSyncAt);
-        lateness += (late - lateness) / LATENESS_MEMORY;
+        lateness += (late - lateness) / LATENESS_SAMPLES;
         nextSyncAt = context.now + syncInterval;
     }
 
@@ -97,26 +97,26 @@
     }
 
     /** Takes in how often a member has changed; as the higher version wins, no rumour goes round. */
-    void learn(int member, int version, int from) {
+    void applyVersion(int member, int version, int from) {
         if (member < 0 || member >= topology.size() || version <= topology.version(member) || version > MAX_VERSION) {
             return;
         }
-        boolean silent = HeapTopology.isSilentVersion(version);
-        boolean changed = silent != topology.isSilent(member);
+        boolean unreachable = HeapTopology.isUnreachableVersion(version);
+        boolean changed = unreachable != topology.isUnreachable(member);
         topology.setVersion(member, version);
-        for (PeerState peer : inOrderOfContact) {
-            if (peer.peer != from && peer.peer != member && !topology.isSilent(peer.peer)) {
+        for (PeerState peer : peers) {
+            if (peer.peer != from && peer.peer != member && !topology.isUnreachable(peer.peer)) {
                 peer.pendingMembers.add(member);
             }
         }
         if (member == context.settings.self()) {
-            learn(member, version + (version & 1), NOBODY); // we are not silent
+            applyVersion(member, version + (version & 1), NO_PEER); // we are not silent
         } else if (changed) {
             topology.advanceRevision();
             PeerState peer = byMember[member];
-            if (peer != null && silent) {
+            if (peer != null && unreachable) {
                 peer.awaitingReplySince = -1; // what it may yet have taken in counts twice if it goes another way
-                moveAway(peer); // what waits goes to those who take its place
+                reassignPending(peer); // what waits goes to those who take its place
             }
         }
     }
--- a/src/main/java/reedmux/gatekeeper/policy/QuotaPolicy.java
+++ b/src/main/java/reedmux/gatekeeper/policy/QuotaPolicy.java
@@ -23,16 +23,16 @@
     /** Bursts that races are taken to have under way at most: fewer pass in a surge, more are rejected after it. */
     private static final double MAX_RACE_MARGIN_BURSTS = 6;
     /** Time constants by which that is forgotten, and the share of a burst below which the count is quiet. */
-    private static final double RACE_MEMORY_MICROS = 20 * SECOND;
+    private static final double RACE_DECAY_MICROS = 20 * SECOND;
 
-    private static final double QUIET_RACE_MEMORY_MICROS = 2 * SECOND;
+    private static final double QUIET_RACE_DECAY_MICROS = 2 * SECOND;
     private static final double QUIET_COUNT_SHARE = 0.2;
     /** Attempts in flight are reported where that crosses the heap within so many first latency guesses. */
     private static final double MAX_REPORT_LATENCIES = 3;
     /** How near to the cap an estimate of them may come: half an attempt, as the estimate is a mean. */
     private static final double CONCURRENCY_ROUNDING = 0.5;
     /** Time constant of a branch's rate: long against the sync interval, short against shifts of traffic. */
-    private static final double BRANCH_MEMORY_MICROS = 4 * SECOND;
+    private static final double BRANCH_DECAY_MICROS = 4 * SECOND;
     /** Advice where only the use of others makes room, so that its time is a guess. */
     private static final long GUESSED_RETRY_AFTER_MICROS = 350_000;
     /** The price of another region's request against the cheapest plan's: own customers come first. */
@@ -46,7 +46,7 @@
     /** The mean interval in which reachable peers want to hear from us. */
     double meanSyncInterval;
 
-    private long sweptAt;
+    private long lastEvictionAt;
 
     QuotaPolicy(PolicyContext context, CustomerAccounts accounts, PeerTable peers, LatencyEstimator latencies) {
         this.context = context;
@@ -57,8 +57,8 @@
                 .mapToDouble(CustomerPlan::price)
                 .min()
                 .orElse(1);
-        CustomerPlan free = new CustomerPlan("visitors", 0, 0, 0, 0, 0, 0, cheapest * REMOTE_PRICE_SHARE, 0, 0);
-        remoteRequests = accounts.ofRemoteRequests(free);
+        CustomerPlan remotePlan = new CustomerPlan("visitors", 0, 0, 0, 0, 0, 0, cheapest * REMOTE_PRICE_SHARE, 0, 0);
+        remoteRequests = accounts.createRemoteAccount(remotePlan);
     }
 
     boolean isRemote(CustomerAccount account) {
@@ -66,15 +66,15 @@
     }
 
     /** At any event, as a gateway that takes no requests itself may hear of customers from its peers alone. */
-    void forgetIdleAccounts() {
-        if (context.now - sweptAt > ACCOUNT_IDLE_MICROS / 4) {
-            sweptAt = context.now;
-            accounts.all().removeIf(this::isForgettable);
+    void evictIdleAccounts() {
+        if (context.now - lastEvictionAt > ACCOUNT_IDLE_MICROS / 4) {
+            lastEvictionAt = context.now;
+            accounts.all().removeIf(this::isEvictable);
         }
     }
 
     /** Whether a customer that comes back later finds what a new one would: idle for long, and nothing used. */
-    private boolean isForgettable(CustomerAccount account) {
+    private boolean isEvictable(CustomerAccount account) {
         drain(account);
         CustomerPlan plan = account.plan;
         return account.inFlight == 0
@@ -86,11 +86,11 @@
     /** The account of a request, brought up to date. */
     CustomerAccount account(IncomingRequest request) {
         boolean remote = request.plan() == TrafficPolicy.REMOTE_REQUEST_PLAN;
-        return refreshed(remote ? remoteRequests : accounts.of(request));
+        return refresh(remote ? remoteRequests : accounts.getOrCreate(request));
     }
 
     /** The account with its present neighbours, and drained until now. */
-    CustomerAccount refreshed(CustomerAccount account) {
+    CustomerAccount refresh(CustomerAccount account) {
         peers.refresh(account);
         drain(account);
         return account;
@@ -103,7 +103,7 @@
         boolean withinQuota = plan.quotaRate() == 0
                 || units <= room
                         && !exceedsFirstShare(account, units)
-                        && !runsAhead(account, units)
+                        && !exceedsRunAhead(account, units)
                         && (room >= account.raceMargin || context.random.nextDouble() * account.raceMargin <= room);
         return withinQuota
                 && (plan.maxConcurrency() == 0
@@ -114,8 +114,8 @@
     /** Time until quota, rate limit and first share make room; a guess where only others' use can. */
     long retryAfter(CustomerAccount account, double units) {
         CustomerPlan plan = account.plan;
-        double over = account.localCount() + units - plan.quotaBurst();
-        double wait = plan.quotaRate() > 0 ? over / plan.quotaRate() : 0;
+        double excess = account.localCount() + units - plan.quotaBurst();
+        double wait = plan.quotaRate() > 0 ? excess / plan.quotaRate() : 0;
         if (plan.rateLimit() > 0) {
             wait = Math.max(wait, (units - account.rateLimitTokens) / account.share(plan.rateLimit()));
         }
@@ -133,16 +133,17 @@
     }
 
     /** Whether so many units may be too much before the others know of them; a part of them goes by lot. */
-    private boolean runsAhead(CustomerAccount account, double units) {
-        long hop = ((long) meanSyncInterval + PACKET_DELAY_MICROS) / 2 + 2 * peers.lateness();
-        double room = account.unknownAllowance(2L * (HeapTopology.depth(account.memberCount) - 1) * hop, context.now);
-        return room < units && context.random.nextDouble() * units >= room;
+    private boolean exceedsRunAhead(CustomerAccount account, double units) {
+        long hopDelay = ((long) meanSyncInterval + PACKET_DELAY_MICROS) / 2 + 2 * peers.lateness();
+        double allowance =
+                account.unknownAllowance(2L * (HeapTopology.depth(account.memberCount) - 1) * hopDelay, context.now);
+        return allowance < units && context.random.nextDouble() * units >= allowance;
     }
 
     /** Takes units, or gives back what was taken where they are negative. */
     void charge(CustomerAccount account, double units) {
         account.spend(units, context.now);
-        count(account, units, PeerTable.NOBODY);
+        count(account, units, PeerTable.NO_PEER);
     }
 
     /** Counts units here and for all neighbours but the one that reported them. */
@@ -156,11 +157,11 @@
      * While remembered, the last of the room goes by lot, or hundreds of gateways would all take it. It meets
      * surges, slow propagation and partitions; just after a surge a customer within its quota loses some requests.
      */
-    private void noteRace(CustomerAccount account, double units) {
+    private void recordOvershoot(CustomerAccount account, double units) {
         double burst = account.plan.quotaBurst();
-        double over = Math.min(units, account.localCount() - burst);
-        if (over > 0 && account.plan.quotaRate() > 0) {
-            account.raceMargin = Math.min(MAX_RACE_MARGIN_BURSTS * burst, account.raceMargin + over);
+        double excess = Math.min(units, account.localCount() - burst);
+        if (excess > 0 && account.plan.quotaRate() > 0) {
+            account.raceMargin = Math.min(MAX_RACE_MARGIN_BURSTS * burst, account.raceMargin + excess);
         }
         account.capAt((1 + MAX_OVERSHOOT_BURSTS) * burst);
     }
@@ -170,16 +171,16 @@
      * if nothing unheard of were under way, surges would pass for that much longer. Refills the rate limit's tokens.
      */
     void drain(CustomerAccount account) {
-        double passed = (context.now - account.drainedAt) / SECOND;
+        double elapsed = (context.now - account.drainedAt) / SECOND;
         account.drainedAt = context.now;
         CustomerPlan plan = account.plan;
-        account.drain(plan.quotaRate() * (1 - account.unreachableShare) * passed);
+        account.drain(plan.quotaRate() * (1 - account.unreachableShare) * elapsed);
         account.rateLimitTokens = Math.min(
                 account.share(plan.rateLimitBurst()),
-                account.rateLimitTokens + account.share(plan.rateLimit()) * passed);
-        account.decayBranches(Math.exp(-passed * SECOND / BRANCH_MEMORY_MICROS));
+                account.rateLimitTokens + account.share(plan.rateLimit()) * elapsed);
+        account.decayBranches(Math.exp(-elapsed * SECOND / BRANCH_DECAY_MICROS));
         boolean quiet = account.localCount() < QUIET_COUNT_SHARE * plan.quotaBurst();
-        account.raceMargin *= Math.exp(-passed * SECOND / (quiet ? QUIET_RACE_MEMORY_MICROS : RACE_MEMORY_MICROS));
+        account.raceMargin *= Math.exp(-elapsed * SECOND / (quiet ? QUIET_RACE_DECAY_MICROS : RACE_DECAY_MICROS));
     }
 
     /** The longest time for a count to cross the heap, 2(log2(N+1)-1)(Δs+Δt) with whole levels, in microseconds. */
@@ -189,21 +190,21 @@
 
     boolean reportsInFlight(CustomerAccount account) {
         return account.plan.maxConcurrency() > 0
-                && propagationTime(account.memberCount) < MAX_REPORT_LATENCIES * latencies.firstGuess();
+                && propagationTime(account.memberCount) < MAX_REPORT_LATENCIES * latencies.initialEstimate();
     }
 
     /** Attempts in flight at all members: as reported where that is in time, else what their rate keeps in flight. */
     private double inFlightEverywhere(CustomerAccount account) {
-        double heard = account.branchUnits[0] + account.branchUnits[1] + account.branchUnits[2];
+        double branchUnits = account.branchUnits[0] + account.branchUnits[1] + account.branchUnits[2];
         return reportsInFlight(account)
                 ? account.inFlightExcept(-1)
-                : account.inFlight + heard / BRANCH_MEMORY_MICROS * latencies.meanAttemptTime();
+                : account.inFlight + branchUnits / BRANCH_DECAY_MICROS * latencies.meanAttemptTime();
     }
 
-    void changeInFlight(CustomerAccount account, int by) {
-        account.inFlight += by;
+    void changeInFlight(CustomerAccount account, int delta) {
+        account.inFlight += delta;
         if (reportsInFlight(account)) {
-            peers.markPending(account, PeerTable.NOBODY);
+            peers.markPending(account, PeerTable.NO_PEER);
         }
     }
 
@@ -218,19 +219,19 @@
      */
     void onReport(PeerPacket.AccountEntry entry, int from) {
         CustomerAccount account =
-                refreshed(accounts.of(entry.customer(), entry.plan(), entry.firstMember(), entry.memberCount()));
+                refresh(accounts.getOrCreate(entry.customer(), entry.plan(), entry.firstMember(), entry.memberCount()));
         account.usedAt = context.now;
         int slot = account.slotOf(from);
         if (slot < 0) {
             account.addWithoutForwarding(entry.delta());
-            noteRace(account, entry.delta());
+            recordOvershoot(account, entry.delta());
             return;
         }
         if (entry.count() != null) {
             account.raiseTo(entry.count() + account.pending(slot));
         }
         count(account, entry.delta(), from);
-        noteRace(account, entry.delta());
+        recordOvershoot(account, entry.delta());
         account.branchUnits[slot] += Math.max(0, entry.delta());
         passSpareTokens(account, slot, entry);
         if (entry.inFlight() != null && account.plan.maxConcurrency() > 0) {
--- a/src/main/java/reedmux/gatekeeper/policy/RetryPolicy.java
+++ b/src/main/java/reedmux/gatekeeper/policy/RetryPolicy.java
@@ -92,17 +92,17 @@
                 && request.attempts.size() + 1 < limits.maxAttempts()) {
             long target = request.requestClass.latencyTarget();
             double serviceTime = latencies.serviceTime(request);
-            double patience = (1 + TIMEOUT_RATE_WEIGHT * timeoutRate)
+            double attemptTimeout = (1 + TIMEOUT_RATE_WEIGHT * timeoutRate)
                     * Math.max(TIMEOUT_MULTIPLE * serviceTime, TIMEOUT_TARGET_SHARE * target);
-            if (context.now + patience + serviceTime < request.arrivedAt + target) {
-                timeout = Math.min(timeout, (long) patience);
+            if (context.now + attemptTimeout + serviceTime < request.arrivedAt + target) {
+                timeout = Math.min(timeout, (long) attemptTimeout);
             }
         }
         return timeout;
     }
 
     void onAttemptEnded(ActiveRequest request, PolicyAttempt attempt, AttemptOutcome outcome, long elapsed) {
-        timeoutRate = LatencyEstimator.averaged(timeoutRate, outcome == AttemptOutcome.TIMEOUT ? 1 : 0);
+        timeoutRate = LatencyEstimator.movingAverage(timeoutRate, outcome == AttemptOutcome.TIMEOUT ? 1 : 0);
         if (outcome == AttemptOutcome.OK && !request.streaming) {
             latencies.onAnswer(request, attempt.server, elapsed);
         } else if (outcome == AttemptOutcome.TIMEOUT) {
--- a/src/main/java/reedmux/gatekeeper/policy/SendRate.java
+++ b/src/main/java/reedmux/gatekeeper/policy/SendRate.java
@@ -4,7 +4,7 @@
 final class SendRate {
     private static final double SECOND = PolicyContext.MICROS_PER_SECOND;
     /** Time constant of both averages. */
-    private static final double MEMORY_MICROS = 5 * SECOND;
+    private static final double DECAY_MICROS = 5 * SECOND;
 
     private final PolicyContext context;
     private double requestsPerSecond;
@@ -17,15 +17,15 @@
 
     /** An attempt is sent now. */
     void onSent() {
-        double fade = Math.exp(-(context.now - updatedAt) / MEMORY_MICROS);
+        double decay = Math.exp(-(context.now - updatedAt) / DECAY_MICROS);
         updatedAt = context.now;
-        workPerSecond *= fade;
-        requestsPerSecond = requestsPerSecond * fade + SECOND / MEMORY_MICROS;
+        workPerSecond *= decay;
+        requestsPerSecond = requestsPerSecond * decay + SECOND / DECAY_MICROS;
     }
 
     /** The attempt just sent is so much work, in microseconds, for one of so many warm servers. */
     void onWarmWork(double work, double warmServers) {
-        workPerSecond += work / (MEMORY_MICROS / SECOND) / warmServers;
+        workPerSecond += work / (DECAY_MICROS / SECOND) / warmServers;
     }
 
     double requestsPerSecond() {
@@ -34,6 +34,6 @@
 
     /** Work a second at a warm server, in microseconds; soon after the start the mean over the time since then. */
     double workPerWarmServer() {
-        return workPerSecond / (1 - Math.exp(-Math.max(SECOND, context.now - context.startedAt) / MEMORY_MICROS));
+        return workPerSecond / (1 - Math.exp(-Math.max(SECOND, context.now - context.startedAt) / DECAY_MICROS));
     }
 }
--- a/src/main/java/reedmux/gatekeeper/policy/ServerHealth.java
+++ b/src/main/java/reedmux/gatekeeper/policy/ServerHealth.java
@@ -70,14 +70,14 @@
                 && (server.isEjected()
                         || server.consecutiveFailures >= EJECTING_FAILURES
                         || server.errorRate > EJECTING_ERROR_RATE)) {
-            long length = FIRST_EJECTION_MICROS << Math.min(MAX_EJECTION_DOUBLINGS, server.ejectionCount);
-            server.ejectedUntil = context.now + Math.min(MAX_EJECTION_MICROS, length);
+            long duration = FIRST_EJECTION_MICROS << Math.min(MAX_EJECTION_DOUBLINGS, server.ejectionCount);
+            server.ejectedUntil = context.now + Math.min(MAX_EJECTION_MICROS, duration);
             server.ejectionCount++;
         }
     }
 
     /** Answers that take longer, in microseconds, are a sign of congestion. */
-    private static double slow(ActiveRequest request) {
+    private static double slowThreshold(ActiveRequest request) {
         ClassLatency latency = request.classLatency;
         double best = latency.bestMean * Math.max(1, request.request.units() / latency.meanUnits);
         long target = request.requestClass.latencyTarget();
@@ -92,7 +92,7 @@
      */
     void adjustLimit(ActiveRequest request, PolicyAttempt attempt, AttemptOutcome outcome, long elapsed) {
         ServerState server = attempt.server;
-        if (outcome == AttemptOutcome.OK && !(elapsed > slow(request))) {
+        if (outcome == AttemptOutcome.OK && !(elapsed > slowThreshold(request))) {
             if (server.inFlight + 1 > server.concurrencyLimit / 2) {
                 server.concurrencyLimit += LIMIT_GROWTH / server.concurrencyLimit;
             }
@@ -100,8 +100,8 @@
                 && outcome != AttemptOutcome.CANCELLED
                 && outcome != AttemptOutcome.NOT_SENT) {
             server.limitReducedAt = context.now;
-            double left = outcome == AttemptOutcome.OVERLOADED ? LIMIT_AFTER_OVERLOAD : LIMIT_AFTER_SLOW;
-            server.concurrencyLimit = Math.max(1, server.concurrencyLimit * left);
+            double factor = outcome == AttemptOutcome.OVERLOADED ? LIMIT_AFTER_OVERLOAD : LIMIT_AFTER_SLOW;
+            server.concurrencyLimit = Math.max(1, server.concurrencyLimit * factor);
         }
     }
 }
--- a/src/main/java/reedmux/gatekeeper/policy/ServerPool.java
+++ b/src/main/java/reedmux/gatekeeper/policy/ServerPool.java
@@ -20,32 +20,32 @@
     /**
      * Takes in a list or changes to it.
      *
-     * @param limitOfNew the first bound on the attempts in flight at a server
+     * @param initialLimit the first bound on the attempts in flight at a server
      * @return servers that are new or have restarted
      */
-    List<ServerState> apply(ServerList list, double limitOfNew) {
+    List<ServerState> apply(ServerList list, double initialLimit) {
         if (list.scope() == ServerListScope.FULL) {
             Set<String> listed = new LinkedHashSet<>();
             list.servers().forEach(server -> listed.add(server.id()));
             servers.keySet().retainAll(listed);
         }
-        List<ServerState> fresh = new ArrayList<>();
+        List<ServerState> newServers = new ArrayList<>();
         for (ListedServer listing : list.servers()) {
             ServerState server = servers.get(listing.id());
             // What is still in flight at one that is gone or has restarted ends on its old state.
             if (listing.status() == ServerStatus.GONE) {
                 servers.remove(listing.id());
             } else if (server == null || server.listing.startedAt() != listing.startedAt()) {
-                ServerState started = new ServerState(listing, limitOfNew);
-                servers.put(listing.id(), started);
-                fresh.add(started);
+                ServerState newServer = new ServerState(listing, initialLimit);
+                servers.put(listing.id(), newServer);
+                newServers.add(newServer);
             } else {
                 server.listing = listing;
             }
         }
         ready.clear();
         servers.values().stream().filter(ServerState::isReady).forEach(ready::add);
-        return fresh;
+        return newServers;
     }
 
     /** Attempts in flight at the servers that may be used. */
--- a/src/main/java/reedmux/gatekeeper/policy/ServerSelector.java
+++ b/src/main/java/reedmux/gatekeeper/policy/ServerSelector.java
@@ -10,13 +10,13 @@
 
     static final long POLL_TIMER = 2;
     /** Servers looked at for a request: a better choice against time. */
-    private static final int SAMPLED_SERVERS = 16;
+    private static final int MAX_SAMPLED_SERVERS = 16;
     /** A gateway keeps to one server for each request of its own in so many seconds: to know them, against spread. */
     private static final double WINDOW_SECONDS = 0.5;
     /** It keeps to so many at least, and so many gateways use each server at least. */
     private static final int MIN_WINDOW = 4;
 
-    private static final int WINDOW_COVER = 2;
+    private static final int MIN_GATEWAYS_PER_SERVER = 2;
     /** A server in another zone must be this much quicker: latency between zones against even load. */
     private static final double OTHER_ZONE_COST = 1.08;
     /** A random factor on each cost: what crowding of gateways costs against the best choice of each. */
@@ -48,9 +48,9 @@
         if (list.scope() == ServerListScope.FAILED && context.settings.pollsDiscovery()) {
             context.actions.setTimer(context.now + DISCOVERY_RETRY_MICROS, POLL_TIMER);
         }
-        for (ServerState fresh : pool.apply(list, ServerHealth.initialLimit(context.settings.groupSize()))) {
-            fresh.warmUpCredit = -context.random.nextDouble() * latencies.meanAttemptTime();
-            fresh.warmUpCreditAt = context.now;
+        for (ServerState server : pool.apply(list, ServerHealth.initialLimit(context.settings.groupSize()))) {
+            server.warmUpCredit = -context.random.nextDouble() * latencies.meanAttemptTime();
+            server.warmUpCreditAt = context.now;
         }
     }
 
@@ -61,8 +61,8 @@
 
     private int window() {
         int size = pool.ready.size();
-        int least = Math.max(MIN_WINDOW, (WINDOW_COVER * size - 1) / context.settings.groupSize() + 1);
-        return Math.min(size, Math.max(least, (int) (WINDOW_SECONDS * sendRate.requestsPerSecond())));
+        int minimum = Math.max(MIN_WINDOW, (MIN_GATEWAYS_PER_SERVER * size - 1) / context.settings.groupSize() + 1);
+        return Math.min(size, Math.max(minimum, (int) (WINDOW_SECONDS * sendRate.requestsPerSecond())));
     }
 
     /**
@@ -74,14 +74,14 @@
     ServerState choose(ActiveRequest request) {
         boolean ignoresEjections = ignoresEjections();
         ServerState best = null;
-        double least = Double.MAX_VALUE;
+        double lowestCost = Double.MAX_VALUE;
         int size = pool.ready.size();
         int window = window();
-        int begin = (int) ((long) context.settings.self() * size / context.settings.groupSize());
-        int turn = window == 0 ? 0 : context.random.nextInt(window);
-        int looks = 0;
-        for (int i = 0; i < size && looks < SAMPLED_SERVERS && (i < window || looks == 0); i++) {
-            ServerState server = pool.ready.get((begin + (i < window ? (turn + i) % window : i)) % size);
+        int start = (int) ((long) context.settings.self() * size / context.settings.groupSize());
+        int offset = window == 0 ? 0 : context.random.nextInt(window);
+        int sampled = 0;
+        for (int i = 0; i < size && sampled < MAX_SAMPLED_SERVERS && (i < window || sampled == 0); i++) {
+            ServerState server = pool.ready.get((start + (i < window ? (offset + i) % window : i)) % size);
             if (i >= window && coldShare(server) < 1 || server.isFull() || !maySend(request, server)) {
                 continue;
             }
@@ -91,10 +91,10 @@
                 }
                 return server;
             }
-            looks++;
+            sampled++;
             double cost = cost(request, server);
-            if (cost < least) {
-                least = cost;
+            if (cost < lowestCost) {
+                lowestCost = cost;
                 best = server;
             }
         }
@@ -111,8 +111,8 @@
     }
 
     private double cost(ActiveRequest request, ServerState server) {
-        double busy = latencies.serviceTime(request) * latencies.ratio(server) * (server.inFlight + 1);
-        return Math.max(busy, latencies.expectedTime(request, server))
+        double queueingTime = latencies.serviceTime(request) * latencies.latencyRatio(server) * (server.inFlight + 1);
+        return Math.max(queueingTime, latencies.expectedTime(request, server))
                 * (1 + ERROR_COST * server.errorRate)
                 * (server.listing.zone() == context.settings.zone() ? 1 : OTHER_ZONE_COST)
                 * (1 + COST_JITTER * context.random.nextDouble());
@@ -120,10 +120,11 @@
 
     /** The least share of its capacity that a started server may count on; 1 when it is warm. */
     private double coldShare(ServerState server) {
-        double from = Math.max(MIN_COLD_CAPACITY, context.settings.rules().coldCapacityShare());
+        double initialShare =
+                Math.max(MIN_COLD_CAPACITY, context.settings.rules().coldCapacityShare());
         double age = (double) Math.max(0, context.now - server.listing.startedAt())
                 / context.settings.rules().warmUpTime();
-        return server.listing.startedAt() > 0 && age < 1 ? from + (1 - from) * age : 1;
+        return server.listing.startedAt() > 0 && age < 1 ? initialShare + (1 - initialShare) * age : 1;
     }
 
     /**
@@ -149,9 +150,9 @@
         if (coldShare(server) < 1) {
             server.warmUpCredit -= work;
         } else {
-            double warm =
+            double warmServers =
                     pool.ready.stream().filter(other -> coldShare(other) == 1).count();
-            sendRate.onWarmWork(work, Math.max(1, window() * warm / pool.ready.size()));
+            sendRate.onWarmWork(work, Math.max(1, window() * warmServers / pool.ready.size()));
         }
     }
 }
--- a/src/test/java/reedmux/gatekeeper/policy/DecisionScenario.java
+++ b/src/test/java/reedmux/gatekeeper/policy/DecisionScenario.java
@@ -66,7 +66,7 @@
     private long now = SECOND;
     private long order;
     private long requests;
-    private int cutMember = -1;
+    private int partitionedMember = -1;
     private int surge;
     private int surgeCustomer;
     private int stalled = -1;
@@ -220,28 +220,28 @@
         int gateway = random.nextInt(settings.length);
         int kind = random.nextInt(5);
         int customer = random.nextInt(10) < surge ? surgeCustomer : random.nextInt(CUSTOMERS);
-        int spread = 1 + customer % settings.length;
+        int memberCount = 1 + customer % settings.length;
         int first = customer * 7 % settings.length;
-        boolean stray = random.nextInt(20) == 0;
-        int member = stray ? gateway : (first + random.nextInt(spread)) % settings.length;
+        boolean misrouted = random.nextInt(20) == 0;
+        int member = misrouted ? gateway : (first + random.nextInt(memberCount)) % settings.length;
         if (isStalled(member)) {
             return;
         }
         long deadline = now + settings[member].classes().get(kind).deadline();
         double units = random.nextInt(15) == 0 ? 12 : 1 + random.nextInt(4) * 0.75;
-        boolean visitor = random.nextInt(30) == 0;
+        boolean remote = random.nextInt(30) == 0;
         attempts.put(id, 0);
         deliver(
                 member,
                 new IncomingRequest(
                         id,
                         kind,
-                        visitor ? TrafficPolicy.REMOTE_REQUEST_PLAN : customer % 4,
-                        visitor ? TrafficPolicy.REMOTE_REQUEST_PLAN : customer,
+                        remote ? TrafficPolicy.REMOTE_REQUEST_PLAN : customer % 4,
+                        remote ? TrafficPolicy.REMOTE_REQUEST_PLAN : customer,
                         deadline,
                         units,
-                        visitor ? 1 : spread,
-                        visitor ? member : first,
+                        remote ? 1 : memberCount,
+                        remote ? member : first,
                         random.nextInt(9) == 0));
         if (attempts.get(id) > 0 && random.nextInt(12) == 0) {
             deliver(member, new RequestBodyProgress(id, false));
@@ -255,7 +255,7 @@
     private void drawFault() {
         int gateway = random.nextInt(settings.length);
         int server = random.nextInt(servers.size());
-        cutMember = random.nextInt(6) == 0 ? gateway : -1;
+        partitionedMember = random.nextInt(6) == 0 ? gateway : -1;
         stalled = random.nextInt(8) == 0 ? random.nextInt(settings.length) : -1;
         stalledUntil = now + random.nextLong(700 * MS);
         surge = random.nextInt(4) == 0 ? 9 : 1;
@@ -272,7 +272,7 @@
             }
             case 6 -> serverFaults.clear();
             case 8 -> servers.forEach(one -> serverFaults.put(one.id(), random.nextBoolean() ? 1 : 4));
-            case 9 -> deliver(gateway, new PeerMessage(random.nextInt(settings.length), spoiltPacket()));
+            case 9 -> deliver(gateway, new PeerMessage(random.nextInt(settings.length), corruptPacket()));
             case 7 -> handOver(gateway);
             default ->
                 deliver(
@@ -284,7 +284,7 @@
     }
 
     /** A packet that passes its check by chance: a number far ahead, another life, or entries that make no sense. */
-    private byte[] spoiltPacket() {
+    private byte[] corruptPacket() {
         List<PeerPacket.MemberVersion> members = List.of(
                 new PeerPacket.MemberVersion(random.nextInt(settings.length + 1), (1 << 30) + random.nextInt(2)),
                 new PeerPacket.MemberVersion(random.nextInt(settings.length), random.nextInt(4)));
@@ -314,23 +314,23 @@
     /** Another process takes the gateway's place, after both have served side by side for a moment. */
     private void handOver(int gateway) {
         GatekeeperPolicy old = policies[gateway];
-        HandoverCounts leaving = old.handoverCounts();
-        List<HandoverCounts.AccountSnapshot> kept = leaving.snapshot(now);
+        HandoverCounts oldCounts = old.handoverCounts();
+        List<HandoverCounts.AccountSnapshot> snapshots = oldCounts.snapshot(now);
         restart(gateway);
-        HandoverCounts taking = policies[gateway].handoverCounts();
-        taking.restore(now, kept);
+        HandoverCounts newCounts = policies[gateway].handoverCounts();
+        newCounts.restore(now, snapshots);
         old.handle(
                 now,
                 new IncomingRequest("old", 0, 0, 3, now + SECOND, 1, 1, gateway, false),
                 new TranscriptActions(gateway, old));
-        for (HandoverCounts.AccountUsage spent : leaving.takeUsage()) {
+        for (HandoverCounts.AccountUsage spent : oldCounts.takeUsage()) {
             append(gateway, "spent " + spent.customer() + ' ' + spent.units());
         }
-        taking.addUsage(now, leaving.takeUsage());
+        newCounts.addUsage(now, oldCounts.takeUsage());
         if (random.nextBoolean()) {
-            taking.endSharing();
+            newCounts.endSharing();
         }
-        for (HandoverCounts.AccountSnapshot one : kept) {
+        for (HandoverCounts.AccountSnapshot one : snapshots) {
             append(
                     gateway,
                     "kept " + one.customer() + ' ' + one.count() + ' ' + one.raceMargin() + ' '
@@ -393,12 +393,12 @@
 
         @Override
         public boolean forwardToRegion(String request, long retryAfter) {
-            boolean goes = random.nextInt(3) == 0;
-            append(gateway, "away " + request + ' ' + retryAfter + ' ' + goes);
-            if (goes) {
+            boolean forwarded = random.nextInt(3) == 0;
+            append(gateway, "away " + request + ' ' + retryAfter + ' ' + forwarded);
+            if (forwarded) {
                 schedule(random.nextLong(SECOND), gateway, policy, new ForwardedRequestEnded(request));
             }
-            return goes;
+            return forwarded;
         }
 
         @Override
@@ -424,7 +424,7 @@
         @Override
         public void sendToPeer(int peer, byte[] bytes) {
             append(gateway, "tell " + peer + ' ' + HexFormat.of().formatHex(bytes));
-            if (random.nextDouble() >= loss && gateway != cutMember && peer != cutMember) {
+            if (random.nextDouble() >= loss && gateway != partitionedMember && peer != partitionedMember) {
                 schedule(MS + random.nextLong(20 * MS), peer, null, new PeerMessage(gateway, bytes));
                 if (random.nextInt(30) == 0) {
                     schedule(MS + random.nextLong(200 * MS), peer, null, new PeerMessage(gateway, bytes));
--- a/src/test/java/reedmux/gatekeeper/policy/HandoverCountsTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/HandoverCountsTest.java
@@ -14,7 +14,7 @@
     private static final long STEP = 50 * SimulatedGroup.MS;
 
     /** Two modules in the same place; neither hears of the other but through its twin. */
-    private static SimulatedGroup processes(CustomerPlan plan) {
+    private static SimulatedGroup createProcesses(CustomerPlan plan) {
         PolicySettings alone = SimulatedGroup.settings(0, 1, plan);
         return new SimulatedGroup(alone, alone);
     }
@@ -28,7 +28,7 @@
         old.addUsage(group.now, fromNext);
     }
 
-    private static int ask(SimulatedGroup group, int process, int times) {
+    private static int sendRequests(SimulatedGroup group, int process, int times) {
         int before = group.sent.size();
         for (int i = 0; i < times; i++) {
             group.request(process, SimulatedGroup.SAFE, CUSTOMER, 0, 1);
@@ -38,49 +38,49 @@
 
     @Test
     void quotaHoldsOverBothProcesses() {
-        SimulatedGroup group = processes(SimulatedGroup.quotaPlan(0.001, 20));
-        assertEquals(12, ask(group, 0, 12));
+        SimulatedGroup group = createProcesses(SimulatedGroup.quotaPlan(0.001, 20));
+        assertEquals(12, sendRequests(group, 0, 12));
         group.run(STEP);
         group.policies[1]
                 .handoverCounts()
                 .restore(group.now, group.policies[0].handoverCounts().snapshot(group.now));
         int sent = 0;
         for (int i = 0; i < 12; i++) {
-            sent += ask(group, 0, 1) + ask(group, 1, 1);
+            sent += sendRequests(group, 0, 1) + sendRequests(group, 1, 1);
             exchange(group);
             group.run(STEP);
         }
         assertEquals(8, sent);
         group.stop(0);
         group.policies[1].handoverCounts().endSharing();
-        assertEquals(0, ask(group, 1, 5));
+        assertEquals(0, sendRequests(group, 1, 5));
     }
 
     @Test
     void usageOfTheOtherProcessIsNotEchoed() {
-        SimulatedGroup group = processes(SimulatedGroup.quotaPlan(0.001, 20));
+        SimulatedGroup group = createProcesses(SimulatedGroup.quotaPlan(0.001, 20));
         group.policies[1]
                 .handoverCounts()
                 .restore(group.now, group.policies[0].handoverCounts().snapshot(group.now));
-        ask(group, 0, 5);
+        sendRequests(group, 0, 5);
         for (int i = 0; i < 20; i++) { // were it an echo, it would grow at each exchange
             exchange(group);
             group.run(STEP);
         }
-        assertEquals(15, ask(group, 1, 30));
+        assertEquals(15, sendRequests(group, 1, 30));
     }
 
     @Test
     void rateLimitHoldsOverBothProcesses() {
-        CustomerPlan ceiling = new CustomerPlan("plan", 0, 0, 0, 10, 20, 0, 1, 0, 1);
-        SimulatedGroup group = processes(ceiling);
-        ask(group, 0, 1);
+        CustomerPlan rateLimited = new CustomerPlan("plan", 0, 0, 0, 10, 20, 0, 1, 0, 1);
+        SimulatedGroup group = createProcesses(rateLimited);
+        sendRequests(group, 0, 1);
         group.run(10 * SimulatedGroup.SECOND); // its store is full
         HandoverCounts old = group.policies[0].handoverCounts();
         group.policies[1].handoverCounts().restore(group.now, old.snapshot(group.now));
         int sent = 0;
         for (int i = 0; i < 20; i++) { // over a second
-            sent += ask(group, 0, 3) + ask(group, 1, 3);
+            sent += sendRequests(group, 0, 3) + sendRequests(group, 1, 3);
             exchange(group);
             group.run(STEP);
         }
@@ -89,7 +89,7 @@
         group.stop(0);
         group.policies[1].handoverCounts().endSharing();
         group.run(10 * SimulatedGroup.SECOND);
-        assertEquals(20, ask(group, 1, 40)); // the whole store again
+        assertEquals(20, sendRequests(group, 1, 40)); // the whole store again
     }
 
     @Test
@@ -106,10 +106,10 @@
             group.run(2 * STEP);
         }
         // one more process in the place of number 1, which hears the peers from now on
-        List<HandoverCounts.AccountSnapshot> kept =
+        List<HandoverCounts.AccountSnapshot> snapshots =
                 group.policies[1].handoverCounts().snapshot(group.now);
         group.restart(1);
-        group.policies[1].handoverCounts().restore(group.now, kept);
+        group.policies[1].handoverCounts().restore(group.now, snapshots);
         group.policies[1].handoverCounts().endSharing();
         sent += group.traffic(1, CUSTOMER, 3, STEP, 4 * SimulatedGroup.SECOND);
         sent += group.traffic(0, CUSTOMER, 3, STEP, 4 * SimulatedGroup.SECOND);
@@ -119,9 +119,9 @@
 
     @Test
     void invalidUsageIsIgnored() {
-        SimulatedGroup group = processes(SimulatedGroup.quotaPlan(1, 20));
-        HandoverCounts twin = group.policies[1].handoverCounts();
-        twin.addUsage(
+        SimulatedGroup group = createProcesses(SimulatedGroup.quotaPlan(1, 20));
+        HandoverCounts counts = group.policies[1].handoverCounts();
+        counts.addUsage(
                 group.now,
                 List.of(
                         new HandoverCounts.AccountUsage(CUSTOMER, 3, 0, 1, 9),
--- a/src/test/java/reedmux/gatekeeper/policy/LateCountsTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/LateCountsTest.java
@@ -26,7 +26,7 @@
     private static final int GATEWAYS = 75;
     private static final int CLIENTS = 12;
     private static final long CUSTOMER = 77;
-    private static final long TURN = 30 * SimulatedGroup.MS;
+    private static final long RUN_MICROS = 30 * SimulatedGroup.MS;
     private static final long STEP = 2 * SimulatedGroup.MS;
     private static final long USUAL_UNTIL = 6 * SimulatedGroup.SECOND;
     private static final double USUAL_SHARE = 1 / 1.6;
@@ -39,10 +39,10 @@
         private final double rate;
         private final int maxPauseMillis;
         private final Random random;
-        private final long begun;
+        private final long startedAt;
         private final int[] clientsAt;
         private final long[] nextPauseAt = new long[GATEWAYS];
-        private double due;
+        private double requestCredit;
 
         private PausingGroup(double rate, int maxPauseMillis, long seed) {
             this.rate = rate;
@@ -50,16 +50,16 @@
             random = new Random(seed);
             clientsAt = random.ints(CLIENTS, 0, GATEWAYS).toArray();
             group = SimulatedGroup.of(GATEWAYS, SimulatedGroup.quotaPlan(rate, rate));
-            begun = group.now;
+            startedAt = group.now;
         }
 
         /** Plays until a time after the beginning, with so many times the customer's usual. */
-        private void play(long until, double factor, boolean anywhere) {
-            while (group.now < begun + until) {
+        private void run(long until, double factor, boolean anywhere) {
+            while (group.now < startedAt + until) {
                 group.run(STEP);
                 pauseMembers();
-                due += rate * USUAL_SHARE * factor * STEP / SimulatedGroup.SECOND * 2 * random.nextDouble();
-                for (; due >= 1; due--) {
+                requestCredit += rate * USUAL_SHARE * factor * STEP / SimulatedGroup.SECOND * 2 * random.nextDouble();
+                for (; requestCredit >= 1; requestCredit--) {
                     int at = anywhere ? random.nextInt(GATEWAYS) : clientsAt[random.nextInt(CLIENTS)];
                     group.request(at, SimulatedGroup.SAFE, CUSTOMER, 0, GATEWAYS);
                 }
@@ -71,7 +71,7 @@
                 if (group.now >= nextPauseAt[i]) {
                     long pause = (1 + random.nextInt(maxPauseMillis)) * SimulatedGroup.MS;
                     group.stall(i, pause);
-                    nextPauseAt[i] = group.now + pause + TURN;
+                    nextPauseAt[i] = group.now + pause + RUN_MICROS;
                 }
             }
         }
@@ -98,8 +98,8 @@
     private static void assertQuotaHolds(double rate, int maxPauseMillis) {
         for (int seed = 0; seed < 4; seed++) {
             PausingGroup group = new PausingGroup(rate, maxPauseMillis, seed);
-            group.play(USUAL_UNTIL, 1, false);
-            group.play(USUAL_UNTIL + 8 * SimulatedGroup.SECOND, SURGE_FACTOR, seed % 2 == 1);
+            group.run(USUAL_UNTIL, 1, false);
+            group.run(USUAL_UNTIL + 8 * SimulatedGroup.SECOND, SURGE_FACTOR, seed % 2 == 1);
             assertTrue(
                     group.worstShare() <= 1,
                     "rate " + rate + ", pauses of " + maxPauseMillis + " ms, seed " + seed + ": " + group.worstShare());
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void quotaHoldsWhereMembersStandStillAgainAndAgain() {
+    void quotaHoldsWhileMembersPauseRepeatedly() {
         for (double rate : new double[] {15, 40, 150}) {
             assertQuotaHolds(rate, 0);
             assertQuotaHolds(rate, 100);
@@ -117,16 +117,16 @@
     }
 
     @Test
-    void whatIsWithinTheQuotaIsNotRejected() {
+    void requestsWithinTheQuotaAreNotRejected() {
         for (int maxPauseMillis : new int[] {0, 100}) {
             int asked = 0;
             int rejected = 0;
             for (double rate : new double[] {15, 40, 150}) {
                 PausingGroup group = new PausingGroup(rate, maxPauseMillis, 1);
-                group.play(4 * SimulatedGroup.SECOND, 1, false);
+                group.run(4 * SimulatedGroup.SECOND, 1, false);
                 int before = group.group.rejected.size();
                 int sentBefore = group.group.sent.size();
-                group.play(11 * SimulatedGroup.SECOND, 1, false);
+                group.run(11 * SimulatedGroup.SECOND, 1, false);
                 rejected += group.group.rejected.size() - before;
                 asked += group.group.rejected.size() - before + group.group.sent.size() - sentBefore;
             }
--- a/src/test/java/reedmux/gatekeeper/policy/PeerLossTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/PeerLossTest.java
@@ -18,7 +18,7 @@
 
     /** The timer was set in the last line of a turn, and a fault before it ended the talk for good. */
     @Test
-    void aFaultInTellingDoesNotSilenceTheHeapForGood() {
+    void exceptionWhileSendingDoesNotStopSynchronisation() {
         SimulatedGroup group = SimulatedGroup.of(2, SimulatedGroup.quotaPlan(0.001, 20));
         group.isLost = (from, to) -> {
             throw new IllegalStateException("planted");
@@ -34,7 +34,7 @@
 
     /** The cut ends without a restart, so nobody used to tell what had been let through meanwhile. */
     @Test
-    void aNeighbourBackFromACutIsToldTheCount() {
+    void neighbourReceivesTheCountAfterAPartitionHeals() {
         SimulatedGroup group = SimulatedGroup.of(2, SimulatedGroup.quotaPlan(0.001, 20));
         group.request(0, SimulatedGroup.SAFE, CUSTOMER, 0, 2);
         group.request(1, SimulatedGroup.SAFE, CUSTOMER, 0, 2);
@@ -49,7 +49,7 @@
 
     /** In a cut each goes on with its part of the rate; with the whole each it would be 458 and 687. */
     @Test
-    void thoseThatAreCutOffShareTheRate() {
+    void partitionedGatewaysShareTheRate() {
         for (int members : new int[] {2, 3}) {
             SimulatedGroup group = SimulatedGroup.of(members, SimulatedGroup.quotaPlan(10, 30));
             for (int i = 0; i < members; i++) {
@@ -70,7 +70,7 @@
 
     /** Forty that each take the last of the room at one moment; 560 go through where no lot is drawn. */
     @Test
-    void lastUnitsAreAllottedAtRandomWhenManyGatewaysRace() {
+    void remainingUnitsAreAdmittedAtRandomWhenManyGatewaysRace() {
         SimulatedGroup group = SimulatedGroup.of(40, SimulatedGroup.quotaPlan(10, 30));
         group.run(10 * SimulatedGroup.SECOND);
         for (int surge = 0; surge < 20; surge++) {
@@ -84,7 +84,7 @@
 
     /** What went beyond a quota takes nothing from it, so a customer is not refused long after a surge. */
     @Test
-    void afterASurgeThroughAllGatewaysTheRateIsServedAgain() {
+    void quotaRateIsServedAgainAfterASurgeThroughAllGateways() {
         SimulatedGroup group = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(2, 16));
         for (int i = 0; i < 3; i++) {
             group.request(i, SimulatedGroup.SAFE, CUSTOMER, 0, 3);
@@ -105,7 +105,7 @@
 
     /** What an edge could not tell before a long cut has drained since, and counts for nothing after it. */
     @Test
-    void whatWaitedThroughALongCutIsNotCountedAsNew() {
+    void unitsPendingDuringALongPartitionAreNotCountedAsNew() {
         SimulatedGroup group = SimulatedGroup.of(2, SimulatedGroup.quotaPlan(1, 9));
         group.request(0, SimulatedGroup.SAFE, CUSTOMER, 0, 2);
         group.request(1, SimulatedGroup.SAFE, CUSTOMER, 0, 2);
@@ -139,8 +139,8 @@
 
     /** One spoilt packet in 65,536 passes its check: it must not make all later ones look old for good. */
     @Test
-    void aSpoiltPacketThatPassesItsCheckCutsNoEdgeForGood() {
-        for (int spoilt = 0; spoilt < 3; spoilt++) {
+    void corruptPacketWithValidChecksumDoesNotDisconnectPeers() {
+        for (int corruption = 0; corruption < 3; corruption++) {
             SimulatedGroup group = SimulatedGroup.of(2, SimulatedGroup.quotaPlan(0.001, 20));
             group.request(1, SimulatedGroup.SAFE, CUSTOMER, 0, 2);
             group.run(SimulatedGroup.SECOND);
@@ -152,14 +152,14 @@
                             1,
                             new PeerPacketWriter(
                                             new CustomerAliases(),
-                                            last.incarnation() ^ (spoilt == 0 ? 5 : 0),
+                                            last.incarnation() ^ (corruption == 0 ? 5 : 0),
                                             0,
                                             0,
-                                            spoilt == 0 ? 500 : spoilt == 1 ? 1L << 50 : last.number() + 1,
+                                            corruption == 0 ? 500 : corruption == 1 ? 1L << 50 : last.number() + 1,
                                             0,
                                             true,
                                             40,
-                                            spoilt == 2 ? silentForEver : List.of(),
+                                            corruption == 2 ? silentForEver : List.of(),
                                             256)
                                     .finish()));
             group.run(10 * SimulatedGroup.SECOND);
@@ -170,13 +170,13 @@
             assertEquals(20, group.sent.size());
             group.run(20 * SimulatedGroup.SECOND);
             int more = group.traffic(0, CUSTOMER, 2, 60 * SimulatedGroup.MS, SimulatedGroup.SECOND);
-            assertTrue(more <= 1, "spoilt in way " + spoilt + ": " + more); // one that it may stand in for
+            assertTrue(more <= 1, "spoilt in way " + corruption + ": " + more); // one that it may stand in for
         }
     }
 
     /** Two neighbours that go at once leave the same units behind twice; the one who follows got both. */
     @Test
-    void whatWaitedForTwoLostNeighboursCountsOnce() {
+    void unitsPendingForTwoLostNeighboursCountOnce() {
         CustomerAccount account =
                 new CustomerAccount(CUSTOMER, SimulatedGroup.quotaPlan(1, 9), 0, 0, 5, new QuotaShare(), 0);
         account.rewire(new int[] {-1, 1, 2});
@@ -187,7 +187,7 @@
 
     /** A slow plan's customer had its whole burst again after a minute's silence. */
     @Test
-    void accountWithUndrainedCountIsNotForgotten() {
+    void accountWithUndrainedCountIsNotEvicted() {
         SimulatedGroup group = SimulatedGroup.of(1, SimulatedGroup.quotaPlan(0.01, 10));
         assertEquals(10, group.traffic(0, CUSTOMER, 1, 60 * SimulatedGroup.MS, SimulatedGroup.SECOND));
         for (int i = 0; i < 9; i++) {
@@ -199,7 +199,7 @@
 
     /** A gateway that takes no requests itself has customers from its peers alone. */
     @Test
-    void whoIsOnlyHeardOfIsForgottenToo() {
+    void accountsKnownOnlyFromPeersAreEvicted() {
         SimulatedGroup group = SimulatedGroup.of(2, SimulatedGroup.quotaPlan(1, 9));
         for (int i = 0; i < 40; i++) {
             group.request(0, SimulatedGroup.SAFE, i, 0, 2);
@@ -212,22 +212,23 @@
 
     /** During a rolling restart two gateways may number the plans otherwise; the consumer's word counts. */
     @Test
-    void aPeersNumberOfAPlanIsNotBelievedAgainstARequest() {
+    void planOfARequestOverridesThePlanReportedByAPeer() {
         CustomerPlan small = new CustomerPlan("small", 0.001, 6, 0, 0, 0, 0, 1, 0, 1);
         CustomerPlan large = new CustomerPlan("large", 100, 1000, 0, 0, 0, 0, 1, 0, 1);
-        SimulatedGroup group = new SimulatedGroup(plans(0, small, large), plans(1, large, small));
+        SimulatedGroup group =
+                new SimulatedGroup(settingsWithPlans(0, small, large), settingsWithPlans(1, large, small));
         group.run(SimulatedGroup.SECOND);
-        give(group, 1, 1);
+        sendRequest(group, 1, 1);
         group.run(SimulatedGroup.SECOND);
         for (int i = 0; i < 50; i++) {
-            give(group, 0, 0);
+            sendRequest(group, 0, 0);
             group.run(100 * SimulatedGroup.MS);
         }
         assertTrue(group.sent.size() <= 6, "sent on: " + group.sent.size());
     }
 
-    private static PolicySettings plans(int self, CustomerPlan... plans) {
-        PolicySettings one = SimulatedGroup.settings(self, 2, plans[0]);
+    private static PolicySettings settingsWithPlans(int self, CustomerPlan... plans) {
+        PolicySettings defaults = SimulatedGroup.settings(self, 2, plans[0]);
         return new PolicySettings(
                 self,
                 2,
@@ -236,13 +237,13 @@
                 false,
                 1,
                 SimulatedGroup.MS,
-                one.classes(),
+                defaults.classes(),
                 List.of(plans),
-                one.rules(),
-                one.limits());
+                defaults.rules(),
+                defaults.limits());
     }
 
-    private static void give(SimulatedGroup group, int gateway, int plan) {
+    private static void sendRequest(SimulatedGroup group, int gateway, int plan) {
         group.deliver(
                 gateway,
                 new IncomingRequest(
@@ -259,7 +260,7 @@
 
     /** One gateway is told a smaller set than the other, and took a larger share of the ceiling for it. */
     @Test
-    void theCeilingHoldsThoughASetIsToldInTwoWays() {
+    void rateLimitHoldsWhenGatewaysDisagreeOnTheMembers() {
         SimulatedGroup group = SimulatedGroup.of(2, new CustomerPlan("plan", 100, 100, 0, 10, 20, 2, 1, 0, 1));
         group.isLost = (from, to) -> true;
         group.run(10 * SimulatedGroup.SECOND);
@@ -274,7 +275,7 @@
 
     /** A request that goes astray must not bring in one more share of the ceiling than there are members. */
     @Test
-    void whoIsNoMemberOfASetHasNoPartOfItsCeiling() {
+    void gatewayOutsideTheMemberSetHasNoShareOfTheRateLimit() {
         SimulatedGroup group = SimulatedGroup.of(3, new CustomerPlan("plan", 100, 100, 0, 10, 20, 2, 1, 0, 1));
         group.run(10 * SimulatedGroup.SECOND);
         for (int i = 0; i < 400; i++) {
@@ -290,17 +291,17 @@
 
     /** On sockets a request takes its units once it is whole at a server; the simulator takes them before. */
     @Test
-    void whatNeverCameWholeToAServerTakesNoUnits() {
-        keeps(false, true, AttemptOutcome.CONNECT_FAILED);
-        keeps(true, false, AttemptOutcome.CONNECT_FAILED);
-        keeps(true, true, AttemptOutcome.OVERLOADED); // turned away, but it was there
-        keeps(true, true, AttemptOutcome.RESET);
+    void requestNeverDeliveredIsNotCharged() {
+        assertCharged(false, true, AttemptOutcome.CONNECT_FAILED);
+        assertCharged(true, false, AttemptOutcome.CONNECT_FAILED);
+        assertCharged(true, true, AttemptOutcome.OVERLOADED); // turned away, but it was there
+        assertCharged(true, true, AttemptOutcome.RESET);
     }
 
     /** It leaves while its call is not up yet; what comes of that call keeps nothing and tells nobody. */
     @Test
-    void consumerThatLeavesBeforeItsCallConnectsIsNotCharged() {
-        PolicySettings told = SimulatedGroup.settings(0, 2, SimulatedGroup.quotaPlan(0.001, 10));
+    void clientThatDisconnectsBeforeTheAttemptConnectsIsNotCharged() {
+        PolicySettings defaults = SimulatedGroup.settings(0, 2, SimulatedGroup.quotaPlan(0.001, 10));
         SimulatedGroup group = new SimulatedGroup(
                 new PolicySettings(
                         0,
@@ -310,10 +311,10 @@
                         true,
                         1,
                         SimulatedGroup.MS,
-                        told.classes(),
-                        told.plans(),
-                        told.rules(),
-                        told.limits()),
+                        defaults.classes(),
+                        defaults.plans(),
+                        defaults.rules(),
+                        defaults.limits()),
                 SimulatedGroup.settings(1, 2, SimulatedGroup.quotaPlan(0.001, 10)));
         group.run(SimulatedGroup.SECOND);
         group.outcomeOf = sent -> AttemptOutcome.CONNECT_FAILED;
@@ -333,20 +334,20 @@
                 "the other gateway was told that they were not taken");
     }
 
-    private static void keeps(boolean kept, boolean whenWhole, AttemptOutcome outcome) {
-        PolicySettings told = SimulatedGroup.settings(0, 1, SimulatedGroup.quotaPlan(0.001, 10));
+    private static void assertCharged(boolean charged, boolean chargeOnDelivery, AttemptOutcome outcome) {
+        PolicySettings defaults = SimulatedGroup.settings(0, 1, SimulatedGroup.quotaPlan(0.001, 10));
         SimulatedGroup group = new SimulatedGroup(new PolicySettings(
                 0,
                 1,
                 0,
                 false,
-                whenWhole,
+                chargeOnDelivery,
                 1,
                 SimulatedGroup.MS,
-                told.classes(),
-                told.plans(),
-                told.rules(),
-                told.limits()));
+                defaults.classes(),
+                defaults.plans(),
+                defaults.rules(),
+                defaults.limits()));
         group.outcomeOf = sent -> outcome;
         for (int i = 0; i < 10; i++) {
             group.request(0, SimulatedGroup.UNSAFE, CUSTOMER, 0, 1);
@@ -361,8 +362,8 @@
         group.run(20 * SimulatedGroup.SECOND);
         group.outcomeOf = sent -> AttemptOutcome.OK;
         assertEquals(
-                kept ? 10 - tries : 10,
+                charged ? 10 - tries : 10,
                 group.traffic(0, CUSTOMER, 1, 100 * SimulatedGroup.MS, 4 * SimulatedGroup.SECOND),
-                whenWhole + " " + outcome);
+                chargeOnDelivery + " " + outcome);
     }
 }
--- a/src/test/java/reedmux/gatekeeper/policy/PeerPacketFixtures.java
+++ b/src/test/java/reedmux/gatekeeper/policy/PeerPacketFixtures.java
@@ -10,12 +10,12 @@
 
     private PeerPacketFixtures() {}
 
-    private static List<PeerPacket.MemberVersion> news() {
+    private static List<PeerPacket.MemberVersion> memberVersions() {
         return List.of(new PeerPacket.MemberVersion(300, 1200), new PeerPacket.MemberVersion(7, 3));
     }
 
     private static PeerPacket.AccountEntry entry(
-            int alias, int plan, double delta, Double count, Integer open, double grant) {
+            int alias, int plan, double delta, Double count, Integer inFlight, double grant) {
         return new PeerPacket.AccountEntry(
                 alias,
                 (1L << 33) - alias - 1,
@@ -24,14 +24,14 @@
                 plan < 0 ? 0 : 400,
                 delta,
                 count,
-                open,
+                inFlight,
                 grant);
     }
 
     /** Returns each datagram as it is read; a customer that is known by its alias has no plan. */
     static Map<String, PeerPacket> packets() {
         Map<String, PeerPacket> all = new LinkedHashMap<>();
-        all.put("full", new PeerPacket(65_000, 9, 0x8001, 1000, 77, true, 200, news(), entries(3)));
+        all.put("full", new PeerPacket(65_000, 9, 0x8001, 1000, 77, true, 200, memberVersions(), entries(3)));
         all.put(
                 "by-alias",
                 new PeerPacket(
@@ -59,11 +59,11 @@
 
     /** Returns the bytes of those, written in this order with the aliases of one edge. */
     public static Map<String, byte[]> encoded() {
-        CustomerAliases names = new CustomerAliases();
+        CustomerAliases aliases = new CustomerAliases();
         Map<String, byte[]> all = new LinkedHashMap<>();
         packets().forEach((name, packet) -> {
             PeerPacketWriter writer = new PeerPacketWriter(
-                    names,
+                    aliases,
                     packet.incarnation(),
                     packet.receiverIncarnation(),
                     packet.acceptedBits(),
@@ -88,7 +88,7 @@
                                         entry.grant()));
             }
             all.put(name, writer.finish());
-            names.onAcknowledged(packet.number());
+            aliases.onAcknowledged(packet.number());
         });
         return all;
     }
--- a/src/test/java/reedmux/gatekeeper/policy/PeerPacketTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/PeerPacketTest.java
@@ -15,9 +15,9 @@
 
     @Test
     void packetIsReadAsWritten() {
-        List<PeerPacket.MemberVersion> news = List.of(new PeerPacket.MemberVersion(300, 1200));
+        List<PeerPacket.MemberVersion> memberVersions = List.of(new PeerPacket.MemberVersion(300, 1200));
         PeerPacketWriter writer =
-                new PeerPacketWriter(new CustomerAliases(), 65000, 9, 0x8001, 1000, 77, true, 200, news, 256);
+                new PeerPacketWriter(new CustomerAliases(), 65000, 9, 0x8001, 1000, 77, true, 200, memberVersions, 256);
         List<PeerPacket.AccountEntry> entries = new ArrayList<>();
         for (long customer = (1L << 33) - 1; writer.hasRoom(); customer--) {
             double delta = entries.isEmpty() ? -12.34 : 5.5;
@@ -36,7 +36,8 @@
         }
         byte[] bytes = writer.finish();
         assertTrue(bytes.length <= 256 && entries.size() > 8);
-        assertEquals(new PeerPacket(65000, 9, 0x8001, 1000, 77, true, 200, news, entries), PeerPacket.read(bytes));
+        assertEquals(
+                new PeerPacket(65000, 9, 0x8001, 1000, 77, true, 200, memberVersions, entries), PeerPacket.read(bytes));
     }
 
     @Test
@@ -55,17 +56,17 @@
     /** Sixteen bits let one spoilt packet in 65,536 through; a longer check is another form of the wire. */
     @ExpectedToFail("the check has 16 bits, docs/audit-findings.md F18")
     @Test
-    void noSpoiltPacketPassesItsCheck() {
+    void corruptPacketsFailTheChecksum() {
         PeerPacketWriter writer = new PeerPacketWriter(new CustomerAliases(), 3, 4, 1, 9, 8, true, 40, List.of(), 256);
         writer.add(new PeerPacket.AccountEntry(7, 0, 0, 2, 5, null, null, 0));
-        byte[] whole = writer.finish();
+        byte[] valid = writer.finish();
         SplittableRandom random = new SplittableRandom(18);
         for (int i = 0; i < 2_000_000; i++) {
-            byte[] spoilt = whole.clone();
+            byte[] corrupt = valid.clone();
             for (int k = 0; k < 3; k++) {
-                spoilt[random.nextInt(whole.length)] ^= (byte) random.nextInt(1, 256);
+                corrupt[random.nextInt(valid.length)] ^= (byte) random.nextInt(1, 256);
             }
-            assertTrue(Arrays.equals(whole, spoilt) || PeerPacket.read(spoilt) == null, "passed: " + i);
+            assertTrue(Arrays.equals(valid, corrupt) || PeerPacket.read(corrupt) == null, "passed: " + i);
         }
     }
 }
--- a/src/test/java/reedmux/gatekeeper/policy/PolicySourceTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/PolicySourceTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void theFilesThatDecideStayWithinTheirLimitOfLines() throws IOException {
+    void policyFilesStayWithinTheLineLimit() throws IOException {
         List<Path> files = policyFiles();
         assertTrue(files.get(0).endsWith("GatekeeperPolicy.java"), files + "");
         assertTrue(Files.readAllLines(files.get(0)).get(0).contains("TrafficPolicy.java"));
@@ -47,7 +47,7 @@
 
     /** The formatter breaks code at that width; this sees what it leaves alone: comments and long strings. */
     @Test
-    void linesKeepWithinTheFormattersWidth() throws IOException {
+    void linesStayWithinTheMaximumWidth() throws IOException {
         List<String> tooLong = new ArrayList<>();
         try (Stream<Path> files = Files.walk(Path.of("src"))) {
             for (Path file :
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void readmeShowsTheExampleThatIsCompiledHere() throws IOException {
+    void readmeMatchesTheCompiledExample() throws IOException {
         String example = Files.readString(Path.of("src/test/java/reedmux/gatekeeper/policy/Example.java"));
         String shown = example.substring(example.indexOf("    static void serve"), example.lastIndexOf('}'));
         assertTrue(Files.readString(Path.of("README.md")).contains(shown.stripTrailing()));
--- a/src/test/java/reedmux/gatekeeper/policy/PolicyStateTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/PolicyStateTest.java
@@ -16,35 +16,35 @@
 
 /** What is remembered of servers and customers that come and go has an end, and sums stay true. */
 public final class PolicyStateTest {
-    private final ServerPool fleet = new ServerPool();
+    private final ServerPool pool = new ServerPool();
 
-    private ServerState told(ServerListScope scope, String id, long started) {
+    private ServerState applyAndGetFirst(ServerListScope scope, String id, long started) {
         ListedServer server = new ListedServer(id, 0, 0, 0, ServerStatus.READY, 1, started);
-        fleet.apply(new ServerList(scope, List.of(server)), 6);
-        return fleet.ready.get(0);
+        pool.apply(new ServerList(scope, List.of(server)), 6);
+        return pool.ready.get(0);
     }
 
     @Test
     public void attemptsAtARestartedServerAreNotInFlightAtTheNewProcess() {
-        ServerState old = told(ServerListScope.FULL, "s", 0);
+        ServerState old = applyAndGetFirst(ServerListScope.FULL, "s", 0);
         old.inFlight += 3;
-        ServerState fresh = told(ServerListScope.CHANGES, "s", 7);
+        ServerState fresh = applyAndGetFirst(ServerListScope.CHANGES, "s", 7);
         assertEquals(0, fresh.inFlight);
         fresh.inFlight++;
         old.inFlight -= 3;
         assertEquals(1, fresh.inFlight);
-        assertEquals(1, fleet.inFlight());
+        assertEquals(1, pool.inFlight());
     }
 
     @Test
     public void attemptsAtARemovedServerDoNotCountInTheSums() {
-        ServerState old = told(ServerListScope.FULL, "s", 0);
+        ServerState old = applyAndGetFirst(ServerListScope.FULL, "s", 0);
         old.inFlight += 3;
-        told(ServerListScope.FULL, "other", 0);
+        applyAndGetFirst(ServerListScope.FULL, "other", 0);
         old.inFlight -= 3;
         old.concurrencyLimit = 1;
-        assertEquals(0, fleet.inFlight());
-        assertEquals(6, fleet.concurrencyLimit(), 0);
+        assertEquals(0, pool.inFlight());
+        assertEquals(6, pool.concurrencyLimit(), 0);
     }
 
     @Test
@@ -64,17 +64,19 @@
     @Test
     public void serverThatRejectsEverythingIsAvoided() {
         SimulatedGroup group = SimulatedGroup.of(1, SimulatedGroup.quotaPlan(1000, 1000));
-        String away = "10.0.0.0:80";
-        group.outcomeOf = sent -> sent.server().equals(away) ? AttemptOutcome.OVERLOADED : AttemptOutcome.OK;
+        String rejectingServer = "10.0.0.0:80";
+        group.outcomeOf = sent -> sent.server().equals(rejectingServer) ? AttemptOutcome.OVERLOADED : AttemptOutcome.OK;
         group.traffic(0, 1, 1, 10 * SimulatedGroup.MS, 10 * SimulatedGroup.SECOND);
-        long there =
-                group.sent.stream().filter(sent -> sent.server().equals(away)).count();
-        assertTrue("of " + group.sent.size() + " there: " + there, there > 0 && there < 60);
+        long sentToRejecting = group.sent.stream()
+                .filter(sent -> sent.server().equals(rejectingServer))
+                .count();
+        assertTrue(
+                "of " + group.sent.size() + " there: " + sentToRejecting, sentToRejecting > 0 && sentToRejecting < 60);
     }
 
     /** A cold start of ours looks like a jam: it must not go on refusing for long after answers are good. */
     @Test
-    public void theThrottleOpensWithinSecondsOnceAnswersAreGood() {
+    public void throttleOpensWithinSecondsOnceAnswersSucceed() {
         SimulatedGroup group = SimulatedGroup.of(1, SimulatedGroup.quotaPlan(1000, 1000));
         long until = group.now + 2 * SimulatedGroup.SECOND;
         group.outcomeOf = sent -> sent.at() < until ? AttemptOutcome.RESET : AttemptOutcome.OK;
@@ -91,22 +93,23 @@
 
     @Test
     public void customerAliasesAreResolvedAndBounded() {
-        CustomerAliases ours = new CustomerAliases();
-        CustomerAliases theirs = new CustomerAliases();
+        CustomerAliases senderAliases = new CustomerAliases();
+        CustomerAliases receiverAliases = new CustomerAliases();
         int packets = 5 * CustomerAliases.MAX_ALIASES;
         for (int number = 1; number <= packets; number++) {
-            PeerPacketWriter writer = new PeerPacketWriter(ours, 1, 1, 0, number, 0, false, 40, List.of(), 256);
+            PeerPacketWriter writer =
+                    new PeerPacketWriter(senderAliases, 1, 1, 0, number, 0, false, 40, List.of(), 256);
             writer.add(new PeerPacket.AccountEntry(number, 0, 0, 2, 1, null, null, 0)); // comes once
             writer.add(new PeerPacket.AccountEntry(0, 0, 0, 2, 1, null, null, 0)); // comes always
             for (PeerPacket.AccountEntry entry :
                     PeerPacket.read(writer.finish()).entries()) {
-                PeerPacket.AccountEntry full = theirs.resolve(entry);
+                PeerPacket.AccountEntry full = receiverAliases.resolve(entry);
                 assertNotNull(full);
                 assertTrue(full.customer() == number || full.customer() == 0);
             }
-            ours.onAcknowledged(number);
+            senderAliases.onAcknowledged(number);
         }
-        assertTrue(ours.size() <= 2 * CustomerAliases.MAX_ALIASES);
-        assertTrue(theirs.size() <= 2 * CustomerAliases.MAX_ALIASES);
+        assertTrue(senderAliases.size() <= 2 * CustomerAliases.MAX_ALIASES);
+        assertTrue(receiverAliases.size() <= 2 * CustomerAliases.MAX_ALIASES);
     }
 }
--- a/src/test/java/reedmux/gatekeeper/policy/QuotaCountingTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/QuotaCountingTest.java
@@ -20,32 +20,36 @@
 class QuotaCountingTest {
     private static final long CUSTOMER = 77;
 
-    private static int[] near(int self, int group, int first, int spread) {
+    private static int[] neighbours(int self, int group, int first, int spread) {
         return new HeapTopology(self, group).neighbours(first, spread);
     }
 
     /** Checks one set's tree: mutual links, one root, each parent above its children; returns the depth. */
-    private static int depthOfTree(int group, int first, int spread, Map<Integer, Set<Integer>> met) {
-        Map<Integer, int[]> nearOf = new HashMap<>();
+    private static int checkTreeAndGetDepth(
+            int group, int first, int spread, Map<Integer, Set<Integer>> neighboursByMember) {
+        Map<Integer, int[]> neighboursOf = new HashMap<>();
         for (int i = 0; i < spread; i++) {
             int self = (first + i) % group;
-            nearOf.put(self, near(self, group, first, spread));
-            Arrays.stream(nearOf.get(self))
+            neighboursOf.put(self, neighbours(self, group, first, spread));
+            Arrays.stream(neighboursOf.get(self))
                     .filter(peer -> peer >= 0)
-                    .forEach(peer ->
-                            met.computeIfAbsent(self, m -> new HashSet<>()).add(peer));
+                    .forEach(peer -> neighboursByMember
+                            .computeIfAbsent(self, m -> new HashSet<>())
+                            .add(peer));
         }
         int deepest = 0;
-        for (int member : nearOf.keySet()) {
+        for (int member : neighboursOf.keySet()) {
             int depth = 1;
-            for (int at = member; nearOf.get(at)[0] >= 0; at = nearOf.get(at)[0]) {
-                int[] parent = nearOf.get(nearOf.get(at)[0]);
-                assertTrue(parent[1] == at || parent[2] == at, "a parent knows its child");
+            for (int current = member;
+                    neighboursOf.get(current)[0] >= 0;
+                    current = neighboursOf.get(current)[0]) {
+                int[] parent = neighboursOf.get(neighboursOf.get(current)[0]);
+                assertTrue(parent[1] == current || parent[2] == current, "a parent knows its child");
                 assertTrue(++depth <= spread, "no ring");
             }
             deepest = Math.max(deepest, depth);
         }
-        assertEquals(1, nearOf.values().stream().filter(one -> one[0] < 0).count(), "one root");
+        assertEquals(1, neighboursOf.values().stream().filter(one -> one[0] < 0).count(), "one root");
         return deepest;
     }
 
@@ -54,7 +58,7 @@
         for (int group : new int[] {1, 2, 3, 7, 64, 100, 440}) {
             for (int spread = 1; spread <= group; spread += 1 + spread / 3) {
                 for (int first : new int[] {0, group / 3, group - 1}) { // the last ones wrap round
-                    int depth = depthOfTree(group, first, spread, new HashMap<>());
+                    int depth = checkTreeAndGetDepth(group, first, spread, new HashMap<>());
                     int log = 32 - Integer.numberOfLeadingZeros(spread);
                     assertTrue(depth <= 2 * log + 1, group + "/" + first + "/" + spread + ": " + depth);
                 }
@@ -64,12 +68,16 @@
 
     @Test
     void heapsOfManyCustomersShareTheirEdges() {
-        Map<Integer, Set<Integer>> met = new HashMap<>();
+        Map<Integer, Set<Integer>> neighboursByMember = new HashMap<>();
         for (int i = 0; i < 150; i++) {
-            depthOfTree(440, i * 37 % 440, 20 + i * 11 % 170, met);
+            checkTreeAndGetDepth(440, i * 37 % 440, 20 + i * 11 % 170, neighboursByMember);
         }
-        double mean = met.values().stream().mapToInt(Set::size).average().orElseThrow();
-        int most = met.values().stream().mapToInt(Set::size).max().orElseThrow();
+        double mean = neighboursByMember.values().stream()
+                .mapToInt(Set::size)
+                .average()
+                .orElseThrow();
+        int most =
+                neighboursByMember.values().stream().mapToInt(Set::size).max().orElseThrow();
         assertTrue(mean < 8 && most <= 40, "distinct neighbours: mean " + mean + ", most " + most);
     }
 
@@ -82,7 +90,7 @@
 
     @Test
     void actualUnitsReplaceTheEstimateWithTheAnswer() {
-        for (double[] trueUnitsAndRoom : new double[][] {{5, 5}, {0.5, 9}}) {
+        for (double[] actualUnitsAndRemaining : new double[][] {{5, 5}, {0.5, 9}}) {
             SimulatedGroup group = SimulatedGroup.of(1, SimulatedGroup.quotaPlan(0.001, 10));
             group.outcomeOf = sent -> null;
             String id = group.request(0, SimulatedGroup.SAFE, CUSTOMER, 0, 1, 1);
@@ -94,12 +102,13 @@
                             true,
                             server,
                             0,
-                            trueUnitsAndRoom[0],
+                            actualUnitsAndRemaining[0],
                             SimulatedGroup.MS,
                             TrafficPolicy.AttemptOutcome.OK));
             group.outcomeOf = sent -> TrafficPolicy.AttemptOutcome.OK;
             assertEquals(
-                    trueUnitsAndRoom[1], group.traffic(0, CUSTOMER, 1, 60 * SimulatedGroup.MS, SimulatedGroup.SECOND));
+                    actualUnitsAndRemaining[1],
+                    group.traffic(0, CUSTOMER, 1, 60 * SimulatedGroup.MS, SimulatedGroup.SECOND));
         }
     }
 
@@ -113,9 +122,9 @@
     /** A client told to come back too early only adds load, and one refused has its answer at once. */
     @Test
     void retryAfterIsTheTimeUntilThereIsRoom() {
-        CustomerPlan ceiling = new CustomerPlan("plan", 100, 100, 0, 10, 4, 2, 1, 0, 1);
+        CustomerPlan rateLimited = new CustomerPlan("plan", 100, 100, 0, 10, 4, 2, 1, 0, 1);
         for (CustomerPlan plan :
-                List.of(ceiling, SimulatedGroup.quotaPlan(0.5, 3))) { // the second: first sight, of three members
+                List.of(rateLimited, SimulatedGroup.quotaPlan(0.5, 3))) { // the second: first sight, of three members
             SimulatedGroup group = SimulatedGroup.of(3, plan);
             group.run(10 * SimulatedGroup.SECOND);
             List<String> ids = List.of(
@@ -123,7 +132,7 @@
                     group.request(0, SimulatedGroup.SAFE, CUSTOMER, 0, 3));
             assertTrue(group.wasSent(ids.get(0)) && group.wasRejected(ids.get(1)), plan + ": at once");
             long wait = group.rejected.get(0).retryAfter();
-            if (plan == ceiling) { // without spare units of others; first sight ends sooner if packets do
+            if (plan == rateLimited) { // without spare units of others; first sight ends sooner if packets do
                 group.isLost = (from, to) -> true;
                 group.run(wait - 2 * SimulatedGroup.MS);
                 assertTrue(group.wasRejected(group.request(0, SimulatedGroup.SAFE, CUSTOMER, 0, 3)), "too early");
@@ -159,7 +168,7 @@
     }
 
     @Test
-    void lostDoubledAndReorderedMessagesMiscountNothing() {
+    void lostDuplicatedAndReorderedMessagesDoNotChangeTheCount() {
         SimulatedGroup group = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(0.01, 50));
         group.duplicateMessages();
         int[] messages = {0};
@@ -177,7 +186,7 @@
     }
 
     @Test
-    void garbledOrTruncatedPacketsAreIgnoredAsAWhole() {
+    void corruptOrTruncatedPacketsAreDiscarded() {
         SimulatedGroup group = SimulatedGroup.of(2, SimulatedGroup.quotaPlan(0.01, 10));
         group.traffic(0, CUSTOMER, 2, 50 * SimulatedGroup.MS, 500 * SimulatedGroup.MS);
         for (byte[] good : group.peerMessages.toArray(new byte[0][])) {
@@ -193,7 +202,7 @@
     }
 
     @Test
-    void aRestartedGatewayLearnsTheCountFromItsNeighbours() {
+    void restartedGatewayReceivesTheCountFromItsNeighbours() {
         SimulatedGroup group = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(0.01, 20));
         assertEquals(20, group.traffic(1, CUSTOMER, 3, 40 * SimulatedGroup.MS, SimulatedGroup.SECOND));
         group.run(SimulatedGroup.SECOND);
@@ -206,7 +215,7 @@
     }
 
     @Test
-    void packetsOfAnEarlierIncarnationChangeNothing() {
+    void packetsOfAnEarlierIncarnationAreIgnored() {
         SimulatedGroup group = SimulatedGroup.of(2, SimulatedGroup.quotaPlan(0.001, 20));
         group.request(1, SimulatedGroup.SAFE, CUSTOMER, 0, 2);
         group.run(SimulatedGroup.SECOND);
@@ -260,7 +269,7 @@
 
     /** The first packet to a neighbour goes out before its life is known; it counted twice once. */
     @Test
-    void theFirstPacketToANeighbourCountsOnce() {
+    void firstPacketToANeighbourCountsOnce() {
         SimulatedGroup group = SimulatedGroup.of(7, SimulatedGroup.quotaPlan(0.001, 20));
         group.run(10 * SimulatedGroup.MS);
         for (int gateway = 0; gateway < 7; gateway++) {
@@ -272,7 +281,7 @@
 
     /** A gateway told that it is silent once refuted its own refutation without end. */
     @Test
-    void gatewayRefutesThatItIsSilentOnce() {
+    void gatewayRefutesOnceThatItIsUnreachable() {
         SimulatedGroup group = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(1, 20));
         group.run(SimulatedGroup.SECOND);
         for (int version = 1; version < 4; version++) {
@@ -296,7 +305,7 @@
 
     /** Entries that make no sense are passed over, the rest of their packet counts. */
     @Test
-    void senselessEntriesChangeNothing() {
+    void invalidEntriesAreIgnored() {
         SimulatedGroup group = SimulatedGroup.of(2, SimulatedGroup.quotaPlan(0.001, 20));
         PeerPacketWriter packet = new PeerPacketWriter(new CustomerAliases(), 9, 0, 0, 1, 0, true, 40, List.of(), 256);
         packet.add(new PeerPacket.AccountEntry(1, 5, 0, 2, 1, null, null, 0));
@@ -336,7 +345,7 @@
 
     /** One stands still for seconds; its neighbours' silence is its own, and all go on counting together. */
     @Test
-    void anOwnStallSilencesNobody() {
+    void stalledGatewayDoesNotMarkPeersUnreachable() {
         SimulatedGroup group = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(0.001, 20));
         group.request(0, SimulatedGroup.SAFE, CUSTOMER, 0, 3);
         group.run(SimulatedGroup.SECOND);
@@ -370,7 +379,7 @@
 
     /** A count below nought let a customer's surge through that much longer. */
     @Test
-    void quietTimeSavesUpNoMoreThanABurst() {
+    void idleTimeAccumulatesNoMoreThanABurst() {
         SimulatedGroup group = new SimulatedGroup(
                 SimulatedGroup.servers(30),
                 IntStream.range(0, 15)
@@ -383,19 +392,19 @@
 
     @Test
     void sameEventsGiveTheSameActions() {
-        SimulatedGroup one = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(5, 20));
-        SimulatedGroup two = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(5, 20));
-        for (SimulatedGroup group : new SimulatedGroup[] {one, two}) {
+        SimulatedGroup first = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(5, 20));
+        SimulatedGroup second = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(5, 20));
+        for (SimulatedGroup group : new SimulatedGroup[] {first, second}) {
             for (int i = 0; i < 200; i++) {
                 group.request(i % 3, i % 3, i % 7, 0, 3);
                 group.run(20 * SimulatedGroup.MS);
             }
         }
-        assertEquals(one.sent, two.sent);
-        assertEquals(one.rejected, two.rejected);
-        assertEquals(one.peerMessages.size(), two.peerMessages.size());
-        for (int i = 0; i < one.peerMessages.size(); i++) {
-            assertArrayEquals(one.peerMessages.get(i), two.peerMessages.get(i));
+        assertEquals(first.sent, second.sent);
+        assertEquals(first.rejected, second.rejected);
+        assertEquals(first.peerMessages.size(), second.peerMessages.size());
+        for (int i = 0; i < first.peerMessages.size(); i++) {
+            assertArrayEquals(first.peerMessages.get(i), second.peerMessages.get(i));
         }
     }
 
--- a/src/test/java/reedmux/gatekeeper/policy/ServerSelectionTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/ServerSelectionTest.java
@@ -24,7 +24,7 @@
 
 /** The rules' guards, the caps and the care of servers. */
 class ServerSelectionTest {
-    private static final CustomerPlan WIDE = SimulatedGroup.quotaPlan(1000, 1000);
+    private static final CustomerPlan UNRESTRICTIVE_PLAN = SimulatedGroup.quotaPlan(1000, 1000);
 
     private static List<String> serversOf(SimulatedGroup group, String request) {
         return group.sent.stream()
@@ -36,7 +36,7 @@
     @Test
     void unsafeRequestThatMayHaveRunFailsWithoutRetryOrRejection() {
         for (AttemptOutcome outcome : List.of(AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMEOUT)) {
-            SimulatedGroup group = SimulatedGroup.of(1, WIDE);
+            SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
             group.outcomeOf = sent -> outcome;
             String id = group.request(0, SimulatedGroup.UNSAFE, 1, 0, 1);
             group.run(5 * SimulatedGroup.SECOND);
@@ -48,7 +48,7 @@
 
     @Test
     void unsafeRequestThatNeverRanIsRetriedAtAnotherServer() {
-        SimulatedGroup group = SimulatedGroup.of(1, WIDE);
+        SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
         group.outcomeOf = sent -> group.sent.size() == 1 ? AttemptOutcome.OVERLOADED : AttemptOutcome.OK;
         String id = group.request(0, SimulatedGroup.UNSAFE, 1, 0, 1);
         group.run(SimulatedGroup.SECOND);
@@ -59,7 +59,7 @@
     @Test
     void keyedRequestIsRetriedWithinItsDeduplicationScope() {
         for (int i = 0; i < 20; i++) {
-            SimulatedGroup group = SimulatedGroup.of(1, WIDE);
+            SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
             group.run(i * SimulatedGroup.MS);
             group.outcomeOf = sent -> AttemptOutcome.ERROR;
             String id = group.request(0, SimulatedGroup.KEYED, i, 0, 1);
@@ -77,7 +77,7 @@
 
     @Test
     void everyRequestGetsOneFinalAnswerInTime() {
-        SimulatedGroup group = SimulatedGroup.of(1, WIDE);
+        SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
         group.outcomeOf = sent -> null;
         for (int i = 0; i < 60; i++) {
             group.request(0, i % 3, i, 0, 1);
@@ -88,8 +88,8 @@
     }
 
     @Test
-    void nothingIsSentOrAnsweredAfterTheClientLeft() {
-        SimulatedGroup group = SimulatedGroup.of(1, WIDE);
+    void nothingIsSentOrAnsweredAfterTheClientDisconnects() {
+        SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
         group.outcomeOf = sent -> AttemptOutcome.ERROR;
         String id = group.request(0, SimulatedGroup.SAFE, 1, 0, 1);
         group.deliver(0, new RequestWithdrawn(id));
@@ -101,7 +101,7 @@
 
     @Test
     void drainingAndRemovedServersReceiveNoRequests() {
-        SimulatedGroup group = SimulatedGroup.of(1, WIDE);
+        SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
         group.deliver(
                 0,
                 new ServerList(
@@ -126,14 +126,14 @@
 
     @Test
     void requestsAreRejectedAtOnceWithoutServers() {
-        SimulatedGroup group = new SimulatedGroup(List.of(), SimulatedGroup.settings(0, 1, WIDE));
+        SimulatedGroup group = new SimulatedGroup(List.of(), SimulatedGroup.settings(0, 1, UNRESTRICTIVE_PLAN));
         assertTrue(group.wasRejected(group.request(0, SimulatedGroup.UNSAFE, 1, 0, 1)));
     }
 
     @Test
     void coldServerStaysWithinItsLoadBound() {
         List<ListedServer> servers = new ArrayList<>(SimulatedGroup.servers(3));
-        SimulatedGroup group = new SimulatedGroup(servers, SimulatedGroup.settings(0, 1, WIDE));
+        SimulatedGroup group = new SimulatedGroup(servers, SimulatedGroup.settings(0, 1, UNRESTRICTIVE_PLAN));
         group.traffic(0, 1, 1, 5 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
         group.deliver(
                 0,
@@ -175,7 +175,7 @@
     /** Hundreds of gateways each sent a fresh server their first request at once. */
     @Test
     void firstRequestsOfManyGatewaysToAColdServerAreSpreadOverTime() {
-        SimulatedGroup group = SimulatedGroup.of(60, WIDE);
+        SimulatedGroup group = SimulatedGroup.of(60, UNRESTRICTIVE_PLAN);
         group.run(10 * SimulatedGroup.MS);
         for (int i = 0; i < 1500; i++) {
             group.request(i % 60, SimulatedGroup.SAFE, i, i % 60, 1);
@@ -203,51 +203,53 @@
      * window, so the new ones got a fifth of what the old ones did, which were jammed for it.
      */
     @Test
-    void newServersBearTheirPartWhereFewAreWarm() {
+    void newServersReceiveTheirShareWhileFewServersAreWarm() {
         SimulatedGroup group = new SimulatedGroup(
                 SimulatedGroup.servers(60),
                 IntStream.range(0, 14)
-                        .mapToObj(i -> SimulatedGroup.settings(i, 14, WIDE))
+                        .mapToObj(i -> SimulatedGroup.settings(i, 14, UNRESTRICTIVE_PLAN))
                         .toArray(PolicySettings[]::new));
-        everyThreeMillis(group, 10);
+        sendEveryThreeMillis(group, 10);
         long started = group.now;
-        List<ListedServer> fresh = new ArrayList<>();
+        List<ListedServer> newServers = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             if (i % 10 < 7) {
-                fresh.add(SimulatedGroup.server(i, ServerStatus.READY, started));
+                newServers.add(SimulatedGroup.server(i, ServerStatus.READY, started));
             }
         }
         for (int gateway = 0; gateway < 14; gateway++) {
-            group.deliver(gateway, new ServerList(ServerListScope.CHANGES, fresh));
+            group.deliver(gateway, new ServerList(ServerListScope.CHANGES, newServers));
         }
         int before = group.sent.size();
-        everyThreeMillis(group, 8);
+        sendEveryThreeMillis(group, 8);
         Map<String, List<Long>> times = new HashMap<>();
         group.sent
                 .subList(before, group.sent.size())
                 .forEach(s -> times.computeIfAbsent(s.server(), id -> new ArrayList<>())
                         .add(s.at()));
-        double[] late = new double[2];
+        double[] sentPerServer = new double[2];
         for (int i = 0; i < 60; i++) {
-            List<Long> at = times.getOrDefault(
+            List<Long> sendTimes = times.getOrDefault(
                     SimulatedGroup.server(i, ServerStatus.READY, 0).id(), List.of());
             boolean cold = i % 10 < 7;
-            late[cold ? 1 : 0] += at.stream()
+            sentPerServer[cold ? 1 : 0] += sendTimes.stream()
                             .filter(t -> t > started + 4 * SimulatedGroup.SECOND)
                             .count()
                     / (cold ? 42.0 : 18.0);
-            for (long from : cold ? at : List.<Long>of()) { // each can do 12 requests a second when warm
-                double able = 12 * (0.25 + 0.75 * (from - started) / (12.0 * SimulatedGroup.SECOND));
-                long window = at.stream()
+            for (long from : cold ? sendTimes : List.<Long>of()) { // each can do 12 requests a second when warm
+                double capacity = 12 * (0.25 + 0.75 * (from - started) / (12.0 * SimulatedGroup.SECOND));
+                long window = sendTimes.stream()
                         .filter(t -> t >= from && t < from + SimulatedGroup.SECOND)
                         .count();
-                assertTrue(window <= 3 * able, i + " fell over: " + window + " of " + able);
+                assertTrue(window <= 3 * capacity, i + " fell over: " + window + " of " + capacity);
             }
         }
-        assertTrue(late[1] > late[0] / 3, "sent to a new one " + late[1] + ", to an old one " + late[0]);
+        assertTrue(
+                sentPerServer[1] > sentPerServer[0] / 3,
+                "sent to a new one " + sentPerServer[1] + ", to an old one " + sentPerServer[0]);
     }
 
-    private static void everyThreeMillis(SimulatedGroup group, int seconds) {
+    private static void sendEveryThreeMillis(SimulatedGroup group, int seconds) {
         for (int i = 0; i < seconds * 333; i++) {
             group.request(i % 14, SimulatedGroup.SAFE, i % 400, i % 14, 1);
             group.run(3 * SimulatedGroup.MS);
@@ -271,10 +273,10 @@
     }
 
     @Test
-    void aServerThatFailsOrHangsIsLeftAloneAndTriedAgainLater() {
+    void failingOrHangingServerIsAvoidedAndRetriedLater() {
         for (AttemptOutcome bad :
                 List.of(AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.CONNECT_FAILED)) {
-            SimulatedGroup group = SimulatedGroup.of(1, WIDE);
+            SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
             boolean[] sick = {true};
             group.outcomeOf = s -> sick[0] && s.server().equals("10.0.0.0:80") ? bad : AttemptOutcome.OK;
             group.traffic(0, 1, 1, 10 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
@@ -291,7 +293,7 @@
 
     @Test
     void classOfRequestsRecoversAfterItsServersHung() {
-        SimulatedGroup group = SimulatedGroup.of(1, WIDE);
+        SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
         boolean[] sick = {true};
         group.outcomeOf = s -> sick[0] ? null : AttemptOutcome.OK;
         for (int i = 0; i < 300; i++) {
@@ -310,7 +312,7 @@
 
     @Test
     void overloadRejectsTheLeastValuableRequestsFirst() {
-        SimulatedGroup group = SimulatedGroup.of(1, WIDE);
+        SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
         group.outcomeOf = sent -> null;
         List<String> least = new ArrayList<>();
         List<String> most = new ArrayList<>();
@@ -325,7 +327,7 @@
 
     @Test
     void startedStreamIsNeitherRetriedNorAnsweredAgain() {
-        SimulatedGroup group = SimulatedGroup.of(1, WIDE);
+        SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
         group.outcomeOf = sent -> null;
         String id = group.request(0, SimulatedGroup.SAFE, 1, 0, 1);
         String server = serversOf(group, id).get(0);
@@ -344,7 +346,7 @@
 
     @Test
     void ejectionStopsWhenMostServersFail() {
-        SimulatedGroup group = SimulatedGroup.of(1, WIDE);
+        SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
         group.outcomeOf = sent -> AttemptOutcome.ERROR;
         group.traffic(0, 1, 1, 20 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
         List<SimulatedGroup.RecordedSend> last = group.sent.subList(group.sent.size() - 50, group.sent.size());
@@ -357,7 +359,8 @@
 
     @Test
     void attemptsInFlightAreBoundedWhenServersHang() {
-        SimulatedGroup group = new SimulatedGroup(SimulatedGroup.servers(2), SimulatedGroup.settings(0, 1, WIDE));
+        SimulatedGroup group =
+                new SimulatedGroup(SimulatedGroup.servers(2), SimulatedGroup.settings(0, 1, UNRESTRICTIVE_PLAN));
         group.outcomeOf = sent -> null;
         IntStream.range(0, 200).forEach(i -> group.request(0, SimulatedGroup.UNSAFE, i, 0, 1));
         assertTrue(group.sent.size() <= 48, "out: " + group.sent.size());
@@ -366,8 +369,8 @@
 
     @Test
     void polledDiscoveryIsPolledAgainAfterAFailure() {
-        TrafficPolicy.PolicySettings push = SimulatedGroup.settings(0, 1, WIDE);
-        TrafficPolicy.PolicySettings ask = new TrafficPolicy.PolicySettings(
+        TrafficPolicy.PolicySettings defaults = SimulatedGroup.settings(0, 1, UNRESTRICTIVE_PLAN);
+        TrafficPolicy.PolicySettings polling = new TrafficPolicy.PolicySettings(
                 0,
                 1,
                 0,
@@ -375,11 +378,11 @@
                 false,
                 1,
                 SimulatedGroup.MS,
-                push.classes(),
-                push.plans(),
-                push.rules(),
+                defaults.classes(),
+                defaults.plans(),
+                defaults.rules(),
                 new DeploymentLimits(false, false, false, false, false, 1, 0, 0, 256, 0));
-        SimulatedGroup group = new SimulatedGroup(ask);
+        SimulatedGroup group = new SimulatedGroup(polling);
         assertEquals(List.of("0 true"), group.watches);
         group.deliver(0, new ServerList(ServerListScope.FAILED, List.of()));
         group.run(SimulatedGroup.SECOND);
@@ -392,12 +395,13 @@
      */
     @Test
     void throttleBoundsSendsDuringAnOutageAndRecoversSoonAfter() {
-        SimulatedGroup group = new SimulatedGroup(SimulatedGroup.servers(70), SimulatedGroup.settings(0, 1, WIDE));
+        SimulatedGroup group =
+                new SimulatedGroup(SimulatedGroup.servers(70), SimulatedGroup.settings(0, 1, UNRESTRICTIVE_PLAN));
         group.traffic(0, 1, 1, 100 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
         group.outcomeOf = sent -> AttemptOutcome.TIMEOUT;
         group.traffic(0, 1, 1, 100 * SimulatedGroup.MS, 4 * SimulatedGroup.SECOND);
-        int jammed = group.traffic(0, 1, 1, 100 * SimulatedGroup.MS, 4 * SimulatedGroup.SECOND);
-        assertTrue(jammed > 0 && jammed < 16, "of 40, in a jam: " + jammed);
+        int sentDuringOutage = group.traffic(0, 1, 1, 100 * SimulatedGroup.MS, 4 * SimulatedGroup.SECOND);
+        assertTrue(sentDuringOutage > 0 && sentDuringOutage < 16, "of 40, in a jam: " + sentDuringOutage);
         group.outcomeOf = sent -> AttemptOutcome.OK;
         group.run(3 * SimulatedGroup.SECOND);
         group.traffic(0, 1, 1, 100 * SimulatedGroup.MS, 4 * SimulatedGroup.SECOND);
@@ -407,9 +411,9 @@
 
     /** With servers by the dozen, and a request now and then, a gateway never learnt which of them hang. */
     @Test
-    void gatewaysWithFewRequestsEachUseAFewServersThatTogetherAreAll() {
+    void gatewaysWithLittleTrafficEachUseFewServersAndTogetherCoverAll() {
         PolicySettings[] settings = IntStream.range(0, 60)
-                .mapToObj(i -> SimulatedGroup.settings(i, 60, WIDE))
+                .mapToObj(i -> SimulatedGroup.settings(i, 60, UNRESTRICTIVE_PLAN))
                 .toArray(PolicySettings[]::new);
         List<ListedServer> servers = IntStream.range(0, 30)
                 .mapToObj(i -> new ListedServer("10.0.1." + i + ":80", 0, 0, 0, ServerStatus.READY, 1, 0))
@@ -433,10 +437,10 @@
 
     @Test
     void gatewayWhoseFewServersFailUsesOthers() {
-        DeploymentLimits alone =
+        DeploymentLimits withoutPeers =
                 new DeploymentLimits(true, false, false, false, false, 3, SimulatedGroup.SECOND, 60, 256, 0);
-        SimulatedGroup group =
-                new SimulatedGroup(SimulatedGroup.servers(30), SimulatedGroup.settings(0, 60, WIDE, alone));
+        SimulatedGroup group = new SimulatedGroup(
+                SimulatedGroup.servers(30), SimulatedGroup.settings(0, 60, UNRESTRICTIVE_PLAN, withoutPeers));
         group.traffic(0, 1, 1, 300 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
         List<String> own = group.sent.stream()
                 .map(SimulatedGroup.RecordedSend::server)
@@ -452,7 +456,8 @@
     /** With an answer a second, a class's mean took 20 s to fall after a jam, and nearly all was refused. */
     @Test
     void latencyEstimateRecoversQuicklyAfterCongestion() {
-        SimulatedGroup group = new SimulatedGroup(SimulatedGroup.servers(70), SimulatedGroup.settings(0, 1, WIDE));
+        SimulatedGroup group =
+                new SimulatedGroup(SimulatedGroup.servers(70), SimulatedGroup.settings(0, 1, UNRESTRICTIVE_PLAN));
         group.traffic(0, 1, 1, 200 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
         group.extraLatency = 450 * SimulatedGroup.MS;
         group.traffic(0, 1, 1, 200 * SimulatedGroup.MS, 10 * SimulatedGroup.SECOND);
@@ -464,7 +469,7 @@
 
     /** It looked stuck: with one call out that said nothing, others were expected to be late there. */
     @Test
-    void incompleteRequestBodyIsNoLoadAtItsServer() {
+    void incompleteRequestBodyIsNotCountedAsServerLoad() {
         SimulatedGroup group = new SimulatedGroup(
                 SimulatedGroup.servers(1), SimulatedGroup.settings(0, 1, SimulatedGroup.quotaPlan(0, 0)));
         group.outcomeOf = sent -> null; // answered by the test, or never
--- a/src/test/java/reedmux/gatekeeper/policy/SimulatedGroup.java
+++ b/src/test/java/reedmux/gatekeeper/policy/SimulatedGroup.java
@@ -122,12 +122,12 @@
 
     private static RequestClass requestClass(
             String name,
-            Idempotency repeat,
-            TrafficPolicy.DeduplicationScope group,
-            long aim,
+            Idempotency idempotency,
+            TrafficPolicy.DeduplicationScope scope,
+            long latencyTarget,
             long deadline,
-            double worth) {
-        return new RequestClass(name, repeat, group, 8 * SECOND, aim, deadline, worth, 0, false);
+            double value) {
+        return new RequestClass(name, idempotency, scope, 8 * SECOND, latencyTarget, deadline, value, 0, false);
     }
 
     static List<ListedServer> servers(int count) {
@@ -161,22 +161,24 @@
         copies = 2;
     }
 
-    String request(int gateway, int kind, long customer, int first, int spread) {
-        return request(gateway, kind, customer, first, spread, 1);
+    String request(int gateway, int requestClass, long customer, int firstMember, int memberCount) {
+        return request(gateway, requestClass, customer, firstMember, memberCount, 1);
     }
 
-    String request(int gateway, int kind, long customer, int first, int spread, double units) {
+    String request(int gateway, int requestClass, long customer, int firstMember, int memberCount, double units) {
         String id = String.format("%016x", ++ids);
-        long deadline = now + settings[gateway].classes().get(kind).deadline();
-        deliver(gateway, new IncomingRequest(id, kind, 0, customer, deadline, units, spread, first, false));
+        long deadline = now + settings[gateway].classes().get(requestClass).deadline();
+        deliver(
+                gateway,
+                new IncomingRequest(id, requestClass, 0, customer, deadline, units, memberCount, firstMember, false));
         return id;
     }
 
     /** Sends a request every {@code gap} for {@code length}; returns how many were sent on. */
-    int traffic(int gateway, long customer, int spread, long gap, long length) {
+    int traffic(int gateway, long customer, int memberCount, long gap, long length) {
         int before = sent.size();
         for (long end = now + length; now < end; ) {
-            request(gateway, SAFE, customer, 0, spread);
+            request(gateway, SAFE, customer, 0, memberCount);
             run(gap);
         }
         return sent.size() - before;
@@ -216,8 +218,8 @@
         now = end;
     }
 
-    private void schedule(long at, int gateway, GatekeeperPolicy life, PolicyEvent event) {
-        queue.add(new QueuedPolicyEvent(at, order++, gateway, life, event));
+    private void schedule(long at, int gateway, GatekeeperPolicy policy, PolicyEvent event) {
+        queue.add(new QueuedPolicyEvent(at, order++, gateway, policy, event));
     }
 
     private final class RecordingActions implements PolicyActions {
