--- a/src/main/java/reedmux/gatekeeper/policy/ActiveRequest.java
+++ b/src/main/java/reedmux/gatekeeper/policy/ActiveRequest.java
@@ -7,25 +7,25 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.IncomingRequest;
 import reedmux.gatekeeper.policy.TrafficPolicy.RequestClass;
 
-/** A request that this gateway has accepted, kept until its last attempt has ended. */
+/** A request that this gateway has received, tracked until its last attempt has ended. */
 final class ActiveRequest {
     final IncomingRequest request;
     final RequestClass requestClass;
     final ClassLatency classLatency;
     final CustomerAccount account;
-    /** When it came, in microseconds. */
+    /** Arrival time, in microseconds. */
     final long arrivedAt;
 
     final List<PolicyAttempt> attempts = new ArrayList<>(2);
-    /** It has its final answer, or nobody waits for one any more. */
+    /** Whether the final answer has been given, or the client no longer waits for one. */
     boolean closed;
-    /** Its true units are known and counted. */
+    /** Whether the actual units are known and have been counted. */
     boolean unitsSettled;
-    /** An attempt has come to a server as a whole, or it went to another region. */
+    /** Whether an attempt delivered the whole request to a server, or the request was forwarded to another region. */
     boolean delivered;
 
     boolean streaming;
-    /** It is with another region, which answers it. */
+    /** Whether another region is handling the request and will answer it. */
     boolean forwarded;
 
     ActiveRequest(
@@ -41,7 +41,10 @@
         this.arrivedAt = arrivedAt;
     }
 
-    /** Attempts that wait for its body are no load at their servers until it is complete. */
+    /**
+     * Excludes attempts from their servers' load while the request body is incomplete, and includes them once it is
+     * complete.
+     */
     void onBodyProgress(boolean complete, long now) {
         for (PolicyAttempt attempt : attempts) {
             if (!attempt.ended && !streaming && attempt.excludedFromLoad == complete) {
@@ -53,7 +56,10 @@
         }
     }
 
-    /** The answer to an attempt has begun: what still comes is no work at the server. */
+    /**
+     * Excludes an attempt from its server's load once the response has begun: the rest of the stream is not work for
+     * the server.
+     */
     void onStreamStarted(PolicyAttempt attempt, long now) {
         attempt.server.inFlight -= attempt.excludedFromLoad ? 0 : 1;
         attempt.excludedFromLoad = true;
@@ -77,7 +83,7 @@
         return false;
     }
 
-    /** Whether an ejected server may be tried with it: nothing is sent yet, and a repeat does no harm. */
+    /** Whether the request may probe an ejected server: nothing has been sent yet, and a repeat is harmless. */
     boolean mayTryEjected() {
         return attempts.isEmpty() && requestClass.idempotency() != Idempotency.UNSAFE;
     }
--- a/src/main/java/reedmux/gatekeeper/policy/AdmissionPolicy.java
+++ b/src/main/java/reedmux/gatekeeper/policy/AdmissionPolicy.java
@@ -3,31 +3,31 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.AttemptOutcome;
 import reedmux.gatekeeper.policy.TrafficPolicy.RequestClass;
 
-/** Admission control: which requests are rejected in overload, those first that are worth least for their work. */
+/** Admission control: rejects requests in overload, starting with those of the least value per unit of work. */
 final class AdmissionPolicy {
-    /** Weight of a request in the mean value of a unit of work: about the last hundred. */
+    /** Weight of one request in the mean value per unit of work, which averages about the last hundred requests. */
     private static final double VALUE_SAMPLE_WEIGHT = 0.01;
-    /** Share of all bounds on attempts that a request may use, by its relative value: least, most and slope. */
+    /** Share of the total concurrency limit that a request may use, by relative value: minimum, maximum and slope. */
     private static final double MIN_LIMIT_SHARE = 0.6;
 
     private static final double MAX_LIMIT_SHARE = 1;
     private static final double LIMIT_SHARE_SLOPE = 0.2;
-    /** Share of its latency target that it may be expected to take, by its relative value: least, most and slope. */
+    /** Share of the latency target that the expected time may take, by relative value: minimum, maximum and slope. */
     private static final double MIN_TARGET_SHARE = 0.3;
 
     private static final double MAX_TARGET_SHARE = 0.85;
     private static final double TARGET_SHARE_SLOPE = 0.35;
-    /** Most that another region's request may take against the best mean: own requests begin to queue there. */
+    /** Limit on a remote request's expected time, in best means: above it, local requests start to queue. */
     private static final double REMOTE_BEST_MULTIPLE = 2;
-    /** First sends for a good answer: load that lets half of all go bad, against hung servers that set it off. */
+    /** First attempts allowed per good answer: more admits failing load, fewer throttles for hung servers. */
     private static final double SENDS_PER_GOOD_ANSWER = 2;
-    /** Time constant of good answers and of what is wanted: how soon congestion is seen and its end believed. */
+    /** Decay time constant of demand and good answers: how soon congestion is detected and its end is recognised. */
     private static final double THROTTLE_DECAY_MICROS = 2 * PolicyContext.MICROS_PER_SECOND;
-    /** Sent on trial at least, and as a share of what is wanted: from single ones it took 9 s to recover. */
+    /** Trial requests always admitted: a minimum, and a share of demand. With single trials, recovery took 9 s. */
     private static final double MIN_TRIALS = 1;
 
     private static final double TRIAL_SHARE = 0.05;
-    /** For so many first latency guesses what is in flight counts as good: a start without answers yet. */
+    /** Decay time of recent sends, in initial estimates: they count as good while a start has no answers yet. */
     private static final double RECENT_SEND_LATENCIES = 2;
 
     private final PolicyContext context;
@@ -45,7 +45,7 @@
         this.pool = pool;
     }
 
-    /** Whether a request is rejected: it goes only while expected in time, and with little value for its work early. */
+    /** Rejects a request that is not expected to finish in time; low value per unit of work is rejected earlier. */
     boolean rejects(ActiveRequest request, ServerState server, boolean remote) {
         RequestClass requestClass = request.requestClass;
         double value = requestClass.value() * request.account.plan.price() * request.request.units();
@@ -64,12 +64,13 @@
     }
 
     /**
-     * Bounds the sum over all gateways at a server by what comes back: of what is wanted, no more goes on than a
-     * multiple of the good answers, least value first, by its root so that all goes while all is well. Gateways by the
-     * hundred with under one attempt in flight each have no bound on attempts that sees congestion. It should catch
-     * whatever makes most answers late: a surge, lost capacity, a shared cause, mass restarts. Half may go bad, so hung
-     * servers do not set it off; the trials let it end soon after good answers. It could harm a deployment whose
-     * answers are mostly slow by nature against the latency target.
+     * Throttles first attempts to a multiple of the good answers, which bounds the total load of all gateways on a
+     * server. The admission probability grows with the root of the relative value: low values are rejected first, and
+     * all pass while answers are good. With hundreds of gateways that have less than one attempt in flight each, no
+     * concurrency limit detects congestion. The throttle reacts to anything that makes most answers late: a surge, lost
+     * capacity, a shared cause, mass restarts. Half of the answers may be bad, so hung servers do not trigger it;
+     * trials end it soon after good answers. It could harm a deployment whose answers are inherently slow against the
+     * latency target.
      */
     private boolean isThrottled(double relativeValue) {
         decay();
@@ -91,7 +92,7 @@
         recentSends++;
     }
 
-    /** A first attempt ended; an error in time speaks of the server, not of the load. */
+    /** Counts good answers to first attempts. An error counts as well: it indicates a faulty server, not overload. */
     void onFirstAttemptEnded(ActiveRequest request, AttemptOutcome outcome, long elapsed) {
         boolean inTime = elapsed <= ServerHealth.SLOW_TARGET_SHARE * request.requestClass.latencyTarget();
         if (outcome == AttemptOutcome.ERROR || outcome == AttemptOutcome.OK && inTime) {
--- a/src/main/java/reedmux/gatekeeper/policy/CarriedUnits.java
+++ b/src/main/java/reedmux/gatekeeper/policy/CarriedUnits.java
@@ -1,4 +1,4 @@
 package reedmux.gatekeeper.policy;
 
-/** What a packet carried for one account, kept until the packet is acknowledged. */
+/** The units of one account that a packet carried, retained until the packet is acknowledged. */
 record CarriedUnits(CustomerAccount account, double units, boolean countIncluded) {}
--- a/src/main/java/reedmux/gatekeeper/policy/ClassLatency.java
+++ b/src/main/java/reedmux/gatekeeper/policy/ClassLatency.java
@@ -1,9 +1,9 @@
 package reedmux.gatekeeper.policy;
 
-/** Moving averages of one class of requests; times in microseconds. {@link LatencyEstimator} moves them. */
+/** Moving averages of one request class; times are in microseconds. Updated by {@link LatencyEstimator}. */
 final class ClassLatency {
     double mean;
-    /** The least mean so far, which follows the mean slowly. */
+    /** The lowest mean so far, which rises slowly towards the current mean. */
     double bestMean;
 
     double meanUnits = 1;
--- a/src/main/java/reedmux/gatekeeper/policy/CustomerAccount.java
+++ b/src/main/java/reedmux/gatekeeper/policy/CustomerAccount.java
@@ -8,46 +8,46 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.IncomingRequest;
 
 /**
- * What one gateway has counted of a customer: the paper's counters, and what the limits beside the quota need. Arrays
- * have an entry for each slot: parent, left and right child in the heap. It holds values and decides nothing.
+ * The quota counters of one customer at this gateway, and the state of its rate limit and concurrency cap. Arrays have
+ * an entry for each slot: parent, left child and right child in the heap. A data holder that makes no decisions.
  */
 final class CustomerAccount extends HeapCounter {
-    /** Neighbours in the heap: parent, left and right child. */
+    /** Number of neighbours in the heap: parent, left child and right child. */
     static final int SLOTS = 3;
 
     final long customer;
     CustomerPlan plan;
     int planIndex;
-    /** The customer's gateways are {@code memberCount} in a row, from this number on. */
+    /** Number of the first of the customer's {@code memberCount} consecutive gateways. */
     int firstMember;
 
     int memberCount;
-    /** The most gateways that were ever reported: a share is never larger than for all of these. */
+    /** The highest member count ever reported; a share is never larger than an even split among these. */
     int maxMemberCount;
-    /** Whether this gateway is one of them. */
+    /** Whether this gateway is one of the customer's gateways. */
     boolean member;
-    /** Units heard from each neighbour, decaying: a rate times its time constant. */
+    /** Units received from each neighbour, decaying exponentially: the branch's rate times the decay time constant. */
     double[] branchUnits = new double[SLOTS];
-    /** Attempts in flight behind each neighbour, as it last reported. */
+    /** Attempts in flight behind each neighbour, as it last reported them. */
     int[] branchConcurrency = new int[SLOTS];
-    /** Attempts in flight that were last reported to each neighbour; -1 where they have to be again. */
+    /** Attempts in flight that were last reported to each neighbour; -1 if they must be reported again. */
     int[] reportedConcurrency = new int[SLOTS];
-    /** Tokens of the rate limit on their way to each neighbour. */
+    /** Rate-limit tokens to transfer to each neighbour with the next report. */
     double[] pendingGrant = new double[SLOTS];
-    /** Whether all of the count has to be reported to a neighbour. */
+    /** Whether the full count must be reported to a neighbour. */
     boolean[] countRequested = new boolean[SLOTS];
-    /** The share of the customer's gateways that are silent. */
+    /** The share of the customer's gateways that are unreachable. */
     double unreachableShare;
-    /** Units that races are taken to have under way. */
+    /** Units that racing gateways are assumed to have admitted but not yet reported here. */
     double raceMargin;
 
     double unitsSinceFirstSeen;
     double rateLimitTokens;
-    /** Units counted since the last report to the process that takes this one's place. */
+    /** Units counted since the last report to the other process during a handover. */
     double unreportedToHandover;
-    /** Attempts in flight here. */
+    /** Attempts in flight at this gateway. */
     int inFlight;
-    /** The revision of the topology that the neighbours are of. */
+    /** The topology revision for which the neighbours were computed; -1 if they must be recomputed. */
     int membershipView = -1;
 
     private final QuotaShare quotaShare;
@@ -77,17 +77,17 @@
         runAhead = new RunAheadLimit(now, RunAheadLimit.ALL_KNOWN);
     }
 
-    /** Its plan, or its gateways, are others from now on; what was counted stays. */
+    /** Changes the customer's plan and gateways; the counted units are kept. */
     void changePlan(CustomerPlan newPlan, IncomingRequest request) {
         plan = newPlan;
         planIndex = request.plan();
         firstMember = request.firstMember();
         memberCount = request.memberCount();
-        rateLimitTokens = Math.max(0, rateLimitTokens); // where the former plan had no limit it says nothing
+        rateLimitTokens = Math.max(0, rateLimitTokens); // a debt is meaningless if the former plan had no limit
         membershipView = -1;
     }
 
-    /** A member's even share of an amount; whoever is none has no share. */
+    /** Returns this gateway's even share of an amount, or 0 if it is not one of the customer's gateways. */
     double share(double amount) {
         return member ? amount * quotaShare.fraction / maxMemberCount : 0;
     }
@@ -110,9 +110,9 @@
     }
 
     /**
-     * How many units may be admitted before the other members know of them.
+     * Returns how many units may be admitted before the other members know of them.
      *
-     * @param unknownMicros how long units may be unknown to some member
+     * @param unknownMicros how long units may remain unknown to some member, in microseconds
      */
     double unknownAllowance(long unknownMicros, long now) {
         return runAhead.allowance(localCount(), plan.quotaRate(), plan.quotaBurst(), memberCount, unknownMicros, now);
@@ -128,7 +128,7 @@
         return Arrays.equals(neighbours, candidates);
     }
 
-    /** Units that are still to be reported to a neighbour. */
+    /** Returns the units that have not been reported to a neighbour yet. */
     double pending(int slot) {
         return pending[slot];
     }
@@ -145,7 +145,7 @@
         return pending.clone();
     }
 
-    /** Whether anything is still to be reported to a neighbour. */
+    /** Whether anything remains to be reported to a neighbour. */
     boolean hasUnreported(int slot, boolean reportsInFlight) {
         return PeerPacket.roundToWire(pending[slot]) != 0
                 || countRequested[slot]
@@ -153,7 +153,7 @@
                 || reportsInFlight && inFlightExcept(slot) != reportedConcurrency[slot];
     }
 
-    /** Adds to a packet all that is to be reported to a neighbour; returns what goes again if the packet is lost. */
+    /** Adds the report for a neighbour to a packet. Returns the units to restore if the packet is lost. */
     CarriedUnits report(int slot, boolean reportsInFlight, PeerPacketWriter packet) {
         double delta = PeerPacket.roundToWire(pending[slot]);
         boolean countIncluded = countRequested[slot];
@@ -189,7 +189,10 @@
         }
     }
 
-    /** Puts what a lost packet carried back into the counter facing the peer; returns whether there still is one. */
+    /**
+     * Puts the units of a lost packet back into the counter facing the peer. Returns false if the peer is no longer a
+     * neighbour.
+     */
     boolean restoreUnits(int peer, CarriedUnits lost) {
         int slot = slotOf(peer);
         if (slot < 0) {
@@ -201,7 +204,9 @@
         return true;
     }
 
-    /** Attempts in flight here and behind all neighbours but one, or behind all at -1. */
+    /**
+     * Returns the attempts in flight here and behind all neighbours except the one in {@code slot}; -1 excludes none.
+     */
     int inFlightExcept(int slot) {
         int total = inFlight + branchConcurrency[0] + branchConcurrency[1] + branchConcurrency[2];
         return total - (slot < 0 ? 0 : branchConcurrency[slot]);
--- a/src/main/java/reedmux/gatekeeper/policy/CustomerAccounts.java
+++ b/src/main/java/reedmux/gatekeeper/policy/CustomerAccounts.java
@@ -6,7 +6,7 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.CustomerPlan;
 import reedmux.gatekeeper.policy.TrafficPolicy.IncomingRequest;
 
-/** The accounts of all customers that this gateway has heard of, by the customer's number. */
+/** The accounts of all customers known to this gateway, by customer number. */
 final class CustomerAccounts {
     private final PolicyContext context;
     private final HeapTopology topology;
@@ -18,28 +18,34 @@
         this.topology = topology;
     }
 
-    /** All accounts, in the order of their creation; what is removed from it is forgotten. */
+    /** Returns all accounts in the order of their creation. Removing an account from this view evicts it. */
     Collection<CustomerAccount> all() {
         return accounts.values();
     }
 
-    /** The part of this gateway's share that is this process's: all, unless another one serves beside it. */
+    /**
+     * Returns the fraction of this gateway's share that belongs to this process: 1 unless a second process serves
+     * alongside it.
+     */
     QuotaShare quotaShare() {
         return quotaShare;
     }
 
-    /** The account of a customer, or null where there is none. */
+    /** Returns the account of a customer, or null if there is none. */
     CustomerAccount find(long customer) {
         return accounts.get(customer);
     }
 
-    /** An account that all requests of other regions have in common, which is never reported to peers. */
+    /** Creates the account shared by all requests from other regions, which is never reported to peers. */
     CustomerAccount createRemoteAccount(CustomerPlan plan) {
         int none = TrafficPolicy.REMOTE_REQUEST_PLAN;
         return new CustomerAccount(none, plan, none, context.settings.self(), 1, quotaShare, 0);
     }
 
-    /** The account of a customer; a new one has the rate limit's tokens that it would have gathered since the start. */
+    /**
+     * Returns the account of a customer. A new account starts with the rate-limit tokens that it would have accumulated
+     * since start-up.
+     */
     CustomerAccount getOrCreate(long customer, int plan, int firstMember, int memberCount) {
         CustomerAccount account = find(customer);
         if (account == null) {
@@ -58,7 +64,10 @@
         return account;
     }
 
-    /** The account of a request, whose plan and gateways hold: what a peer says of them may be of older settings. */
+    /**
+     * Returns the account of a request. The request's plan and gateways take precedence over those reported by a peer,
+     * which may come from older settings.
+     */
     CustomerAccount getOrCreate(IncomingRequest request) {
         CustomerAccount account =
                 getOrCreate(request.customer(), request.plan(), request.firstMember(), request.memberCount());
--- a/src/main/java/reedmux/gatekeeper/policy/CustomerAliases.java
+++ b/src/main/java/reedmux/gatekeeper/policy/CustomerAliases.java
@@ -8,16 +8,17 @@
 import reedmux.gatekeeper.policy.PeerPacket.AccountEntry;
 
 /**
- * The short numbers by which a gateway and one peer name customers, its own and the peer's; both begin anew with an
- * incarnation. Only the latest {@link #MAX_ALIASES} hold, on both sides by the same rule: many customers come once and
- * never again, and aliases without end would fill the memory.
+ * The short numbers (aliases) that stand for customers in packets between a gateway and one peer, in both directions.
+ * All aliases are discarded when the peer starts a new incarnation. Only the latest {@link #MAX_ALIASES} are valid, on
+ * both sides by the same rule: many customers send one request and never return, and unlimited aliases would exhaust
+ * the memory.
  */
 final class CustomerAliases {
-    /** Customers with an alias at a time, on each side. */
+    /** Maximum number of customers that have an alias at a time, on each side. */
     static final int MAX_ALIASES = 1024;
 
     private final Map<Long, Integer> ownAliases = new LinkedHashMap<>();
-    /** The latest packet that announced an alias whose announcement is not acknowledged yet. */
+    /** For each alias whose announcement is not acknowledged yet, the latest packet that announced it. */
     private final Map<Integer, Long> announcedInPacket = new HashMap<>();
 
     private final NavigableMap<Integer, AccountEntry> peerAliases = new TreeMap<>();
@@ -30,12 +31,12 @@
         peerAliases.clear();
     }
 
-    /** What is kept, of both sides. */
+    /** Returns the number of retained entries, for both directions. */
     int size() {
         return ownAliases.size() + announcedInPacket.size() + peerAliases.size();
     }
 
-    /** The packet was accepted: aliases that it announced may stand alone. */
+    /** Handles the acknowledgement of a packet: the aliases that it announced may be sent without the customer. */
     void onAcknowledged(long number) {
         announcedInPacket.values().removeIf(announced -> announced == number);
     }
@@ -44,7 +45,7 @@
         return announcedInPacket.containsKey(alias);
     }
 
-    /** The peer's entry with its customer; null where its alias says nothing here. */
+    /** Returns the peer's entry with its customer, or null if its alias is unknown here. */
     AccountEntry resolve(AccountEntry entry) {
         if (entry.plan() >= 0) {
             peerAliases.put(entry.alias(), entry);
@@ -66,7 +67,10 @@
                         entry.grant());
     }
 
-    /** The alias of an entry's customer, which the packet of that number announces unless the peer has it. */
+    /**
+     * Returns the alias of an entry's customer. Packet {@code number} announces it unless the peer has acknowledged it
+     * already.
+     */
     int aliasOf(AccountEntry entry, long number) {
         Integer known = ownAliases.get(entry.customer());
         int alias = known != null ? known : nextAlias++;
--- a/src/main/java/reedmux/gatekeeper/policy/GatekeeperPolicy.java
+++ b/src/main/java/reedmux/gatekeeper/policy/GatekeeperPolicy.java
@@ -1,15 +1,15 @@
-// Interface: TrafficPolicy.java, beside this file, holds the settings, events and actions that are used here.
+// Interface: TrafficPolicy.java in this directory defines the settings, events and actions used here.
 package reedmux.gatekeeper.policy;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /**
- * All decisions of one gateway: routes each event to the policies that decide on it, and keeps the requests under way.
- * A request is checked against its customer's quota, then a server is chosen for it, then its value is weighed.
+ * All decisions of one gateway: dispatches each event to the policy that decides on it, and tracks active requests. A
+ * request is checked against its customer's quota, then a server is selected, then its value is evaluated.
  */
 public final class GatekeeperPolicy implements TrafficPolicy {
-    /** Advice after a rejection in overload: half of it to one and a half, so that not all come back at once. */
+    /** Mean retry-after in overload, randomised by half of it either way so that clients do not return all at once. */
     private static final long OVERLOAD_RETRY_AFTER_MICROS = 700_000;
 
     private final PolicyContext context;
@@ -26,7 +26,7 @@
     private final AdmissionPolicy admission;
     private final Map<String, ActiveRequest> active = new LinkedHashMap<>();
 
-    /** The policy of one gateway; {@code seed} is its only source of chance. */
+    /** Creates the policy of one gateway; {@code seed} is its only source of randomness. */
     public GatekeeperPolicy(PolicySettings settings, long seed) {
         context = new PolicyContext(settings, seed);
         latencies = new LatencyEstimator(context);
@@ -42,22 +42,22 @@
         admission = new AdmissionPolicy(context, latencies, pool);
     }
 
-    /** Sets the messages a second that may come in; called by the thread that handles events. */
+    /** Sets the limit on incoming peer messages per second; called by the thread that handles events. */
     public void setPeerMessageLimit(double perSecond) {
         failureDetector.setMessageLimit(perSecond);
     }
 
-    /** Whether a peer has shown that there was a process before this one; may be asked from any thread. */
+    /** Whether a peer has revealed that an earlier process ran as this gateway; callable from any thread. */
     public boolean restartDetected() {
         return exchange.restartDetected();
     }
 
-    /** Listed servers that are avoided for their health; none where too many are for that to be believed. */
+    /** Returns how many listed servers are ejected; 0 if so many are that ejections are ignored. */
     public int ejectedServers() {
         return selector.ignoresEjections() ? 0 : pool.ejectedCount();
     }
 
-    /** What is exchanged with another process that takes this one's place. */
+    /** Returns the counts to exchange with another process that replaces this one. */
     public HandoverCounts handoverCounts() {
         return new HandoverCounts(context, accounts, peers, quotas, exchange);
     }
@@ -126,7 +126,7 @@
         retries.onFirstSent();
     }
 
-    /** To a server that the selector has just chosen, and so one that the rules allow. */
+    /** Sends the request to a server that the selector has just chosen, so that the rules allow it. */
     private void send(ActiveRequest request, ServerState server) {
         context.actions.send(request.request.id(), server.listing.id(), retries.timeout(request));
         request.attempts.add(new PolicyAttempt(server, context.now));
@@ -189,7 +189,7 @@
         }
     }
 
-    /** No server can take it, so another region may; what goes there counts here, once, and as in flight. */
+    /** Forwards to another region if possible; a forwarded request is charged here, once, and counts as in flight. */
     private void forwardOrReject(ActiveRequest request, long retryAfter) {
         long bounded = Math.min(context.settings.limits().maxRetryAfter(), retryAfter);
         if (!context.actions.forwardToRegion(request.request.id(), bounded)) {
@@ -222,7 +222,7 @@
         if (request.allEnded()) {
             active.remove(request.request.id());
             if (context.settings.chargeOnDelivery() && !request.delivered && !request.attempts.isEmpty()) {
-                quotas.drain(request.account); // its units were counted when it was sent, and were not taken
+                quotas.drain(request.account); // refunds units charged when it was sent but never used
                 quotas.charge(request.account, -request.request.units());
             }
         }
--- a/src/main/java/reedmux/gatekeeper/policy/HandoverCounts.java
+++ b/src/main/java/reedmux/gatekeeper/policy/HandoverCounts.java
@@ -4,21 +4,24 @@
 import java.util.List;
 
 /**
- * Two processes that are one gateway for a while, as one takes the other's place: carries what one policy has counted
- * to the other, and then what each goes on to count. It decides nothing: a policy counts what it hears from the other
- * process as it would count a neighbour's units. Called by the thread that handles events.
+ * Transfers counts between two processes that both serve as one gateway while one replaces the other: first a snapshot
+ * of everything that was counted, then the usage that each process counts afterwards. It makes no decisions: a policy
+ * counts units from the other process as it counts units from a neighbour. Called by the thread that handles events.
  */
 public final class HandoverCounts {
-    /** Where units come from that the other process has counted: no neighbour, so that they are reported to all. */
+    /**
+     * Source of units counted by the other process. It matches no neighbour, so these units are reported to all
+     * neighbours.
+     */
     static final int HANDOVER_SOURCE = -2;
-    /** Of the rate limit's tokens and their refill, as long as there are two processes. */
+    /** Fraction of the rate-limit tokens and of their refill that each process has while there are two. */
     private static final double SHARE_DURING_HANDOVER = 0.5;
 
     /**
-     * What was counted of a customer.
+     * The counts of one customer.
      *
-     * @param knownFor   how long it has been known, in microseconds
-     * @param neighbours members to which {@code unreportedUnits} have not been reported yet; -1 for none
+     * @param knownFor   time since the customer was first seen, in microseconds
+     * @param neighbours members that {@code unreportedUnits} have not been reported to yet; -1 for none
      */
     public record AccountSnapshot(
             long customer,
@@ -34,7 +37,7 @@
             int[] neighbours,
             double[] unreportedUnits) {}
 
-    /** Units that were counted of a customer since the last time. */
+    /** Units counted for a customer since the last exchange. */
     public record AccountUsage(long customer, int plan, int firstMember, int memberCount, double units) {}
 
     private final PolicyContext context;
@@ -56,7 +59,10 @@
         this.exchange = exchange;
     }
 
-    /** All that was counted; from now on there are two. What neighbours may not have had yet goes along. */
+    /**
+     * Takes a snapshot of all counts; from now on two processes share the limits. The snapshot includes the units that
+     * neighbours may not have received yet.
+     */
     public List<AccountSnapshot> snapshot(long now) {
         context.now = now;
         for (PeerState peer : peers.all()) {
@@ -85,7 +91,7 @@
         return snapshots;
     }
 
-    /** Goes on from what another process has counted, which goes on beside this one. */
+    /** Restores the counts of another process, which continues to serve alongside this one. */
     public void restore(long now, List<AccountSnapshot> snapshots) {
         context.now = now;
         accounts.quotaShare().fraction = SHARE_DURING_HANDOVER;
@@ -115,7 +121,7 @@
         peers.markPending(account, PeerTable.NO_PEER);
     }
 
-    /** What was counted here since the last time and is not the other process's own report. */
+    /** Returns the units counted here since the last call, without those reported by the other process. */
     public List<AccountUsage> takeUsage() {
         List<AccountUsage> usages = new ArrayList<>();
         for (CustomerAccount account : accounts.all()) {
@@ -132,7 +138,7 @@
         return usages;
     }
 
-    /** Counts what the other process has counted. */
+    /** Counts units that the other process has counted. */
     public void addUsage(long now, List<AccountUsage> usages) {
         context.now = now;
         for (AccountUsage usage : usages) {
@@ -145,7 +151,7 @@
         }
     }
 
-    /** There is no other process any more: the whole share is this one's. */
+    /** Ends the sharing of limits when the other process is gone: this process has the whole share again. */
     public void endSharing() {
         accounts.quotaShare().fraction = 1;
     }
--- a/src/main/java/reedmux/gatekeeper/policy/HeapTopology.java
+++ b/src/main/java/reedmux/gatekeeper/policy/HeapTopology.java
@@ -1,20 +1,21 @@
 package reedmux.gatekeeper.policy;
 
 /**
- * The members of the group, which of them are reachable, and the heaps that the reachable gateways of each customer
- * form. A customer's gateways are {@code count} members in a row, from number {@code first} on and round the end.
+ * The members of the group, their reachability, and the heaps formed by the reachable gateways of each customer. A
+ * customer's gateways are {@code count} consecutive members starting at number {@code first}, wrapping around at the
+ * end of the group.
  *
- * <p>The reachable ones form a binary tree ordered by number and heap-ordered by a fixed rank of the number, so that
- * the trees of all customers share most of their edges. A parent always outranks its child: edges that both ends agree
- * on form no ring, whatever each of them thinks of third members.
+ * <p>The reachable gateways form a binary tree ordered by number and heap-ordered by a fixed rank of the number, so
+ * that the trees of all customers share most of their edges. A parent always outranks its child: edges on which both
+ * ends agree form no cycle, whatever each end believes about other members.
  */
 final class HeapTopology {
     private static final int NONE = -1;
 
     private final int self;
-    /** How often each member has changed between reachable and silent; odd while it is silent. */
+    /** By member, the number of changes between reachable and unreachable; odd while it is unreachable. */
     private final int[] versions;
-    /** Counts the changes of who is reachable, so that accounts know when their neighbours may be others. */
+    /** Incremented with each change of reachability, so that accounts know when to recompute their neighbours. */
     private int revision;
 
     HeapTopology(int self, int groupSize) {
@@ -50,7 +51,7 @@
         return (version & 1) == 1;
     }
 
-    /** Whether this gateway is one of a customer's. */
+    /** Whether this gateway is one of a customer's gateways. */
     boolean includesSelf(int first, int count) {
         return includes(self, first, count);
     }
@@ -59,7 +60,7 @@
         return Math.floorMod(member - first, versions.length) < count;
     }
 
-    /** The share of a customer's gateways that are silent. */
+    /** Returns the share of a customer's gateways that are unreachable. */
     double unreachableShare(int first, int count) {
         int unreachable = 0;
         for (int i = 0; i < count; i++) {
@@ -68,12 +69,12 @@
         return (double) unreachable / count;
     }
 
-    /** Levels of a heap of so many members. */
+    /** Returns the number of levels of a heap with that many members. */
     static int depth(int members) {
         return Integer.SIZE - Integer.numberOfLeadingZeros(members);
     }
 
-    /** This gateway's parent, left and right child among a customer's gateways; -1 for none. */
+    /** Returns this gateway's parent, left child and right child among a customer's gateways; -1 for none. */
     int[] neighbours(int first, int count) {
         int[] lower = nearestOnSide(first, count, -1);
         int[] upper = nearestOnSide(first, count, 1);
@@ -81,7 +82,10 @@
         return includesSelf(first, count) ? new int[] {parent, lower[1], upper[1]} : new int[] {NONE, NONE, NONE};
     }
 
-    /** On one side of this gateway: the nearest member that outranks it, and the highest of those before that one. */
+    /**
+     * Scans one side of this gateway: returns the nearest member that outranks it, and the highest-ranked member before
+     * that one.
+     */
     private int[] nearestOnSide(int first, int count, int step) {
         int child = NONE;
         for (int member = self + step; member >= 0 && member < versions.length; member += step) {
--- a/src/main/java/reedmux/gatekeeper/policy/LatencyEstimator.java
+++ b/src/main/java/reedmux/gatekeeper/policy/LatencyEstimator.java
@@ -5,29 +5,29 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.RequestClass;
 
 /**
- * Moving averages of how long requests take: a mean for each class, and for each server its ratio to the class's mean.
- * An old figure fades, so that whoever was slow once is tried again. It estimates and decides nothing.
+ * Moving averages of request latency: a mean for each class and, for each server, the ratio to the class's mean. Old
+ * values decay, so that a server that was slow once is tried again. It provides estimates and makes no decisions.
  */
 final class LatencyEstimator {
-    /** Weight of one answer: about the last ten of a server, and the last twenty of a class. */
+    /** Weight of one answer: averages over about the last ten answers of a server and the last twenty of a class. */
     private static final double SERVER_SAMPLE_WEIGHT = 0.1;
 
     private static final double CLASS_SAMPLE_WEIGHT = 0.05;
-    /** Weight of an answer that comes long after the one before: after a congestion that takes seconds. */
+    /** Weight of an answer that arrives long after the previous one, such as after a congestion of several seconds. */
     private static final double STALE_SAMPLE_WEIGHT = 0.5;
-    /** Time constants by which a server's ratio and a class's raised mean fade without answers. */
+    /** Time constants with which a server's ratio and a class's raised mean decay while there are no answers. */
     private static final double SERVER_DECAY_MICROS = 8 * PolicyContext.MICROS_PER_SECOND;
 
     private static final double CLASS_DECAY_MICROS = 3 * PolicyContext.MICROS_PER_SECOND;
-    /** A class's first mean, as a share of its latency target. */
+    /** Initial mean of a class, as a share of its latency target. */
     private static final double INITIAL_ESTIMATE_SHARE = 0.125;
-    /** By how much of its distance a class's best mean follows the mean at an answer. */
+    /** Share of its distance to the mean by which a class's best mean rises with each answer. */
     private static final double BEST_MEAN_WEIGHT = 0.0005;
-    /** Bounds on what a request's units say of its time, against a usual request of its class. */
+    /** Bounds on the relative size of a request: its units against a typical request of its class. */
     private static final double MIN_SIZE = 0.5;
 
     private static final double MAX_SIZE = 3;
-    /** Bounds on what one answer says of its server and of its class. */
+    /** Upper bounds on the latency ratio that one answer contributes to its server and to its class. */
     private static final double MAX_SERVER_RATIO = 20;
 
     private static final double MAX_CLASS_RATIO = 3;
@@ -47,24 +47,24 @@
         meanAttemptTime = initialEstimate;
     }
 
-    /** What a request was taken to need before any was answered, the mean over the classes, in microseconds. */
+    /** Returns the latency assumed before the first answer, the mean over all classes, in microseconds. */
     double initialEstimate() {
         return initialEstimate;
     }
 
-    /** How long an attempt takes in the mean, however it ends, in microseconds. */
+    /** Returns the mean duration of an attempt, whatever its outcome, in microseconds. */
     double meanAttemptTime() {
         return meanAttemptTime;
     }
 
-    /** The averages of a class, after a request of so many units. */
+    /** Updates the mean units of a class with a new request, and returns the averages of the class. */
     ClassLatency onRequest(int requestClass, double units) {
         ClassLatency latency = classes.get(requestClass);
         latency.meanUnits += CLASS_SAMPLE_WEIGHT * (units - latency.meanUnits);
         return latency;
     }
 
-    /** A moving average over about twenty attempts, moved by one sample. */
+    /** Adds a sample to a moving average over about twenty attempts, and returns the new average. */
     static double movingAverage(double mean, double sample) {
         return mean + CLASS_SAMPLE_WEIGHT * (sample - mean);
     }
@@ -74,8 +74,9 @@
     }
 
     /**
-     * The usual time of this request on a usual server. Without answers it fades to the best mean: a class that is
-     * rejected for its estimate would never be measured again, whatever drove the estimate up.
+     * Returns the typical latency of a request at a typical server, in microseconds. Without answers it decays to the
+     * best mean: a class that is rejected because of its estimate would otherwise never be measured again, whatever
+     * raised the estimate.
      */
     double serviceTime(ActiveRequest request) {
         ClassLatency latency = request.classLatency;
@@ -83,24 +84,27 @@
         return (latency.bestMean + (latency.mean - latency.bestMean) * decay) * relativeSize(request);
     }
 
-    /** What its units say of its time, against a usual request of its class. */
+    /** Returns the size of a request in units, relative to a typical request of its class. */
     static double relativeSize(ActiveRequest request) {
         return Math.max(MIN_SIZE, Math.min(MAX_SIZE, request.request.units() / request.classLatency.meanUnits));
     }
 
-    /** The latency at a server against the usual one. */
+    /** Returns the latency of a server relative to the typical latency, decayed since the last sample. */
     double latencyRatio(ServerState server) {
         return 1 + (server.latencyRatio - 1) * Math.exp(-(context.now - server.sampledAt) / SERVER_DECAY_MICROS);
     }
 
-    /** The time that a request is expected to take there: by what is in flight there now against what usually was. */
+    /**
+     * Returns the expected latency of a request at a server, in microseconds. It scales with the attempts in flight
+     * there relative to their usual number, and is at least the time without progress while any are in flight.
+     */
     double expectedTime(ActiveRequest request, ServerState server) {
         double loadAdjusted =
                 serviceTime(request) * latencyRatio(server) * (server.inFlight + 1) / (server.meanInFlight + 1);
         return server.inFlight == 0 ? loadAdjusted : Math.max(loadAdjusted, context.now - server.noProgressSince);
     }
 
-    /** An answer came after so many microseconds; it tells of its server and of its class. */
+    /** Records the latency of an answer, in microseconds, for its server and its class. */
     void onAnswer(ActiveRequest request, ServerState server, double elapsed) {
         double serviceTime = serviceTime(request);
         onServerSample(server, elapsed / serviceTime);
@@ -112,7 +116,7 @@
                 Math.min(latency.mean, latency.bestMean + BEST_MEAN_WEIGHT * (latency.mean - latency.bestMean));
     }
 
-    /** A time against the usual one was seen at a server, which says nothing of the class. */
+    /** Records a latency ratio for a server only, because it says nothing about the class. */
     void onServerSample(ServerState server, double ratio) {
         double weight = weight(SERVER_SAMPLE_WEIGHT, server.sampledAt, SERVER_DECAY_MICROS);
         double bounded = Math.min(MAX_SERVER_RATIO, ratio);
@@ -120,7 +124,10 @@
         server.sampledAt = context.now;
     }
 
-    /** A rare answer says more of now than what was learnt long before. */
+    /**
+     * Returns the weight of a sample: the longer ago the last sample was, the less the old average says about the
+     * present.
+     */
     private double weight(double baseWeight, long sampledAt, double decayMicros) {
         return STALE_SAMPLE_WEIGHT
                 + (baseWeight - STALE_SAMPLE_WEIGHT) * Math.exp(-(context.now - sampledAt) / decayMicros);
--- a/src/main/java/reedmux/gatekeeper/policy/PeerExchange.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerExchange.java
@@ -6,14 +6,15 @@
 import reedmux.gatekeeper.policy.PeerPacket.MemberVersion;
 
 /**
- * Carries counters between this gateway and its peers, each of them once. Packets to a peer are numbered, and each
- * packet acknowledges those of the other side: what a lost one carried goes back into the counters that face the peer
- * and is sent again with the next. A restarted peer has another incarnation, with numbers from one on.
+ * Exchanges counters between this gateway and its peers, and delivers each unit once. Packets to a peer are numbered,
+ * and each packet acknowledges those received from the peer. The units of a lost packet return to the counters that
+ * face the peer and are sent again with the next packet. A restarted peer has a new incarnation, which numbers its
+ * packets from 1.
  */
 final class PeerExchange {
-    /** The numbers by which a new incarnation is known at once. */
+    /** Highest packet number with which a new incarnation is accepted without confirmation. */
     private static final int MAX_INITIAL_PACKET_NUMBER = 4;
-    /** Packets that may be lost in a row: a number beyond is a spoilt one. */
+    /** Maximum number of consecutive lost packets; a packet number further ahead is treated as corrupt. */
     private static final int MAX_PACKETS_AHEAD = 1 << 16;
 
     private static final long MICROS_PER_MILLI = 1000;
@@ -43,13 +44,13 @@
         incarnation = context.random.nextInt(1, PeerPacket.INCARNATION_BOUND);
     }
 
-    /** Whether a packet was meant for an earlier incarnation of this gateway; may be asked from any thread. */
+    /** Whether a packet was addressed to an earlier incarnation of this gateway; callable from any thread. */
     boolean restartDetected() {
         return restartDetected;
     }
 
     // ---- Sending -------------------------------------------------------------------------------------------------
-    /** Sends a peer what is new of members and, as far as there is room, what is pending of accounts. */
+    /** Sends a peer the pending member versions and, as far as there is room, the pending account reports. */
     void send(PeerState peer) {
         List<Integer> members = peer.takePendingMembers(PeerPacketWriter.maxMembers());
         boolean replyRequested = peer.awaitingReplySince >= 0
@@ -104,7 +105,7 @@
     }
 
     // ---- Receiving -----------------------------------------------------------------------------------------------
-    /** Takes in a packet as a whole or not at all: garbled, repeated, overtaken or older ones change nothing. */
+    /** Applies a packet entirely or not at all: corrupt, duplicate, reordered and outdated packets change nothing. */
     void onPacket(int from, byte[] bytes) {
         PeerPacket packet = PeerPacket.read(bytes);
         if (packet == null || from == context.settings.self() || from < 0 || from >= topology.size()) {
@@ -117,7 +118,7 @@
         }
         boolean restarted = peer.peerIncarnation != packet.incarnation();
         boolean recovered = topology.isUnreachable(from);
-        if (recovered) { // it has missed all news
+        if (recovered) { // it has missed all membership changes
             failureDetector.onReturn(from);
             peer.queueAllMembers(topology);
         }
@@ -138,14 +139,15 @@
             peer.awaitingReplySince = peer.unacknowledged.isEmpty() ? -1 : context.now;
         } else if (packet.receiverIncarnation() != 0) {
             restartDetected = true;
-            return; // meant for our earlier incarnation; our answer tells of the new one
+            return; // addressed to our earlier incarnation; our reply announces the new one
         }
         applyContents(peer, packet);
     }
 
     /**
-     * Whether a packet is newer than all before it. A second packet has to confirm a new incarnation that does not
-     * begin with its first numbers: one spoilt packet that passes its checksum would make all that come after look old.
+     * Whether a packet is newer than all previous ones. A new incarnation that does not begin with its initial packet
+     * numbers must be confirmed by a second packet: otherwise one corrupt packet with a matching checksum would make
+     * all later packets look outdated.
      */
     private static boolean isAcceptable(PeerState peer, PeerPacket packet) {
         if (packet.incarnation() == peer.previousIncarnation) {
@@ -177,7 +179,7 @@
         }
     }
 
-    /** Whether an entry makes sense here, and what is passed on of it fits into a packet. */
+    /** Whether an entry is valid here, and its forwarded values fit into a packet. */
     private boolean isValid(AccountEntry entry) {
         return entry.plan() >= 0
                 && entry.plan() < context.settings.plans().size()
@@ -189,7 +191,10 @@
                 && (entry.inFlight() == null || entry.inFlight() >= 0);
     }
 
-    /** A restarted peer knows nothing: what it had not acknowledged goes again. */
+    /**
+     * Starts a new incarnation of a peer, which has lost its state: everything that it had not acknowledged is sent
+     * again.
+     */
     private void beginIncarnation(PeerState peer, int peerIncarnation) {
         if (peer.peerIncarnation != 0) {
             restore(peer, peer.takeUnacknowledged());
@@ -198,7 +203,9 @@
         peer.queueAllMembers(topology);
     }
 
-    /** A peer that has restarted, or was silent and missed what went round it, is sent the counts. */
+    /**
+     * Queues full counts for a peer that has restarted, or that was unreachable and missed the units routed around it.
+     */
     private void requestReports(PeerState peer) {
         for (CustomerAccount account : accounts.all()) {
             peers.refresh(account);
@@ -210,7 +217,7 @@
         }
     }
 
-    /** Takes back all that a peer has not acknowledged, to be sent again. */
+    /** Restores everything that a peer has not acknowledged, to be sent again. */
     void restoreUnacknowledged(PeerState peer) {
         restore(peer, peer.takeUnacknowledged());
     }
--- a/src/main/java/reedmux/gatekeeper/policy/PeerFailureDetector.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerFailureDetector.java
@@ -4,36 +4,36 @@
 import java.util.List;
 
 /**
- * Failure detection for peers: how often each is sent a packet, and after how long without an answer it is taken for
- * silent. Who is silent is gossiped: of two versions of a member's state the higher one holds.
+ * Failure detection for peers: how often each is sent a packet, and after what time without a reply it is considered
+ * unreachable. Reachability is gossiped: of two versions of a member's state the higher one wins.
  */
 final class PeerFailureDetector {
     static final long SYNC_TIMER = 1;
-    /** Share of the message limit that is planned for; the rest is for answers and for clocks that run together. */
+    /** Share of the message limit that is planned for; the rest is for replies and for timers that coincide. */
     private static final double PLANNED_MESSAGE_SHARE = 0.8;
-    /** Bounds of the sync interval: bytes and messages, against late counts. */
+    /** Bounds of the sync interval: shorter costs bytes and messages, longer delays the counts. */
     private static final long MIN_SYNC_MICROS = 40_000;
 
     static final long MAX_SYNC_MICROS = 1_000_000;
-    /** How often it is adapted to the messages that came in, and the largest change at once. */
+    /** How often the interval is adapted to the received messages, and the maximum factor of one change. */
     private static final double ADAPT_INTERVAL_MICROS = 0.5 * PolicyContext.MICROS_PER_SECOND;
 
     private static final double MAX_ADAPT_FACTOR = 1.5;
-    /** Intervals without an answer until it is asked for again: messages against late notice of a loss. */
+    /** Intervals without a reply until it is requested again: fewer cost messages, more detect a loss later. */
     private static final int REPLY_RETRY_INTERVALS = 2;
-    /** Intervals until an answer that is owed goes out without any other news. */
+    /** Intervals after which an owed reply is sent even without other content. */
     private static final int REPLY_INTERVALS = 1;
-    /** Intervals without an answer until a peer is silent: rerouting round a dead one, against false alarms. */
+    /** Intervals without a reply until a peer is unreachable: fewer reroute sooner but cause false alarms. */
     private static final int TIMEOUT_INTERVALS = 12;
-    /** Bounds of the least time until then, which each false alarm doubles. */
+    /** Bounds of the minimum timeout, which each false alarm doubles. */
     private static final long MIN_TIMEOUT_MICROS = 300_000;
 
     private static final long MAX_TIMEOUT_MICROS = 4_000_000;
-    /** What is kept of it at each interval: a machine that stalls often, against one that has come to rest. */
+    /** Factor on this timeout per interval: higher suits a machine that stalls often, lower one that has recovered. */
     private static final double TIMEOUT_DECAY = 0.999;
-    /** How often a silent peer is asked: notice of its return, against messages to nobody. */
+    /** Probe interval of an unreachable peer: shorter detects its return sooner, longer saves unanswered messages. */
     private static final long PROBE_INTERVAL_MICROS = 1_000_000;
-    /** Intervals without any event that are a stall of our own, in which nobody is called silent. */
+    /** Intervals without any event that indicate a stall of this process, in which no peer times out. */
     private static final long STALL_INTERVALS = 3;
 
     private final PolicyContext context;
@@ -61,13 +61,13 @@
         plannedMessagesPerSecond = Math.max(1, perSecond * PLANNED_MESSAGE_SHARE);
     }
 
-    /** Starts the timer, and asks the neighbours in the heap of all gateways for what they have counted. */
+    /** Starts the timer, and requests the counts of the neighbours in the heap of all gateways. */
     void start() {
         context.actions.setTimer(context.now + peers.syncInterval, SYNC_TIMER);
         peers.requestCounts();
     }
 
-    /** After a stall of our own, or long without any event, nobody else is called silent for that time. */
+    /** Extends the peers' reply deadlines after a stall of this process, or a long time without any event. */
     void excludeOwnStall() {
         long gap = context.now - lastEventAt;
         lastEventAt = context.now;
@@ -82,23 +82,24 @@
         messagesReceived++;
     }
 
-    /** A silent peer was heard: a false alarm, or it is back. */
+    /** Handles a packet from an unreachable peer: the timeout was a false alarm, or the peer has recovered. */
     void onReturn(int member) {
         timeout = Math.min(MAX_TIMEOUT_MICROS, 2 * timeout);
         peers.applyVersion(member, topology.version(member) + 1, PeerTable.NO_PEER);
     }
 
-    /** At each interval, which the message limit sets: sends each neighbour its counters, judges who is silent. */
+    /** Runs once per interval, which the message limit determines: sends due packets and detects timeouts. */
     void synchronise(PeerExchange exchange) {
         adaptInterval();
         peers.onSynchronisation();
         long syncInterval = peers.syncInterval;
-        context.actions.setTimer(context.now + syncInterval, SYNC_TIMER); // first: a fault below must not end it
+        context.actions.setTimer(
+                context.now + syncInterval, SYNC_TIMER); // first, so that an exception below does not stop it
         timeout = Math.max(MIN_TIMEOUT_MICROS, timeout * TIMEOUT_DECAY);
         double intervals = 0;
         int reachable = 0;
         List<Integer> timedOut = new ArrayList<>();
-        for (int i = 0; i < peers.all().size(); i++) { // sending may bring up further peers
+        for (int i = 0; i < peers.all().size(); i++) { // sending may add peers
             PeerState peer = peers.all().get(i);
             boolean unreachable = topology.isUnreachable(peer.peer);
             long interval = unreachable ? PROBE_INTERVAL_MICROS : Math.max(syncInterval, peer.syncInterval);
@@ -130,7 +131,7 @@
                 || peer.awaitingReplySince >= 0 && context.now - peer.sentAt >= REPLY_RETRY_INTERVALS * interval;
     }
 
-    /** The interval, which is sent to neighbours, follows the messages that come in towards the planned share. */
+    /** Adapts the interval, which neighbours are informed of, so that received messages approach the planned rate. */
     private void adaptInterval() {
         if (context.now - adaptedAt >= ADAPT_INTERVAL_MICROS) {
             double perSecond = messagesReceived * PolicyContext.MICROS_PER_SECOND / (context.now - adaptedAt);
--- a/src/main/java/reedmux/gatekeeper/policy/PeerPacket.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerPacket.java
@@ -7,18 +7,18 @@
 import java.util.zip.CRC32;
 
 /**
- * One datagram between gateways: a checksum of two bytes, three numbers of two bytes, then varints. {@link
- * PeerPacketWriter} writes it.
+ * One datagram between gateways: a two-byte checksum, three two-byte numbers, then varints. Encoded by {@link
+ * PeerPacketWriter}.
  *
- * @param incarnation         of the sender
- * @param receiverIncarnation the one that the packet is meant for; 0 where the sender does not know it
- * @param acceptedBits        bit i tells whether packet {@code acknowledgedNumber - i} was accepted
- * @param number              counts the sender's packets to this receiver
+ * @param incarnation         incarnation of the sender
+ * @param receiverIncarnation incarnation that the packet is addressed to; 0 if the sender does not know it
+ * @param acceptedBits        bit i is set if packet {@code acknowledgedNumber - i} was accepted
+ * @param number              sequence number of the sender's packets to this receiver
  * @param acknowledgedNumber  the highest number that the sender has received from the receiver
- * @param replyRequested      whether the sender waits for an answer
- * @param syncIntervalMillis  the interval in which the sender wants to hear from the receiver
- * @param members             what the sender learnt of members
- * @param entries             what it has to report of customers
+ * @param replyRequested      whether the sender requests a reply
+ * @param syncIntervalMillis  interval at which the sender wants to receive packets from the receiver
+ * @param members             member versions that the receiver may not have
+ * @param entries             reports on customers
  */
 record PeerPacket(
         int incarnation,
@@ -30,17 +30,17 @@
         int syncIntervalMillis,
         List<MemberVersion> members,
         List<AccountEntry> entries) {
-    /** Packets that one acknowledgement can speak of. */
+    /** Number of packets that one acknowledgement covers. */
     static final int ACK_WINDOW_PACKETS = 16;
-    /** Incarnations lie below this. */
+    /** Exclusive upper bound of incarnations. */
     static final int INCARNATION_BOUND = 1 << 16;
-    /** A customer's number has no more; a longer one would not fit into an entry. */
+    /** Maximum number of bits of a customer number; a longer one would not fit into an entry. */
     static final int CUSTOMER_BITS = 33;
-    /** Units travel as whole numbers of this part of one. */
+    /** Units are encoded as whole multiples of 1 / {@code UNIT_RESOLUTION}. */
     static final double UNIT_RESOLUTION = 100;
 
     static final int CHECKSUM_BYTES = Short.BYTES;
-    /** An entry's flags are the low bits of its first varint, below the alias. */
+    /** Number of flag bits of an entry: the low bits of its first varint, below the alias. */
     static final int FLAG_BITS = 5;
 
     static final int HAS_COUNT = 1;
@@ -51,18 +51,18 @@
     private static final int HEADER_BYTES = CHECKSUM_BYTES + 3 * Short.BYTES;
     private static final int UNSIGNED_SHORT_MASK = 0xFFFF;
 
-    /** How often a member has changed between reachable and silent; odd means silent. */
+    /** The number of changes of a member between reachable and unreachable; odd means unreachable. */
     record MemberVersion(int member, int version) {}
 
     /**
-     * What is reported of one customer.
+     * The report on one customer.
      *
-     * @param alias stands for the customer, plan and gateways once the receiver has them
-     * @param plan  the plan's number; -1 where only the alias was sent
+     * @param alias short number for the customer, plan and gateways once the receiver knows them
+     * @param plan  the plan's number; -1 if only the alias was sent
      * @param delta units counted since the last report
-     * @param count all units counted, without the delta; null where it was not asked for
-     * @param inFlight attempts in flight behind the sender; null where they are not reported
-     * @param grant tokens of the rate limit that pass to the receiver
+     * @param count all units counted, without the delta; null if it was not requested
+     * @param inFlight attempts in flight behind the sender; null if they are not reported
+     * @param grant rate-limit tokens that are transferred to the receiver
      */
     record AccountEntry(
             int alias,
@@ -87,12 +87,12 @@
         }
     }
 
-    /** The amount as it will travel. */
+    /** Rounds units to the resolution in which they are transmitted. */
     static double roundToWire(double units) {
         return Math.round(units * UNIT_RESOLUTION) / UNIT_RESOLUTION;
     }
 
-    /** The packet in the bytes, or null where they are not exactly one. */
+    /** Decodes a datagram. Returns null unless it holds exactly one valid packet. */
     static PeerPacket read(byte[] datagram) {
         if (datagram.length < HEADER_BYTES || ByteBuffer.wrap(datagram).getShort() != checksum(datagram)) {
             return null;
@@ -160,7 +160,7 @@
         return (value >>> 1 ^ -(value & 1)) / UNIT_RESOLUTION;
     }
 
-    /** The low half of the CRC-32 of all that follows the checksum. */
+    /** Returns the low 16 bits of the CRC-32 of everything after the checksum. */
     static short checksum(byte[] datagram) {
         CRC32 sum = new CRC32();
         sum.update(datagram, CHECKSUM_BYTES, datagram.length - CHECKSUM_BYTES);
--- a/src/main/java/reedmux/gatekeeper/policy/PeerPacketWriter.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerPacketWriter.java
@@ -5,22 +5,22 @@
 import reedmux.gatekeeper.policy.PeerPacket.AccountEntry;
 import reedmux.gatekeeper.policy.PeerPacket.MemberVersion;
 
-/** A {@link PeerPacket} under construction. */
+/** Encodes one {@link PeerPacket}. */
 final class PeerPacketWriter {
-    /** Most bytes of a packet's members, which leaves half of it for entries, and the most that one of them takes. */
+    /** Maximum size of all members, which leaves half of the packet for entries, and of one member. */
     private static final int MEMBERS_BUDGET_BYTES = 128;
 
     private static final int MAX_MEMBER_BYTES = 6;
-    /** The most that one entry takes. */
+    /** Maximum size of one entry. */
     private static final int MAX_ENTRY_BYTES = 30;
-    /** Units beyond this, either way, travel as this many. */
+    /** Amounts are clamped to this many units in either direction. */
     private static final double MAX_UNITS = 1e6;
 
     private final ByteBuffer out;
     private final CustomerAliases aliases;
     private final long number;
 
-    /** Begins a packet of at most {@code maxBytes}; the other parameters are the packet's. */
+    /** Starts a packet of at most {@code maxBytes}; the other parameters are fields of the packet. */
     PeerPacketWriter(
             CustomerAliases aliases,
             int incarnation,
@@ -49,12 +49,12 @@
         }
     }
 
-    /** The most members that leave room for half a packet of entries. */
+    /** Returns the maximum number of members that leaves half of the packet for entries. */
     static int maxMembers() {
         return MEMBERS_BUDGET_BYTES / MAX_MEMBER_BYTES;
     }
 
-    /** Whether one more entry certainly fits. */
+    /** Whether another entry is guaranteed to fit. */
     boolean hasRoom() {
         return out.remaining() >= MAX_ENTRY_BYTES;
     }
@@ -87,7 +87,7 @@
         }
     }
 
-    /** The packet's bytes; nothing is added after this. */
+    /** Returns the encoded packet; nothing may be added afterwards. */
     byte[] finish() {
         out.flip();
         byte[] datagram = new byte[out.remaining()];
@@ -95,7 +95,7 @@
         return ByteBuffer.wrap(datagram).putShort(PeerPacket.checksum(datagram)).array();
     }
 
-    /** Zigzag: the sign is the lowest bit, so that small amounts of either sign are short. */
+    /** Writes units in zigzag encoding: the sign is the lowest bit, so that small amounts of either sign are short. */
     private void writeUnits(double units) {
         long value = Math.round(Math.max(-MAX_UNITS, Math.min(MAX_UNITS, units)) * PeerPacket.UNIT_RESOLUTION);
         writeVarint(value << 1 ^ value >> 63);
--- a/src/main/java/reedmux/gatekeeper/policy/PeerState.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerState.java
@@ -6,31 +6,31 @@
 import java.util.List;
 import java.util.Set;
 
-/** The exchange of packets with one peer; times in microseconds, -1 while there is nothing to wait for. */
+/** State of the packet exchange with one peer; times are in microseconds, -1 while nothing is pending. */
 final class PeerState {
     final int peer;
-    /** Accounts that are to be reported to the peer with the next packet. */
+    /** Accounts to report to the peer with the next packet. */
     final Set<CustomerAccount> pendingAccounts = new LinkedHashSet<>();
     /** Members whose versions are to be sent to the peer. */
     final Set<Integer> pendingMembers = new LinkedHashSet<>();
 
     final CustomerAliases aliases = new CustomerAliases();
     final ArrayDeque<UnacknowledgedPacket> unacknowledged = new ArrayDeque<>();
-    /** The interval in which the peer wants to hear from us. */
+    /** Interval at which the peer wants to receive packets. */
     long syncInterval;
 
     long sentAt;
     long awaitingReplySince = -1;
     long replyOwedSince = -1;
     long lastSentNumber;
-    /** 0 until the first packet. */
+    /** The peer's incarnation; 0 until its first packet has been received. */
     int peerIncarnation;
 
     int previousIncarnation;
     long lastReceivedNumber;
-    /** An incarnation that one packet has shown, and none since. */
+    /** A new incarnation that only one packet has shown so far. */
     int unconfirmedIncarnation;
-    /** Bit i tells whether the packet i before the last received one was accepted. */
+    /** Bit i is set if the packet i before the last received one was accepted. */
     int acceptedBits;
 
     PeerState(int peer, long syncInterval, long now) {
@@ -39,7 +39,7 @@
         sentAt = now - syncInterval;
     }
 
-    /** The peer has restarted: nothing is received yet, and no alias is known. */
+    /** Starts a new incarnation of the peer: no packet has been received from it, and no alias is known. */
     void beginIncarnation(int incarnation) {
         if (peerIncarnation != 0) {
             aliases.clear();
@@ -50,7 +50,7 @@
         acceptedBits = 0;
     }
 
-    /** Moves the window of what was accepted up to a packet just received. */
+    /** Advances the window of accepted packets to a packet that was just received. */
     void recordReceived(long number) {
         long steps = number - lastReceivedNumber;
         acceptedBits =
@@ -58,7 +58,9 @@
         lastReceivedNumber = number;
     }
 
-    /** Returns the packets up to the highest number that were not accepted, and never will be. */
+    /**
+     * Processes an acknowledgement. Returns the packets up to {@code highest} that were not accepted and never will be.
+     */
     List<UnacknowledgedPacket> acknowledge(long highest, int bits) {
         List<UnacknowledgedPacket> lost = new ArrayList<>();
         while (!unacknowledged.isEmpty() && unacknowledged.peek().number() <= highest) {
@@ -73,7 +75,7 @@
         return lost;
     }
 
-    /** Takes all packets without an answer, which is awaited no longer. */
+    /** Removes and returns all unacknowledged packets; a reply to them is no longer awaited. */
     List<UnacknowledgedPacket> takeUnacknowledged() {
         List<UnacknowledgedPacket> packets = new ArrayList<>(unacknowledged);
         unacknowledged.clear();
@@ -81,7 +83,7 @@
         return packets;
     }
 
-    /** Queues all that is known of members for the peer. */
+    /** Queues the versions of all members that have changed, to be sent to the peer. */
     void queueAllMembers(HeapTopology topology) {
         for (int member = 0; member < topology.size(); member++) {
             if (topology.version(member) > 0) {
@@ -90,7 +92,7 @@
         }
     }
 
-    /** Takes the members that have waited longest, so many at most. */
+    /** Removes and returns the members that have been pending longest, at most {@code max} of them. */
     List<Integer> takePendingMembers(int max) {
         List<Integer> members = pendingMembers.stream().limit(max).toList();
         members.forEach(pendingMembers::remove);
--- a/src/main/java/reedmux/gatekeeper/policy/PeerTable.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerTable.java
@@ -3,24 +3,27 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The gateways that this one exchanges counters with, and which of a customer's are its neighbours in the heap. */
+/** The gateways that this one exchanges counters with, and the assignment of accounts to their heap neighbours. */
 final class PeerTable {
-    /** In place of a member's number: no peer is left out. */
+    /** In place of a member number: no peer is excluded. */
     static final int NO_PEER = -1;
 
-    /** Over how many synchronisations the mean lateness is taken. */
+    /** Number of synchronisations over which lateness is averaged. */
     private static final int LATENESS_SAMPLES = 16;
 
-    /** A higher version comes from a spoilt packet: no member lives through so many changes. */
+    /** A higher version indicates a corrupt packet: no member changes its state that often. */
     private static final int MAX_VERSION = 1 << 30;
 
     private final PolicyContext context;
     private final HeapTopology topology;
     private final PeerState[] byMember;
     private final List<PeerState> peers = new ArrayList<>();
-    /** The interval in which this gateway wants to hear from each neighbour, in microseconds; the paper's Δs. */
+    /**
+     * Interval at which this gateway wants to receive packets from each neighbour, in microseconds; Δs in the
+     * propagation time of {@link QuotaPolicy}.
+     */
     long syncInterval;
-    /** How late synchronisations are in the mean, in microseconds, and when the next one is due; 0 before the first. */
+    /** Mean lateness of synchronisations, and when the next one is due, in microseconds; 0 before the first. */
     private long lateness;
 
     private long nextSyncAt;
@@ -31,7 +34,7 @@
         byMember = new PeerState[topology.size()];
     }
 
-    /** All peers that there has been anything to tell or to hear from, in the order of their first contact. */
+    /** Returns all peers that this gateway has exchanged anything with, in the order of first contact. */
     List<PeerState> all() {
         return peers;
     }
@@ -44,7 +47,7 @@
         return byMember[member];
     }
 
-    /** Queues the account to be reported to its neighbours, all but one, with the next packet. */
+    /** Queues an account's report to all neighbours but {@code exceptFor}, to be sent with the next packet. */
     void markPending(CustomerAccount account, int exceptFor) {
         for (int slot = 0; slot < CustomerAccount.SLOTS; slot++) {
             int peer = account.neighbour(slot);
@@ -54,7 +57,7 @@
         }
     }
 
-    /** Brings an account's neighbours up to the present view of who is reachable. */
+    /** Updates an account's neighbours to the current reachability of members. */
     void refresh(CustomerAccount account) {
         if (account.membershipView == topology.revision()) {
             return;
@@ -68,26 +71,26 @@
         }
     }
 
-    /** Has what waits for a peer that is silent now go to those who take its place. */
+    /** Redirects the reports pending for an unreachable peer to the neighbours that replace it. */
     private void reassignPending(PeerState unreachablePeer) {
         List<CustomerAccount> reassigned = new ArrayList<>(unreachablePeer.pendingAccounts);
         unreachablePeer.pendingAccounts.clear();
         reassigned.forEach(this::refresh);
     }
 
-    /** A synchronisation begins now, and the next one follows after the interval. */
+    /** Records that a synchronisation starts now and that the next one is due after the interval. */
     void onSynchronisation() {
         long late = nextSyncAt == 0 ? 0 : Math.max(0, context.now - nextSyncAt);
         lateness += (late - lateness) / LATENESS_SAMPLES;
         nextSyncAt = context.now + syncInterval;
     }
 
-    /** How late this gateway is with what it sends, in the mean or right now. */
+    /** Returns how late this gateway sends, in microseconds: on average, or right now if that is more. */
     long lateness() {
         return nextSyncAt == 0 ? 0 : Math.max(lateness, context.now - nextSyncAt);
     }
 
-    /** Asks the neighbours in the heap of all gateways for what they have counted: a new process knows nothing. */
+    /** Requests the counts of the neighbours in the heap of all gateways, because a new process has none. */
     void requestCounts() {
         for (int member : topology.neighbours(0, topology.size())) {
             if (member >= 0) {
@@ -96,7 +99,7 @@
         }
     }
 
-    /** Takes in how often a member has changed; as the higher version wins, no rumour goes round. */
+    /** Applies a member's version. As the higher version wins, outdated versions do not circulate. */
     void applyVersion(int member, int version, int from) {
         if (member < 0 || member >= topology.size() || version <= topology.version(member) || version > MAX_VERSION) {
             return;
@@ -110,13 +113,13 @@
             }
         }
         if (member == context.settings.self()) {
-            applyVersion(member, version + (version & 1), NO_PEER); // we are not silent
+            applyVersion(member, version + (version & 1), NO_PEER); // refutes that this gateway is unreachable
         } else if (changed) {
             topology.advanceRevision();
             PeerState peer = byMember[member];
             if (peer != null && unreachable) {
-                peer.awaitingReplySince = -1; // what it may yet have taken in counts twice if it goes another way
-                reassignPending(peer); // what waits goes to those who take its place
+                peer.awaitingReplySince = -1; // units it may have received would count twice by another route
+                reassignPending(peer);
             }
         }
     }
--- a/src/main/java/reedmux/gatekeeper/policy/PolicyAttempt.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PolicyAttempt.java
@@ -1,14 +1,17 @@
 package reedmux.gatekeeper.policy;
 
-/** One attempt of a request at a server. */
+/** One attempt to send a request to a server. */
 final class PolicyAttempt {
     final ServerState server;
-    /** When it was sent, in microseconds. */
+    /** Send time, in microseconds. */
     final long sentAt;
 
     boolean ended;
     boolean mayHaveRun;
-    /** Its request is still coming in, or its answer has begun: it is no load at the server. */
+    /**
+     * Whether the attempt is excluded from the server's load: its request body is incomplete, or its response has
+     * begun.
+     */
     boolean excludedFromLoad;
 
     PolicyAttempt(ServerState server, long sentAt) {
--- a/src/main/java/reedmux/gatekeeper/policy/PolicyContext.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PolicyContext.java
@@ -5,8 +5,8 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.PolicySettings;
 
 /**
- * What all parts of one {@link GatekeeperPolicy} share: the settings, the only source of randomness, and the event
- * that is being handled. Owned by the thread that handles events.
+ * State shared by all parts of one {@link GatekeeperPolicy}: the settings, the only source of randomness, and the
+ * current event. Owned by the thread that handles events.
  */
 final class PolicyContext {
     /** Microseconds in a second, as the divisor of rates. */
@@ -14,11 +14,11 @@
 
     final PolicySettings settings;
     final SplittableRandom random;
-    /** When the first event came, in microseconds; -1 before it. */
+    /** Time of the first event, in microseconds; -1 before it. */
     long startedAt = -1;
-    /** The time of the event that is being handled, in microseconds. */
+    /** Time of the current event, in microseconds. */
     long now;
-    /** Where the decisions on that event go. */
+    /** Receives the decisions on the current event. */
     PolicyActions actions;
 
     PolicyContext(PolicySettings settings, long seed) {
--- a/src/main/java/reedmux/gatekeeper/policy/QuotaPolicy.java
+++ b/src/main/java/reedmux/gatekeeper/policy/QuotaPolicy.java
@@ -4,38 +4,38 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.IncomingRequest;
 
 /**
- * Quota counting: what each customer may still take, after the paper "Distributed rate-limiting POC" as described in
- * docs/design.md. Units go along a heap over the customer's gateways and sum up in {@code localCount}, which the
- * quota's rate drains. Beside the quota stand a strict rate limit, split evenly, and a cap on attempts in flight.
+ * Quota counting after the paper "Distributed rate-limiting POC", as described in docs/design.md. Units are propagated
+ * along a heap of the customer's gateways and summed in {@code localCount}, which drains at the quota's rate. A strict
+ * rate limit, split evenly among the gateways, and a cap on attempts in flight apply as well.
  */
 final class QuotaPolicy {
     private static final double SECOND = PolicyContext.MICROS_PER_SECOND;
-    /** Assumed time of a packet on its way: longer keeps new customers to their first share for longer. */
+    /** Assumed network delay of a packet: longer restricts new customers to their initial share for longer. */
     private static final long PACKET_DELAY_MICROS = 15_000;
-    /** When an idle account is forgotten: memory against another first sight. */
+    /** Idle time until an account is evicted: shorter saves memory, longer avoids treating customers as new again. */
     private static final long ACCOUNT_IDLE_MICROS = 60_000_000;
-    /** The share of a burst below which a peer that is back is sent no count: bytes against units let through. */
+    /** Share of a burst below which a recovered peer is sent no count: saves bytes, but these units may pass again. */
     private static final double REPORTED_COUNT_SHARE = 0.1;
-    /** Bursts counted beyond the quota at most: what races let through takes nothing from what comes later. */
+    /** Maximum count beyond the burst, in bursts: units that races admit above it do not reduce later quota. */
     private static final double MAX_OVERSHOOT_BURSTS = 0.75;
-    /** The share of the tokens above which they go to peers that use them: theirs against our own next burst. */
+    /** Share of the tokens kept for bursts here; tokens above it are transferred to peers that use them. */
     private static final double SPARE_TOKENS_SHARE = 0.5;
-    /** Bursts that races are taken to have under way at most: fewer pass in a surge, more are rejected after it. */
+    /** Maximum race margin, in bursts: a larger one admits fewer units in a surge but rejects more after it. */
     private static final double MAX_RACE_MARGIN_BURSTS = 6;
-    /** Time constants by which that is forgotten, and the share of a burst below which the count is quiet. */
+    /** Decay time constants of the race margin, the second while the count is below the share of a burst. */
     private static final double RACE_DECAY_MICROS = 20 * SECOND;
 
     private static final double QUIET_RACE_DECAY_MICROS = 2 * SECOND;
     private static final double QUIET_COUNT_SHARE = 0.2;
-    /** Attempts in flight are reported where that crosses the heap within so many first latency guesses. */
+    /** Attempts in flight are reported if reports cross the heap within this many initial latency estimates. */
     private static final double MAX_REPORT_LATENCIES = 3;
-    /** How near to the cap an estimate of them may come: half an attempt, as the estimate is a mean. */
+    /** Distance that the estimated concurrency keeps from the cap: half an attempt, as the estimate is a mean. */
     private static final double CONCURRENCY_ROUNDING = 0.5;
-    /** Time constant of a branch's rate: long against the sync interval, short against shifts of traffic. */
+    /** Decay time constant of a branch's rate: long against the sync interval, short against shifts of traffic. */
     private static final double BRANCH_DECAY_MICROS = 4 * SECOND;
-    /** Advice where only the use of others makes room, so that its time is a guess. */
+    /** Retry-after where room depends only on the usage of others, so that the time is a guess. */
     private static final long GUESSED_RETRY_AFTER_MICROS = 350_000;
-    /** The price of another region's request against the cheapest plan's: own customers come first. */
+    /** Price of a remote request relative to the cheapest plan's: local customers take precedence. */
     private static final double REMOTE_PRICE_SHARE = 0.5;
 
     private final PolicyContext context;
@@ -43,7 +43,7 @@
     private final LatencyEstimator latencies;
     private final CustomerAccounts accounts;
     private final CustomerAccount remoteRequests;
-    /** The mean interval in which reachable peers want to hear from us. */
+    /** Mean interval at which reachable peers want to receive packets, in microseconds. */
     double meanSyncInterval;
 
     private long lastEvictionAt;
@@ -65,7 +65,7 @@
         return account == remoteRequests;
     }
 
-    /** At any event, as a gateway that takes no requests itself may hear of customers from its peers alone. */
+    /** Runs on any event, because a gateway without requests of its own may know customers only from its peers. */
     void evictIdleAccounts() {
         if (context.now - lastEvictionAt > ACCOUNT_IDLE_MICROS / 4) {
             lastEvictionAt = context.now;
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Whether a customer that comes back later finds what a new one would: idle for long, and nothing used. */
+    /** Whether the account is idle for long and unused, so that a new account would be equivalent. */
     private boolean isEvictable(CustomerAccount account) {
         drain(account);
         CustomerPlan plan = account.plan;
@@ -83,20 +83,20 @@
                 && (plan.rateLimit() == 0 || account.rateLimitTokens >= account.share(plan.rateLimitBurst()));
     }
 
-    /** The account of a request, brought up to date. */
+    /** Returns the account of a request, refreshed. */
     CustomerAccount account(IncomingRequest request) {
         boolean remote = request.plan() == TrafficPolicy.REMOTE_REQUEST_PLAN;
         return refresh(remote ? remoteRequests : accounts.getOrCreate(request));
     }
 
-    /** The account with its present neighbours, and drained until now. */
+    /** Updates the account's neighbours and drains it up to now. */
     CustomerAccount refresh(CustomerAccount account) {
         peers.refresh(account);
         drain(account);
         return account;
     }
 
-    /** Whether quota, cap and rate limit let so many units pass now. */
+    /** Whether the quota, the concurrency cap and the rate limit admit the units now. */
     boolean allows(CustomerAccount account, double units) {
         CustomerPlan plan = account.plan;
         double room = plan.quotaBurst() - account.localCount();
@@ -111,7 +111,7 @@
                 && (plan.rateLimit() == 0 || account.rateLimitTokens >= units);
     }
 
-    /** Time until quota, rate limit and first share make room; a guess where only others' use can. */
+    /** Microseconds until quota, rate limit and initial share have room; a guess if only others' usage can free it. */
     long retryAfter(CustomerAccount account, double units) {
         CustomerPlan plan = account.plan;
         double excess = account.localCount() + units - plan.quotaBurst();
@@ -125,14 +125,14 @@
         return wait > 0 ? (long) Math.ceil(wait * SECOND) : GUESSED_RETRY_AFTER_MICROS;
     }
 
-    /** Until the others' counts can have come here, a new customer has this gateway's even share of the burst. */
+    /** Limits a new customer to an even share of the burst until the others' counts can have arrived. */
     private boolean exceedsFirstShare(CustomerAccount account, double units) {
         return account.unitsSinceFirstSeen > 0
                 && context.now < account.firstSeenAt + propagationTime(account.memberCount)
                 && account.unitsSinceFirstSeen + units > account.share(account.plan.quotaBurst());
     }
 
-    /** Whether so many units may be too much before the others know of them; a part of them goes by lot. */
+    /** Whether units may exceed the allowance until others know of them; random if the allowance covers a part. */
     private boolean exceedsRunAhead(CustomerAccount account, double units) {
         long hopDelay = ((long) meanSyncInterval + PACKET_DELAY_MICROS) / 2 + 2 * peers.lateness();
         double allowance =
@@ -140,22 +140,22 @@
         return allowance < units && context.random.nextDouble() * units >= allowance;
     }
 
-    /** Takes units, or gives back what was taken where they are negative. */
+    /** Charges units to the customer, or refunds them if negative. */
     void charge(CustomerAccount account, double units) {
         account.spend(units, context.now);
         count(account, units, PeerTable.NO_PEER);
     }
 
-    /** Counts units here and for all neighbours but the one that reported them. */
+    /** Counts units here and queues them for all neighbours but the one that reported them. */
     void count(CustomerAccount account, double units, int from) {
         account.add(units, from);
         peers.markPending(account, from);
     }
 
     /**
-     * Units heard past the burst were let through before the count got there; as many may be under way again.
-     * While remembered, the last of the room goes by lot, or hundreds of gateways would all take it. It meets
-     * surges, slow propagation and partitions; just after a surge a customer within its quota loses some requests.
+     * Units reported beyond the burst were admitted before the count arrived, so as many may be unreported again. While
+     * the margin lasts, the remaining room is granted at random; otherwise hundreds of gateways would all use it. This
+     * covers surges, slow propagation and partitions; after a surge a customer within its quota loses some requests.
      */
     private void recordOvershoot(CustomerAccount account, double units) {
         double burst = account.plan.quotaBurst();
@@ -167,8 +167,8 @@
     }
 
     /**
-     * Drains the count at the quota's rate, less the share of members that are cut off, and never below zero: as
-     * if nothing unheard of were under way, surges would pass for that much longer. Refills the rate limit's tokens.
+     * Drains the count at the quota's rate, less the share of unreachable members, and refills the rate-limit tokens.
+     * The count stays at or above zero: with a negative count, surges would be admitted for that much longer.
      */
     void drain(CustomerAccount account) {
         double elapsed = (context.now - account.drainedAt) / SECOND;
@@ -183,7 +183,7 @@
         account.raceMargin *= Math.exp(-elapsed * SECOND / (quiet ? QUIET_RACE_DECAY_MICROS : RACE_DECAY_MICROS));
     }
 
-    /** The longest time for a count to cross the heap, 2(log2(N+1)-1)(Δs+Δt) with whole levels, in microseconds. */
+    /** Maximum time for a count to cross the heap, 2(log2(N+1)-1)(Δs+Δt) with whole levels, in microseconds. */
     private long propagationTime(int members) {
         return 2L * (HeapTopology.depth(members) - 1) * ((long) meanSyncInterval + PACKET_DELAY_MICROS);
     }
@@ -193,7 +193,7 @@
                 && propagationTime(account.memberCount) < MAX_REPORT_LATENCIES * latencies.initialEstimate();
     }
 
-    /** Attempts in flight at all members: as reported where that is in time, else what their rate keeps in flight. */
+    /** Attempts in flight at all members: as reported if reports arrive in time, else estimated from branch rates. */
     private double inFlightEverywhere(CustomerAccount account) {
         double branchUnits = account.branchUnits[0] + account.branchUnits[1] + account.branchUnits[2];
         return reportsInFlight(account)
@@ -208,14 +208,14 @@
         }
     }
 
-    /** Whether the count has to be reported to a peer that knows nothing. */
+    /** Whether the count must be reported to a peer that has none. */
     boolean reportsCount(CustomerAccount account) {
         return account.localCount() > REPORTED_COUNT_SHARE * account.plan.quotaBurst();
     }
 
     /**
-     * The paper's receipt of an update: into every counter but the one facing its sender. Where the sender is no
-     * neighbour in our view, its units are counted here and go no further, so that nothing can go round.
+     * Applies a reported update to every counter except the one that faces its sender. If the sender is not a neighbour
+     * in the view of this gateway, its units are counted here but not forwarded, so that nothing can circulate.
      */
     void onReport(PeerPacket.AccountEntry entry, int from) {
         CustomerAccount account =
@@ -241,8 +241,8 @@
     }
 
     /**
-     * Spare tokens of the rate limit follow the use: they leave our store before they are reported, are never sent
-     * again and lift no store past its share, so that a loss or a restart can only lower the sum.
+     * Transfers spare rate-limit tokens towards their use: they leave this gateway before they are reported, are never
+     * sent again and raise no gateway above its share, so that a loss or a restart can only lower the sum.
      */
     private void passSpareTokens(CustomerAccount account, int slot, PeerPacket.AccountEntry entry) {
         double share = account.share(account.plan.rateLimitBurst());
--- a/src/main/java/reedmux/gatekeeper/policy/QuotaShare.java
+++ b/src/main/java/reedmux/gatekeeper/policy/QuotaShare.java
@@ -1,6 +1,9 @@
 package reedmux.gatekeeper.policy;
 
-/** The part of this gateway's shares that is this process's: all, unless another process is the gateway too. */
+/**
+ * The fraction of this gateway's shares that belongs to this process: 1 unless a second process serves as the same
+ * gateway.
+ */
 final class QuotaShare {
     double fraction = 1;
 }
--- a/src/main/java/reedmux/gatekeeper/policy/RetryPolicy.java
+++ b/src/main/java/reedmux/gatekeeper/policy/RetryPolicy.java
@@ -6,19 +6,19 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.Idempotency;
 import reedmux.gatekeeper.policy.TrafficPolicy.ListedServer;
 
-/** Retries: where a request may be sent again without a second effect, when an attempt is given up, and how often. */
+/** Retries: whether a request may be sent again without a second effect, after what timeout, and how often. */
 final class RetryPolicy {
-    /** Retries that a first attempt earns, and the most saved up: answers won, against load in an outage. */
+    /** Retries earned by a first attempt, and the maximum saved: more win answers but add load in an outage. */
     private static final double RETRIES_PER_REQUEST = 0.15;
 
     private static final double MAX_RETRY_BUDGET = 15;
-    /** An attempt is given up at this multiple of its usual time: waiting for it, against work done twice. */
+    /** Timeout as a multiple of the typical latency: longer waits for slow servers, shorter duplicates work. */
     private static final double TIMEOUT_MULTIPLE = 5;
-    /** It is given this share of the latency target if that is longer. */
+    /** Minimum timeout, as a share of the latency target. */
     private static final double TIMEOUT_TARGET_SHARE = 0.5;
-    /** Time-outs lengthen the next ones by so much a share of them, as many mean that they were too short. */
+    /** Weight of the timeout rate in the next timeouts: frequent timeouts mean that they were too short. */
     private static final double TIMEOUT_RATE_WEIGHT = 10;
-    /** An attempt that timed out would have taken so much longer. */
+    /** Assumed latency of an attempt that timed out, as a multiple of its timeout. */
     private static final double CENSORED_MULTIPLE = 1.5;
 
     private final PolicyContext context;
@@ -56,7 +56,7 @@
                 && timeLeft(request) > 0;
     }
 
-    /** Whether all earlier attempts allow another one at that server. */
+    /** Whether all earlier attempts permit another attempt at a server. */
     boolean mayRepeatAt(ActiveRequest request, ServerState server) {
         for (PolicyAttempt attempt : request.attempts) {
             boolean mayRun = attempt.mayHaveRun || !attempt.ended;
@@ -67,7 +67,7 @@
         return true;
     }
 
-    /** Whether a repeat of an attempt has no second effect at that server. */
+    /** Whether repeating an attempt at a server has no second effect. */
     private boolean isDeduplicated(ActiveRequest request, PolicyAttempt attempt, ServerState server) {
         ListedServer before = attempt.server.listing;
         ListedServer next = server.listing;
@@ -85,7 +85,7 @@
         };
     }
 
-    /** How long the next attempt may take: all the time left, or less where another could follow it in time. */
+    /** Returns the timeout of the next attempt: all the time left, or less if another attempt could follow in time. */
     long timeout(ActiveRequest request) {
         long timeout = timeLeft(request);
         if (request.requestClass.idempotency() != Idempotency.UNSAFE
--- a/src/main/java/reedmux/gatekeeper/policy/SendRate.java
+++ b/src/main/java/reedmux/gatekeeper/policy/SendRate.java
@@ -1,9 +1,11 @@
 package reedmux.gatekeeper.policy;
 
-/** Moving averages of what this gateway sends: requests a second, and work a second at each warm server. */
+/**
+ * Moving averages of the traffic that this gateway sends: requests per second, and work per second at each warm server.
+ */
 final class SendRate {
     private static final double SECOND = PolicyContext.MICROS_PER_SECOND;
-    /** Time constant of both averages. */
+    /** Decay time constant of both averages. */
     private static final double DECAY_MICROS = 5 * SECOND;
 
     private final PolicyContext context;
@@ -15,7 +17,7 @@
         this.context = context;
     }
 
-    /** An attempt is sent now. */
+    /** Records an attempt that is sent now. */
     void onSent() {
         double decay = Math.exp(-(context.now - updatedAt) / DECAY_MICROS);
         updatedAt = context.now;
@@ -23,7 +25,7 @@
         requestsPerSecond = requestsPerSecond * decay + SECOND / DECAY_MICROS;
     }
 
-    /** The attempt just sent is so much work, in microseconds, for one of so many warm servers. */
+    /** Adds the work of the attempt just sent, in microseconds, divided among the warm servers. */
     void onWarmWork(double work, double warmServers) {
         workPerSecond += work / (DECAY_MICROS / SECOND) / warmServers;
     }
@@ -32,7 +34,10 @@
         return requestsPerSecond;
     }
 
-    /** Work a second at a warm server, in microseconds; soon after the start the mean over the time since then. */
+    /**
+     * Returns the work per second at a warm server, in microseconds. Soon after start-up it is the mean over the time
+     * since then.
+     */
     double workPerWarmServer() {
         return workPerSecond / (1 - Math.exp(-Math.max(SECOND, context.now - context.startedAt) / DECAY_MICROS));
     }
--- a/src/main/java/reedmux/gatekeeper/policy/ServerHealth.java
+++ b/src/main/java/reedmux/gatekeeper/policy/ServerHealth.java
@@ -2,36 +2,36 @@
 
 import reedmux.gatekeeper.policy.TrafficPolicy.AttemptOutcome;
 
-/** Failure detection for servers: ejection of those that fail, and a bound on the attempts in flight at each. */
+/** Failure detection for servers: ejects failing servers, and limits the attempts in flight at each server. */
 final class ServerHealth {
-    /** Failures in a row that eject a server: how soon it is noticed, against ejection by chance. */
+    /** Consecutive failures that eject a server: fewer detect faults sooner, more avoid ejections by chance. */
     private static final int EJECTING_FAILURES = 3;
-    /** The share of failures that ejects it, for faults that leave some answers good. */
+    /** Error rate that ejects a server, for faults that leave some answers good. */
     private static final double EJECTING_ERROR_RATE = 0.4;
-    /** Good answers in a row that end an ejection: how soon it is used, against one that is good by chance. */
+    /** Consecutive good answers that end an ejection: fewer readmit sooner, more exclude chance successes. */
     private static final int READMITTING_SUCCESSES = 2;
-    /** First and longest ejection, and its most doublings: traffic for a broken server, against a late return. */
+    /** Initial and maximum ejection, and maximum doublings: shorter sends to broken servers, longer returns late. */
     private static final long FIRST_EJECTION_MICROS = 500_000;
 
     private static final long MAX_EJECTION_MICROS = 4_000_000;
     private static final long MAX_EJECTION_DOUBLINGS = 5;
-    /** Weight of one answer in the error rate and in the usual number in flight: about the last ten. */
+    /** Weight of one answer in the error rate and in the mean number in flight: averages about the last ten. */
     private static final double SAMPLE_WEIGHT = 0.1;
-    /** The first bound, over all gateways: what a full start may send before any answer, against a slow start. */
+    /** Initial limit over all gateways: higher allows more load before any answer, lower makes for a slow start. */
     private static final double INITIAL_LIMIT = 24;
-    /** The least first bound of one gateway: fewer would keep small gateways from using their servers. */
+    /** Minimum initial limit of one gateway: less would keep small gateways from using their servers. */
     private static final double MIN_INITIAL_LIMIT = 2;
-    /** Growth of the bound in a round of good answers while in use: finding capacity, against overshooting it. */
+    /** Growth of the limit per round of good answers while in use: higher finds capacity sooner but overshoots it. */
     private static final double LIMIT_GROWTH = 0.2;
-    /** What is left of the bound after a slow answer, and after an overload rejection, which is the surer sign. */
+    /** Factor on the limit after a slow answer, and after an overload rejection, which is the more reliable sign. */
     private static final double LIMIT_AFTER_SLOW = 0.8;
 
     private static final double LIMIT_AFTER_OVERLOAD = 0.6;
-    /** Slow is this share of the latency target or this multiple of the class's best mean: the sooner of both. */
+    /** Slow is this share of the latency target or this multiple of the class's best mean, whichever is less. */
     static final double SLOW_TARGET_SHARE = 0.5;
 
     private static final double SLOW_BEST_MULTIPLE = 4;
-    /** Below this share of the target nothing is slow, or the machine's own jitter would close quick servers. */
+    /** Minimum slow threshold, as a share of the target: below it, jitter would reduce limits of fast servers. */
     private static final double MIN_SLOW_TARGET_SHARE = 0.05;
 
     private final PolicyContext context;
@@ -49,10 +49,10 @@
         server.addInFlight(context.now);
     }
 
-    /** Ejects a server or readmits it, by how an attempt there ended. */
+    /** Ejects or readmits a server, depending on how an attempt there ended. */
     void onOutcome(ServerState server, AttemptOutcome outcome) {
-        // A rejection for overload says nothing of health where its queue may be full of our own requests; where
-        // none of ours is in flight it is of no use to us now, though it answers faster than any and so looks free.
+        // An overload rejection says nothing about health if the queue may be full of our own requests. Without any
+        // in flight, the server is useless to us now, although its fast answers make it look idle.
         if (outcome == AttemptOutcome.CANCELLED
                 || outcome == AttemptOutcome.NOT_SENT
                 || outcome == AttemptOutcome.OVERLOADED && server.inFlight > 0) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Answers that take longer, in microseconds, are a sign of congestion. */
+    /** Returns the latency, in microseconds, above which an answer is a sign of congestion. */
     private static double slowThreshold(ActiveRequest request) {
         ClassLatency latency = request.classLatency;
         double best = latency.bestMean * Math.max(1, request.request.units() / latency.meanUnits);
@@ -86,9 +86,8 @@
     }
 
     /**
-     * Moves the bound on attempts in flight: answers that come late or not at all, from whatever cause, mean that too
-     * much is in flight. It should also catch noisy neighbours and lost capacity; it could starve a server slow by
-     * nature.
+     * Adapts the limit on attempts in flight: late or missing answers, whatever the cause, mean that too many are in
+     * flight. It also covers noisy neighbours and lost capacity, but could starve a server that is inherently slow.
      */
     void adjustLimit(ActiveRequest request, PolicyAttempt attempt, AttemptOutcome outcome, long elapsed) {
         ServerState server = attempt.server;
--- a/src/main/java/reedmux/gatekeeper/policy/ServerPool.java
+++ b/src/main/java/reedmux/gatekeeper/policy/ServerPool.java
@@ -11,16 +11,16 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerListScope;
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerStatus;
 
-/** The listed servers, those of them that may be used, and sums over these. */
+/** The listed servers, the ready ones among them, and sums over the ready ones. */
 final class ServerPool {
     private final Map<String, ServerState> servers = new TreeMap<>();
-    /** Servers that may be used, sorted by their ids. */
+    /** Ready servers, sorted by their ids. */
     final List<ServerState> ready = new ArrayList<>();
 
     /**
-     * Takes in a list or changes to it.
+     * Applies a server list, or changes to it.
      *
-     * @param initialLimit the first bound on the attempts in flight at a server
+     * @param initialLimit initial concurrency limit of a new server
      * @return servers that are new or have restarted
      */
     List<ServerState> apply(ServerList list, double initialLimit) {
@@ -32,7 +32,7 @@
         List<ServerState> newServers = new ArrayList<>();
         for (ListedServer listing : list.servers()) {
             ServerState server = servers.get(listing.id());
-            // What is still in flight at one that is gone or has restarted ends on its old state.
+            // Attempts in flight at a removed or restarted server complete on its old state.
             if (listing.status() == ServerStatus.GONE) {
                 servers.remove(listing.id());
             } else if (server == null || server.listing.startedAt() != listing.startedAt()) {
@@ -48,7 +48,7 @@
         return newServers;
     }
 
-    /** Attempts in flight at the servers that may be used. */
+    /** Returns the number of attempts in flight at the ready servers. */
     int inFlight() {
         int inFlight = 0;
         for (ServerState server : ready) {
@@ -57,7 +57,7 @@
         return inFlight;
     }
 
-    /** The bounds on these, added up. */
+    /** Returns the sum of the concurrency limits of the ready servers. */
     double concurrencyLimit() {
         double limit = 0;
         for (ServerState server : ready) {
@@ -66,7 +66,7 @@
         return limit;
     }
 
-    /** How many of the servers that may be used are ejected. */
+    /** Returns the number of ready servers that are ejected. */
     int ejectedCount() {
         int ejected = 0;
         for (ServerState server : ready) {
--- a/src/main/java/reedmux/gatekeeper/policy/ServerSelector.java
+++ b/src/main/java/reedmux/gatekeeper/policy/ServerSelector.java
@@ -3,31 +3,31 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerList;
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerListScope;
 
-/** Load balancing: which server a request goes to, and how much a server that is still warming up may be given. */
+/** Load balancing: selects the server for a request, and limits the load of servers that are warming up. */
 final class ServerSelector {
-    /** Set for {@link #POLL_TIMER}: when to ask discovery again after a failure; its load against stale lists. */
+    /** Delay of {@link #POLL_TIMER} after a discovery failure: shorter loads discovery, longer keeps stale lists. */
     private static final long DISCOVERY_RETRY_MICROS = 500_000;
 
     static final long POLL_TIMER = 2;
-    /** Servers looked at for a request: a better choice against time. */
+    /** Maximum number of servers compared per request: more make a better choice but take more time. */
     private static final int MAX_SAMPLED_SERVERS = 16;
-    /** A gateway keeps to one server for each request of its own in so many seconds: to know them, against spread. */
+    /** Window size, as seconds of own requests: smaller gives more samples per server, larger spreads the load. */
     private static final double WINDOW_SECONDS = 0.5;
-    /** It keeps to so many at least, and so many gateways use each server at least. */
+    /** Minimum number of servers in a window, and minimum number of gateways that use each server. */
     private static final int MIN_WINDOW = 4;
 
     private static final int MIN_GATEWAYS_PER_SERVER = 2;
-    /** A server in another zone must be this much quicker: latency between zones against even load. */
+    /** Cost factor of another zone: higher avoids latency between zones, lower balances the load more evenly. */
     private static final double OTHER_ZONE_COST = 1.08;
-    /** A random factor on each cost: what crowding of gateways costs against the best choice of each. */
+    /** Range of a random cost factor: higher avoids crowding of gateways, lower makes better individual choices. */
     private static final double COST_JITTER = 0.15;
-    /** What an error costs against an answer, in usual times. */
+    /** Cost of an error relative to an answer, in typical latencies. */
     private static final double ERROR_COST = 4;
-    /** The share of servers that stay in use, however bad: all being slow is not their fault. */
+    /** Minimum share of servers in use, however bad: if all are slow, the servers are not the cause. */
     private static final double MIN_USED_SHARE = 0.5;
-    /** Part of a cold server's load bound in use; the rest is for errors of estimates. */
+    /** Share of a cold server's load bound that is used; the rest is a margin for estimation errors. */
     private static final double COLD_BOUND_USED = 0.5;
-    /** The share of its capacity that a cold server is taken to have at least. */
+    /** Minimum share of its capacity that a cold server is assumed to have. */
     private static final double MIN_COLD_CAPACITY = 0.01;
 
     private final PolicyContext context;
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Whether so many servers are ejected that it is not believed to be their fault. */
+    /** Whether so many servers are ejected that the servers are unlikely to be the cause. */
     boolean ignoresEjections() {
         return pool.ejectedCount() > pool.ready.size() * (1 - MIN_USED_SHARE);
     }
@@ -66,10 +66,10 @@
     }
 
     /**
-     * The server with the least expected time, of a sample; one that is ejected gets a single trial when due.
-     * A gateway with few requests would know none of many servers, so it keeps to a window of their sorted list from
-     * its own position; all windows load all alike. Beyond it looks while none in it may be used, but never at cold
-     * servers, whose bounds add up over windows. It harms while several of the few are slow.
+     * Selects the sampled server with the lowest cost; an ejected server that is due receives a single trial. A gateway
+     * with little traffic would lack data on many servers, so it uses a window of their sorted list from its own
+     * position; all windows load the servers evenly. It looks outside only while no server in the window can be used,
+     * and never at cold ones, whose bounds add up over windows. It is harmful while several of the few are slow.
      */
     ServerState choose(ActiveRequest request) {
         boolean ignoresEjections = ignoresEjections();
@@ -101,7 +101,7 @@
         return best;
     }
 
-    /** The rules on effects, draining, attempts and cold servers; no server is chosen without this. */
+    /** Checks the rules on side effects, draining, attempts and cold servers; every selected server has passed it. */
     private boolean maySend(ActiveRequest request, ServerState server) {
         return !request.wasSentTo(server)
                 && server.isReady()
@@ -118,7 +118,7 @@
                 * (1 + COST_JITTER * context.random.nextDouble());
     }
 
-    /** The least share of its capacity that a started server may count on; 1 when it is warm. */
+    /** Minimum share of its capacity that a started server is sure to have; 1 when it is warm. */
     private double coldShare(ServerState server) {
         double initialShare =
                 Math.max(MIN_COLD_CAPACITY, context.settings.rules().coldCapacityShare());
@@ -128,10 +128,11 @@
     }
 
     /**
-     * Our part of a cold server's load bound goes by our own mean on warm servers, which are their share of our
-     * window, so that the parts of all gateways add up to the whole. Taken as all of the window they left a release's
-     * new servers idle while the few warm ones were congested. After a start the mean is over the time since.
-     * Nothing is saved up, and a random start keeps hundreds of gateways from sending their first at once.
+     * Whether a cold server's load bound permits an attempt. Our part of it follows our mean load per warm server,
+     * based on the warm share of our window, so that the parts of all gateways add up to the bound. Counting the whole
+     * window as warm left a release's new servers idle while the few warm ones were congested. Soon after start-up the
+     * mean covers the time since then. Credit never exceeds zero, and a random initial value keeps hundreds of gateways
+     * from sending their first at once.
      */
     private boolean withinColdBound(ServerState server) {
         double share = coldShare(server);
--- a/src/main/java/reedmux/gatekeeper/policy/ServerState.java
+++ b/src/main/java/reedmux/gatekeeper/policy/ServerState.java
@@ -3,31 +3,34 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.ListedServer;
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerStatus;
 
-/** A server as one gateway sees it; times in microseconds. It holds values and decides nothing. */
+/** A server as seen by one gateway; times are in microseconds. A data holder that makes no decisions. */
 final class ServerState {
-    /** What the list says of it. */
+    /** The server's entry in the list. */
     ListedServer listing;
-    /** Attempts of ours that are work there now, the bound on them, and their mean when others were sent. */
+    /** Attempts of this gateway that load the server, their limit, and their mean number when others were sent. */
     int inFlight;
 
     double concurrencyLimit;
     double meanInFlight;
-    /** When the bound was last reduced: attempts sent before tell nothing of the reduced one. */
+    /** When the limit was last reduced; attempts sent before then say nothing about the reduced limit. */
     long limitReducedAt;
-    /** The latency there against the usual one, as of the last sample. */
+    /** Latency relative to the typical one, as of the last sample. */
     double latencyRatio = 1;
 
     long sampledAt;
-    /** Since when attempts in flight there have had no answer. */
+    /** Start of the period in which attempts in flight there have received no answer. */
     long noProgressSince;
 
     double errorRate;
     int consecutiveFailures;
     int consecutiveSuccesses;
     int ejectionCount;
-    /** Until when it is ejected, and due for a trial after that; -1 while it is not ejected. */
+    /** End of the ejection, after which the server is due for a trial; -1 while it is not ejected. */
     long ejectedUntil = -1;
-    /** Work that may be sent there while it warms up, and when that was last refilled; never above zero. */
+    /**
+     * Work that may be sent while the server warms up, in microseconds, and when it was last refilled; never above
+     * zero.
+     */
     double warmUpCredit;
 
     long warmUpCreditAt;
@@ -45,7 +48,7 @@
         return ejectedUntil >= 0;
     }
 
-    /** Whether one more attempt would pass the bound; the first always may. */
+    /** Whether another attempt would exceed the limit; the first one is always allowed. */
     boolean isFull() {
         return inFlight > 0 && inFlight + 1 > concurrencyLimit;
     }
--- a/src/main/java/reedmux/gatekeeper/policy/TrafficPolicy.java
+++ b/src/main/java/reedmux/gatekeeper/policy/TrafficPolicy.java
@@ -3,23 +3,23 @@
 import java.util.List;
 
 /**
- * The decisions of one gateway in front of a shared pool of servers: the events that it is notified of, and the actions
- * that it may take. Times are microseconds of one clock that never runs backwards; an implementation knows no time but
- * {@code now}, does no I/O and is used by one thread. Units are what requests take from their customers' quotas.
+ * The decisions of one gateway in front of a shared pool of servers: the events that it receives, and the actions that
+ * it may take. Times are microseconds of one monotonic clock. An implementation knows no time but {@code now}, performs
+ * no I/O and is used by one thread. Units are the quantity that requests consume of their customers' quotas.
  */
 public interface TrafficPolicy {
 
-    /** Handles one event that happened at {@code now}; the actions that follow are taken before it returns. */
+    /** Handles one event that occurred at {@code now}; the resulting actions are taken before it returns. */
     void handle(long now, PolicyEvent event, PolicyActions actions);
 
-    /** What a repeat does: nothing more, nothing more within its scope and window, or the effect again. */
+    /** The effect of a repeat: none, none within its scope and window, or the same effect again. */
     enum Idempotency {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** The servers that recognise repeats of a keyed request: all, or those of the same zone or cell. */
+    /** The servers that recognise repeats of a keyed request: all of them, or those of the same zone or cell. */
     enum DeduplicationScope {
         ALL,
         ZONE,
@@ -43,13 +43,16 @@
             this.neverRan = neverRan;
         }
 
-        /** Whether this end proves that the server never ran the request. */
+        /** Whether this outcome proves that the server never ran the request. */
         public boolean neverRan() {
             return neverRan;
         }
     }
 
-    /** What a server list holds: changes, all, all as last known, or nothing as the call failed. */
+    /**
+     * The content of a server list: changes, all servers, all servers as last known, or nothing because the call
+     * failed.
+     */
     enum ServerListScope {
         CHANGES,
         FULL,
@@ -67,12 +70,12 @@
     /**
      * A class of requests.
      *
-     * @param deduplicationWindow how long servers recognise a repeat of a keyed request
-     * @param latencyTarget       in which it should be answered, from its arrival
-     * @param deadline            in which it has to be answered, from its arrival
-     * @param value               of an answer within the latency target, against other classes
-     * @param lateValue           of an answer after it
-     * @param streaming           whether its answers are streams
+     * @param deduplicationWindow how long servers recognise a repeat of a keyed request, in microseconds
+     * @param latencyTarget       time from arrival within which a request should be answered
+     * @param deadline            time from arrival within which a request must be answered
+     * @param value               value of an answer within the latency target, relative to other classes
+     * @param lateValue           value of an answer after the latency target
+     * @param streaming           whether responses are streams
      */
     record RequestClass(
             String name,
@@ -86,17 +89,17 @@
             boolean streaming) {}
 
     /**
-     * What a plan allows each of its customers; 0 means no bound.
+     * The limits of a plan, for each of its customers; 0 means unlimited.
      *
-     * @param quotaRate       units a second, which races between gateways may pass
-     * @param quotaBurst      units at once
-     * @param maxConcurrency  attempts in flight
-     * @param rateLimit       units a second that may never be passed
-     * @param rateLimitBurst  units at once, of these
-     * @param rateLimitSlack  units that they may be passed by
-     * @param price           of a unit, against other plans
-     * @param overQuotaRevenue of a unit beyond the quota
-     * @param overQuotaCost   of a unit beyond the quota
+     * @param quotaRate       units per second, which races between gateways may exceed
+     * @param quotaBurst      maximum units of the quota at once
+     * @param maxConcurrency  maximum attempts in flight
+     * @param rateLimit       units per second that are never exceeded
+     * @param rateLimitBurst  maximum units of the rate limit at once
+     * @param rateLimitSlack  units by which the rate limit may be exceeded
+     * @param price           price of a unit, relative to other plans
+     * @param overQuotaRevenue revenue of a unit beyond the quota
+     * @param overQuotaCost   cost of a unit beyond the quota
      */
     record CustomerPlan(
             String name,
@@ -114,12 +117,12 @@
      * The platform's rules.
      *
      * @param deadlineSlack        how late an answer may be
-     * @param discoveryQueryWindow in which discovery may be queried once
-     * @param coldCapacityShare    the share of its capacity with which a server starts
-     * @param warmUpTime           until it has all of it
+     * @param discoveryQueryWindow period in which discovery may be queried once
+     * @param coldCapacityShare    share of its capacity that a server has when it starts
+     * @param warmUpTime           time until a started server has its full capacity
      * @param drainGrace           how long a draining server may still be sent requests
-     * @param coldOverloadMultiple of its capacity, which a cold server may never be sent within the window
-     * @param coldOverloadWindow   that window
+     * @param coldOverloadMultiple multiple of its capacity that a cold server must never be sent within the window
+     * @param coldOverloadWindow   window of {@code coldOverloadMultiple}
      */
     record PlatformRules(
             long deadlineSlack,
@@ -131,17 +134,17 @@
             long coldOverloadWindow) {}
 
     /**
-     * What the deployment permits.
+     * The capabilities and limits of the deployment.
      *
      * @param cancellation          whether attempts may be cancelled
      * @param hedging               whether two attempts of a request may be in flight at once
-     * @param healthChecks          whether servers may be checked
+     * @param healthChecks          whether health checks of servers are allowed
      * @param peerMessages          whether gateways may send each other messages
-     * @param counterService        whether there is a counter service
-     * @param maxAttempts           of one request
-     * @param maxRetryAfter         the longest advice of a rejection
-     * @param peerMessagesPerSecond that may come in at a gateway
-     * @param peerMessageBytes      of one message
+     * @param counterService        whether a counter service is available
+     * @param maxAttempts           maximum attempts of one request
+     * @param maxRetryAfter         maximum retry-after of a rejection
+     * @param peerMessagesPerSecond maximum messages per second that a gateway receives
+     * @param peerMessageBytes      maximum size of one message
      */
     record DeploymentLimits(
             boolean cancellation,
@@ -159,11 +162,11 @@
      * The settings of one gateway.
      *
      * @param self             the gateway's number in its group
-     * @param groupSize        gateways in the group
-     * @param pollsDiscovery   whether the gateway has to ask for the list of servers
-     * @param chargeOnDelivery whether a request takes its units only once an attempt has come to a server as a whole,
-     *                         and not when it is first sent
-     * @param maxUnits         of one request
+     * @param groupSize        number of gateways in the group
+     * @param pollsDiscovery   whether the gateway must query the list of servers
+     * @param chargeOnDelivery whether a request is charged only once an attempt has delivered it to a server as a
+     *                         whole, and not when it is first sent
+     * @param maxUnits         maximum units of one request
      * @param clockTick        the resolution of the clock
      */
     record PolicySettings(
@@ -182,30 +185,32 @@
     /**
      * One server in the list.
      *
-     * @param cell      within its zone
-     * @param startedAt when its process started; 0 where that was long ago
+     * @param cell      cell within the zone
+     * @param startedAt start time of its process; 0 if that was long ago
      */
     record ListedServer(String id, int zone, int kind, int cell, ServerStatus status, double weight, long startedAt) {}
 
-    /** What the gateway is notified of. */
+    /** An event that the gateway is notified of. */
     sealed interface PolicyEvent {}
 
     /** The list of servers, or changes to it. */
     record ServerList(ServerListScope scope, List<ListedServer> servers) implements PolicyEvent {}
 
-    /** In place of a plan: a request that another region forwards, which has counted it; charges nobody here. */
+    /**
+     * In place of a plan: a request that another region forwards and has already charged; no customer is charged here.
+     */
     int REMOTE_REQUEST_PLAN = -1;
 
     /**
-     * A client's request, which the gateway now owes one final answer.
+     * A client's request, to which the gateway must give one final answer.
      *
-     * @param requestClass its number in the settings
-     * @param plan         its number in the settings, or {@link #REMOTE_REQUEST_PLAN}
-     * @param deadline     the time until which it has to be answered
-     * @param units        what it is expected to take
-     * @param memberCount  the customer's gateways, in a row
+     * @param requestClass number of the class in the settings
+     * @param plan         number of the plan in the settings, or {@link #REMOTE_REQUEST_PLAN}
+     * @param deadline     time by which it must be answered
+     * @param units        units that it is expected to consume
+     * @param memberCount  number of the customer's gateways, which are consecutive
      * @param firstMember  the number of the first of them
-     * @param clientRetry  whether the client had sent it before
+     * @param clientRetry  whether the client has sent it before
      */
     record IncomingRequest(
             String id,
@@ -219,15 +224,15 @@
             boolean clientRetry)
             implements PolicyEvent {}
 
-    /** A timer that the gateway has set is due. */
+    /** A timer that the gateway has set has expired. */
     record TimerExpired(long token) implements PolicyEvent {}
 
     /**
      * An attempt has ended.
      *
-     * @param requestOver whether the request has its final answer by it
+     * @param requestOver whether this attempt gave the request its final answer
      * @param attempt     the number of the attempt, from 0
-     * @param actualUnits what the request has taken; 0 where that is not known
+     * @param actualUnits units that the request has consumed; 0 if unknown
      */
     record AttemptEnded(
             String request,
@@ -239,19 +244,19 @@
             AttemptOutcome outcome)
             implements PolicyEvent {}
 
-    /** The answer to an attempt has begun to come, and is passed on; the attempt can no longer time out. */
+    /** The response to an attempt has begun to arrive and is passed on; the attempt can no longer time out. */
     record ResponseStreamStarted(String request, String server, int attempt, long elapsed) implements PolicyEvent {}
 
-    /** A request's body, which is passed on as it comes, is still coming in, or is complete now. */
+    /** The body of a request, which is passed on as it arrives, is still incomplete or is now complete. */
     record RequestBodyProgress(String request, boolean complete) implements PolicyEvent {}
 
-    /** A message of the gateway of that number has come in. */
+    /** A message from the gateway with the number {@code from} has arrived. */
     record PeerMessage(int from, byte[] bytes) implements PolicyEvent {}
 
     /** The counter service has answered. */
     record CounterResult(long name, AttemptOutcome outcome, double total, long elapsed) implements PolicyEvent {}
 
-    /** The client waits for the request no longer; no answer is owed. */
+    /** The client no longer waits for the request; no answer is due. */
     record RequestWithdrawn(String request) implements PolicyEvent {}
 
     /** A request that was {@linkplain PolicyActions#forwardToRegion forwarded} has its final answer. */
@@ -260,19 +265,20 @@
     /** A health check has ended. */
     record HealthCheckEnded(String server, AttemptOutcome outcome, long elapsed) implements PolicyEvent {}
 
-    /** What a gateway may do; each action takes effect at once, in the order of the calls. */
+    /** The actions of a gateway; each one takes effect at once, in the order of the calls. */
     interface PolicyActions {
 
         /** Starts an attempt of the request at a server, which times out after {@code timeout}. */
         void send(String request, String server, long timeout);
 
-        /** Final answer: rejected; a repeat is harmless, and better not before {@code retryAfter} has passed. */
+        /** Final answer: rejected. A repeat is harmless, and should not come before {@code retryAfter} has passed. */
         void reject(String request, long retryAfter);
 
         /**
-         * Before a {@link #reject} for want of a server: forwards the request to another region, which then answers
-         * it, if one takes it. Never called for a request that the quota, the rate limit or the cap on attempts in
-         * flight rejects. A forwarded request counts here as in flight until {@link ForwardedRequestEnded}.
+         * Called before a {@link #reject} because no server is available: forwards the request to another region that
+         * accepts it and then answers it, if there is one. Never called for a request that the quota, the rate limit or
+         * the cap on attempts in flight rejects. A forwarded request counts here as in flight until {@link
+         * ForwardedRequestEnded}.
          *
          * @return whether it was forwarded
          */
@@ -280,7 +286,7 @@
             return false;
         }
 
-        /** Final answer: failed; it may have run. */
+        /** Final answer: failed; the request may have run. */
         void fail(String request);
 
         /** Stops waiting for an attempt. */
@@ -292,11 +298,14 @@
         /** Closes idle connections to a server. */
         void closeIdleConnections(String server);
 
-        /** Sends a message of at most {@link DeploymentLimits#peerMessageBytes} to the gateway of that number. */
+        /**
+         * Sends a message of at most {@link DeploymentLimits#peerMessageBytes} bytes to the gateway with the number
+         * {@code peer}.
+         */
         void sendToPeer(int peer, byte[] bytes);
 
-        /** Adds to a counter of the counter service, which is kept for {@code keep} from its first use. */
-        void addToCounter(long name, double amount, long keep);
+        /** Adds to a counter of the counter service, which is retained for {@code retention} from its first use. */
+        void addToCounter(long name, double amount, long retention);
 
         /** Queries discovery for the full list of servers once. */
         void fetchServers();
@@ -304,8 +313,8 @@
         /** Subscribes to changes of the list of servers, or ends the subscription. */
         void watchServers(boolean on);
 
-        /** Sets a timer: {@link TimerExpired} with that token comes at that time. */
-        void setTimer(long at, long token);
+        /** Sets a timer: {@link TimerExpired} with that token is delivered at {@code dueAt}. */
+        void setTimer(long dueAt, long token);
 
         /** Writes a line to the operators' log. */
         void log(String line);
