--- a/src/test/java/reedmux/gatekeeper/policy/DecisionReplayTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/DecisionReplayTest.java
@@ -10,9 +10,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The same seeds and events give the same decisions, to the byte, as those recorded before the policy was split into
- * one class a concern: no reordered sum, no draw more or less. A line of the recording is a second of a scenario: its
- * seed, the second, the number of actions and their digest. A change of what is decided records it anew, and says so.
+ * Verifies that the same seeds and events produce the same decisions, to the byte, as those recorded before the policy
+ * was split into one class per concern: no sum is reordered, and no random number is drawn more or less. Each line of
+ * the recording is one second of a scenario: its seed, the second, the number of actions and their digest. A change
+ * that alters decisions records them again and says so.
  */
 final class DecisionReplayTest {
     private static final Path RECORDING = Path.of("src/test/resources/decisions/policy.txt");
@@ -24,7 +25,7 @@
         List<String> recorded = Files.readAllLines(RECORDING);
         List<String> replayed = new ArrayList<>();
         for (long seed = 0; seed < SEEDS; seed++) {
-            replayed.addAll(DecisionScenario.play(seed, SECONDS));
+            replayed.addAll(DecisionScenario.simulate(seed, SECONDS));
         }
         assertEquals(recorded.size(), replayed.size());
         for (int i = 0; i < replayed.size(); i++) {
--- a/src/test/java/reedmux/gatekeeper/policy/DecisionScenario.java
+++ b/src/test/java/reedmux/gatekeeper/policy/DecisionScenario.java
@@ -34,8 +34,8 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.TimerExpired;
 
 /**
- * A group of gateways through faults that a seed draws, in virtual time, with every action written down. The
- * world around the policies draws from a generator of its own, so the same decisions give the same transcript.
+ * Simulates a group of gateways in virtual time, with faults drawn from a seed, and records every action. The
+ * environment draws from a random generator of its own, so the same decisions give the same transcript.
  */
 final class DecisionScenario {
     private static final long MS = 1000;
@@ -43,11 +43,11 @@
     private static final int[] GROUP_SIZES = {1, 2, 3, 5, 9, 20, 40};
     private static final int CUSTOMERS = 25;
 
-    private record ScenarioEvent(long at, long order, int gateway, GatekeeperPolicy policy, PolicyEvent event)
+    private record ScenarioEvent(long dueAt, long order, int gateway, GatekeeperPolicy policy, PolicyEvent event)
             implements Comparable<ScenarioEvent> {
         @Override
         public int compareTo(ScenarioEvent other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+            return dueAt != other.dueAt ? Long.compare(dueAt, other.dueAt) : Long.compare(order, other.order);
         }
     }
 
@@ -146,12 +146,15 @@
                 new CustomerPlan("unlimited", 0, 0, 0, 0, 0, 0, 0.5, 0, 1));
     }
 
-    /** Plays a seed; returns a line a second: the seed, the second, the actions and their digest. */
-    static List<String> play(long seed, int seconds) {
+    /**
+     * Runs the scenario of a seed. Returns one line per second: the seed, the second, the number of actions and their
+     * digest.
+     */
+    static List<String> simulate(long seed, int seconds) {
         return new DecisionScenario(seed).run(seed, seconds).digests;
     }
 
-    /** All that was decided, an action a line. */
+    /** Returns the transcript of all decisions, one action per line. */
     static String transcript(long seed, int seconds) {
         return new DecisionScenario(seed).run(seed, seconds).transcript.toString();
     }
@@ -184,9 +187,9 @@
     }
 
     private void runUntil(long end) {
-        while (!queue.isEmpty() && queue.peek().at <= end) {
+        while (!queue.isEmpty() && queue.peek().dueAt <= end) {
             ScenarioEvent due = queue.poll();
-            now = Math.max(now, due.at);
+            now = Math.max(now, due.dueAt);
             if (isStalled(due.gateway)) {
                 queue.add(new ScenarioEvent(stalledUntil, order++, due.gateway, due.policy, due.event));
                 continue;
@@ -218,16 +221,16 @@
     private void request() {
         String id = String.format("%016x", ++requests);
         int gateway = random.nextInt(settings.length);
-        int kind = random.nextInt(5);
+        int requestClass = random.nextInt(5);
         int customer = random.nextInt(10) < surge ? surgeCustomer : random.nextInt(CUSTOMERS);
         int memberCount = 1 + customer % settings.length;
-        int first = customer * 7 % settings.length;
+        int firstMember = customer * 7 % settings.length;
         boolean misrouted = random.nextInt(20) == 0;
-        int member = misrouted ? gateway : (first + random.nextInt(memberCount)) % settings.length;
+        int member = misrouted ? gateway : (firstMember + random.nextInt(memberCount)) % settings.length;
         if (isStalled(member)) {
             return;
         }
-        long deadline = now + settings[member].classes().get(kind).deadline();
+        long deadline = now + settings[member].classes().get(requestClass).deadline();
         double units = random.nextInt(15) == 0 ? 12 : 1 + random.nextInt(4) * 0.75;
         boolean remote = random.nextInt(30) == 0;
         attempts.put(id, 0);
@@ -235,13 +238,13 @@
                 member,
                 new IncomingRequest(
                         id,
-                        kind,
+                        requestClass,
                         remote ? TrafficPolicy.REMOTE_REQUEST_PLAN : customer % 4,
                         remote ? TrafficPolicy.REMOTE_REQUEST_PLAN : customer,
                         deadline,
                         units,
                         remote ? 1 : memberCount,
-                        remote ? member : first,
+                        remote ? member : firstMember,
                         random.nextInt(9) == 0));
         if (attempts.get(id) > 0 && random.nextInt(12) == 0) {
             deliver(member, new RequestBodyProgress(id, false));
@@ -262,16 +265,18 @@
         surgeCustomer = random.nextInt(6);
         switch (random.nextInt(11)) {
             case 0 -> restart(gateway);
-            case 1 -> change(server, ServerStatus.DRAINING, servers.get(server).startedAt());
-            case 2 -> change(server, ServerStatus.READY, now);
-            case 3 -> change(server, ServerStatus.GONE, servers.get(server).startedAt());
+            case 1 ->
+                changeServer(server, ServerStatus.DRAINING, servers.get(server).startedAt());
+            case 2 -> changeServer(server, ServerStatus.READY, now);
+            case 3 ->
+                changeServer(server, ServerStatus.GONE, servers.get(server).startedAt());
             case 4, 5 -> {
                 for (int i = 0; i <= random.nextInt(servers.size()); i++) {
                     serverFaults.put(servers.get((server + i) % servers.size()).id(), random.nextInt(6));
                 }
             }
             case 6 -> serverFaults.clear();
-            case 8 -> servers.forEach(one -> serverFaults.put(one.id(), random.nextBoolean() ? 1 : 4));
+            case 8 -> servers.forEach(listed -> serverFaults.put(listed.id(), random.nextBoolean() ? 1 : 4));
             case 9 -> deliver(gateway, new PeerMessage(random.nextInt(settings.length), corruptPacket()));
             case 7 -> handOver(gateway);
             default ->
@@ -283,7 +288,10 @@
         }
     }
 
-    /** A packet that passes its check by chance: a number far ahead, another life, or entries that make no sense. */
+    /**
+     * Creates a corrupt packet with a matching checksum: a packet number far ahead, another incarnation, or invalid
+     * entries.
+     */
     private byte[] corruptPacket() {
         List<PeerPacket.MemberVersion> members = List.of(
                 new PeerPacket.MemberVersion(random.nextInt(settings.length + 1), (1 << 30) + random.nextInt(2)),
@@ -302,7 +310,7 @@
         return packet.finish();
     }
 
-    private void change(int index, ServerStatus status, long started) {
+    private void changeServer(int index, ServerStatus status, long started) {
         ListedServer old = servers.get(index);
         ListedServer changed = new ListedServer(old.id(), old.zone(), old.kind(), old.cell(), status, 1, started);
         servers.set(index, changed);
@@ -311,7 +319,7 @@
         }
     }
 
-    /** Another process takes the gateway's place, after both have served side by side for a moment. */
+    /** Hands the gateway over to another process, after both have served side by side for a moment. */
     private void handOver(int gateway) {
         GatekeeperPolicy old = policies[gateway];
         HandoverCounts oldCounts = old.handoverCounts();
@@ -323,18 +331,18 @@
                 now,
                 new IncomingRequest("old", 0, 0, 3, now + SECOND, 1, 1, gateway, false),
                 new TranscriptActions(gateway, old));
-        for (HandoverCounts.AccountUsage spent : oldCounts.takeUsage()) {
-            append(gateway, "spent " + spent.customer() + ' ' + spent.units());
+        for (HandoverCounts.AccountUsage usage : oldCounts.takeUsage()) {
+            append(gateway, "spent " + usage.customer() + ' ' + usage.units());
         }
         newCounts.addUsage(now, oldCounts.takeUsage());
         if (random.nextBoolean()) {
             newCounts.endSharing();
         }
-        for (HandoverCounts.AccountSnapshot one : snapshots) {
+        for (HandoverCounts.AccountSnapshot snapshot : snapshots) {
             append(
                     gateway,
-                    "kept " + one.customer() + ' ' + one.count() + ' ' + one.raceMargin() + ' '
-                            + one.unitsSinceFirstSeen() + ' ' + one.rateLimitTokens());
+                    "kept " + snapshot.customer() + ' ' + snapshot.count() + ' ' + snapshot.raceMargin() + ' '
+                            + snapshot.unitsSinceFirstSeen() + ' ' + snapshot.rateLimitTokens());
         }
     }
 
@@ -348,7 +356,7 @@
                 .append('\n');
     }
 
-    /** Writes down what a gateway does, and lets an attempt end as its server behaves just now. */
+    /** Records the actions of a gateway, and completes each attempt according to the current fault of its server. */
     private final class TranscriptActions implements PolicyActions {
         private final int gateway;
         private final GatekeeperPolicy policy;
@@ -363,27 +371,32 @@
             append(gateway, "send " + request + ' ' + server + ' ' + timeout);
             int attempt = attempts.merge(request, 1, Integer::sum) - 1;
             long mean = fast ? 4 * MS : 60 * MS;
-            long took = mean / 12 + (long) (-Math.log(1 - random.nextDouble()) * mean);
+            long elapsed = mean / 12 + (long) (-Math.log(1 - random.nextDouble()) * mean);
             AttemptOutcome outcome = AttemptOutcome.OK;
             switch (serverFaults.getOrDefault(server, 0)) {
                 case 1 -> outcome = random.nextBoolean() ? AttemptOutcome.ERROR : AttemptOutcome.RESET;
-                case 2 -> took = 10 * SECOND;
+                case 2 -> elapsed = 10 * SECOND;
                 case 3 -> outcome = AttemptOutcome.OVERLOADED;
                 case 4 -> outcome = AttemptOutcome.CONNECT_FAILED;
-                case 5 -> took *= 8;
+                case 5 -> elapsed *= 8;
                 default -> outcome = random.nextInt(50) == 0 ? AttemptOutcome.NOT_SENT : AttemptOutcome.OK;
             }
-            if (took >= timeout) {
-                took = timeout;
+            if (elapsed >= timeout) {
+                elapsed = timeout;
                 outcome = AttemptOutcome.TIMEOUT;
             }
-            boolean over = outcome == AttemptOutcome.OK;
-            if (over && random.nextInt(8) == 0) {
-                schedule(took / 2, gateway, policy, new ResponseStreamStarted(request, server, attempt, took / 2));
+            boolean requestOver = outcome == AttemptOutcome.OK;
+            if (requestOver && random.nextInt(8) == 0) {
+                schedule(
+                        elapsed / 2, gateway, policy, new ResponseStreamStarted(request, server, attempt, elapsed / 2));
                 outcome = random.nextInt(4) == 0 ? AttemptOutcome.RESET : AttemptOutcome.OK;
             }
-            double units = over && random.nextInt(3) == 0 ? 0.25 + random.nextInt(6) * 0.5 : 0;
-            schedule(took, gateway, policy, new AttemptEnded(request, over, server, attempt, units, took, outcome));
+            double units = requestOver && random.nextInt(3) == 0 ? 0.25 + random.nextInt(6) * 0.5 : 0;
+            schedule(
+                    elapsed,
+                    gateway,
+                    policy,
+                    new AttemptEnded(request, requestOver, server, attempt, units, elapsed, outcome));
         }
 
         @Override
@@ -448,9 +461,9 @@
         }
 
         @Override
-        public void setTimer(long at, long token) {
-            append(gateway, "timer " + at + ' ' + token);
-            schedule(at - now, gateway, policy, new TimerExpired(token));
+        public void setTimer(long dueAt, long token) {
+            append(gateway, "timer " + dueAt + ' ' + token);
+            schedule(dueAt - now, gateway, policy, new TimerExpired(token));
         }
 
         @Override
--- a/src/test/java/reedmux/gatekeeper/policy/Example.java
+++ b/src/test/java/reedmux/gatekeeper/policy/Example.java
@@ -10,7 +10,7 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerListScope;
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerStatus;
 
-/** The README's example. */
+/** The example of the README. */
 final class Example {
 
     private Example() {}
--- a/src/test/java/reedmux/gatekeeper/policy/HandoverCountsTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/HandoverCountsTest.java
@@ -8,12 +8,15 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.CustomerPlan;
 import reedmux.gatekeeper.policy.TrafficPolicy.PolicySettings;
 
-/** Two processes of one gateway hold what one would, while both send and after the first has gone. */
+/**
+ * Verifies that two processes of one gateway together enforce the limits of one, during a handover and after the first
+ * process has stopped.
+ */
 class HandoverCountsTest {
     private static final long CUSTOMER = 77;
     private static final long STEP = 50 * SimulatedGroup.MS;
 
-    /** Two modules in the same place; neither hears of the other but through its twin. */
+    /** Creates two processes of the same gateway, which exchange counts only with each other. */
     private static SimulatedGroup createProcesses(CustomerPlan plan) {
         PolicySettings alone = SimulatedGroup.settings(0, 1, plan);
         return new SimulatedGroup(alone, alone);
@@ -63,7 +66,7 @@
                 .handoverCounts()
                 .restore(group.now, group.policies[0].handoverCounts().snapshot(group.now));
         sendRequests(group, 0, 5);
-        for (int i = 0; i < 20; i++) { // were it an echo, it would grow at each exchange
+        for (int i = 0; i < 20; i++) { // an echo would grow with each exchange
             exchange(group);
             group.run(STEP);
         }
@@ -75,11 +78,11 @@
         CustomerPlan rateLimited = new CustomerPlan("plan", 0, 0, 0, 10, 20, 0, 1, 0, 1);
         SimulatedGroup group = createProcesses(rateLimited);
         sendRequests(group, 0, 1);
-        group.run(10 * SimulatedGroup.SECOND); // its store is full
+        group.run(10 * SimulatedGroup.SECOND); // the token bucket is full
         HandoverCounts old = group.policies[0].handoverCounts();
         group.policies[1].handoverCounts().restore(group.now, old.snapshot(group.now));
         int sent = 0;
-        for (int i = 0; i < 20; i++) { // over a second
+        for (int i = 0; i < 20; i++) { // for one second
             sent += sendRequests(group, 0, 3) + sendRequests(group, 1, 3);
             exchange(group);
             group.run(STEP);
@@ -89,7 +92,7 @@
         group.stop(0);
         group.policies[1].handoverCounts().endSharing();
         group.run(10 * SimulatedGroup.SECOND);
-        assertEquals(20, sendRequests(group, 1, 40)); // the whole store again
+        assertEquals(20, sendRequests(group, 1, 40)); // the full token bucket again
     }
 
     @Test
@@ -105,7 +108,7 @@
             }
             group.run(2 * STEP);
         }
-        // one more process in the place of number 1, which hears the peers from now on
+        // a new process replaces gateway 1 and receives the packets of its peers from now on
         List<HandoverCounts.AccountSnapshot> snapshots =
                 group.policies[1].handoverCounts().snapshot(group.now);
         group.restart(1);
--- a/src/test/java/reedmux/gatekeeper/policy/LateCountsTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/LateCountsTest.java
@@ -11,16 +11,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seen: with proxies as real processes customers got more than their limits; the gatekeepers count in the same way.
+ * Guards against customers exceeding their limits when counts propagate late. This was observed with proxies as real
+ * processes; the gatekeepers count in the same way.
  *
- * <p>How it came about: machines gave each process a part of a processor, so that counts were late by some tenths of a
- * second at each of up to twelve links.
+ * <p>The machines gave each process only part of a processor, so that counts were delayed by some tenths of a second at
+ * each of up to twelve links. Nothing limited what a gatekeeper admitted before the others knew of it. Differing
+ * membership views lose no counts here, because packets are acknowledged and sent again by another route.
  *
- * <p>Cause: nothing bound what a gatekeeper admitted before the others knew of it. Views that differ lose no counts
- * here, as packets are acknowledged and sent another way.
- *
- * <p>What proved it: 75 gatekeepers that each stood still for up to 0.1 s again and again sent on 1.06 of what a
- * window allows, with pauses of 0.3 s 1.53; without pauses 0.87.
+ * <p>Before the fix, 75 gatekeepers that each paused repeatedly for up to 0.1 s sent 1.06 of what a window allows, with
+ * pauses of up to 0.3 s 1.53, and without pauses 0.87.
  */
 class LateCountsTest {
     private static final int GATEWAYS = 75;
@@ -33,14 +32,14 @@
     private static final double SURGE_FACTOR = 7.5;
     private static final double WINDOW_SECONDS = 5;
 
-    /** A group whose members each stand still again and again, and a customer with clients at some of them. */
+    /** A group whose members pause repeatedly, and a customer with clients at some of them. */
     private static final class PausingGroup {
         private final SimulatedGroup group;
         private final double rate;
         private final int maxPauseMillis;
         private final Random random;
         private final long startedAt;
-        private final int[] clientsAt;
+        private final int[] clientGateways;
         private final long[] nextPauseAt = new long[GATEWAYS];
         private double requestCredit;
 
@@ -48,20 +47,20 @@
             this.rate = rate;
             this.maxPauseMillis = maxPauseMillis;
             random = new Random(seed);
-            clientsAt = random.ints(CLIENTS, 0, GATEWAYS).toArray();
+            clientGateways = random.ints(CLIENTS, 0, GATEWAYS).toArray();
             group = SimulatedGroup.of(GATEWAYS, SimulatedGroup.quotaPlan(rate, rate));
             startedAt = group.now;
         }
 
-        /** Plays until a time after the beginning, with so many times the customer's usual. */
-        private void run(long until, double factor, boolean anywhere) {
+        /** Runs until a time after the start, with a multiple of the customer's usual request rate. */
+        private void run(long until, double factor, boolean anyGateway) {
             while (group.now < startedAt + until) {
                 group.run(STEP);
                 pauseMembers();
                 requestCredit += rate * USUAL_SHARE * factor * STEP / SimulatedGroup.SECOND * 2 * random.nextDouble();
                 for (; requestCredit >= 1; requestCredit--) {
-                    int at = anywhere ? random.nextInt(GATEWAYS) : clientsAt[random.nextInt(CLIENTS)];
-                    group.request(at, SimulatedGroup.SAFE, CUSTOMER, 0, GATEWAYS);
+                    int gateway = anyGateway ? random.nextInt(GATEWAYS) : clientGateways[random.nextInt(CLIENTS)];
+                    group.request(gateway, SimulatedGroup.SAFE, CUSTOMER, 0, GATEWAYS);
                 }
             }
         }
@@ -76,22 +75,22 @@
             }
         }
 
-        /** The largest share of what a window allows that was sent on. */
-        private double worstShare() {
+        /** Returns the highest number of requests sent in a window, as a share of what the window allows. */
+        private double maxWindowShare() {
             List<Long> times = new ArrayList<>();
-            Set<String> known = new HashSet<>();
+            Set<String> seenRequests = new HashSet<>();
             group.sent.stream()
-                    .filter((Predicate<SimulatedGroup.RecordedSend>) one -> known.add(one.request()))
-                    .forEach(one -> times.add(one.at()));
-            int most = 0;
-            int from = 0;
-            for (int to = 0; to < times.size(); to++) {
-                while (times.get(to) - times.get(from) > WINDOW_SECONDS * SimulatedGroup.SECOND) {
-                    from++;
+                    .filter((Predicate<SimulatedGroup.RecordedSend>) send -> seenRequests.add(send.request()))
+                    .forEach(send -> times.add(send.sentAt()));
+            int maxInWindow = 0;
+            int windowStart = 0;
+            for (int windowEnd = 0; windowEnd < times.size(); windowEnd++) {
+                while (times.get(windowEnd) - times.get(windowStart) > WINDOW_SECONDS * SimulatedGroup.SECOND) {
+                    windowStart++;
                 }
-                most = Math.max(most, to - from + 1);
+                maxInWindow = Math.max(maxInWindow, windowEnd - windowStart + 1);
             }
-            return most / ((rate * WINDOW_SECONDS + rate) * 1.1 + 20);
+            return maxInWindow / ((rate * WINDOW_SECONDS + rate) * 1.1 + 20);
         }
     }
 
@@ -101,8 +100,9 @@
             group.run(USUAL_UNTIL, 1, false);
             group.run(USUAL_UNTIL + 8 * SimulatedGroup.SECOND, SURGE_FACTOR, seed % 2 == 1);
             assertTrue(
-                    group.worstShare() <= 1,
-                    "rate " + rate + ", pauses of " + maxPauseMillis + " ms, seed " + seed + ": " + group.worstShare());
+                    group.maxWindowShare() <= 1,
+                    "rate " + rate + ", pauses of " + maxPauseMillis + " ms, seed " + seed + ": "
+                            + group.maxWindowShare());
         }
     }
 
@@ -119,7 +119,7 @@
     @Test
     void requestsWithinTheQuotaAreNotRejected() {
         for (int maxPauseMillis : new int[] {0, 100}) {
-            int asked = 0;
+            int requested = 0;
             int rejected = 0;
             for (double rate : new double[] {15, 40, 150}) {
                 PausingGroup group = new PausingGroup(rate, maxPauseMillis, 1);
@@ -128,9 +128,11 @@
                 int sentBefore = group.group.sent.size();
                 group.run(11 * SimulatedGroup.SECOND, 1, false);
                 rejected += group.group.rejected.size() - before;
-                asked += group.group.rejected.size() - before + group.group.sent.size() - sentBefore;
+                requested += group.group.rejected.size() - before + group.group.sent.size() - sentBefore;
             }
-            assertTrue(rejected <= 0.015 * asked, "pauses of " + maxPauseMillis + " ms: " + rejected + " of " + asked);
+            assertTrue(
+                    rejected <= 0.015 * requested,
+                    "pauses of " + maxPauseMillis + " ms: rejected " + rejected + " of " + requested);
         }
     }
 }
--- a/src/test/java/reedmux/gatekeeper/policy/PeerLossTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/PeerLossTest.java
@@ -12,16 +12,22 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.IncomingRequest;
 import reedmux.gatekeeper.policy.TrafficPolicy.PolicySettings;
 
-/** Counts through faults, cuts without a restart, plans and sets that differ, and customers long idle. */
+/**
+ * Tests counting through exceptions, partitions without a restart, differing plans and member sets, and long idle
+ * times.
+ */
 class PeerLossTest {
     private static final long CUSTOMER = 77;
 
-    /** The timer was set in the last line of a turn, and a fault before it ended the talk for good. */
+    /**
+     * The timer was set at the end of a synchronisation, so an exception before it stopped all synchronisation for
+     * good.
+     */
     @Test
     void exceptionWhileSendingDoesNotStopSynchronisation() {
         SimulatedGroup group = SimulatedGroup.of(2, SimulatedGroup.quotaPlan(0.001, 20));
         group.isLost = (from, to) -> {
-            throw new IllegalStateException("planted");
+            throw new IllegalStateException("injected");
         };
         assertThrows(IllegalStateException.class, () -> group.run(SimulatedGroup.SECOND));
         assertThrows(IllegalStateException.class, () -> group.run(SimulatedGroup.SECOND));
@@ -32,7 +38,7 @@
         assertEquals(0, group.traffic(1, CUSTOMER, 2, 60 * SimulatedGroup.MS, SimulatedGroup.SECOND));
     }
 
-    /** The cut ends without a restart, so nobody used to tell what had been let through meanwhile. */
+    /** A partition heals without a restart, and the units admitted during it used to be never reported. */
     @Test
     void neighbourReceivesTheCountAfterAPartitionHeals() {
         SimulatedGroup group = SimulatedGroup.of(2, SimulatedGroup.quotaPlan(0.001, 20));
@@ -47,7 +53,10 @@
         assertEquals(0, group.traffic(1, CUSTOMER, 2, 60 * SimulatedGroup.MS, 3 * SimulatedGroup.SECOND));
     }
 
-    /** In a cut each goes on with its part of the rate; with the whole each it would be 458 and 687. */
+    /**
+     * In a partition each gateway admits its share of the rate; with the whole rate at each, it would be 458 and 687
+     * requests.
+     */
     @Test
     void partitionedGatewaysShareTheRate() {
         for (int members : new int[] {2, 3}) {
@@ -58,17 +67,23 @@
             group.run(5 * SimulatedGroup.SECOND);
             group.isLost = (from, to) -> true;
             int before = group.sent.size();
-            for (int turn = 0; turn < 1000; turn++) {
+            for (int round = 0; round < 1000; round++) {
                 for (int i = 0; i < members; i++) {
                     group.request(i, SimulatedGroup.SAFE, CUSTOMER, 0, members);
                 }
                 group.run(20 * SimulatedGroup.MS);
             }
-            assertEquals(members * 30 + 200, group.sent.size() - before, 15, "each a burst, all the rate");
+            assertEquals(
+                    members * 30 + 200,
+                    group.sent.size() - before,
+                    15,
+                    "one burst for each gateway, and the rate once");
         }
     }
 
-    /** Forty that each take the last of the room at one moment; 560 go through where no lot is drawn. */
+    /**
+     * Forty gateways each take the remaining room at the same moment; without the random admission, 560 requests pass.
+     */
     @Test
     void remainingUnitsAreAdmittedAtRandomWhenManyGatewaysRace() {
         SimulatedGroup group = SimulatedGroup.of(40, SimulatedGroup.quotaPlan(10, 30));
@@ -79,10 +94,10 @@
             }
             group.run(SimulatedGroup.SECOND);
         }
-        assertTrue(group.sent.size() <= 340, "of 230 in the quota: " + group.sent.size());
+        assertTrue(group.sent.size() <= 340, "sent, with a quota of 230: " + group.sent.size());
     }
 
-    /** What went beyond a quota takes nothing from it, so a customer is not refused long after a surge. */
+    /** Units beyond the quota do not reduce later quota, so that a customer is not rejected for long after a surge. */
     @Test
     void quotaRateIsServedAgainAfterASurgeThroughAllGateways() {
         SimulatedGroup group = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(2, 16));
@@ -95,15 +110,15 @@
         }
         group.run(SimulatedGroup.SECOND);
         int before = group.sent.size();
-        assertEquals(51, before, "nobody knows in time");
+        assertEquals(51, before, "no gateway receives the counts of the others in time");
         for (int i = 0; i < 30; i++) {
             group.request(i % 3, SimulatedGroup.SAFE, CUSTOMER, 0, 3);
             group.run(650 * SimulatedGroup.MS);
         }
-        assertTrue(group.sent.size() - before >= 12, "after it: " + (group.sent.size() - before));
+        assertTrue(group.sent.size() - before >= 12, "sent after the surge: " + (group.sent.size() - before));
     }
 
-    /** What an edge could not tell before a long cut has drained since, and counts for nothing after it. */
+    /** Units that could not be reported before a long partition have drained since, and do not count after it. */
     @Test
     void unitsPendingDuringALongPartitionAreNotCountedAsNew() {
         SimulatedGroup group = SimulatedGroup.of(2, SimulatedGroup.quotaPlan(1, 9));
@@ -113,14 +128,17 @@
         group.isLost = (from, to) -> true;
         assertEquals(9, group.traffic(0, CUSTOMER, 2, SimulatedGroup.MS, 9 * SimulatedGroup.MS));
         group.run(120 * SimulatedGroup.SECOND);
-        group.request(0, SimulatedGroup.SAFE, 5, 0, 2); // lets the sweep come by
+        group.request(0, SimulatedGroup.SAFE, 5, 0, 2); // triggers the eviction of idle accounts
         group.isLost = (from, to) -> false;
-        group.request(1, SimulatedGroup.SAFE, CUSTOMER, 0, 2); // seen for the first time again
+        group.request(1, SimulatedGroup.SAFE, CUSTOMER, 0, 2); // a new account
         group.run(3 * SimulatedGroup.SECOND);
         assertEquals(9, group.traffic(1, CUSTOMER, 2, SimulatedGroup.MS, 9 * SimulatedGroup.MS));
     }
 
-    /** Deltas go up but nothing comes down for long: what was told before and since adds up, once. */
+    /**
+     * Reports pass in one direction but none in the other for long: units reported before and since must count once
+     * each.
+     */
     @Test
     void oneWayLinkMiscountsNothingOnceItIsRestored() {
         SimulatedGroup group = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(0.001, 30));
@@ -137,7 +155,9 @@
         assertEquals(30, sent + left, 3);
     }
 
-    /** One spoilt packet in 65,536 passes its check: it must not make all later ones look old for good. */
+    /**
+     * One corrupt packet in 65,536 has a matching checksum: it must not make all later packets look outdated for good.
+     */
     @Test
     void corruptPacketWithValidChecksumDoesNotDisconnectPeers() {
         for (int corruption = 0; corruption < 3; corruption++) {
@@ -170,11 +190,14 @@
             assertEquals(20, group.sent.size());
             group.run(20 * SimulatedGroup.SECOND);
             int more = group.traffic(0, CUSTOMER, 2, 60 * SimulatedGroup.MS, SimulatedGroup.SECOND);
-            assertTrue(more <= 1, "spoilt in way " + corruption + ": " + more); // one that it may stand in for
+            assertTrue(more <= 1, "corruption " + corruption + ": sent " + more); // the corrupt packet may replace one
         }
     }
 
-    /** Two neighbours that go at once leave the same units behind twice; the one who follows got both. */
+    /**
+     * Two neighbours lost at once leave the same pending units behind; the neighbour that replaced both received them
+     * twice.
+     */
     @Test
     void unitsPendingForTwoLostNeighboursCountOnce() {
         CustomerAccount account =
@@ -185,7 +208,7 @@
         assertArrayEquals(new double[] {0, 5, 0}, account.pending);
     }
 
-    /** A slow plan's customer had its whole burst again after a minute's silence. */
+    /** A customer of a plan with a low rate received its whole burst again after being idle for a minute. */
     @Test
     void accountWithUndrainedCountIsNotEvicted() {
         SimulatedGroup group = SimulatedGroup.of(1, SimulatedGroup.quotaPlan(0.01, 10));
@@ -197,7 +220,7 @@
         assertEquals(0, group.traffic(0, CUSTOMER, 1, 60 * SimulatedGroup.MS, SimulatedGroup.SECOND));
     }
 
-    /** A gateway that takes no requests itself has customers from its peers alone. */
+    /** A gateway without requests of its own knows customers only from its peers. */
     @Test
     void accountsKnownOnlyFromPeersAreEvicted() {
         SimulatedGroup group = SimulatedGroup.of(2, SimulatedGroup.quotaPlan(1, 9));
@@ -210,7 +233,9 @@
         assertEquals(0, group.policies[1].accounts.all().size());
     }
 
-    /** During a rolling restart two gateways may number the plans otherwise; the consumer's word counts. */
+    /**
+     * During a rolling restart two gateways may number the plans differently; the plan of the request takes precedence.
+     */
     @Test
     void planOfARequestOverridesThePlanReportedByAPeer() {
         CustomerPlan small = new CustomerPlan("small", 0.001, 6, 0, 0, 0, 0, 1, 0, 1);
@@ -224,7 +249,7 @@
             sendRequest(group, 0, 0);
             group.run(100 * SimulatedGroup.MS);
         }
-        assertTrue(group.sent.size() <= 6, "sent on: " + group.sent.size());
+        assertTrue(group.sent.size() <= 6, "sent: " + group.sent.size());
     }
 
     private static PolicySettings settingsWithPlans(int self, CustomerPlan... plans) {
@@ -258,7 +283,10 @@
                         false));
     }
 
-    /** One gateway is told a smaller set than the other, and took a larger share of the ceiling for it. */
+    /**
+     * One gateway receives a smaller member set than the other, and used to take a larger share of the rate limit for
+     * it.
+     */
     @Test
     void rateLimitHoldsWhenGatewaysDisagreeOnTheMembers() {
         SimulatedGroup group = SimulatedGroup.of(2, new CustomerPlan("plan", 100, 100, 0, 10, 20, 2, 1, 0, 1));
@@ -270,10 +298,10 @@
             group.request(1, SimulatedGroup.SAFE, CUSTOMER, 0, 2);
             group.run(10 * SimulatedGroup.MS);
         }
-        assertTrue(group.sent.size() <= 20 + 4 * 10 + 2, "sent on: " + group.sent.size());
+        assertTrue(group.sent.size() <= 20 + 4 * 10 + 2, "sent: " + group.sent.size());
     }
 
-    /** A request that goes astray must not bring in one more share of the ceiling than there are members. */
+    /** A misrouted request must not add one more share of the rate limit than there are members. */
     @Test
     void gatewayOutsideTheMemberSetHasNoShareOfTheRateLimit() {
         SimulatedGroup group = SimulatedGroup.of(3, new CustomerPlan("plan", 100, 100, 0, 10, 20, 2, 1, 0, 1));
@@ -284,21 +312,29 @@
             }
             group.run(10 * SimulatedGroup.MS);
         }
-        assertTrue(group.sent.size() <= 20 + 4 * 10 + 2, "sent on: " + group.sent.size());
-        assertEquals(0, group.sent.stream().filter(one -> one.gateway() == 2).count());
-        assertTrue(group.rejected.stream().allMatch(one -> one.retryAfter() > 0), "with advice");
+        assertTrue(group.sent.size() <= 20 + 4 * 10 + 2, "sent: " + group.sent.size());
+        assertEquals(0, group.sent.stream().filter(send -> send.gateway() == 2).count());
+        assertTrue(
+                group.rejected.stream().allMatch(rejection -> rejection.retryAfter() > 0),
+                "rejections have a retry-after");
     }
 
-    /** On sockets a request takes its units once it is whole at a server; the simulator takes them before. */
+    /**
+     * On sockets a request is charged once it has been delivered to a server as a whole; the simulator charges it
+     * before.
+     */
     @Test
     void requestNeverDeliveredIsNotCharged() {
         assertCharged(false, true, AttemptOutcome.CONNECT_FAILED);
         assertCharged(true, false, AttemptOutcome.CONNECT_FAILED);
-        assertCharged(true, true, AttemptOutcome.OVERLOADED); // turned away, but it was there
+        assertCharged(true, true, AttemptOutcome.OVERLOADED); // rejected, but delivered
         assertCharged(true, true, AttemptOutcome.RESET);
     }
 
-    /** It leaves while its call is not up yet; what comes of that call keeps nothing and tells nobody. */
+    /**
+     * The client disconnects while its attempt is still connecting; the outcome of that attempt charges nothing and
+     * sends no answer.
+     */
     @Test
     void clientThatDisconnectsBeforeTheAttemptConnectsIsNotCharged() {
         PolicySettings defaults = SimulatedGroup.settings(0, 2, SimulatedGroup.quotaPlan(0.001, 10));
@@ -320,18 +356,18 @@
         group.outcomeOf = sent -> AttemptOutcome.CONNECT_FAILED;
         for (int i = 0; i < 4; i++) {
             String id = group.request(0, SimulatedGroup.UNSAFE, CUSTOMER, 0, 2);
-            group.run(10 * SimulatedGroup.MS); // its delta may be on its way by now
+            group.run(10 * SimulatedGroup.MS); // its delta may have been reported by now
             group.deliver(0, new TrafficPolicy.RequestWithdrawn(id));
             group.run(SimulatedGroup.SECOND);
         }
-        assertEquals(4, group.sent.size(), "no further call for nobody");
+        assertEquals(4, group.sent.size(), "no retry without a client");
         assertEquals(0, group.rejected.size() + group.failed.size());
         assertEquals(0, group.policies[0].accounts.find(CUSTOMER).inFlight);
         group.outcomeOf = sent -> AttemptOutcome.OK;
         assertEquals(
                 10,
                 group.traffic(1, CUSTOMER, 2, 100 * SimulatedGroup.MS, 4 * SimulatedGroup.SECOND),
-                "the other gateway was told that they were not taken");
+                "the refund was reported to the other gateway");
     }
 
     private static void assertCharged(boolean charged, boolean chargeOnDelivery, AttemptOutcome outcome) {
@@ -358,7 +394,7 @@
                 .map(SimulatedGroup.RecordedSend::request)
                 .distinct()
                 .count();
-        assertTrue(tries > 2, "sent on: " + tries);
+        assertTrue(tries > 2, "sent: " + tries);
         group.run(20 * SimulatedGroup.SECOND);
         group.outcomeOf = sent -> AttemptOutcome.OK;
         assertEquals(
--- a/src/test/java/reedmux/gatekeeper/policy/PeerPacketCompatibilityTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/PeerPacketCompatibilityTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.Test;
 import reedmux.compatibility.FixtureFiles;
 
-/** Datagrams of an earlier version are understood, and this version writes the same bytes. */
+/** Verifies that datagrams of an earlier version are decoded, and that this version writes the same bytes. */
 public class PeerPacketCompatibilityTest {
 
     @Test
--- a/src/test/java/reedmux/gatekeeper/policy/PeerPacketFixtures.java
+++ b/src/test/java/reedmux/gatekeeper/policy/PeerPacketFixtures.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Datagrams between gatekeepers: with all that one can carry, and with names that were acknowledged. */
+/** Datagrams between gatekeepers: one with every field that a datagram can hold, and one with acknowledged aliases. */
 public final class PeerPacketFixtures {
     private static final int LENGTH = 256;
 
@@ -28,7 +28,7 @@
                 grant);
     }
 
-    /** Returns each datagram as it is read; a customer that is known by its alias has no plan. */
+    /** Returns each datagram as it is decoded; an entry with only an alias has no plan. */
     static Map<String, PeerPacket> packets() {
         Map<String, PeerPacket> all = new LinkedHashMap<>();
         all.put("full", new PeerPacket(65_000, 9, 0x8001, 1000, 77, true, 200, memberVersions(), entries(3)));
@@ -57,7 +57,7 @@
                 entry(3, plan, 0.07, null, 300, 0));
     }
 
-    /** Returns the bytes of those, written in this order with the aliases of one edge. */
+    /** Returns the encoded datagrams, written in this order with the aliases of one peer. */
     public static Map<String, byte[]> encoded() {
         CustomerAliases aliases = new CustomerAliases();
         Map<String, byte[]> all = new LinkedHashMap<>();
--- a/src/test/java/reedmux/gatekeeper/policy/PeerPacketTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/PeerPacketTest.java
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Sixteen bits let one spoilt packet in 65,536 through; a longer check is another form of the wire. */
+    /** A 16-bit checksum accepts one corrupt packet in 65,536; a longer one would change the wire format. */
     @ExpectedToFail("the check has 16 bits, docs/audit-findings.md F18")
     @Test
     void corruptPacketsFailTheChecksum() {
@@ -66,7 +66,9 @@
             for (int k = 0; k < 3; k++) {
                 corrupt[random.nextInt(valid.length)] ^= (byte) random.nextInt(1, 256);
             }
-            assertTrue(Arrays.equals(valid, corrupt) || PeerPacket.read(corrupt) == null, "passed: " + i);
+            assertTrue(
+                    Arrays.equals(valid, corrupt) || PeerPacket.read(corrupt) == null,
+                    "accepted a corrupt packet: iteration " + i);
         }
     }
 }
--- a/src/test/java/reedmux/gatekeeper/policy/PolicySourceTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/PolicySourceTest.java
@@ -13,16 +13,16 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The size of the files that decide, the width of all lines, and the example in the README. */
+/** Tests the size of the policy files, the width of all lines, and the example in the README. */
 class PolicySourceTest {
     private static final Path DEPLOYMENT = Path.of("deploy/balancer.toml");
     private static final int MAX_LINES = 1010;
     private static final int MAX_COLUMNS = 120;
 
-    /** The files that the deployment lists as holding the decisions. */
+    /** Returns the files that the deployment lists under {@code policy}. */
     private static List<Path> policyFiles() throws IOException {
         Matcher list = Pattern.compile("(?m)^policy = \\[(.*)]$").matcher(Files.readString(DEPLOYMENT));
-        assertTrue(list.find(), "no policy in " + DEPLOYMENT);
+        assertTrue(list.find(), "no policy list in " + DEPLOYMENT);
         List<Path> files = new ArrayList<>();
         Matcher file = Pattern.compile("\"([^\"]+)\"").matcher(list.group(1));
         while (file.find()) {
@@ -45,7 +45,7 @@
         assertTrue(filled <= MAX_LINES, "non-blank lines: " + filled);
     }
 
-    /** The formatter breaks code at that width; this sees what it leaves alone: comments and long strings. */
+    /** The formatter breaks code at this width but leaves comments and long strings alone, which this test covers. */
     @Test
     void linesStayWithinTheMaximumWidth() throws IOException {
         List<String> tooLong = new ArrayList<>();
--- a/src/test/java/reedmux/gatekeeper/policy/PolicyStateTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/PolicyStateTest.java
@@ -14,7 +14,7 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerListScope;
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerStatus;
 
-/** What is remembered of servers and customers that come and go has an end, and sums stay true. */
+/** Verifies that the state of transient servers and customers is bounded, and that sums over servers stay correct. */
 public final class PolicyStateTest {
     private final ServerPool pool = new ServerPool();
 
@@ -60,7 +60,9 @@
         assertTrue(group.policies[1].restartDetected());
     }
 
-    /** It answers at once and never has anything of ours out, so by these alone it is the best of all. */
+    /**
+     * Such a server answers at once and never has an attempt of ours in flight, so by these alone it looks the best.
+     */
     @Test
     public void serverThatRejectsEverythingIsAvoided() {
         SimulatedGroup group = SimulatedGroup.of(1, SimulatedGroup.quotaPlan(1000, 1000));
@@ -71,15 +73,16 @@
                 .filter(sent -> sent.server().equals(rejectingServer))
                 .count();
         assertTrue(
-                "of " + group.sent.size() + " there: " + sentToRejecting, sentToRejecting > 0 && sentToRejecting < 60);
+                "of " + group.sent.size() + " attempts, sent to the rejecting server: " + sentToRejecting,
+                sentToRejecting > 0 && sentToRejecting < 60);
     }
 
-    /** A cold start of ours looks like a jam: it must not go on refusing for long after answers are good. */
+    /** A cold start of the gateway looks like congestion: it must not keep rejecting long after answers are good. */
     @Test
     public void throttleOpensWithinSecondsOnceAnswersSucceed() {
         SimulatedGroup group = SimulatedGroup.of(1, SimulatedGroup.quotaPlan(1000, 1000));
         long until = group.now + 2 * SimulatedGroup.SECOND;
-        group.outcomeOf = sent -> sent.at() < until ? AttemptOutcome.RESET : AttemptOutcome.OK;
+        group.outcomeOf = sent -> sent.sentAt() < until ? AttemptOutcome.RESET : AttemptOutcome.OK;
         int[] sent = new int[6];
         for (int i = 0; i < 600; i++) {
             int before = group.sent.size();
@@ -99,8 +102,8 @@
         for (int number = 1; number <= packets; number++) {
             PeerPacketWriter writer =
                     new PeerPacketWriter(senderAliases, 1, 1, 0, number, 0, false, 40, List.of(), 256);
-            writer.add(new PeerPacket.AccountEntry(number, 0, 0, 2, 1, null, null, 0)); // comes once
-            writer.add(new PeerPacket.AccountEntry(0, 0, 0, 2, 1, null, null, 0)); // comes always
+            writer.add(new PeerPacket.AccountEntry(number, 0, 0, 2, 1, null, null, 0)); // seen once
+            writer.add(new PeerPacket.AccountEntry(0, 0, 0, 2, 1, null, null, 0)); // seen in every packet
             for (PeerPacket.AccountEntry entry :
                     PeerPacket.read(writer.finish()).entries()) {
                 PeerPacket.AccountEntry full = receiverAliases.resolve(entry);
--- a/src/test/java/reedmux/gatekeeper/policy/QuotaCountingTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/QuotaCountingTest.java
@@ -16,51 +16,54 @@
 import org.junit.jupiter.api.Test;
 import reedmux.gatekeeper.policy.TrafficPolicy.CustomerPlan;
 
-/** The quota over a heap of gateways, also through lost, doubled and garbled messages, cuts and restarts. */
+/** Tests the quota over a heap of gateways, also with lost, duplicate and corrupt messages, partitions and restarts. */
 class QuotaCountingTest {
     private static final long CUSTOMER = 77;
 
-    private static int[] neighbours(int self, int group, int first, int spread) {
-        return new HeapTopology(self, group).neighbours(first, spread);
+    private static int[] neighbours(int self, int groupSize, int firstMember, int memberCount) {
+        return new HeapTopology(self, groupSize).neighbours(firstMember, memberCount);
     }
 
-    /** Checks one set's tree: mutual links, one root, each parent above its children; returns the depth. */
+    /** Checks the tree of one member set: mutual links, one root, each parent above its children. Returns the depth. */
     private static int checkTreeAndGetDepth(
-            int group, int first, int spread, Map<Integer, Set<Integer>> neighboursByMember) {
+            int groupSize, int firstMember, int memberCount, Map<Integer, Set<Integer>> neighboursByMember) {
         Map<Integer, int[]> neighboursOf = new HashMap<>();
-        for (int i = 0; i < spread; i++) {
-            int self = (first + i) % group;
-            neighboursOf.put(self, neighbours(self, group, first, spread));
+        for (int i = 0; i < memberCount; i++) {
+            int self = (firstMember + i) % groupSize;
+            neighboursOf.put(self, neighbours(self, groupSize, firstMember, memberCount));
             Arrays.stream(neighboursOf.get(self))
                     .filter(peer -> peer >= 0)
                     .forEach(peer -> neighboursByMember
                             .computeIfAbsent(self, m -> new HashSet<>())
                             .add(peer));
         }
-        int deepest = 0;
+        int maxDepth = 0;
         for (int member : neighboursOf.keySet()) {
             int depth = 1;
             for (int current = member;
                     neighboursOf.get(current)[0] >= 0;
                     current = neighboursOf.get(current)[0]) {
                 int[] parent = neighboursOf.get(neighboursOf.get(current)[0]);
-                assertTrue(parent[1] == current || parent[2] == current, "a parent knows its child");
-                assertTrue(++depth <= spread, "no ring");
+                assertTrue(parent[1] == current || parent[2] == current, "the parent links to its child");
+                assertTrue(++depth <= memberCount, "the tree has no cycle");
             }
-            deepest = Math.max(deepest, depth);
+            maxDepth = Math.max(maxDepth, depth);
         }
-        assertEquals(1, neighboursOf.values().stream().filter(one -> one[0] < 0).count(), "one root");
-        return deepest;
+        assertEquals(
+                1, neighboursOf.values().stream().filter(slots -> slots[0] < 0).count(), "number of roots");
+        return maxDepth;
     }
 
     @Test
     void heapsOfAllSizesAreShallow() {
-        for (int group : new int[] {1, 2, 3, 7, 64, 100, 440}) {
-            for (int spread = 1; spread <= group; spread += 1 + spread / 3) {
-                for (int first : new int[] {0, group / 3, group - 1}) { // the last ones wrap round
-                    int depth = checkTreeAndGetDepth(group, first, spread, new HashMap<>());
-                    int log = 32 - Integer.numberOfLeadingZeros(spread);
-                    assertTrue(depth <= 2 * log + 1, group + "/" + first + "/" + spread + ": " + depth);
+        for (int groupSize : new int[] {1, 2, 3, 7, 64, 100, 440}) {
+            for (int memberCount = 1; memberCount <= groupSize; memberCount += 1 + memberCount / 3) {
+                for (int firstMember : new int[] {0, groupSize / 3, groupSize - 1}) { // the last one wraps around
+                    int depth = checkTreeAndGetDepth(groupSize, firstMember, memberCount, new HashMap<>());
+                    int log = 32 - Integer.numberOfLeadingZeros(memberCount);
+                    assertTrue(
+                            depth <= 2 * log + 1,
+                            groupSize + "/" + firstMember + "/" + memberCount + ": depth " + depth);
                 }
             }
         }
@@ -119,23 +122,27 @@
         assertEquals(0.2 * SimulatedGroup.SECOND, group.rejected.get(0).retryAfter(), 1000);
     }
 
-    /** A client told to come back too early only adds load, and one refused has its answer at once. */
+    /** A retry-after that is too short only adds load. A request that cannot be sent is rejected at once. */
     @Test
     void retryAfterIsTheTimeUntilThereIsRoom() {
         CustomerPlan rateLimited = new CustomerPlan("plan", 100, 100, 0, 10, 4, 2, 1, 0, 1);
-        for (CustomerPlan plan :
-                List.of(rateLimited, SimulatedGroup.quotaPlan(0.5, 3))) { // the second: first sight, of three members
+        for (CustomerPlan plan : List.of(
+                rateLimited, SimulatedGroup.quotaPlan(0.5, 3))) { // the second tests the initial share of three members
             SimulatedGroup group = SimulatedGroup.of(3, plan);
             group.run(10 * SimulatedGroup.SECOND);
             List<String> ids = List.of(
                     group.request(0, SimulatedGroup.SAFE, CUSTOMER, 0, 3),
                     group.request(0, SimulatedGroup.SAFE, CUSTOMER, 0, 3));
-            assertTrue(group.wasSent(ids.get(0)) && group.wasRejected(ids.get(1)), plan + ": at once");
+            assertTrue(
+                    group.wasSent(ids.get(0)) && group.wasRejected(ids.get(1)),
+                    plan + ": one is sent and one rejected at once");
             long wait = group.rejected.get(0).retryAfter();
-            if (plan == rateLimited) { // without spare units of others; first sight ends sooner if packets do
+            if (plan == rateLimited) { // no spare tokens from peers; the initial share needs their packets
                 group.isLost = (from, to) -> true;
                 group.run(wait - 2 * SimulatedGroup.MS);
-                assertTrue(group.wasRejected(group.request(0, SimulatedGroup.SAFE, CUSTOMER, 0, 3)), "too early");
+                assertTrue(
+                        group.wasRejected(group.request(0, SimulatedGroup.SAFE, CUSTOMER, 0, 3)),
+                        "before the retry-after");
                 wait = 3 * SimulatedGroup.MS;
             }
             group.run(wait);
@@ -180,9 +187,11 @@
         group.run(2 * SimulatedGroup.SECOND);
         assertEquals(49, group.sent.size());
         for (int gateway = 0; gateway < 3; gateway++) {
-            assertTrue(group.wasRejected(group.request(gateway, SimulatedGroup.SAFE, CUSTOMER, 0, 3, 2)), "counts all");
+            assertTrue(
+                    group.wasRejected(group.request(gateway, SimulatedGroup.SAFE, CUSTOMER, 0, 3, 2)),
+                    "all units are counted");
         }
-        assertTrue(group.wasSent(group.request(1, SimulatedGroup.SAFE, CUSTOMER, 0, 3)), "counts nothing twice");
+        assertTrue(group.wasSent(group.request(1, SimulatedGroup.SAFE, CUSTOMER, 0, 3)), "no unit is counted twice");
     }
 
     @Test
@@ -232,7 +241,7 @@
             }
         }
         group.run(SimulatedGroup.SECOND);
-        // one unit of the old life is too little to be told; five are known from gateway 0
+        // one unit of the old incarnation is too little to be reported; five are known from gateway 0
         assertEquals(15, group.traffic(1, CUSTOMER, 2, 60 * SimulatedGroup.MS, 2 * SimulatedGroup.SECOND));
     }
 
@@ -264,10 +273,12 @@
         group.run(3 * SimulatedGroup.SECOND);
         assertEquals(18, group.sent.size());
         int after = group.traffic(1, CUSTOMER, 3, 100 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
-        assertTrue(after >= 12 && after <= 17, "12 units are left, 5 more if the cut's go untold: " + after);
+        assertTrue(
+                after >= 12 && after <= 17,
+                "12 units are left, 5 more if those of the partition are not reported: " + after);
     }
 
-    /** The first packet to a neighbour goes out before its life is known; it counted twice once. */
+    /** The first packet to a neighbour is sent before its incarnation is known; its units used to count twice. */
     @Test
     void firstPacketToANeighbourCountsOnce() {
         SimulatedGroup group = SimulatedGroup.of(7, SimulatedGroup.quotaPlan(0.001, 20));
@@ -279,7 +290,7 @@
         assertEquals(13, group.traffic(3, CUSTOMER, 7, 60 * SimulatedGroup.MS, 3 * SimulatedGroup.SECOND));
     }
 
-    /** A gateway told that it is silent once refuted its own refutation without end. */
+    /** A gateway that was reported as unreachable used to refute its own refutation endlessly. */
     @Test
     void gatewayRefutesOnceThatItIsUnreachable() {
         SimulatedGroup group = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(1, 20));
@@ -300,10 +311,11 @@
         }
         int before = group.peerMessages.size();
         group.run(SimulatedGroup.SECOND);
-        assertTrue(group.peerMessages.size() - before < 100, "no flood: " + (group.peerMessages.size() - before));
+        assertTrue(
+                group.peerMessages.size() - before < 100, "messages in 1 s: " + (group.peerMessages.size() - before));
     }
 
-    /** Entries that make no sense are passed over, the rest of their packet counts. */
+    /** Invalid entries are skipped, and the rest of their packet is applied. */
     @Test
     void invalidEntriesAreIgnored() {
         SimulatedGroup group = SimulatedGroup.of(2, SimulatedGroup.quotaPlan(0.001, 20));
@@ -340,10 +352,12 @@
                 .mapToInt(Integer::intValue)
                 .max()
                 .orElseThrow();
-        assertTrue(most <= 4 * 60, "most in 4 s: " + most);
+        assertTrue(most <= 4 * 60, "maximum of one gateway in 4 s: " + most);
     }
 
-    /** One stands still for seconds; its neighbours' silence is its own, and all go on counting together. */
+    /**
+     * A gateway that stalls for seconds must not blame its neighbours for the silence, and all keep counting together.
+     */
     @Test
     void stalledGatewayDoesNotMarkPeersUnreachable() {
         SimulatedGroup group = SimulatedGroup.of(3, SimulatedGroup.quotaPlan(0.001, 20));
@@ -356,7 +370,9 @@
         assertEquals(18, sent, 1);
     }
 
-    /** Gateways that stand still take in late what waited for them; it was sent round them as well. */
+    /**
+     * Stalled gateways process late the packets that were queued for them, while the units were also sent around them.
+     */
     @Test
     void unitsThatAStalledNeighbourReceivesLateCountOnce() {
         SimulatedGroup group = SimulatedGroup.of(15, SimulatedGroup.quotaPlan(0.001, 60));
@@ -374,10 +390,10 @@
         group.run(5 * SimulatedGroup.SECOND);
         int room = 60 - group.sent.size();
         int sent = group.traffic(5, CUSTOMER, 15, 400 * SimulatedGroup.MS, 14 * SimulatedGroup.SECOND);
-        assertEquals(room, sent, 2, "room: " + room);
+        assertEquals(room, sent, 2, "remaining units: " + room);
     }
 
-    /** A count below nought let a customer's surge through that much longer. */
+    /** A negative count would admit a customer's surge for that much longer. */
     @Test
     void idleTimeAccumulatesNoMoreThanABurst() {
         SimulatedGroup group = new SimulatedGroup(
--- a/src/test/java/reedmux/gatekeeper/policy/ServerSelectionTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/ServerSelectionTest.java
@@ -22,13 +22,13 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerListScope;
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerStatus;
 
-/** The rules' guards, the caps and the care of servers. */
+/** Tests the enforcement of the platform rules, the concurrency limits, and the handling of failing servers. */
 class ServerSelectionTest {
-    private static final CustomerPlan UNRESTRICTIVE_PLAN = SimulatedGroup.quotaPlan(1000, 1000);
+    private static final CustomerPlan LARGE_PLAN = SimulatedGroup.quotaPlan(1000, 1000);
 
     private static List<String> serversOf(SimulatedGroup group, String request) {
         return group.sent.stream()
-                .filter(s -> s.request().equals(request))
+                .filter(send -> send.request().equals(request))
                 .map(SimulatedGroup.RecordedSend::server)
                 .toList();
     }
@@ -36,7 +36,7 @@
     @Test
     void unsafeRequestThatMayHaveRunFailsWithoutRetryOrRejection() {
         for (AttemptOutcome outcome : List.of(AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMEOUT)) {
-            SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
+            SimulatedGroup group = SimulatedGroup.of(1, LARGE_PLAN);
             group.outcomeOf = sent -> outcome;
             String id = group.request(0, SimulatedGroup.UNSAFE, 1, 0, 1);
             group.run(5 * SimulatedGroup.SECOND);
@@ -48,7 +48,7 @@
 
     @Test
     void unsafeRequestThatNeverRanIsRetriedAtAnotherServer() {
-        SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
+        SimulatedGroup group = SimulatedGroup.of(1, LARGE_PLAN);
         group.outcomeOf = sent -> group.sent.size() == 1 ? AttemptOutcome.OVERLOADED : AttemptOutcome.OK;
         String id = group.request(0, SimulatedGroup.UNSAFE, 1, 0, 1);
         group.run(SimulatedGroup.SECOND);
@@ -59,15 +59,15 @@
     @Test
     void keyedRequestIsRetriedWithinItsDeduplicationScope() {
         for (int i = 0; i < 20; i++) {
-            SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
+            SimulatedGroup group = SimulatedGroup.of(1, LARGE_PLAN);
             group.run(i * SimulatedGroup.MS);
             group.outcomeOf = sent -> AttemptOutcome.ERROR;
             String id = group.request(0, SimulatedGroup.KEYED, i, 0, 1);
             group.run(5 * SimulatedGroup.SECOND);
             List<String> servers = serversOf(group, id);
-            assertEquals(2, servers.size(), "one repeat on the cell's other server");
+            assertEquals(2, servers.size(), "one retry, at the other server of the cell");
             assertEquals(cell(servers.get(0)), cell(servers.get(1)));
-            assertEquals(List.of(id), group.failed, "a refusal would promise too much");
+            assertEquals(List.of(id), group.failed, "a rejection would promise a repeat without effect");
         }
     }
 
@@ -77,7 +77,7 @@
 
     @Test
     void everyRequestGetsOneFinalAnswerInTime() {
-        SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
+        SimulatedGroup group = SimulatedGroup.of(1, LARGE_PLAN);
         group.outcomeOf = sent -> null;
         for (int i = 0; i < 60; i++) {
             group.request(0, i % 3, i, 0, 1);
@@ -89,7 +89,7 @@
 
     @Test
     void nothingIsSentOrAnsweredAfterTheClientDisconnects() {
-        SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
+        SimulatedGroup group = SimulatedGroup.of(1, LARGE_PLAN);
         group.outcomeOf = sent -> AttemptOutcome.ERROR;
         String id = group.request(0, SimulatedGroup.SAFE, 1, 0, 1);
         group.deliver(0, new RequestWithdrawn(id));
@@ -101,7 +101,7 @@
 
     @Test
     void drainingAndRemovedServersReceiveNoRequests() {
-        SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
+        SimulatedGroup group = SimulatedGroup.of(1, LARGE_PLAN);
         group.deliver(
                 0,
                 new ServerList(
@@ -121,19 +121,19 @@
             group.run(10 * SimulatedGroup.MS);
         }
         String only = SimulatedGroup.server(2, ServerStatus.READY, 0).id();
-        assertTrue(group.sent.stream().allMatch(s -> s.server().equals(only)));
+        assertTrue(group.sent.stream().allMatch(send -> send.server().equals(only)));
     }
 
     @Test
     void requestsAreRejectedAtOnceWithoutServers() {
-        SimulatedGroup group = new SimulatedGroup(List.of(), SimulatedGroup.settings(0, 1, UNRESTRICTIVE_PLAN));
+        SimulatedGroup group = new SimulatedGroup(List.of(), SimulatedGroup.settings(0, 1, LARGE_PLAN));
         assertTrue(group.wasRejected(group.request(0, SimulatedGroup.UNSAFE, 1, 0, 1)));
     }
 
     @Test
     void coldServerStaysWithinItsLoadBound() {
         List<ListedServer> servers = new ArrayList<>(SimulatedGroup.servers(3));
-        SimulatedGroup group = new SimulatedGroup(servers, SimulatedGroup.settings(0, 1, UNRESTRICTIVE_PLAN));
+        SimulatedGroup group = new SimulatedGroup(servers, SimulatedGroup.settings(0, 1, LARGE_PLAN));
         group.traffic(0, 1, 1, 5 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
         group.deliver(
                 0,
@@ -142,7 +142,9 @@
         int before = group.sent.size();
         group.traffic(0, 1, 1, 5 * SimulatedGroup.MS, 2 * SimulatedGroup.SECOND);
         List<SimulatedGroup.RecordedSend> later = group.sent.subList(before, group.sent.size());
-        long cold = later.stream().filter(s -> s.server().equals("10.0.0.3:80")).count();
+        long cold = later.stream()
+                .filter(send -> send.server().equals("10.0.0.3:80"))
+                .count();
         assertTrue(cold > 0 && cold < 2 * 1.5 * 0.45 * later.size() / 6, cold + " of " + later.size());
     }
 
@@ -154,12 +156,12 @@
         group.run(10 * SimulatedGroup.SECOND);
         int sent = group.traffic(0, 1, 2, SimulatedGroup.MS, SimulatedGroup.SECOND);
         sent += group.traffic(1, 1, 2, SimulatedGroup.MS, SimulatedGroup.SECOND);
-        assertTrue(sent <= 20 + 2 * 10 + 2, "passed " + sent);
+        assertTrue(sent <= 20 + 2 * 10 + 2, "sent " + sent);
         group.restart(0);
-        assertTrue(group.wasRejected(group.request(0, SimulatedGroup.SAFE, 1, 0, 2)), "a new life has nothing saved");
+        assertTrue(group.wasRejected(group.request(0, SimulatedGroup.SAFE, 1, 0, 2)), "a restart keeps no tokens");
     }
 
-    /** Traffic gathers on one gateway: spare units follow, and the sum stays under the ceiling. */
+    /** Traffic moves to one gateway: spare tokens follow it, and the sum stays within the rate limit. */
     @Test
     void spareRateLimitTokensMoveToWhereTheyAreUsed() {
         CustomerPlan plan = new CustomerPlan("plan", 100, 100, 0, 10, 20, 2, 1, 0, 1);
@@ -168,14 +170,14 @@
         group.isLost = (from, to) -> ++messages[0] % 12 == 0;
         group.run(10 * SimulatedGroup.SECOND);
         int sent = group.traffic(0, 1, 4, 50 * SimulatedGroup.MS, 10 * SimulatedGroup.SECOND);
-        assertTrue(sent > 1.3 * (5 + 10 * 10 / 4), "more than its own share: " + sent);
-        assertTrue(sent <= 20 + 10 * 10 + 2, "under the ceiling: " + sent);
+        assertTrue(sent > 1.3 * (5 + 10 * 10 / 4), "sent, more than its own share: " + sent);
+        assertTrue(sent <= 20 + 10 * 10 + 2, "sent, within the rate limit: " + sent);
     }
 
-    /** Hundreds of gateways each sent a fresh server their first request at once. */
+    /** Hundreds of gateways used to send a new server their first request at the same time. */
     @Test
     void firstRequestsOfManyGatewaysToAColdServerAreSpreadOverTime() {
-        SimulatedGroup group = SimulatedGroup.of(60, UNRESTRICTIVE_PLAN);
+        SimulatedGroup group = SimulatedGroup.of(60, LARGE_PLAN);
         group.run(10 * SimulatedGroup.MS);
         for (int i = 0; i < 1500; i++) {
             group.request(i % 60, SimulatedGroup.SAFE, i, i % 60, 1);
@@ -193,21 +195,21 @@
             group.run(4 * SimulatedGroup.MS);
         }
         long cold = group.sent.subList(before, group.sent.size()).stream()
-                .filter(s -> s.server().equals("10.0.0.4:80"))
+                .filter(send -> send.server().equals("10.0.0.4:80"))
                 .count();
-        assertTrue(cold < 3 * 0.25 * 250 / 4, "first second: " + cold);
+        assertTrue(cold < 3 * 0.25 * 250 / 4, "sent to the cold server in the first second: " + cold);
     }
 
     /**
-     * A release left 18 of 60 servers warm. Each gateway took its mean on these for the mean on its whole
-     * window, so the new ones got a fifth of what the old ones did, which were jammed for it.
+     * A release left 18 of 60 servers warm. Each gateway took its mean load on these as the mean over its whole window,
+     * so the new servers received a fifth of the load of the old ones, which were congested as a result.
      */
     @Test
     void newServersReceiveTheirShareWhileFewServersAreWarm() {
         SimulatedGroup group = new SimulatedGroup(
                 SimulatedGroup.servers(60),
                 IntStream.range(0, 14)
-                        .mapToObj(i -> SimulatedGroup.settings(i, 14, UNRESTRICTIVE_PLAN))
+                        .mapToObj(i -> SimulatedGroup.settings(i, 14, LARGE_PLAN))
                         .toArray(PolicySettings[]::new));
         sendEveryThreeMillis(group, 10);
         long started = group.now;
@@ -225,8 +227,8 @@
         Map<String, List<Long>> times = new HashMap<>();
         group.sent
                 .subList(before, group.sent.size())
-                .forEach(s -> times.computeIfAbsent(s.server(), id -> new ArrayList<>())
-                        .add(s.at()));
+                .forEach(send -> times.computeIfAbsent(send.server(), id -> new ArrayList<>())
+                        .add(send.sentAt()));
         double[] sentPerServer = new double[2];
         for (int i = 0; i < 60; i++) {
             List<Long> sendTimes = times.getOrDefault(
@@ -236,17 +238,17 @@
                             .filter(t -> t > started + 4 * SimulatedGroup.SECOND)
                             .count()
                     / (cold ? 42.0 : 18.0);
-            for (long from : cold ? sendTimes : List.<Long>of()) { // each can do 12 requests a second when warm
+            for (long from : cold ? sendTimes : List.<Long>of()) { // a warm server handles 12 requests per second
                 double capacity = 12 * (0.25 + 0.75 * (from - started) / (12.0 * SimulatedGroup.SECOND));
                 long window = sendTimes.stream()
                         .filter(t -> t >= from && t < from + SimulatedGroup.SECOND)
                         .count();
-                assertTrue(window <= 3 * capacity, i + " fell over: " + window + " of " + capacity);
+                assertTrue(window <= 3 * capacity, i + " is overloaded: " + window + " requests, capacity " + capacity);
             }
         }
         assertTrue(
                 sentPerServer[1] > sentPerServer[0] / 3,
-                "sent to a new one " + sentPerServer[1] + ", to an old one " + sentPerServer[0]);
+                "sent to a new server " + sentPerServer[1] + ", to an old server " + sentPerServer[0]);
     }
 
     private static void sendEveryThreeMillis(SimulatedGroup group, int seconds) {
@@ -276,14 +278,14 @@
     void failingOrHangingServerIsAvoidedAndRetriedLater() {
         for (AttemptOutcome bad :
                 List.of(AttemptOutcome.ERROR, AttemptOutcome.TIMEOUT, AttemptOutcome.CONNECT_FAILED)) {
-            SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
-            boolean[] sick = {true};
-            group.outcomeOf = s -> sick[0] && s.server().equals("10.0.0.0:80") ? bad : AttemptOutcome.OK;
+            SimulatedGroup group = SimulatedGroup.of(1, LARGE_PLAN);
+            boolean[] faulty = {true};
+            group.outcomeOf = send -> faulty[0] && send.server().equals("10.0.0.0:80") ? bad : AttemptOutcome.OK;
             group.traffic(0, 1, 1, 10 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
             int before = group.sent.size();
             group.traffic(0, 1, 1, 10 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
             assertTrue(share(group, before) < 0.05, bad + " " + share(group, before));
-            sick[0] = false;
+            faulty[0] = false;
             group.traffic(0, 1, 1, 10 * SimulatedGroup.MS, 10 * SimulatedGroup.SECOND);
             before = group.sent.size();
             group.traffic(0, 1, 1, 10 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
@@ -293,26 +295,26 @@
 
     @Test
     void classOfRequestsRecoversAfterItsServersHung() {
-        SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
-        boolean[] sick = {true};
-        group.outcomeOf = s -> sick[0] ? null : AttemptOutcome.OK;
+        SimulatedGroup group = SimulatedGroup.of(1, LARGE_PLAN);
+        boolean[] hanging = {true};
+        group.outcomeOf = send -> hanging[0] ? null : AttemptOutcome.OK;
         for (int i = 0; i < 300; i++) {
             group.request(0, SimulatedGroup.UNSAFE, 1, 0, 1);
             group.run(50 * SimulatedGroup.MS);
         }
-        sick[0] = false;
+        hanging[0] = false;
         group.run(10 * SimulatedGroup.SECOND);
         int before = group.sent.size();
         for (int i = 0; i < 200; i++) {
             group.request(0, SimulatedGroup.UNSAFE, 1, 0, 1);
             group.run(50 * SimulatedGroup.MS);
         }
-        assertTrue(group.sent.size() - before > 150, "sent on again: " + (group.sent.size() - before));
+        assertTrue(group.sent.size() - before > 150, "sent after recovery: " + (group.sent.size() - before));
     }
 
     @Test
     void overloadRejectsTheLeastValuableRequestsFirst() {
-        SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
+        SimulatedGroup group = SimulatedGroup.of(1, LARGE_PLAN);
         group.outcomeOf = sent -> null;
         List<String> least = new ArrayList<>();
         List<String> most = new ArrayList<>();
@@ -327,7 +329,7 @@
 
     @Test
     void startedStreamIsNeitherRetriedNorAnsweredAgain() {
-        SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
+        SimulatedGroup group = SimulatedGroup.of(1, LARGE_PLAN);
         group.outcomeOf = sent -> null;
         String id = group.request(0, SimulatedGroup.SAFE, 1, 0, 1);
         String server = serversOf(group, id).get(0);
@@ -341,12 +343,12 @@
 
     private static double share(SimulatedGroup group, int from) {
         List<SimulatedGroup.RecordedSend> part = group.sent.subList(from, group.sent.size());
-        return part.stream().filter(s -> s.server().equals("10.0.0.0:80")).count() / (double) part.size();
+        return part.stream().filter(send -> send.server().equals("10.0.0.0:80")).count() / (double) part.size();
     }
 
     @Test
     void ejectionStopsWhenMostServersFail() {
-        SimulatedGroup group = SimulatedGroup.of(1, UNRESTRICTIVE_PLAN);
+        SimulatedGroup group = SimulatedGroup.of(1, LARGE_PLAN);
         group.outcomeOf = sent -> AttemptOutcome.ERROR;
         group.traffic(0, 1, 1, 20 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
         List<SimulatedGroup.RecordedSend> last = group.sent.subList(group.sent.size() - 50, group.sent.size());
@@ -359,17 +361,16 @@
 
     @Test
     void attemptsInFlightAreBoundedWhenServersHang() {
-        SimulatedGroup group =
-                new SimulatedGroup(SimulatedGroup.servers(2), SimulatedGroup.settings(0, 1, UNRESTRICTIVE_PLAN));
+        SimulatedGroup group = new SimulatedGroup(SimulatedGroup.servers(2), SimulatedGroup.settings(0, 1, LARGE_PLAN));
         group.outcomeOf = sent -> null;
         IntStream.range(0, 200).forEach(i -> group.request(0, SimulatedGroup.UNSAFE, i, 0, 1));
-        assertTrue(group.sent.size() <= 48, "out: " + group.sent.size());
+        assertTrue(group.sent.size() <= 48, "in flight: " + group.sent.size());
         assertEquals(200, group.sent.size() + group.rejected.size());
     }
 
     @Test
     void polledDiscoveryIsPolledAgainAfterAFailure() {
-        TrafficPolicy.PolicySettings defaults = SimulatedGroup.settings(0, 1, UNRESTRICTIVE_PLAN);
+        TrafficPolicy.PolicySettings defaults = SimulatedGroup.settings(0, 1, LARGE_PLAN);
         TrafficPolicy.PolicySettings polling = new TrafficPolicy.PolicySettings(
                 0,
                 1,
@@ -390,30 +391,30 @@
     }
 
     /**
-     * A gateway with under one attempt out fills no bound on attempts. When servers were jammed it went on
-     * sending nearly all until each of many servers was known as slow, and then refused for long after.
+     * A gateway with less than one attempt in flight never reaches a concurrency limit. When servers were congested, it
+     * kept sending nearly all requests until each of many servers was known as slow, and then rejected for long.
      */
     @Test
     void throttleBoundsSendsDuringAnOutageAndRecoversSoonAfter() {
         SimulatedGroup group =
-                new SimulatedGroup(SimulatedGroup.servers(70), SimulatedGroup.settings(0, 1, UNRESTRICTIVE_PLAN));
+                new SimulatedGroup(SimulatedGroup.servers(70), SimulatedGroup.settings(0, 1, LARGE_PLAN));
         group.traffic(0, 1, 1, 100 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
         group.outcomeOf = sent -> AttemptOutcome.TIMEOUT;
         group.traffic(0, 1, 1, 100 * SimulatedGroup.MS, 4 * SimulatedGroup.SECOND);
         int sentDuringOutage = group.traffic(0, 1, 1, 100 * SimulatedGroup.MS, 4 * SimulatedGroup.SECOND);
-        assertTrue(sentDuringOutage > 0 && sentDuringOutage < 16, "of 40, in a jam: " + sentDuringOutage);
+        assertTrue(sentDuringOutage > 0 && sentDuringOutage < 16, "sent during the outage, of 40: " + sentDuringOutage);
         group.outcomeOf = sent -> AttemptOutcome.OK;
         group.run(3 * SimulatedGroup.SECOND);
         group.traffic(0, 1, 1, 100 * SimulatedGroup.MS, 4 * SimulatedGroup.SECOND);
         int after = group.traffic(0, 1, 1, 100 * SimulatedGroup.MS, 2 * SimulatedGroup.SECOND);
-        assertTrue(after >= 18, "of 20, soon after: " + after);
+        assertTrue(after >= 18, "sent soon after the outage, of 20: " + after);
     }
 
-    /** With servers by the dozen, and a request now and then, a gateway never learnt which of them hang. */
+    /** With dozens of servers and only occasional requests, a gateway never detected which servers hang. */
     @Test
     void gatewaysWithLittleTrafficEachUseFewServersAndTogetherCoverAll() {
         PolicySettings[] settings = IntStream.range(0, 60)
-                .mapToObj(i -> SimulatedGroup.settings(i, 60, UNRESTRICTIVE_PLAN))
+                .mapToObj(i -> SimulatedGroup.settings(i, 60, LARGE_PLAN))
                 .toArray(PolicySettings[]::new);
         List<ListedServer> servers = IntStream.range(0, 30)
                 .mapToObj(i -> new ListedServer("10.0.1." + i + ":80", 0, 0, 0, ServerStatus.READY, 1, 0))
@@ -429,10 +430,10 @@
             used.computeIfAbsent(sent.gateway(), g -> new HashSet<>()).add(sent.server());
             load.merge(sent.server(), 1, Integer::sum);
         }
-        assertTrue(used.values().stream().allMatch(few -> few.size() <= 4), "servers of a gateway: " + used);
+        assertTrue(used.values().stream().allMatch(few -> few.size() <= 4), "servers used by each gateway: " + used);
         assertTrue(
                 load.size() == 30 && load.values().stream().allMatch(l -> l > 20 && l < 240),
-                "of 80 in the mean: " + load);
+                "requests by server, 80 on average: " + load);
     }
 
     @Test
@@ -440,7 +441,7 @@
         DeploymentLimits withoutPeers =
                 new DeploymentLimits(true, false, false, false, false, 3, SimulatedGroup.SECOND, 60, 256, 0);
         SimulatedGroup group = new SimulatedGroup(
-                SimulatedGroup.servers(30), SimulatedGroup.settings(0, 60, UNRESTRICTIVE_PLAN, withoutPeers));
+                SimulatedGroup.servers(30), SimulatedGroup.settings(0, 60, LARGE_PLAN, withoutPeers));
         group.traffic(0, 1, 1, 300 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
         List<String> own = group.sent.stream()
                 .map(SimulatedGroup.RecordedSend::server)
@@ -450,34 +451,34 @@
         group.traffic(0, 1, 1, 300 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
         int before = group.rejected.size();
         group.traffic(0, 1, 1, 300 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
-        assertTrue(group.rejected.size() - before <= 2, "refused: " + (group.rejected.size() - before));
+        assertTrue(group.rejected.size() - before <= 2, "rejected: " + (group.rejected.size() - before));
     }
 
-    /** With an answer a second, a class's mean took 20 s to fall after a jam, and nearly all was refused. */
+    /** With one answer a second, a class's mean took 20 s to fall after congestion: nearly all were rejected. */
     @Test
     void latencyEstimateRecoversQuicklyAfterCongestion() {
         SimulatedGroup group =
-                new SimulatedGroup(SimulatedGroup.servers(70), SimulatedGroup.settings(0, 1, UNRESTRICTIVE_PLAN));
+                new SimulatedGroup(SimulatedGroup.servers(70), SimulatedGroup.settings(0, 1, LARGE_PLAN));
         group.traffic(0, 1, 1, 200 * SimulatedGroup.MS, 5 * SimulatedGroup.SECOND);
         group.extraLatency = 450 * SimulatedGroup.MS;
         group.traffic(0, 1, 1, 200 * SimulatedGroup.MS, 10 * SimulatedGroup.SECOND);
         group.extraLatency = 0;
         group.traffic(0, 1, 1, 200 * SimulatedGroup.MS, 4 * SimulatedGroup.SECOND);
         int after = group.traffic(0, 1, 1, 200 * SimulatedGroup.MS, 3 * SimulatedGroup.SECOND);
-        assertTrue(after >= 4, "of 15, on the way back: " + after);
+        assertTrue(after >= 4, "sent during recovery, of 15: " + after);
     }
 
-    /** It looked stuck: with one call out that said nothing, others were expected to be late there. */
+    /** With one attempt in flight that made no progress, other requests were expected to be late at its server. */
     @Test
     void incompleteRequestBodyIsNotCountedAsServerLoad() {
         SimulatedGroup group = new SimulatedGroup(
                 SimulatedGroup.servers(1), SimulatedGroup.settings(0, 1, SimulatedGroup.quotaPlan(0, 0)));
-        group.outcomeOf = sent -> null; // answered by the test, or never
+        group.outcomeOf = sent -> null; // the test answers, or nothing does
         String slow = group.request(0, SimulatedGroup.UNSAFE, 1, 0, 1);
         group.deliver(0, new TrafficPolicy.RequestBodyProgress(slow, false));
         group.run(900 * SimulatedGroup.MS);
         String other = group.request(0, SimulatedGroup.SAFE, 2, 0, 1);
-        assertTrue(group.wasSent(other), "turned away for a body that still comes in");
+        assertTrue(group.wasSent(other), "an incomplete body must not cause a rejection");
         group.deliver(
                 0,
                 new TrafficPolicy.AttemptEnded(
@@ -491,6 +492,6 @@
         group.deliver(0, new TrafficPolicy.RequestBodyProgress(slow, true));
         group.run(900 * SimulatedGroup.MS);
         String late = group.request(0, SimulatedGroup.SAFE, 3, 0, 1);
-        assertTrue(group.wasRejected(late), "whole for 0.9 s without a word, it counts");
+        assertTrue(group.wasRejected(late), "a complete request without an answer for 0.9 s counts as load");
     }
 }
--- a/src/test/java/reedmux/gatekeeper/policy/SimulatedGroup.java
+++ b/src/test/java/reedmux/gatekeeper/policy/SimulatedGroup.java
@@ -25,7 +25,9 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerStatus;
 import reedmux.gatekeeper.policy.TrafficPolicy.TimerExpired;
 
-/** Modules that hear each other through a small event queue; each test says what is lost and what answers. */
+/**
+ * A group of gateway policies connected by a small event queue; each test defines message loss and attempt outcomes.
+ */
 public final class SimulatedGroup {
     static final long MS = 1000;
     static final long SECOND = 1000 * MS;
@@ -33,20 +35,20 @@
     static final int KEYED = 1;
     static final int UNSAFE = 2;
 
-    /** What a module has sent for a request. */
-    public record RecordedSend(int gateway, String request, String server, long timeout, long at) {}
+    /** An attempt that a gateway has sent. */
+    public record RecordedSend(int gateway, String request, String server, long timeout, long sentAt) {}
 
-    /** A module's refusal. */
+    /** A rejection by a gateway. */
     public record RecordedRejection(int gateway, String request, long retryAfter) {}
 
-    private record QueuedPolicyEvent(long at, long order, int gateway, GatekeeperPolicy policy, PolicyEvent event) {}
+    private record QueuedPolicyEvent(long dueAt, long order, int gateway, GatekeeperPolicy policy, PolicyEvent event) {}
 
     final List<RecordedSend> sent = new ArrayList<>();
     final List<RecordedRejection> rejected = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
     final List<byte[]> peerMessages = new ArrayList<>();
     final List<Integer> peerMessageSenders = new ArrayList<>();
-    /** Messages that reached each gateway. */
+    /** By gateway, the number of messages that it has received. */
     final Map<Integer, Integer> receivedMessageCounts = new HashMap<>();
 
     private final Map<Integer, Long> stalledUntil = new HashMap<>();
@@ -55,15 +57,15 @@
     final GatekeeperPolicy[] policies;
     private final List<ListedServer> servers;
     private final PriorityQueue<QueuedPolicyEvent> queue = new PriorityQueue<>(
-            Comparator.comparingLong(QueuedPolicyEvent::at).thenComparingLong(QueuedPolicyEvent::order));
+            Comparator.comparingLong(QueuedPolicyEvent::dueAt).thenComparingLong(QueuedPolicyEvent::order));
     private long order;
     private long ids;
     private int copies = 1;
-    /** Whether a message from the first to the second gateway is lost. */
+    /** Whether a message from the first gateway to the second is lost. */
     BiPredicate<Integer, Integer> isLost = (from, to) -> false;
-    /** How an attempt ends 50 ms after it went out; null for never. */
+    /** The outcome of an attempt, 50 ms after it was sent; null if it never ends. */
     Function<RecordedSend, AttemptOutcome> outcomeOf = sent -> AttemptOutcome.OK;
-    /** What answers take longer than usual. */
+    /** Additional latency of answers. */
     long extraLatency;
 
     long now = SECOND;
@@ -138,7 +140,7 @@
         return servers;
     }
 
-    /** Server i lies in cell i / 2, and in the zone of that cell's number modulo 2. */
+    /** Server i is in cell i / 2, and in the zone with the cell's number modulo 2. */
     static ListedServer server(int i, ServerStatus status, long started) {
         return new ListedServer("10.0.0." + i + ":80", i / 2 % 2, 0, i / 2, status, 1, started);
     }
@@ -152,9 +154,9 @@
         policies[gateway] = null;
     }
 
-    /** The gateway gets no turn for so long, and then all that came meanwhile. */
-    void stall(int gateway, long length) {
-        stalledUntil.put(gateway, now + length);
+    /** Stalls a gateway for a duration; it then handles all events that arrived meanwhile. */
+    void stall(int gateway, long duration) {
+        stalledUntil.put(gateway, now + duration);
     }
 
     void duplicateMessages() {
@@ -174,22 +176,22 @@
         return id;
     }
 
-    /** Sends a request every {@code gap} for {@code length}; returns how many were sent on. */
-    int traffic(int gateway, long customer, int memberCount, long gap, long length) {
+    /** Sends a request every {@code interval} for {@code duration}; returns how many were sent to servers. */
+    int traffic(int gateway, long customer, int memberCount, long interval, long duration) {
         int before = sent.size();
-        for (long end = now + length; now < end; ) {
+        for (long end = now + duration; now < end; ) {
             request(gateway, SAFE, customer, 0, memberCount);
-            run(gap);
+            run(interval);
         }
         return sent.size() - before;
     }
 
     boolean wasSent(String request) {
-        return sent.stream().anyMatch(one -> one.request.equals(request));
+        return sent.stream().anyMatch(send -> send.request.equals(request));
     }
 
     boolean wasRejected(String request) {
-        return rejected.stream().anyMatch(one -> one.request.equals(request));
+        return rejected.stream().anyMatch(rejection -> rejection.request.equals(request));
     }
 
     void deliver(int gateway, PolicyEvent event) {
@@ -198,14 +200,14 @@
         }
     }
 
-    void run(long length) {
-        long end = now + length;
-        while (!queue.isEmpty() && queue.peek().at <= end) {
+    void run(long duration) {
+        long end = now + duration;
+        while (!queue.isEmpty() && queue.peek().dueAt <= end) {
             QueuedPolicyEvent due = queue.poll();
-            now = Math.max(now, due.at);
-            long until = stalledUntil.getOrDefault(due.gateway, 0L);
-            if (until > now) {
-                schedule(until, due.gateway, due.policy, due.event);
+            now = Math.max(now, due.dueAt);
+            long resumesAt = stalledUntil.getOrDefault(due.gateway, 0L);
+            if (resumesAt > now) {
+                schedule(resumesAt, due.gateway, due.policy, due.event);
                 continue;
             }
             if (due.event instanceof PeerMessage) {
@@ -218,34 +220,36 @@
         now = end;
     }
 
-    private void schedule(long at, int gateway, GatekeeperPolicy policy, PolicyEvent event) {
-        queue.add(new QueuedPolicyEvent(at, order++, gateway, policy, event));
+    private void schedule(long dueAt, int gateway, GatekeeperPolicy policy, PolicyEvent event) {
+        queue.add(new QueuedPolicyEvent(dueAt, order++, gateway, policy, event));
     }
 
     private final class RecordingActions implements PolicyActions {
         private final int gateway;
         private final GatekeeperPolicy policy;
 
-        RecordingActions(int gateway, GatekeeperPolicy life) {
+        RecordingActions(int gateway, GatekeeperPolicy policy) {
             this.gateway = gateway;
-            this.policy = life;
+            this.policy = policy;
         }
 
         @Override
         public void send(String request, String server, long timeout) {
-            RecordedSend one = new RecordedSend(gateway, request, server, timeout, now);
-            int attempt =
-                    (int) sent.stream().filter(s -> s.request.equals(request)).count();
-            sent.add(one);
-            AttemptOutcome outcome = outcomeOf.apply(one);
+            RecordedSend recordedSend = new RecordedSend(gateway, request, server, timeout, now);
+            int attempt = (int) sent.stream()
+                    .filter(earlier -> earlier.request.equals(request))
+                    .count();
+            sent.add(recordedSend);
+            AttemptOutcome outcome = outcomeOf.apply(recordedSend);
             boolean answered = outcome != null && outcome != AttemptOutcome.TIMEOUT;
-            long took = answered ? 50 * MS + extraLatency : timeout;
-            AttemptOutcome end = answered ? outcome : AttemptOutcome.TIMEOUT;
+            long elapsed = answered ? 50 * MS + extraLatency : timeout;
+            AttemptOutcome finalOutcome = answered ? outcome : AttemptOutcome.TIMEOUT;
             schedule(
-                    now + took,
+                    now + elapsed,
                     gateway,
                     policy,
-                    new AttemptEnded(request, end == AttemptOutcome.OK, server, attempt, 0, took, end));
+                    new AttemptEnded(
+                            request, finalOutcome == AttemptOutcome.OK, server, attempt, 0, elapsed, finalOutcome));
         }
 
         @Override
@@ -280,7 +284,7 @@
 
         @Override
         public void addToCounter(long name, double amount, long keep) {
-            throw new AssertionError("the counter service stays off the ordinary path");
+            throw new AssertionError("the counter service must not be used");
         }
 
         @Override
@@ -292,8 +296,8 @@
         }
 
         @Override
-        public void setTimer(long at, long token) {
-            schedule(at, gateway, policy, new TimerExpired(token));
+        public void setTimer(long dueAt, long token) {
+            schedule(dueAt, gateway, policy, new TimerExpired(token));
         }
 
         @Override
