--- a/src/main/java/reedmux/gatekeeper/policy/AdmissionPolicy.java
+++ b/src/main/java/reedmux/gatekeeper/policy/AdmissionPolicy.java
@@ -17,9 +17,9 @@
 
     private static final double MAX_TARGET_SHARE = 0.85;
     private static final double TARGET_SHARE_SLOPE = 0.35;
-    /** Limit on a remote request's expected time, in best means: above it, local requests start to queue. */
+    /** Limit on a remote request's time as a multiple of the best mean, where local requests start to queue. */
     private static final double REMOTE_BEST_MULTIPLE = 2;
-    /** First attempts allowed per good answer: more admits failing load, fewer throttles for hung servers. */
+    /** First attempts allowed per good answer: higher admits more failing load, lower throttles for hung servers. */
     private static final double SENDS_PER_GOOD_ANSWER = 2;
     /** Decay time constant of demand and good answers: how soon congestion is detected and its end is recognised. */
     private static final double THROTTLE_DECAY_MICROS = 2 * PolicyContext.MICROS_PER_SECOND;
--- a/src/main/java/reedmux/gatekeeper/policy/GatekeeperPolicy.java
+++ b/src/main/java/reedmux/gatekeeper/policy/GatekeeperPolicy.java
@@ -222,7 +222,7 @@
         if (request.allEnded()) {
             active.remove(request.request.id());
             if (context.settings.chargeOnDelivery() && !request.delivered && !request.attempts.isEmpty()) {
-                quotas.drain(request.account); // refunds units charged when it was sent but never used
+                quotas.drain(request.account); // refunds the units that were charged at the send but never delivered
                 quotas.charge(request.account, -request.request.units());
             }
         }
--- a/src/main/java/reedmux/gatekeeper/policy/PeerFailureDetector.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerFailureDetector.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Failure detection for peers: how often each is sent a packet, and after what time without a reply it is considered
- * unreachable. Reachability is gossiped: of two versions of a member's state the higher one wins.
+ * Failure detection for peers: how often each is sent a packet, and how long it may go without a reply before it is
+ * considered unreachable. Reachability is gossiped: of two versions of a member's state the higher one wins.
  */
 final class PeerFailureDetector {
     static final long SYNC_TIMER = 1;
@@ -93,8 +93,7 @@
         adaptInterval();
         peers.onSynchronisation();
         long syncInterval = peers.syncInterval;
-        context.actions.setTimer(
-                context.now + syncInterval, SYNC_TIMER); // first, so that an exception below does not stop it
+        context.actions.setTimer(context.now + syncInterval, SYNC_TIMER); // first: an exception below must not stop it
         timeout = Math.max(MIN_TIMEOUT_MICROS, timeout * TIMEOUT_DECAY);
         double intervals = 0;
         int reachable = 0;
--- a/src/main/java/reedmux/gatekeeper/policy/PeerTable.java
+++ b/src/main/java/reedmux/gatekeeper/policy/PeerTable.java
@@ -5,7 +5,7 @@
 
 /** The gateways that this one exchanges counters with, and the assignment of accounts to their heap neighbours. */
 final class PeerTable {
-    /** In place of a member number: no peer is excluded. */
+    /** In place of a member number: the origin is this gateway, or no peer is excluded. */
     static final int NO_PEER = -1;
 
     /** Number of synchronisations over which lateness is averaged. */
--- a/src/main/java/reedmux/gatekeeper/policy/QuotaPolicy.java
+++ b/src/main/java/reedmux/gatekeeper/policy/QuotaPolicy.java
@@ -132,7 +132,7 @@
                 && account.unitsSinceFirstSeen + units > account.share(account.plan.quotaBurst());
     }
 
-    /** Whether units may exceed the allowance until others know of them; random if the allowance covers a part. */
+    /** Whether units exceed what may be admitted before other members know; a partial fit is decided at random. */
     private boolean exceedsRunAhead(CustomerAccount account, double units) {
         long hopDelay = ((long) meanSyncInterval + PACKET_DELAY_MICROS) / 2 + 2 * peers.lateness();
         double allowance =
@@ -153,9 +153,10 @@
     }
 
     /**
-     * Units reported beyond the burst were admitted before the count arrived, so as many may be unreported again. While
-     * the margin lasts, the remaining room is granted at random; otherwise hundreds of gateways would all use it. This
-     * covers surges, slow propagation and partitions; after a surge a customer within its quota loses some requests.
+     * Units reported beyond the burst were admitted before the count arrived, so as many more may still be unreported.
+     * While the margin lasts, the remaining room is granted at random; otherwise hundreds of gateways would all use it.
+     * This covers surges, slow propagation and partitions; after a surge a customer within its quota loses some
+     * requests.
      */
     private void recordOvershoot(CustomerAccount account, double units) {
         double burst = account.plan.quotaBurst();
--- a/src/main/java/reedmux/gatekeeper/policy/RetryPolicy.java
+++ b/src/main/java/reedmux/gatekeeper/policy/RetryPolicy.java
@@ -6,7 +6,7 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.Idempotency;
 import reedmux.gatekeeper.policy.TrafficPolicy.ListedServer;
 
-/** Retries: whether a request may be sent again without a second effect, after what timeout, and how often. */
+/** Retries: whether a request may be repeated without a second effect, attempt timeouts, and the retry budget. */
 final class RetryPolicy {
     /** Retries earned by a first attempt, and the maximum saved: more win answers but add load in an outage. */
     private static final double RETRIES_PER_REQUEST = 0.15;
--- a/src/main/java/reedmux/gatekeeper/policy/ServerSelector.java
+++ b/src/main/java/reedmux/gatekeeper/policy/ServerSelector.java
@@ -11,7 +11,7 @@
     static final long POLL_TIMER = 2;
     /** Maximum number of servers compared per request: more make a better choice but take more time. */
     private static final int MAX_SAMPLED_SERVERS = 16;
-    /** Window size, as seconds of own requests: smaller gives more samples per server, larger spreads the load. */
+    /** Window size: one server per request in this time; smaller gives more samples per server, larger more spread. */
     private static final double WINDOW_SECONDS = 0.5;
     /** Minimum number of servers in a window, and minimum number of gateways that use each server. */
     private static final int MIN_WINDOW = 4;
--- a/src/main/java/reedmux/gatekeeper/policy/package-info.java
+++ b/src/main/java/reedmux/gatekeeper/policy/package-info.java
@@ -8,7 +8,7 @@
  *   <li>{@code QuotaPolicy}: how many units each customer may still use
  *   <li>{@code PeerFailureDetector}: when peers are sent a packet, and which of them are unreachable
  *   <li>{@code AdmissionPolicy}: which requests are rejected under overload
- *   <li>{@code ServerSelector}: which server a request goes to
+ *   <li>{@code ServerSelector}: which server a request is sent to
  *   <li>{@code RetryPolicy}: whether and where a request is retried, and the timeout of each attempt
  *   <li>{@code ServerHealth}: which servers are ejected, and how many attempts each may have in flight
  * </ul>
