--- a/src/main/java/reedmux/cli/GatekeeperProcess.java
+++ b/src/main/java/reedmux/cli/GatekeeperProcess.java
@@ -288,7 +288,7 @@
                 config,
                 clock,
                 log,
-                () -> replacesRunningProcess || services.defaultService().restarted());
+                () -> replacesRunningProcess || services.defaultService().restartDetected());
         try {
             first.run();
             discoveryQueried.await(); // CPU that the warm-up takes earlier would delay the first endpoint list
@@ -346,9 +346,9 @@
         if (failed) {
             throw new IllegalStateException("cannot take the place of the process that runs");
         }
-        if (handover != null && handover.isExchanging() && now - exchangedAt >= EXCHANGE_INTERVAL_MICROS) {
+        if (handover != null && handover.isExchangingUsage() && now - exchangedAt >= EXCHANGE_INTERVAL_MICROS) {
             exchangedAt = now;
-            handover.exchangeUsage();
+            handover.sendUsage();
         }
         if (now - sweptAt >= SWEEP_INTERVAL_MICROS) {
             sweptAt = now;
@@ -369,7 +369,7 @@
         }
         return lifeCycle.mayTerminate(
                         now,
-                        services.unanswered() + consumers.connectionsWithPendingResponses(),
+                        services.unansweredCount() + consumers.connectionsWithPendingResponses(),
                         consumers.hasConnections())
                 ? GatekeeperLoop.STOP
                 : Math.min(lifeCycle.nextCheck(now), nextSweepAt());
@@ -385,7 +385,7 @@
     }
 
     private long nextSweepAt() {
-        return handover != null && handover.isExchanging()
+        return handover != null && handover.isExchangingUsage()
                 ? exchangedAt + EXCHANGE_INTERVAL_MICROS
                 : sweptAt + SWEEP_INTERVAL_MICROS;
     }
--- a/src/main/java/reedmux/cli/HandoverCallbacks.java
+++ b/src/main/java/reedmux/cli/HandoverCallbacks.java
@@ -90,7 +90,7 @@
     }
 
     @Override
-    public void onOtherProcessGone(boolean elder) {
+    public void onOtherProcessDisconnected(boolean elder) {
         services.handoverCounts().values().forEach(HandoverCounts::endSharing);
         if (elder) {
             openPeerSocket();
@@ -98,7 +98,7 @@
     }
 
     @Override
-    public void setSucceeded(boolean succeeded) {
+    public void setSuccessorServing(boolean succeeded) {
         lifeCycle.setSuccessor(succeeded);
     }
 
--- a/src/main/java/reedmux/gatekeeper/failover/FailoverRules.java
+++ b/src/main/java/reedmux/gatekeeper/failover/FailoverRules.java
@@ -22,10 +22,14 @@
      * @param unitsPerSecond     rate over the region
      * @param burstUnits         burst over the region
      * @param closeAtFailureRate failure rate of our own consumers' requests from which no remote one is accepted
-     * @param holdMicros         how long none is accepted after that
+     * @param minBackoffMicros         how long none is accepted after that
      */
     public record RemoteRequestLimits(
-            int maxConcurrent, double unitsPerSecond, double burstUnits, double closeAtFailureRate, long holdMicros) {}
+            int maxConcurrent,
+            double unitsPerSecond,
+            double burstUnits,
+            double closeAtFailureRate,
+            long minBackoffMicros) {}
 
     /**
      * Where requests go that our own providers cannot serve.
--- a/src/main/java/reedmux/gatekeeper/failover/ForwardingControl.java
+++ b/src/main/java/reedmux/gatekeeper/failover/ForwardingControl.java
@@ -12,7 +12,7 @@
  */
 final class ForwardingControl {
     /** Forwarded requests that the fraction may accumulate, so that a long calm does not allow a flood. */
-    private static final double MAX_SAVED_REQUESTS = 20;
+    private static final double MAX_ACCUMULATED_REQUESTS = 20;
 
     private final int gatekeepers;
     private final TokenBucket unitBudget;
@@ -26,7 +26,7 @@
         this.target = target;
         this.gatekeepers = gatekeepers;
         unitBudget = new TokenBucket(target.unitsPerSecond() / gatekeepers, target.burstUnits() / gatekeepers, now);
-        requestBudget = new TokenBucket(0, MAX_SAVED_REQUESTS, now);
+        requestBudget = new TokenBucket(0, MAX_ACCUMULATED_REQUESTS, now);
         gateways = new RemoteGateways(target.gateways(), random);
         linkLatency = new LinkLatencyEstimator(target.initialLatencyMicros());
     }
@@ -61,17 +61,17 @@
             return ForwardDecision.reject(ForwardReason.NO_TIME);
         } else if (inFlight >= target.maxConcurrent()) {
             return ForwardDecision.reject(ForwardReason.AT_ONCE);
-        } else if (!requestBudget.holds(1, now)) {
+        } else if (!requestBudget.hasUnits(1, now)) {
             return ForwardDecision.reject(ForwardReason.SHARE);
-        } else if (!unitBudget.holds(request.units(), now)) {
+        } else if (!unitBudget.hasUnits(request.units(), now)) {
             return ForwardDecision.reject(ForwardReason.RATE);
         }
         String gateway = gateways.choose(now, request.idempotent());
         if (gateway == null) {
             return ForwardDecision.reject(ForwardReason.NO_GATEWAY);
         }
-        requestBudget.take(1);
-        unitBudget.take(request.units());
+        requestBudget.consume(1);
+        unitBudget.consume(request.units());
         inFlight++;
         gateways.onForwarded(gateway);
         return new ForwardDecision(new ForwardedRequest(gateway, granted, remaining), ForwardReason.SENT);
--- a/src/main/java/reedmux/gatekeeper/failover/RemoteGateways.java
+++ b/src/main/java/reedmux/gatekeeper/failover/RemoteGateways.java
@@ -27,9 +27,9 @@
     private static final class RemoteGateway {
         final String name;
         int inFlight;
-        int failures;
+        int consecutiveFailures;
         /** Ejections since the last response. */
-        int ejections;
+        int consecutiveEjections;
 
         long ejectedUntil = NOT_EJECTED;
         long backoffUntil;
@@ -107,8 +107,8 @@
         RemoteGateway gateway = find(name);
         if (gateway != null) {
             gateway.inFlight = Math.max(0, gateway.inFlight - 1);
-            gateway.failures = 0;
-            gateway.ejections = 0;
+            gateway.consecutiveFailures = 0;
+            gateway.consecutiveEjections = 0;
             gateway.ejectedUntil = NOT_EJECTED;
         }
     }
@@ -130,14 +130,14 @@
             return;
         }
         gateway.inFlight = Math.max(0, gateway.inFlight - 1);
-        gateway.failures++;
+        gateway.consecutiveFailures++;
         if (gateway.isEjected() && now < gateway.ejectedUntil) {
             return; // a request that was forwarded before the ejection
         }
-        if (gateway.isEjected() || gateway.failures >= EJECTION_FAILURES) {
-            long ejection = MIN_EJECTION_MICROS << Math.min(MAX_DOUBLINGS, gateway.ejections);
+        if (gateway.isEjected() || gateway.consecutiveFailures >= EJECTION_FAILURES) {
+            long ejection = MIN_EJECTION_MICROS << Math.min(MAX_DOUBLINGS, gateway.consecutiveEjections);
             gateway.ejectedUntil = now + Math.min(MAX_EJECTION_MICROS, ejection);
-            gateway.ejections++;
+            gateway.consecutiveEjections++;
         }
     }
 
--- a/src/main/java/reedmux/gatekeeper/failover/RemoteRequestAdmission.java
+++ b/src/main/java/reedmux/gatekeeper/failover/RemoteRequestAdmission.java
@@ -26,7 +26,7 @@
     /** How often the time that admission stays closed is doubled at most. */
     private static final int MAX_DOUBLINGS = 5;
     /** Closing within so many of the last closed times after opening counts as closing again. */
-    private static final int RECLOSE_BACKOFFS = 4;
+    private static final int RECLOSE_BACKOFF_MULTIPLE = 4;
 
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -37,7 +37,7 @@
     private int inFlight;
     private long closedUntil = Long.MIN_VALUE;
     /** How long admission stayed closed the last time; 0 before the first. */
-    private long backoffMicros;
+    private long lastBackoffMicros;
 
     private int doublings;
     /** Remote requests that may be in flight. */
@@ -79,7 +79,7 @@
         if (healthy && !closed) {
             growWindow(now);
         } else if (!healthy && closed) {
-            closedUntil = Math.max(closedUntil, now + rules.remoteLimits().holdMicros());
+            closedUntil = Math.max(closedUntil, now + rules.remoteLimits().minBackoffMicros());
         } else if (!healthy) {
             close(now);
         }
@@ -92,11 +92,12 @@
     }
 
     private void close(long now) {
-        boolean again = backoffMicros > 0 && now - closedUntil < RECLOSE_BACKOFFS * backoffMicros;
-        doublings = again ? Math.min(MAX_DOUBLINGS, doublings + 1) : 0;
-        backoffMicros = rules.remoteLimits().holdMicros() << doublings;
+        boolean closedRecently =
+                lastBackoffMicros > 0 && now - closedUntil < RECLOSE_BACKOFF_MULTIPLE * lastBackoffMicros;
+        doublings = closedRecently ? Math.min(MAX_DOUBLINGS, doublings + 1) : 0;
+        lastBackoffMicros = rules.remoteLimits().minBackoffMicros() << doublings;
         window = Math.max(1, window / 2);
-        closedUntil = Math.max(closedUntil, now + backoffMicros);
+        closedUntil = Math.max(closedUntil, now + lastBackoffMicros);
     }
 
     /** Admits a remote request and returns null, or the reason why not. */
@@ -111,10 +112,10 @@
             return new RemoteRejection(RemoteRejectionReason.SUFFERING, closedUntil - now);
         } else if (inFlight >= Math.min(rules.remoteLimits().maxConcurrent(), (int) window)) {
             return new RemoteRejection(RemoteRejectionReason.FULL, FULL_RETRY_AFTER_MICROS);
-        } else if (!unitBudget.holds(units, now)) {
+        } else if (!unitBudget.hasUnits(units, now)) {
             return new RemoteRejection(RemoteRejectionReason.RATE, unitBudget.microsUntil(units, now));
         }
-        unitBudget.take(units);
+        unitBudget.consume(units);
         inFlight++;
         return null;
     }
--- a/src/main/java/reedmux/gatekeeper/failover/TokenBucket.java
+++ b/src/main/java/reedmux/gatekeeper/failover/TokenBucket.java
@@ -9,36 +9,36 @@
     private double unitsPerSecond;
     private double burstUnits;
     private double level;
-    private long filledAt;
+    private long refilledAt;
 
     /** A bucket that fills at {@code unitsPerSecond} up to {@code burstUnits}. */
     TokenBucket(double unitsPerSecond, double burstUnits, long now) {
         this.unitsPerSecond = unitsPerSecond;
         this.burstUnits = burstUnits;
-        filledAt = now;
+        refilledAt = now;
     }
 
     /** Replaces the limits; what has accumulated stays, up to the new burst. */
     void setLimits(double newUnitsPerSecond, double newBurstUnits, long now) {
-        fill(now);
+        refill(now);
         unitsPerSecond = newUnitsPerSecond;
         burstUnits = newBurstUnits;
         level = Math.min(level, burstUnits);
     }
 
-    private void fill(long now) {
-        level = Math.min(burstUnits, level + unitsPerSecond * Math.max(0, now - filledAt) / MICROS_PER_SECOND);
-        filledAt = Math.max(filledAt, now);
+    private void refill(long now) {
+        level = Math.min(burstUnits, level + unitsPerSecond * Math.max(0, now - refilledAt) / MICROS_PER_SECOND);
+        refilledAt = Math.max(refilledAt, now);
     }
 
     /** Whether it holds so many units now. */
-    boolean holds(double units, long now) {
-        fill(now);
+    boolean hasUnits(double units, long now) {
+        refill(now);
         return level >= units;
     }
 
-    /** Removes units that it {@link #holds}. */
-    void take(double units) {
+    /** Removes units that it {@link #hasUnits}. */
+    void consume(double units) {
         level -= units;
     }
 
@@ -49,7 +49,7 @@
 
     /** Microseconds until it holds so many units; one second if it never will. */
     long microsUntil(double units, long now) {
-        fill(now);
+        refill(now);
         if (unitsPerSecond <= 0 || units > burstUnits) {
             return (long) MICROS_PER_SECOND;
         }
--- a/src/main/java/reedmux/gatekeeper/handover/HandoverConnection.java
+++ b/src/main/java/reedmux/gatekeeper/handover/HandoverConnection.java
@@ -36,7 +36,7 @@
         void onFrame(HandoverConnection from, HandoverFrame frame);
 
         /** The connection has ended, for that reason; called once. */
-        void onClosed(HandoverConnection connection, String why);
+        void onClosed(HandoverConnection connection, String reason);
     }
 
     private final SocketChannel channel;
@@ -139,7 +139,7 @@
     /** Queues a frame to be written; returns false where the connection has ended or its queue is full. */
     public boolean send(HandoverFrame frame) {
         if (!outgoing.offer(HandoverFrameCodec.encode(frame))) {
-            closeBecause("the other process takes nothing");
+            closeWithReason("the other process takes nothing");
             return false;
         }
         return !isClosed();
@@ -150,7 +150,7 @@
             while (true) {
                 byte[] next = outgoing.poll(1, TimeUnit.MINUTES);
                 if (next == END_OF_FRAMES || isClosed()) {
-                    closeBecause("closed here");
+                    closeWithReason("closed here");
                     return;
                 }
                 for (ByteBuffer bytes = next == null ? null : ByteBuffer.wrap(next);
@@ -159,7 +159,7 @@
                 }
             }
         } catch (IOException e) {
-            closeBecause(e.toString());
+            closeWithReason(e.toString());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -178,9 +178,9 @@
                                 readFully(ByteBuffer.allocate(length)).array()));
             }
         } catch (EOFException e) {
-            closeBecause("the other process has gone");
+            closeWithReason("the other process has gone");
         } catch (IOException | RuntimeException e) {
-            closeBecause(String.valueOf(e.getMessage()));
+            closeWithReason(String.valueOf(e.getMessage()));
         }
     }
 
@@ -197,7 +197,7 @@
         return closed;
     }
 
-    private void closeBecause(String why) {
+    private void closeWithReason(String reason) {
         synchronized (this) {
             if (closed) {
                 return;
@@ -207,7 +207,7 @@
         closeQuietly(channel);
         outgoing.clear();
         outgoing.offer(END_OF_FRAMES);
-        handler.onClosed(this, why);
+        handler.onClosed(this, reason);
     }
 
     /** Closes the connection once all queued frames are written. */
@@ -220,7 +220,7 @@
     /** Closes the connection; the handler is notified of that too. */
     @Override
     public void close() {
-        closeBecause("closed here");
+        closeWithReason("closed here");
     }
 
     private static void closeQuietly(AutoCloseable closeable) {
--- a/src/main/java/reedmux/gatekeeper/handover/HandoverCoordinator.java
+++ b/src/main/java/reedmux/gatekeeper/handover/HandoverCoordinator.java
@@ -49,10 +49,10 @@
          *
          * @param wasSuccessor whether it had taken our place, which is ours again
          */
-        void onOtherProcessGone(boolean wasSuccessor);
+        void onOtherProcessDisconnected(boolean wasSuccessor);
 
         /** Notes whether another process serves in our place; from any thread. */
-        void setSucceeded(boolean succeeded);
+        void setSuccessorServing(boolean serving);
     }
 
     private final Path socketPath;
@@ -111,14 +111,14 @@
      * @return whether the counts are restored
      */
     public boolean takeOverCounts() throws InterruptedException {
-        HandoverConnection from;
+        HandoverConnection connection;
         synchronized (this) {
-            from = predecessor;
+            connection = predecessor;
         }
-        if (from == null) {
+        if (connection == null) {
             return false;
         }
-        from.send(new HandoverFrame.SnapshotRequest());
+        connection.send(new HandoverFrame.SnapshotRequest());
         boolean complete = snapshotReceived.await(REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         CountDownLatch restored = new CountDownLatch(1);
         synchronized (this) {
@@ -129,19 +129,19 @@
             snapshotRestored = true;
             host.runOnLoop(() -> {
                 host.restoreAndOpen(List.copyOf(receivedSnapshots));
-                usagePeer = from;
+                usagePeer = connection;
                 restored.countDown();
             });
         }
         return restored.await(REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private synchronized void abandonTakeover(String why) {
+    private synchronized void abandonTakeover(String reason) {
         HandoverConnection connection = predecessor;
         predecessor = null;
         if (!abandoned) {
             abandoned = true;
-            log.accept("hand-over: " + why + "; starting from nothing");
+            log.accept("hand-over: " + reason + "; starting from nothing");
         }
         if (connection != null && !snapshotRestored) {
             connection.close();
@@ -171,8 +171,8 @@
 
     // ---- The predecessor -----------------------------------------------------------------------------------------
     private synchronized void onSuccessorConnected(
-            HandoverConnection connection, HandoverConnection.HandoverServer by) {
-        if (successor != null || closed || by != server && server != null) {
+            HandoverConnection connection, HandoverConnection.HandoverServer acceptedBy) {
+        if (successor != null || closed || acceptedBy != server && server != null) {
             connection.close(); // one at a time
         } else {
             successor = connection;
@@ -198,17 +198,17 @@
 
     // ---- Either one ----------------------------------------------------------------------------------------------
     /** Sends the other process what was counted here; on the loop's thread, every few dozen milliseconds. */
-    public void exchangeUsage() {
-        HandoverConnection other = usagePeer;
-        if (other != null) {
+    public void sendUsage() {
+        HandoverConnection peer = usagePeer;
+        if (peer != null) {
             for (HandoverFrame.ServiceUsage usage : host.takeUsage()) {
-                other.send(usage);
+                peer.send(usage);
             }
         }
     }
 
     /** Whether there is another process to send counts to. */
-    public boolean isExchanging() {
+    public boolean isExchangingUsage() {
         return usagePeer != null;
     }
 
@@ -227,22 +227,23 @@
             }
         } else if (frame instanceof HandoverFrame.SuccessorServing) {
             log.accept("hand-over: another process serves in our place");
-            host.setSucceeded(true);
+            host.setSuccessorServing(true);
         } else if (frame instanceof HandoverFrame.ServiceUsage usage) {
             host.runOnLoop(() -> host.addUsage(usage.service(), usage.accounts()));
         }
     }
 
     private void onHello(HandoverConnection from, HandoverFrame.HandoverHello hello) {
-        boolean same = hello.version() == ownHello.version() && hello.rules().equals(ownHello.rules());
+        boolean compatible =
+                hello.version() == ownHello.version() && hello.rules().equals(ownHello.rules());
         synchronized (this) {
-            if (from == successor && same) {
+            if (from == successor && compatible) {
                 from.send(ownHello);
-            } else if (from == predecessor && same) {
+            } else if (from == predecessor && compatible) {
                 helloReceived.countDown();
             }
         }
-        if (!same) {
+        if (!compatible) {
             log.accept("hand-over: the other process is of another version or has other settings");
             from.close();
         }
@@ -255,15 +256,17 @@
             }
             snapshotSent = true;
         }
-        List<HandoverFrame.ServiceSnapshot> all = host.releaseAndSnapshot();
-        all.forEach(to::send);
+        List<HandoverFrame.ServiceSnapshot> snapshots = host.releaseAndSnapshot();
+        snapshots.forEach(to::send);
         usagePeer = to;
         log.accept("hand-over: told what was counted of "
-                + all.stream().mapToInt(service -> service.accounts().size()).sum() + " customers");
+                + snapshots.stream()
+                        .mapToInt(service -> service.accounts().size())
+                        .sum() + " customers");
     }
 
     @Override
-    public void onClosed(HandoverConnection connection, String why) {
+    public void onClosed(HandoverConnection connection, String reason) {
         boolean successorGone = false;
         boolean predecessorGone = false;
         synchronized (this) {
@@ -274,7 +277,7 @@
             } else if (connection == predecessor) {
                 predecessorGone = snapshotRestored && !closed;
                 if (!snapshotRestored) {
-                    abandonTakeover(why);
+                    abandonTakeover(reason);
                 }
                 predecessor = null;
             }
@@ -283,18 +286,18 @@
             usagePeer = null;
         }
         if (successorGone) {
-            serveAgain(why);
+            resumeServing(reason);
         } else if (predecessorGone) {
             log.accept("hand-over: the former process has gone");
-            host.runOnLoop(() -> host.onOtherProcessGone(false));
+            host.runOnLoop(() -> host.onOtherProcessDisconnected(false));
         }
     }
 
     /** The successor has gone, so that its place is ours again, and others may connect. */
-    private void serveAgain(String why) {
-        log.accept("hand-over: the process that took our place has gone (" + why + "); serving on");
-        host.setSucceeded(false);
-        host.runOnLoop(() -> host.onOtherProcessGone(true));
+    private void resumeServing(String reason) {
+        log.accept("hand-over: the process that took our place has gone (" + reason + "); serving on");
+        host.setSuccessorServing(false);
+        host.runOnLoop(() -> host.onOtherProcessDisconnected(true));
         synchronized (this) {
             if (server != null) {
                 server.close();
--- a/src/main/java/reedmux/gatekeeper/handover/HandoverFrameCodec.java
+++ b/src/main/java/reedmux/gatekeeper/handover/HandoverFrameCodec.java
@@ -28,14 +28,14 @@
 
     /** A frame's bytes, with its length in front. */
     public static byte[] encode(HandoverFrame frame) {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        try (DataOutputStream out = new DataOutputStream(all)) {
+        ByteArrayOutputStream buffer = new ByteArrayOutputStream();
+        try (DataOutputStream out = new DataOutputStream(buffer)) {
             out.writeInt(0);
             write(frame, out);
         } catch (IOException e) {
             throw new UncheckedIOException(e); // writing to memory does no I/O
         }
-        byte[] bytes = all.toByteArray();
+        byte[] bytes = buffer.toByteArray();
         int length = bytes.length - Integer.BYTES;
         for (int i = 0; i < Integer.BYTES; i++) {
             bytes[i] = (byte) (length >>> 8 * (Integer.BYTES - 1 - i));
@@ -50,46 +50,51 @@
             out.writeUTF(hello.rules());
         } else if (frame instanceof HandoverFrame.SnapshotRequest) {
             out.writeByte('T');
-        } else if (frame instanceof HandoverFrame.ServiceSnapshot counted) {
+        } else if (frame instanceof HandoverFrame.ServiceSnapshot snapshot) {
             out.writeByte('C');
-            out.writeUTF(counted.service());
-            out.writeBoolean(counted.last());
-            out.writeInt(counted.accounts().size());
-            for (AccountSnapshot kept : counted.accounts()) {
-                write(kept, out);
+            out.writeUTF(snapshot.service());
+            out.writeBoolean(snapshot.last());
+            out.writeInt(snapshot.accounts().size());
+            for (AccountSnapshot account : snapshot.accounts()) {
+                write(account, out);
             }
         } else if (frame instanceof HandoverFrame.SuccessorServing) {
             out.writeByte('S');
-        } else if (frame instanceof HandoverFrame.ServiceUsage since) {
+        } else if (frame instanceof HandoverFrame.ServiceUsage usage) {
             out.writeByte('D');
-            out.writeUTF(since.service());
-            out.writeInt(since.accounts().size());
-            for (AccountUsage spent : since.accounts()) {
-                writeCustomer(spent.customer(), spent.plan(), spent.firstMember(), spent.memberCount(), out);
-                out.writeDouble(spent.units());
+            out.writeUTF(usage.service());
+            out.writeInt(usage.accounts().size());
+            for (AccountUsage accountUsage : usage.accounts()) {
+                writeCustomer(
+                        accountUsage.customer(),
+                        accountUsage.plan(),
+                        accountUsage.firstMember(),
+                        accountUsage.memberCount(),
+                        out);
+                out.writeDouble(accountUsage.units());
             }
         }
     }
 
-    private static void writeCustomer(long customer, int plan, int first, int spread, DataOutputStream out)
+    private static void writeCustomer(long customer, int plan, int firstMember, int memberCount, DataOutputStream out)
             throws IOException {
         out.writeLong(customer);
         out.writeShort(plan);
-        out.writeInt(first);
-        out.writeInt(spread);
+        out.writeInt(firstMember);
+        out.writeInt(memberCount);
     }
 
-    private static void write(AccountSnapshot kept, DataOutputStream out) throws IOException {
-        writeCustomer(kept.customer(), kept.plan(), kept.firstMember(), kept.memberCount(), out);
-        out.writeInt(kept.maxMemberCount());
-        out.writeDouble(kept.count());
-        out.writeDouble(kept.raceMargin());
-        out.writeDouble(kept.unitsSinceFirstSeen());
-        out.writeDouble(kept.rateLimitTokens());
-        out.writeLong(kept.knownFor());
+    private static void write(AccountSnapshot account, DataOutputStream out) throws IOException {
+        writeCustomer(account.customer(), account.plan(), account.firstMember(), account.memberCount(), out);
+        out.writeInt(account.maxMemberCount());
+        out.writeDouble(account.count());
+        out.writeDouble(account.raceMargin());
+        out.writeDouble(account.unitsSinceFirstSeen());
+        out.writeDouble(account.rateLimitTokens());
+        out.writeLong(account.knownFor());
         for (int i = 0; i < NEIGHBOUR_SLOTS; i++) {
-            out.writeInt(kept.neighbours()[i]);
-            out.writeDouble(kept.unreportedUnits()[i]);
+            out.writeInt(account.neighbours()[i]);
+            out.writeDouble(account.unreportedUnits()[i]);
         }
     }
 
@@ -128,38 +133,50 @@
         String service = in.readUTF();
         boolean last = in.readBoolean();
         int size = in.readInt();
-        List<AccountSnapshot> all = new ArrayList<>();
+        List<AccountSnapshot> accounts = new ArrayList<>();
         for (int i = 0; i < size; i++) { // a size that is too large ends with the body
             long customer = in.readLong();
             int plan = in.readShort();
-            int first = in.readInt();
-            int spread = in.readInt();
-            int sharers = in.readInt();
+            int firstMember = in.readInt();
+            int memberCount = in.readInt();
+            int maxMemberCount = in.readInt();
             double count = readFiniteDouble(in);
-            double margin = readFiniteDouble(in);
-            double sight = readFiniteDouble(in);
-            double ceiling = readFiniteDouble(in);
-            long seenFor = in.readLong();
-            int[] near = new int[NEIGHBOUR_SLOTS];
-            double[] owed = new double[NEIGHBOUR_SLOTS];
-            for (int n = 0; n < NEIGHBOUR_SLOTS; n++) {
-                near[n] = in.readInt();
-                owed[n] = readFiniteDouble(in);
+            double raceMargin = readFiniteDouble(in);
+            double unitsSinceFirstSeen = readFiniteDouble(in);
+            double rateLimitTokens = readFiniteDouble(in);
+            long knownFor = in.readLong();
+            int[] neighbours = new int[NEIGHBOUR_SLOTS];
+            double[] unreportedUnits = new double[NEIGHBOUR_SLOTS];
+            for (int slot = 0; slot < NEIGHBOUR_SLOTS; slot++) {
+                neighbours[slot] = in.readInt();
+                unreportedUnits[slot] = readFiniteDouble(in);
             }
-            all.add(new AccountSnapshot(
-                    customer, plan, first, spread, sharers, count, margin, sight, ceiling, seenFor, near, owed));
+            accounts.add(new AccountSnapshot(
+                    customer,
+                    plan,
+                    firstMember,
+                    memberCount,
+                    maxMemberCount,
+                    count,
+                    raceMargin,
+                    unitsSinceFirstSeen,
+                    rateLimitTokens,
+                    knownFor,
+                    neighbours,
+                    unreportedUnits));
         }
-        return new HandoverFrame.ServiceSnapshot(service, all, last);
+        return new HandoverFrame.ServiceSnapshot(service, accounts, last);
     }
 
     private static HandoverFrame readUsage(DataInputStream in) throws IOException {
         String service = in.readUTF();
         int size = in.readInt();
-        List<AccountUsage> all = new ArrayList<>();
+        List<AccountUsage> accounts = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            all.add(new AccountUsage(in.readLong(), in.readShort(), in.readInt(), in.readInt(), readFiniteDouble(in)));
+            accounts.add(
+                    new AccountUsage(in.readLong(), in.readShort(), in.readInt(), in.readInt(), readFiniteDouble(in)));
         }
-        return new HandoverFrame.ServiceUsage(service, all);
+        return new HandoverFrame.ServiceUsage(service, accounts);
     }
 
     private static double readFiniteDouble(DataInputStream in) throws IOException {
--- a/src/main/java/reedmux/gatekeeper/service/AdmissionControl.java
+++ b/src/main/java/reedmux/gatekeeper/service/AdmissionControl.java
@@ -84,7 +84,7 @@
     /** Decides on a request that buffers so many bytes; {@link #onRequestEnded} has to follow if it is admitted. */
     public AdmissionDecision admit(int service, long bytes) {
         AdmittedUsage usage = services.get(service);
-        long blocks = blocks(bytes);
+        long blocks = blocksFor(bytes);
         boolean fits = usage.inFlight < usage.limits.maxInFlight()
                 && (usage.usedBlocks + blocks) * BLOCK_BYTES <= Math.max(BLOCK_BYTES, usage.limits.maxBytes())
                 && (usage.usedBlocks + blocks <= blockShares.get(service)
@@ -117,8 +117,8 @@
         AdmittedUsage usage = services.get(service);
         requestBudget.release(service);
         usage.inFlight--;
-        usage.usedBlocks -= blocks(bytes);
-        usedBlocks -= blocks(bytes);
+        usage.usedBlocks -= blocksFor(bytes);
+        usedBlocks -= blocksFor(bytes);
         if (residenceMicros > 0) {
             usage.meanResidenceMicros += RESIDENCE_SMOOTHING * (residenceMicros - usage.meanResidenceMicros);
         }
@@ -129,7 +129,7 @@
         return (long) Math.max(MIN_RETRY_AFTER_MICROS, Math.min(MAX_RETRY_AFTER_MICROS, usage.meanResidenceMicros));
     }
 
-    private static long blocks(long bytes) {
+    private static long blocksFor(long bytes) {
         return 1 + bytes / BLOCK_BYTES;
     }
 
@@ -150,7 +150,7 @@
     }
 
     /** Bytes that a service's requests buffer, rounded up to blocks. */
-    public long bytes(int service) {
+    public long bufferedBytes(int service) {
         return services.get(service).usedBlocks * BLOCK_BYTES;
     }
 }
--- a/src/main/java/reedmux/gatekeeper/service/DeficitRoundRobinQueue.java
+++ b/src/main/java/reedmux/gatekeeper/service/DeficitRoundRobinQueue.java
@@ -18,13 +18,13 @@
  */
 public final class DeficitRoundRobinQueue<E> {
     /** An item and the queue that it comes from. */
-    public record ScheduledWork<E>(int queue, E work) {}
+    public record ScheduledItem<E>(int queue, E item) {}
 
-    private record QueuedWork<E>(E work, long cost) {}
+    private record QueuedItem<E>(E item, long cost) {}
 
     /** One queue; what it has not spent of its quanta is its deficit counter. */
     private static final class WeightedQueue<E> {
-        final Deque<QueuedWork<E>> items = new ArrayDeque<>();
+        final Deque<QueuedItem<E>> items = new ArrayDeque<>();
         long quantum;
         int maxItems;
         long deficit;
@@ -70,21 +70,21 @@
     }
 
     /** Adds an item with a positive cost; returns false if the queue is full. */
-    public boolean offer(int queue, E work, long cost) {
+    public boolean offer(int queue, E item, long cost) {
         if (cost <= 0) {
             throw new IllegalArgumentException("an item needs a positive cost: " + cost);
         }
         if (queues.get(queue).items.size() >= queues.get(queue).maxItems) {
             return false;
         }
-        offerUnbounded(queue, work, cost);
+        offerUnbounded(queue, item, cost);
         return true;
     }
 
     /** Adds an item that must not be rejected, even if the queue is full. */
-    public void offerUnbounded(int queue, E work, long cost) {
+    public void offerUnbounded(int queue, E item, long cost) {
         WeightedQueue<E> target = queues.get(queue);
-        target.items.add(new QueuedWork<>(work, cost));
+        target.items.add(new QueuedItem<>(item, cost));
         size++;
         if (!target.active) {
             target.active = true;
@@ -94,11 +94,11 @@
     }
 
     /** The next item, or null if there is none. */
-    public ScheduledWork<E> poll() {
+    public ScheduledItem<E> poll() {
         while (!activeQueues.isEmpty()) {
             int number = activeQueues.peek();
             WeightedQueue<E> queue = queues.get(number);
-            QueuedWork<E> next = queue.items.peek();
+            QueuedItem<E> next = queue.items.peek();
             if (queue.deficit < next.cost) {
                 queue.deficit += queue.quantum;
                 if (queue.deficit < next.cost) {
@@ -115,7 +115,7 @@
             } else if (queue.deficit < queue.items.peek().cost) {
                 activeQueues.add(activeQueues.poll()); // its turn has ended
             }
-            return new ScheduledWork<>(number, next.work);
+            return new ScheduledItem<>(number, next.item);
         }
         return null;
     }
--- a/src/main/java/reedmux/gatekeeper/service/ServiceManager.java
+++ b/src/main/java/reedmux/gatekeeper/service/ServiceManager.java
@@ -27,7 +27,7 @@
  */
 public final class ServiceManager implements AutoCloseable {
     /** How long a reload waits for the provider lists of new services before requests are routed to them. */
-    private static final long JOIN_TIMEOUT_MILLIS = 3_000;
+    private static final long PROVIDER_LIST_TIMEOUT_MILLIS = 3_000;
 
     /**
      * What the services share.
@@ -142,20 +142,20 @@
 
     /**
      * Replaces services and routes. A service with the same name and rules continues with all its state. New ones get
-     * their provider lists first, for {@link #JOIN_TIMEOUT_MILLIS} at most; then all routes change at once, and
+     * their provider lists first, for {@link #PROVIDER_LIST_TIMEOUT_MILLIS} at most; then all routes change at once, and
      * services that are no longer set drain and end.
      *
      * <p>Blocks; to be called by one thread at a time, neither the event loop's nor the I/O thread.
      */
     public synchronized void reload(List<ServiceSetup> setups, RouteTable routes) throws InterruptedException {
-        List<ServiceRuntime> next = new ArrayList<>();
+        List<ServiceRuntime> newServices = new ArrayList<>();
         List<ServiceRuntime> starting = new ArrayList<>();
         List<ServiceRuntime> draining = new ArrayList<>(currentServices);
         for (ServiceSetup setup : setups) {
             ServiceRuntime current = find(setup.name());
             if (current != null && current.canContinueWith(setup)) {
                 draining.remove(current);
-                next.add(current);
+                newServices.add(current);
                 continue;
             }
             ServiceRuntime created = create(setup, null);
@@ -163,15 +163,15 @@
                 current.mutePeerMessages();
             }
             starting.add(created);
-            next.add(created);
+            newServices.add(created);
         }
         scheduler.apply(new ServiceSetChange(starting, List.of()));
         starting.forEach(ServiceRuntime::startDiscovery);
         awaitProviders(starting);
-        currentServices = List.copyOf(next);
-        for (int i = 0; i < next.size(); i++) {
-            if (!starting.contains(next.get(i))) {
-                next.get(i).applySetup(setups.get(i));
+        currentServices = List.copyOf(newServices);
+        for (int i = 0; i < newServices.size(); i++) {
+            if (!starting.contains(newServices.get(i))) {
+                newServices.get(i).applySetup(setups.get(i));
             }
         }
         divideDescriptors();
@@ -190,7 +190,7 @@
     }
 
     private void awaitProviders(List<ServiceRuntime> starting) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(JOIN_TIMEOUT_MILLIS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PROVIDER_LIST_TIMEOUT_MILLIS);
         for (ServiceRuntime service : starting) {
             long remainingMillis = TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime());
             if (!service.awaitProviders(Math.max(0, remainingMillis))) {
@@ -228,8 +228,8 @@
 
     // ---- For the event loop's thread ---------------------------------------------------------------
     /** Requests without an answer yet, in all services; for the event loop's thread. */
-    public int unanswered() {
-        return scheduler.unanswered();
+    public int unansweredCount() {
+        return scheduler.unansweredCount();
     }
 
     /** Closes idle connections and ends services that have drained; for the event loop's thread, now and then. */
--- a/src/main/java/reedmux/gatekeeper/service/ServiceRuntime.java
+++ b/src/main/java/reedmux/gatekeeper/service/ServiceRuntime.java
@@ -53,7 +53,7 @@
             PeerSocket peers,
             ScheduledExecutorService timers,
             Consumer<String> log,
-            BiConsumer<ServiceRuntime, Invocation> admittedEnded,
+            BiConsumer<ServiceRuntime, Invocation> admittedRequestListener,
             Metrics metrics) {}
 
     /** The access to other regions, which only the platform's own service has. */
@@ -174,7 +174,7 @@
     }
 
     /** Whether the policy has found out, from its peers, that this process has been restarted. */
-    public boolean restarted() {
+    public boolean restartDetected() {
         return policy.restartDetected();
     }
 
@@ -184,8 +184,8 @@
     }
 
     /** Whether this service can continue with another setup of the same name, keeping its state. */
-    boolean canContinueWith(ServiceSetup other) {
-        return tag == PoolTag.NONE || setup.service().hasSameRules(other.service());
+    boolean canContinueWith(ServiceSetup newSetup) {
+        return tag == PoolTag.NONE || setup.service().hasSameRules(newSetup.service());
     }
 
     /** Replaces the setup by one that it {@link #canContinueWith}. */
@@ -229,7 +229,7 @@
         return postedEvents.poll();
     }
 
-    boolean hasPosted() {
+    boolean hasPostedEvents() {
         return !postedEvents.isEmpty();
     }
 
@@ -263,11 +263,11 @@
     }
 
     /** Updates the metrics of the provider list. */
-    void recordHosts() {
+    void updateHostMetrics() {
         metrics.setHosts(reducer.providerCount(), policy.ejectedServers());
     }
 
-    int unanswered() {
+    int unansweredCount() {
         return reducer.unansweredCount();
     }
 
@@ -322,7 +322,7 @@
     @Override
     public void onInvocationClosed(Invocation invocation) {
         if (invocation.admittedAt() >= 0) {
-            resources.admittedEnded.accept(this, invocation);
+            resources.admittedRequestListener.accept(this, invocation);
         }
     }
 
@@ -352,8 +352,8 @@
     }
 
     @Override
-    public void checkHealth(String provider, InetSocketAddress address, long askedAt) {
-        providerClient.checkHealth(provider, address, askedAt);
+    public void checkHealth(String provider, InetSocketAddress address, long startedAt) {
+        providerClient.checkHealth(provider, address, startedAt);
     }
 
     @Override
--- a/src/main/java/reedmux/gatekeeper/service/ServiceScheduler.java
+++ b/src/main/java/reedmux/gatekeeper/service/ServiceScheduler.java
@@ -16,7 +16,7 @@
 import reedmux.gatekeeper.reducer.ReducerEvent;
 import reedmux.gatekeeper.service.AdmissionControl.AdmissionDecision;
 import reedmux.gatekeeper.service.AdmissionControl.AdmissionLimits;
-import reedmux.gatekeeper.service.DeficitRoundRobinQueue.ScheduledWork;
+import reedmux.gatekeeper.service.DeficitRoundRobinQueue.ScheduledItem;
 import reedmux.gatekeeper.service.ServiceManager.SharedCapacity;
 
 /**
@@ -28,7 +28,7 @@
  */
 final class ServiceScheduler implements GatekeeperLoop.LoopTasks {
     /** Events of one turn of the loop; the loop's other work has to wait for them. */
-    private static final int MAX_WORK_PER_TURN = 64;
+    private static final int MAX_EVENTS_PER_TURN = 64;
     /** What a service with the lowest weight may spend in its turn, in the unit of the costs below. */
     private static final int BASE_QUANTUM = 8;
 
@@ -62,7 +62,7 @@
     /** All services that have not ended, draining ones included. */
     private final List<ServiceRuntime> running = new ArrayList<>();
 
-    private final Map<Integer, ServiceRuntime> byTag = new HashMap<>();
+    private final Map<Integer, ServiceRuntime> servicesByTag = new HashMap<>();
     /** The running service if there is one alone and nothing is queued; otherwise null. */
     private ServiceRuntime onlyService;
 
@@ -119,13 +119,13 @@
             admissionControl.addService();
         }
         running.add(service);
-        byTag.put(service.tag(), service);
+        servicesByTag.put(service.tag(), service);
     }
 
     private void remove(ServiceRuntime service) {
         service.close();
         running.remove(service);
-        byTag.remove(service.tag(), service);
+        servicesByTag.remove(service.tag(), service);
         applyWeights();
         freeSlots.add(service.slot);
         log.accept("service " + service.name() + ": has ended");
@@ -186,12 +186,12 @@
                 enqueue(service, event);
             }
         }
-        for (int i = 0; i < MAX_WORK_PER_TURN; i++) {
-            ScheduledWork<ServiceEvent> next = queues.poll();
+        for (int i = 0; i < MAX_EVENTS_PER_TURN; i++) {
+            ScheduledItem<ServiceEvent> next = queues.poll();
             if (next == null) {
                 return;
             }
-            next.work().service.reduce(now, next.work().event);
+            next.item().service.reduce(now, next.item().event);
         }
     }
 
@@ -227,7 +227,7 @@
 
     @Override
     public void onPeerDatagram(long now, int tag, int peer, byte[] bytes) {
-        ServiceRuntime service = byTag.get(tag);
+        ServiceRuntime service = servicesByTag.get(tag);
         if (service == null) {
             unknownServiceMessages++;
         } else {
@@ -252,9 +252,9 @@
         if (!tasks.isEmpty() || !changes.isEmpty()) {
             return true;
         } else if (onlyService != null) {
-            return onlyService.hasPosted();
+            return onlyService.hasPostedEvents();
         }
-        return queues.size() > 0 || running.stream().anyMatch(ServiceRuntime::hasPosted);
+        return queues.size() > 0 || running.stream().anyMatch(ServiceRuntime::hasPostedEvents);
     }
 
     @Override
@@ -268,10 +268,10 @@
 
     // ---- Between turns -----------------------------------------------------------------------------
     /** Requests without an answer yet, in all services; events that are still queued count too. */
-    int unanswered() {
+    int unansweredCount() {
         int sum = queues.size();
         for (ServiceRuntime service : running) {
-            sum += service.unanswered();
+            sum += service.unansweredCount();
         }
         return sum;
     }
@@ -284,7 +284,7 @@
         }
         for (ServiceRuntime service : List.copyOf(running)) {
             service.connectionPool().sweep();
-            service.recordHosts();
+            service.updateHostMetrics();
             service.intakeLimiter().sweep();
             if (service.isDraining() && hasDrained(service, now)) {
                 remove(service);
--- a/src/main/java/reedmux/gatekeeper/service/SharedBudget.java
+++ b/src/main/java/reedmux/gatekeeper/service/SharedBudget.java
@@ -19,12 +19,12 @@
         RECLAIM
     }
 
-    /** A decision; with {@link BudgetDecision#RECLAIM} the user that must release one, otherwise {@link #NOBODY}. */
+    /** A decision; with {@link BudgetDecision#RECLAIM} the user that must release one, otherwise {@link #NO_USER}. */
     public record BudgetResult(BudgetDecision decision, int reclaimFrom) {}
 
-    private static final int NOBODY = -1;
-    private static final BudgetResult GRANTED = new BudgetResult(BudgetDecision.GRANTED, NOBODY);
-    private static final BudgetResult REJECTED = new BudgetResult(BudgetDecision.REJECTED, NOBODY);
+    private static final int NO_USER = -1;
+    private static final BudgetResult GRANTED = new BudgetResult(BudgetDecision.GRANTED, NO_USER);
+    private static final BudgetResult REJECTED = new BudgetResult(BudgetDecision.REJECTED, NO_USER);
 
     /** One user's share, and how much of it is used. */
     private static final class BudgetShare {
@@ -137,7 +137,7 @@
 
     /** The user that has borrowed the most; exists if all are in use and {@code user} is below its share. */
     private int largestBorrower(int user) {
-        int borrower = NOBODY;
+        int borrower = NO_USER;
         int most = 0;
         for (int i = 0; i < shares.size(); i++) {
             int borrowed = shares.get(i).used - shares.get(i).guaranteed;
--- a/src/main/java/reedmux/gatekeeper/settings/RegionSettings.java
+++ b/src/main/java/reedmux/gatekeeper/settings/RegionSettings.java
@@ -202,7 +202,7 @@
                 limits.unitsPerSecond(),
                 limits.burstUnits(),
                 limits.closeAtFailureRate(),
-                toMillis(limits.holdMicros()));
+                toMillis(limits.minBackoffMicros()));
     }
 
     private static String describe(FailoverTarget target) {
--- a/src/main/java/reedmux/simulation/region/RegionScenarios.java
+++ b/src/main/java/reedmux/simulation/region/RegionScenarios.java
@@ -156,7 +156,7 @@
                 told.unitsPerSecond(),
                 told.burstUnits(),
                 first ? told.closeAtFailureRate() : 1,
-                told.holdMicros());
+                told.minBackoffMicros());
         RegionWorld world = new RegionWorld(
                 seed,
                 List.of(
--- a/src/test/java/reedmux/gatekeeper/handover/HandoverCompatibilityTest.java
+++ b/src/test/java/reedmux/gatekeeper/handover/HandoverCompatibilityTest.java
@@ -22,38 +22,41 @@
         for (Map.Entry<String, byte[]> frame : frames.entrySet()) {
             byte[] bytes = frame.getValue();
             assertEquals(ByteBuffer.wrap(bytes).getInt(), bytes.length - Integer.BYTES);
-            HandoverFrame read = HandoverFrameCodec.decode(Arrays.copyOfRange(bytes, Integer.BYTES, bytes.length));
-            check(read, expected.get(frame.getKey()));
+            HandoverFrame decoded = HandoverFrameCodec.decode(Arrays.copyOfRange(bytes, Integer.BYTES, bytes.length));
+            assertSameContent(decoded, expected.get(frame.getKey()));
             assertEquals(HandoverFrameCodec.encode(expected.get(frame.getKey())), bytes, frame.getKey());
         }
     }
 
-    private static void check(HandoverFrame read, HandoverFrame expected) {
-        if (!(expected instanceof HandoverFrame.ServiceSnapshot counted)) {
-            assertEquals(read, expected);
+    private static void assertSameContent(HandoverFrame decoded, HandoverFrame expected) {
+        if (!(expected instanceof HandoverFrame.ServiceSnapshot expectedSnapshot)) {
+            assertEquals(decoded, expected);
             return;
         }
-        HandoverFrame.ServiceSnapshot other = (HandoverFrame.ServiceSnapshot) read;
-        assertEquals(other.service(), counted.service());
-        assertEquals(other.last(), counted.last());
-        assertEquals(other.accounts().size(), counted.accounts().size());
-        for (int i = 0; i < counted.accounts().size(); i++) {
-            check(other.accounts().get(i), counted.accounts().get(i));
+        HandoverFrame.ServiceSnapshot decodedSnapshot = (HandoverFrame.ServiceSnapshot) decoded;
+        assertEquals(decodedSnapshot.service(), expectedSnapshot.service());
+        assertEquals(decodedSnapshot.last(), expectedSnapshot.last());
+        assertEquals(
+                decodedSnapshot.accounts().size(), expectedSnapshot.accounts().size());
+        for (int i = 0; i < expectedSnapshot.accounts().size(); i++) {
+            assertSameContent(
+                    decodedSnapshot.accounts().get(i),
+                    expectedSnapshot.accounts().get(i));
         }
     }
 
-    private static void check(AccountSnapshot read, AccountSnapshot expected) {
-        assertEquals(read.customer(), expected.customer());
-        assertEquals(read.plan(), expected.plan());
-        assertEquals(read.firstMember(), expected.firstMember());
-        assertEquals(read.memberCount(), expected.memberCount());
-        assertEquals(read.maxMemberCount(), expected.maxMemberCount());
-        assertEquals(read.count(), expected.count());
-        assertEquals(read.raceMargin(), expected.raceMargin());
-        assertEquals(read.unitsSinceFirstSeen(), expected.unitsSinceFirstSeen());
-        assertEquals(read.rateLimitTokens(), expected.rateLimitTokens());
-        assertEquals(read.knownFor(), expected.knownFor());
-        assertEquals(read.neighbours(), expected.neighbours());
-        assertEquals(read.unreportedUnits(), expected.unreportedUnits());
+    private static void assertSameContent(AccountSnapshot decoded, AccountSnapshot expected) {
+        assertEquals(decoded.customer(), expected.customer());
+        assertEquals(decoded.plan(), expected.plan());
+        assertEquals(decoded.firstMember(), expected.firstMember());
+        assertEquals(decoded.memberCount(), expected.memberCount());
+        assertEquals(decoded.maxMemberCount(), expected.maxMemberCount());
+        assertEquals(decoded.count(), expected.count());
+        assertEquals(decoded.raceMargin(), expected.raceMargin());
+        assertEquals(decoded.unitsSinceFirstSeen(), expected.unitsSinceFirstSeen());
+        assertEquals(decoded.rateLimitTokens(), expected.rateLimitTokens());
+        assertEquals(decoded.knownFor(), expected.knownFor());
+        assertEquals(decoded.neighbours(), expected.neighbours());
+        assertEquals(decoded.unreportedUnits(), expected.unreportedUnits());
     }
 }
--- a/src/test/java/reedmux/gatekeeper/handover/HandoverFixtures.java
+++ b/src/test/java/reedmux/gatekeeper/handover/HandoverFixtures.java
@@ -8,7 +8,7 @@
 
 /** One frame of every kind that two processes of one gatekeeper exchange. */
 public final class HandoverFixtures {
-    static final AccountSnapshot FIRST_COUNT = new AccountSnapshot(
+    static final AccountSnapshot FIRST_ACCOUNT = new AccountSnapshot(
             77L << 32,
             300,
             70_001,
@@ -21,32 +21,34 @@
             9_000_000_000L,
             new int[] {-1, 70_003, 7},
             new double[] {0.5, 1.5, 2});
-    static final AccountSnapshot SECOND_COUNT = new AccountSnapshot(
+    static final AccountSnapshot SECOND_ACCOUNT = new AccountSnapshot(
             -78, 1, 2, 3, 5, 6.5, -0.75, 100.1, 3.25, 8, new int[] {1, 2, -1}, new double[] {3, 4, 5});
 
     private HandoverFixtures() {}
 
     static Map<String, HandoverFrame> frames() {
-        Map<String, HandoverFrame> all = new LinkedHashMap<>();
-        all.put("hello", new HandoverFrame.HandoverHello(1, "0 of 4 plans €"));
-        all.put("take", new HandoverFrame.SnapshotRequest());
-        all.put("counted-last", new HandoverFrame.ServiceSnapshot("default", List.of(FIRST_COUNT, SECOND_COUNT), true));
-        all.put("counted", new HandoverFrame.ServiceSnapshot("invoices", List.of(), false));
-        all.put("serving", new HandoverFrame.SuccessorServing());
-        all.put(
+        Map<String, HandoverFrame> frames = new LinkedHashMap<>();
+        frames.put("hello", new HandoverFrame.HandoverHello(1, "0 of 4 plans €"));
+        frames.put("take", new HandoverFrame.SnapshotRequest());
+        frames.put(
+                "counted-last",
+                new HandoverFrame.ServiceSnapshot("default", List.of(FIRST_ACCOUNT, SECOND_ACCOUNT), true));
+        frames.put("counted", new HandoverFrame.ServiceSnapshot("invoices", List.of(), false));
+        frames.put("serving", new HandoverFrame.SuccessorServing());
+        frames.put(
                 "spent",
                 new HandoverFrame.ServiceUsage(
                         "default",
                         List.of(
                                 new AccountUsage(1L << 32, 300, 70_001, 70_002, 2.5),
                                 new AccountUsage(-3, 1, 2, 3, -4.1))));
-        return all;
+        return frames;
     }
 
     /** Returns the bytes of each frame with its length in front. */
     public static Map<String, byte[]> encoded() {
-        Map<String, byte[]> all = new LinkedHashMap<>();
-        frames().forEach((name, frame) -> all.put(name, HandoverFrameCodec.encode(frame)));
-        return all;
+        Map<String, byte[]> encoded = new LinkedHashMap<>();
+        frames().forEach((name, frame) -> encoded.put(name, HandoverFrameCodec.encode(frame)));
+        return encoded;
     }
 }
--- a/src/test/java/reedmux/gatekeeper/handover/HandoverFrameCodecTest.java
+++ b/src/test/java/reedmux/gatekeeper/handover/HandoverFrameCodecTest.java
@@ -18,7 +18,7 @@
 public final class HandoverFrameCodecTest {
     private static final AccountSnapshot ACCOUNT = new AccountSnapshot(
             77, 1, 2, 3, 4, 5.5, 0.25, 1, -2, 9_000_000, new int[] {-1, 0, 7}, new double[] {0, 1.5, 2});
-    private static final List<HandoverFrame> ALL = List.of(
+    private static final List<HandoverFrame> FRAMES = List.of(
             new HandoverFrame.HandoverHello(1, "0 of 4 plans"),
             new HandoverFrame.SnapshotRequest(),
             new HandoverFrame.ServiceSnapshot("default", List.of(ACCOUNT, ACCOUNT), true),
@@ -34,14 +34,14 @@
 
     @Test
     public void decodedFrameEqualsTheEncodedOne() throws IOException {
-        for (HandoverFrame frame : ALL) {
-            HandoverFrame back = HandoverFrameCodec.decode(body(frame));
-            if (frame instanceof HandoverFrame.ServiceSnapshot counted
-                    && !counted.accounts().isEmpty()) {
-                AccountSnapshot kept =
-                        ((HandoverFrame.ServiceSnapshot) back).accounts().get(1);
-                assertArrayEquals(ACCOUNT.neighbours(), kept.neighbours());
-                assertArrayEquals(ACCOUNT.unreportedUnits(), kept.unreportedUnits(), 0);
+        for (HandoverFrame frame : FRAMES) {
+            HandoverFrame decoded = HandoverFrameCodec.decode(body(frame));
+            if (frame instanceof HandoverFrame.ServiceSnapshot snapshot
+                    && !snapshot.accounts().isEmpty()) {
+                AccountSnapshot account =
+                        ((HandoverFrame.ServiceSnapshot) decoded).accounts().get(1);
+                assertArrayEquals(ACCOUNT.neighbours(), account.neighbours());
+                assertArrayEquals(ACCOUNT.unreportedUnits(), account.unreportedUnits(), 0);
                 assertEquals(
                         List.of(
                                 ACCOUNT.customer(),
@@ -55,50 +55,51 @@
                                 ACCOUNT.rateLimitTokens(),
                                 ACCOUNT.knownFor()),
                         List.of(
-                                kept.customer(),
-                                kept.plan(),
-                                kept.firstMember(),
-                                kept.memberCount(),
-                                kept.maxMemberCount(),
-                                kept.count(),
-                                kept.raceMargin(),
-                                kept.unitsSinceFirstSeen(),
-                                kept.rateLimitTokens(),
-                                kept.knownFor()));
-                assertTrue(((HandoverFrame.ServiceSnapshot) back).last());
+                                account.customer(),
+                                account.plan(),
+                                account.firstMember(),
+                                account.memberCount(),
+                                account.maxMemberCount(),
+                                account.count(),
+                                account.raceMargin(),
+                                account.unitsSinceFirstSeen(),
+                                account.rateLimitTokens(),
+                                account.knownFor()));
+                assertTrue(((HandoverFrame.ServiceSnapshot) decoded).last());
             } else {
-                assertEquals(frame, back);
+                assertEquals(frame, decoded);
             }
         }
     }
 
     @Test
     public void frameTruncatedAtAnyByteIsRejected() {
-        for (HandoverFrame frame : ALL) {
-            byte[] whole = body(frame);
-            for (int length = 0; length < whole.length; length++) {
-                byte[] cut = Arrays.copyOf(whole, length);
-                assertThrows(frame + " at " + length, IOException.class, () -> HandoverFrameCodec.decode(cut));
+        for (HandoverFrame frame : FRAMES) {
+            byte[] encoded = body(frame);
+            for (int length = 0; length < encoded.length; length++) {
+                byte[] truncated = Arrays.copyOf(encoded, length);
+                assertThrows(frame + " at " + length, IOException.class, () -> HandoverFrameCodec.decode(truncated));
             }
-            assertThrows(IOException.class, () -> HandoverFrameCodec.decode(Arrays.copyOf(whole, whole.length + 1)));
+            assertThrows(
+                    IOException.class, () -> HandoverFrameCodec.decode(Arrays.copyOf(encoded, encoded.length + 1)));
         }
     }
 
     /** Whatever stands there is a frame or an error, and no count that is no number gets through. */
     @Test
-    public void noiseIsRejectedOrDecoded() {
+    public void corruptedFrameIsRejectedOrDecoded() {
         SplittableRandom random = new SplittableRandom(5);
         int errors = 0;
         for (int run = 0; run < 3_000; run++) {
-            byte[] noise = body(ALL.get(random.nextInt(ALL.size())));
+            byte[] corrupted = body(FRAMES.get(random.nextInt(FRAMES.size())));
             for (int i = random.nextInt(4); i >= 0; i--) {
-                noise[random.nextInt(noise.length)] = (byte) random.nextInt(256);
+                corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt(256);
             }
             try {
-                if (HandoverFrameCodec.decode(noise) instanceof HandoverFrame.ServiceSnapshot counted) {
-                    counted.accounts()
-                            .forEach(kept ->
-                                    assertTrue(Double.isFinite(kept.count() + kept.raceMargin() - kept.raceMargin())));
+                if (HandoverFrameCodec.decode(corrupted) instanceof HandoverFrame.ServiceSnapshot snapshot) {
+                    snapshot.accounts()
+                            .forEach(account -> assertTrue(
+                                    Double.isFinite(account.count() + account.raceMargin() - account.raceMargin())));
                 }
             } catch (IOException e) {
                 errors++;
--- a/src/test/java/reedmux/gatekeeper/service/AdmissionControlTest.java
+++ b/src/test/java/reedmux/gatekeeper/service/AdmissionControlTest.java
@@ -19,7 +19,7 @@
 final class AdmissionControlTest {
     private static final AdmissionLimits UNLIMITED = new AdmissionLimits(Integer.MAX_VALUE, Long.MAX_VALUE);
 
-    private static AdmissionControl of(int inFlight, long bytes, Double... weights) {
+    private static AdmissionControl createAdmissionControl(int inFlight, long bytes, Double... weights) {
         AdmissionControl admission = new AdmissionControl(inFlight, bytes);
         for (int i = 0; i < weights.length; i++) {
             admission.addService();
@@ -34,55 +34,57 @@
     @Property(tries = 3_000, seed = "91")
     void everyServiceGetsItsShareAtOnce(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        int pools = random.nextInt(1, 6);
-        Double[] weights = new Double[pools];
-        double sum = 0;
-        for (int i = 0; i < pools; i++) {
+        int serviceCount = random.nextInt(1, 6);
+        Double[] weights = new Double[serviceCount];
+        double weightSum = 0;
+        for (int i = 0; i < serviceCount; i++) {
             weights[i] = 0.5 + random.nextInt(4);
-            sum += weights[i];
+            weightSum += weights[i];
         }
-        int all = random.nextInt(10, 80);
-        int blocks = random.nextInt(20, 400);
-        AdmissionControl admission = of(all, blocks * 1024L, weights);
-        List<Deque<Long>> open = new ArrayList<>();
-        for (int i = 0; i < pools; i++) {
-            open.add(new ArrayDeque<>());
+        int maxInFlight = random.nextInt(10, 80);
+        int maxBlocks = random.nextInt(20, 400);
+        AdmissionControl admission = createAdmissionControl(maxInFlight, maxBlocks * 1024L, weights);
+        List<Deque<Long>> admittedRequests = new ArrayList<>();
+        for (int i = 0; i < serviceCount; i++) {
+            admittedRequests.add(new ArrayDeque<>());
         }
         for (int step = 0; step < 400; step++) {
-            int pool = random.nextInt(pools);
-            if (random.nextInt(3) == 0 && !open.get(pool).isEmpty()) {
-                admission.onRequestEnded(pool, open.get(pool).poll(), 1_000);
+            int service = random.nextInt(serviceCount);
+            if (random.nextInt(3) == 0 && !admittedRequests.get(service).isEmpty()) {
+                admission.onRequestEnded(service, admittedRequests.get(service).poll(), 1_000);
                 continue;
             }
             long bytes = random.nextInt(4_000);
-            boolean own = admission.inFlight(pool) < (int) (all * weights[pool] / sum)
-                    && admission.bytes(pool) / 1024 + 1 + bytes / 1024 <= (int) (blocks * weights[pool] / sum);
-            AdmissionControl.AdmissionDecision verdict = admission.admit(pool, bytes);
-            assertTrue(verdict.admitted() || !own, "its own part is there at once");
-            if (verdict.admitted()) {
-                open.get(pool).add(bytes);
+            boolean withinShare = admission.inFlight(service) < (int) (maxInFlight * weights[service] / weightSum)
+                    && admission.bufferedBytes(service) / 1024 + 1 + bytes / 1024
+                            <= (int) (maxBlocks * weights[service] / weightSum);
+            AdmissionControl.AdmissionDecision decision = admission.admit(service, bytes);
+            assertTrue(decision.admitted() || !withinShare, "its own part is there at once");
+            if (decision.admitted()) {
+                admittedRequests.get(service).add(bytes);
             } else {
-                assertTrue(verdict.retryAfterMicros() > 0, "who is turned away is told when to come back");
+                assertTrue(decision.retryAfterMicros() > 0, "who is turned away is told when to come back");
             }
             int inFlight = 0;
-            long held = 0;
-            for (int i = 0; i < pools; i++) {
-                assertEquals(open.get(i).size(), admission.inFlight(i));
+            long bufferedBytes = 0;
+            for (int i = 0; i < serviceCount; i++) {
+                assertEquals(admittedRequests.get(i).size(), admission.inFlight(i));
                 inFlight += admission.inFlight(i);
-                held += admission.bytes(i);
+                bufferedBytes += admission.bufferedBytes(i);
             }
-            assertTrue(inFlight < 2 * all && held < 2 * blocks * 1024L, "twice the bound at the most");
+            assertTrue(
+                    inFlight < 2 * maxInFlight && bufferedBytes < 2 * maxBlocks * 1024L, "twice the bound at the most");
         }
     }
 
     @Example
     void borrowsAllButTheReserveOfOthers() {
-        AdmissionControl admission = of(40, 1 << 20, 1.0, 1.0);
-        int in = 0;
+        AdmissionControl admission = createAdmissionControl(40, 1 << 20, 1.0, 1.0);
+        int admitted = 0;
         while (admission.admit(0, 0).admitted()) {
-            in++;
+            admitted++;
         }
-        assertEquals(30, in);
+        assertEquals(30, admitted);
         for (int i = 0; i < 20; i++) {
             assertTrue(admission.admit(1, 0).admitted(), "what was lent is had back");
         }
@@ -104,7 +106,7 @@
 
     @Example
     void retryAfterFollowsTheResidenceTime() {
-        AdmissionControl admission = of(4, 1 << 20, 1.0);
+        AdmissionControl admission = createAdmissionControl(4, 1 << 20, 1.0);
         for (int i = 0; i < 200; i++) {
             admission.admit(0, 0);
             admission.onRequestEnded(0, 0, 800_000);
@@ -118,7 +120,7 @@
 
     @Example
     void drainingServiceFreesItsShare() {
-        AdmissionControl admission = of(40, 1 << 20, 1.0, 1.0);
+        AdmissionControl admission = createAdmissionControl(40, 1 << 20, 1.0, 1.0);
         for (int i = 0; i < 20; i++) {
             assertTrue(admission.admit(1, 100).admitted());
         }
@@ -131,6 +133,6 @@
         for (int i = 0; i < 20; i++) {
             admission.onRequestEnded(1, 100, 1_000);
         }
-        assertEquals(0, admission.bytes(1));
+        assertEquals(0, admission.bufferedBytes(1));
     }
 }
--- a/src/test/java/reedmux/gatekeeper/service/DeficitRoundRobinQueueTest.java
+++ b/src/test/java/reedmux/gatekeeper/service/DeficitRoundRobinQueueTest.java
@@ -29,25 +29,25 @@
             queues.addQueue(random.nextInt(1, 30), 5);
             expected.add(new ArrayDeque<>());
         }
-        int waiting = 0;
+        int queuedCount = 0;
         for (int step = 0; step < 100; step++) {
             if (random.nextInt(3) > 0) {
-                int pool = random.nextInt(expected.size());
-                boolean room = expected.get(pool).size() < 5;
-                assertEquals(room, queues.offer(pool, step, random.nextInt(1, MAX_COST + 1)));
-                if (room) {
-                    expected.get(pool).add(step);
-                    waiting++;
+                int queue = random.nextInt(expected.size());
+                boolean hasCapacity = expected.get(queue).size() < 5;
+                assertEquals(hasCapacity, queues.offer(queue, step, random.nextInt(1, MAX_COST + 1)));
+                if (hasCapacity) {
+                    expected.get(queue).add(step);
+                    queuedCount++;
                 }
             } else {
-                DeficitRoundRobinQueue.ScheduledWork<Integer> turn = queues.poll();
-                assertEquals(waiting == 0, turn == null);
-                if (turn != null) {
-                    assertEquals(expected.get(turn.queue()).poll(), turn.work());
-                    waiting--;
+                DeficitRoundRobinQueue.ScheduledItem<Integer> next = queues.poll();
+                assertEquals(queuedCount == 0, next == null);
+                if (next != null) {
+                    assertEquals(expected.get(next.queue()).poll(), next.item());
+                    queuedCount--;
                 }
             }
-            assertEquals(waiting, queues.size());
+            assertEquals(queuedCount, queues.size());
         }
     }
 
@@ -56,27 +56,27 @@
     void sharesByWeight(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         DeficitRoundRobinQueue<Long> queues = new DeficitRoundRobinQueue<>();
-        int pools = random.nextInt(2, 6);
-        long[] weight = new long[pools];
-        for (int i = 0; i < pools; i++) {
+        int queueCount = random.nextInt(2, 6);
+        long[] weight = new long[queueCount];
+        for (int i = 0; i < queueCount; i++) {
             weight[i] = random.nextInt(1, 4);
             queues.addQueue(weight[i] * MAX_COST, 1_000);
         }
-        for (int i = 0; i < pools; i++) {
+        for (int i = 0; i < queueCount; i++) {
             for (int k = 0; k < 400; k++) {
                 long cost = random.nextInt(1, MAX_COST + 1);
                 queues.offer(i, cost, cost);
             }
         }
-        double[] had = new double[pools];
-        for (int turn = 0; turn < 150; turn++) {
-            DeficitRoundRobinQueue.ScheduledWork<Long> next = queues.poll();
-            had[next.queue()] += next.work();
-            for (int i = 0; i < pools; i++) {
-                for (int j = 0; j < pools; j++) {
+        double[] servedCost = new double[queueCount];
+        for (int poll = 0; poll < 150; poll++) {
+            DeficitRoundRobinQueue.ScheduledItem<Long> next = queues.poll();
+            servedCost[next.queue()] += next.item();
+            for (int i = 0; i < queueCount; i++) {
+                for (int j = 0; j < queueCount; j++) {
                     assertTrue(
-                            Math.abs(had[i] / weight[i] - had[j] / weight[j]) <= 2 * MAX_COST + 1e-9,
-                            "rounds apart: " + had[i] / weight[i] + " and " + had[j] / weight[j]);
+                            Math.abs(servedCost[i] / weight[i] - servedCost[j] / weight[j]) <= 2 * MAX_COST + 1e-9,
+                            "rounds apart: " + servedCost[i] / weight[i] + " and " + servedCost[j] / weight[j]);
                 }
             }
         }
@@ -90,9 +90,9 @@
     void floodedQueueDoesNotDelayOthers(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         DeficitRoundRobinQueue<Long> queues = new DeficitRoundRobinQueue<>();
-        int quiet = queues.addQueue(MAX_COST, 10);
-        int others = random.nextInt(1, 5);
-        for (int i = 1; i <= others; i++) {
+        int idleQueue = queues.addQueue(MAX_COST, 10);
+        int floodedQueues = random.nextInt(1, 5);
+        for (int i = 1; i <= floodedQueues; i++) {
             queues.addQueue(MAX_COST, 100_000);
             for (int k = random.nextInt(1, 1_000); k > 0; k--) {
                 long cost = random.nextInt(1, MAX_COST + 1);
@@ -102,18 +102,20 @@
         for (int k = random.nextInt(50); k > 0; k--) {
             queues.poll();
         }
-        queues.offer(quiet, 0L, MAX_COST);
-        long before = 0;
-        for (DeficitRoundRobinQueue.ScheduledWork<Long> turn = queues.poll();
-                turn.queue() != quiet;
-                turn = queues.poll()) {
-            before += turn.work();
+        queues.offer(idleQueue, 0L, MAX_COST);
+        long costBefore = 0;
+        for (DeficitRoundRobinQueue.ScheduledItem<Long> next = queues.poll();
+                next.queue() != idleQueue;
+                next = queues.poll()) {
+            costBefore += next.item();
         }
-        assertTrue(before <= 2L * MAX_COST * others, before + " before it, of " + others + " others");
+        assertTrue(
+                costBefore <= 2L * MAX_COST * floodedQueues,
+                costBefore + " before it, of " + floodedQueues + " others");
     }
 
     @Example
-    void idleQueueSavesNoDeficit() {
+    void idleQueueAccumulatesNoDeficit() {
         DeficitRoundRobinQueue<String> queues = new DeficitRoundRobinQueue<>();
         int a = queues.addQueue(10, 100);
         int b = queues.addQueue(10, 100);
@@ -126,8 +128,8 @@
             queues.offer(b, "b", 10);
         }
         StringBuilder order = new StringBuilder();
-        for (DeficitRoundRobinQueue.ScheduledWork<String> turn = queues.poll(); turn != null; turn = queues.poll()) {
-            order.append(turn.work());
+        for (DeficitRoundRobinQueue.ScheduledItem<String> next = queues.poll(); next != null; next = queues.poll()) {
+            order.append(next.item());
         }
         assertEquals("abababab", order.toString());
         assertNull(queues.poll());
@@ -138,10 +140,10 @@
         DeficitRoundRobinQueue<String> queues = new DeficitRoundRobinQueue<>();
         assertThrows(IllegalArgumentException.class, () -> queues.addQueue(0, 1));
         assertThrows(IllegalArgumentException.class, () -> queues.addQueue(1, 0));
-        int pool = queues.addQueue(1, 1);
-        assertThrows(IllegalArgumentException.class, () -> queues.offer(pool, "free", 0));
-        assertTrue(queues.offer(pool, "x", 1_000));
-        assertFalse(queues.offer(pool, "y", 1));
-        assertEquals("x", queues.poll().work());
+        int queue = queues.addQueue(1, 1);
+        assertThrows(IllegalArgumentException.class, () -> queues.offer(queue, "free", 0));
+        assertTrue(queues.offer(queue, "x", 1_000));
+        assertFalse(queues.offer(queue, "y", 1));
+        assertEquals("x", queues.poll().item());
     }
 }
--- a/src/test/java/reedmux/gatekeeper/service/DescriptorBudgetTest.java
+++ b/src/test/java/reedmux/gatekeeper/service/DescriptorBudgetTest.java
@@ -11,46 +11,46 @@
 /** Descriptors that are lent, and reclaimed by closing idle connections. */
 final class DescriptorBudgetTest {
     private final DescriptorBudget budget = new DescriptorBudget(20);
-    private final ConnectionPermits one = budget.permitsOf(budget.addService());
-    private final ConnectionPermits two = budget.permitsOf(budget.addService());
+    private final ConnectionPermits firstPermits = budget.permitsOf(budget.addService());
+    private final ConnectionPermits secondPermits = budget.permitsOf(budget.addService());
 
-    private int acquireAll(ConnectionPermits room) {
-        int taken = 0;
-        while (room.tryAcquire()) {
-            taken++;
+    private int acquireAll(ConnectionPermits permits) {
+        int acquired = 0;
+        while (permits.tryAcquire()) {
+            acquired++;
         }
-        return taken;
+        return acquired;
     }
 
     @Example
     void reclaimsIdleBorrowedDescriptorsAtOnce() {
         budget.setWeights(new double[] {1, 1});
-        AtomicInteger idle = new AtomicInteger(3);
+        AtomicInteger idleConnections = new AtomicInteger(3);
         budget.setEvictor(0, () -> {
-            boolean any = idle.getAndDecrement() > 0;
-            if (any) {
-                one.release();
+            boolean evicted = idleConnections.getAndDecrement() > 0;
+            if (evicted) {
+                firstPermits.release();
             }
-            return any;
+            return evicted;
         });
-        assertEquals(15, acquireAll(one), "half of the other's part is kept for it");
+        assertEquals(15, acquireAll(firstPermits), "half of the other's part is kept for it");
         for (int i = 0; i < 8; i++) {
-            assertTrue(two.tryAcquire(), "five are kept, three are idle and closed for it");
+            assertTrue(secondPermits.tryAcquire(), "five are kept, three are idle and closed for it");
         }
-        assertFalse(two.tryAcquire(), "all that is left is in use");
+        assertFalse(secondPermits.tryAcquire(), "all that is left is in use");
         assertEquals(12, budget.used(0));
-        one.release();
-        assertFalse(one.tryAcquire(), "what is free belongs to the one that lacks of its part");
-        assertTrue(two.tryAcquire());
+        firstPermits.release();
+        assertFalse(firstPermits.tryAcquire(), "what is free belongs to the one that lacks of its part");
+        assertTrue(secondPermits.tryAcquire());
     }
 
     @Example
     void sharesFollowTheWeights() {
         budget.setWeights(new double[] {3, 1});
-        assertEquals(17, acquireAll(one));
+        assertEquals(17, acquireAll(firstPermits));
         budget.setWeights(new double[] {0, 1});
-        assertFalse(one.tryAcquire());
+        assertFalse(firstPermits.tryAcquire());
         budget.setEvictor(0, () -> false);
-        assertEquals(3, acquireAll(two), "one that leaves keeps its connections until its calls end");
+        assertEquals(3, acquireAll(secondPermits), "one that leaves keeps its connections until its calls end");
     }
 }
--- a/src/test/java/reedmux/gatekeeper/service/SharedBudgetTest.java
+++ b/src/test/java/reedmux/gatekeeper/service/SharedBudgetTest.java
@@ -21,46 +21,49 @@
     @Property(tries = 10_000, seed = "71")
     void everyShareCanBeUsedInFull(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        int all = random.nextInt(5, 60);
-        double reserve = random.nextInt(5) / 4.0;
-        SharedBudget lending = new SharedBudget(all, reserve);
-        int pools = random.nextInt(1, 6);
-        int[] own = new int[pools];
-        int left = all;
-        for (int i = 0; i < pools; i++) {
-            own[i] = random.nextInt(left + 1);
-            left -= own[i];
-            lending.addShare(own[i]);
+        int total = random.nextInt(5, 60);
+        double reservedFraction = random.nextInt(5) / 4.0;
+        SharedBudget budget = new SharedBudget(total, reservedFraction);
+        int userCount = random.nextInt(1, 6);
+        int[] guaranteed = new int[userCount];
+        int unassigned = total;
+        for (int i = 0; i < userCount; i++) {
+            guaranteed[i] = random.nextInt(unassigned + 1);
+            unassigned -= guaranteed[i];
+            budget.addShare(guaranteed[i]);
         }
         for (int step = 0; step < 200; step++) {
-            int pool = random.nextInt(pools);
-            int before = lending.used(pool);
+            int user = random.nextInt(userCount);
+            int usedBefore = budget.used(user);
             if (random.nextInt(3) == 0) {
-                if (before > 0) {
-                    lending.release(pool);
+                if (usedBefore > 0) {
+                    budget.release(user);
                 }
                 continue;
             }
-            int total = lending.used();
-            BudgetResult answer = lending.tryAcquire(pool);
-            if (before < own[pool]) {
-                assertTrue(answer.decision() != BudgetDecision.REJECTED, "its own part is never refused");
-                assertTrue(total < all || answer.decision() == BudgetDecision.RECLAIM, "there is no more than all");
+            int totalUsedBefore = budget.used();
+            BudgetResult result = budget.tryAcquire(user);
+            if (usedBefore < guaranteed[user]) {
+                assertTrue(result.decision() != BudgetDecision.REJECTED, "its own part is never refused");
+                assertTrue(
+                        totalUsedBefore < total || result.decision() == BudgetDecision.RECLAIM,
+                        "there is no more than all");
             } else {
-                assertTrue(answer.decision() != BudgetDecision.RECLAIM, "nobody gives back for a borrower");
+                assertTrue(result.decision() != BudgetDecision.RECLAIM, "nobody gives back for a borrower");
             }
-            if (answer.decision() == BudgetDecision.RECLAIM) {
+            if (result.decision() == BudgetDecision.RECLAIM) {
                 assertTrue(
-                        lending.used(answer.reclaimFrom()) > own[answer.reclaimFrom()], "only a borrower gives back");
-                lending.release(answer.reclaimFrom());
-                assertEquals(BudgetDecision.GRANTED, lending.tryAcquire(pool).decision());
+                        budget.used(result.reclaimFrom()) > guaranteed[result.reclaimFrom()],
+                        "only a borrower gives back");
+                budget.release(result.reclaimFrom());
+                assertEquals(BudgetDecision.GRANTED, budget.tryAcquire(user).decision());
             }
-            assertTrue(lending.used() <= all);
+            assertTrue(budget.used() <= total);
             int sum = 0;
-            for (int i = 0; i < pools; i++) {
-                sum += lending.used(i);
+            for (int i = 0; i < userCount; i++) {
+                sum += budget.used(i);
             }
-            assertEquals(sum, lending.used());
+            assertEquals(sum, budget.used());
         }
     }
 
@@ -68,39 +71,39 @@
     @Property(tries = 5_000, seed = "72")
     void reserveIsAvailableAtOnce(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        SharedBudget lending = new SharedBudget(40, 0.5);
-        int quiet = lending.addShare(10);
-        int greedy = lending.addShare(10);
-        int third = lending.addShare(10);
+        SharedBudget budget = new SharedBudget(40, 0.5);
+        int idleUser = budget.addShare(10);
+        int firstBorrower = budget.addShare(10);
+        int secondBorrower = budget.addShare(10);
         for (int i = 0; i < 100; i++) {
-            lending.tryAcquire(random.nextBoolean() ? greedy : third);
+            budget.tryAcquire(random.nextBoolean() ? firstBorrower : secondBorrower);
         }
         for (int i = 0; i < 5; i++) {
-            assertEquals(BudgetDecision.GRANTED, lending.tryAcquire(quiet).decision());
+            assertEquals(BudgetDecision.GRANTED, budget.tryAcquire(idleUser).decision());
         }
     }
 
     @Example
     void idleCapacityIsLent() {
-        SharedBudget lending = new SharedBudget(10, 0.2);
-        int one = lending.addShare(5);
-        int other = lending.addShare(5);
-        int had = 0;
-        while (lending.tryAcquire(one).decision() == BudgetDecision.GRANTED) {
-            had++;
+        SharedBudget budget = new SharedBudget(10, 0.2);
+        int borrower = budget.addShare(5);
+        int lender = budget.addShare(5);
+        int acquired = 0;
+        while (budget.tryAcquire(borrower).decision() == BudgetDecision.GRANTED) {
+            acquired++;
         }
-        assertEquals(9, had, "all but a fifth of the other's five");
-        assertEquals(BudgetDecision.GRANTED, lending.tryAcquire(other).decision());
-        assertEquals(new BudgetResult(BudgetDecision.RECLAIM, one), lending.tryAcquire(other));
+        assertEquals(9, acquired, "all but a fifth of the other's five");
+        assertEquals(BudgetDecision.GRANTED, budget.tryAcquire(lender).decision());
+        assertEquals(new BudgetResult(BudgetDecision.RECLAIM, borrower), budget.tryAcquire(lender));
     }
 
     @Example
     void rejectsInvalidArguments() {
         assertThrows(IllegalArgumentException.class, () -> new SharedBudget(0, 0.5));
         assertThrows(IllegalArgumentException.class, () -> new SharedBudget(1, Double.NaN));
-        SharedBudget lending = new SharedBudget(5, 0);
-        lending.addShare(3);
-        assertThrows(IllegalArgumentException.class, () -> lending.addShare(3));
-        assertThrows(IllegalStateException.class, () -> lending.release(0));
+        SharedBudget budget = new SharedBudget(5, 0);
+        budget.addShare(3);
+        assertThrows(IllegalArgumentException.class, () -> budget.addShare(3));
+        assertThrows(IllegalStateException.class, () -> budget.release(0));
     }
 }
--- a/src/test/java/reedmux/gatekeeper/settings/OperatorSettingsTest.java
+++ b/src/test/java/reedmux/gatekeeper/settings/OperatorSettingsTest.java
@@ -34,7 +34,7 @@
         assertEquals(
                 List.of("127.0.2.1:7100", "127.0.2.2:7100"),
                 read.region().rules().target().gateways());
-        assertEquals(1_000_000, read.region().rules().remoteLimits().holdMicros());
+        assertEquals(1_000_000, read.region().rules().remoteLimits().minBackoffMicros());
         assertEquals(20_000, read.region().rules().target().marginMicros());
         assertEquals(List.of(), read.platformConflicts(3, 8, 1024));
     }
