--- a/src/main/java/reedmux/control/configuration/ConfigurationChangeFormat.java
+++ b/src/main/java/reedmux/control/configuration/ConfigurationChangeFormat.java
@@ -38,13 +38,13 @@
             parseRemoved(ItemJson.requireObject(change.get("remove"), "remove"), changed);
         }
         Map<String, ConfigurationItem> byRevision = new LinkedHashMap<>();
-        for (ChangedItem one : changed) {
-            ConfigurationItem item = one.item;
+        for (ChangedItem changedItem : changed) {
+            ConfigurationItem item = changedItem.item;
             if (!item.isDeleted()) {
-                ParsedItem.parse(item.kind(), item.name(), one.body);
+                ParsedItem.parse(item.kind(), item.name(), changedItem.body);
             }
-            ConfigurationItem other = byRevision.put(item.key() + ' ' + item.revision(), item);
-            if (other != null && !other.equals(item)) {
+            ConfigurationItem previous = byRevision.put(item.key() + ' ' + item.revision(), item);
+            if (previous != null && !previous.equals(item)) {
                 throw new InvalidConfigurationException(
                         item.key() + " has two contents with the revision " + item.revision());
             }
@@ -68,10 +68,10 @@
 
     private static void parseRemoved(Map<String, Object> remove, List<ChangedItem> changed)
             throws InvalidConfigurationException {
-        for (Map.Entry<String, Object> ofKind : remove.entrySet()) {
-            String kind = requireKnownKind(ofKind.getKey(), "remove");
+        for (Map.Entry<String, Object> itemsOfKind : remove.entrySet()) {
+            String kind = requireKnownKind(itemsOfKind.getKey(), "remove");
             String path = "remove: " + kind;
-            for (Object element : ItemJson.listOrEmpty(ofKind.getValue(), path)) {
+            for (Object element : ItemJson.listOrEmpty(itemsOfKind.getValue(), path)) {
                 Map<String, Object> heading = ItemJson.requireObject(element, path);
                 String name = parseName(kind, heading);
                 long revision = parseRevision(kind, heading);
--- a/src/main/java/reedmux/control/configuration/ConfigurationTable.java
+++ b/src/main/java/reedmux/control/configuration/ConfigurationTable.java
@@ -57,7 +57,7 @@
         }
         boolean valid = parseProblems.isEmpty() && routes.isValid() && tenants.isValid();
         if (!valid) {
-            problem = explain(applied);
+            problem = describeProblem(applied);
         }
         if (!valid || !keepIfValid) {
             for (int i = applied.size() - 1; i >= 0; i--) {
@@ -124,7 +124,7 @@
     }
 
     /** What is not valid, told by the first of some items that has to do with it. */
-    private String explain(Collection<ConfigurationItem> items) {
+    private String describeProblem(Collection<ConfigurationItem> items) {
         for (ConfigurationItem item : items) {
             ParsedItem.ParseProblem parseProblem = parseProblems.get(item.key());
             if (parseProblem != null) {
@@ -132,15 +132,15 @@
             }
         }
         for (ConfigurationItem item : items) {
-            String why =
+            String reason =
                     switch (item.kind()) {
-                        case ItemKinds.ROUTES -> routes.explainRoute(item.name());
-                        case ItemKinds.SERVICES -> routes.explainService(item.name());
-                        case ItemKinds.TENANTS -> tenants.explain(item.name());
+                        case ItemKinds.ROUTES -> routes.describeRouteProblem(item.name());
+                        case ItemKinds.SERVICES -> routes.describeServiceProblem(item.name());
+                        case ItemKinds.TENANTS -> tenants.describeProblem(item.name());
                         default -> null;
                     };
-            if (why != null) {
-                return why;
+            if (reason != null) {
+                return reason;
             }
         }
         return parseProblems.isEmpty()
--- a/src/main/java/reedmux/control/configuration/ItemFields.java
+++ b/src/main/java/reedmux/control/configuration/ItemFields.java
@@ -27,17 +27,17 @@
         return ItemJson.requireString(values.get(key), pathOf(key));
     }
 
-    String stringOrDefault(String key, String otherwise) throws InvalidConfigurationException {
-        return has(key) ? requireString(key) : otherwise;
+    String stringOrDefault(String key, String defaultValue) throws InvalidConfigurationException {
+        return has(key) ? requireString(key) : defaultValue;
     }
 
     /** A number that is not below 0. */
-    double numberOrDefault(String key, double otherwise) throws InvalidConfigurationException {
-        return ItemJson.numberOrDefault(values.get(key), otherwise, pathOf(key));
+    double numberOrDefault(String key, double defaultValue) throws InvalidConfigurationException {
+        return ItemJson.numberOrDefault(values.get(key), defaultValue, pathOf(key));
     }
 
-    boolean booleanOrDefault(String key, boolean otherwise) throws InvalidConfigurationException {
-        return ItemJson.booleanOrDefault(values.get(key), otherwise, pathOf(key));
+    boolean booleanOrDefault(String key, boolean defaultValue) throws InvalidConfigurationException {
+        return ItemJson.booleanOrDefault(values.get(key), defaultValue, pathOf(key));
     }
 
     List<?> listOrEmpty(String key) throws InvalidConfigurationException {
--- a/src/main/java/reedmux/control/configuration/ItemJson.java
+++ b/src/main/java/reedmux/control/configuration/ItemJson.java
@@ -160,10 +160,10 @@
     }
 
     /** A number that is not below 0. */
-    public static double numberOrDefault(Object value, double otherwise, String key)
+    public static double numberOrDefault(Object value, double defaultValue, String key)
             throws InvalidConfigurationException {
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         } else if (!(value instanceof BigDecimal number)) {
             throw wrongType(value, key, "a number");
         } else if (number.signum() < 0) {
@@ -183,12 +183,12 @@
     }
 
     /** A boolean. */
-    public static boolean booleanOrDefault(Object value, boolean otherwise, String key)
+    public static boolean booleanOrDefault(Object value, boolean defaultValue, String key)
             throws InvalidConfigurationException {
         if (value != null && !(value instanceof Boolean)) {
             throw new InvalidConfigurationException(key, key + " is neither true nor false");
         }
-        return value == null ? otherwise : (Boolean) value;
+        return value == null ? defaultValue : (Boolean) value;
     }
 
     private static InvalidConfigurationException wrongType(Object value, String key, String expected) {
--- a/src/main/java/reedmux/control/configuration/RouteIndex.java
+++ b/src/main/java/reedmux/control/configuration/RouteIndex.java
@@ -21,52 +21,52 @@
     /** The names of the routes that name a service, whether it is known or not. */
     private final Map<String, TreeSet<String>> routesByService = new HashMap<>();
     /** How many services are named by routes and not known. */
-    private int unknownServices;
+    private int unknownServiceCount;
     /** How many routes there are beyond the first of each host and prefix. */
-    private int duplicateRoutes;
+    private int duplicateRouteCount;
 
     /** Whether every service that is named is known, and no two routes have the same host and prefix. */
     boolean isValid() {
-        return unknownServices == 0 && duplicateRoutes == 0;
+        return unknownServiceCount == 0 && duplicateRouteCount == 0;
     }
 
     // ---- Changes -----------------------------------------------------------------------------------
 
     void add(ServiceItem service) {
         servicesByName.put(service.name(), service);
-        unknownServices -= isNamed(service.name()) ? 1 : 0;
+        unknownServiceCount -= isReferenced(service.name()) ? 1 : 0;
     }
 
     /** Returns the service that was removed; null for none. */
     ServiceItem removeService(String name) {
         ServiceItem service = servicesByName.remove(name);
-        unknownServices += service != null && isNamed(name) ? 1 : 0;
+        unknownServiceCount += service != null && isReferenced(name) ? 1 : 0;
         return service;
     }
 
-    private boolean isNamed(String service) {
+    private boolean isReferenced(String service) {
         return routesByService.containsKey(service);
     }
 
     void add(RouteItem route) {
         routesByName.put(route.name(), route);
-        for (RouteItem.WeightedService part : route.services()) {
-            TreeSet<String> names = routesByService.get(part.service());
-            if (names == null) {
-                names = new TreeSet<>();
-                routesByService.put(part.service(), names);
-                unknownServices += servicesByName.containsKey(part.service()) ? 0 : 1;
+        for (RouteItem.WeightedService weightedService : route.services()) {
+            TreeSet<String> routeNames = routesByService.get(weightedService.service());
+            if (routeNames == null) {
+                routeNames = new TreeSet<>();
+                routesByService.put(weightedService.service(), routeNames);
+                unknownServiceCount += servicesByName.containsKey(weightedService.service()) ? 0 : 1;
             }
-            names.add(route.name());
+            routeNames.add(route.name());
         }
-        List<RouteItem> ofHost = routesByHost.get(route.host());
-        if (ofHost == null) {
-            ofHost = new ArrayList<>(1);
-            routesByHost.put(route.host(), ofHost);
+        List<RouteItem> hostRoutes = routesByHost.get(route.host());
+        if (hostRoutes == null) {
+            hostRoutes = new ArrayList<>(1);
+            routesByHost.put(route.host(), hostRoutes);
         }
-        int index = indexOf(ofHost, route);
-        duplicateRoutes += findDuplicate(ofHost, route, index) == null ? 0 : 1;
-        ofHost.add(index, route);
+        int index = indexOf(hostRoutes, route);
+        duplicateRouteCount += findDuplicate(hostRoutes, route, index) == null ? 0 : 1;
+        hostRoutes.add(index, route);
     }
 
     /** Returns the route that was removed; null for none. */
@@ -75,30 +75,30 @@
         if (route == null) {
             return null;
         }
-        for (RouteItem.WeightedService part : route.services()) {
-            TreeSet<String> names = routesByService.get(part.service());
-            if (names != null && names.remove(name) && names.isEmpty()) {
-                routesByService.remove(part.service());
-                unknownServices -= servicesByName.containsKey(part.service()) ? 0 : 1;
+        for (RouteItem.WeightedService weightedService : route.services()) {
+            TreeSet<String> routeNames = routesByService.get(weightedService.service());
+            if (routeNames != null && routeNames.remove(name) && routeNames.isEmpty()) {
+                routesByService.remove(weightedService.service());
+                unknownServiceCount -= servicesByName.containsKey(weightedService.service()) ? 0 : 1;
             }
         }
-        List<RouteItem> ofHost = routesByHost.get(route.host());
-        int index = indexOf(ofHost, route);
-        ofHost.remove(index);
-        duplicateRoutes -= findDuplicate(ofHost, route, index) == null ? 0 : 1;
-        if (ofHost.isEmpty()) {
+        List<RouteItem> hostRoutes = routesByHost.get(route.host());
+        int index = indexOf(hostRoutes, route);
+        hostRoutes.remove(index);
+        duplicateRouteCount -= findDuplicate(hostRoutes, route, index) == null ? 0 : 1;
+        if (hostRoutes.isEmpty()) {
             routesByHost.remove(route.host());
         }
         return route;
     }
 
     /** Where a route is, or belongs, among those of its host. */
-    private static int indexOf(List<RouteItem> ofHost, RouteItem route) {
+    private static int indexOf(List<RouteItem> hostRoutes, RouteItem route) {
         int low = 0;
-        int high = ofHost.size();
+        int high = hostRoutes.size();
         while (low < high) {
             int middle = (low + high) >>> 1;
-            if (compare(ofHost.get(middle), route) < 0) {
+            if (compare(hostRoutes.get(middle), route) < 0) {
                 low = middle + 1;
             } else {
                 high = middle;
@@ -107,18 +107,18 @@
         return low;
     }
 
-    private static int compare(RouteItem one, RouteItem other) {
-        if (one.prefix().length() != other.prefix().length()) {
-            return Integer.compare(other.prefix().length(), one.prefix().length());
+    private static int compare(RouteItem first, RouteItem second) {
+        if (first.prefix().length() != second.prefix().length()) {
+            return Integer.compare(second.prefix().length(), first.prefix().length());
         }
-        int byPrefix = one.prefix().compareTo(other.prefix());
-        return byPrefix != 0 ? byPrefix : one.name().compareTo(other.name());
+        int byPrefix = first.prefix().compareTo(second.prefix());
+        return byPrefix != 0 ? byPrefix : first.name().compareTo(second.name());
     }
 
     /** Another route of the same host and prefix, where {@code index} is that of this one; null for none. */
-    private static RouteItem findDuplicate(List<RouteItem> ofHost, RouteItem route, int index) {
-        for (int i = Math.max(0, index - 1); i <= index + 1 && i < ofHost.size(); i++) {
-            RouteItem neighbor = ofHost.get(i);
+    private static RouteItem findDuplicate(List<RouteItem> hostRoutes, RouteItem route, int index) {
+        for (int i = Math.max(0, index - 1); i <= index + 1 && i < hostRoutes.size(); i++) {
+            RouteItem neighbor = hostRoutes.get(i);
             if (neighbor != route && neighbor.prefix().equals(route.prefix())) {
                 return neighbor;
             }
@@ -129,24 +129,26 @@
     // ---- What is not valid -------------------------------------------------------------------------
 
     /** What a route has to do with what is not valid here; null for nothing. */
-    String explainRoute(String name) {
+    String describeRouteProblem(String name) {
         RouteItem route = routesByName.get(name);
         if (route == null) {
             return null;
         }
-        for (RouteItem.WeightedService part : route.services()) {
-            if (!servicesByName.containsKey(part.service())) {
-                return unknownServiceProblem(name, part.service());
+        for (RouteItem.WeightedService weightedService : route.services()) {
+            if (!servicesByName.containsKey(weightedService.service())) {
+                return unknownServiceProblem(name, weightedService.service());
             }
         }
-        List<RouteItem> ofHost = routesByHost.get(route.host());
-        RouteItem other = findDuplicate(ofHost, route, indexOf(ofHost, route));
-        return other == null ? null : "routes " + other.name() + " and " + name + " have the same host and prefix";
+        List<RouteItem> hostRoutes = routesByHost.get(route.host());
+        RouteItem duplicate = findDuplicate(hostRoutes, route, indexOf(hostRoutes, route));
+        return duplicate == null
+                ? null
+                : "routes " + duplicate.name() + " and " + name + " have the same host and prefix";
     }
 
     /** What a service, or its absence, has to do with what is not valid here; null for nothing. */
-    String explainService(String name) {
-        return isNamed(name) && !servicesByName.containsKey(name)
+    String describeServiceProblem(String name) {
+        return isReferenced(name) && !servicesByName.containsKey(name)
                 ? unknownServiceProblem(routesByService.get(name).first(), name)
                 : null;
     }
--- a/src/main/java/reedmux/control/configuration/RouteItem.java
+++ b/src/main/java/reedmux/control/configuration/RouteItem.java
@@ -77,14 +77,15 @@
             return List.of(new WeightedService(fields.requireString("plant"), 1));
         }
         List<WeightedService> services = new ArrayList<>();
-        boolean anyWeight = false;
+        boolean hasPositiveWeight = false;
         for (Object element : fields.listOrEmpty("split")) {
-            ItemFields part = fields.elementOf("split", element);
-            WeightedService service = new WeightedService(part.requireString("plant"), part.numberOrDefault("gain", 1));
+            ItemFields elementFields = fields.elementOf("split", element);
+            WeightedService service =
+                    new WeightedService(elementFields.requireString("plant"), elementFields.numberOrDefault("gain", 1));
             services.add(service);
-            anyWeight |= service.weight() > 0;
+            hasPositiveWeight |= service.weight() > 0;
         }
-        if (!anyWeight) {
+        if (!hasPositiveWeight) {
             throw fields.invalid("split", "has no gain above 0");
         }
         return List.copyOf(services);
--- a/src/main/java/reedmux/control/configuration/TenantIndex.java
+++ b/src/main/java/reedmux/control/configuration/TenantIndex.java
@@ -22,13 +22,13 @@
         for (String key : tenant.keys()) {
             TenantItem other = tenantsByKey.putIfAbsent(key, tenant);
             if (other != null && other != tenant) {
-                TreeSet<String> names = tenantsBySharedKey.get(key);
-                if (names == null) {
-                    names = new TreeSet<>();
-                    names.add(other.name());
-                    tenantsBySharedKey.put(key, names);
+                TreeSet<String> tenantNames = tenantsBySharedKey.get(key);
+                if (tenantNames == null) {
+                    tenantNames = new TreeSet<>();
+                    tenantNames.add(other.name());
+                    tenantsBySharedKey.put(key, tenantNames);
                 }
-                names.add(tenant.name());
+                tenantNames.add(tenant.name());
             }
         }
     }
@@ -40,15 +40,15 @@
             return null;
         }
         for (String key : tenant.keys()) {
-            TreeSet<String> names = tenantsBySharedKey.get(key);
-            if (names == null) {
+            TreeSet<String> tenantNames = tenantsBySharedKey.get(key);
+            if (tenantNames == null) {
                 if (tenantsByKey.get(key) == tenant) {
                     tenantsByKey.remove(key);
                 }
             } else {
-                names.remove(name);
-                tenantsByKey.put(key, tenantsByName.get(names.first()));
-                if (names.size() == 1) {
+                tenantNames.remove(name);
+                tenantsByKey.put(key, tenantsByName.get(tenantNames.first()));
+                if (tenantNames.size() == 1) {
                     tenantsBySharedKey.remove(key);
                 }
             }
@@ -57,7 +57,7 @@
     }
 
     /** What a tenant has to do with what is not valid here; null for nothing. */
-    String explain(String name) {
+    String describeProblem(String name) {
         TenantItem tenant = tenantsByName.get(name);
         if (tenant != null) {
             for (String key : tenant.keys()) {
--- a/src/main/java/reedmux/control/registry/CoreConnections.java
+++ b/src/main/java/reedmux/control/registry/CoreConnections.java
@@ -77,14 +77,14 @@
 
     /** Connects to machines that have joined the core, and closes the connections to those that have left it. */
     void applyMembership(CoreMembers members) {
-        Set<String> before = new HashSet<>(addresses.machines());
+        Set<String> previousMachines = new HashSet<>(addresses.machines());
         if (!addresses.adopt(members)) {
             return;
         }
         closeRemoved(registries);
         closeRemoved(stores);
         for (InetSocketAddress registry : addresses.peerAddresses(settings.registryPort())) {
-            if (!before.contains(registry.getAddress().getHostAddress())) {
+            if (!previousMachines.contains(registry.getAddress().getHostAddress())) {
                 connectToMachine(registry);
             }
         }
--- a/src/main/java/reedmux/control/registry/InstanceCalls.java
+++ b/src/main/java/reedmux/control/registry/InstanceCalls.java
@@ -59,18 +59,18 @@
     }
 
     void onLeave(String id, Http1ServerConnection caller) {
-        InstanceIncarnation known = directory.get(id, reactor.now());
-        if (known == null) { // all that can be known of it is that it has ended
-            known = new InstanceIncarnation(id, "", UNKNOWN_ADDRESS, "", 1, InstanceIncarnation.READY, 0, 0, false);
+        InstanceIncarnation lastReport = directory.get(id, reactor.now());
+        if (lastReport == null) { // all that can be known of it is that it has ended
+            lastReport = new InstanceIncarnation(id, "", UNKNOWN_ADDRESS, "", 1, InstanceIncarnation.READY, 0, 0, false);
         }
         InstanceIncarnation gone = new InstanceIncarnation(
                 id,
-                known.service(),
-                known.address(),
-                known.zone(),
-                known.capacity(),
+                lastReport.service(),
+                lastReport.address(),
+                lastReport.zone(),
+                lastReport.capacity(),
                 InstanceIncarnation.GONE,
-                known.sequence(),
+                lastReport.sequence(),
                 0,
                 false);
         directory.merge(gone, reactor.now());
--- a/src/main/java/reedmux/control/registry/ProxyConnections.java
+++ b/src/main/java/reedmux/control/registry/ProxyConnections.java
@@ -14,14 +14,14 @@
  */
 final class ProxyConnections {
     /** So many proxies that one that is about to end, or cut off itself, does not matter. */
-    private static final int HELPERS = 3;
+    private static final int MAX_HELPERS = 3;
 
     /** In the order in which they were established. */
     private final Set<RpcConnection> connections = new LinkedHashSet<>();
     /** The nodes that were asked for the instances that they know. */
     private final Set<String> queriedNodes = new HashSet<>();
     /** How many of them knew none, as they have started themselves. */
-    private int emptyNotices;
+    private int emptyNoticeCount;
 
     void add(RpcConnection connection) {
         connections.add(connection);
@@ -34,14 +34,14 @@
 
     /** A proxy that was asked knows no instance: another one is asked in its place. */
     void onEmptyNotice() {
-        emptyNotices++;
+        emptyNoticeCount++;
         queryInstances();
     }
 
     /** Asks until enough proxies have been asked that may know something; position 0 of a proxy means all. */
     private void queryInstances() {
         for (RpcConnection connection : connections) {
-            if (queriedNodes.size() - emptyNotices < HELPERS
+            if (queriedNodes.size() - emptyNoticeCount < MAX_HELPERS
                     && queriedNodes.add(connection.peer().node())) {
                 connection.sendMessage(new ChangesRequest(0, 0));
             }
@@ -53,12 +53,12 @@
         Set<String> zones = new HashSet<>();
         List<RpcConnection> relays = new ArrayList<>();
         for (RpcConnection connection : connections) {
-            if (relays.size() < HELPERS && zones.add(connection.peer().zone())) {
+            if (relays.size() < MAX_HELPERS && zones.add(connection.peer().zone())) {
                 relays.add(connection);
             }
         }
         for (RpcConnection connection : connections) {
-            if (relays.size() < HELPERS && !relays.contains(connection)) {
+            if (relays.size() < MAX_HELPERS && !relays.contains(connection)) {
                 relays.add(connection);
             }
         }
--- a/src/main/java/reedmux/control/registry/Registry.java
+++ b/src/main/java/reedmux/control/registry/Registry.java
@@ -138,11 +138,11 @@
             reactor.warnRateLimited("silent", timedOut + " checkers have fallen silent");
         }
         List<RegistryHeartbeat> heartbeats = directory.nextHeartbeats(reactor.now());
-        boolean allReached = core.sendToRegistries(codec.encode(new RegistryHeartbeats(heartbeats)));
-        if (!allReached) {
+        boolean allConnected = core.sendToRegistries(codec.encode(new RegistryHeartbeats(heartbeats)));
+        if (!allConnected) {
             // The first heartbeat is our own; proxies forward it to registries that cannot be reached from here.
-            byte[] own = codec.encode(new RegistryHeartbeats(heartbeats.subList(0, 1)));
-            proxies.relays().forEach(proxy -> proxy.sendEncoded(own));
+            byte[] ownHeartbeat = codec.encode(new RegistryHeartbeats(heartbeats.subList(0, 1)));
+            proxies.relays().forEach(proxy -> proxy.sendEncoded(ownHeartbeat));
         }
         publisher.publishChanges();
     }
--- a/src/main/java/reedmux/control/registry/RegistryStatusReport.java
+++ b/src/main/java/reedmux/control/registry/RegistryStatusReport.java
@@ -80,8 +80,9 @@
         // Only a store can prove that a majority is in contact, so without one it counts as not.
         report.put("majority", Boolean.TRUE.equals(storeStatus.get("majority")));
         report.put("epoch", storeStatus.get("epoch"));
-        boolean ownSubject = show.subject().equals(MEMBERS) || show.subject().equals(CHECKERS);
-        report.put("ageMs", ownSubject ? addRegistries(report) : storeStatus.get("ageMs"));
+        boolean reportedByRegistry =
+                show.subject().equals(MEMBERS) || show.subject().equals(CHECKERS);
+        report.put("ageMs", reportedByRegistry ? addRegistries(report) : storeStatus.get("ageMs"));
         Map<String, Object> entryFields = entryFields(show, storeStatus);
         if (storeStatus.isEmpty()) {
             report.put("why", problem);
@@ -124,20 +125,22 @@
      */
     private Long addRegistries(Map<String, Object> report) {
         List<Object> entries = new ArrayList<>();
-        Long age = 0L;
+        Long ageMillis = 0L;
         for (RpcDialer dialer : registries) {
             RpcConnection connection = dialer.connection();
-            Long heardMillis =
+            Long millisSinceReceived =
                     connection == null ? null : (Long) ((now - connection.lastReceivedMicros()) / MICROS_PER_MILLI);
             Map<String, Object> entry = new LinkedHashMap<>();
             entry.put("ip", dialer.address().getAddress().getHostAddress());
             entry.put("linked", connection != null);
-            entry.put("heardMs", heardMillis);
+            entry.put("heardMs", millisSinceReceived);
             entries.add(entry);
-            age = age == null || heardMillis == null ? null : (Long) Math.max(age, heardMillis);
+            ageMillis = ageMillis == null || millisSinceReceived == null
+                    ? null
+                    : (Long) Math.max(ageMillis, millisSinceReceived);
         }
         report.put("registries", entries);
-        return age;
+        return ageMillis;
     }
 
     private void addSessions(Map<String, Object> fields, ShowCall show) {
@@ -145,22 +148,22 @@
         sessions.localSessions().forEach(session -> localNodes.add(session.node()));
         SessionView view = sessions.view(now);
         List<Object> entries = new ArrayList<>();
-        String last = null;
-        String next = null;
+        String lastNode = null;
+        String nextAfterName = null;
         for (ProxySession session : view.members()) { // in the order of the nodes' names
             if (session.node().compareTo(show.afterName()) <= 0) {
                 continue;
             } else if (entries.size() == show.limit()) {
-                next = last;
+                nextAfterName = lastNode;
                 break;
             }
             entries.add(sessionEntry(session, localNodes.contains(session.node())));
-            last = session.node();
+            lastNode = session.node();
         }
         fields.put("view", Long.toHexString(view.digest()));
         fields.put("total", view.size());
         fields.put("entries", entries);
-        fields.put("next", next);
+        fields.put("next", nextAfterName);
     }
 
     private static Map<String, Object> sessionEntry(ProxySession session, boolean local) {
@@ -189,15 +192,15 @@
                 }
             }
         }
-        boolean more = page.size() > show.limit();
-        if (more) {
+        boolean hasMore = page.size() > show.limit();
+        if (hasMore) {
             page.pollLastEntry();
         }
         List<Object> entries = new ArrayList<>();
         page.values().forEach(instance -> entries.add(instanceEntry(instance)));
         fields.put("total", total);
         fields.put("entries", entries);
-        fields.put("next", more ? page.lastKey() : null);
+        fields.put("next", hasMore ? page.lastKey() : null);
     }
 
     private Map<String, Object> instanceEntry(InstanceIncarnation instance) {
--- a/src/main/java/reedmux/control/registry/UpdatePublisher.java
+++ b/src/main/java/reedmux/control/registry/UpdatePublisher.java
@@ -59,10 +59,10 @@
 
     /** Answers a request at once where the reader knows nothing of this incarnation, and else with the next flush. */
     void onRequest(RpcConnection connection, ChangesRequest request) {
-        boolean knowsUs = request.incarnation() == localIncarnation;
-        connection.attachment(new ChangeSubscription(knowsUs ? request.sinceChange() : NO_CHANGE));
+        boolean knowsThisIncarnation = request.incarnation() == localIncarnation;
+        connection.attachment(new ChangeSubscription(knowsThisIncarnation ? request.sinceChange() : NO_CHANGE));
         waitingConnections.add(connection);
-        if (!knowsUs) {
+        if (!knowsThisIncarnation) {
             sendUpdate(connection, null);
         } else if (counter.last() > request.sinceChange()) {
             scheduleFlush();
@@ -93,30 +93,30 @@
 
     private void flush() {
         flushScheduled = false;
-        Map<Long, byte[]> encodedByPosition = new HashMap<>();
+        Map<Long, byte[]> encodedBySinceChange = new HashMap<>();
         for (RpcConnection connection : List.copyOf(waitingConnections)) {
-            sendUpdate(connection, encodedByPosition);
+            sendUpdate(connection, encodedBySinceChange);
         }
     }
 
     /**
      * Answers what a connection waits for, if there is anything.
      *
-     * @param encodedByPosition the updates to proxies that this flush has encoded, by the change that they start from;
+     * @param encodedBySinceChange the updates to proxies that this flush has encoded, by the change that they start from;
      *     null where there is no flush
      */
-    private void sendUpdate(RpcConnection connection, Map<Long, byte[]> encodedByPosition) {
+    private void sendUpdate(RpcConnection connection, Map<Long, byte[]> encodedBySinceChange) {
         ChangeSubscription subscription = connection.attachment();
         if (subscription == null || subscription.sinceChange() >= counter.last()) {
             return;
         }
         long sinceChange = subscription.sinceChange();
-        boolean toRegistry = connection.peer().program().equals(Registry.PROGRAM_NAME);
-        boolean shared = !toRegistry && encodedByPosition != null;
-        byte[] encoded = shared ? encodedByPosition.get(sinceChange) : null;
+        boolean peerIsRegistry = connection.peer().program().equals(Registry.PROGRAM_NAME);
+        boolean shared = !peerIsRegistry && encodedBySinceChange != null;
+        byte[] encoded = shared ? encodedBySinceChange.get(sinceChange) : null;
         if (encoded == null) {
             sessions.recordViewChanges(reactor.now());
-            MembershipUpdate update = toRegistry ? updateForRegistry(sinceChange) : updateForProxy(sinceChange);
+            MembershipUpdate update = peerIsRegistry ? updateForRegistry(sinceChange) : updateForProxy(sinceChange);
             if (isEmpty(update)) {
                 // What has changed is not for this reader.
                 connection.attachment(new ChangeSubscription(counter.last()));
@@ -124,7 +124,7 @@
             }
             encoded = codec.encode(update);
             if (shared) {
-                encodedByPosition.put(sinceChange, encoded);
+                encodedBySinceChange.put(sinceChange, encoded);
             }
         }
         connection.attachment(null);
--- a/src/test/java/reedmux/control/configuration/ConfigurationTableTest.java
+++ b/src/test/java/reedmux/control/configuration/ConfigurationTableTest.java
@@ -53,9 +53,9 @@
 
     /** As it was read before there was an index: all items anew. */
     private static boolean isValidFromScratch(Collection<ConfigurationItem> items) {
-        Map<String, String> byKey = new HashMap<>();
-        Set<String> plants = new HashSet<>();
-        Set<List<String>> places = new HashSet<>();
+        Map<String, String> tenantsByKey = new HashMap<>();
+        Set<String> services = new HashSet<>();
+        Set<List<String>> hostsAndPrefixes = new HashSet<>();
         List<RouteItem> routes = new ArrayList<>();
         try {
             for (ConfigurationItem item : items) {
@@ -64,13 +64,13 @@
                 } else if (item.kind().equals("routes")) {
                     routes.add((RouteItem) ParsedItem.parse(item));
                 } else if (item.kind().equals("plants")) {
-                    plants.add(((ServiceItem) ParsedItem.parse(item)).name());
+                    services.add(((ServiceItem) ParsedItem.parse(item)).name());
                 } else if (item.kind().equals("saturation")) {
                     ParsedItem.parse(item);
                 } else {
                     for (String key : ((TenantItem) ParsedItem.parse(item)).keys()) {
-                        String other = byKey.put(key, item.name());
-                        if (other != null && !other.equals(item.name())) {
+                        String otherTenant = tenantsByKey.put(key, item.name());
+                        if (otherTenant != null && !otherTenant.equals(item.name())) {
                             return false;
                         }
                     }
@@ -80,100 +80,100 @@
             return false;
         }
         return routes.stream()
-                .allMatch(route -> places.add(List.of(route.host(), route.prefix()))
-                        && route.services().stream().allMatch(part -> plants.contains(part.service())));
+                .allMatch(route -> hostsAndPrefixes.add(List.of(route.host(), route.prefix()))
+                        && route.services().stream().allMatch(part -> services.contains(part.service())));
     }
 
     private static void assertSameLookups(ConfigurationTable table, Collection<ConfigurationItem> items)
             throws InvalidConfigurationException {
-        ConfigurationTable anew = ConfigurationTable.of(items);
-        assertEquals(new HashSet<>(table.services()), new HashSet<>(anew.services()));
-        assertEquals(table.requestLimits(), anew.requestLimits());
-        assertEquals(table.requiresKey(), anew.requiresKey());
+        ConfigurationTable rebuilt = ConfigurationTable.of(items);
+        assertEquals(new HashSet<>(table.services()), new HashSet<>(rebuilt.services()));
+        assertEquals(table.requestLimits(), rebuilt.requestLimits());
+        assertEquals(table.requiresKey(), rebuilt.requiresKey());
         for (int i = 0; i < 8; i++) {
-            assertEquals(table.tenantByKey("k" + i), anew.tenantByKey("k" + i));
-            assertEquals(table.tenant("n" + i), anew.tenant("n" + i));
-            assertEquals(table.service("n" + i), anew.service("n" + i));
+            assertEquals(table.tenantByKey("k" + i), rebuilt.tenantByKey("k" + i));
+            assertEquals(table.tenant("n" + i), rebuilt.tenant("n" + i));
+            assertEquals(table.service("n" + i), rebuilt.service("n" + i));
             String path = "/" + "ab".repeat(i / 2);
-            assertEquals(table.matchRoute("h" + i % 2, path), anew.matchRoute("h" + i % 2, path));
-            long longest = -1;
+            assertEquals(table.matchRoute("h" + i % 2, path), rebuilt.matchRoute("h" + i % 2, path));
+            long longestPrefix = -1;
             for (ConfigurationItem item : items) {
                 if (item.kind().equals("routes") && !item.isDeleted()) {
                     RouteItem route = (RouteItem) ParsedItem.parse(item);
                     if (route.host().equals("h" + i % 2) && path.startsWith(route.prefix())) {
-                        longest = Math.max(longest, route.prefix().length());
+                        longestPrefix = Math.max(longestPrefix, route.prefix().length());
                     }
                 }
             }
             RouteItem route = table.matchRoute("h" + i % 2, path);
-            assertEquals(route == null ? -1 : route.prefix().length(), longest);
+            assertEquals(route == null ? -1 : route.prefix().length(), longestPrefix);
         }
     }
 
     /** 300 drawn lives of a store and a proxy: verdicts, what changed since, and lookups. */
     @Test
     public void incrementalChangesGiveTheSameTableAsParsingAllItems() throws InvalidConfigurationException {
-        int good = 0;
-        int invalid = 0;
-        for (int life = 0; life < 300; life++) {
+        int validCount = 0;
+        int invalidCount = 0;
+        for (int run = 0; run < 300; run++) {
             Replica replica = new Replica();
-            ConfigurationFollower poll = new ConfigurationFollower();
+            ConfigurationFollower follower = new ConfigurationFollower();
             Map<String, ConfigurationItem> all = new TreeMap<>();
-            Map<String, ConfigurationItem> usable = null;
+            Map<String, ConfigurationItem> lastValid = null;
             for (int step = 1; step < 60; step++) {
-                List<ConfigurationItem> call = new ArrayList<>();
+                List<ConfigurationItem> change = new ArrayList<>();
                 for (int i = 0; i <= random.nextInt(3); i++) {
-                    call.add(randomItem(step));
+                    change.add(randomItem(step));
                 }
-                Map<String, ConfigurationItem> after = new TreeMap<>(all);
-                for (ConfigurationItem item : call) {
-                    if (item.supersedes(after.get(item.key()))) {
-                        after.put(item.key(), item);
+                Map<String, ConfigurationItem> itemsAfterChange = new TreeMap<>(all);
+                for (ConfigurationItem item : change) {
+                    if (item.supersedes(itemsAfterChange.get(item.key()))) {
+                        itemsAfterChange.put(item.key(), item);
                     }
                 }
-                boolean stands = isValidFromScratch(after.values());
-                if (stands != (replica.validate("", call) == Replica.ValidationResult.VALID)) {
-                    throw new AssertionError(call + " beside " + all + ": " + replica.problem());
+                boolean valid = isValidFromScratch(itemsAfterChange.values());
+                if (valid != (replica.validate("", change) == Replica.ValidationResult.VALID)) {
+                    throw new AssertionError(change + " beside " + all + ": " + replica.problem());
                 }
-                good += stands ? 1 : 0;
-                invalid += stands ? 0 : 1;
-                assertTrue(stands || !replica.problem().isEmpty());
-                if (!stands && random.nextInt(4) > 0) {
+                validCount += valid ? 1 : 0;
+                invalidCount += valid ? 0 : 1;
+                assertTrue(valid || !replica.problem().isEmpty());
+                if (!valid && random.nextInt(4) > 0) {
                     continue; // else it comes in all the same, from elsewhere
                 }
-                long before = replica.lastChange();
-                List<ConfigurationItem> merged = new ArrayList<>(after.values());
+                long previousChange = replica.lastChange();
+                List<ConfigurationItem> merged = new ArrayList<>(itemsAfterChange.values());
                 merged.removeAll(all.values());
                 replica.merge(merged);
-                all = after;
-                assertEquals(new HashSet<>(replica.committedSince(before)), new HashSet<>(merged));
+                all = itemsAfterChange;
+                assertEquals(new HashSet<>(replica.committedSince(previousChange)), new HashSet<>(merged));
                 assertEquals(new HashSet<>(replica.committedSince(0)), new HashSet<>(all.values()));
-                boolean changed = poll.onUpdate("a", 1, step, merged);
+                boolean changed = follower.onUpdate("a", 1, step, merged);
                 if (changed) {
-                    usable = new TreeMap<>(all);
+                    lastValid = new TreeMap<>(all);
                 }
-                assertEquals(poll.problem() == null, isValidFromScratch(all.values()));
-                if (usable != null) {
-                    assertSameLookups(poll.table(), usable.values());
+                assertEquals(follower.problem() == null, isValidFromScratch(all.values()));
+                if (lastValid != null) {
+                    assertSameLookups(follower.table(), lastValid.values());
                 }
             }
         }
-        assertTrue(good > 1_000 && invalid > 1_000, good + " good, " + invalid + " invalid");
+        assertTrue(validCount > 1_000 && invalidCount > 1_000, validCount + " good, " + invalidCount + " invalid");
     }
 
     /** What was usable stays in use until what came can be used, and the same table then has it. */
     @Test
     public void incompleteSetOfItemsLeavesTheTableUnchanged() {
-        ConfigurationFollower poll = new ConfigurationFollower();
-        assertTrue(poll.onUpdate("a", 1, 1, List.of(new ConfigurationItem("plants", "p", 1, "{}"))));
-        ConfigurationTable table = poll.table();
+        ConfigurationFollower follower = new ConfigurationFollower();
+        assertTrue(follower.onUpdate("a", 1, 1, List.of(new ConfigurationItem("plants", "p", 1, "{}"))));
+        ConfigurationTable table = follower.table();
         ConfigurationItem route = new ConfigurationItem(
                 "routes", "r", 1, "{\"host\":\"h\",\"prefix\":\"/\",\"kind\":\"inflow\",\"plant\":\"q\"}");
-        assertFalse(poll.onUpdate("a", 1, 2, List.of(route)));
-        assertEquals(poll.problem(), "route r names the service q, which is not known");
-        assertEquals(poll.table().matchRoute("h", "/"), null);
-        assertTrue(poll.onUpdate("a", 1, 3, List.of(new ConfigurationItem("plants", "q", 1, "{}"))));
-        assertSame(poll.table(), table);
+        assertFalse(follower.onUpdate("a", 1, 2, List.of(route)));
+        assertEquals(follower.problem(), "route r names the service q, which is not known");
+        assertEquals(follower.table().matchRoute("h", "/"), null);
+        assertTrue(follower.onUpdate("a", 1, 3, List.of(new ConfigurationItem("plants", "q", 1, "{}"))));
+        assertSame(follower.table(), table);
         assertEquals(table.matchRoute("h", "/").name(), "r");
     }
 }
--- a/src/test/java/reedmux/control/registry/ControlCallParserTest.java
+++ b/src/test/java/reedmux/control/registry/ControlCallParserTest.java
@@ -34,7 +34,7 @@
     }
 
     @DataProvider
-    public Object[][] bad() {
+    public Object[][] invalidHeartbeats() {
         return new Object[][] {
             {HEARTBEAT_JSON.replace("ready", "here"), "phase"},
             {HEARTBEAT_JSON.replace("\"desk\"", "7"), "plant is not a text"},
@@ -52,7 +52,7 @@
         };
     }
 
-    @Test(dataProvider = "bad")
+    @Test(dataProvider = "invalidHeartbeats")
     public void reportsTheInvalidField(String body, String problem) {
         try {
             parseHeartbeat("i-1", bytes(body));
@@ -71,26 +71,27 @@
     @Test
     public void rejectsOrBoundsTruncatedAndFlippedBodies() {
         byte[] whole = bytes(HEARTBEAT_JSON);
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 9 * whole.length; i++) {
             byte[] body = i < whole.length ? Arrays.copyOf(whole, i) : whole.clone();
             if (i >= whole.length) {
                 body[i % whole.length] ^= (byte) (1 << i / whole.length - 1);
             }
             try {
-                InstanceIncarnation life = ((ControlCall.HeartbeatCall) parseHeartbeat("i-1", body)).incarnation();
-                assertTrue(i >= whole.length && life.capacity() > 0 && life.sequence() >= 0);
+                InstanceIncarnation incarnation =
+                        ((ControlCall.HeartbeatCall) parseHeartbeat("i-1", body)).incarnation();
+                assertTrue(i >= whole.length && incarnation.capacity() > 0 && incarnation.sequence() >= 0);
             } catch (MalformedMessageException e) {
                 assertTrue(e.status() == 400 && e.getMessage().contains("i-1"), e.getMessage());
-                refused++;
+                rejected++;
             }
         }
-        assertTrue(refused > whole.length, refused + " refused");
+        assertTrue(rejected > whole.length, rejected + " refused");
     }
 
     @Test
     public void rejectsMissingOrLongIdsAndInvalidUtf8() {
-        byte[] none = {};
+        byte[] emptyBody = {};
         for (String path : new String[] {
             "/v1/Instances.Leave/",
             "/v1/Instances.Heartbeat/",
@@ -99,7 +100,7 @@
             "/v2/none"
         }) {
             try {
-                throw new AssertionError(ControlCallParser.parse(Http1Head.request("POST", path), none));
+                throw new AssertionError(ControlCallParser.parse(Http1Head.request("POST", path), emptyBody));
             } catch (MalformedMessageException e) {
                 assertEquals(e.status(), path.contains("Leave/") || path.contains("Heartbeat/") ? 400 : 404);
             }
--- a/src/test/java/reedmux/control/registry/PendingRequestsTest.java
+++ b/src/test/java/reedmux/control/registry/PendingRequestsTest.java
@@ -20,14 +20,14 @@
             long one = pending.register(List.of("a", "b"), "one");
             long two = pending.register(List.of("a2"), "two");
             List<Runnable> left = new ArrayList<>(List.of(
-                    () -> recordEnd(ends, pending.complete(one, "a"), "one"),
-                    () -> recordEnd(ends, pending.complete(one, "b"), "one"),
-                    () -> pending.onConnectionLost("a").forEach(who -> recordEnd(ends, who, "one")),
-                    () -> pending.onConnectionLost("b").forEach(who -> recordEnd(ends, who, "one")),
+                    () -> recordCompletion(ends, pending.complete(one, "a"), "one"),
+                    () -> recordCompletion(ends, pending.complete(one, "b"), "one"),
+                    () -> pending.onConnectionLost("a").forEach(who -> recordCompletion(ends, who, "one")),
+                    () -> pending.onConnectionLost("b").forEach(who -> recordCompletion(ends, who, "one")),
                     () -> assertNull(pending.complete(one, "a2")), // the next connection to the same peer
                     () -> assertNull(pending.complete(two, "a")), // the previous connection to the same peer
-                    () -> recordEnd(ends, pending.complete(two, "a2"), "two"),
-                    () -> recordEnd(ends, pending.cancel(two), "two")));
+                    () -> recordCompletion(ends, pending.complete(two, "a2"), "two"),
+                    () -> recordCompletion(ends, pending.cancel(two), "two")));
             while (!left.isEmpty()) {
                 left.remove(orders.choose(left.size())).run();
             }
@@ -37,10 +37,10 @@
         assertEquals(orderings, 40_320);
     }
 
-    private static void recordEnd(List<String> ends, String who, String expected) {
-        if (who != null) {
-            assertEquals(who, expected);
-            ends.add(who);
+    private static void recordCompletion(List<String> completed, String waiter, String expected) {
+        if (waiter != null) {
+            assertEquals(waiter, expected);
+            completed.add(waiter);
         }
     }
 }
--- a/src/test/java/reedmux/control/registry/RegistryCompatibilityTest.java
+++ b/src/test/java/reedmux/control/registry/RegistryCompatibilityTest.java
@@ -16,17 +16,17 @@
 
     @Test
     public void readsEachGenerationOfTheFixture() throws IOException {
-        check(RegistryFixtures.FIRST_GENERATION, "items-1");
-        check(RegistryFixtures.SECOND_GENERATION, "items-1", "items-2");
-        check(RegistryFixtures.SECOND_GENERATION, "items-2");
+        assertReads(RegistryFixtures.FIRST_GENERATION, "items-1");
+        assertReads(RegistryFixtures.SECOND_GENERATION, "items-1", "items-2");
+        assertReads(RegistryFixtures.SECOND_GENERATION, "items-2");
     }
 
-    private static void check(List<InstanceIncarnation> expected, String... files) throws IOException {
+    private static void assertReads(List<InstanceIncarnation> expected, String... files) throws IOException {
         Path folder = Files.createTempDirectory("reedmux-registry");
         FixtureFiles.copy(FOLDER, folder, files);
-        RegistryFixtures.Life life = new RegistryFixtures.Life(folder);
-        assertEquals(life.environment.logLines, List.of());
-        assertEquals(List.copyOf(life.fleet.all(0)), expected);
+        RegistryFixtures.StorageFixture storage = new RegistryFixtures.StorageFixture(folder);
+        assertEquals(storage.environment.logLines, List.of());
+        assertEquals(List.copyOf(storage.directory.all(0)), expected);
         for (String file : files) {
             Files.delete(folder.resolve(file));
         }
