--- a/src/main/java/reedmux/control/configuration/ConfigurationChangeFormat.java
+++ b/src/main/java/reedmux/control/configuration/ConfigurationChangeFormat.java
@@ -6,27 +6,27 @@
 import java.util.Map;
 
 /**
- * The JSON in which operators send changes of the configuration, and read all of it:
+ * The JSON format in which operators send configuration changes and read the whole configuration:
  *
  * <pre>{@code
  * {"apply": {"signals": [{"signalKind": "routes", "heading": {"name": "shop", "revision": 7}, "reference": {...}}]},
  *  "remove": {"tenants": [{"name": "acme", "revision": 3}]}}
  * }</pre>
  *
- * <p>{@code reference} is an item's body. Items of the kind {@code saturation} have no name.
+ * <p>{@code reference} contains an item's body. Items of the kind {@code saturation} have no name.
  */
 public final class ConfigurationChangeFormat {
     private ConfigurationChangeFormat() {}
 
-    /** An item of a change, with its body as it was read; {@code body} is null where the item is deleted. */
+    /** An item of a change with its parsed body; {@code body} is null if the change deletes the item. */
     private record ChangedItem(ConfigurationItem item, Map<String, Object> body) {}
 
     /**
-     * Reads a change.
+     * Parses a change.
      *
-     * @return its items, each valid by itself, in their order and without repetitions
-     * @throws InvalidConfigurationException if it can't be read, an item is not valid by itself, or two items have the
-     *     same revision and different bodies
+     * @return the items of the change in their original order, without duplicates; each item is valid on its own
+     * @throws InvalidConfigurationException if the text cannot be parsed, an item is invalid on its own, or an item
+     *     occurs twice with the same revision and different bodies
      */
     public static List<ConfigurationItem> parse(String text) throws InvalidConfigurationException {
         Map<String, Object> change = ItemJson.requireObject(ItemJson.parse(text), "the call");
@@ -103,7 +103,7 @@
         return ItemJson.requireInteger(heading.get("revision"), kind + ": revision");
     }
 
-    /** All items that are not deleted, in the form of a change's {@code apply}. */
+    /** Writes all items that are not deleted, in the format of {@code apply} in a change. */
     public static String write(Iterable<ConfigurationItem> items) {
         StringBuilder out = new StringBuilder("{\"signals\":[");
         String separator = "";
--- a/src/main/java/reedmux/control/configuration/ConfigurationItem.java
+++ b/src/main/java/reedmux/control/configuration/ConfigurationItem.java
@@ -1,24 +1,24 @@
 package reedmux.control.configuration;
 
 /**
- * One named part of the configuration at one revision, or its deletion. Items are replicated one by one: of two with
- * the same key the one with the higher revision wins, and of two with the same revision, too, the one with the greater
- * body, so that replicas end with the same items whatever the order in which these come.
+ * One named part of the configuration at one revision, or a tombstone for it. Items are replicated individually. Of two
+ * items with the same key, the one with the higher revision wins; if the revisions are equal, too, the one with the
+ * greater body wins. Replicas therefore converge regardless of the order in which they receive items.
  *
- * @param kind {@code routes}, {@code plants} (services), {@code tenants} or {@code saturation} (limits of requests)
+ * @param kind {@code routes}, {@code plants} (services), {@code tenants} or {@code saturation} (request limits)
  * @param name unique within the kind; empty for {@code saturation}
- * @param revision as the operator has counted; from 0
- * @param body what the operator has sent, as JSON; empty where the item is deleted
+ * @param revision the revision that the operator assigned, at least 0
+ * @param body the JSON that the operator sent; empty if the item is deleted
  */
 public record ConfigurationItem(String kind, String name, long revision, String body)
         implements Comparable<ConfigurationItem> {
 
-    /** The deletion of an item. */
+    /** Creates the tombstone of a deleted item. */
     public static ConfigurationItem deleted(String kind, String name, long revision) {
         return new ConfigurationItem(kind, name, revision, "");
     }
 
-    // Written out: what a record generates is linked at run time, in the middle of a start.
+    // Written by hand: the methods that records generate are linked on first use, which would slow down startup.
     @Override
     public boolean equals(Object other) {
         return other instanceof ConfigurationItem item
@@ -32,23 +32,26 @@
         return 31 * key().hashCode() + Long.hashCode(revision);
     }
 
-    /** Whether this is the deletion of the item. */
+    /** Returns whether this is the tombstone of a deleted item. */
     public boolean isDeleted() {
         return body.isEmpty();
     }
 
-    /** By this an item is known among all. */
+    /** Returns the key that identifies the item among the items of all kinds. */
     public String key() {
         return kind + '/' + name;
     }
 
-    /** Of two items with the same key the greater one wins. */
+    /** Orders items with the same key: the greater one wins. */
     @Override
     public int compareTo(ConfigurationItem other) {
         return revision != other.revision ? Long.compare(revision, other.revision) : body.compareTo(other.body);
     }
 
-    /** Whether an operator's change to this item takes the place of another one with its key; null for none. */
+    /**
+     * Returns whether a change by an operator to this item replaces the current item with the same key, passed as
+     * {@code other}; null if there is none.
+     */
     public boolean supersedes(ConfigurationItem other) {
         return other == null || revision > other.revision;
     }
--- a/src/main/java/reedmux/control/configuration/ConfigurationTable.java
+++ b/src/main/java/reedmux/control/configuration/ConfigurationTable.java
@@ -7,24 +7,24 @@
 import java.util.TreeMap;
 
 /**
- * A set of items in the form in which it is used, and the one place that says what is valid: each item by itself
- * ({@link ParsedItem}); every service that a route names is there; no two routes have the same host and prefix; no two
- * tenants share a key. What is not valid is counted as items come and go, so that a change costs what it changes and
- * not what there is. For one thread.
+ * A set of parsed items, indexed for lookups. This class defines when a configuration is valid: each item is valid on
+ * its own ({@link ParsedItem}); every service that a route references exists; no two routes have the same host and
+ * prefix; no two tenants share a key. Violations are counted incrementally as items are added and removed, so the cost
+ * of a change depends on the size of the change, not on the size of the table. Not thread-safe.
  */
 public final class ConfigurationTable {
     private final RouteIndex routes = new RouteIndex();
     private final TenantIndex tenants = new TenantIndex();
     private RequestLimits requestLimits = RequestLimits.DEFAULTS;
-    /** Items that aren't valid by themselves, by their keys. */
+    /** The items that are invalid on their own, by key. */
     private final Map<String, ParsedItem.ParseProblem> parseProblems = new TreeMap<>();
 
     private String problem = "";
 
     /**
-     * A table of these items.
+     * Creates a table that contains the given items.
      *
-     * @throws InvalidConfigurationException if one is not valid by itself, or all are not valid together
+     * @throws InvalidConfigurationException if an item is invalid on its own, or the items are invalid together
      */
     public static ConfigurationTable of(Collection<ConfigurationItem> items) throws InvalidConfigurationException {
         ConfigurationTable table = new ConfigurationTable();
@@ -37,14 +37,16 @@
     // ---- Changes -----------------------------------------------------------------------------------
 
     /**
-     * Puts items in the place of those with their keys if all are valid together then; else nothing changes, and
-     * {@link #problem()} says why.
+     * Applies items, each of which replaces the item with the same key, if the resulting configuration is valid.
+     * Otherwise the table is left unchanged and {@link #problem()} returns the reason.
+     *
+     * @return whether the items were applied
      */
     public boolean applyIfValid(Collection<ConfigurationItem> items) {
         return tryToApply(items, true);
     }
 
-    /** Whether all would be valid together after {@link #applyIfValid}; {@link #problem()} says why not. */
+    /** Returns whether {@link #applyIfValid} would apply the items; if not, {@link #problem()} returns the reason. */
     public boolean isValidWith(Collection<ConfigurationItem> items) {
         return tryToApply(items, false);
     }
@@ -67,17 +69,17 @@
         return valid;
     }
 
-    /** Why the items of the last call weren't valid. */
+    /** Returns why the items of the last rejected call were invalid; empty if no call was rejected. */
     public String problem() {
         return problem;
     }
 
-    /** Puts an item in the place of the one with its key, whether all are valid together then or not. */
+    /** Replaces the item with the same key, even if the resulting configuration is invalid. */
     public void put(ConfigurationItem item) {
         replace(item, parse(item));
     }
 
-    /** Null for a deletion. */
+    /** Returns null for a deleted item. */
     private static ParsedItem parse(ConfigurationItem item) {
         if (item.isDeleted()) {
             return null;
@@ -89,7 +91,7 @@
         }
     }
 
-    /** Puts {@code parsed} in the place of what there is of an item, and returns that; either may be null. */
+    /** Replaces the parsed form of an item and returns the previous one; either may be null. */
     private ParsedItem replace(ConfigurationItem item, ParsedItem parsed) {
         ParsedItem replaced = parseProblems.remove(item.key());
         if (replaced == null) {
@@ -123,7 +125,7 @@
         };
     }
 
-    /** What is not valid, told by the first of some items that has to do with it. */
+    /** Describes a violation, if possible that of the first of the given items that is involved in one. */
     private String describeProblem(Collection<ConfigurationItem> items) {
         for (ConfigurationItem item : items) {
             ParsedItem.ParseProblem parseProblem = parseProblems.get(item.key());
@@ -150,37 +152,37 @@
 
     // ---- Lookups -----------------------------------------------------------------------------------
 
-    /** The route with the longest prefix that matches a request; null for none. {@code host} may have a port. */
+    /** Returns the route with the longest matching prefix, or null if none matches; {@code host} may include a port. */
     public RouteItem matchRoute(String host, String path) {
         return routes.match(host, path);
     }
 
-    /** All services, in no order. */
+    /** Returns all services, in no particular order. */
     public Collection<ServiceItem> services() {
         return routes.services();
     }
 
-    /** The service with a name; null for none. */
+    /** Returns the service with this name, or null if there is none. */
     public ServiceItem service(String name) {
         return routes.service(name);
     }
 
-    /** The tenant with a key; null for none. */
+    /** Returns the tenant with this key, or null if there is none. */
     public TenantItem tenantByKey(String key) {
         return tenants.byKey(key);
     }
 
-    /** The tenant with a name; null for none. */
+    /** Returns the tenant with this name, or null if there is none. */
     public TenantItem tenant(String name) {
         return tenants.byName(name);
     }
 
-    /** Whether requests need a tenant's key: once there is any tenant. */
+    /** Returns whether requests must contain a tenant's key, which is the case as soon as any tenant exists. */
     public boolean requiresKey() {
         return !tenants.isEmpty();
     }
 
-    /** What clients may send; {@link RequestLimits#DEFAULTS} where no item says so. */
+    /** Returns the limits for client requests; {@link RequestLimits#DEFAULTS} if no item specifies them. */
     public RequestLimits requestLimits() {
         return requestLimits;
     }
--- a/src/main/java/reedmux/control/configuration/InvalidConfigurationException.java
+++ b/src/main/java/reedmux/control/configuration/InvalidConfigurationException.java
@@ -1,34 +1,34 @@
 package reedmux.control.configuration;
 
 /**
- * A configuration that can't be used: a document that can't be read, an item with a wrong field, or items that aren't
- * valid together. The message is for the operator and says what is wrong and where. There is no stack trace, as this is
- * an answer to an input and no fault of the program.
+ * Thrown for an invalid configuration: a document that cannot be parsed, an item with an invalid field, or items that
+ * are invalid together. The message is sent to the operator and describes the problem and its location. The exception
+ * has no stack trace, because it reports invalid input and not a fault of the program.
  */
 public final class InvalidConfigurationException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** Where the fault is, as in {@code route shop: split: gain}; empty where it is in no field. */
+    /** Path of the invalid field, such as {@code route shop: split: gain}; empty if the problem concerns no field. */
     private final String key;
 
-    /** A fault that is in no field. */
+    /** Creates an exception for a problem that concerns no single field. */
     public InvalidConfigurationException(String message) {
         this("", message);
     }
 
-    /** A document that can't be read. */
+    /** Creates an exception for a document that cannot be parsed. */
     InvalidConfigurationException(String message, Throwable cause) {
         super(message, cause, false, false);
         key = "";
     }
 
-    /** A fault in a field; {@code message} names it, too. */
+    /** Creates an exception for an invalid field; {@code message} includes its path, too. */
     InvalidConfigurationException(String key, String message) {
         super(message, null, false, false);
         this.key = key;
     }
 
-    /** The item and field with the fault, as in {@code route shop: split: gain}; empty where it is in no field. */
+    /** Returns the path of the invalid field, such as {@code route shop: split: gain}; empty if there is none. */
     public String key() {
         return key;
     }
--- a/src/main/java/reedmux/control/configuration/ItemJson.java
+++ b/src/main/java/reedmux/control/configuration/ItemJson.java
@@ -15,12 +15,12 @@
 import java.util.Map;
 
 /**
- * Reads and writes JSON as maps, lists, strings, {@link BigDecimal}s, booleans and nulls, so that each number stays as
- * exact as it was sent; and checks the types of what was read.
+ * Reads and writes JSON as maps, lists, strings, {@link BigDecimal}s, booleans and nulls, and checks the types of
+ * parsed values. Numbers are read as {@link BigDecimal}s to keep the precision with which they were sent.
  */
 public final class ItemJson {
     private static final int MAX_DEPTH = 32;
-    /** From here on a {@code double} does not hold every integer. */
+    /** 2^53: a {@code double} does not represent every integer above this limit. */
     private static final long MAX_EXACT_INTEGER = 1L << 53;
 
     private static final JsonFactory FACTORY = JsonFactory.builder()
@@ -30,10 +30,10 @@
     private ItemJson() {}
 
     /**
-     * Reads a document.
+     * Parses a document.
      *
-     * @throws InvalidConfigurationException if it is no JSON, is nested too deeply, has a field twice, or something
-     *     follows behind it
+     * @throws InvalidConfigurationException if the text is not valid JSON, is nested too deeply, contains a duplicate
+     *     field, or continues after the document
      */
     public static Object parse(String text) throws InvalidConfigurationException {
         try (JsonParser parser = FACTORY.createParser(text)) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /** {@code cause} has the position in the text; null where the text itself is valid JSON. */
+    /** {@code cause} contains the position in the text; null if the parser itself reported no error. */
     private static InvalidConfigurationException unreadable(IOException cause) {
         return new InvalidConfigurationException("the document cannot be read in full", cause);
     }
@@ -90,13 +90,13 @@
         return array;
     }
 
-    /** Writes a value as {@link #parse} returns them; other numbers than {@link BigDecimal}s as integers. */
+    /** Writes a value of the types that {@link #parse} returns; numbers of other types are written as integers. */
     public static String write(Object value) {
         StringWriter out = new StringWriter();
         try (JsonGenerator generator = FACTORY.createGenerator(out)) {
             write(generator, value);
         } catch (IOException e) {
-            throw new UncheckedIOException("a StringWriter does not fail", e);
+            throw new UncheckedIOException("unexpected I/O error while writing JSON to a string", e);
         }
         return out.toString();
     }
@@ -129,10 +129,10 @@
     }
 
     // ---- Types -------------------------------------------------------------------------------------
-    // In each of these methods {@code key} is the path of the value, which is told where its type is wrong.
+    // In each of these methods {@code key} is the path of the value, which error messages contain.
 
-    /** An object, which may not be missing. */
-    @SuppressWarnings("unchecked") // parse makes objects of this type alone
+    /** Returns a required object. */
+    @SuppressWarnings("unchecked") // parse creates maps of this type only
     public static Map<String, Object> requireObject(Object value, String key) throws InvalidConfigurationException {
         if (!(value instanceof Map<?, ?>)) {
             throw wrongType(value, key, "an object");
@@ -140,7 +140,7 @@
         return (Map<String, Object>) value;
     }
 
-    /** A list; empty where it is missing. */
+    /** Returns a list, empty if the value is missing. */
     public static List<?> listOrEmpty(Object value, String key) throws InvalidConfigurationException {
         if (value == null) {
             return List.of();
@@ -151,7 +151,7 @@
         }
     }
 
-    /** A string, which may not be missing. */
+    /** Returns a required string. */
     public static String requireString(Object value, String key) throws InvalidConfigurationException {
         if (!(value instanceof String text)) {
             throw wrongType(value, key, "a text");
@@ -159,7 +159,7 @@
         return text;
     }
 
-    /** A number that is not below 0. */
+    /** Returns a number that is at least 0, or the default if the value is missing. */
     public static double numberOrDefault(Object value, double defaultValue, String key)
             throws InvalidConfigurationException {
         if (value == null) {
@@ -173,7 +173,7 @@
         }
     }
 
-    /** An integer that is not below 0 and not missing. */
+    /** Returns a required integer that is at least 0. */
     public static long requireInteger(Object value, String key) throws InvalidConfigurationException {
         double number = numberOrDefault(value, -1, key);
         if (number < 0 || number != Math.rint(number) || number > MAX_EXACT_INTEGER) {
@@ -182,7 +182,7 @@
         return (long) number;
     }
 
-    /** A boolean. */
+    /** Returns a boolean, or the default if the value is missing. */
     public static boolean booleanOrDefault(Object value, boolean defaultValue, String key)
             throws InvalidConfigurationException {
         if (value != null && !(value instanceof Boolean)) {
--- a/src/main/java/reedmux/control/configuration/ItemKinds.java
+++ b/src/main/java/reedmux/control/configuration/ItemKinds.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 
-/** The kinds of {@link ConfigurationItem}s, by the names that operators, disks and messages have for them. */
+/** The kinds of {@link ConfigurationItem}s, named as in the operators' JSON, in messages and on disk. */
 final class ItemKinds {
-    /** Which requests go to which service: {@link RouteItem}. */
+    /** Routes of requests to services: {@link RouteItem}. */
     static final String ROUTES = "routes";
     /** Services: {@link ServiceItem}. */
     static final String SERVICES = "plants";
-    /** Customers: {@link TenantItem}. */
+    /** Tenants (customers): {@link TenantItem}. */
     static final String TENANTS = "tenants";
-    /** What clients may send: {@link RequestLimits}. There is at most one item of it, and its name is empty. */
+    /** Limits for client requests: {@link RequestLimits}. There is at most one such item, and its name is empty. */
     static final String LIMITS = "saturation";
 
     private static final List<String> ALL = List.of(ROUTES, SERVICES, TENANTS, LIMITS);
--- a/src/main/java/reedmux/control/configuration/ParsedItem.java
+++ b/src/main/java/reedmux/control/configuration/ParsedItem.java
@@ -2,16 +2,16 @@
 
 import java.util.Map;
 
-/** The body of a {@link ConfigurationItem}, read and valid by itself; or what is wrong with it. */
+/** The parsed body of a {@link ConfigurationItem} that is valid on its own, or the problem with an invalid one. */
 sealed interface ParsedItem permits RouteItem, ServiceItem, TenantItem, RequestLimits, ParsedItem.ParseProblem {
 
-    /** An item that can't be used; {@code message} says why. */
+    /** An item that is invalid on its own; {@code message} describes the problem. */
     record ParseProblem(String message) implements ParsedItem {}
 
     /**
-     * Reads an item that is not deleted.
+     * Parses an item that is not deleted.
      *
-     * @throws InvalidConfigurationException if its kind is unknown, or its body is no JSON or has a wrong field
+     * @throws InvalidConfigurationException if its kind is unknown, its body is not valid JSON, or a field is invalid
      */
     static ParsedItem parse(ConfigurationItem item) throws InvalidConfigurationException {
         String path = pathOf(item.kind(), item.name());
@@ -19,7 +19,7 @@
         return parse(item.kind(), item.name(), body);
     }
 
-    /** As {@link #parse(ConfigurationItem)}, of an item whose JSON was read already. */
+    /** Like {@link #parse(ConfigurationItem)}, for an item whose JSON has already been parsed. */
     static ParsedItem parse(String kind, String name, Map<String, Object> body) throws InvalidConfigurationException {
         ItemFields fields = new ItemFields(pathOf(kind, name), body);
         return switch (kind) {
@@ -31,7 +31,7 @@
         };
     }
 
-    /** What an item is called towards operators. */
+    /** Returns the name of an item in error messages to operators. */
     private static String pathOf(String kind, String name) throws InvalidConfigurationException {
         return switch (kind) {
             case ItemKinds.ROUTES -> "route " + name;
--- a/src/main/java/reedmux/control/configuration/RequestLimits.java
+++ b/src/main/java/reedmux/control/configuration/RequestLimits.java
@@ -1,21 +1,22 @@
 package reedmux.control.configuration;
 
 /**
- * What a client may send, and how long it may take for that.
+ * Limits for the sizes and durations of client requests.
  *
- * @param maxHeaderBytes of a request's line and headers together
- * @param maxBodyBytes of a request's body
- * @param headerTimeoutMicros for a request's line and headers
- * @param idleTimeoutMicros without progress of a request, and between two requests of one connection
+ * @param maxHeaderBytes the maximum size of the request line and headers together
+ * @param maxBodyBytes the maximum size of a request body
+ * @param headerTimeoutMicros how long a client may take to send the request line and headers
+ * @param idleTimeoutMicros how long a request may make no progress, and how long a connection may be idle between two
+ *     requests
  */
 public record RequestLimits(int maxHeaderBytes, long maxBodyBytes, long headerTimeoutMicros, long idleTimeoutMicros)
         implements ParsedItem {
-    /** What holds where there is no such item. */
+    /** Used if the configuration contains no limits. */
     public static final RequestLimits DEFAULTS = new RequestLimits(16_384, 64 << 20, 3_000_000, 15_000_000);
 
     private static final long MICROS_PER_MILLI = 1000;
 
-    /** The limits that allow whatever either of the two allows. */
+    /** Returns limits that allow everything that either of the two allows. */
     public RequestLimits mostPermissive(RequestLimits other) {
         return new RequestLimits(
                 Math.max(maxHeaderBytes, other.maxHeaderBytes),
--- a/src/main/java/reedmux/control/configuration/RouteIndex.java
+++ b/src/main/java/reedmux/control/configuration/RouteIndex.java
@@ -9,23 +9,23 @@
 import java.util.TreeSet;
 
 /**
- * Routes by host and prefix, and the services that they name. It counts what makes them invalid together, so that a
- * change costs what it changes and not what there is.
+ * Indexes routes by host and prefix, and the services that they reference. Violations are counted incrementally, so the
+ * cost of a change depends on the size of the change, not on the size of the index.
  */
 final class RouteIndex {
-    /** Longer prefixes first, then by prefix and name: the first match is the longest. */
+    /** Sorted by descending prefix length, then by prefix and name, so that the first match is the longest. */
     private final Map<String, List<RouteItem>> routesByHost = new HashMap<>();
 
     private final Map<String, RouteItem> routesByName = new HashMap<>();
     private final Map<String, ServiceItem> servicesByName = new HashMap<>();
-    /** The names of the routes that name a service, whether it is known or not. */
+    /** The names of the routes that reference a service, whether the service exists or not. */
     private final Map<String, TreeSet<String>> routesByService = new HashMap<>();
-    /** How many services are named by routes and not known. */
+    /** Number of services that routes reference and that do not exist. */
     private int unknownServiceCount;
-    /** How many routes there are beyond the first of each host and prefix. */
+    /** Number of routes beyond the first for each host and prefix. */
     private int duplicateRouteCount;
 
-    /** Whether every service that is named is known, and no two routes have the same host and prefix. */
+    /** Returns whether every referenced service exists and no two routes have the same host and prefix. */
     boolean isValid() {
         return unknownServiceCount == 0 && duplicateRouteCount == 0;
     }
@@ -37,7 +37,7 @@
         unknownServiceCount -= isReferenced(service.name()) ? 1 : 0;
     }
 
-    /** Returns the service that was removed; null for none. */
+    /** Returns the removed service, or null if there was none. */
     ServiceItem removeService(String name) {
         ServiceItem service = servicesByName.remove(name);
         unknownServiceCount += service != null && isReferenced(name) ? 1 : 0;
@@ -69,7 +69,7 @@
         hostRoutes.add(index, route);
     }
 
-    /** Returns the route that was removed; null for none. */
+    /** Returns the removed route, or null if there was none. */
     RouteItem removeRoute(String name) {
         RouteItem route = routesByName.remove(name);
         if (route == null) {
@@ -92,7 +92,7 @@
         return route;
     }
 
-    /** Where a route is, or belongs, among those of its host. */
+    /** Returns the index of a route, or its insertion point, among the routes of its host. */
     private static int indexOf(List<RouteItem> hostRoutes, RouteItem route) {
         int low = 0;
         int high = hostRoutes.size();
@@ -115,7 +115,10 @@
         return byPrefix != 0 ? byPrefix : first.name().compareTo(second.name());
     }
 
-    /** Another route of the same host and prefix, where {@code index} is that of this one; null for none. */
+    /**
+     * Returns another route with the same host and prefix, or null if there is none; {@code index} is the index or
+     * insertion point of {@code route}.
+     */
     private static RouteItem findDuplicate(List<RouteItem> hostRoutes, RouteItem route, int index) {
         for (int i = Math.max(0, index - 1); i <= index + 1 && i < hostRoutes.size(); i++) {
             RouteItem neighbor = hostRoutes.get(i);
@@ -126,9 +129,9 @@
         return null;
     }
 
-    // ---- What is not valid -------------------------------------------------------------------------
+    // ---- Violations --------------------------------------------------------------------------------
 
-    /** What a route has to do with what is not valid here; null for nothing. */
+    /** Describes a violation in which a route is involved; null if there is none. */
     String describeRouteProblem(String name) {
         RouteItem route = routesByName.get(name);
         if (route == null) {
@@ -146,7 +149,7 @@
                 : "routes " + duplicate.name() + " and " + name + " have the same host and prefix";
     }
 
-    /** What a service, or its absence, has to do with what is not valid here; null for nothing. */
+    /** Describes the violation if routes reference a service that does not exist; null otherwise. */
     String describeServiceProblem(String name) {
         return isReferenced(name) && !servicesByName.containsKey(name)
                 ? unknownServiceProblem(routesByService.get(name).first(), name)
@@ -159,7 +162,7 @@
 
     // ---- Lookups -----------------------------------------------------------------------------------
 
-    /** The route with the longest prefix that matches a request; null for none. */
+    /** Returns the route with the longest prefix that matches a request, or null if none matches. */
     RouteItem match(String host, String path) {
         if (host == null) {
             return null;
@@ -174,7 +177,7 @@
 
     private static String withoutPort(String host) {
         int colon = host.lastIndexOf(':');
-        boolean isPort = colon > 0 && host.indexOf(']') < colon; // an IPv6 address in brackets has colons, too
+        boolean isPort = colon > 0 && host.indexOf(']') < colon; // an IPv6 address in brackets contains colons, too
         return isPort ? host.substring(0, colon) : host;
     }
 
--- a/src/main/java/reedmux/control/configuration/RouteItem.java
+++ b/src/main/java/reedmux/control/configuration/RouteItem.java
@@ -5,18 +5,18 @@
 import java.util.Locale;
 
 /**
- * A route: which requests go to which services, and what is promised to them.
+ * A route: selects requests by host and path prefix, and defines the services, timeouts and priority for them.
  *
- * @param host of the requests, in lower case and without a port
- * @param prefix of the requests' paths; it begins with a slash
- * @param idempotent whether a request may be executed more than once, so that it is retried without knowing whether the
- *     first attempt was
- * @param timeoutMicros how long a request may take, waiting included
- * @param latencyTargetMicros within which a response has its full value
- * @param priority of the route's requests where capacity is short
- * @param services that the requests are split between; at least one has a weight above 0
- * @param maxAttempts how often a request is sent at most, the first time included
- * @param keyOptional whether requests need no tenant's key
+ * @param host the host of the requests, in lower case and without a port
+ * @param prefix the prefix of the requests' paths, which begins with a slash
+ * @param idempotent whether a request may be executed more than once; such a request is retried even if it is unknown
+ *     whether the first attempt was executed
+ * @param timeoutMicros the maximum duration of a request, including queueing
+ * @param latencyTargetMicros the latency up to which a response has its full value
+ * @param priority the priority of the route's requests when capacity is short
+ * @param services the services that the requests are split between; at least one has a weight above 0
+ * @param maxAttempts the maximum number of attempts for a request, including the first
+ * @param keyOptional whether requests are accepted without a tenant's key
  */
 public record RouteItem(
         String name,
@@ -34,12 +34,12 @@
     /**
      * A service of a route.
      *
-     * @param weight the service's share of the requests is its part of the sum of all weights
+     * @param weight the service receives a share of the requests equal to this weight divided by the sum of all weights
      */
     public record WeightedService(String service, double weight) {}
 
     private static final long MICROS_PER_MILLI = 1000;
-    /** What holds where a duration is not given, and where a longer one is. */
+    /** The default of durations that are not specified, and the upper limit of those that are; 1 h. */
     private static final long MAX_DURATION_MILLIS = 3_600_000;
 
     private static final String IDEMPOTENT_KIND = "idempotent";
@@ -71,7 +71,7 @@
                 fields.booleanOrDefault("unkeyed", false));
     }
 
-    /** Either a list of services with weights, or one service. */
+    /** Parses either a list of services with weights or a single service. */
     private static List<WeightedService> parseServices(ItemFields fields) throws InvalidConfigurationException {
         if (!fields.has("split")) {
             return List.of(new WeightedService(fields.requireString("plant"), 1));
--- a/src/main/java/reedmux/control/configuration/ServiceItem.java
+++ b/src/main/java/reedmux/control/configuration/ServiceItem.java
@@ -1,10 +1,10 @@
 package reedmux.control.configuration;
 
 /**
- * A service, which instances register for.
+ * A service that instances register for.
  *
- * @param healthCheckPath the path of the requests by which an instance's health is checked
- * @param maxConnections how many connections one instance takes from all proxies together
+ * @param healthCheckPath the path of the health check requests to an instance
+ * @param maxConnections the maximum number of connections to one instance from all proxies together
  */
 public record ServiceItem(String name, String healthCheckPath, int maxConnections) implements ParsedItem {
     private static final int DEFAULT_MAX_CONNECTIONS = 100;
--- a/src/main/java/reedmux/control/configuration/TenantIndex.java
+++ b/src/main/java/reedmux/control/configuration/TenantIndex.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** Tenants by name and by key; it knows which keys more than one of them has. */
+/** Indexes tenants by name and by key, and tracks the keys that more than one tenant has. */
 final class TenantIndex {
     private final Map<String, TenantItem> tenantsByName = new HashMap<>();
-    /** Where a key is shared: any one of its tenants. */
+    /** For a shared key, an arbitrary one of its tenants. */
     private final Map<String, TenantItem> tenantsByKey = new HashMap<>();
-    /** The names of the tenants of each key that more than one has. */
+    /** The names of the tenants that share a key, for each key with more than one tenant. */
     private final Map<String, TreeSet<String>> tenantsBySharedKey = new HashMap<>();
 
-    /** Whether no two tenants share a key. */
+    /** Returns whether no two tenants share a key. */
     boolean isValid() {
         return tenantsBySharedKey.isEmpty();
     }
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Returns the tenant that was removed; null for none. */
+    /** Returns the removed tenant, or null if there was none. */
     TenantItem remove(String name) {
         TenantItem tenant = tenantsByName.remove(name);
         if (tenant == null) {
@@ -56,7 +56,7 @@
         return tenant;
     }
 
-    /** What a tenant has to do with what is not valid here; null for nothing. */
+    /** Describes the violation if a tenant shares a key with another one; null otherwise. */
     String describeProblem(String name) {
         TenantItem tenant = tenantsByName.get(name);
         if (tenant != null) {
@@ -73,12 +73,12 @@
         return tenantsByName.isEmpty();
     }
 
-    /** The tenant with a key; null for none. */
+    /** Returns the tenant with this key, or null if there is none. */
     TenantItem byKey(String key) {
         return tenantsByKey.get(key);
     }
 
-    /** The tenant with a name; null for none. */
+    /** Returns the tenant with this name, or null if there is none. */
     TenantItem byName(String name) {
         return tenantsByName.get(name);
     }
--- a/src/main/java/reedmux/control/configuration/TenantItem.java
+++ b/src/main/java/reedmux/control/configuration/TenantItem.java
@@ -4,16 +4,16 @@
 import java.util.List;
 
 /**
- * A customer.
+ * A tenant (customer).
  *
- * @param keys by which the customer's requests are recognized; no two tenants share one
- * @param priority of the tenant's requests; {@link #ROUTE_PRIORITY} where the route's holds
- * @param requestsPerSecond the rate limit over all proxies; 0 for none
- * @param burst how many requests may come at once beyond that rate
+ * @param keys the keys that identify the tenant's requests; no two tenants share a key
+ * @param priority the priority of the tenant's requests; {@link #ROUTE_PRIORITY} if the route's priority applies
+ * @param requestsPerSecond the rate limit across all proxies; 0 for no limit
+ * @param burst the number of requests that may arrive at once in excess of that rate
  */
 public record TenantItem(String name, List<String> keys, int priority, double requestsPerSecond, double burst)
         implements ParsedItem {
-    /** The priority of a tenant that has none of its own. */
+    /** Marks a tenant without a priority of its own. */
     public static final int ROUTE_PRIORITY = -1;
 
     static TenantItem parse(String name, ItemFields fields) throws InvalidConfigurationException {
--- a/src/main/java/reedmux/control/registry/ControlCall.java
+++ b/src/main/java/reedmux/control/registry/ControlCall.java
@@ -2,31 +2,31 @@
 
 import reedmux.control.instances.InstanceIncarnation;
 
-/** A call of the control API whose form is valid, as {@link ControlCallParser} reads it. */
+/** A call to the control API, parsed and validated by {@link ControlCallParser}. */
 sealed interface ControlCall {
 
-    /** An instance reports itself. */
+    /** An instance reports its address, capacity and phase. */
     record HeartbeatCall(InstanceIncarnation incarnation) implements ControlCall {}
 
-    /** An instance ends. */
+    /** An instance reports that it has shut down. */
     record InstanceLeaveCall(String id) implements ControlCall {}
 
-    /** The operator removes a machine from the core. */
+    /** An operator removes a machine from the core. */
     record CoreLeaveCall(String node) implements ControlCall {}
 
     /**
-     * The operator asks what this machine knows.
+     * An operator requests a status report from this machine.
      *
-     * @param subject what to report on: one of {@link ControlCallParser#SHOW_SUBJECTS}
-     * @param service of {@code Checkers}, only those of this service; empty for all
-     * @param afterName the entries start behind this name; empty for the first ones
-     * @param limit the most entries to return
+     * @param subject the subject of the report, one of {@link ControlCallParser#SHOW_SUBJECTS}
+     * @param service for {@code Checkers}, returns only the instances of this service; empty for all services
+     * @param afterName returns only entries whose names sort after this name; empty for the first page
+     * @param limit the maximum number of entries to return
      */
     record ShowCall(String subject, String service, String afterName, int limit) implements ControlCall {}
 
-    /** The operator changes items; the body is their JSON. */
+    /** An operator changes configuration items; {@code body} is the change as JSON. */
     record ConfigAdjustCall(String body) implements ControlCall {}
 
-    /** The operator reads all items. */
+    /** An operator reads all configuration items. */
     record ConfigReadCall() implements ControlCall {}
 }
--- a/src/main/java/reedmux/control/registry/ControlCallParser.java
+++ b/src/main/java/reedmux/control/registry/ControlCallParser.java
@@ -20,8 +20,8 @@
 import reedmux.control.registry.ControlCall.ShowCall;
 
 /**
- * Reads the calls of the control API from HTTP requests. What instances report about themselves is replicated to every
- * registry and proxy and kept on disk, so its size is limited here.
+ * Parses HTTP requests into calls to the control API. The fields of a heartbeat are replicated to every registry and
+ * proxy and stored on disk, so the parser limits their size.
  */
 final class ControlCallParser {
     static final List<String> SHOW_SUBJECTS = List.of("Members", "Core", "Checkers", "Items", "Duties");
@@ -38,7 +38,7 @@
     private static final int MAX_NAME_CHARS = 255;
     private static final int MAX_HEARTBEAT_CHARS = 16 * 1024;
     private static final long MAX_CAPACITY = 1_000_000;
-    /** The largest integer that every reader of JSON represents exactly. */
+    /** 2^53: JSON parsers that use doubles represent larger integers inexactly. */
     private static final long MAX_SEQUENCE = 1L << 53;
 
     private static final long MAX_SLOW_START_MILLIS = 86_400_000;
@@ -46,10 +46,10 @@
     private ControlCallParser() {}
 
     /**
-     * Returns the call that a request makes.
+     * Parses a request into a call.
      *
-     * @throws MalformedMessageException if there is no such call, or its parameters or body are invalid; its message
-     *     names the call and the field
+     * @throws MalformedMessageException if the call is unknown, or its parameters or body are invalid; the message then
+     *     names the call and the invalid field
      */
     static ControlCall parse(Http1Head head, byte[] body) throws MalformedMessageException {
         String path = head.path();
@@ -73,7 +73,7 @@
         throw new MalformedMessageException(STATUS_NOT_FOUND, "there is no such call");
     }
 
-    /** Returns the instance's id, which ends the path. */
+    /** Returns the instance's id, which is the rest of the path after the prefix. */
     private static String instanceId(String path, String prefix) throws MalformedMessageException {
         String id = path.substring(prefix.length());
         if (id.isEmpty() || id.length() > MAX_NAME_CHARS) {
@@ -82,7 +82,7 @@
         return id;
     }
 
-    /** Decodes strictly: replacement characters would change what was sent. */
+    /** Rejects invalid UTF-8, because replacement characters would alter the data that the caller sent. */
     private static String decodeUtf8(byte[] body, String call) throws MalformedMessageException {
         ByteBuffer bytes = ByteBuffer.wrap(body);
         try {
--- a/src/main/java/reedmux/control/registry/CoreConnections.java
+++ b/src/main/java/reedmux/control/registry/CoreConnections.java
@@ -16,8 +16,8 @@
 import reedmux.control.store.CoreAddresses;
 
 /**
- * A registry's connections to the other machines of the core: to each of their registries, and to all stores. They
- * follow the core's membership as the stores agree on it.
+ * A registry's connections to the other machines of the core: to the registries of the other machines, and to all
+ * stores, including the local one. The connections follow the core membership that the stores agree on.
  */
 final class CoreConnections {
     private final ProcessSettings settings;
@@ -44,7 +44,7 @@
         this.handler = handler;
     }
 
-    /** Connects to every machine that the settings name, and to this machine's store first of the stores. */
+    /** Connects to every machine that the settings list; this machine's store becomes the first of the stores. */
     void connectToAll() {
         addresses.peerAddresses(settings.registryPort()).forEach(registry -> connect(registries, registry));
         connect(stores, SocketAddresses.parse(settings.ip() + ':' + settings.storePort()));
@@ -60,17 +60,17 @@
         connect(stores, new InetSocketAddress(registry.getAddress(), settings.storePort()));
     }
 
-    /** The other registries; a live list. */
+    /** Returns the connections to the other registries, as a live list. */
     List<RpcDialer> registries() {
         return registries;
     }
 
-    /** All stores, this machine's first; a live list. */
+    /** Returns the connections to all stores, this machine's store first, as a live list. */
     List<RpcDialer> stores() {
         return stores;
     }
 
-    /** Connects to those of the machines that were not known yet. */
+    /** Connects to those of the given machines that are not known yet. */
     void addMachines(List<String> ips) {
         addresses.addDiscovered(ips, settings.registryPort()).forEach(this::connectToMachine);
     }
@@ -90,7 +90,10 @@
         }
     }
 
-    /** This machine's own store is kept, also where the machine is no member any more. */
+    /**
+     * Closes the connections to machines that were removed from the core. The connection to this machine's own store
+     * stays open even if this machine was removed.
+     */
     private void closeRemoved(List<RpcDialer> dialers) {
         for (RpcDialer dialer : List.copyOf(dialers)) {
             boolean local = dialer.address().getAddress().getHostAddress().equals(settings.ip());
@@ -101,19 +104,19 @@
         }
     }
 
-    /** Whether a connection is one of those that this registry has opened to the others. */
+    /** Returns whether this registry opened the connection to another registry. */
     boolean isToRegistry(RpcConnection connection) {
         return registries.stream().anyMatch(dialer -> dialer.connection() == connection);
     }
 
-    /** Whether there is an established connection to the registry of a node. */
+    /** Returns whether a connection to the registry of a node is established. */
     boolean isConnectedToRegistry(String node) {
         return registries.stream()
                 .anyMatch(dialer -> dialer.connection() != null
                         && dialer.connection().peer().node().equals(node));
     }
 
-    /** Sends an encoded message to the other registries; returns whether every one of them is connected. */
+    /** Sends an encoded message to all connected registries; returns whether every other registry is connected. */
     boolean sendToRegistries(byte[] message) {
         boolean allConnected = true;
         for (RpcDialer dialer : registries) {
--- a/src/main/java/reedmux/control/registry/IncarnationStorage.java
+++ b/src/main/java/reedmux/control/registry/IncarnationStorage.java
@@ -13,15 +13,16 @@
 import reedmux.control.rpc.Messages.IncarnationNotice;
 
 /**
- * Keeps the instances on disk, so that after a loss of all processes at once requests need not wait for each instance's
- * next heartbeat. Nothing depends on it: what is missing or old is reported again. Each write replaces the file by one
- * with all instances. A worker thread waits for the disk, everything else runs on the reactor's thread.
+ * Stores the known instances on disk, so that after all processes have failed at once, requests can be routed without
+ * waiting for the next heartbeat of each instance. Correctness does not depend on these files: instances report missing
+ * or outdated entries again with their heartbeats. Each write replaces the file with one that contains all instances.
+ * Disk I/O runs on a worker thread, everything else on the reactor's thread.
  */
 final class IncarnationStorage {
     private static final long WRITE_INTERVAL_MICROS = 300_000;
-    /** After a failed write; a full disk is not filled by retries. */
+    /** Delay after a failed write, so that retries do not keep filling a full disk. */
     private static final long RETRY_DELAY_MICROS = 2_000_000;
-    /** Of the worker. */
+    /** Capacity of the worker's queue. */
     private static final int MAX_QUEUED_WRITES = 4;
 
     private final Reactor reactor;
@@ -29,13 +30,13 @@
     private final InstanceDirectory directory;
     private final Journal journal;
     private final Executor diskWorker;
-    /** The directory's change that the file on disk is as of. */
+    /** The last change of the directory that the file on disk includes. */
     private long savedChange;
 
     private long nextAttemptMicros;
     private boolean writeInProgress;
 
-    /** Reads what earlier processes have kept into the directory, and begins to write what changes. */
+    /** Loads the stored instances into the directory, then schedules periodic writes of changes. */
     IncarnationStorage(Path folder, Reactor reactor, MessageCodec codec, InstanceDirectory directory) {
         this.reactor = reactor;
         this.codec = codec;
@@ -76,7 +77,7 @@
         });
     }
 
-    /** Runs on the worker. */
+    /** Runs on the worker thread. */
     private boolean write(byte[] record) {
         try {
             journal.startGeneration(List.of(record));
--- a/src/main/java/reedmux/control/registry/InstanceCalls.java
+++ b/src/main/java/reedmux/control/registry/InstanceCalls.java
@@ -11,12 +11,12 @@
 import reedmux.control.rpc.RpcDialer;
 
 /**
- * Carries out the calls of instances. A heartbeat of a ready instance is acknowledged at once, as a lost one is
- * followed by the next. That an instance drains or leaves is acknowledged only once another registry knows it, too, so
- * that a loss of this machine does not bring it back.
+ * Handles the calls of instances. The heartbeat of a ready instance is acknowledged immediately, because the next
+ * heartbeat makes up for a lost one. A report that an instance is draining or leaving is acknowledged only after
+ * another registry has received it, so that the instance does not become ready again if this machine fails.
  */
 final class InstanceCalls {
-    /** Callers wait for a second. */
+    /** Less than the 1 s that callers wait for a response. */
     private static final long ACKNOWLEDGEMENT_TIMEOUT_MICROS = 900_000;
 
     private static final int STATUS_OK = 200;
@@ -29,16 +29,16 @@
     private final InstanceDirectory directory;
     private final List<RpcDialer> registries;
     private final UpdatePublisher publisher;
-    /** Asks the instance to send its next heartbeat here again, as a change of its owner is replicated. */
+    /** Tells the instance to keep sending heartbeats to this registry, because each change of owner is replicated. */
     private final String heartbeatResponse;
-    /** Calls that wait until another registry has acknowledged. */
+    /** Calls that wait for the acknowledgement of another registry. */
     private final PendingRequests<RpcConnection, Http1ServerConnection> pending = new PendingRequests<>();
 
     /**
-     * Creates the calls of one registry.
+     * Creates the handler for one registry.
      *
-     * @param endpoint this registry's {@code ip:port} for instances
-     * @param registries the connections to the other registries, a live list
+     * @param endpoint the {@code ip:port} at which this registry receives the calls of instances
+     * @param registries the connections to the other registries, as a live list
      */
     InstanceCalls(
             String endpoint,
@@ -60,7 +60,7 @@
 
     void onLeave(String id, Http1ServerConnection caller) {
         InstanceIncarnation lastReport = directory.get(id, reactor.now());
-        if (lastReport == null) { // all that can be known of it is that it has ended
+        if (lastReport == null) { // an unknown instance: only its id and that it has ended are known
             lastReport = new InstanceIncarnation(id, "", UNKNOWN_ADDRESS, "", 1, InstanceIncarnation.READY, 0, 0, false);
         }
         InstanceIncarnation gone = new InstanceIncarnation(
@@ -89,7 +89,7 @@
                 .filter(connection -> connection != null)
                 .toList();
         if (connected.isEmpty()) {
-            rejectUnacknowledged(caller); // at once, so that the instance calls another registry
+            rejectUnacknowledged(caller); // without a delay, so that the instance can call another registry
             return;
         }
         long requestId = pending.register(connected, caller);
@@ -98,7 +98,7 @@
         reactor.scheduleAfter(ACKNOWLEDGEMENT_TIMEOUT_MICROS, () -> rejectUnacknowledged(pending.cancel(requestId)));
     }
 
-    /** Another registry has acknowledged; one is enough. */
+    /** Completes a call after the first acknowledgement by another registry. */
     void onAck(RpcConnection connection, IncarnationAck ack) {
         Http1ServerConnection caller = pending.complete(ack.id(), connection);
         if (caller != null) {
@@ -110,7 +110,7 @@
         pending.onConnectionLost(connection).forEach(InstanceCalls::rejectUnacknowledged);
     }
 
-    /** {@code caller}: null where the call has its response already. */
+    /** Rejects a call; does nothing if {@code caller} is null because the call has already been answered. */
     private static void rejectUnacknowledged(Http1ServerConnection caller) {
         if (caller != null) {
             caller.respond(STATUS_UNAVAILABLE, NOT_ACKNOWLEDGED);
--- a/src/main/java/reedmux/control/registry/PendingRequests.java
+++ b/src/main/java/reedmux/control/registry/PendingRequests.java
@@ -9,19 +9,20 @@
 import java.util.Set;
 
 /**
- * Requests that were sent and have no response yet. A request ends in one of three ways, and only once: by a response,
- * by {@link #cancel}, or by the loss of the last connection that it was sent over. A response counts only with the
- * request's id and over one of its connections, so that one of an earlier connection or process ends nothing. Pure.
+ * Requests that were sent and are not answered yet. A request ends exactly once, in one of three ways: by a response,
+ * by {@link #cancel}, or by the loss of the last connection that it was sent over. A response is accepted only if it has
+ * the request's id and arrives on one of the request's connections; responses from earlier connections or processes are
+ * ignored. This class does no I/O and uses no clock.
  *
- * @param <C> a connection
- * @param <W> who waits for the response
+ * @param <C> the type of connections
+ * @param <W> the type of the waiters, which receive the responses
  */
 final class PendingRequests<C, W> {
     private final Map<Long, PendingRequest<C, W>> requests = new HashMap<>();
     private long lastId;
 
     private static final class PendingRequest<C, W> {
-        /** Those that are still open. */
+        /** The request's connections that are still open. */
         private final Set<C> connections;
 
         private final W waiter;
@@ -32,26 +33,26 @@
         }
     }
 
-    /** Registers a request that is sent over each of the connections; returns its id. */
+    /** Registers a request that is sent over each of the connections, and returns its id. */
     long register(List<C> connections, W waiter) {
         lastId++;
         requests.put(lastId, new PendingRequest<>(new HashSet<>(connections), waiter));
         return lastId;
     }
 
-    /** Ends a request by a response; returns who waits for it, or null where the response counts for nothing. */
+    /** Ends a request with a response; returns its waiter, or null if the response is ignored. */
     W complete(long id, C connection) {
         PendingRequest<C, W> request = requests.get(id);
         return request == null || !request.connections.contains(connection) ? null : cancel(id);
     }
 
-    /** Ends a request without a response; returns who waits for it, or null where it has ended before. */
+    /** Ends a request without a response; returns its waiter, or null if the request has already ended. */
     W cancel(long id) {
         PendingRequest<C, W> request = requests.remove(id);
         return request == null ? null : request.waiter;
     }
 
-    /** Ends the requests that have no other connection left than this one; returns who waits for them. */
+    /** Ends the requests whose last open connection was this one, and returns their waiters. */
     List<W> onConnectionLost(C connection) {
         List<W> waiters = new ArrayList<>();
         for (Iterator<PendingRequest<C, W>> iterator = requests.values().iterator(); iterator.hasNext(); ) {
--- a/src/main/java/reedmux/control/registry/ProxyConnections.java
+++ b/src/main/java/reedmux/control/registry/ProxyConnections.java
@@ -9,18 +9,19 @@
 import reedmux.control.rpc.RpcConnection;
 
 /**
- * The connections of proxies to this registry. A few of the proxies serve it in two ways: they return the instances
- * that they know after a restart of the registry, and relay its heartbeats to registries that it cannot reach.
+ * The connections of proxies to this registry. The registry uses a few of the proxies for two purposes: after it has
+ * restarted, they send it the instances that they know, and they relay its heartbeats to registries that it cannot
+ * reach.
  */
 final class ProxyConnections {
-    /** So many proxies that one that is about to end, or cut off itself, does not matter. */
+    /** Number of proxies used for each purpose; more than one, because a proxy may be shutting down or partitioned. */
     private static final int MAX_HELPERS = 3;
 
-    /** In the order in which they were established. */
+    /** In the order in which the connections were established. */
     private final Set<RpcConnection> connections = new LinkedHashSet<>();
-    /** The nodes that were asked for the instances that they know. */
+    /** The nodes of the proxies that were queried for the instances that they know. */
     private final Set<String> queriedNodes = new HashSet<>();
-    /** How many of them knew none, as they have started themselves. */
+    /** Number of queried proxies that knew no instances, because they had just started themselves. */
     private int emptyNoticeCount;
 
     void add(RpcConnection connection) {
@@ -32,13 +33,16 @@
         connections.remove(connection);
     }
 
-    /** A proxy that was asked knows no instance: another one is asked in its place. */
+    /** Called when a queried proxy knows no instances; queries another proxy instead. */
     void onEmptyNotice() {
         emptyNoticeCount++;
         queryInstances();
     }
 
-    /** Asks until enough proxies have been asked that may know something; position 0 of a proxy means all. */
+    /**
+     * Queries proxies until {@link #MAX_HELPERS} of them have been queried, not counting those that knew no instances.
+     * A request with position 0 returns all instances of a proxy.
+     */
     private void queryInstances() {
         for (RpcConnection connection : connections) {
             if (queriedNodes.size() - emptyNoticeCount < MAX_HELPERS
@@ -48,7 +52,7 @@
         }
     }
 
-    /** Returns the proxies that relay heartbeats: from different zones as far as there are any. */
+    /** Returns the proxies that relay heartbeats, preferring proxies in different zones. */
     List<RpcConnection> relays() {
         Set<String> zones = new HashSet<>();
         List<RpcConnection> relays = new ArrayList<>();
--- a/src/main/java/reedmux/control/registry/Registry.java
+++ b/src/main/java/reedmux/control/registry/Registry.java
@@ -33,40 +33,40 @@
 import reedmux.control.store.CoreAddresses;
 
 /**
- * The program that serves the control API over HTTP and knows which instances and which proxies there are. One runs on
- * each machine of the core, and none leads:
+ * The program that serves the control API over HTTP and tracks all instances and proxies. One registry runs on each
+ * machine of the core; there is no leader:
  *
  * <ul>
  *   <li>An instance sends its heartbeats to one registry, which is its owner ({@link InstanceCalls}). Registries
- *       replicate what changes of an instance to each other, and not each heartbeat; as long as an owner sends its own
- *       heartbeats, its instances count as alive.
+ *       replicate changes of an instance to each other, but not each heartbeat: while the owner sends its own
+ *       heartbeats, the other registries consider its instances alive.
  *   <li>A proxy has a session with each registry that it is connected to ({@link SessionTable}).
- *   <li>Registries and proxies pull: a {@link ChangesRequest} is answered by a {@link MembershipUpdate} as soon as
- *       there are changes behind the position that it names ({@link UpdatePublisher}).
- *   <li>Calls of the operator are forwarded to a store ({@link StoreRequests}).
+ *   <li>Registries and proxies pull changes: a {@link ChangesRequest} is answered with a {@link MembershipUpdate} as
+ *       soon as there are changes after the requested position ({@link UpdatePublisher}).
+ *   <li>Calls of operators are forwarded to a store ({@link StoreRequests}).
  * </ul>
  *
- * <p>The registry depends on nothing that it writes to disk: after a loss of all registries, instances and proxies
- * report again. All of it runs on the reactor's thread.
+ * <p>Correctness does not depend on the files that the registry writes: after a loss of all registries, instances and
+ * proxies report to the restarted ones. Everything but disk I/O runs on the reactor's thread.
  */
 public final class Registry implements Program, RpcConnection.RpcConnectionHandler {
     static final String PROGRAM_NAME = "registry";
     private static final String PROXY_PROGRAM_NAME = "proxy";
-    /** Below the data directory; the name is older than the term, and stays as disks have it. */
+    /** Folder in the data directory; keeps its original name, which existing disks contain. */
     private static final String INSTANCES_FOLDER = "lives";
 
     private static final long HEARTBEAT_INTERVAL_MICROS = 1_000_000;
-    /** How long the sessions of a registry that cannot be reached still count: it is more often cut off than gone. */
+    /** How long the sessions of an unreachable registry remain valid: a partition is more frequent than a failure. */
     private static final long LOST_REGISTRY_GRACE_MICROS = 2_000_000;
-    /** The usual interval of an instance's heartbeats, where the settings name none. */
+    /** Interval between the heartbeats of an instance if the settings specify none. */
     private static final int DEFAULT_HEARTBEAT_PERIOD_MILLIS = 1500;
-    /** An instance is unresponsive once so many of its heartbeats are missing. */
+    /** Number of missed heartbeats after which an instance is considered unresponsive. */
     private static final int MISSED_HEARTBEATS = 4;
 
     private final Reactor reactor;
     private final MessageCodec codec = new MessageCodec();
     private final Hello localHello;
-    /** Numbers the changes of instances, owners and sessions in one sequence, as one update carries all of them. */
+    /** Numbers the changes of instances, owners and sessions in one sequence, because one update contains all three. */
     private final ChangeCounter counter = new ChangeCounter();
 
     private final InstanceDirectory directory;
@@ -76,11 +76,12 @@
     private final UpdatePublisher publisher;
     private final InstanceCalls instanceCalls;
     private final StoreRequests storeRequests;
-    /** How far the updates of each other registry have been taken in, by its node. */
+    /** The position up to which the updates of each other registry have been applied, by node. */
     private final Map<String, ReplicationPosition> positionByNode = new HashMap<>();
 
     /**
-     * Starts the program: it listens and connects to the other machines of the core once the reactor runs.
+     * Creates the registry, which accepts connections and connects to the other machines of the core once the reactor
+     * runs.
      *
      * @throws ProcessSettingsException if a setting is missing or invalid
      * @throws IOException if a socket cannot be opened
@@ -127,27 +128,27 @@
     }
 
     @Override
-    public void reload(ProcessSettings next) {
-        core.addMachines(new CoreAddresses(next, false).machines());
+    public void reload(ProcessSettings newSettings) {
+        core.addMachines(new CoreAddresses(newSettings, false).machines());
     }
 
     private void onHeartbeatTick(long timeoutMicros) {
         int timedOut = directory.detectTimeouts(reactor.now(), timeoutMicros);
         if (timedOut > 0) {
-            // ProgramsClusterTest reads this line.
+            // ProgramsClusterTest matches this line.
             reactor.warnRateLimited("silent", timedOut + " checkers have fallen silent");
         }
         List<RegistryHeartbeat> heartbeats = directory.nextHeartbeats(reactor.now());
         boolean allConnected = core.sendToRegistries(codec.encode(new RegistryHeartbeats(heartbeats)));
         if (!allConnected) {
-            // The first heartbeat is our own; proxies forward it to registries that cannot be reached from here.
+            // The first heartbeat is this registry's own; proxies relay it to registries that this one cannot reach.
             byte[] ownHeartbeat = codec.encode(new RegistryHeartbeats(heartbeats.subList(0, 1)));
             proxies.relays().forEach(proxy -> proxy.sendEncoded(ownHeartbeat));
         }
         publisher.publishChanges();
     }
 
-    /** Carries out a call of the control API. */
+    /** Handles a request to the control API. */
     private void onRequest(Http1ServerConnection.Http1Request request, Http1ServerConnection caller) {
         ControlCall call;
         try {
@@ -205,7 +206,7 @@
         proxies.remove(connection);
         Hello peer = connection.peer();
         if (peer == null) {
-            return; // it ended before the handshake
+            return; // the connection closed before the handshake
         }
         if (peer.program().equals(PROXY_PROGRAM_NAME)) {
             sessions.end(sessionOf(peer));
@@ -234,7 +235,7 @@
         }
     }
 
-    /** Takes in another registry's changes and asks for those behind them. */
+    /** Applies the changes of another registry and requests the next ones. */
     private void onMembershipUpdate(RpcConnection connection, MembershipUpdate update) {
         String node = connection.peer().node();
         positionByNode.put(node, new ReplicationPosition(update.incarnation(), update.upToChange()));
@@ -245,7 +246,10 @@
         publisher.publishChanges();
     }
 
-    /** Takes in what another registry must have acknowledged, or what a proxy knows of from before our start. */
+    /**
+     * Merges and acknowledges a notice: from another registry, instances that it needs acknowledged; from a proxy, the
+     * instances that it knew before this registry started.
+     */
     private void onIncarnationNotice(RpcConnection connection, IncarnationNotice notice) {
         notice.instances().forEach(instance -> directory.merge(instance, reactor.now()));
         if (connection.peer().program().equals(PROXY_PROGRAM_NAME)
--- a/src/main/java/reedmux/control/registry/RegistryStatusReport.java
+++ b/src/main/java/reedmux/control/registry/RegistryStatusReport.java
@@ -20,16 +20,16 @@
 import reedmux.control.session.SessionView;
 
 /**
- * The JSON that answers an operator's {@code Show} call: what this machine's registry knows itself, and what the
- * nearest store has reported, as of one moment.
+ * Renders the JSON response to an operator's {@code Show} call, which combines the state of this machine's registry at
+ * one point in time with the status that the nearest store reported.
  */
 final class RegistryStatusReport {
     private static final String MEMBERS = "Members";
     private static final String CHECKERS = "Checkers";
     private static final long MICROS_PER_MILLI = 1000;
-    /** The fields of a store's status that belong to the report itself, and not to the store. */
+    /** Fields of a store's status that are moved to the top level of the report. */
     private static final List<String> STORE_ENTRY_FIELDS = List.of("change", "total", "held", "entries", "next");
-    /** By the phases of {@link InstanceIncarnation}. */
+    /** Indexed by the phases of {@link InstanceIncarnation}. */
     private static final List<String> PHASE_NAMES = List.of("ready", "draining", "gone");
 
     private final Hello localHello;
@@ -42,7 +42,7 @@
      * Creates a report.
      *
      * @param registries the connections to the other registries
-     * @param now by the reactor's clock, in microseconds
+     * @param now the time by the reactor's clock, in microseconds
      */
     RegistryStatusReport(
             Hello localHello,
@@ -60,8 +60,8 @@
     /**
      * Renders the report.
      *
-     * @param storeJson the status that a store has reported, or null
-     * @param storeProblem why there is none
+     * @param storeJson the status that a store reported, or null if there is none
+     * @param storeProblem the reason why there is no status
      */
     String toJson(ShowCall show, String storeJson, String storeProblem) {
         Map<String, Object> storeStatus;
@@ -77,7 +77,7 @@
         report.put("node", localHello.node());
         report.put("ip", localHello.ip());
         report.put("incarnation", Long.toHexString(localHello.incarnation()));
-        // Only a store can prove that a majority is in contact, so without one it counts as not.
+        // Only a store can verify contact with a majority, so without its status the report says false.
         report.put("majority", Boolean.TRUE.equals(storeStatus.get("majority")));
         report.put("epoch", storeStatus.get("epoch"));
         boolean reportedByRegistry =
@@ -94,14 +94,17 @@
         return ItemJson.write(report);
     }
 
-    /** Returns an empty map where there is no status. */
+    /** Returns an empty map if there is no status. */
     private static Map<String, Object> parseStoreStatus(String storeJson) throws InvalidConfigurationException {
         return storeJson == null
                 ? Map.of()
                 : new LinkedHashMap<>(ItemJson.requireObject(ItemJson.parse(storeJson), "its answer"));
     }
 
-    /** Returns the entries with what counts and pages them: our own ones of what we know, else those of the store. */
+    /**
+     * Returns the entries with their counts and the paging field. The entries of proxies and instances come from this
+     * registry, all others from the store.
+     */
     private Map<String, Object> entryFields(ShowCall show, Map<String, Object> storeStatus) {
         Map<String, Object> fields = new LinkedHashMap<>();
         for (String field : STORE_ENTRY_FIELDS) {
@@ -120,8 +123,10 @@
     }
 
     /**
-     * Adds the other registries; returns the age in milliseconds of what was last heard of any of them, null where one
-     * is not connected.
+     * Adds the other registries to the report.
+     *
+     * @return the time in milliseconds since the last message of the registry that has been silent for longest, or null
+     *     if a registry is not connected
      */
     private Long addRegistries(Map<String, Object> report) {
         List<Object> entries = new ArrayList<>();
@@ -150,7 +155,7 @@
         List<Object> entries = new ArrayList<>();
         String lastNode = null;
         String nextAfterName = null;
-        for (ProxySession session : view.members()) { // in the order of the nodes' names
+        for (ProxySession session : view.members()) { // sorted by node name
             if (session.node().compareTo(show.afterName()) <= 0) {
                 continue;
             } else if (entries.size() == show.limit()) {
@@ -177,7 +182,7 @@
     }
 
     private void addInstances(Map<String, Object> fields, ShowCall show) {
-        // The page and one more, by id; the directory is in the order of changes.
+        // Holds the page and one more entry, sorted by id; the directory is sorted by change.
         TreeMap<String, InstanceIncarnation> page = new TreeMap<>();
         int total = 0;
         for (InstanceIncarnation instance : directory.all(now)) {
--- a/src/main/java/reedmux/control/registry/StoreRequests.java
+++ b/src/main/java/reedmux/control/registry/StoreRequests.java
@@ -15,12 +15,12 @@
 import reedmux.control.rpc.RpcDialer;
 
 /**
- * Forwards the operator's calls to a store: to this machine's, and to another one where that cannot be reached. A store
- * that does not respond in time is answered for with {@link #STATUS_UNAVAILABLE}. Only a read is sent to a second store
- * then: whether a change was carried out is not known.
+ * Forwards the calls of operators to a store: to the store of this machine, or to another one if that store is not
+ * connected. If a store does not respond in time, the caller receives {@link #STATUS_UNAVAILABLE}. Only reads are
+ * retried with another store then, because it is unknown whether the first store applied a change.
  */
 final class StoreRequests {
-    /** Callers wait for a second, those with large bodies longer. */
+    /** Less than the 1 s that callers wait for a response; callers with large bodies wait longer. */
     private static final long STORE_TIMEOUT_MICROS = 850_000;
 
     private static final int STATUS_OK = 200;
@@ -36,7 +36,7 @@
     /**
      * Creates the requests of one registry.
      *
-     * @param stores the connections to all stores, this machine's first; a live list
+     * @param stores the connections to all stores, this machine's store first, as a live list
      */
     StoreRequests(Reactor reactor, List<RpcDialer> stores) {
         this.reactor = reactor;
@@ -56,10 +56,10 @@
     }
 
     /**
-     * Sends a request to the first store, from an index on, that is connected.
+     * Sends a request to the first connected store at or after an index.
      *
-     * @param request the request for an id
-     * @param retryable whether another store may be asked where this one is unavailable
+     * @param request creates the request with a given id
+     * @param retryable whether to try another store if this one is unavailable
      */
     private void forward(int index, LongFunction<Object> request, boolean retryable, Http1ServerConnection caller) {
         if (index >= stores.size()) {
@@ -81,7 +81,7 @@
         });
     }
 
-    /** Sends a request; the callback is called once, with the response or with one for its failure. */
+    /** Sends a request; the callback runs once, with the response or with one that describes the failure. */
     private void send(RpcConnection store, LongFunction<Object> request, Consumer<OperatorResponse> callback) {
         long id = pending.register(List.of(store), callback);
         store.sendMessage(request.apply(id));
@@ -89,9 +89,10 @@
     }
 
     /**
-     * Asks the nearest store for its part of a status report. The caller is answered in any case.
+     * Requests the nearest store's part of a status report. The caller receives a report even if no store responds.
      *
-     * @param report renders the report from the store's status, or from null and why there is none
+     * @param report renders the report from the store's status and an empty string, or from null and the reason why
+     *     there is no status
      */
     void requestStatus(ControlCall.ShowCall show, Http1ServerConnection caller, BinaryOperator<String> report) {
         RpcConnection store = nearestStore();
@@ -109,7 +110,7 @@
                                 : report.apply(null, response.body())));
     }
 
-    /** Returns the connection to the first store that is connected, or null. */
+    /** Returns the connection to the first connected store, or null if no store is connected. */
     private RpcConnection nearestStore() {
         for (RpcDialer dialer : stores) {
             RpcConnection connection = dialer.connection();
@@ -131,7 +132,7 @@
         pending.onConnectionLost(connection).forEach(callback -> fail(callback, DISCONNECTED));
     }
 
-    /** {@code callback}: null where the response has come. */
+    /** Reports a failure; does nothing if {@code callback} is null because the request has already ended. */
     private static void fail(Consumer<OperatorResponse> callback, String problem) {
         if (callback != null) {
             callback.accept(new OperatorResponse(0, STATUS_UNAVAILABLE, problem));
--- a/src/main/java/reedmux/control/registry/UpdatePublisher.java
+++ b/src/main/java/reedmux/control/registry/UpdatePublisher.java
@@ -15,15 +15,15 @@
 import reedmux.control.session.SessionTable;
 
 /**
- * Answers the {@link ChangesRequest}s of registries and proxies with what has changed since. A request without any
- * change to report waits for the next one. Changes that come together are sent together: the more proxies there are,
- * the longer they are gathered, as each change may have to be sent to all of them.
+ * Answers the {@link ChangesRequest}s of registries and proxies with the changes since the requested position. If there
+ * are none, the request waits for the next change. Changes are sent in batches: the batch delay grows with the number
+ * of proxies, because each batch may have to be sent to all of them.
  */
 final class UpdatePublisher {
     private static final long BATCH_DELAY_PER_SESSION_MICROS = 2_000;
     private static final long MAX_BATCH_DELAY_MICROS = 200_000;
 
-    /** The change of a reader that has nothing yet, or something of an earlier incarnation of this registry. */
+    /** Position of a peer that has received nothing yet, or only updates of an earlier incarnation of this registry. */
     private static final long NO_CHANGE = -1;
 
     private final Reactor reactor;
@@ -32,14 +32,14 @@
     private final ChangeCounter counter;
     private final InstanceDirectory directory;
     private final SessionTable sessions;
-    /** Connections with a request that is not answered yet. */
+    /** Connections with an unanswered request. */
     private final Set<RpcConnection> waitingConnections = new LinkedHashSet<>();
-    /** The last change that was published, or is about to be. */
+    /** The last change that was published, or that the scheduled flush will publish. */
     private long publishedChange;
 
     private boolean flushScheduled;
 
-    /** What a connection waits for, attached to it; null while it waits for nothing. */
+    /** The pending request of a connection, attached to the connection; null while it has no request. */
     private record ChangeSubscription(long sinceChange) {}
 
     UpdatePublisher(
@@ -57,7 +57,7 @@
         this.sessions = sessions;
     }
 
-    /** Answers a request at once where the reader knows nothing of this incarnation, and else with the next flush. */
+    /** Answers a request immediately if the peer has no updates of this incarnation, otherwise with the next flush. */
     void onRequest(RpcConnection connection, ChangesRequest request) {
         boolean knowsThisIncarnation = request.incarnation() == localIncarnation;
         connection.attachment(new ChangeSubscription(knowsThisIncarnation ? request.sinceChange() : NO_CHANGE));
@@ -73,7 +73,7 @@
         waitingConnections.remove(connection);
     }
 
-    /** Has what has changed of instances and sessions sent to those that wait for changes. */
+    /** Schedules the changes of instances and sessions to be sent to the waiting connections. */
     void publishChanges() {
         sessions.recordViewChanges(reactor.now());
         if (counter.last() != publishedChange) {
@@ -100,10 +100,10 @@
     }
 
     /**
-     * Answers what a connection waits for, if there is anything.
+     * Answers the pending request of a connection if there are changes for it.
      *
-     * @param encodedBySinceChange the updates to proxies that this flush has encoded, by the change that they start from;
-     *     null where there is no flush
+     * @param encodedBySinceChange the updates to proxies that this flush has already encoded, by the change after which
+     *     they start; null outside a flush
      */
     private void sendUpdate(RpcConnection connection, Map<Long, byte[]> encodedBySinceChange) {
         ChangeSubscription subscription = connection.attachment();
@@ -118,7 +118,7 @@
             sessions.recordViewChanges(reactor.now());
             MembershipUpdate update = peerIsRegistry ? updateForRegistry(sinceChange) : updateForProxy(sinceChange);
             if (isEmpty(update)) {
-                // What has changed is not for this reader.
+                // None of the changes concern this peer.
                 connection.attachment(new ChangeSubscription(counter.last()));
                 return;
             }
@@ -132,7 +132,7 @@
         connection.sendEncoded(encoded);
     }
 
-    /** Registries merge the sessions themselves, each from those that the others have, and need the owners. */
+    /** Contains the owners, and only local sessions: each registry merges the sessions of all registries itself. */
     private MembershipUpdate updateForRegistry(long sinceChange) {
         return new MembershipUpdate(
                 localIncarnation,
--- a/src/main/java/reedmux/control/registry/package-info.java
+++ b/src/main/java/reedmux/control/registry/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The registry program: it serves the control API to instances and to the operator, and replicates instances, their
- * owners and the sessions of proxies. {@link reedmux.control.registry.Registry} says how the parts work together.
+ * The registry program, which serves the control API to instances and operators, and replicates instances, their owners
+ * and the sessions of proxies. {@link reedmux.control.registry.Registry} describes how the parts work together.
  */
 package reedmux.control.registry;
--- a/src/test/java/reedmux/control/configuration/ConfigurationTableTest.java
+++ b/src/test/java/reedmux/control/configuration/ConfigurationTableTest.java
@@ -18,7 +18,7 @@
 import reedmux.control.replication.ConfigurationFollower;
 import reedmux.control.replication.Replica;
 
-/** A table that is changed item by item answers as one that is read anew from all items each time. */
+/** A table that is changed incrementally must give the same lookups as one that is rebuilt from all items. */
 public class ConfigurationTableTest {
     private final Random random = new Random(17);
 
@@ -51,7 +51,7 @@
         };
     }
 
-    /** As it was read before there was an index: all items anew. */
+    /** Reference implementation without an index: parses and validates all items from scratch. */
     private static boolean isValidFromScratch(Collection<ConfigurationItem> items) {
         Map<String, String> tenantsByKey = new HashMap<>();
         Set<String> services = new HashSet<>();
@@ -81,7 +81,8 @@
         }
         return routes.stream()
                 .allMatch(route -> hostsAndPrefixes.add(List.of(route.host(), route.prefix()))
-                        && route.services().stream().allMatch(part -> services.contains(part.service())));
+                        && route.services().stream()
+                                .allMatch(weightedService -> services.contains(weightedService.service())));
     }
 
     private static void assertSameLookups(ConfigurationTable table, Collection<ConfigurationItem> items)
@@ -110,7 +111,7 @@
         }
     }
 
-    /** 300 drawn lives of a store and a proxy: verdicts, what changed since, and lookups. */
+    /** Compares verdicts, changes since a position and lookups in 300 random runs of a store and a proxy. */
     @Test
     public void incrementalChangesGiveTheSameTableAsParsingAllItems() throws InvalidConfigurationException {
         int validCount = 0;
@@ -133,13 +134,14 @@
                 }
                 boolean valid = isValidFromScratch(itemsAfterChange.values());
                 if (valid != (replica.validate("", change) == Replica.ValidationResult.VALID)) {
-                    throw new AssertionError(change + " beside " + all + ": " + replica.problem());
+                    throw new AssertionError(
+                            "wrong verdict on " + change + " with the items " + all + ": " + replica.problem());
                 }
                 validCount += valid ? 1 : 0;
                 invalidCount += valid ? 0 : 1;
                 assertTrue(valid || !replica.problem().isEmpty());
                 if (!valid && random.nextInt(4) > 0) {
-                    continue; // else it comes in all the same, from elsewhere
+                    continue; // otherwise the invalid change is merged anyway, as if from another store
                 }
                 long previousChange = replica.lastChange();
                 List<ConfigurationItem> merged = new ArrayList<>(itemsAfterChange.values());
@@ -158,10 +160,12 @@
                 }
             }
         }
-        assertTrue(validCount > 1_000 && invalidCount > 1_000, validCount + " good, " + invalidCount + " invalid");
+        assertTrue(
+                validCount > 1_000 && invalidCount > 1_000,
+                validCount + " valid and " + invalidCount + " invalid changes");
     }
 
-    /** What was usable stays in use until what came can be used, and the same table then has it. */
+    /** The last valid table remains in use until the new items are valid; they are then applied to the same table. */
     @Test
     public void incompleteSetOfItemsLeavesTheTableUnchanged() {
         ConfigurationFollower follower = new ConfigurationFollower();
--- a/src/test/java/reedmux/control/registry/ControlCallParserTest.java
+++ b/src/test/java/reedmux/control/registry/ControlCallParserTest.java
@@ -11,7 +11,7 @@
 import reedmux.common.http1.MalformedMessageException;
 import reedmux.control.instances.InstanceIncarnation;
 
-/** Valid and invalid requests to the control API. */
+/** Parsing of valid and invalid requests to the control API. */
 public class ControlCallParserTest {
     private static final String HEARTBEAT_JSON = "{\"plant\":\"desk\",\"address\":\"10.1.0.9:8080\","
             + "\"zone\":\"hall\",\"revision\":\"v1\",\"capacity\":6,"
@@ -64,29 +64,29 @@
                     e.getMessage());
             return;
         }
-        throw new AssertionError("taken: " + body);
+        throw new AssertionError("accepted an invalid heartbeat: " + body);
     }
 
-    /** A heartbeat truncated at each byte, and with each of its bits flipped. */
+    /** Truncates a heartbeat at each byte and flips each of its bits; a truncated one must always be rejected. */
     @Test
-    public void rejectsOrBoundsTruncatedAndFlippedBodies() {
-        byte[] whole = bytes(HEARTBEAT_JSON);
+    public void rejectsTruncatedBodiesAndBoundsFieldsOfCorruptedOnes() {
+        byte[] heartbeat = bytes(HEARTBEAT_JSON);
         int rejected = 0;
-        for (int i = 0; i < 9 * whole.length; i++) {
-            byte[] body = i < whole.length ? Arrays.copyOf(whole, i) : whole.clone();
-            if (i >= whole.length) {
-                body[i % whole.length] ^= (byte) (1 << i / whole.length - 1);
+        for (int i = 0; i < 9 * heartbeat.length; i++) {
+            byte[] body = i < heartbeat.length ? Arrays.copyOf(heartbeat, i) : heartbeat.clone();
+            if (i >= heartbeat.length) {
+                body[i % heartbeat.length] ^= (byte) (1 << i / heartbeat.length - 1);
             }
             try {
                 InstanceIncarnation incarnation =
                         ((ControlCall.HeartbeatCall) parseHeartbeat("i-1", body)).incarnation();
-                assertTrue(i >= whole.length && incarnation.capacity() > 0 && incarnation.sequence() >= 0);
+                assertTrue(i >= heartbeat.length && incarnation.capacity() > 0 && incarnation.sequence() >= 0);
             } catch (MalformedMessageException e) {
                 assertTrue(e.status() == 400 && e.getMessage().contains("i-1"), e.getMessage());
                 rejected++;
             }
         }
-        assertTrue(rejected > whole.length, rejected + " refused");
+        assertTrue(rejected > heartbeat.length, rejected + " of the corrupted heartbeats were rejected");
     }
 
     @Test
--- a/src/test/java/reedmux/control/registry/PendingRequestsTest.java
+++ b/src/test/java/reedmux/control/registry/PendingRequestsTest.java
@@ -8,31 +8,31 @@
 import org.testng.annotations.Test;
 import reedmux.testing.ScheduleExplorer;
 
-/** Responses, cancellations and lost connections in all orders. */
+/** Delivers responses, cancellations and connection losses in every order. */
 public class PendingRequestsTest {
 
-    /** Two requests: one over connections a and b, and one over a2, which replaces a. */
+    /** The first request is sent over connections a and b, the second one over a2, which replaces a. */
     @Test
     public void eachRequestCompletesOnceWithItsOwnResponse() {
-        int orderings = ScheduleExplorer.exploreAll(100_000, orders -> {
+        int orderings = ScheduleExplorer.exploreAll(100_000, choices -> {
             PendingRequests<String, String> pending = new PendingRequests<>();
-            List<String> ends = new ArrayList<>();
-            long one = pending.register(List.of("a", "b"), "one");
-            long two = pending.register(List.of("a2"), "two");
-            List<Runnable> left = new ArrayList<>(List.of(
-                    () -> recordCompletion(ends, pending.complete(one, "a"), "one"),
-                    () -> recordCompletion(ends, pending.complete(one, "b"), "one"),
-                    () -> pending.onConnectionLost("a").forEach(who -> recordCompletion(ends, who, "one")),
-                    () -> pending.onConnectionLost("b").forEach(who -> recordCompletion(ends, who, "one")),
-                    () -> assertNull(pending.complete(one, "a2")), // the next connection to the same peer
-                    () -> assertNull(pending.complete(two, "a")), // the previous connection to the same peer
-                    () -> recordCompletion(ends, pending.complete(two, "a2"), "two"),
-                    () -> recordCompletion(ends, pending.cancel(two), "two")));
-            while (!left.isEmpty()) {
-                left.remove(orders.choose(left.size())).run();
+            List<String> completed = new ArrayList<>();
+            long firstId = pending.register(List.of("a", "b"), "first");
+            long secondId = pending.register(List.of("a2"), "second");
+            List<Runnable> remaining = new ArrayList<>(List.of(
+                    () -> recordCompletion(completed, pending.complete(firstId, "a"), "first"),
+                    () -> recordCompletion(completed, pending.complete(firstId, "b"), "first"),
+                    () -> pending.onConnectionLost("a").forEach(waiter -> recordCompletion(completed, waiter, "first")),
+                    () -> pending.onConnectionLost("b").forEach(waiter -> recordCompletion(completed, waiter, "first")),
+                    () -> assertNull(pending.complete(firstId, "a2")), // on the later connection to the same peer
+                    () -> assertNull(pending.complete(secondId, "a")), // on the earlier connection to the same peer
+                    () -> recordCompletion(completed, pending.complete(secondId, "a2"), "second"),
+                    () -> recordCompletion(completed, pending.cancel(secondId), "second")));
+            while (!remaining.isEmpty()) {
+                remaining.remove(choices.choose(remaining.size())).run();
             }
-            assertEquals(ends.stream().filter("one"::equals).count(), 1);
-            assertEquals(ends.stream().filter("two"::equals).count(), 1);
+            assertEquals(completed.stream().filter("first"::equals).count(), 1);
+            assertEquals(completed.stream().filter("second"::equals).count(), 1);
         });
         assertEquals(orderings, 40_320);
     }
--- a/src/test/java/reedmux/control/registry/RegistryCompatibilityTest.java
+++ b/src/test/java/reedmux/control/registry/RegistryCompatibilityTest.java
@@ -10,7 +10,7 @@
 import reedmux.compatibility.FixtureFiles;
 import reedmux.control.instances.InstanceIncarnation;
 
-/** The files of a registry of an earlier version are read, and this version writes the same bytes. */
+/** This version must read the files that an earlier version of the registry wrote, and write the same bytes. */
 public class RegistryCompatibilityTest {
     private static final String FOLDER = "registry";
 
--- a/src/test/java/reedmux/control/registry/RegistryFixtures.java
+++ b/src/test/java/reedmux/control/registry/RegistryFixtures.java
@@ -8,7 +8,7 @@
 import reedmux.control.rpc.MessageCodec;
 import reedmux.control.store.DiskEnvironment;
 
-/** The checkers that a registry keeps on its disk, in two generations. */
+/** The instances that a registry stores on disk, in two generations of files. */
 public final class RegistryFixtures {
     private static final long WRITE_INTERVAL_MICROS = 300_000;
     private static final InstanceIncarnation READY = new InstanceIncarnation(
@@ -17,9 +17,9 @@
             new InstanceIncarnation("i-2", "desk", "10.0.0.2:80", "zone-b", 2, InstanceIncarnation.DRAINING, 4, 0, true);
     private static final InstanceIncarnation GONE = new InstanceIncarnation(
             "i-3", "office", "10.0.0.3:80", "zone-c", 1, InstanceIncarnation.GONE, 9, 7_000, true);
-    /** What the first generation of the files holds. */
+    /** The contents of the first generation of the files. */
     static final List<InstanceIncarnation> FIRST_GENERATION = List.of(READY, UNRESPONSIVE);
-    /** What the second one holds: one checker more, and the first one a while later. */
+    /** The contents of the second generation: one more instance, and less of the slow start of the first one left. */
     static final List<InstanceIncarnation> SECOND_GENERATION = List.of(
             new InstanceIncarnation(
                     "i-1", "desk", "10.0.0.1:80", "zone-a", 300, InstanceIncarnation.READY, 1L << 35, 99_700, false),
@@ -28,7 +28,7 @@
 
     private RegistryFixtures() {}
 
-    /** A registry's memory over one folder, and what it knows. */
+    /** A registry's storage in one folder, with the directory that it loads and saves. */
     static final class StorageFixture {
         final DiskEnvironment environment;
         final InstanceDirectory directory = new InstanceDirectory();
@@ -44,10 +44,10 @@
         }
     }
 
-    /** Lets a registry write the files of two generations to an empty folder. */
+    /** Writes the files of both generations to an empty folder, as a registry does. */
     public static void writeDataFolder(Path folder) {
         StorageFixture storage = new StorageFixture(folder);
-        FIRST_GENERATION.forEach(checker -> storage.directory.merge(checker, WRITE_INTERVAL_MICROS));
+        FIRST_GENERATION.forEach(instance -> storage.directory.merge(instance, WRITE_INTERVAL_MICROS));
         storage.saveChanges();
         storage.directory.merge(GONE, 2 * WRITE_INTERVAL_MICROS);
         storage.saveChanges();
