--- a/src/main/java/reedmux/control/registry/PendingRequests.java
+++ b/src/main/java/reedmux/control/registry/PendingRequests.java
@@ -10,9 +10,9 @@
 
 /**
  * Requests that were sent and are not answered yet. A request ends exactly once, in one of three ways: by a response,
- * by {@link #cancel}, or by the loss of the last connection that it was sent over. A response is accepted only if it has
- * the request's id and arrives on one of the request's connections; responses from earlier connections or processes are
- * ignored. This class does no I/O and uses no clock.
+ * by {@link #cancel}, or by the loss of the last connection that it was sent over. A response is accepted only if it
+ * has the request's id and arrives on one of the request's connections; responses from earlier connections or processes
+ * are ignored. This class does no I/O and uses no clock.
  *
  * @param <C> the type of connections
  * @param <W> the type of the waiters, which receive the responses
--- a/src/test/java/reedmux/control/configuration/ConfigurationTableTest.java
+++ b/src/test/java/reedmux/control/configuration/ConfigurationTableTest.java
@@ -135,7 +135,7 @@
                 boolean valid = isValidFromScratch(itemsAfterChange.values());
                 if (valid != (replica.validate("", change) == Replica.ValidationResult.VALID)) {
                     throw new AssertionError(
-                            "wrong verdict on " + change + " with the items " + all + ": " + replica.problem());
+                            change + " got the wrong verdict with the items " + all + ": " + replica.problem());
                 }
                 validCount += valid ? 1 : 0;
                 invalidCount += valid ? 0 : 1;
