--- a/src/main/java/reedmux/control/registry/InstanceCalls.java
+++ b/src/main/java/reedmux/control/registry/InstanceCalls.java
@@ -61,7 +61,8 @@
     void onLeave(String id, Http1ServerConnection caller) {
         InstanceIncarnation lastReport = directory.get(id, reactor.now());
         if (lastReport == null) { // an unknown instance: only its id and that it has ended are known
-            lastReport = new InstanceIncarnation(id, "", UNKNOWN_ADDRESS, "", 1, InstanceIncarnation.READY, 0, 0, false);
+            lastReport =
+                    new InstanceIncarnation(id, "", UNKNOWN_ADDRESS, "", 1, InstanceIncarnation.READY, 0, 0, false);
         }
         InstanceIncarnation gone = new InstanceIncarnation(
                 id,
--- a/src/test/java/reedmux/control/registry/RegistryFixtures.java
+++ b/src/test/java/reedmux/control/registry/RegistryFixtures.java
@@ -13,8 +13,8 @@
     private static final long WRITE_INTERVAL_MICROS = 300_000;
     private static final InstanceIncarnation READY = new InstanceIncarnation(
             "i-1", "desk", "10.0.0.1:80", "zone-a", 300, InstanceIncarnation.READY, 1L << 35, 100_000, false);
-    private static final InstanceIncarnation UNRESPONSIVE =
-            new InstanceIncarnation("i-2", "desk", "10.0.0.2:80", "zone-b", 2, InstanceIncarnation.DRAINING, 4, 0, true);
+    private static final InstanceIncarnation UNRESPONSIVE = new InstanceIncarnation(
+            "i-2", "desk", "10.0.0.2:80", "zone-b", 2, InstanceIncarnation.DRAINING, 4, 0, true);
     private static final InstanceIncarnation GONE = new InstanceIncarnation(
             "i-3", "office", "10.0.0.3:80", "zone-c", 1, InstanceIncarnation.GONE, 9, 7_000, true);
     /** The contents of the first generation of the files. */
