--- a/src/main/java/reedmux/control/registry/ProxyConnections.java
+++ b/src/main/java/reedmux/control/registry/ProxyConnections.java
@@ -14,7 +14,7 @@
  * reach.
  */
 final class ProxyConnections {
-    /** Number of proxies used for each purpose; more than one, because a proxy may be shutting down or partitioned. */
+    /** Maximum number of proxies for each purpose: enough to tolerate one that is shutting down or partitioned. */
     private static final int MAX_HELPERS = 3;
 
     /** In the order in which the connections were established. */
