--- a/src/main/java/reedmux/control/store/ChangePublisher.java
+++ b/src/main/java/reedmux/control/store/ChangePublisher.java
@@ -25,21 +25,24 @@
 /**
  * Sends this store's committed items to the followers that pull them: other stores, proxies and registries.
  *
- * <p>A follower asks for the changes behind a position ({@link ChangesRequest}) and is answered as soon as there are
- * any. What does not fit one message comes as {@link SnapshotChunk}s, each of which the follower asks for, so that a
- * long snapshot keeps nothing else waiting. Another store whose position is of an earlier incarnation of this process
- * first compares digests ({@link DigestRequest}), and is then sent just the key ranges that differ, followed by what
- * has changed during the comparison. Only stores are sent watermarks and pending proposals.
+ * <p>A follower requests the changes after a given position ({@link ChangesRequest}) and receives a reply as soon as
+ * there are any (long polling). Changes that do not fit in one message are sent as {@link SnapshotChunk}s. The follower
+ * requests each chunk separately, so that a large snapshot does not delay other messages. If the position of another
+ * store belongs to an earlier incarnation of this process, that store first compares digests ({@link DigestRequest}).
+ * It then receives only the key ranges that differ, followed by the changes made during the comparison. Watermarks and
+ * pending proposals are sent to stores only.
  *
- * <p>Two notices are sent behind changes. A store that has asked for contact gets its {@link QuorumContactResponse}
- * once it was sent everything that was committed when the contact was confirmed here. A proxy gets one
- * {@link CaughtUpNotice} once it was sent everything that was committed when this store, after the proxy began to pull,
- * was in contact with a quorum. For the reactor's thread.
+ * <p>Two kinds of notices are ordered after the changes. A store that has requested quorum contact receives its
+ * {@link QuorumContactResponse} after everything that was committed when this store confirmed the contact. A proxy
+ * receives a single {@link CaughtUpNotice} after everything that was committed when this store confirmed contact with a
+ * quorum, which must happen after the proxy's first request.
+ *
+ * <p>Not thread-safe; confined to the reactor thread.
  */
 final class ChangePublisher {
-    /** About how many bytes one message of items has: small enough to let heartbeats through in between. */
+    /** Approximate size in bytes of one message of items: small enough for heartbeats to be sent in between. */
     private static final int CHUNK_BYTES = 64 * 1024;
-    /** How many items, and how many watermarks, one message of a repair has. */
+    /** Maximum number of items, and maximum number of watermarks, in one repair message. */
     private static final int REPAIR_CHUNK_ITEMS = 256;
 
     private final Reactor reactor;
@@ -47,9 +50,9 @@
     private final Replica replica;
     private final ConsensusNode consensus;
     private final EncodedBatchCache encodedBatches;
-    /** Connections with a request that is not answered yet. */
+    /** Connections with an unanswered request. */
     private final Set<RpcConnection> awaitingReply = new LinkedHashSet<>();
-    /** Connections of proxies for which contact with a quorum was not confirmed since their first request. */
+    /** Proxy connections since whose first request contact with a quorum has not been confirmed yet. */
     private final Set<RpcConnection> proxiesAwaitingContact = new LinkedHashSet<>();
 
     private boolean contactInProgress;
@@ -75,14 +78,14 @@
         return connection.peer().program().equals(StoreServer.PROGRAM_NAME);
     }
 
-    // ---- Requests of followers ---------------------------------------------------------------------
+    // ---- Requests from followers -------------------------------------------------------------------
 
-    /** The follower has applied everything up to its position and wants what has changed since. */
+    /** Handles a request for the changes after a position up to which the follower has applied everything. */
     void onChangesRequest(RpcConnection connection, ChangesRequest request) {
         onPull(connection, localPosition(request.incarnation(), request.sinceChange()), true);
     }
 
-    /** The follower has received a chunk and wants the next one. */
+    /** Handles a request for the next chunk from a follower that has received the previous one. */
     void onSnapshotChunkRequest(RpcConnection connection, SnapshotChunkRequest request) {
         onPull(connection, localPosition(request.incarnation(), request.sinceChange()), false);
     }
@@ -91,18 +94,18 @@
         return requestIncarnation == incarnation ? change : PullSession.UNKNOWN;
     }
 
-    /** Another store sends its digests, first of the coarse ranges and then of the fine ones where those differ. */
+    /** Compares digests with another store: first of the coarse ranges, then of the fine ones in those that differ. */
     void onDigestRequest(RpcConnection connection, DigestRequest request) {
         List<Integer> differing = replica.digests().differingRanges(request.ranges(), request.digests());
         if (differing == null) {
-            reactor.error("digests of no sense from " + connection.peer().node());
+            reactor.error("invalid digest request from " + connection.peer().node());
             connection.close();
             return;
         }
         PullSession session = sessionOf(connection);
         boolean coarse = request.ranges().isEmpty();
         if (coarse) {
-            session.repairReadAtChange = replica.lastChange(); // later changes are sent behind the repair
+            session.repairReadAtChange = replica.lastChange(); // later changes are sent after the repair
         }
         if (coarse && !differing.isEmpty()) {
             connection.sendMessage(new DigestMismatch(differing));
@@ -128,7 +131,7 @@
         }
     }
 
-    /** Sends everything that has changed since a position to a store that takes over the state of this one. */
+    /** Sends all changes since the given position to a store that takes over this store's state. */
     void onStateTransferRequest(RpcConnection connection, StateTransferRequest request) {
         long since = request.incarnation() == incarnation ? request.sinceChange() : 0;
         connection.sendMessage(new WatermarkUpdate(replica.watermarksSince(since)));
@@ -144,15 +147,15 @@
         connection.sendMessage(new StateTransferResponse(request.epoch(), update, votersByProposal));
     }
 
-    /** A connection has ended. */
+    /** Removes a closed connection. */
     void onDisconnected(RpcConnection connection) {
         awaitingReply.remove(connection);
         proxiesAwaitingContact.remove(connection);
     }
 
-    // ---- Answers -----------------------------------------------------------------------------------
+    // ---- Replies -----------------------------------------------------------------------------------
 
-    /** The replica has changed, or this store has become complete: answers who waits for that. */
+    /** Replies to waiting followers after the replica has changed or this store has become complete. */
     void onConfigurationChanged() {
         for (RpcConnection connection : List.copyOf(awaitingReply)) {
             sendReplyAndNotices(connection);
@@ -182,9 +185,9 @@
 
     private boolean isReplyReady(PullSession session, boolean toStore) {
         if (session.sinceChange < 0) {
-            return toStore || consensus.isComplete(); // a proxy starts with a complete configuration only
+            return toStore || consensus.isComplete(); // a proxy must start from a complete configuration
         }
-        // A store that has reconnected is answered even if nothing is new: it counts no peer that has not answered.
+        // A reconnected store receives a reply even without changes: it does not count a peer before its first reply.
         boolean firstReply = toStore && !session.replied;
         boolean becameComplete = toStore && session.repliedIncomplete && consensus.isComplete();
         return firstReply || becameComplete || !session.appliedSince || replica.lastChange() > session.sinceChange;
@@ -221,16 +224,16 @@
                 List.copyOf(replica.pending().values())));
     }
 
-    /** Watermarks go ahead of the items that they belong to. */
+    /** Sends the batch's watermarks, which must precede the items that they belong to. */
     private static void sendWatermarks(RpcConnection connection, ChangeBatch batch) {
         if (!batch.watermarks().isEmpty()) {
             connection.sendMessage(new WatermarkUpdate(batch.watermarks()));
         }
     }
 
-    // ---- Notices behind the changes ----------------------------------------------------------------
+    // ---- Notices after changes ---------------------------------------------------------------------
 
-    /** Confirms a store's request for contact once it was sent everything that is committed now. */
+    /** Confirms a store's contact request once that store has been sent everything that is committed now. */
     void confirmContact(RpcConnection connection, long contactId) {
         sessionOf(connection).dueConfirmations.add(new PullSession.DueConfirmation(contactId, replica.lastChange()));
         sendReplyAndNotices(connection);
@@ -251,7 +254,7 @@
         }
     }
 
-    /** Seeks contact with a quorum, once for all proxies that have begun to pull since the last time. */
+    /** Requests contact with a quorum on behalf of all proxies that have started to pull since the last contact. */
     void startProxyContact() {
         if (contactInProgress || proxiesAwaitingContact.isEmpty() || !consensus.isCurrent()) {
             return;
@@ -260,7 +263,7 @@
         consensus.contactQuorum(reactor.now(), false, new ProxyContactCallback(List.copyOf(proxiesAwaitingContact)));
     }
 
-    /** A class and no lambda, which would be linked at run time in the middle of a start. */
+    /** A class instead of a lambda, because a lambda is linked at run time, which would happen during startup. */
     private final class ProxyContactCallback implements Consumer<Boolean> {
         private final List<RpcConnection> proxies;
 
--- a/src/main/java/reedmux/control/store/CoreAddresses.java
+++ b/src/main/java/reedmux/control/store/CoreAddresses.java
@@ -10,23 +10,27 @@
 import reedmux.control.consensus.CoreMembers;
 
 /**
- * The IPs of the machines of the core, as one process dials them. At first these are the seeds of its settings and
- * whatever others tell, as seeds may be old or too few; from when a store announces the core that was decided on, its
- * members: a machine that was taken out, or a seed that is no member, is then dropped and not learned again. For one
- * thread.
+ * The IP addresses of the core machines that a process dials. Initially these are the seeds in its settings and the
+ * addresses that its peers report, because seeds may be outdated or incomplete. When a store announces a committed
+ * core, its members are added. Machines that have been removed from the core, and seeds that are not members, are
+ * dropped and are not added again when peers report them. Not thread-safe.
  */
 public final class CoreAddresses {
     private final String self;
-    /** All machines to dial, and this one. */
+    /** All machines to dial; includes this one if it belongs to the core. */
     private final Set<String> machines = new TreeSet<>();
-    /** Seeds, and members as far as they are known. */
+    /** The seeds and the known members; only the members once a core has been adopted. */
     private final Set<String> members = new TreeSet<>();
 
     private final Set<String> removed = new TreeSet<>();
-    /** Of the core that was adopted last; below 0 for none. */
+    /** Epoch of the latest known core; negative if none is known. */
     private long epoch = -1;
 
-    /** The seeds; {@code member}: this machine is one of the core's, whether it is a seed or not. */
+    /**
+     * Starts with the seeds of the settings.
+     *
+     * @param member whether this machine belongs to the core even if it is not a seed
+     */
     public CoreAddresses(ProcessSettings settings, boolean member) {
         self = settings.ip();
         for (InetSocketAddress seed : settings.seeds()) {
@@ -38,12 +42,16 @@
         }
     }
 
-    /** The first core of a system that starts for the first time: its seeds. */
+    /** Returns the initial core of a system that starts for the first time, which consists of the seeds. */
     CoreMembers initialMembers() {
         return CoreMembers.initial(members);
     }
 
-    /** Adds the core that was on disk; null for none. The seeds stay, as they may be newer than that. */
+    /**
+     * Adds the core that was recovered from disk. The seeds are kept, because they may be newer.
+     *
+     * @param core the recovered core; null if there was none
+     */
     void restore(CoreMembers core) {
         if (core != null) {
             epoch = core.epoch();
@@ -52,7 +60,7 @@
         }
     }
 
-    /** Takes over a core that was decided on; returns false where that is known already, or null. */
+    /** Replaces the members with those of a committed core; returns false if the core is null or not newer. */
     public boolean adopt(CoreMembers core) {
         if (core == null || core.epoch() <= epoch) {
             return false;
@@ -67,22 +75,22 @@
         return true;
     }
 
-    /** Whether a machine was taken out of the core. */
+    /** Returns whether a machine has been removed from the core. */
     public boolean isRemoved(InetSocketAddress machine) {
         return removed.contains(machine.getAddress().getHostAddress());
     }
 
-    /** The IPs of all machines, to be told to others. */
+    /** Returns the IP addresses of all machines, to be sent to peers. */
     public List<String> machines() {
         return new ArrayList<>(machines);
     }
 
-    /** The addresses of all machines but this one, at a port. */
+    /** Returns the socket addresses, on the given port, of all machines except this one. */
     public List<InetSocketAddress> peerAddresses(int port) {
         return toAddresses(machines, port);
     }
 
-    /** Adds machines that a peer tells of; returns the addresses of those that were not known, at a port. */
+    /** Adds machines reported by a peer; returns the socket addresses, on the given port, of those that are new. */
     public List<InetSocketAddress> addDiscovered(List<String> ips, int port) {
         List<String> addedIps = new ArrayList<>();
         for (String ip : ips) {
@@ -94,7 +102,7 @@
         return toAddresses(addedIps, port);
     }
 
-    /** Takes a machine that would join the core for one to dial again; returns its address at a port. */
+    /** Allows a machine that is a candidate for the core to be dialed again; returns its address on the given port. */
     List<InetSocketAddress> readmit(String ip, int port) {
         removed.remove(ip);
         machines.add(ip);
--- a/src/main/java/reedmux/control/store/EncodedBatchCache.java
+++ b/src/main/java/reedmux/control/store/EncodedBatchCache.java
@@ -10,21 +10,24 @@
 import reedmux.control.rpc.Messages.SnapshotChunk;
 
 /**
- * Changes as they are sent to proxies and registries, encoded once for all that continue from the same change: after a
- * change that is nearly all of them.
+ * Caches the encoded messages that carry changes to proxies and registries. All followers that continue from the same
+ * change share one encoding; after a change that applies to nearly all of them.
  */
 final class EncodedBatchCache {
-    /** Enough for followers at different changes while one snapshot is sent; beyond that all are encoded anew. */
+    /**
+     * Once the cache holds more batches, it is cleared and they are encoded again. Enough for followers at different
+     * changes while one snapshot is being sent.
+     */
     private static final int MAX_BATCHES = 32;
 
     private final MessageCodec codec;
     private final long incarnation;
     private final Replica replica;
-    /** By the change behind which they begin. */
+    /** Keyed by the change after which the batch begins. */
     private final Map<Long, EncodedBatch> batches = new HashMap<>();
-    /** The last change of the replica, and whether it was complete, when these batches were encoded. */
+    /** The replica's last change when the cached batches were encoded. */
     private long encodedAtChange;
-
+    /** Whether the replica was complete when the cached batches were encoded. */
     private boolean encodedAsComplete;
 
     EncodedBatchCache(MessageCodec codec, long incarnation, Replica replica) {
@@ -36,15 +39,15 @@
     /**
      * An encoded message.
      *
-     * @param last whether nothing follows behind it
+     * @param last whether this is the last message, so that no further changes follow
      */
     record EncodedBatch(byte[] bytes, boolean last) {}
 
     /**
-     * The changes behind {@code sinceChange}, as one message.
+     * Returns the changes after {@code sinceChange}, encoded as one message.
      *
-     * @param complete whether the replica has everything that was ever acknowledged
-     * @param maxBytes about how large the batch may get
+     * @param complete whether the replica holds every change that was ever acknowledged
+     * @param maxBytes approximate maximum size of the batch
      */
     EncodedBatch since(long sinceChange, boolean complete, int maxBytes) {
         if (encodedAtChange != replica.lastChange() || encodedAsComplete != complete || batches.size() > MAX_BATCHES) {
--- a/src/main/java/reedmux/control/store/JournalWriter.java
+++ b/src/main/java/reedmux/control/store/JournalWriter.java
@@ -10,33 +10,34 @@
 import reedmux.common.eventloop.Reactor;
 
 /**
- * Writes a {@link Journal} on a thread of its own, so that the reactor never waits for the disk. Records and new
- * generations go through one queue in their order; one sync covers all records that have come meanwhile (group commit).
- * The queue is bounded, and what comes beyond that fails like what the disk refuses.
+ * Writes a {@link Journal} on a dedicated thread, so that the reactor never blocks on the disk. Records and new
+ * generations pass through one FIFO queue, and a single sync covers all records queued in the meantime (group commit).
+ * The queue is bounded: a write that exceeds its capacity fails in the same way as a write that the disk rejects.
  *
- * <p>All methods are for the reactor's thread, which also hears the outcomes. Only the private methods below
- * {@link #writeQueued} run on the disk's thread, which alone uses the journal once the first generation was started.
+ * <p>All methods must be called on the reactor thread, which also runs the outcome callbacks. Only {@link #writeQueued}
+ * and the private methods after it run on the disk thread, which has exclusive use of the journal once the first
+ * generation has been started.
  */
 final class JournalWriter {
     private static final int MAX_QUEUED_WRITES = 256;
     private static final String THREAD_NAME = "reedmux-disk";
-    private static final String QUEUE_FULL = "disk: too much waits for it";
+    private static final String QUEUE_FULL = "disk: the write queue is full";
 
     private final Journal journal;
     private final Reactor reactor;
     private final Executor diskExecutor;
-    /** Guarded by itself. */
+    /** Guarded by its own monitor. */
     private final List<QueuedWrite> queue = new ArrayList<>();
-    /** As of the latest outcome that the reactor has heard. */
+    /** Size of the current generation as of the latest outcome reported to the reactor thread. */
     private long generationBytes;
 
     private boolean broken;
 
     /**
-     * A record to be appended, or a generation to be started.
+     * A queued request either to append a record or to start a generation.
      *
-     * @param record null where a generation is to be started
-     * @param generation null where a record is to be appended
+     * @param record the record to append; null if a generation is to be started
+     * @param generation the records of the generation to start; null if a record is to be appended
      */
     private record QueuedWrite(byte[] record, Iterable<byte[]> generation, Consumer<Boolean> onOutcome) {}
 
@@ -46,17 +47,17 @@
         diskExecutor = reactor.newWorker(THREAD_NAME, MAX_QUEUED_WRITES);
     }
 
-    /** Bytes of the current generation; as of the latest outcome. */
+    /** Returns the size of the current generation in bytes, as of the latest outcome. */
     long generationBytes() {
         return generationBytes;
     }
 
-    /** Whether the journal takes no records until a new generation was started; as of the latest outcome. */
+    /** Returns whether the journal rejects records until a new generation is started, as of the latest outcome. */
     boolean isBroken() {
         return broken;
     }
 
-    /** Starts a generation before the disk's thread has anything to do, and waits for the disk. */
+    /** Starts a generation on the calling thread, before the disk thread has any work. Blocks on disk I/O. */
     void startFirstGeneration(Iterable<byte[]> state) {
         try {
             journal.startGeneration(state);
@@ -67,16 +68,16 @@
         generationBytes = journal.lengthBytes();
     }
 
-    /** Appends a record; {@code onOutcome} hears later whether it is durable. */
+    /** Appends a record asynchronously; {@code onOutcome} is called later with whether the record is durable. */
     void append(byte[] record, Consumer<Boolean> onOutcome) {
         enqueue(new QueuedWrite(record, null, onOutcome));
     }
 
     /**
-     * Starts a new generation; records that are appended later come behind its state.
+     * Starts a new generation asynchronously. Records appended later follow its state.
      *
-     * @param state the records of the state, read on the disk's thread
-     * @param onOutcome hears later whether the generation is durable
+     * @param state the records of the state, iterated on the disk thread
+     * @param onOutcome called later with whether the generation is durable
      */
     void startGeneration(Iterable<byte[]> state, Consumer<Boolean> onOutcome) {
         enqueue(new QueuedWrite(null, state, onOutcome));
@@ -117,9 +118,9 @@
         }
     }
 
-    // ---- On the disk's thread ----------------------------------------------------------------------
+    // ---- Disk thread -------------------------------------------------------------------------------
 
-    /** Writes everything that is queued, with one sync for the records between two generations. */
+    /** Writes all queued requests, with one sync for consecutive records between two generations. */
     private void writeQueued() {
         List<QueuedWrite> unsynced = new ArrayList<>();
         for (QueuedWrite write : drainQueue()) {
@@ -166,7 +167,7 @@
         reportOutcome(List.of(write), failure);
     }
 
-    /** Has the reactor's thread hear what became of some writes; {@code failure} is null where they are durable. */
+    /** Reports the outcome of some writes on the reactor thread; {@code failure} is null if they are durable. */
     private void reportOutcome(List<QueuedWrite> writes, IOException failure) {
         long bytesNow = journal.lengthBytes();
         boolean brokenNow = journal.isBroken();
--- a/src/main/java/reedmux/control/store/MessageDispatcher.java
+++ b/src/main/java/reedmux/control/store/MessageDispatcher.java
@@ -27,9 +27,9 @@
 import reedmux.control.rpc.RpcConnection;
 
 /**
- * Hands each message that a {@link StoreServer} receives to the part that it is for. Messages of other stores are
- * trusted as they are, but for the epoch: a store of another core may neither propose nor count on this one. For the
- * reactor's thread.
+ * Dispatches each message that a {@link StoreServer} receives to the component that handles it. Messages from other
+ * stores are trusted except for their epoch: a store that belongs to another core can neither propose changes to this
+ * store nor obtain contact confirmations from it. Not thread-safe; confined to the reactor thread.
  */
 final class MessageDispatcher {
     private final Reactor reactor;
@@ -59,7 +59,7 @@
         removals = new RemovalForwarder(reactor, membership, peers);
     }
 
-    /** Hands a message to its part. What is of no kind that a store takes is ignored. */
+    /** Dispatches a message to its handler. Messages of a type that a store does not handle are ignored. */
     void dispatch(RpcConnection connection, Object message) {
         if (!onReplicationMessage(connection, message)
                 && !onConsensusMessage(connection, message)
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Returns whether the message is one of replication. */
+    /** Handles replication messages; returns false if the message is of another kind. */
     private boolean onReplicationMessage(RpcConnection connection, Object message) {
         if (message instanceof ChangesRequest request) {
             publisher.onChangesRequest(connection, request);
@@ -84,14 +84,14 @@
             synchronizer.onWatermarkUpdate(update);
         } else if (message instanceof ConfigurationUpdate update) {
             synchronizer.onConfigurationUpdate(connection, update);
-            publisher.startProxyContact(); // this store may be current only now
+            publisher.startProxyContact(); // the update may have made this store current
         } else {
             return false;
         }
         return true;
     }
 
-    /** Returns whether the message is one of the consensus on the operator's changes. */
+    /** Handles messages of the consensus on operators' changes; returns false if the message is of another kind. */
     private boolean onConsensusMessage(RpcConnection connection, Object message) {
         long now = reactor.now();
         String from = connection.peer().ip();
@@ -106,7 +106,7 @@
             consensus.onDecision(now, notice.proposalId(), notice.ballot(), notice.committed(), notice.items());
         } else if (message instanceof QuorumContactRequest request) {
             peers.recordContactConnection(connection);
-            // While this store is fenced the next core may be deciding already.
+            // While this store is fenced, the next core may already be making decisions.
             if (membership.acceptsEpoch(from, request.epoch()) && !membership.isFenced()) {
                 consensus.onContactRequest(now, from, request.id(), request.afterPendingDecisions());
             }
@@ -118,7 +118,7 @@
         return true;
     }
 
-    /** Returns whether the message is one of the core's membership. */
+    /** Handles core membership messages; returns false if the message is of another kind. */
     private boolean onMembershipMessage(RpcConnection connection, Object message) {
         long now = reactor.now();
         String from = connection.peer().ip();
@@ -144,7 +144,7 @@
         return true;
     }
 
-    /** Requests that a registry forwards for an operator, and the leader's answer to one that was forwarded to it. */
+    /** Handles operator requests from a registry, and the leader's responses to forwarded removal requests. */
     private void onOperatorMessage(RpcConnection connection, Object message) {
         long now = reactor.now();
         if (message instanceof ConfigurationChangeRequest request) {
--- a/src/main/java/reedmux/control/store/PeerConnections.java
+++ b/src/main/java/reedmux/control/store/PeerConnections.java
@@ -13,9 +13,9 @@
 import reedmux.control.rpc.RpcDialer;
 
 /**
- * The connections between this store and the others. Two stores have up to two connections, as each dials the other:
- * requests go out over the one that this store has dialed, answers go back over the one on which the request came.
- * For the reactor's thread.
+ * The connections between this store and its peers. Two stores share up to two connections, because each dials the
+ * other. Requests are sent over the outgoing connection, which this store has dialed; a reply is sent over the
+ * connection on which the request was received. Not thread-safe; confined to the reactor thread.
  */
 final class PeerConnections {
     private final Reactor reactor;
@@ -23,9 +23,9 @@
     private final Hello self;
     private final RpcConnection.RpcConnectionHandler handler;
     private final Map<InetSocketAddress, RpcDialer> dialers = new HashMap<>();
-    /** By the peer's IP: the connection of its latest proposal or epoch message. */
+    /** The connection on which each peer, keyed by IP address, sent its latest proposal or epoch message. */
     private final Map<String, RpcConnection> proposalConnections = new HashMap<>();
-    /** By the peer's IP: the connection of its latest request for contact. */
+    /** The connection on which each peer, keyed by IP address, sent its latest contact request. */
     private final Map<String, RpcConnection> contactConnections = new HashMap<>();
 
     PeerConnections(Reactor reactor, MessageCodec codec, Hello self, RpcConnection.RpcConnectionHandler handler) {
@@ -37,14 +37,14 @@
 
     // ---- Dialing -----------------------------------------------------------------------------------
 
-    /** Keeps a connection to each of these up from now on. */
+    /** Connects to each of these addresses, and reconnects whenever the connection is lost. */
     void dial(List<InetSocketAddress> addresses) {
         for (InetSocketAddress address : addresses) {
             dialers.put(address, new RpcDialer(reactor, codec, self, address, handler));
         }
     }
 
-    /** As {@link #dial}, for those that are not dialed already. */
+    /** Dials those of the addresses that are not being dialed already. */
     void dialMissing(List<InetSocketAddress> addresses) {
         for (InetSocketAddress address : addresses) {
             if (!dialers.containsKey(address)) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Ends the connections to machines that were taken out of the core. */
+    /** Closes the connections to machines that have been removed from the core, and stops dialing them. */
     void closeRemoved(CoreAddresses core) {
         Iterator<Map.Entry<InetSocketAddress, RpcDialer>> entries =
                 dialers.entrySet().iterator();
@@ -68,7 +68,7 @@
 
     // ---- Outgoing connections ----------------------------------------------------------------------
 
-    /** Whether this store has dialed the connection. */
+    /** Returns whether this store has dialed the connection. */
     boolean isOutgoing(RpcConnection connection) {
         for (RpcDialer dialer : dialers.values()) {
             if (dialer.connection() == connection) {
@@ -78,7 +78,7 @@
         return false;
     }
 
-    /** The established connection that this store has dialed to a peer; null for none. */
+    /** Returns the established connection that this store has dialed to a peer, or null if there is none. */
     RpcConnection outgoingConnectionTo(String ip) {
         for (RpcDialer dialer : dialers.values()) {
             RpcConnection connection = dialer.connection();
@@ -89,13 +89,16 @@
         return null;
     }
 
-    /** As {@link #outgoingConnectionTo}; where there is none, the one over which the peer has last sent a proposal. */
+    /**
+     * Returns the outgoing connection to a peer. If there is none, returns the connection on which the peer sent its
+     * latest proposal or epoch message, or null if there is none of these either.
+     */
     RpcConnection connectionTo(String ip) {
         RpcConnection outgoing = outgoingConnectionTo(ip);
         return outgoing != null ? outgoing : proposalConnections.get(ip);
     }
 
-    /** Sends a message to all peers that are reachable. */
+    /** Sends a message over every established outgoing connection. */
     void broadcast(Object message) {
         for (RpcDialer dialer : dialers.values()) {
             RpcConnection connection = dialer.connection();
@@ -105,7 +108,10 @@
         }
     }
 
-    /** When each reachable peer was last heard, by its IP, in microseconds of the reactor's clock. */
+    /**
+     * Returns when the latest message from each connected peer was received, in microseconds of the reactor's clock,
+     * keyed by the peer's IP address.
+     */
     Map<String, Long> lastReceivedMicros() {
         Map<String, Long> lastReceived = new TreeMap<>();
         for (RpcDialer dialer : dialers.values()) {
@@ -117,29 +123,29 @@
         return lastReceived;
     }
 
-    // ---- Connections to answer over ----------------------------------------------------------------
+    // ---- Connections for replies -------------------------------------------------------------------
 
-    /** A proposal or epoch message came over this connection: votes go back the same way. */
+    /** Records the connection on which a proposal or epoch message was received; the votes are sent over it. */
     void recordProposalConnection(RpcConnection connection) {
         proposalConnections.put(connection.peer().ip(), connection);
     }
 
-    /** A request for contact came over this connection: its confirmation goes back the same way. */
+    /** Records the connection on which a contact request was received; the confirmation is sent over it. */
     void recordContactConnection(RpcConnection connection) {
         contactConnections.put(connection.peer().ip(), connection);
     }
 
-    /** The connection over which the peer has sent its latest proposal; null for none. */
+    /** Returns the connection on which the peer sent its latest proposal or epoch message, or null if there is none. */
     RpcConnection proposalConnection(String ip) {
         return proposalConnections.get(ip);
     }
 
-    /** The connection over which the peer has last asked for contact; null for none. */
+    /** Returns the connection on which the peer sent its latest contact request, or null if there is none. */
     RpcConnection contactConnection(String ip) {
         return contactConnections.get(ip);
     }
 
-    /** A connection has ended. */
+    /** Removes a closed connection from those used for replies. */
     void onDisconnected(RpcConnection connection) {
         proposalConnections.remove(connection.peer().ip(), connection);
         contactConnections.remove(connection.peer().ip(), connection);
--- a/src/main/java/reedmux/control/store/PeerSynchronizer.java
+++ b/src/main/java/reedmux/control/store/PeerSynchronizer.java
@@ -24,10 +24,9 @@
 import reedmux.control.rpc.RpcConnection;
 
 /**
- * Pulls what other stores have committed into this store's replica and onto its disk: the counterpart of
- * {@link ChangePublisher}. Over each connection that this store has dialed one request is always on its way: it
- * continues from the last known position, or, where the peer was restarted since, compares digests first. For the
- * reactor's thread.
+ * Pulls the items that other stores have committed into this store's replica and onto its disk; the counterpart of
+ * {@link ChangePublisher}. Each outgoing connection always has one request in flight. It continues from the last known
+ * position, or first compares digests if the peer has restarted since. Not thread-safe; confined to the reactor thread.
  */
 final class PeerSynchronizer {
     private final Reactor reactor;
@@ -35,7 +34,7 @@
     private final ReplicaStorage storage;
     private final ConsensusNode consensus;
     private final CoreMembership membership;
-    /** By the peer's IP. */
+    /** The last known position in each peer's changes, keyed by the peer's IP address. */
     private final Map<String, ReplicationPosition> positions = new HashMap<>();
 
     private final SnapshotAssembler snapshots = new SnapshotAssembler();
@@ -57,7 +56,7 @@
         return positions.getOrDefault(ip, ReplicationPosition.NONE);
     }
 
-    /** A connection that this store has dialed is established: asks for what is missing here. */
+    /** Requests the changes that this store is missing, after an outgoing connection has been established. */
     void requestChanges(RpcConnection connection) {
         String ip = connection.peer().ip();
         long incarnation = connection.peer().incarnation();
@@ -76,7 +75,7 @@
         connection.sendMessage(new DigestRequest(coarseRanges, replica.digests().digestsOf(coarseRanges)));
     }
 
-    /** The peer has found coarse ranges that differ: sends the fine digests of these. */
+    /** Sends the fine digests of the coarse ranges that the peer has found to differ. */
     void onDigestMismatch(RpcConnection connection, DigestMismatch mismatch) {
         for (int range : mismatch.ranges()) {
             if (range < 0 || range >= DigestTree.RANGES_PER_LEVEL) {
@@ -87,13 +86,13 @@
         sendDigests(connection, mismatch.ranges());
     }
 
-    /** Keeps a part of a snapshot until the last one has come, and asks for the next. */
+    /** Buffers a snapshot chunk until the last one has been received, and requests the next chunk. */
     void onSnapshotChunk(RpcConnection connection, SnapshotChunk chunk) {
         snapshots.addChunk(connection.peer().ip(), chunk.incarnation(), chunk.upToChange(), chunk.items());
         connection.sendMessage(new SnapshotChunkRequest(chunk.incarnation(), chunk.upToChange()));
     }
 
-    /** Applies everything that was committed at the peer, and asks for what comes after that. */
+    /** Applies the items that the peer has committed, and requests the changes after them. */
     void onConfigurationUpdate(RpcConnection connection, ConfigurationUpdate update) {
         String ip = connection.peer().ip();
         positions.put(ip, new ReplicationPosition(update.incarnation(), update.upToChange()));
@@ -111,7 +110,7 @@
         connection.sendMessage(new ChangesRequest(update.incarnation(), update.upToChange()));
     }
 
-    /** Merges the peer's watermarks, which come ahead of the items that they belong to. */
+    /** Merges the peer's watermarks, which it sends before the items that they belong to. */
     void onWatermarkUpdate(WatermarkUpdate update) {
         List<Watermark> added = replica.mergeWatermarks(update.watermarks());
         if (!added.isEmpty()) {
@@ -121,13 +120,13 @@
 
     // ---- Handover of a fenced core -----------------------------------------------------------------
 
-    /** Asks a fenced member for everything that has changed there since the last known position. */
+    /** Requests all changes since the last known position from a fenced member. */
     void requestStateTransfer(RpcConnection connection, long epoch) {
         ReplicationPosition position = positionOf(connection.peer().ip());
         connection.sendMessage(new StateTransferRequest(epoch, position.incarnation(), position.change()));
     }
 
-    /** Takes over the state of a fenced member. */
+    /** Merges and persists the state of a fenced member. */
     void onStateTransferResponse(RpcConnection connection, StateTransferResponse response) {
         ConfigurationUpdate update = response.update();
         List<ConfigurationItem> missing = replica.findMissing(update.items());
--- a/src/main/java/reedmux/control/store/PendingStatusRequest.java
+++ b/src/main/java/reedmux/control/store/PendingStatusRequest.java
@@ -8,11 +8,11 @@
 import reedmux.control.rpc.RpcConnection;
 
 /**
- * An operator's request for this store's status, until it is answered: as soon as a quorum has confirmed contact, or
- * without that after a time. Only the first outcome counts.
+ * An operator's pending request for this store's status. It is answered as soon as a quorum has confirmed contact, or
+ * without that confirmation after {@link #TIMEOUT_MICROS}. Only the first outcome takes effect.
  */
 final class PendingStatusRequest implements Consumer<Boolean> {
-    /** How long an operator is kept waiting for contact with a quorum. */
+    /** Maximum time that an operator's request waits for contact with a quorum. */
     static final long TIMEOUT_MICROS = 500_000;
 
     private final RpcConnection connection;
@@ -22,11 +22,11 @@
     private boolean answered;
 
     /**
-     * Begins to wait.
+     * Creates an unanswered request.
      *
-     * @param connection where the answer goes
-     * @param receivedAt when the request came, in microseconds of the reactor's clock
-     * @param status reads the status at the time of the answer
+     * @param connection the connection over which the response is sent
+     * @param receivedAt when the request was received, in microseconds of the reactor's clock
+     * @param status supplies the status when the response is sent
      */
     PendingStatusRequest(
             RpcConnection connection, StoreStatusRequest request, long receivedAt, Supplier<StoreStatus> status) {
@@ -36,7 +36,11 @@
         this.status = status;
     }
 
-    /** Answers the operator; {@code quorumReached}: a quorum has confirmed contact since the request came. */
+    /**
+     * Sends the response, unless it has been sent already.
+     *
+     * @param quorumReached whether a quorum has confirmed contact since the request was received
+     */
     @Override
     public void accept(Boolean quorumReached) {
         if (answered) {
--- a/src/main/java/reedmux/control/store/PullSession.java
+++ b/src/main/java/reedmux/control/store/PullSession.java
@@ -4,39 +4,39 @@
 import java.util.Deque;
 import reedmux.control.replication.ChangeBatch;
 
-/** What a {@link ChangePublisher} knows of one connection over which changes are pulled. */
+/** The state that a {@link ChangePublisher} keeps for one connection over which a follower pulls changes. */
 final class PullSession {
-    /** A position that is not known, or not reached. */
+    /** Marks a position that is unknown or has not been reached. */
     static final long UNKNOWN = -1;
 
-    /** Whether a request of the follower is not answered yet. */
+    /** Whether the follower has an unanswered request. */
     boolean replyDue;
-    /** Whether any request was answered. */
+    /** Whether at least one request has been answered. */
     boolean replied;
-    /** Whether the last reply said that this store is not complete, so that the follower does not count it. */
+    /** Whether the last reply marked this store as incomplete, so that the follower does not count it. */
     boolean repliedIncomplete;
-    /** The change behind which the follower wants to continue; {@link #UNKNOWN} where it is of another incarnation. */
+    /** The change after which the follower continues; {@link #UNKNOWN} if it belongs to another incarnation. */
     long sinceChange = UNKNOWN;
-    /** Whether the follower has applied everything up to {@link #sinceChange}, and not only received it. */
+    /** Whether the follower has applied, rather than only received, everything up to {@link #sinceChange}. */
     boolean appliedSince;
-    /** What is in the key ranges whose digests differ and was not sent yet; null where there is nothing of the kind. */
+    /** The unsent items and watermarks in the key ranges whose digests differ; null if there are none. */
     ChangeBatch repairBatch;
-    /** The change as of which the digests were compared; {@link #UNKNOWN} where none were. */
+    /** The last change when the digests were compared; {@link #UNKNOWN} if no comparison has taken place. */
     long repairReadAtChange = UNKNOWN;
-    /** The last change that was sent while this store was complete; {@link #UNKNOWN} for none. */
+    /** The change up to which everything has been sent by this store while complete; {@link #UNKNOWN} if none. */
     long sentUpToChange = UNKNOWN;
-    /** Confirmations of contact that the follower is owed, in the order of their changes. */
+    /** Contact confirmations still to be sent to the follower, ordered by the change that must precede them. */
     final Deque<DueConfirmation> dueConfirmations = new ArrayDeque<>();
-    /** For a proxy: the last change when contact with a quorum was confirmed; {@link #UNKNOWN} before it was. */
+    /** For a proxy: the last change when contact with a quorum was confirmed; {@link #UNKNOWN} until then. */
     long contactAtChange = UNKNOWN;
-    /** For a proxy: whether it was told that it has caught up. */
+    /** For a proxy: whether the caught-up notice has been sent. */
     boolean notifiedCaughtUp;
 
     /**
-     * A confirmation that may be sent once the follower was sent everything up to a change.
+     * A contact confirmation that may be sent once the follower has been sent everything up to a change.
      *
-     * @param contactId the id of the follower's request
-     * @param afterChange the last change when the contact was confirmed here
+     * @param contactId the id of the follower's contact request
+     * @param afterChange the last change when this store confirmed the contact
      */
     record DueConfirmation(long contactId, long afterChange) {}
 }
--- a/src/main/java/reedmux/control/store/QuorumMonitor.java
+++ b/src/main/java/reedmux/control/store/QuorumMonitor.java
@@ -8,17 +8,17 @@
 import reedmux.control.consensus.CoreMembers;
 
 /**
- * Tells operators when this store has been without a quorum for a while, which members it does not reach, and when it
- * has one again. For the reactor's thread.
+ * Logs when this store has been without a quorum for longer than {@link #REPORT_AFTER_MICROS}, which members are not
+ * connected, and when the quorum is regained. Not thread-safe; confined to the reactor thread.
  */
 final class QuorumMonitor {
-    /** Shorter losses, as at each start of a peer, are not worth a line. */
+    /** Quorum losses shorter than this are not logged, because they occur at each start of a peer. */
     private static final long REPORT_AFTER_MICROS = 1_000_000;
 
     private static final long MICROS_PER_MILLI = 1000;
 
     private final Reactor reactor;
-    /** When connections with a quorum were last established; below 0 for never. */
+    /** Last time at which this store had a quorum, in microseconds of the reactor's clock; negative if never. */
     private long quorumConnectedAt = -1;
 
     private final long startedAt;
@@ -34,11 +34,11 @@
     }
 
     /**
-     * To be called several times a second.
+     * Updates the quorum state and logs its changes. Must be called several times per second.
      *
-     * @param current whether this store is connected to a quorum whose state is merged here
-     * @param core the members, or null where they are not known
-     * @param connected the ips of the stores that are connected, this one's among them
+     * @param current whether this store is connected to a quorum and has merged its state
+     * @param core the members of the core; null if they are unknown
+     * @param connected the IP addresses of the connected stores, including this one
      */
     void onTick(boolean current, CoreMembers core, Set<String> connected) {
         long now = reactor.now();
@@ -47,11 +47,11 @@
             quorumConnectedAt = now;
             if (reported) {
                 reported = false;
-                reactor.info("in touch with a quorum again, after " + (now - lostAt) / MICROS_PER_MILLI + " ms");
+                reactor.info("quorum regained after " + (now - lostAt) / MICROS_PER_MILLI + " ms");
             }
         } else if (!reported && now - lostAt > REPORT_AFTER_MICROS) {
             reported = true;
-            reactor.info(core == null ? "no quorum: the core is not known" : "no quorum: " + describe(core, connected));
+            reactor.info(core == null ? "no quorum: the core is unknown" : "no quorum: " + describe(core, connected));
         }
     }
 
--- a/src/main/java/reedmux/control/store/RemovalForwarder.java
+++ b/src/main/java/reedmux/control/store/RemovalForwarder.java
@@ -10,17 +10,17 @@
 import reedmux.control.rpc.RpcConnection;
 
 /**
- * Takes an operator's requests to remove a member from the core, and forwards them to the leader where that is another
- * store. For the reactor's thread.
+ * Handles operators' requests to remove a member from the core, and forwards them to the leader if that is another
+ * store. Not thread-safe; confined to the reactor thread.
  */
 final class RemovalForwarder {
-    /** How long the leader's answer is waited for; whoever has asked sends the request again. */
+    /** Time after which a forwarded request is dropped without a reply; the client retries it. */
     private static final long FORWARD_TIMEOUT_MICROS = 2_000_000;
 
     private final Reactor reactor;
     private final CoreMembership membership;
     private final PeerConnections peers;
-    /** Who is to be answered, by the id of the forwarded request. */
+    /** Reply callbacks, keyed by the id of the forwarded request. */
     private final Map<Long, BiConsumer<Integer, String>> pendingReplies = new HashMap<>();
 
     private long lastRequestId;
@@ -32,10 +32,11 @@
     }
 
     /**
-     * Has a member removed.
+     * Removes a member from the core, or forwards the request to the leader.
      *
-     * @param node the name or the IP of the member's machine
-     * @param reply hears the HTTP status and a line once, or nothing where the leader does not answer in time
+     * @param node the name or the IP address of the member's machine
+     * @param reply called once with the HTTP status and a line of text; never called if the leader does not answer in
+     *     time
      */
     void requestRemoval(String node, BiConsumer<Integer, String> reply) {
         RpcConnection leader = membership.isLeader()
@@ -51,7 +52,7 @@
         reactor.scheduleAfter(FORWARD_TIMEOUT_MICROS, () -> pendingReplies.remove(id));
     }
 
-    /** The leader has answered a request that was forwarded to it. */
+    /** Passes the leader's response to a forwarded request on to the client. */
     void onLeaderResponse(OperatorResponse response) {
         BiConsumer<Integer, String> reply = pendingReplies.remove(response.id());
         if (reply != null) {
--- a/src/main/java/reedmux/control/store/ReplicaState.java
+++ b/src/main/java/reedmux/control/store/ReplicaState.java
@@ -15,11 +15,11 @@
 import reedmux.control.rpc.Messages.WatermarkUpdate;
 
 /**
- * Everything that a store keeps on its disk, as of one moment: the state that a generation of the journal begins with.
- * Immutable, so that the disk's thread encodes it while the replica goes on.
+ * A snapshot of everything that a store persists: the state at the beginning of a journal generation. Immutable, so
+ * that the disk thread can encode it while the replica changes.
  *
- * @param core the state of the core's membership; null where nothing is known of it
- * @param complete whether nothing that was ever acknowledged with this store's vote is missing
+ * @param core the state of the core membership; null if it is unknown
+ * @param complete whether the replica holds every change that was ever acknowledged with this store's vote
  */
 record ReplicaState(
         PersistentCoreState core,
@@ -27,9 +27,9 @@
         List<ConfigurationItem> items,
         List<Watermark> watermarks,
         List<Proposal> pending) {
-    /** How many items, or watermarks, one record has at most. */
+    /** Maximum number of items, or of watermarks, in one record. */
     private static final int MAX_ITEMS_PER_RECORD = 512;
-    /** A record of items ends with the first one that takes their bodies, in characters, to this. */
+    /** A record of items ends with the item whose body brings the total length, in characters, to this value. */
     private static final int MAX_BODY_CHARS_PER_RECORD = 256 * 1024;
 
     static ReplicaState of(Replica replica, PersistentCoreState core, boolean complete) {
@@ -41,12 +41,12 @@
                 List.copyOf(replica.pending().values()));
     }
 
-    /** The state as records of the journal, each encoded when it is asked for. */
+    /** Returns the state as journal records, each of which is encoded when the iterator returns it. */
     Iterable<byte[]> encodeWith(MessageCodec codec) {
         return new Records(codec);
     }
 
-    /** A class and no lambda, which would be linked at run time in the middle of a start. */
+    /** A class instead of a lambda, because a lambda is linked at run time, which would happen during startup. */
     private final class Records implements Iterable<byte[]> {
         private final MessageCodec codec;
 
@@ -60,7 +60,10 @@
         }
     }
 
-    /** The core, the watermarks, the items (at least one record, as it carries {@link #complete}), the proposals. */
+    /**
+     * Iterates over the records of the core, the watermarks, the items and the pending proposals, in this order. There
+     * is at least one record of items, because it carries {@link #complete}.
+     */
     private final class RecordIterator implements Iterator<byte[]> {
         private final MessageCodec codec;
         private boolean coreWritten = core == null;
--- a/src/main/java/reedmux/control/store/ReplicaStorage.java
+++ b/src/main/java/reedmux/control/store/ReplicaStorage.java
@@ -18,46 +18,49 @@
 import reedmux.control.rpc.Messages.WatermarkUpdate;
 
 /**
- * Keeps a {@link Replica}, and the state of the core's membership, on disk. The files are those of a {@link Journal};
- * each record is one message as {@link MessageCodec} encodes it:
+ * Persists a {@link Replica} and the state of the core membership in the files of a {@link Journal}. Each record is one
+ * message encoded by {@link MessageCodec}:
  *
  * <table>
  *   <caption>Records of a generation</caption>
- *   <tr><th>record</th><th>in the state at the beginning</th><th>appended</th></tr>
- *   <tr><td>{@link CoreStateRecord}</td><td>first, unless nothing is known of the core</td>
- *       <td>when the state of the membership changes; the last one holds</td></tr>
+ *   <tr><th>record</th><th>in the initial state</th><th>appended</th></tr>
+ *   <tr><td>{@link CoreStateRecord}</td><td>first, unless the core is unknown</td>
+ *       <td>when the state of the membership changes; the last record is authoritative</td></tr>
  *   <tr><td>{@link WatermarkUpdate}</td><td>all watermarks, in as many records as needed</td>
- *       <td>when new ones come from another store</td></tr>
- *   <tr><td>{@link ConfigurationUpdate}</td><td>all committed items, in one or more records, with whether they are
- *       complete</td><td>when items come from another store; never complete, as only a state has everything</td></tr>
+ *       <td>when new watermarks are received from another store</td></tr>
+ *   <tr><td>{@link ConfigurationUpdate}</td><td>all committed items, in one or more records, and whether they are
+ *       complete</td><td>when items are received from another store; never marked as complete, because only an initial
+ *       state contains all items</td></tr>
  *   <tr><td>{@link ProposalRecord}</td><td>last, one for each pending proposal</td>
- *       <td>when a proposal becomes pending or precommitted, or goes on under another ballot</td></tr>
+ *       <td>when a proposal becomes pending or precommitted, or is continued under another ballot</td></tr>
  *   <tr><td>{@link DecisionNotice}</td><td>none</td>
- *       <td>when a proposal is decided on: it is no longer pending, and its items are committed or dropped</td></tr>
+ *       <td>when a proposal is decided: it is no longer pending, and its items are committed or discarded</td></tr>
  * </table>
  *
- * <p>A proposal and the state of the membership are durable once their callback has heard {@code true}, and nothing
- * that depends on them is sent before. Nobody waits for the other records: what they say is on the disks of a quorum
- * already, and is pulled again where it is lost.
+ * <p>A proposal or a membership state is durable once its callback has been called with {@code true}, and no message
+ * that depends on it is sent earlier. The other records are written without waiting for the outcome: their content is
+ * already on the disks of a quorum, and is pulled again if it is lost.
  *
- * <p>Compaction starts a new generation with the present state: when the current one has grown enough, when the journal
- * takes no more records, and when the replica has become complete and no generation says so. For the reactor's thread;
- * {@link JournalWriter} has the thread that waits for the disk.
+ * <p>Compaction starts a new generation with the current state. It takes place when the current generation has grown
+ * large enough, when the journal accepts no more records, and when the replica has become complete but the current
+ * generation does not record that yet.
+ *
+ * <p>Not thread-safe; confined to the reactor thread. {@link JournalWriter} owns the thread that blocks on the disk.
  */
 public final class ReplicaStorage {
     private static final long COMPACTION_CHECK_MICROS = 125_000;
-    /** Below this a generation is never compacted for its size: reading it takes no time that matters. */
+    /** Smaller generations are never compacted because of their size, as reading them takes negligible time. */
     private static final long MIN_COMPACTION_BYTES = 4L * 1024 * 1024;
-    /** A generation is compacted for its size once it is so many times as large as it was at its beginning. */
+    /** A generation is compacted once it has grown to more than this multiple of its initial size. */
     private static final int COMPACTION_GROWTH = 2;
-    /** After a failed compaction the next one waits for this, and after each further failure twice as long. */
+    /** Delay before the retry of a failed compaction; doubles with each further failure. */
     private static final long MIN_RETRY_DELAY_MICROS = 125_000;
 
     private static final long MAX_RETRY_DELAY_MICROS = 2_000_000;
 
     private final Reactor reactor;
     private final MessageCodec codec;
-    /** The disk's thread encodes states; a codec is for one thread. */
+    /** Encodes states on the disk thread, which needs its own codec because a codec is not thread-safe. */
     private final MessageCodec diskCodec = new MessageCodec();
 
     private final Replica replica;
@@ -67,9 +70,9 @@
     private boolean compacting;
     private long nextCompactionAt;
     private long retryDelayMicros = MIN_RETRY_DELAY_MICROS;
-    /** Whether the replica has everything that was ever acknowledged with this store's vote: not after a lost disk. */
+    /** Whether the replica holds every change acknowledged with this store's vote; false after the loss of a disk. */
     private boolean complete;
-    /** Whether the current generation says that it is complete. */
+    /** Whether the current generation is marked as complete. */
     private boolean completeOnDisk;
 
     private PersistentCoreState core;
@@ -82,15 +85,16 @@
         writer = new JournalWriter(journal, reactor);
     }
 
-    // ---- Start -------------------------------------------------------------------------------------
+    // ---- Recovery ----------------------------------------------------------------------------------
 
     /**
-     * Brings the replica up to what can be read of the disk, and starts a new generation with that. Where nothing can
-     * be written the store starts all the same, and refuses what it can't persist. Waits for the disk.
+     * Recovers the replica from the readable records on disk, and starts a new generation with the recovered state. If
+     * the disk cannot be written, the store starts anyway and rejects writes that it cannot persist. Blocks on disk
+     * I/O.
      *
-     * @param firstStart whether the whole system starts for the first time, so that an empty disk has lost nothing
-     * @param firstCore the core of such a system
-     * @return whether the replica is complete: false where something that was once on the disk may be lost
+     * @param firstStart whether the whole system starts for the first time, in which case an empty disk is not a loss
+     * @param firstCore the initial core of the system, used at its first start
+     * @return whether the replica is complete; false if anything that was once on the disk may have been lost
      */
     boolean load(boolean firstStart, CoreMembers firstCore) {
         List<byte[]> records = journal.recover();
@@ -99,7 +103,7 @@
         }
         for (int i = 0; i < records.size(); i++) {
             if (!apply(codec.decodeOrNull(records.get(i)))) {
-                reactor.error("disk: " + journal.recordLocation(i) + ": a record that this program does not know, of "
+                reactor.error("disk: " + journal.recordLocation(i) + ": unrecognized record of "
                         + records.get(i).length + " bytes");
             }
         }
@@ -114,7 +118,7 @@
         return complete;
     }
 
-    /** Replays a record; returns whether it is known. */
+    /** Replays a record; returns false if its type is not recognized. */
     private boolean apply(Object record) {
         if (record instanceof ConfigurationUpdate update) {
             replica.merge(update.items());
@@ -133,35 +137,35 @@
         return true;
     }
 
-    /** What is known of the core; null for nothing. */
+    /** Returns the latest state of the core membership, or null if it is unknown. */
     PersistentCoreState core() {
         return core;
     }
 
     // ---- Writes ------------------------------------------------------------------------------------
 
-    /** Persists the state of the core's membership; {@code onOutcome} hears whether it is durable. */
+    /** Persists the state of the core membership; {@code onOutcome} is called with whether it is durable. */
     void persistCore(PersistentCoreState state, Consumer<Boolean> onOutcome) {
         core = state;
         append(new CoreStateRecord(state), onOutcome);
     }
 
-    /** Persists a pending proposal; {@code onOutcome} hears whether it is durable. */
+    /** Persists a pending proposal; {@code onOutcome} is called with whether it is durable. */
     void persistPending(ProposalRecord proposal, Consumer<Boolean> onOutcome) {
         append(proposal, onOutcome);
     }
 
-    /** Persists what became of a proposal. */
+    /** Persists the decision on a proposal, without waiting for the outcome. */
     void persistDecision(DecisionNotice decision) {
         append(decision, durable -> {});
     }
 
-    /** Persists committed items of another store. */
+    /** Persists committed items received from another store, without waiting for the outcome. */
     void persistItems(List<ConfigurationItem> items) {
         append(new ConfigurationUpdate(0, 0, false, items, List.of()), durable -> {});
     }
 
-    /** Persists watermarks of another store. */
+    /** Persists watermarks received from another store, without waiting for the outcome. */
     void persistWatermarks(List<Watermark> watermarks) {
         append(new WatermarkUpdate(watermarks), durable -> {});
     }
@@ -173,7 +177,7 @@
         writer.append(codec.encode(record), onOutcome);
     }
 
-    /** The replica has everything again that a lost disk had: the next generation says so. */
+    /** Marks the next generation as complete, after everything that a lost disk held has been recovered from peers. */
     void markComplete() {
         complete = true;
         compact();
@@ -192,7 +196,7 @@
         }
     }
 
-    /** Starts a generation with the present state, unless one is on its way or the last one has failed just now. */
+    /** Starts a generation with the current state, unless a compaction is in progress or a retry delay is pending. */
     void compact() {
         if (compacting || reactor.now() < nextCompactionAt) {
             return;
--- a/src/main/java/reedmux/control/store/StoreServer.java
+++ b/src/main/java/reedmux/control/store/StoreServer.java
@@ -36,22 +36,22 @@
 import reedmux.control.rpc.RpcConnection;
 
 /**
- * The store: keeps the configuration on this machine's disk, decides with the other stores on the operator's changes,
- * and publishes what is committed. It owns no protocol itself but connects their parts:
+ * The store program. It persists the configuration on this machine's disk, agrees with the other stores on operators'
+ * changes, and publishes committed changes. It implements no protocol itself, but connects the components that do:
  *
  * <ul>
- *   <li>{@link ConsensusNode} decides on changes, {@link CoreMembership} on who takes part in that;
+ *   <li>{@link ConsensusNode} decides on changes, and {@link CoreMembership} on the members that take part in this;
  *   <li>{@link ReplicaStorage} makes the {@link Replica} durable;
- *   <li>{@link ChangePublisher} answers followers, {@link PeerSynchronizer} follows other stores;
- *   <li>{@link PeerConnections} holds the connections with other stores;
- *   <li>{@link MessageDispatcher} hands each message that comes in to its part.
+ *   <li>{@link ChangePublisher} sends changes to followers, and {@link PeerSynchronizer} pulls them from other stores;
+ *   <li>{@link PeerConnections} holds the connections to other stores;
+ *   <li>{@link MessageDispatcher} dispatches incoming messages to these components.
  * </ul>
  *
- * <p>Everything runs on the reactor's thread; only the storage has a thread of its own.
+ * <p>All components run on the reactor thread, except that the storage also has a thread for disk I/O.
  */
 public final class StoreServer
         implements Program, RpcConnection.RpcConnectionHandler, ConsensusPort, CoreMembershipPort {
-    /** By this name a process introduces itself as a store. */
+    /** The program name by which a store identifies itself in its {@link Hello} message. */
     static final String PROGRAM_NAME = "store";
 
     private static final long TICK_INTERVAL_MICROS = 125_000;
@@ -69,26 +69,26 @@
     private final ChangePublisher publisher;
     private final PeerSynchronizer synchronizer;
     private final MessageDispatcher dispatcher;
-    /** All established connections, with other stores and with registries and proxies. */
+    /** All established connections to other stores, registries and proxies. */
     private final Set<RpcConnection> connections = new LinkedHashSet<>();
-    /** The epoch of the core whose quorums the consensus uses. */
+    /** Epoch of the core whose quorums the consensus uses; negative until the first one is known. */
     private long epoch = -1;
-    /** Whether this store could join the core; as the peers were told last. */
+    /** Whether this store is ready to join the core, as last announced to the peers. */
     private boolean ready;
 
     private final QuorumMonitor quorumMonitor;
 
     /**
-     * Starts a store: when this returns it listens, with what could be read of its disk.
+     * Starts a store. When the constructor returns, the store has recovered the readable data on its disk and listens.
      *
-     * @throws ProcessSettingsException if the settings name no folder for the data
-     * @throws IOException if the store's port can't be listened on
+     * @throws ProcessSettingsException if the settings specify no data directory
+     * @throws IOException if the store's port cannot be bound
      */
     public StoreServer(ProcessSettings settings, Reactor reactor) throws ProcessSettingsException, IOException {
         this.reactor = reactor;
         quorumMonitor = new QuorumMonitor(reactor);
         if (settings.dataDir() == null) {
-            throw settings.invalid(SettingKeys.DATA_DIRECTORY, "is missing: a store needs a disk");
+            throw settings.invalid(SettingKeys.DATA_DIRECTORY, "is missing: a store requires a data directory");
         }
         this.settings = settings;
         coreAddresses = new CoreAddresses(settings, true);
@@ -103,7 +103,7 @@
         storage = new ReplicaStorage(settings.dataDir(), reactor, codec, replica);
         boolean complete = storage.load(settings.coldStart(), coreAddresses.initialMembers());
         if (!complete) {
-            reactor.info("the disk is empty, and this is not the first start: asking the others");
+            reactor.info("the disk is empty, and this is not the first start: recovering from the other stores");
         }
         consensus = new ConsensusNode(settings.ip(), self.incarnation(), replica, complete, this);
         int minimumReplicas = (int) settings.number(SettingKeys.TOLERATED_MACHINES, 0) + 1;
@@ -127,7 +127,7 @@
         reactor.stop();
     }
 
-    /** Takes in new seeds; nothing else of the settings can change while the store runs. */
+    /** Dials new seeds. No other setting can change while the store runs. */
     @Override
     public void reload(ProcessSettings newSettings) {
         dialNewMachines(new CoreAddresses(newSettings, false).machines());
@@ -168,7 +168,7 @@
         publisher.onDisconnected(connection);
         connections.remove(connection);
         if (connection.peer() == null) {
-            return; // it ended before the peer introduced itself
+            return; // it was closed before the peer's Hello was received
         }
         peers.onDisconnected(connection);
         String ip = connection.peer().ip();
@@ -184,7 +184,7 @@
         dispatcher.dispatch(connection, message);
     }
 
-    /** What is known here, as of now. */
+    /** Returns the current status of this store. */
     StoreStatus status() {
         return new StoreStatus(
                 settings,
@@ -197,7 +197,7 @@
                 reactor.now());
     }
 
-    // ---- Port of the membership --------------------------------------------------------------------
+    // ---- CoreMembershipPort ------------------------------------------------------------------------
 
     @Override
     public void sendEpochMessage(String to, EpochMessage message) {
@@ -270,14 +270,14 @@
         reactor.invariants().check(false, violation, () -> "epoch " + epoch);
     }
 
-    /** A store that isn't a member would become one: it is dialed, also where it was a member before. */
+    /** Dials a store that is a candidate for membership, even if it is a former member. */
     void onCandidate(String ip) {
         if (membership.core() != null && !membership.core().contains(ip)) {
             peers.dialMissing(coreAddresses.readmit(ip, settings.storePort()));
         }
     }
 
-    // ---- Port of the consensus ---------------------------------------------------------------------
+    // ---- ConsensusPort -----------------------------------------------------------------------------
 
     @Override
     public void broadcastProposal(Proposal proposal) {
--- a/src/main/java/reedmux/control/store/StoreStatus.java
+++ b/src/main/java/reedmux/control/store/StoreStatus.java
@@ -17,12 +17,12 @@
 import reedmux.control.rpc.Messages.StoreStatusRequest;
 
 /**
- * What an operator is shown of one store, as JSON: what it knows, as of when, and whether a quorum is reachable. The
- * keys and their values are an interface of the command line, and stay as they are.
+ * The status of one store that operators receive as JSON: its view of the system, the age of that view, and whether a
+ * quorum is reachable. The keys and values are part of the command-line interface and must not change.
  */
 final class StoreStatus {
     private static final long MICROS_PER_MILLI = 1000;
-    /** A page of items ends with the one whose body takes the text beyond this. */
+    /** A page of items ends with the item whose body makes the total length, in characters, exceed this value. */
     private static final int MAX_BODY_CHARS = 1024 * 1024;
 
     private final ProcessSettings settings;
@@ -35,10 +35,10 @@
     private final long now;
 
     /**
-     * The status as of {@code now}. Times are microseconds of the reactor's clock.
+     * Creates the status as of {@code now}. Times are in microseconds of the reactor's clock.
      *
-     * @param lastReceivedMicros when each reachable peer was last heard, by its IP
-     * @param quorumConnectedAt when connections with a quorum were last established; below 0 for never
+     * @param lastReceivedMicros when the latest message from each connected peer was received, keyed by IP address
+     * @param quorumConnectedAt when this store last had connections to a quorum; negative if never
      */
     StoreStatus(
             ProcessSettings settings,
@@ -60,9 +60,10 @@
     }
 
     /**
-     * The answer to a request.
+     * Returns the JSON response to a request.
      *
-     * @param quorumReached whether a quorum has confirmed contact since {@code receivedAt}, when the request came
+     * @param quorumReached whether a quorum has confirmed contact since the request was received
+     * @param receivedAt when the request was received
      */
     String toJson(StoreStatusRequest request, boolean quorumReached, long receivedAt) {
         Map<String, Object> fields = new LinkedHashMap<>();
@@ -85,12 +86,12 @@
         return ItemJson.write(fields);
     }
 
-    /** How long ago a time was; null where it is below 0, which means never. */
+    /** Returns the milliseconds that have passed since a time; null if it is negative, which means never. */
     private Long ageMillis(long timeMicros) {
         return timeMicros < 0 ? null : Long.valueOf((now - timeMicros) / MICROS_PER_MILLI);
     }
 
-    /** The members of the core. */
+    /** Returns one entry for each member of the core. */
     private List<Object> memberEntries() {
         List<Object> entries = new ArrayList<>();
         CoreMembers core = membership.core();
@@ -109,7 +110,7 @@
         return entries;
     }
 
-    /** The leader, which makes changes of the core. */
+    /** Returns the entry of the leader, which makes changes to the core. */
     private Map<String, Object> leaderEntry() {
         CoreLeader leader = membership.leader();
         Map<String, Object> entry = new LinkedHashMap<>();
@@ -124,7 +125,7 @@
         return entry;
     }
 
-    /** One page of the committed items, in the order of their keys, and the pending proposals. */
+    /** Adds one page of the committed items, ordered by key, and the pending proposals. */
     private void addItems(Map<String, Object> fields, String afterKey, int limit) {
         List<Object> entries = new ArrayList<>();
         String lastKey = null;
@@ -146,7 +147,7 @@
         fields.put("next", nextAfter);
     }
 
-    /** The first {@code count} items behind a key. */
+    /** Returns the first {@code count} items after a key, ordered by key. */
     private Iterable<ConfigurationItem> firstItems(String afterKey, int count) {
         TreeMap<String, ConfigurationItem> first = new TreeMap<>();
         for (ConfigurationItem item : replica.committed()) {
--- a/src/main/java/reedmux/control/store/package-info.java
+++ b/src/main/java/reedmux/control/store/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The store program ({@link reedmux.control.store.StoreServer}): it keeps the configuration on disk ({@link
- * reedmux.control.store.ReplicaStorage}), decides with the other stores on changes, and publishes what is committed
- * ({@link reedmux.control.store.ChangePublisher}). Sockets, timers and the protocol's state belong to the reactor's
- * thread; one more thread waits for the disk.
+ * The store program ({@link reedmux.control.store.StoreServer}). It persists the configuration on disk ({@link
+ * reedmux.control.store.ReplicaStorage}), agrees on changes with the other stores by consensus, and publishes committed
+ * changes ({@link reedmux.control.store.ChangePublisher}). Sockets, timers and protocol state are confined to the
+ * reactor thread; a second thread performs blocking disk I/O.
  */
 package reedmux.control.store;
