--- a/src/main/java/reedmux/control/store/ReplicaStorage.java
+++ b/src/main/java/reedmux/control/store/ReplicaStorage.java
@@ -103,8 +103,8 @@
         }
         for (int i = 0; i < records.size(); i++) {
             if (!apply(codec.decodeOrNull(records.get(i)))) {
-                reactor.error("disk: " + journal.recordLocation(i) + ": unrecognized record of "
-                        + records.get(i).length + " bytes");
+                reactor.error("disk: " + journal.recordLocation(i) + ": unrecognized record of " + records.get(i).length
+                        + " bytes");
             }
         }
         if (firstStart && !journal.foundFiles()) {
--- a/src/test/java/reedmux/control/store/DiskEnvironment.java
+++ b/src/test/java/reedmux/control/store/DiskEnvironment.java
@@ -7,20 +7,20 @@
 import reedmux.common.disk.Volume;
 import reedmux.common.eventloop.ScriptedEnvironment;
 
-/** A scripted environment with a disk, whose tasks run when the test says so. */
+/** A scripted environment with a disk whose queued tasks run only when the test runs them. */
 public final class DiskEnvironment extends ScriptedEnvironment {
-    /** What the process has given to the thread of its disk, the oldest first. */
+    /** The tasks queued for the disk thread, oldest first. */
     public final Deque<Runnable> diskTasks = new ArrayDeque<>();
 
     private final Volume volume;
 
-    /** Its clock begins at 0. */
+    /** Creates an environment whose clock starts at 0. */
     public DiskEnvironment(Volume volume) {
         super(0);
         this.volume = volume;
     }
 
-    /** Runs the oldest task of the disk, if there is one, and what the reactor is told of it. */
+    /** Runs the oldest disk task, if there is one, and then the reactor tasks that report its outcome. */
     public void runDiskTask() {
         Runnable task = diskTasks.poll();
         if (task != null) {
@@ -29,7 +29,7 @@
         runReactorOnce();
     }
 
-    /** Runs the reactor and the disk until neither has anything to do. */
+    /** Runs the reactor and the queued disk tasks until no disk task is left. */
     public void runUntilIdle() {
         runReactorOnce();
         while (!diskTasks.isEmpty()) {
--- a/src/test/java/reedmux/control/store/ReplicaStorageTest.java
+++ b/src/test/java/reedmux/control/store/ReplicaStorageTest.java
@@ -26,10 +26,10 @@
 import reedmux.control.rpc.Messages.ProposalRecord;
 import reedmux.testing.ScheduleExplorer;
 
-/** What was reported durable is recovered after a crash at any step, whatever is queued for the disk. */
+/** Checks that writes reported as durable are recovered after a crash at any step, for any queue of disk tasks. */
 public class ReplicaStorageTest {
 
-    /** A store's replica and its disk, over one run of its process. */
+    /** One run of a store process: its replica and its disk. */
     private static final class StoreProcess {
         private final CrashSimulatingVolume volume;
         private final DiskEnvironment environment;
@@ -59,25 +59,26 @@
     }
 
     private static void assertRecovers(CrashSimulatingVolume image, Set<String> durable) {
-        StoreProcess next = new StoreProcess(image, false);
-        assertTrue(next.complete, "the disk was here all the time");
+        StoreProcess recovered = new StoreProcess(image, false);
+        assertTrue(recovered.complete, "no record may be lost without damage to the disk");
         assertTrue(
-                next.replica.pending().keySet().containsAll(durable),
-                durable + " was durable, and there is " + next.replica.pending().keySet());
+                recovered.replica.pending().keySet().containsAll(durable),
+                "durable: " + durable + ", recovered: "
+                        + recovered.replica.pending().keySet());
     }
 
-    /** Proposals, compactions and a full disk in all orders with the disk's own tasks; a crash after every step. */
+    /** Runs proposals, compactions and a full disk in all orders with the disk tasks; crashes after every step. */
     @Test
     public void durableWritesSurviveACrashAtAnyStepOfACompaction() {
         int[] imageCount = {0};
         int schedules = 0;
-        for (List<String> script : List.of(
+        for (List<String> steps : List.of(
                 List.of("one", "compact", "two", "three", "compact", "four"),
                 List.of("one", "full", "two", "compact", "three", "room", "compact", "four"))) {
-            schedules += ScheduleExplorer.exploreAll(10_000, order -> runSchedule(script, order, imageCount));
+            schedules += ScheduleExplorer.exploreAll(10_000, schedule -> runSchedule(steps, schedule, imageCount));
         }
         assertEquals(schedules, 86);
-        assertTrue(imageCount[0] > 10_000, imageCount[0] + " disks");
+        assertTrue(imageCount[0] > 10_000, imageCount[0] + " disk images");
     }
 
     private static void runSchedule(List<String> steps, ScheduleExplorer schedule, int[] imageCount) {
@@ -110,41 +111,42 @@
     }
 
     /**
-     * The disk is full when the store becomes complete: it says so on disk later, and not before its items are there.
+     * If the disk is full when the store becomes complete, the disk must record completeness later, and not before the
+     * store's items are persisted.
      */
     @Test
     public void completenessIsPersistedOnceTheDiskHasSpace() {
         CrashSimulatingVolume volume = new CrashSimulatingVolume();
         StoreProcess store = new StoreProcess(volume, false);
         assertFalse(store.complete);
-        store.replica.merge(List.of(serviceItem("met")));
+        store.replica.merge(List.of(serviceItem("first")));
         volume.setFull(true);
         store.storage.markComplete();
         store.environment.runUntilIdle();
         volume.setFull(false);
-        store.replica.merge(List.of(serviceItem("later")));
-        store.storage.persistItems(List.of(serviceItem("later")));
+        store.replica.merge(List.of(serviceItem("second")));
+        store.storage.persistItems(List.of(serviceItem("second")));
         store.environment.runUntilIdle();
-        StoreProcess early = new StoreProcess(volume.imageAfterKill(), false);
+        StoreProcess recoveredEarly = new StoreProcess(volume.imageAfterKill(), false);
         assertTrue(
-                !early.complete || early.replica.committed().contains(serviceItem("met")),
-                "complete without its items");
+                !recoveredEarly.complete || recoveredEarly.replica.committed().contains(serviceItem("first")),
+                "recovered as complete without its items");
         for (int i = 0; i < 40; i++) {
             store.environment.advanceClockMicros(125_000);
             store.environment.runUntilIdle();
         }
-        StoreProcess next = new StoreProcess(volume.imageAfterKill(), false);
-        assertTrue(next.complete);
-        assertEquals(next.replica.committed().size(), 2);
+        StoreProcess recovered = new StoreProcess(volume.imageAfterKill(), false);
+        assertTrue(recovered.complete);
+        assertEquals(recovered.replica.committed().size(), 2);
     }
 
-    /** It starts with what it can read, rejects what it can't persist, and persists again once there is space. */
+    /** The store recovers readable records, rejects writes that it cannot persist, and resumes when there is space. */
     @Test
     public void storeStartsOnAFullDisk() {
         CrashSimulatingVolume volume = new CrashSimulatingVolume();
-        StoreProcess before = new StoreProcess(volume, true);
-        before.propose("one");
-        before.environment.runUntilIdle();
+        StoreProcess previousRun = new StoreProcess(volume, true);
+        previousRun.propose("one");
+        previousRun.environment.runUntilIdle();
         CrashSimulatingVolume image = volume.imageAfterKill();
         image.setFull(true);
         StoreProcess store = new StoreProcess(image, false);
@@ -164,19 +166,19 @@
         assertRecovers(image.imageAfterKill(), Set.of("one", "three"));
     }
 
-    /** What a later version has written stays as it is, and what can't be read counts as lost. */
+    /** A file written by a later version is not modified, and its unreadable records count as lost. */
     @Test
     public void fileOfANewerFormatIsLeftUnchanged() throws IOException {
         CrashSimulatingVolume volume = new CrashSimulatingVolume();
-        StoreProcess before = new StoreProcess(volume, true);
-        before.propose("one");
-        before.environment.runUntilIdle();
+        StoreProcess previousRun = new StoreProcess(volume, true);
+        previousRun.propose("one");
+        previousRun.environment.runUntilIdle();
         byte[] file = volume.read("items-1");
-        file[8 + 7]++; // the version, behind the length, the checksum and the magic
-        CRC32C sum = new CRC32C();
-        sum.update(8);
-        sum.update(file, 8, 8);
-        ByteBuffer.wrap(file).putInt(4, ~(int) sum.getValue());
+        file[8 + 7]++; // the version, after the length, the checksum and the magic number
+        CRC32C checksum = new CRC32C();
+        checksum.update(8);
+        checksum.update(file, 8, 8);
+        ByteBuffer.wrap(file).putInt(4, ~(int) checksum.getValue());
         volume.putSyncedFile("items-2", file);
         StoreProcess store = new StoreProcess(volume, false);
         assertFalse(store.complete);
@@ -189,19 +191,19 @@
         assertEquals(volume.read("items-2"), file);
     }
 
-    /** Whatever can be read of a damaged state and of the one before is there, and doesn't count as complete. */
+    /** Readable records of a damaged generation and of the previous one are recovered, but not as complete. */
     @Test
     public void intactRecordsOfADamagedDiskAreRecovered() throws IOException {
         CrashSimulatingVolume volume = new CrashSimulatingVolume();
-        StoreProcess before = new StoreProcess(volume, true);
-        before.propose("one");
-        before.environment.runUntilIdle();
-        before.storage.compact();
-        before.environment.runUntilIdle();
-        before.propose("two");
-        before.environment.runUntilIdle();
+        StoreProcess previousRun = new StoreProcess(volume, true);
+        previousRun.propose("one");
+        previousRun.environment.runUntilIdle();
+        previousRun.storage.compact();
+        previousRun.environment.runUntilIdle();
+        previousRun.propose("two");
+        previousRun.environment.runUntilIdle();
         byte[] file = volume.read("items-2");
-        file[8 + 8 + 8 + 3] ^= 1; // in the first record behind the version
+        file[8 + 8 + 8 + 3] ^= 1; // in the first record after the version
         volume.putSyncedFile("items-2", file);
         StoreProcess store = new StoreProcess(volume.imageAfterKill(), false);
         assertFalse(store.complete);
@@ -213,7 +215,7 @@
         assertFalse(new StoreProcess(volume, true).complete);
     }
 
-    /** 10,000 changes of ten items: the files stay bounded, and a start finds what there was. */
+    /** After 10,000 changes to ten items, the files stay below 10 MiB and all items are recovered. */
     @Test
     public void compactionBoundsTheSizeOnDisk() throws IOException {
         Path directory = Files.createTempDirectory("reedmux-store");
@@ -234,15 +236,15 @@
             }
         }
         assertTrue(maxBytes < 10 * 1024 * 1024, maxBytes + " bytes");
-        Replica next = new Replica();
+        Replica recovered = new Replica();
         new ReplicaStorage(
                         directory,
                         new DiskEnvironment(new FileSystemVolume(directory)).reactor(),
                         new MessageCodec(),
-                        next)
+                        recovered)
                 .load(false, CoreMembers.initial(List.of("10.0.0.1")));
-        assertEquals(List.copyOf(next.committed()), List.copyOf(replica.committed()));
-        assertEquals(Set.copyOf(next.watermarks()), Set.copyOf(replica.watermarks()));
+        assertEquals(List.copyOf(recovered.committed()), List.copyOf(replica.committed()));
+        assertEquals(Set.copyOf(recovered.watermarks()), Set.copyOf(replica.watermarks()));
         for (File file : directory.toFile().listFiles()) {
             file.delete();
         }
@@ -250,10 +252,10 @@
     }
 
     private static long totalFileBytes(Path directory) {
-        long sum = 0;
+        long totalBytes = 0;
         for (File file : directory.toFile().listFiles()) {
-            sum += file.length();
+            totalBytes += file.length();
         }
-        return sum;
+        return totalBytes;
     }
 }
--- a/src/test/java/reedmux/control/store/StoreCompatibilityTest.java
+++ b/src/test/java/reedmux/control/store/StoreCompatibilityTest.java
@@ -14,17 +14,17 @@
 import org.testng.annotations.Test;
 import reedmux.compatibility.FixtureFiles;
 
-/** The data folder of a store of an earlier version is read, and this version writes the same bytes. */
+/** Checks that this version reads the data folder of an earlier version, and writes the same bytes. */
 public class StoreCompatibilityTest {
     private Path directory;
 
     @BeforeMethod
-    public void createFolder() throws IOException {
+    public void createDirectory() throws IOException {
         directory = Files.createTempDirectory("reedmux-store");
     }
 
     @AfterMethod
-    public void deleteFolder() throws IOException {
+    public void deleteDirectory() throws IOException {
         try (DirectoryStream<Path> files = Files.newDirectoryStream(directory)) {
             for (Path file : files) {
                 Files.delete(file);
@@ -55,22 +55,22 @@
 
     @Test
     public void readsTheRecordsBeforeATornRecord() throws IOException {
-        StoreFixtures.TestStore life = startStore("store-torn", "items-2");
-        assertEquals(life.environment.logLines.size(), 1, life.environment.logLines.toString());
-        String line = life.environment.logLines.get(0);
+        StoreFixtures.TestStore store = startStore("store-torn", "items-2");
+        assertEquals(store.environment.logLines.size(), 1, store.environment.logLines.toString());
+        String line = store.environment.logLines.get(0);
         assertTrue(line.contains("disk: items-2 at "), line);
-        assertContents(life, StoreFixtures.TORN_SECOND_GENERATION, life.environment.logLines);
+        assertContents(store, StoreFixtures.TORN_SECOND_GENERATION, store.environment.logLines);
     }
 
     private static void assertContents(
-            StoreFixtures.TestStore life, StoreFixtures.Contents expected, List<String> log) {
-        StoreFixtures.Contents contents = life.contents();
+            StoreFixtures.TestStore store, StoreFixtures.Contents expected, List<String> log) {
+        StoreFixtures.Contents contents = store.contents();
         assertEquals(contents.core(), expected.core());
         assertEquals(contents.items(), expected.items());
         assertEquals(contents.watermarks(), expected.watermarks());
         assertEquals(contents.pending(), expected.pending());
-        assertTrue(life.complete, "nothing that was safe is missing");
-        assertEquals(life.environment.logLines, log);
+        assertTrue(store.complete, "the recovered store must be complete");
+        assertEquals(store.environment.logLines, log);
     }
 
     @Test
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Stores compare these to find what one of them lacks, whatever their versions. */
+    /** Stores of different versions compare digests to find missing items, so the digests must never change. */
     @Test
     public void digestsMatchTheFixture() throws IOException {
         Map<String, byte[]> digests = startStore("store", "items-2").digests();
--- a/src/test/java/reedmux/control/store/StoreFixtures.java
+++ b/src/test/java/reedmux/control/store/StoreFixtures.java
@@ -18,7 +18,10 @@
 import reedmux.control.rpc.Messages.DigestRequest;
 import reedmux.control.rpc.Messages.ProposalRecord;
 
-/** A store's data folder: two generations, and every kind of record behind the state of each. */
+/**
+ * The data folder of a store, with the contents expected after recovery. It has two generations, and records of every
+ * kind are appended to the initial state of each.
+ */
 public final class StoreFixtures {
     private static final Ballot BALLOT = new Ballot(300, "core-1");
     private static final Ballot LATER_BALLOT = new Ballot(301, "core-2");
@@ -38,8 +41,9 @@
             new ConfigurationItem("tenants", "refused", 5, "{\"weight\":5}");
     private static final Watermark ROUTE_WATERMARK = new Watermark("routes/elsewhere", 3, -9);
     private static final Watermark POOL_LOW_WATERMARK = new Watermark("plants/old", 1L << 33, Watermark.LOW_WATERMARK);
-    /** Of the route that was overtaken; its digest is a figure that stores of all versions must agree on. */
-    private static final Watermark SUPERSEDED_ROUTE = new Watermark("routes/shop", 7, -9_006_016_995_370_228_491L);
+    /** The watermark of the superseded route; stores of all versions must compute the same digest. */
+    private static final Watermark SUPERSEDED_ROUTE_WATERMARK =
+            new Watermark("routes/shop", 7, -9_006_016_995_370_228_491L);
 
     private static final Watermark LATE_WATERMARK = new Watermark("tenants/late", 11, 12);
     static final Proposal PENDING_PROPOSAL =
@@ -53,19 +57,19 @@
     private static final Proposal LAST_PROPOSAL =
             new Proposal("call-last", LATER_BALLOT, List.of(REJECTED_TENANT), true);
 
-    /** What the folder holds before its first compaction. */
+    /** The contents before the first compaction. */
     static final Contents FIRST_GENERATION = new Contents(
             new PersistentCoreState(CORE, LATER_BALLOT, BALLOT, NEXT_CORE, false),
             List.of(POOL, ROUTE, DELETED_TENANT),
             List.of(ROUTE_WATERMARK, POOL_LOW_WATERMARK),
             List.of(PENDING_PROPOSAL, PRECOMMITTED_PROPOSAL));
-    /** What it holds in the end, without the record that is cut in the torn variant. */
+    /** The final contents without the last record, which is torn in the {@code store-torn} fixture. */
     static final Contents TORN_SECOND_GENERATION = new Contents(
             new PersistentCoreState(NEXT_CORE, null, null, null, true),
             List.of(POOL, UPDATED_ROUTE, DELETED_TENANT, PENDING_TENANT),
-            List.of(ROUTE_WATERMARK, POOL_LOW_WATERMARK, SUPERSEDED_ROUTE, LATE_WATERMARK),
+            List.of(ROUTE_WATERMARK, POOL_LOW_WATERMARK, SUPERSEDED_ROUTE_WATERMARK, LATE_WATERMARK),
             List.of(PENDING_PROPOSAL));
-    /** What it holds in the end. */
+    /** The final contents. */
     static final Contents SECOND_GENERATION = new Contents(
             TORN_SECOND_GENERATION.core,
             TORN_SECOND_GENERATION.items,
@@ -74,14 +78,14 @@
 
     private StoreFixtures() {}
 
-    /** All that a start finds: items by key, watermarks, held proposals in their order. */
+    /** The recovered contents: items are ordered by key, pending proposals by age. */
     public record Contents(
             PersistentCoreState core,
             List<ConfigurationItem> items,
             List<Watermark> watermarks,
             List<Proposal> pending) {}
 
-    /** A store's replica and its storage over one folder. */
+    /** A replica and its storage in one data folder. */
     static final class TestStore {
         final DiskEnvironment environment;
         final boolean complete;
@@ -97,7 +101,7 @@
 
         private static void requireDurable(boolean durable) {
             if (!durable) {
-                throw new IllegalStateException("the disk refuses");
+                throw new IllegalStateException("the write is not durable");
             }
         }
 
@@ -121,7 +125,7 @@
             storage.persistWatermarks(watermarks);
         }
 
-        /** The digests that it would send, of the coarse ranges and of the fine ones that are in use. */
+        /** Returns the encoded digests of all coarse ranges, and of the fine ranges in the coarse ones that are in use. */
         Map<String, byte[]> digests() {
             List<Long> coarse = replica.digests().digestsOf(List.of());
             List<Integer> usedRanges = new ArrayList<>();
@@ -148,27 +152,27 @@
         }
     }
 
-    /** Lets a store write the files of two generations to an empty folder; returns the digests of its contents. */
+    /** Writes the files of two generations to an empty folder; returns the encoded digests of the contents. */
     public static Map<String, byte[]> writeDataFolder(Path folder) {
-        TestStore life = new TestStore(folder, true);
-        life.storage.persistCore(FIRST_GENERATION.core, TestStore::requireDurable);
-        life.addPending(COMMITTED_PROPOSAL);
-        life.addPending(PENDING_PROPOSAL);
-        life.addPending(ABORTED_PROPOSAL);
-        life.addPending(PRECOMMITTED_PROPOSAL);
-        life.resolve(COMMITTED_PROPOSAL, true);
-        life.resolve(ABORTED_PROPOSAL, false);
-        life.merge(DELETED_TENANT);
-        life.mergeWatermarks(List.of(ROUTE_WATERMARK, POOL_LOW_WATERMARK));
-        life.environment.runUntilIdle();
-        life.storage.compact();
-        life.environment.runUntilIdle();
-        life.merge(UPDATED_ROUTE);
-        life.resolve(PRECOMMITTED_PROPOSAL, true);
-        life.mergeWatermarks(List.of(LATE_WATERMARK));
-        life.storage.persistCore(SECOND_GENERATION.core, TestStore::requireDurable);
-        life.addPending(LAST_PROPOSAL);
-        life.environment.runUntilIdle();
-        return life.digests();
+        TestStore store = new TestStore(folder, true);
+        store.storage.persistCore(FIRST_GENERATION.core, TestStore::requireDurable);
+        store.addPending(COMMITTED_PROPOSAL);
+        store.addPending(PENDING_PROPOSAL);
+        store.addPending(ABORTED_PROPOSAL);
+        store.addPending(PRECOMMITTED_PROPOSAL);
+        store.resolve(COMMITTED_PROPOSAL, true);
+        store.resolve(ABORTED_PROPOSAL, false);
+        store.merge(DELETED_TENANT);
+        store.mergeWatermarks(List.of(ROUTE_WATERMARK, POOL_LOW_WATERMARK));
+        store.environment.runUntilIdle();
+        store.storage.compact();
+        store.environment.runUntilIdle();
+        store.merge(UPDATED_ROUTE);
+        store.resolve(PRECOMMITTED_PROPOSAL, true);
+        store.mergeWatermarks(List.of(LATE_WATERMARK));
+        store.storage.persistCore(SECOND_GENERATION.core, TestStore::requireDurable);
+        store.addPending(LAST_PROPOSAL);
+        store.environment.runUntilIdle();
+        return store.digests();
     }
 }
