--- a/src/test/java/reedmux/control/store/StoreFixtures.java
+++ b/src/test/java/reedmux/control/store/StoreFixtures.java
@@ -125,7 +125,7 @@
             storage.persistWatermarks(watermarks);
         }
 
-        /** Returns the encoded digests of all coarse ranges, and of the fine ranges in the coarse ones that are in use. */
+        /** Returns the encoded digests of the coarse ranges, and of the fine ranges in the non-empty coarse ones. */
         Map<String, byte[]> digests() {
             List<Long> coarse = replica.digests().digestsOf(List.of());
             List<Integer> usedRanges = new ArrayList<>();
