--- a/src/main/java/reedmux/control/store/ChangePublisher.java
+++ b/src/main/java/reedmux/control/store/ChangePublisher.java
@@ -52,7 +52,7 @@
     private final EncodedBatchCache encodedBatches;
     /** Connections with an unanswered request. */
     private final Set<RpcConnection> awaitingReply = new LinkedHashSet<>();
-    /** Proxy connections since whose first request contact with a quorum has not been confirmed yet. */
+    /** Proxy connections for which contact with a quorum has not been confirmed since their first request. */
     private final Set<RpcConnection> proxiesAwaitingContact = new LinkedHashSet<>();
 
     private boolean contactInProgress;
--- a/src/main/java/reedmux/control/store/MessageDispatcher.java
+++ b/src/main/java/reedmux/control/store/MessageDispatcher.java
@@ -94,24 +94,24 @@
     /** Handles messages of the consensus on operators' changes; returns false if the message is of another kind. */
     private boolean onConsensusMessage(RpcConnection connection, Object message) {
         long now = reactor.now();
-        String from = connection.peer().ip();
+        String senderIp = connection.peer().ip();
         if (message instanceof ProposeRequest request) {
             peers.recordProposalConnection(connection);
-            if (membership.acceptsEpoch(from, request.epoch())) {
-                consensus.onProposal(now, from, request.proposal());
+            if (membership.acceptsEpoch(senderIp, request.epoch())) {
+                consensus.onProposal(now, senderIp, request.proposal());
             }
         } else if (message instanceof VoteResponse response) {
-            consensus.onVote(now, from, response.proposalId(), response.ballot(), response.vote());
+            consensus.onVote(now, senderIp, response.proposalId(), response.ballot(), response.vote());
         } else if (message instanceof DecisionNotice notice) {
             consensus.onDecision(now, notice.proposalId(), notice.ballot(), notice.committed(), notice.items());
         } else if (message instanceof QuorumContactRequest request) {
             peers.recordContactConnection(connection);
             // While this store is fenced, the next core may already be making decisions.
-            if (membership.acceptsEpoch(from, request.epoch()) && !membership.isFenced()) {
-                consensus.onContactRequest(now, from, request.id(), request.afterPendingDecisions());
+            if (membership.acceptsEpoch(senderIp, request.epoch()) && !membership.isFenced()) {
+                consensus.onContactRequest(now, senderIp, request.id(), request.afterPendingDecisions());
             }
         } else if (message instanceof QuorumContactResponse response) {
-            consensus.onContactConfirmation(now, from, response.id());
+            consensus.onContactConfirmation(now, senderIp, response.id());
         } else {
             return false;
         }
@@ -121,19 +121,19 @@
     /** Handles core membership messages; returns false if the message is of another kind. */
     private boolean onMembershipMessage(RpcConnection connection, Object message) {
         long now = reactor.now();
-        String from = connection.peer().ip();
+        String senderIp = connection.peer().ip();
         if (message instanceof CoreMembershipNotice notice) {
             if (notice.ready()) {
-                server.onCandidate(from);
+                server.onCandidate(senderIp);
             }
-            membership.onCoreAnnounced(now, from, notice.core(), notice.ready(), notice.fenced());
+            membership.onCoreAnnounced(now, senderIp, notice.core(), notice.ready(), notice.fenced());
         } else if (message instanceof CoreRemovalRequest request && request.isOrder()) {
             membership.onRemovalOrder();
         } else if (message instanceof EpochMessage epochMessage) {
             peers.recordProposalConnection(connection);
-            membership.onEpochMessage(now, from, epochMessage);
+            membership.onEpochMessage(now, senderIp, epochMessage);
         } else if (message instanceof StateTransferRequest request) {
-            if (membership.maySendHandover(from, request.epoch())) {
+            if (membership.maySendHandover(senderIp, request.epoch())) {
                 publisher.onStateTransferRequest(connection, request);
             }
         } else if (message instanceof StateTransferResponse response) {
--- a/src/main/java/reedmux/control/store/StoreServer.java
+++ b/src/main/java/reedmux/control/store/StoreServer.java
@@ -293,8 +293,8 @@
     }
 
     @Override
-    public void broadcastContactRequest(long contactId, boolean settled) {
-        peers.broadcast(new QuorumContactRequest(epoch, contactId, settled));
+    public void broadcastContactRequest(long contactId, boolean afterPendingDecisions) {
+        peers.broadcast(new QuorumContactRequest(epoch, contactId, afterPendingDecisions));
     }
 
     @Override
