--- a/src/test/java/reedmux/control/store/ReplicaStorageTest.java
+++ b/src/test/java/reedmux/control/store/ReplicaStorageTest.java
@@ -63,7 +63,7 @@
         assertTrue(recovered.complete, "no record may be lost without damage to the disk");
         assertTrue(
                 recovered.replica.pending().keySet().containsAll(durable),
-                "durable: " + durable + ", recovered: "
+                durable + " must be recovered, but only found "
                         + recovered.replica.pending().keySet());
     }
 
