--- a/src/main/java/reedmux/control/rpc/Messages.java
+++ b/src/main/java/reedmux/control/rpc/Messages.java
@@ -255,21 +255,21 @@
     public record StoreStatusRequest(long id, String subject, String afterName, int limit) {}
 
     /**
-     * A call that removes a member from the core. Under the id {@link #ORDER_ID} it is the leader's word to the member
+     * A call that removes a member from the core. Under the id {@link #REMOVAL_ORDER_ID} it is the leader's word to the member
      * itself, which is not responded to.
      */
     public record CoreRemovalRequest(long id, String node) {
         /** Calls of operators have ids from 1 on. */
-        private static final long ORDER_ID = 0;
+        private static final long REMOVAL_ORDER_ID = 0;
 
         /** The leader's word to a member. */
-        public static CoreRemovalRequest order(String node) {
-            return new CoreRemovalRequest(ORDER_ID, node);
+        public static CoreRemovalRequest removalOrder(String node) {
+            return new CoreRemovalRequest(REMOVAL_ORDER_ID, node);
         }
 
         /** Whether it is the leader's word to the member itself. */
-        public boolean isOrder() {
-            return id == ORDER_ID;
+        public boolean isRemovalOrder() {
+            return id == REMOVAL_ORDER_ID;
         }
     }
 
--- a/src/main/java/reedmux/control/store/MessageDispatcher.java
+++ b/src/main/java/reedmux/control/store/MessageDispatcher.java
@@ -127,7 +127,7 @@
                 server.onCandidate(senderIp);
             }
             membership.onCoreAnnounced(now, senderIp, notice.core(), notice.ready(), notice.fenced());
-        } else if (message instanceof CoreRemovalRequest request && request.isOrder()) {
+        } else if (message instanceof CoreRemovalRequest request && request.isRemovalOrder()) {
             membership.onRemovalOrder();
         } else if (message instanceof EpochMessage epochMessage) {
             peers.recordProposalConnection(connection);
--- a/src/main/java/reedmux/control/store/StoreServer.java
+++ b/src/main/java/reedmux/control/store/StoreServer.java
@@ -211,7 +211,7 @@
     public void sendRemovalOrder(String to) {
         RpcConnection connection = peers.outgoingConnectionTo(to);
         if (connection != null) {
-            connection.sendMessage(CoreRemovalRequest.order(to));
+            connection.sendMessage(CoreRemovalRequest.removalOrder(to));
         }
     }
 
--- a/src/test/java/reedmux/compatibility/FixtureFiles.java
+++ b/src/test/java/reedmux/compatibility/FixtureFiles.java
@@ -20,7 +20,7 @@
     private FixtureFiles() {}
 
     /** Returns the bytes of one resource, for instance {@code store/items-1}. */
-    public static byte[] bytes(String name) throws IOException {
+    public static byte[] readBytes(String name) throws IOException {
         try (InputStream in = FixtureFiles.class.getResourceAsStream(ROOT + name)) {
             if (in == null) {
                 throw new IOException("no resource " + ROOT + name);
@@ -30,9 +30,9 @@
     }
 
     /** Returns the named frames of one text resource, in the order of the file. */
-    public static Map<String, byte[]> frames(String name) throws IOException {
+    public static Map<String, byte[]> readFrames(String name) throws IOException {
         Map<String, byte[]> frames = new LinkedHashMap<>();
-        for (String line : new String(bytes(name), StandardCharsets.US_ASCII).split("\n")) {
+        for (String line : new String(readBytes(name), StandardCharsets.US_ASCII).split("\n")) {
             int space = line.indexOf(' ');
             byte[] frame = HexFormat.of().parseHex(line.substring(space + 1));
             if (frames.put(line.substring(0, space), frame) != null) {
@@ -43,14 +43,14 @@
     }
 
     /** Copies resources of one folder, for instance {@code store}, into a folder of the file system. */
-    public static void copy(String folder, Path target, String... names) throws IOException {
+    public static void copyResources(String folder, Path target, String... names) throws IOException {
         for (String name : names) {
-            Files.write(target.resolve(name), bytes(folder + '/' + name));
+            Files.write(target.resolve(name), readBytes(folder + '/' + name));
         }
     }
 
     /** Writes named frames as one text file. */
-    static void write(Path file, Map<String, byte[]> frames) throws IOException {
+    static void writeFrames(Path file, Map<String, byte[]> frames) throws IOException {
         StringBuilder text = new StringBuilder();
         for (Map.Entry<String, byte[]> frame : frames.entrySet()) {
             text.append(frame.getKey())
--- a/src/test/java/reedmux/compatibility/FixtureGenerator.java
+++ b/src/test/java/reedmux/compatibility/FixtureGenerator.java
@@ -20,22 +20,22 @@
  *     src/test/resources/compatibility</pre>
  */
 public final class FixtureGenerator {
-    private static final int CUT_BYTES = 5;
+    private static final int TRUNCATED_BYTES = 5;
 
     private FixtureGenerator() {}
 
     /** Takes the folder to write to as its only argument; it must not have the data folders yet. */
     public static void main(String[] args) throws IOException {
         Path root = Path.of(args[0]);
-        FixtureFiles.write(root.resolve("rpc-frames.txt"), RpcFixtures.encoded());
-        FixtureFiles.write(root.resolve("rpc-frames-read-only.txt"), RpcFixtures.readOnlyEncoded());
-        FixtureFiles.write(root.resolve("peer-packets.txt"), PeerPacketFixtures.encoded());
-        FixtureFiles.write(root.resolve("handover-frames.txt"), HandoverFixtures.encoded());
+        FixtureFiles.writeFrames(root.resolve("rpc-frames.txt"), RpcFixtures.encodedFrames());
+        FixtureFiles.writeFrames(root.resolve("rpc-frames-read-only.txt"), RpcFixtures.encodedReadOnlyMessages());
+        FixtureFiles.writeFrames(root.resolve("peer-packets.txt"), PeerPacketFixtures.encoded());
+        FixtureFiles.writeFrames(root.resolve("handover-frames.txt"), HandoverFixtures.encoded());
         Path store = Files.createDirectory(root.resolve("store"));
-        FixtureFiles.write(root.resolve("store-digests.txt"), StoreFixtures.writeDataFolder(store));
+        FixtureFiles.writeFrames(root.resolve("store-digests.txt"), StoreFixtures.writeDataFolder(store));
         byte[] newest = Files.readAllBytes(store.resolve("items-2"));
         Path torn = Files.createDirectory(root.resolve("store-torn"));
-        Files.write(torn.resolve("items-2"), Arrays.copyOf(newest, newest.length - CUT_BYTES));
+        Files.write(torn.resolve("items-2"), Arrays.copyOf(newest, newest.length - TRUNCATED_BYTES));
         RegistryFixtures.writeDataFolder(Files.createDirectory(root.resolve("registry")));
     }
 }
--- a/src/test/java/reedmux/control/registry/RegistryCompatibilityTest.java
+++ b/src/test/java/reedmux/control/registry/RegistryCompatibilityTest.java
@@ -23,7 +23,7 @@
 
     private static void assertReads(List<InstanceIncarnation> expected, String... files) throws IOException {
         Path folder = Files.createTempDirectory("reedmux-registry");
-        FixtureFiles.copy(FOLDER, folder, files);
+        FixtureFiles.copyResources(FOLDER, folder, files);
         RegistryFixtures.StorageFixture storage = new RegistryFixtures.StorageFixture(folder);
         assertEquals(storage.environment.logLines, List.of());
         assertEquals(List.copyOf(storage.directory.all(0)), expected);
@@ -38,7 +38,7 @@
         Path folder = Files.createTempDirectory("reedmux-registry");
         RegistryFixtures.writeDataFolder(folder);
         for (String file : List.of("items-1", "items-2")) {
-            assertEquals(Files.readAllBytes(folder.resolve(file)), FixtureFiles.bytes(FOLDER + '/' + file), file);
+            assertEquals(Files.readAllBytes(folder.resolve(file)), FixtureFiles.readBytes(FOLDER + '/' + file), file);
             Files.delete(folder.resolve(file));
         }
         Files.delete(folder);
--- a/src/test/java/reedmux/control/rpc/RpcCompatibilityTest.java
+++ b/src/test/java/reedmux/control/rpc/RpcCompatibilityTest.java
@@ -26,7 +26,7 @@
     @Test
     public void decodesAndEncodesEveryFrameOfTheFixture() throws IOException {
         MessageCodec codec = new MessageCodec();
-        Map<String, byte[]> frames = FixtureFiles.frames("rpc-frames.txt");
+        Map<String, byte[]> frames = FixtureFiles.readFrames("rpc-frames.txt");
         Map<String, Object> expected = RpcFixtures.messages();
         assertEquals(List.copyOf(frames.keySet()), List.copyOf(expected.keySet()));
         for (Map.Entry<String, byte[]> frame : frames.entrySet()) {
@@ -37,8 +37,8 @@
     }
 
     @Test
-    public void decodesFormsThatAreNoLongerWritten() throws IOException {
-        Map<String, byte[]> frames = FixtureFiles.frames("rpc-frames-read-only.txt");
+    public void decodesFormatsThatAreNoLongerWritten() throws IOException {
+        Map<String, byte[]> frames = FixtureFiles.readFrames("rpc-frames-read-only.txt");
         Map<String, Object> expected = RpcFixtures.readOnlyMessages();
         assertEquals(frames.keySet(), expected.keySet());
         for (Map.Entry<String, byte[]> frame : frames.entrySet()) {
@@ -49,7 +49,7 @@
 
     /** A message type that is added later needs a frame in the fixture. */
     @Test
-    public void theFixtureHasEveryTypeOfMessage() {
+    public void fixtureCoversEveryMessageType() {
         Set<Class<?>> covered = new HashSet<>();
         RpcFixtures.messages().values().forEach(message -> covered.add(message.getClass()));
         for (Class<?> type : Messages.class.getDeclaredClasses()) {
@@ -58,7 +58,7 @@
     }
 
     @Test
-    public void aConnectionUnderstandsTheFramesOfTheFixture() throws IOException {
+    public void connectionDispatchesEveryFixtureFrame() throws IOException {
         ScriptedEnvironment sockets = new ScriptedEnvironment();
         List<Object> told = new ArrayList<>();
         RpcConnection.RpcConnectionHandler owner = new RpcConnection.RpcConnectionHandler() {
@@ -80,7 +80,7 @@
         Messages.Hello self =
                 new Messages.Hello(Messages.FORMAT_VERSION, "proxy", "edge-1", "10.1.0.1", "a", 5, List.of());
         RpcConnection.accept(sockets.reactor(), new MessageCodec(), self, sockets.acceptConnection(), owner);
-        for (byte[] frame : FixtureFiles.frames("rpc-frames.txt").values()) {
+        for (byte[] frame : FixtureFiles.readFrames("rpc-frames.txt").values()) {
             sockets.sockets.get(0).receive(new String(frame, StandardCharsets.ISO_8859_1));
         }
         List<Object> expected = new ArrayList<>(RpcFixtures.messages().values());
--- a/src/test/java/reedmux/control/rpc/RpcConnectionTest.java
+++ b/src/test/java/reedmux/control/rpc/RpcConnectionTest.java
@@ -54,7 +54,7 @@
     }
 
     @DataProvider
-    public Object[][] bad() {
+    public Object[][] malformedInputs() {
         byte[] hello = new MessageCodec().encode(PEER_HELLO);
         return new Object[][] {
             {"GET / HTTP/1.1\r\n\r\n", "no frame"},
@@ -73,7 +73,7 @@
     }
 
     /** Three connections with the same input get one warning together, and the next connection works. */
-    @Test(dataProvider = "bad")
+    @Test(dataProvider = "malformedInputs")
     public void malformedInputClosesOnlyItsOwnConnection(String bytes, String line) throws IOException {
         ScriptedEnvironment sockets = new ScriptedEnvironment();
         MessageCodec codec = new MessageCodec();
--- a/src/test/java/reedmux/control/rpc/RpcFixtures.java
+++ b/src/test/java/reedmux/control/rpc/RpcFixtures.java
@@ -32,11 +32,11 @@
     private static final ConfigurationItem ROUTE =
             new ConfigurationItem("routes", "shop", 7, "{\"host\":\"shop.example\"}");
     private static final ConfigurationItem POOL = new ConfigurationItem("plants", "p", 1L << 40, LONG_TEXT);
-    private static final ConfigurationItem DROPPED = new ConfigurationItem("tenants", "gone", 300, "");
-    private static final List<ConfigurationItem> ITEMS = List.of(ROUTE, POOL, DROPPED);
+    private static final ConfigurationItem DELETED = new ConfigurationItem("tenants", "gone", 300, "");
+    private static final List<ConfigurationItem> ITEMS = List.of(ROUTE, POOL, DELETED);
     private static final Ballot BALLOT = new Ballot(300, "core-1");
     private static final Ballot LATER_BALLOT = new Ballot(301, "core-2");
-    private static final Proposal HELD = new Proposal("call-1", BALLOT, ITEMS, false);
+    private static final Proposal PREPARED = new Proposal("call-1", BALLOT, ITEMS, false);
     private static final Proposal PRECOMMITTED = new Proposal("call-2", LATER_BALLOT, List.of(ROUTE), true);
     private static final CoreMembers CORE =
             new CoreMembers(4, Map.of("10.0.0.1", "core-1", "10.0.0.2", "", "10.0.0.3", "core-3"));
@@ -61,7 +61,7 @@
         all.put("pull", new Messages.ChangesRequest(-3, 4));
         all.put(
                 "configuration-update",
-                new Messages.ConfigurationUpdate(-11, 12, true, ITEMS, List.of(HELD, PRECOMMITTED)));
+                new Messages.ConfigurationUpdate(-11, 12, true, ITEMS, List.of(PREPARED, PRECOMMITTED)));
         all.put(
                 "membership-update",
                 new Messages.MembershipUpdate(
@@ -74,7 +74,7 @@
         all.put("read-request", new Messages.ConfigurationReadRequest(6));
         all.put("show-request", new Messages.StoreStatusRequest(-15, "items", "routes/shop", 70_000));
         all.put("outcome", new Messages.OperatorResponse(7, 409, LONG_TEXT));
-        all.put("propose", new Messages.ProposalRecord(HELD));
+        all.put("propose", new Messages.ProposalRecord(PREPARED));
         all.put("propose-precommitted", new Messages.ProposalRecord(PRECOMMITTED));
         all.put("vote-held", new Messages.VoteResponse("call-1", BALLOT, Vote.PREPARED));
         all.put("vote-invalid", new Messages.VoteResponse("call-1", BALLOT, Vote.INVALID));
@@ -105,7 +105,7 @@
                 "fetched",
                 new Messages.StateTransferResponse(
                         4,
-                        new Messages.ConfigurationUpdate(-1, 2, true, ITEMS, List.of(HELD, PRECOMMITTED)),
+                        new Messages.ConfigurationUpdate(-1, 2, true, ITEMS, List.of(PREPARED, PRECOMMITTED)),
                         List.of(List.of("10.0.0.1", "10.0.0.2"), List.of("10.0.0.3"))));
         all.put("leave", new Messages.CoreRemovalRequest(8, "core-1"));
         all.put("incarnations", new Messages.IncarnationNotice(9, List.of(DRAINING, GONE)));
@@ -140,7 +140,7 @@
     }
 
     /** Returns the bytes of each message as a connection carries them: the length and then the message. */
-    public static Map<String, byte[]> encoded() {
+    public static Map<String, byte[]> encodedFrames() {
         MessageCodec codec = new MessageCodec();
         Map<String, byte[]> all = new LinkedHashMap<>();
         messages().forEach((name, message) -> all.put(name, framed(codec.encode(message))));
@@ -161,40 +161,40 @@
         all.put("items-without-held", new Messages.ConfigurationUpdate(-31, 32, true, ITEMS, List.of()));
         all.put("propose-without-ballot", new Messages.ProposalRecord(new Proposal("call-3", none, ITEMS, false)));
         all.put("decided-without-ballot", new Messages.DecisionNotice("call-3", none, true, ITEMS));
-        all.put("propose-of-one-phase", new Messages.ProposalRecord(HELD));
+        all.put("propose-of-one-phase", new Messages.ProposalRecord(PREPARED));
         return all;
     }
 
     /** Returns the bytes of those, written out here as no code of the programs writes them. */
-    public static Map<String, byte[]> readOnlyEncoded() {
+    public static Map<String, byte[]> encodedReadOnlyMessages() {
         Map<String, byte[]> all = new LinkedHashMap<>();
-        Output out = start(3);
+        Output out = startMessage(3);
         out.writeLong(-31);
         out.writeLong(32);
         out.writeBoolean(true);
-        all.put("items-without-held", end(out));
-        out = start(8);
+        all.put("items-without-held", appendItems(out));
+        out = startMessage(8);
         out.writeString("call-3");
-        all.put("propose-without-ballot", end(out));
-        out = start(10);
+        all.put("propose-without-ballot", appendItems(out));
+        out = startMessage(10);
         out.writeString("call-3");
         out.writeBoolean(true);
-        all.put("decided-without-ballot", end(out));
-        out = start(15);
+        all.put("decided-without-ballot", appendItems(out));
+        out = startMessage(15);
         out.writeString("call-1");
         out.writeVarLong(300, true);
         out.writeString("core-1");
-        all.put("propose-of-one-phase", end(out));
+        all.put("propose-of-one-phase", appendItems(out));
         return all;
     }
 
-    private static Output start(int type) {
+    private static Output startMessage(int type) {
         Output out = new Output(64, -1);
         out.writeByte(type);
         return out;
     }
 
-    private static byte[] end(Output out) {
+    private static byte[] appendItems(Output out) {
         out.writeVarInt(ITEMS.size(), true);
         for (ConfigurationItem item : ITEMS) {
             out.writeString(item.kind());
--- a/src/test/java/reedmux/control/store/StoreCompatibilityTest.java
+++ b/src/test/java/reedmux/control/store/StoreCompatibilityTest.java
@@ -34,7 +34,7 @@
     }
 
     private StoreFixtures.TestStore startStore(String resources, String... files) throws IOException {
-        FixtureFiles.copy(resources, directory, files);
+        FixtureFiles.copyResources(resources, directory, files);
         return new StoreFixtures.TestStore(directory, false);
     }
 
@@ -77,7 +77,7 @@
     public void writesTheBytesOfTheFixture() throws IOException {
         StoreFixtures.writeDataFolder(directory);
         for (String file : List.of("items-1", "items-2")) {
-            assertEquals(Files.readAllBytes(directory.resolve(file)), FixtureFiles.bytes("store/" + file), file);
+            assertEquals(Files.readAllBytes(directory.resolve(file)), FixtureFiles.readBytes("store/" + file), file);
         }
     }
 
@@ -85,7 +85,7 @@
     @Test
     public void digestsMatchTheFixture() throws IOException {
         Map<String, byte[]> digests = startStore("store", "items-2").digests();
-        Map<String, byte[]> expected = FixtureFiles.frames("store-digests.txt");
+        Map<String, byte[]> expected = FixtureFiles.readFrames("store-digests.txt");
         assertEquals(digests.keySet(), expected.keySet());
         digests.forEach((name, bytes) -> assertEquals(bytes, expected.get(name), name));
     }
--- a/src/test/java/reedmux/gatekeeper/handover/HandoverCompatibilityTest.java
+++ b/src/test/java/reedmux/gatekeeper/handover/HandoverCompatibilityTest.java
@@ -16,7 +16,7 @@
 
     @Test
     public void decodesAndEncodesEveryFrameOfTheFixture() throws IOException {
-        Map<String, byte[]> frames = FixtureFiles.frames("handover-frames.txt");
+        Map<String, byte[]> frames = FixtureFiles.readFrames("handover-frames.txt");
         Map<String, HandoverFrame> expected = HandoverFixtures.frames();
         assertEquals(List.copyOf(frames.keySet()), List.copyOf(expected.keySet()));
         for (Map.Entry<String, byte[]> frame : frames.entrySet()) {
--- a/src/test/java/reedmux/gatekeeper/policy/PeerPacketCompatibilityTest.java
+++ b/src/test/java/reedmux/gatekeeper/policy/PeerPacketCompatibilityTest.java
@@ -13,7 +13,7 @@
 
     @Test
     public void decodesAndEncodesEveryDatagramOfTheFixture() throws IOException {
-        Map<String, byte[]> datagrams = FixtureFiles.frames("peer-packets.txt");
+        Map<String, byte[]> datagrams = FixtureFiles.readFrames("peer-packets.txt");
         Map<String, PeerPacket> expected = PeerPacketFixtures.packets();
         Map<String, byte[]> written = PeerPacketFixtures.encoded();
         assertEquals(List.copyOf(datagrams.keySet()), List.copyOf(expected.keySet()));
