--- a/src/main/java/reedmux/gatekeeper/http/BodyStream.java
+++ b/src/main/java/reedmux/gatekeeper/http/BodyStream.java
@@ -64,7 +64,7 @@
     // ---- The source --------------------------------------------------------------------------------
     /** Receives bytes of the source; returns false if the body is too long, with which the stream has failed. */
     boolean receive(ByteBuffer bytes) {
-        DataStreamChannel wake;
+        DataStreamChannel waitingSink;
         synchronized (this) {
             if (closed) {
                 bytes.position(bytes.limit());
@@ -75,14 +75,14 @@
                 TOTAL_BUFFERED.addAndGet(bytes.remaining());
                 buffer(bytes);
             }
-            wake = sink;
+            waitingSink = sink;
         }
         if (receivedBytes > maxBytes) {
             fail();
             return false;
         }
-        if (wake != null) {
-            wake.requestOutput();
+        if (waitingSink != null) {
+            waitingSink.requestOutput();
         }
         return true;
     }
@@ -95,11 +95,11 @@
                 last.limit(0);
                 chunks.add(last);
             }
-            int some = Math.min(bytes.remaining(), last.capacity() - last.limit());
+            int count = Math.min(bytes.remaining(), last.capacity() - last.limit());
             int end = last.limit();
-            last.limit(end + some);
-            last.put(end, bytes, bytes.position(), some);
-            bytes.position(bytes.position() + some);
+            last.limit(end + count);
+            last.put(end, bytes, bytes.position(), count);
+            bytes.position(bytes.position() + count);
         }
     }
 
@@ -113,59 +113,59 @@
 
     private void grantCapacity() throws IOException {
         CapacityChannel channel;
-        long more;
+        long additionalBytes;
         synchronized (this) {
-            long ahead = TOTAL_BUFFERED.get() > PRESSURE_THRESHOLD_BYTES
+            long maxBufferedBytes = TOTAL_BUFFERED.get() > PRESSURE_THRESHOLD_BYTES
                     ? MAX_BUFFERED_BYTES_UNDER_PRESSURE
                     : MAX_BUFFERED_BYTES;
-            more = closed ? Integer.MAX_VALUE : sentBytes + ahead - grantedBytes;
+            additionalBytes = closed ? Integer.MAX_VALUE : sentBytes + maxBufferedBytes - grantedBytes;
             channel = source;
-            if (channel == null || more < MIN_GRANT_BYTES) {
+            if (channel == null || additionalBytes < MIN_GRANT_BYTES) {
                 return;
             }
-            grantedBytes += more;
+            grantedBytes += additionalBytes;
             if (closed) {
                 source = null; // the rest has been granted, and is discarded
             }
         }
-        channel.update((int) more);
+        channel.update((int) additionalBytes);
     }
 
     /** The source has sent the whole body. */
     void complete() {
-        DataStreamChannel wake;
+        DataStreamChannel waitingSink;
         synchronized (this) {
             complete = true;
-            wake = sink;
+            waitingSink = sink;
         }
-        if (wake != null) {
-            wake.requestOutput();
+        if (waitingSink != null) {
+            waitingSink.requestOutput();
         }
     }
 
     /** The source has failed. */
     void fail() {
-        Runnable tell;
+        Runnable listener;
         synchronized (this) {
             if (closed || failed) {
                 return;
             }
             failed = true;
-            tell = failureListener;
+            listener = failureListener;
         }
         discardRest();
-        tell.run();
+        listener.run();
     }
 
     // ---- The sink ----------------------------------------------------------------------------------
     /** Sets what is run when the source fails; it is run at once if the source has failed already. */
     void onFailure(Runnable listener) {
-        boolean already;
+        boolean alreadyFailed;
         synchronized (this) {
             failureListener = listener;
-            already = failed;
+            alreadyFailed = failed;
         }
-        if (already) {
+        if (alreadyFailed) {
             listener.run();
         }
     }
@@ -177,16 +177,16 @@
 
     /** Writes as much as the sink takes; returns whether the body has been written completely. */
     boolean writeTo(DataStreamChannel channel) throws IOException {
-        boolean last = false;
+        boolean bodyWritten = false;
         synchronized (this) {
             sink = channel;
             while (!closed && !chunks.isEmpty()) {
                 ByteBuffer chunk = chunks.peek();
-                int before = chunk.position();
+                int positionBefore = chunk.position();
                 channel.write(chunk);
-                int some = chunk.position() - before;
-                sentBytes += some;
-                TOTAL_BUFFERED.addAndGet(-some);
+                int written = chunk.position() - positionBefore;
+                sentBytes += written;
+                TOTAL_BUFFERED.addAndGet(-written);
                 if (chunk.hasRemaining()) {
                     break;
                 }
@@ -199,14 +199,14 @@
             }
             if (!closed && complete && bufferedBytes() == 0) {
                 closed = true;
-                last = true;
+                bodyWritten = true;
             }
         }
-        if (last) {
+        if (bodyWritten) {
             channel.endStream();
         }
         grantCapacity();
-        return last;
+        return bodyWritten;
     }
 
     /** The sink takes no more; what is still received is discarded. */
--- a/src/main/java/reedmux/gatekeeper/http/BufferedBody.java
+++ b/src/main/java/reedmux/gatekeeper/http/BufferedBody.java
@@ -16,8 +16,8 @@
         private boolean tooLong;
 
         InboundBody(EntityDetails details) {
-            long told = Math.max(0, details.getContentLength());
-            bytes = new ByteArrayOutputStream((int) Math.min(HttpTransport.MAX_BUFFERED_BODY_BYTES, told));
+            long declaredLength = Math.max(0, details.getContentLength());
+            bytes = new ByteArrayOutputStream((int) Math.min(HttpTransport.MAX_BUFFERED_BODY_BYTES, declaredLength));
         }
 
         void append(ByteBuffer source) {
--- a/src/main/java/reedmux/gatekeeper/http/ConnectionAcceptor.java
+++ b/src/main/java/reedmux/gatekeeper/http/ConnectionAcceptor.java
@@ -95,14 +95,14 @@
                 }
                 continue;
             }
-            boolean used = false;
+            boolean permitUsed = false;
             try {
                 SocketChannel accepted = server.accept();
                 if (accepted == null) {
                     return;
                 }
                 AcceptedChannels.hand(reactor, accepted);
-                used = true;
+                permitUsed = true;
             } catch (IOException | RuntimeException e) { // no descriptor is left, or the client has gone
                 log.accept("cannot accept: " + e.getMessage());
                 TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MILLIS);
@@ -110,7 +110,7 @@
                     return;
                 }
             } finally {
-                if (!used) {
+                if (!permitUsed) {
                     connectionPermits.release();
                 }
             }
--- a/src/main/java/reedmux/gatekeeper/http/ConsumerConnection.java
+++ b/src/main/java/reedmux/gatekeeper/http/ConsumerConnection.java
@@ -94,8 +94,8 @@
 
     /** The exchange of a request whose head has been read; only one at a time may have an invocation. */
     ConsumerExchange createExchange() {
-        ConsumerExchange before = currentExchange;
-        boolean onlyExchange = before == null || before.isAnswered();
+        ConsumerExchange previous = currentExchange;
+        boolean onlyExchange = previous == null || previous.isAnswered();
         ConsumerExchange created = new ConsumerExchange(server, this, onlyExchange);
         pendingResponses++;
         if (onlyExchange) {
@@ -187,17 +187,19 @@
     /** Whether the time-out of its state has passed. */
     boolean isOverdue(long now) {
         ConsumerExchange exchange = currentExchange;
-        long inState = now - stateSince;
+        long timeInState = now - stateSince;
         long requestTimeout = server.requestTimeoutMicros();
         return switch (state(now)) {
-            case CLOSING -> inState > LINGER_MICROS;
+            case CLOSING -> timeInState > LINGER_MICROS;
             case SLOW, STARTING ->
-                isReadingBody() ? exchange.isBodyTooSlow(now, stateSince, requestTimeout) : inState > requestTimeout;
-            case IDLE -> inState > IDLE_TIMEOUT_MICROS;
+                isReadingBody()
+                        ? exchange.isBodyTooSlow(now, stateSince, requestTimeout)
+                        : timeInState > requestTimeout;
+            case IDLE -> timeInState > IDLE_TIMEOUT_MICROS;
             case SERVING ->
                 exchange != null
                         && (exchange.isBodyTooSlow(now, stateSince, REQUEST_TIMEOUT_MICROS)
-                                || exchange.awaitsConsumer() && inState > WRITE_TIMEOUT_MICROS);
+                                || exchange.awaitsConsumer() && timeInState > WRITE_TIMEOUT_MICROS);
         };
     }
 
@@ -251,8 +253,8 @@
         }
         boolean withoutRequest = pendingResponses == 0 && !isReadingRequest();
         boolean readingBody = currentExchange != null && currentExchange.isReadingBody();
-        boolean closes = withoutRequest && due || isOverdue(server.frontend().now());
-        if (closes && !(readingBody && currentExchange.rejectTimedOut())) {
+        boolean closesNow = withoutRequest && due || isOverdue(server.frontend().now());
+        if (closesNow && !(readingBody && currentExchange.rejectTimedOut())) {
             close();
         }
     }
--- a/src/main/java/reedmux/gatekeeper/http/ConsumerExchange.java
+++ b/src/main/java/reedmux/gatekeeper/http/ConsumerExchange.java
@@ -188,7 +188,7 @@
                 tryRejectAndClose(STATUS_CONTENT_TOO_LARGE, BODY_TOO_LONG);
             }
         } else {
-            ByteBuffer same = source.duplicate();
+            ByteBuffer unreadView = source.duplicate();
             bufferedRequest.append(source);
             if (bufferedRequest.isTooLong()
                     && server.frontend().maxBodyBytes() <= HttpTransport.MAX_BUFFERED_BODY_BYTES) {
@@ -199,7 +199,7 @@
                 } catch (HttpException e) {
                     throw new IOException(e);
                 }
-                requestStream.receive(same);
+                requestStream.receive(unreadView);
             }
         }
     }
@@ -306,13 +306,13 @@
         if (stream == null) {
             recordOutcome(response.status());
         }
-        BodyStream unread = requestStream;
-        if (unread != null && !connection.hasStoppedReading()) {
-            unread.discardRest();
+        BodyStream unreadRequest = requestStream;
+        if (unreadRequest != null && !connection.hasStoppedReading()) {
+            unreadRequest.discardRest();
         }
-        boolean closes = server.lifeCycle().closesAfterResponse() || connection.hasStoppedReading();
-        long tookMicros = receivedAt > 0 ? server.frontend().now() - receivedAt : NOT_REPORTED;
-        HttpResponse head = ResponseHead.of(response, request, tookMicros, closes);
+        boolean closesConnection = server.lifeCycle().closesAfterResponse() || connection.hasStoppedReading();
+        long processingMicros = receivedAt > 0 ? server.frontend().now() - receivedAt : NOT_REPORTED;
+        HttpResponse head = ResponseHead.of(response, request, processingMicros, closesConnection);
         connection.onResponseProgress();
         if (stream != null) {
             responseStream = stream;
--- a/src/main/java/reedmux/gatekeeper/http/ConsumerServer.java
+++ b/src/main/java/reedmux/gatekeeper/http/ConsumerServer.java
@@ -144,18 +144,19 @@
     /** The connection to evict next: by state first, then by how long it has been in it; null if there is none. */
     private ConsumerConnection findEvictable(List<ConsumerConnection> candidates) {
         long now = frontend.now();
-        ConsumerConnection first = null;
-        ConsumerConnectionState firstState = ConsumerConnectionState.STARTING;
+        ConsumerConnection selected = null;
+        ConsumerConnectionState selectedState = ConsumerConnectionState.STARTING;
         for (ConsumerConnection candidate : candidates) {
             ConsumerConnectionState state =
                     candidate.isClosed() ? ConsumerConnectionState.SERVING : candidate.state(now);
-            boolean longer = first != null && state == firstState && candidate.stateSince() < first.stateSince();
-            if (state.compareTo(firstState) < 0 || longer) {
-                first = candidate;
-                firstState = state;
+            boolean longerInState =
+                    selected != null && state == selectedState && candidate.stateSince() < selected.stateSince();
+            if (state.compareTo(selectedState) < 0 || longerInState) {
+                selected = candidate;
+                selectedState = state;
             }
         }
-        return first;
+        return selected;
     }
 
     /** A connection has been closed, by whichever side. */
--- a/src/main/java/reedmux/gatekeeper/http/HttpTransport.java
+++ b/src/main/java/reedmux/gatekeeper/http/HttpTransport.java
@@ -50,7 +50,7 @@
      */
     public static DefaultListeningIOReactor createReactor(
             Function<SocketAddress, ConsumerServer> servers, Consumer<String> log, Collection<Thread> threads) {
-        ThreadFactory daemon = task -> {
+        ThreadFactory daemonThreads = task -> {
             Thread thread = new Thread(task, "reedmux-io");
             thread.setDaemon(true);
             threads.add(thread);
@@ -66,8 +66,8 @@
                         .setSoReuseAddress(true)
                         .setSelectInterval(SELECT_INTERVAL)
                         .build(),
-                daemon,
-                daemon,
+                daemonThreads,
+                daemonThreads,
                 null,
                 failure -> log.accept("reactor: " + failure),
                 null,
--- a/src/main/java/reedmux/gatekeeper/http/IntakeLimiter.java
+++ b/src/main/java/reedmux/gatekeeper/http/IntakeLimiter.java
@@ -58,13 +58,13 @@
     }
 
     private void resume(int count) {
-        for (int left = count; left > 0; left--) {
+        for (int remaining = count; remaining > 0; remaining--) {
             BooleanSupplier next = waitingConnections.poll();
             if (next == null) {
                 return;
             }
             if (!next.getAsBoolean()) {
-                left++;
+                remaining++;
             }
         }
     }
--- a/src/main/java/reedmux/gatekeeper/http/LineCheckingBuffer.java
+++ b/src/main/java/reedmux/gatekeeper/http/LineCheckingBuffer.java
@@ -25,11 +25,11 @@
 
     @Override
     public boolean readLine(CharArrayBuffer line, boolean endOfStream) throws IOException {
-        boolean whole = delegate.readLine(line, endOfStream);
-        if (whole) {
+        boolean complete = delegate.readLine(line, endOfStream);
+        if (complete) {
             checkLine(line);
         }
-        return whole;
+        return complete;
     }
 
     @Override
@@ -53,23 +53,23 @@
     }
 
     @Override
-    public final int read(ByteBuffer to, int most) {
-        return delegate.read(to, most);
+    public final int read(ByteBuffer destination, int maxBytes) {
+        return delegate.read(destination, maxBytes);
     }
 
     @Override
-    public final int read(ByteBuffer to) {
-        return delegate.read(to);
+    public final int read(ByteBuffer destination) {
+        return delegate.read(destination);
     }
 
     @Override
-    public final int read(WritableByteChannel to, int most) throws IOException {
-        return delegate.read(to, most);
+    public final int read(WritableByteChannel destination, int maxBytes) throws IOException {
+        return delegate.read(destination, maxBytes);
     }
 
     @Override
-    public final int read(WritableByteChannel to) throws IOException {
-        return delegate.read(to);
+    public final int read(WritableByteChannel destination) throws IOException {
+        return delegate.read(destination);
     }
 
     /** The lines of a request's head. */
@@ -119,8 +119,8 @@
         private final ChunkErrorListener errorListener;
         private ChunkState state = ChunkState.SIZE;
 
-        ChunkLineChecker(ChunkErrorListener fault) {
-            this.errorListener = fault;
+        ChunkLineChecker(ChunkErrorListener errorListener) {
+            this.errorListener = errorListener;
         }
 
         @Override
@@ -129,9 +129,9 @@
                 discard();
                 return false;
             }
-            boolean whole = false;
+            boolean complete = false;
             try {
-                whole = super.readLine(line, endOfStream);
+                complete = super.readLine(line, endOfStream);
             } catch (IOException e) { // longer than a line may be
                 reportError("a line between chunks is too long");
             }
@@ -140,7 +140,7 @@
                 discard();
                 return false;
             }
-            return whole;
+            return complete;
         }
 
         @Override
--- a/src/main/java/reedmux/gatekeeper/http/MinimumRateGuard.java
+++ b/src/main/java/reedmux/gatekeeper/http/MinimumRateGuard.java
@@ -17,12 +17,12 @@
     /**
      * Whether less of a body has been received than the rate requires.
      *
-     * @param elapsed     since the request began
-     * @param headTimeout how long a head may take
-     * @param bytes       received of the body
+     * @param elapsedMicros     since the request began
+     * @param headTimeoutMicros how long a head may take
+     * @param receivedBytes       received of the body
      */
-    static boolean isTooSlow(long elapsed, long headTimeout, long bytes) {
-        return elapsed > headTimeout + BODY_GRACE_MICROS + (long) (bytes / MIN_BYTES_PER_MICRO);
+    static boolean isTooSlow(long elapsedMicros, long headTimeoutMicros, long receivedBytes) {
+        return elapsedMicros > headTimeoutMicros + BODY_GRACE_MICROS + (long) (receivedBytes / MIN_BYTES_PER_MICRO);
     }
 
     /** How long a body of this length may take at most; a negative length is unknown. */
--- a/src/main/java/reedmux/gatekeeper/http/ProviderClient.java
+++ b/src/main/java/reedmux/gatekeeper/http/ProviderClient.java
@@ -29,7 +29,8 @@
     /** Starts a call with a time-out in microseconds; that of a streamed request begins with its last byte. */
     public void call(UpstreamCall call, long timeout) {
         ConsumerRequest message = (ConsumerRequest) call.invocation().message();
-        long told = message.stream() == null ? timeout : message.timeoutMicros(); // it begins with the last byte
+        long advertisedTimeout =
+                message.stream() == null ? timeout : message.timeoutMicros(); // it begins with the last byte
         call.transportState(pool.execute(
                 new UpstreamEndpoint(call.provider(), call.address()),
                 new UpstreamRequest(
@@ -37,7 +38,7 @@
                         message.target(),
                         authority(call.address()),
                         message.traceId(),
-                        told / 1000,
+                        advertisedTimeout / 1000,
                         message.contentType(),
                         message.body(),
                         message.stream(),
@@ -63,37 +64,41 @@
     }
 
     /** Asks a provider for {@code /healthz}; the outcome comes as an event. */
-    public void checkHealth(String provider, InetSocketAddress address, long askedAt) {
+    public void checkHealth(String provider, InetSocketAddress address, long startedAt) {
         pool.execute(
                 new UpstreamEndpoint(provider, address),
                 UpstreamRequest.get("/healthz", authority(address)),
-                result -> eventSink.accept(new ReducerEvent.HealthCheckCompleted(provider, askedAt, result)));
+                result -> eventSink.accept(new ReducerEvent.HealthCheckCompleted(provider, startedAt, result)));
     }
 
     /** Fetches a document; the returned handle aborts the call. */
-    public Runnable fetch(InetSocketAddress from, String target, Consumer<CallResult> done) {
+    public Runnable fetch(InetSocketAddress address, String target, Consumer<CallResult> completionListener) {
         return pool.execute(
-                new UpstreamEndpoint(NO_PROVIDER_ID, from), UpstreamRequest.get(target, authority(from)), done)::abort;
+                new UpstreamEndpoint(NO_PROVIDER_ID, address),
+                UpstreamRequest.get(target, authority(address)),
+                completionListener)::abort;
     }
 
     /** Sends a POST with a body, or a GET without one. */
-    public void send(InetSocketAddress from, String target, byte[] body, Consumer<CallResult> done) {
+    public void send(InetSocketAddress address, String target, byte[] body, Consumer<CallResult> completionListener) {
         String method = body.length > 0 ? "POST" : "GET";
         pool.execute(
-                new UpstreamEndpoint(NO_PROVIDER_ID, from),
-                new UpstreamRequest(method, target, authority(from), null, -1, null, body),
-                done);
+                new UpstreamEndpoint(NO_PROVIDER_ID, address),
+                new UpstreamRequest(method, target, authority(address), null, -1, null, body),
+                completionListener);
     }
 
     /** Sends a POST whose body is streamed. */
-    public void sendStreamed(InetSocketAddress from, String target, byte[] body, Consumer<CallResult> done) {
-        BodyStream flow = new BodyStream(body.length, body.length, body.length);
-        flow.receive(ByteBuffer.wrap(body));
-        flow.complete();
+    public void sendStreamed(
+            InetSocketAddress address, String target, byte[] body, Consumer<CallResult> completionListener) {
+        BodyStream stream = new BodyStream(body.length, body.length, body.length);
+        stream.receive(ByteBuffer.wrap(body));
+        stream.complete();
         pool.execute(
-                new UpstreamEndpoint(NO_PROVIDER_ID, from),
-                new UpstreamRequest("POST", target, authority(from), null, -1, null, BufferedBody.EMPTY, flow, null),
-                done);
+                new UpstreamEndpoint(NO_PROVIDER_ID, address),
+                new UpstreamRequest(
+                        "POST", target, authority(address), null, -1, null, BufferedBody.EMPTY, stream, null),
+                completionListener);
     }
 
     /** Closes the idle connections to a provider. */
--- a/src/main/java/reedmux/gatekeeper/http/RegionClient.java
+++ b/src/main/java/reedmux/gatekeeper/http/RegionClient.java
@@ -25,7 +25,7 @@
     }
 
     /** Starts a call, with the time-out that the decision grants the other region. */
-    public void call(UpstreamCall call, ForwardedRequest departure) {
+    public void call(UpstreamCall call, ForwardedRequest forwardedRequest) {
         ConsumerRequest message = (ConsumerRequest) call.invocation().message();
         UpstreamRequest.RegionHop hop = new UpstreamRequest.RegionHop(
                 ownRegion,
@@ -39,7 +39,7 @@
                         message.target(),
                         ProviderClient.authority(call.address()),
                         message.traceId(),
-                        departure.grantedMicros() / 1000,
+                        forwardedRequest.grantedMicros() / 1000,
                         message.contentType(),
                         message.body(),
                         null,
--- a/src/main/java/reedmux/gatekeeper/http/RegionFrontend.java
+++ b/src/main/java/reedmux/gatekeeper/http/RegionFrontend.java
@@ -77,8 +77,8 @@
             RegionPath path = parsePath(request);
             int requestClass = parseClass(request);
             Idempotency idempotency = checkIdempotency(request, requestClass);
-            String traceId = RequestHeaders.hex(request, RequestHeaders.TRACE_ID);
-            long timeoutMicros = RequestHeaders.expiresInMicros(request);
+            String traceId = RequestHeaders.requireHexId(request, RequestHeaders.TRACE_ID);
+            long timeoutMicros = RequestHeaders.remainingTimeMicros(request);
             IncomingRequest incoming = new IncomingRequest(
                     traceId,
                     requestClass,
@@ -105,7 +105,7 @@
     }
 
     private static RegionPath parsePath(HttpRequest request) throws InvalidHeaderException {
-        RegionPath path = RegionPath.parse(RequestHeaders.required(request, REGION_PATH_HEADER));
+        RegionPath path = RegionPath.parse(RequestHeaders.requireHeader(request, REGION_PATH_HEADER));
         if (path == null) {
             throw new InvalidHeaderException(REGION_PATH_HEADER + " is no list of regions");
         }
@@ -113,7 +113,7 @@
     }
 
     private int parseClass(HttpRequest request) throws InvalidHeaderException {
-        String name = RequestHeaders.className(request.getPath());
+        String name = RequestHeaders.requestClassName(request.getPath());
         Integer requestClass = classes.get(name);
         if (requestClass == null) {
             throw new InvalidHeaderException("no such class: " + name);
@@ -129,7 +129,7 @@
         RequestClass own = settings.classes().get(requestClass);
         Idempotency idempotency = own.idempotency();
         String method = idempotency == Idempotency.SAFE ? "GET" : "POST";
-        if (!RequestHeaders.required(request, REGION_REPEAT_HEADER).equals(wireName(idempotency))
+        if (!RequestHeaders.requireHeader(request, REGION_REPEAT_HEADER).equals(wireName(idempotency))
                 || !request.getMethod().equals(method)) {
             throw new InvalidHeaderException("the class " + own.name() + " is " + wireName(idempotency) + " here");
         }
@@ -137,7 +137,7 @@
     }
 
     private double parseUnits(HttpRequest request) throws InvalidHeaderException {
-        double units = RequestHeaders.parseDecimal(RequestHeaders.required(request, REGION_UNITS_HEADER));
+        double units = RequestHeaders.parseDecimal(RequestHeaders.requireHeader(request, REGION_UNITS_HEADER));
         if (!(units > 0) || units > settings.maxUnits()) {
             throw new InvalidHeaderException(REGION_UNITS_HEADER + " is not what one request may take");
         }
--- a/src/main/java/reedmux/gatekeeper/http/RequestFrontend.java
+++ b/src/main/java/reedmux/gatekeeper/http/RequestFrontend.java
@@ -112,8 +112,8 @@
             } else if (answer instanceof FinalAnswer.Rejected rejected) {
                 return text(rejected.attempted() ? 503 : 429, "rejected", rejected.retryAfter(), false);
             }
-            boolean late = ((FinalAnswer.Failed) answer).deadlineExceeded();
-            return text(late ? 504 : 502, late ? "no answer in time" : "failed");
+            boolean deadlineExceeded = ((FinalAnswer.Failed) answer).deadlineExceeded();
+            return text(deadlineExceeded ? 504 : 502, deadlineExceeded ? "no answer in time" : "failed");
         }
 
         /** A response with one line of text. */
--- a/src/main/java/reedmux/gatekeeper/http/RequestHeaders.java
+++ b/src/main/java/reedmux/gatekeeper/http/RequestHeaders.java
@@ -32,7 +32,7 @@
     }
 
     /** The request class that a target names by its first segment. */
-    static String className(String target) {
+    static String requestClassName(String target) {
         int end = 1;
         while (end < target.length() && target.charAt(end) != '/' && target.charAt(end) != '?') {
             end++;
@@ -43,12 +43,12 @@
     // ---- Headers -----------------------------------------------------------------------------------
     /** The content type, or null. */
     static String contentType(HttpRequest request) {
-        Header type = request.getFirstHeader("Content-Type");
-        return type == null ? null : type.getValue();
+        Header header = request.getFirstHeader("Content-Type");
+        return header == null ? null : header.getValue();
     }
 
     /** The value of a header that has to occur exactly once. */
-    static String required(HttpRequest request, String name) throws InvalidHeaderException {
+    static String requireHeader(HttpRequest request, String name) throws InvalidHeaderException {
         Header header = request.getFirstHeader(name);
         if (header == null || header.getValue() == null || header.getValue().isEmpty()) {
             throw new InvalidHeaderException(name + " is missing");
@@ -59,8 +59,8 @@
     }
 
     /** A 64-bit number in hexadecimal digits, as text. */
-    static String hex(HttpRequest request, String name) throws InvalidHeaderException {
-        String value = required(request, name);
+    static String requireHexId(HttpRequest request, String name) throws InvalidHeaderException {
+        String value = requireHeader(request, name);
         boolean valid = value.length() == HEX_DIGITS;
         for (int i = 0; valid && i < HEX_DIGITS; i++) {
             valid = HexFormat.isHexDigit(value.charAt(i));
@@ -72,8 +72,8 @@
     }
 
     /** The time that is left until the request's deadline, in microseconds. */
-    static long expiresInMicros(HttpRequest request) throws InvalidHeaderException {
-        long millis = parseInteger(required(request, EXPIRES_IN_MILLIS), MAX_TIMEOUT_MILLIS);
+    static long remainingTimeMicros(HttpRequest request) throws InvalidHeaderException {
+        long millis = parseInteger(requireHeader(request, EXPIRES_IN_MILLIS), MAX_TIMEOUT_MILLIS);
         if (millis < 0) {
             throw new InvalidHeaderException(
                     EXPIRES_IN_MILLIS + " is not a whole number from 0 to " + MAX_TIMEOUT_MILLIS);
--- a/src/main/java/reedmux/gatekeeper/http/RequestTarget.java
+++ b/src/main/java/reedmux/gatekeeper/http/RequestTarget.java
@@ -42,16 +42,16 @@
         return true;
     }
 
-    private static boolean isSameAuthority(String one, String other) {
-        int end = HostName.hostEnd(one);
-        return end == HostName.hostEnd(other)
-                && one.regionMatches(true, 0, other, 0, end)
-                && port(one).equals(port(other));
+    private static boolean isSameAuthority(String authority, String host) {
+        int end = HostName.hostEnd(authority);
+        return end == HostName.hostEnd(host)
+                && authority.regionMatches(true, 0, host, 0, end)
+                && port(authority).equals(port(host));
     }
 
     private static String port(String authority) {
         int colon = authority.lastIndexOf(':');
-        boolean none = colon < 0 || authority.endsWith("]");
-        return none ? "80" : authority.substring(colon + 1);
+        boolean defaultPort = colon < 0 || authority.endsWith("]");
+        return defaultPort ? "80" : authority.substring(colon + 1);
     }
 }
--- a/src/main/java/reedmux/gatekeeper/http/ResponseHead.java
+++ b/src/main/java/reedmux/gatekeeper/http/ResponseHead.java
@@ -18,10 +18,11 @@
      * The head of a response.
      *
      * @param request    what is responded to
-     * @param tookMicros how long the request took here, or negative to leave the header out
-     * @param closes     whether the connection is closed after the response
+     * @param processingMicros how long the request took here, or negative to leave the header out
+     * @param closesConnection     whether the connection is closed after the response
      */
-    static HttpResponse of(GatewayResponse response, HttpRequest request, long tookMicros, boolean closes) {
+    static HttpResponse of(
+            GatewayResponse response, HttpRequest request, long processingMicros, boolean closesConnection) {
         HttpResponse head = new BasicHttpResponse(response.status());
         if (response.contentType() != null) {
             head.addHeader("Content-Type", response.contentType());
@@ -33,13 +34,13 @@
         if (response.neverRan()) {
             head.addHeader(RegionFrontend.NEVER_RAN_HEADER, "1");
         }
-        if (tookMicros >= 0) {
-            head.addHeader(RegionFrontend.REGION_TOOK_HEADER, Long.toString(tookMicros));
+        if (processingMicros >= 0) {
+            head.addHeader(RegionFrontend.REGION_TOOK_HEADER, Long.toString(processingMicros));
         }
         if (response.status() == STATUS_METHOD_NOT_ALLOWED) {
             head.addHeader("Allow", request.getMethod().equals("GET") ? "POST" : "GET");
         }
-        if (closes) {
+        if (closesConnection) {
             head.addHeader("Connection", "close");
         }
         return head;
--- a/src/main/java/reedmux/gatekeeper/http/ServiceFrontend.java
+++ b/src/main/java/reedmux/gatekeeper/http/ServiceFrontend.java
@@ -75,7 +75,7 @@
         if (!RequestHeaders.isPlainTarget(request.getPath())) {
             return rejected(400, "the target holds a character that has no place there");
         }
-        Integer requestClass = classes.get(RequestHeaders.className(request.getPath()));
+        Integer requestClass = classes.get(RequestHeaders.requestClassName(request.getPath()));
         if (requestClass == null) {
             return rejected(404, "no such class");
         }
@@ -93,11 +93,11 @@
             return rejected(405, "the class does not take this method");
         }
         try {
-            String traceId = RequestHeaders.hex(request, RequestHeaders.TRACE_ID);
+            String traceId = RequestHeaders.requireHexId(request, RequestHeaders.TRACE_ID);
             int plan = parsePlan(request);
             long customer = parseCustomer(request);
-            long timeoutMicros = withoutNetworkAllowance(RequestHeaders.expiresInMicros(request));
-            QuotaHeader quota = parseQuota(RequestHeaders.required(request, "X-Quota"));
+            long timeoutMicros = withoutNetworkAllowance(RequestHeaders.remainingTimeMicros(request));
+            QuotaHeader quota = parseQuota(RequestHeaders.requireHeader(request, "X-Quota"));
             IncomingRequest incoming = new IncomingRequest(
                     traceId,
                     requestClass,
@@ -127,7 +127,7 @@
     }
 
     private int parsePlan(HttpRequest request) throws InvalidHeaderException {
-        Integer plan = plans.get(RequestHeaders.required(request, "X-Plan"));
+        Integer plan = plans.get(RequestHeaders.requireHeader(request, "X-Plan"));
         if (plan == null) {
             throw new InvalidHeaderException("X-Plan names no plan");
         }
@@ -135,7 +135,7 @@
     }
 
     private static long parseCustomer(HttpRequest request) throws InvalidHeaderException {
-        long customer = Long.parseUnsignedLong(RequestHeaders.hex(request, "X-Customer"), 16);
+        long customer = Long.parseUnsignedLong(RequestHeaders.requireHexId(request, "X-Customer"), 16);
         if (customer < 0 || customer >= MAX_CUSTOMERS) {
             throw new InvalidHeaderException("X-Customer is out of range");
         }
@@ -157,14 +157,14 @@
     /** How long the consumer waits after the request's last byte, in microseconds; 0 if its header is invalid. */
     static long timeoutMicros(HttpRequest request) {
         try {
-            return withoutNetworkAllowance(RequestHeaders.expiresInMicros(request));
+            return withoutNetworkAllowance(RequestHeaders.remainingTimeMicros(request));
         } catch (InvalidHeaderException e) {
             return 0;
         }
     }
 
-    private static long withoutNetworkAllowance(long waitMicros) {
-        return Math.max(0, waitMicros - NETWORK_ALLOWANCE_MICROS);
+    private static long withoutNetworkAllowance(long consumerWaitMicros) {
+        return Math.max(0, consumerWaitMicros - NETWORK_ALLOWANCE_MICROS);
     }
 
     /** The header {@code X-Quota}: the units, and which gatekeepers of the group count them. */
--- a/src/main/java/reedmux/gatekeeper/http/StrictHeadParsers.java
+++ b/src/main/java/reedmux/gatekeeper/http/StrictHeadParsers.java
@@ -81,10 +81,10 @@
                 }
             }
         }
-        boolean old = message.getVersion() != null && message.getVersion().lessEquals(HttpVersion.HTTP_1_0);
+        boolean http10 = message.getVersion() != null && message.getVersion().lessEquals(HttpVersion.HTTP_1_0);
         return lengths + codings > 1
                 ? "the body's length is told more than once"
-                : codings > 0 && old ? "Transfer-Encoding is not of this version" : null;
+                : codings > 0 && http10 ? "Transfer-Encoding is not of this version" : null;
     }
 
     /**
@@ -102,16 +102,16 @@
     }
 
     private static boolean isContentLength(String value) {
-        boolean good = !value.isEmpty() && value.length() <= MAX_CONTENT_LENGTH_DIGITS;
-        for (int i = 0; good && i < value.length(); i++) {
-            good = value.charAt(i) >= '0' && value.charAt(i) <= '9';
+        boolean valid = !value.isEmpty() && value.length() <= MAX_CONTENT_LENGTH_DIGITS;
+        for (int i = 0; valid && i < value.length(); i++) {
+            valid = value.charAt(i) >= '0' && value.charAt(i) <= '9';
         }
-        return good;
+        return valid;
     }
 
-    private static void discard(SessionInputBuffer in) {
-        if (in.hasData()) {
-            in.read(ByteBuffer.allocate(in.length()));
+    private static void discard(SessionInputBuffer input) {
+        if (input.hasData()) {
+            input.read(ByteBuffer.allocate(input.length()));
         }
     }
 
@@ -151,14 +151,14 @@
         }
 
         @Override
-        public HttpRequest parse(SessionInputBuffer in, boolean endOfStream) {
+        public HttpRequest parse(SessionInputBuffer input, boolean endOfStream) {
             if (stopped) {
-                discard(in);
+                discard(input);
                 return null;
             }
             HttpRequest request = null;
             try {
-                request = parser.parse(lineChecker.wrap(in), false);
+                request = parser.parse(lineChecker.wrap(input), false);
                 error = request == null ? null : StrictHeadParsers.findFramingError(request);
                 if (error == null && request != null) {
                     error = findHostError(request);
@@ -173,20 +173,20 @@
             }
             if (error == null) {
                 if (endOfStream && request == null) {
-                    discard(in); // an incomplete head would keep the connection open
+                    discard(input); // an incomplete head would keep the connection open
                 }
                 return request;
             }
             stopped = true;
-            discard(in);
+            discard(input);
             return new BasicHttpRequest("GET", "/");
         }
     }
 
     /** Whether the end of the connection delimits the body, RFC 9112, section 6.3. */
     private static boolean endsWithConnection(HttpResponse response) {
-        for (Iterator<Header> all = response.headerIterator("Connection"); all.hasNext(); ) {
-            for (String token : all.next().getValue().split(",")) {
+        for (Iterator<Header> headers = response.headerIterator("Connection"); headers.hasNext(); ) {
+            for (String token : headers.next().getValue().split(",")) {
                 if (token.trim().equalsIgnoreCase("close")) {
                     return true;
                 }
@@ -203,8 +203,8 @@
         private boolean inputEnded;
 
         /** A parser; {@code responseExpected} says whether a request is waiting for its response. */
-        StrictResponseParser(BooleanSupplier expected) {
-            this.responseExpected = expected;
+        StrictResponseParser(BooleanSupplier responseExpected) {
+            this.responseExpected = responseExpected;
         }
 
         /** Whether the end of the input has been read. */
@@ -218,15 +218,15 @@
         }
 
         @Override
-        public HttpResponse parse(SessionInputBuffer in, boolean endOfStream) throws IOException, HttpException {
+        public HttpResponse parse(SessionInputBuffer input, boolean endOfStream) throws IOException, HttpException {
             inputEnded |= endOfStream;
             if (!responseExpected.getAsBoolean()) {
-                if (in.hasData()) {
+                if (input.hasData()) {
                     throw new ProtocolException("bytes that belong to no answer");
                 }
                 return null;
             }
-            HttpResponse response = parser.parse(in, false);
+            HttpResponse response = parser.parse(input, false);
             if (response == null) {
                 return null;
             }
--- a/src/main/java/reedmux/gatekeeper/http/UpstreamConnection.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamConnection.java
@@ -69,9 +69,9 @@
     }
 
     /** The connection is up. */
-    synchronized IOEventHandler createEventHandler(ProtocolIOSession created) {
+    synchronized IOEventHandler createEventHandler(ProtocolIOSession establishedSession) {
         ClientHttp1StreamDuplexer client = new ClientHttp1StreamDuplexer(
-                created,
+                establishedSession,
                 HttpTransport.NO_ADDED_HEADERS,
                 HttpTransport.HTTP1_CONFIG,
                 null,
@@ -82,9 +82,9 @@
                 null,
                 null);
         duplexer = client;
-        session = created;
+        session = establishedSession;
         if (aborted) {
-            created.close(CloseMode.IMMEDIATE);
+            establishedSession.close(CloseMode.IMMEDIATE);
         }
         return new UpstreamEventHandler(client);
     }
@@ -194,7 +194,7 @@
             } finally {
                 UpstreamExchange exchange = pool.exchangeOn(UpstreamConnection.this);
                 if (exchange != null) {
-                    exchange.finishIfAnswered(client.isOpen() && ioSession.isOpen());
+                    exchange.finishIfResponseComplete(client.isOpen() && ioSession.isOpen());
                 }
             }
         }
@@ -223,8 +223,8 @@
         }
 
         @Override
-        public void disconnected(IOSession ended) {
-            super.disconnected(ended);
+        public void disconnected(IOSession ioSession) {
+            super.disconnected(ioSession);
             synchronized (UpstreamConnection.this) {
                 releasePermit();
             }
--- a/src/main/java/reedmux/gatekeeper/http/UpstreamConnectionPool.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamConnectionPool.java
@@ -46,16 +46,16 @@
 
         /** A fixed number of permits. */
         static ConnectionPermits fixed(int count) {
-            AtomicInteger left = new AtomicInteger(count);
+            AtomicInteger available = new AtomicInteger(count);
             return new ConnectionPermits() {
                 @Override
                 public boolean tryAcquire() {
-                    return left.getAndUpdate(now -> Math.max(0, now - 1)) > 0;
+                    return available.getAndUpdate(now -> Math.max(0, now - 1)) > 0;
                 }
 
                 @Override
                 public void release() {
-                    left.incrementAndGet();
+                    available.incrementAndGet();
                 }
             };
         }
@@ -115,8 +115,8 @@
     }
 
     private void connect(UpstreamExchange exchange) {
-        InetSocketAddress address = exchange.upstream().address();
-        UpstreamConnection connection = new UpstreamConnection(exchange.upstream(), this);
+        InetSocketAddress address = exchange.endpoint().address();
+        UpstreamConnection connection = new UpstreamConnection(exchange.endpoint(), this);
         try {
             Future<IOSession> future = reactor.connect(
                     httpHost(address), address, null, Timeout.DISABLED, connection, new FutureCallback<>() {
@@ -164,13 +164,13 @@
 
     private synchronized UpstreamConnection leaseIdle(UpstreamExchange exchange) {
         exchange.connection = null; // a stale connection that it had before does not count any more
-        Deque<UpstreamConnection> idle = exchange.isAborted() ? null : idleConnections.get(exchange.upstream());
-        long oldest = clock.now() - maxIdleMicros;
+        Deque<UpstreamConnection> idle = exchange.isAborted() ? null : idleConnections.get(exchange.endpoint());
+        long idleSinceLimit = clock.now() - maxIdleMicros;
         while (idle != null && !idle.isEmpty()) {
             UpstreamConnection connection = idle.pollLast();
             // The provider may close a connection that it has idle for long while our request is on the way to it.
             // The reset would not tell whether the request ran, so a non-idempotent one could not be retried.
-            if (connection.isOpen() && connection.idleSinceMicros > oldest) {
+            if (connection.isOpen() && connection.idleSinceMicros > idleSinceLimit) {
                 tryAssign(connection, exchange);
                 return connection;
             }
@@ -283,10 +283,10 @@
     }
 
     private synchronized void sweepIdle() {
-        long oldest = clock.now() - maxIdleMicros;
+        long idleSinceLimit = clock.now() - maxIdleMicros;
         for (Deque<UpstreamConnection> idle : idleConnections.values()) {
             idle.removeIf(connection -> {
-                boolean expired = connection.idleSinceMicros <= oldest || !connection.isOpen();
+                boolean expired = connection.idleSinceMicros <= idleSinceLimit || !connection.isOpen();
                 if (expired) {
                     connection.close();
                 }
--- a/src/main/java/reedmux/gatekeeper/http/UpstreamExchange.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamExchange.java
@@ -44,7 +44,7 @@
     private static final double MAX_REPORTED_MICROS = 3.6e9;
 
     private final UpstreamConnectionPool pool;
-    private final UpstreamConnection.UpstreamEndpoint upstream;
+    private final UpstreamConnection.UpstreamEndpoint endpoint;
     private final UpstreamRequest request;
     private final Runnable writtenListener;
     private final Consumer<CallResult> completionListener;
@@ -79,26 +79,26 @@
     private CallResult pendingResult;
 
     UpstreamExchange(
-            UpstreamConnectionPool calls,
-            UpstreamConnection.UpstreamEndpoint origin,
+            UpstreamConnectionPool pool,
+            UpstreamConnection.UpstreamEndpoint endpoint,
             UpstreamRequest request,
-            Runnable written,
-            Consumer<CallResult.ResponseReceived> begun,
-            Consumer<CallResult> done) {
-        this.streamingListener = begun;
-        this.pool = calls;
-        this.writtenListener = written;
-        this.upstream = origin;
+            Runnable writtenListener,
+            Consumer<CallResult.ResponseReceived> streamingListener,
+            Consumer<CallResult> completionListener) {
+        this.streamingListener = streamingListener;
+        this.pool = pool;
+        this.writtenListener = writtenListener;
+        this.endpoint = endpoint;
         this.request = request;
-        this.completionListener = done;
+        this.completionListener = completionListener;
     }
 
     void setConnectFuture(Future<?> future) {
         connectFuture = future;
     }
 
-    UpstreamConnection.UpstreamEndpoint upstream() {
-        return upstream;
+    UpstreamConnection.UpstreamEndpoint endpoint() {
+        return endpoint;
     }
 
     boolean isAborted() {
@@ -142,7 +142,7 @@
         EndpointDetails details = HttpCoreContext.cast(context).getEndpointDetails();
         bytesSentBefore = details.getSentBytesCount();
         connectionDetails = details;
-        int bytes = request.body().length;
+        int bodyLength = request.body().length;
         if (request.stream() != null) {
             request.stream().onFailure(this::abort); // an incomplete request never runs
             channel.sendRequest(
@@ -150,7 +150,7 @@
             return;
         }
         requestBody = new BufferedBody.OutboundBody(request.body());
-        channel.sendRequest(requestHead, bytes == 0 ? null : new BasicEntityDetails(bytes, null), context);
+        channel.sendRequest(requestHead, bodyLength == 0 ? null : new BasicEntityDetails(bodyLength, null), context);
     }
 
     @Override
@@ -210,7 +210,7 @@
             }
             return;
         }
-        ByteBuffer same = source.duplicate();
+        ByteBuffer unreadView = source.duplicate();
         responseBody.append(source);
         if (mayStream()
                 && (responseBody.isTooLong()
@@ -220,7 +220,7 @@
             boolean buffered = !responseBody.isTooLong();
             startStreaming(-1, grantedBytes);
             if (!buffered) {
-                responseStream.receive(same);
+                responseStream.receive(unreadView);
             }
         } else if (responseBody.isTooLong()) {
             throw new IOException("the answer is too long");
@@ -243,15 +243,15 @@
     }
 
     /** Streams the response from here on; {@code length} is -1 if it is not known. */
-    private void startStreaming(long length, long granted) {
-        responseStream = new BodyStream(length, HttpTransport.MAX_STREAMED_BODY_BYTES, granted);
+    private void startStreaming(long length, long alreadyGrantedBytes) {
+        responseStream = new BodyStream(length, HttpTransport.MAX_STREAMED_BODY_BYTES, alreadyGrantedBytes);
         responseStream.receive(ByteBuffer.wrap(responseBody.bytes()));
         pool.addStreaming(this);
-        Header type = response.getFirstHeader("Content-Type");
+        Header contentType = response.getFirstHeader("Content-Type");
         streamingListener.accept(new CallResult.ResponseReceived(
                 STATUS_OK,
                 false,
-                type == null ? null : type.getValue(),
+                contentType == null ? null : contentType.getValue(),
                 BufferedBody.EMPTY,
                 -1,
                 -1,
@@ -261,29 +261,32 @@
 
     /** Aborts it if the provider neither reads nor writes anything although it should. */
     void abortIfStalled(long now) {
-        BodyStream up = request.stream();
+        BodyStream requestStream = request.stream();
         BodyStream down = responseStream;
-        long sum = (up == null ? 0 : up.bytesMoved()) + (down == null ? 0 : down.bytesMoved());
-        boolean waits = down == null ? up != null && !requestStreamed && up.awaitsSink() : down.awaitsSource();
-        if (sum != lastBytesMoved || !waits) {
-            lastBytesMoved = sum;
+        long bytesMoved =
+                (requestStream == null ? 0 : requestStream.bytesMoved()) + (down == null ? 0 : down.bytesMoved());
+        boolean awaitsProvider = down == null
+                ? requestStream != null && !requestStreamed && requestStream.awaitsSink()
+                : down.awaitsSource();
+        if (bytesMoved != lastBytesMoved || !awaitsProvider) {
+            lastBytesMoved = bytesMoved;
             lastProgressAt = now;
         } else if (now - lastProgressAt > STALL_TIMEOUT_MICROS) {
             abort();
         }
     }
 
-    private void onResponseComplete(byte[] bytes) {
+    private void onResponseComplete(byte[] body) {
         Header neverRan = response.getFirstHeader(RegionFrontend.NEVER_RAN_HEADER);
-        Header type = response.getFirstHeader("Content-Type");
-        boolean region = request.hop() != null;
+        Header contentType = response.getFirstHeader("Content-Type");
+        boolean fromRegion = request.hop() != null;
         pendingResult = new CallResult.ResponseReceived(
                 response.getCode(),
                 neverRan != null && "1".equals(neverRan.getValue()),
-                type == null ? null : type.getValue(),
-                bytes,
-                region ? numericHeader(RegionFrontend.REGION_TOOK_HEADER, 1) : -1,
-                region ? numericHeader("Retry-After", MICROS_PER_SECOND) : -1,
+                contentType == null ? null : contentType.getValue(),
+                body,
+                fromRegion ? numericHeader(RegionFrontend.REGION_TOOK_HEADER, 1) : -1,
+                fromRegion ? numericHeader("Retry-After", MICROS_PER_SECOND) : -1,
                 null,
                 Math.max(0, pool.now() - responseHeadAt));
         connection.onResponseComplete();
@@ -293,20 +296,20 @@
      * Reports a complete response. The connection calls this after it has read all input: only then is it known whether
      * there was more than the response, in which case the connection must not be reused.
      */
-    void finishIfAnswered(boolean good) {
-        CallResult whole = pendingResult;
-        if (whole != null) {
+    void finishIfResponseComplete(boolean connectionOpen) {
+        CallResult result = pendingResult;
+        if (result != null) {
             pendingResult = null;
-            pool.release(connection, good && !aborted && isFullySent());
-            finish(whole);
+            pool.release(connection, connectionOpen && !aborted && isFullySent());
+            finish(result);
         }
     }
 
     /** A numeric header in microseconds; -1 if it is missing or invalid. */
-    private long numericHeader(String name, double unit) {
+    private long numericHeader(String name, double microsPerUnit) {
         Header header = response.getFirstHeader(name);
         double value = header == null || header.getValue() == null ? 0 : RequestHeaders.parseDecimal(header.getValue());
-        return header == null || value < 0 ? -1 : (long) Math.min(value * unit, MAX_REPORTED_MICROS);
+        return header == null || value < 0 ? -1 : (long) Math.min(value * microsPerUnit, MAX_REPORTED_MICROS);
     }
 
     /** Reports, once, that the request has been written completely; called whenever something may have been written. */
@@ -318,16 +321,16 @@
 
     private boolean isFullySent() {
         EndpointDetails details = connectionDetails;
-        boolean last = request.stream() == null || requestStreamed;
-        return last && details != null && details.getSentBytesCount() - bytesSentBefore >= requestLength;
+        boolean bodyWritten = request.stream() == null || requestStreamed;
+        return bodyWritten && details != null && details.getSentBytesCount() - bytesSentBefore >= requestLength;
     }
 
     // ---- Failures ----------------------------------------------------------------------------------
     @Override
     public void failed(Exception cause) {
-        BodyStream broken = responseStream;
-        if (broken != null) {
-            broken.fail();
+        BodyStream stream = responseStream;
+        if (stream != null) {
+            stream.fail();
         }
         CallStage stage = response != null
                 ? CallStage.RECEIVING_RESPONSE
--- a/src/main/java/reedmux/gatekeeper/http/UpstreamRequest.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamRequest.java
@@ -23,17 +23,17 @@
         RegionHop hop) {
 
     /** The headers for another region: the regions passed, the class's idempotency, and the units counted here. */
-    public record RegionHop(String regionPath, String repeat, String units) {}
+    public record RegionHop(String regionPath, String idempotency, String units) {}
 
     UpstreamRequest(
             String method,
             String target,
             String host,
             String traceId,
-            long expiresMs,
+            long expiresInMillis,
             String contentType,
             byte[] body) {
-        this(method, target, host, traceId, expiresMs, contentType, body, null, null);
+        this(method, target, host, traceId, expiresInMillis, contentType, body, null, null);
     }
 
     private static final int REQUEST_LINE_OVERHEAD_BYTES = "  HTTP/1.1\r\n".length();
@@ -55,7 +55,7 @@
         }
         if (hop != null) {
             head.addHeader(RegionFrontend.REGION_PATH_HEADER, hop.regionPath());
-            head.addHeader(RegionFrontend.REGION_REPEAT_HEADER, hop.repeat());
+            head.addHeader(RegionFrontend.REGION_REPEAT_HEADER, hop.idempotency());
             head.addHeader(RegionFrontend.REGION_UNITS_HEADER, hop.units());
         }
         if (contentType != null) {
--- a/src/test/java/reedmux/gatekeeper/http/BodyStreamTest.java
+++ b/src/test/java/reedmux/gatekeeper/http/BodyStreamTest.java
@@ -16,30 +16,30 @@
 
 /** A body that is passed on while it arrives: back-pressure, bounds and ends. */
 public final class BodyStreamTest {
-    private static final long MOST = HttpTransport.MAX_STREAMED_BODY_BYTES;
+    private static final long MAX_BODY_BYTES = HttpTransport.MAX_STREAMED_BODY_BYTES;
     /** What one read of the library may bring beyond what was asked for. */
-    private static final int ONE_READ = 4_096;
+    private static final int READ_BYTES = 4_096;
 
     /** A connection that takes as much as it is allowed to at a time. */
     private static final class RecordingSink implements DataStreamChannel {
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        int takes;
-        int wakes;
+        int acceptedBytes;
+        int outputRequests;
         boolean ended;
 
         @Override
         public void requestOutput() {
-            wakes++;
+            outputRequests++;
         }
 
         @Override
         public int write(ByteBuffer source) {
-            int some = Math.min(takes, source.remaining());
-            for (int i = 0; i < some; i++) {
+            int count = Math.min(acceptedBytes, source.remaining());
+            for (int i = 0; i < count; i++) {
                 bytes.write(source.get());
             }
-            takes -= some;
-            return some;
+            acceptedBytes -= count;
+            return count;
         }
 
         @Override
@@ -59,130 +59,133 @@
     public void deliversAllBytesWithinTheBufferBound() throws IOException {
         SplittableRandom random = new SplittableRandom(3);
         for (int run = 0; run < 40; run++) {
-            long heldBefore = BodyStream.totalBufferedBytes();
+            long bufferedBefore = BodyStream.totalBufferedBytes();
             byte[] body = new byte[random.nextInt(1, 600_000)];
             random.nextBytes(body);
-            int[] asked = {HttpTransport.INITIAL_WINDOW_BYTES};
-            BodyStream flow = new BodyStream(body.length, MOST, asked[0]);
+            int[] granted = {HttpTransport.INITIAL_WINDOW_BYTES};
+            BodyStream stream = new BodyStream(body.length, MAX_BODY_BYTES, granted[0]);
             RecordingSink sink = new RecordingSink();
-            int largest = random.nextBoolean() ? 3 : 40_000;
-            int at = 0;
+            int maxPieceBytes = random.nextBoolean() ? 3 : 40_000;
+            int receivedBytes = 0;
             int steps = 0;
-            boolean last = false;
-            while (!last) {
-                int some = Math.min(Math.min(ONE_READ, random.nextInt(1, largest + 1)), body.length - at);
-                if (asked[0] > 0 && some > 0) { // a source brings nothing that it was not asked for
-                    assertTrue(flow.receive(ByteBuffer.wrap(body, at, some)));
-                    at += some;
-                    asked[0] -= some;
-                    if (asked[0] <= 0 && at < body.length) {
-                        flow.attachSource(more -> asked[0] += more);
+            boolean bodyWritten = false;
+            while (!bodyWritten) {
+                int count = Math.min(
+                        Math.min(READ_BYTES, random.nextInt(1, maxPieceBytes + 1)), body.length - receivedBytes);
+                if (granted[0] > 0 && count > 0) { // a source brings nothing that it was not asked for
+                    assertTrue(stream.receive(ByteBuffer.wrap(body, receivedBytes, count)));
+                    receivedBytes += count;
+                    granted[0] -= count;
+                    if (granted[0] <= 0 && receivedBytes < body.length) {
+                        stream.attachSource(more -> granted[0] += more);
                     }
                 }
-                if (at == body.length) {
-                    flow.complete();
+                if (receivedBytes == body.length) {
+                    stream.complete();
                 }
-                if (random.nextInt(3) == 0 || largest > 3) {
-                    sink.takes = random.nextInt(largest * 2);
-                    last = flow.writeTo(sink);
+                if (random.nextInt(3) == 0 || maxPieceBytes > 3) {
+                    sink.acceptedBytes = random.nextInt(maxPieceBytes * 2);
+                    bodyWritten = stream.writeTo(sink);
                 }
-                assertTrue("holds " + flow.available(), flow.available() <= BodyStream.MAX_BUFFERED_BYTES + ONE_READ);
+                assertTrue(
+                        "holds " + stream.available(),
+                        stream.available() <= BodyStream.MAX_BUFFERED_BYTES + READ_BYTES);
                 assertTrue("stands still", ++steps < 2_000_000);
             }
             assertTrue(sink.ended);
             assertArrayEquals(body, sink.bytes.toByteArray());
-            assertEquals(heldBefore, BodyStream.totalBufferedBytes());
+            assertEquals(bufferedBefore, BodyStream.totalBufferedBytes());
         }
     }
 
     @Test
     public void blockedSinkStopsTheSource() throws IOException {
-        int[] asked = {HttpTransport.INITIAL_WINDOW_BYTES};
-        BodyStream flow = new BodyStream(-1, MOST, asked[0]);
-        int brought = 0;
-        for (int i = 0; i < 1_000 && asked[0] > 0; i++) {
-            flow.receive(ByteBuffer.allocate(ONE_READ));
-            brought += ONE_READ;
-            asked[0] -= ONE_READ;
-            if (asked[0] <= 0) {
-                flow.attachSource(more -> asked[0] += more);
+        int[] granted = {HttpTransport.INITIAL_WINDOW_BYTES};
+        BodyStream stream = new BodyStream(-1, MAX_BODY_BYTES, granted[0]);
+        int receivedBytes = 0;
+        for (int i = 0; i < 1_000 && granted[0] > 0; i++) {
+            stream.receive(ByteBuffer.allocate(READ_BYTES));
+            receivedBytes += READ_BYTES;
+            granted[0] -= READ_BYTES;
+            if (granted[0] <= 0) {
+                stream.attachSource(more -> granted[0] += more);
             }
         }
-        assertEquals(BodyStream.MAX_BUFFERED_BYTES, brought);
-        assertFalse("it waits for the sink", flow.awaitsSource());
-        assertTrue(flow.awaitsSink());
+        assertEquals(BodyStream.MAX_BUFFERED_BYTES, receivedBytes);
+        assertFalse("it waits for the sink", stream.awaitsSource());
+        assertTrue(stream.awaitsSink());
         RecordingSink sink = new RecordingSink();
-        sink.takes = 10_000;
-        flow.writeTo(sink);
-        assertEquals("as much again", 10_000, asked[0]);
-        assertTrue(flow.awaitsSource());
-        flow.discardRest();
+        sink.acceptedBytes = 10_000;
+        stream.writeTo(sink);
+        assertEquals("as much again", 10_000, granted[0]);
+        assertTrue(stream.awaitsSource());
+        stream.discardRest();
     }
 
     @Test
     public void failsBeyondTheMaximumLength() {
-        BodyStream flow = new BodyStream(-1, 10, 100);
+        BodyStream stream = new BodyStream(-1, 10, 100);
         int[] failures = {0};
-        flow.onFailure(() -> failures[0]++);
-        assertTrue(flow.receive(ByteBuffer.allocate(10)));
-        assertFalse(flow.receive(ByteBuffer.allocate(1)));
-        flow.fail();
+        stream.onFailure(() -> failures[0]++);
+        assertTrue(stream.receive(ByteBuffer.allocate(10)));
+        assertFalse(stream.receive(ByteBuffer.allocate(1)));
+        stream.fail();
         assertEquals("told once", 1, failures[0]);
-        assertEquals(0, flow.available());
+        assertEquals(0, stream.available());
     }
 
     @Test
     public void reportsAnEarlierFailureButNotANormalEnd() throws IOException {
         int[] failures = {0};
-        BodyStream failed = new BodyStream(100, MOST, 100);
+        BodyStream failed = new BodyStream(100, MAX_BODY_BYTES, 100);
         failed.receive(ByteBuffer.allocate(50));
         failed.fail();
         failed.onFailure(() -> failures[0]++);
         assertEquals(1, failures[0]);
-        BodyStream whole = new BodyStream(0, MOST, 100);
-        whole.onFailure(() -> failures[0]++);
-        whole.complete();
-        assertTrue(whole.writeTo(new RecordingSink()));
-        whole.fail();
+        BodyStream completed = new BodyStream(0, MAX_BODY_BYTES, 100);
+        completed.onFailure(() -> failures[0]++);
+        completed.complete();
+        assertTrue(completed.writeTo(new RecordingSink()));
+        completed.fail();
         assertEquals(1, failures[0]);
     }
 
     @Test
     public void discardsTheRestWithoutASink() throws IOException {
-        long heldBefore = BodyStream.totalBufferedBytes();
-        long[] asked = {0};
-        BodyStream flow = new BodyStream(-1, MOST, HttpTransport.INITIAL_WINDOW_BYTES);
-        for (int i = 0; i < HttpTransport.INITIAL_WINDOW_BYTES / ONE_READ; i++) {
-            flow.receive(ByteBuffer.allocate(ONE_READ));
+        long bufferedBefore = BodyStream.totalBufferedBytes();
+        long[] granted = {0};
+        BodyStream stream = new BodyStream(-1, MAX_BODY_BYTES, HttpTransport.INITIAL_WINDOW_BYTES);
+        for (int i = 0; i < HttpTransport.INITIAL_WINDOW_BYTES / READ_BYTES; i++) {
+            stream.receive(ByteBuffer.allocate(READ_BYTES));
         }
-        flow.discardRest();
-        flow.attachSource(more -> asked[0] += more);
-        assertEquals(Integer.MAX_VALUE, asked[0]);
-        ByteBuffer more = ByteBuffer.allocate(ONE_READ);
-        assertTrue(flow.receive(more));
-        assertFalse(more.hasRemaining());
-        assertEquals(heldBefore, BodyStream.totalBufferedBytes());
+        stream.discardRest();
+        stream.attachSource(lateBytes -> granted[0] += lateBytes);
+        assertEquals(Integer.MAX_VALUE, granted[0]);
+        ByteBuffer lateBytes = ByteBuffer.allocate(READ_BYTES);
+        assertTrue(stream.receive(lateBytes));
+        assertFalse(lateBytes.hasRemaining());
+        assertEquals(bufferedBefore, BodyStream.totalBufferedBytes());
     }
 
     @Test
     public void staysUnreadUntilTheFirstByteIsWritten() throws IOException {
-        BodyStream flow = new BodyStream(100, MOST, 100);
-        flow.receive(ByteBuffer.allocate(50));
-        RecordingSink first = new RecordingSink(); // whose connection took nothing yet
-        flow.writeTo(first);
-        assertTrue(flow.isUnread());
-        RecordingSink second = new RecordingSink();
-        second.takes = 1;
-        flow.writeTo(second);
-        assertFalse(flow.isUnread());
-        flow.receive(ByteBuffer.allocate(1));
-        assertEquals("who reads it now is woken", 1, second.wakes);
-        flow.discardRest();
+        BodyStream stream = new BodyStream(100, MAX_BODY_BYTES, 100);
+        stream.receive(ByteBuffer.allocate(50));
+        RecordingSink blockedSink = new RecordingSink(); // whose connection took nothing yet
+        stream.writeTo(blockedSink);
+        assertTrue(stream.isUnread());
+        RecordingSink writableSink = new RecordingSink();
+        writableSink.acceptedBytes = 1;
+        stream.writeTo(writableSink);
+        assertFalse(stream.isUnread());
+        stream.receive(ByteBuffer.allocate(1));
+        assertEquals("who reads it now is woken", 1, writableSink.outputRequests);
+        stream.discardRest();
     }
 
     /** Each row: milliseconds since its first byte, bytes of its body, late or not; a head may take 2 s. */
     @Test
-    public void minimumRateSeparatesSlowFromAbusive() {
+    public void minimumRateRejectsOnlyBodiesBelowIt() {
         long[][] table = {
             {0, 0, 0},
             {2_400, 0, 0},
@@ -201,6 +204,6 @@
                     row[2] == 1,
                     MinimumRateGuard.isTooSlow(row[0] * 1_000, 2_000_000, row[1]));
         }
-        assertTrue(MinimumRateGuard.maxDurationMicros(-1) >= MinimumRateGuard.maxDurationMicros(MOST));
+        assertTrue(MinimumRateGuard.maxDurationMicros(-1) >= MinimumRateGuard.maxDurationMicros(MAX_BODY_BYTES));
     }
 }
--- a/src/test/java/reedmux/gatekeeper/http/IntakeLimiterTest.java
+++ b/src/test/java/reedmux/gatekeeper/http/IntakeLimiterTest.java
@@ -13,49 +13,49 @@
 
 /** Connections that wait unread while enough of their service's requests are on their way. */
 final class IntakeLimiterTest {
-    private final IntakeLimiter intake = new IntakeLimiter(2);
+    private final IntakeLimiter limiter = new IntakeLimiter(2);
     private final List<String> resumed = new ArrayList<>();
 
-    private boolean resume(String who, boolean open) {
-        resumed.add(who);
+    private boolean resume(String connection, boolean open) {
+        resumed.add(connection);
         return open;
     }
 
     @Example
-    void eachDecisionResumesOneInArrivalOrder() {
-        intake.onRequestRead();
-        assertFalse(intake.isFull());
-        intake.onRequestRead();
-        assertTrue(intake.isFull());
-        intake.enqueue(() -> resume("a", true));
-        intake.enqueue(() -> resume("b", true));
+    void eachDecisionResumesOneConnectionInArrivalOrder() {
+        limiter.onRequestRead();
+        assertFalse(limiter.isFull());
+        limiter.onRequestRead();
+        assertTrue(limiter.isFull());
+        limiter.enqueue(() -> resume("a", true));
+        limiter.enqueue(() -> resume("b", true));
         assertEquals(List.of(), resumed);
-        intake.onRequestDecided();
+        limiter.onRequestDecided();
         assertEquals(List.of("a"), resumed);
-        intake.onRequestRead();
-        intake.onRequestDecided();
+        limiter.onRequestRead();
+        limiter.onRequestDecided();
         assertEquals(List.of("a", "b"), resumed);
     }
 
     @Example
     void aClosedConnectionIsSkipped() {
-        intake.onRequestRead();
-        intake.onRequestRead();
-        intake.enqueue(() -> resume("closed", false));
-        intake.enqueue(() -> resume("b", true));
-        intake.enqueue(() -> resume("c", true));
-        intake.onRequestDecided();
+        limiter.onRequestRead();
+        limiter.onRequestRead();
+        limiter.enqueue(() -> resume("closed", false));
+        limiter.enqueue(() -> resume("b", true));
+        limiter.enqueue(() -> resume("c", true));
+        limiter.onRequestDecided();
         assertEquals(List.of("closed", "b"), resumed);
     }
 
     @Example
     void resumesAtOnceWhenNothingIsUndecided() {
-        intake.enqueue(() -> resume("late", true));
+        limiter.enqueue(() -> resume("late", true));
         assertEquals(List.of("late"), resumed);
-        intake.onRequestRead();
-        intake.onRequestRead();
-        intake.enqueue(() -> resume("a", true));
-        intake.resumeAll();
+        limiter.onRequestRead();
+        limiter.onRequestRead();
+        limiter.enqueue(() -> resume("a", true));
+        limiter.resumeAll();
         assertEquals(List.of("late", "a"), resumed);
     }
 
@@ -63,49 +63,49 @@
     @Property(tries = 2_000, seed = "95")
     void everyConnectionIsEventuallyResumed(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        IntakeLimiter some = new IntakeLimiter(1 + random.nextInt(4));
-        List<Integer> ready = new ArrayList<>();
+        IntakeLimiter randomLimiter = new IntakeLimiter(1 + random.nextInt(4));
+        List<Integer> resumedConnections = new ArrayList<>();
         int undecided = 0;
-        int asked = 0;
+        int arrivals = 0;
         int served = 0;
         for (int step = 0; step < 200; step++) {
             if (random.nextBoolean()) {
-                int who = asked++;
-                if (some.isFull()) {
-                    some.enqueue(() -> {
-                        ready.add(who);
+                int connection = arrivals++;
+                if (randomLimiter.isFull()) {
+                    randomLimiter.enqueue(() -> {
+                        resumedConnections.add(connection);
                         return true;
                     });
                 } else {
-                    some.onRequestRead();
+                    randomLimiter.onRequestRead();
                     undecided++;
                 }
             } else if (undecided > 0) {
-                some.onRequestDecided();
+                randomLimiter.onRequestDecided();
                 undecided--;
                 served++;
             }
-            while (!ready.isEmpty()) {
-                ready.remove(0);
+            while (!resumedConnections.isEmpty()) {
+                resumedConnections.remove(0);
                 if (random.nextInt(4) == 0) {
                     served++; // it had closed, or says nothing
                 } else {
-                    some.onRequestRead();
+                    randomLimiter.onRequestRead();
                     undecided++;
                 }
             }
         }
-        for (int i = 0; i < 1_000 && served < asked; i++) {
+        for (int i = 0; i < 1_000 && served < arrivals; i++) {
             if (undecided > 0) {
-                some.onRequestDecided();
+                randomLimiter.onRequestDecided();
                 undecided--;
                 served++;
             }
-            some.sweep();
-            undecided += ready.size();
-            ready.forEach(who -> some.onRequestRead());
-            ready.clear();
+            randomLimiter.sweep();
+            undecided += resumedConnections.size();
+            resumedConnections.forEach(connection -> randomLimiter.onRequestRead());
+            resumedConnections.clear();
         }
-        assertEquals(asked, served);
+        assertEquals(arrivals, served);
     }
 }
--- a/src/test/java/reedmux/gatekeeper/http/UpstreamConnectionPoolTest.java
+++ b/src/test/java/reedmux/gatekeeper/http/UpstreamConnectionPoolTest.java
@@ -22,25 +22,25 @@
     private static final UpstreamConnection.UpstreamEndpoint PROVIDER =
             new UpstreamConnection.UpstreamEndpoint("s-1", new InetSocketAddress("127.0.0.1", 9));
 
-    private static List<CallResult> resultsOf(UpstreamConnectionPool calls) {
-        List<CallResult> ends = new ArrayList<>();
-        calls.execute(PROVIDER, UpstreamRequest.get("/", "127.0.0.1:9"), ends::add);
-        return ends;
+    private static List<CallResult> executeCall(UpstreamConnectionPool pool) {
+        List<CallResult> results = new ArrayList<>();
+        pool.execute(PROVIDER, UpstreamRequest.get("/", "127.0.0.1:9"), results::add);
+        return results;
     }
 
     @Test
     void failsWhenNoConnectionPermitIsLeft() {
-        List<CallResult> ends = resultsOf(new UpstreamConnectionPool(
+        List<CallResult> results = executeCall(new UpstreamConnectionPool(
                 null, new MonotonicClock(), UpstreamConnectionPool.ConnectionPermits.fixed(0), 1));
         assertEquals(
-                List.of(new CallResult.ConnectionBroken(CallStage.CONNECTING, "all connections are in use")), ends);
-        assertEquals(AttemptOutcome.CONNECT_FAILED, ends.get(0).outcome());
+                List.of(new CallResult.ConnectionBroken(CallStage.CONNECTING, "all connections are in use")), results);
+        assertEquals(AttemptOutcome.CONNECT_FAILED, results.get(0).outcome());
     }
 
     /** As at the very end of leaving; the place goes back, or the next call would find none. */
     @Test
     void returnsThePermitWhenTheReactorIsShutDown() {
-        UpstreamConnectionPool calls = new UpstreamConnectionPool(
+        UpstreamConnectionPool pool = new UpstreamConnectionPool(
                 (host, remote, local, timeout, attachment, callback) -> {
                     throw new IllegalStateException("shut down");
                 },
@@ -48,7 +48,8 @@
                 UpstreamConnectionPool.ConnectionPermits.fixed(1),
                 1);
         for (int i = 0; i < 3; i++) {
-            assertEquals(List.of(new CallResult.ConnectionBroken(CallStage.CONNECTING, "shut down")), resultsOf(calls));
+            assertEquals(
+                    List.of(new CallResult.ConnectionBroken(CallStage.CONNECTING, "shut down")), executeCall(pool));
         }
     }
 
@@ -56,7 +57,7 @@
     @Test
     void connectsWithoutNameResolution() throws Exception {
         InetAddress address = InetAddress.getByAddress(new byte[] {127, 0, 0, 1});
-        UpstreamConnectionPool calls = new UpstreamConnectionPool(
+        UpstreamConnectionPool pool = new UpstreamConnectionPool(
                 (host, remote, local, timeout, attachment, callback) -> {
                     assertEquals("127.0.0.1", host.getHostName());
                     throw new IllegalStateException("shut down");
@@ -64,12 +65,12 @@
                 new MonotonicClock(),
                 UpstreamConnectionPool.ConnectionPermits.fixed(1),
                 1);
-        List<CallResult> ends = new ArrayList<>();
-        calls.execute(
+        List<CallResult> results = new ArrayList<>();
+        pool.execute(
                 new UpstreamConnection.UpstreamEndpoint("s-1", new InetSocketAddress(address, 9)),
                 UpstreamRequest.get("/", "127.0.0.1:9"),
-                ends::add);
-        assertEquals(1, ends.size());
+                results::add);
+        assertEquals(1, results.size());
         assertEquals("/127.0.0.1", address.toString(), "an address keeps the name that was found for it");
     }
 
@@ -77,11 +78,16 @@
     @Test
     void abortsAStreamedResponseOnlyAfterAStall() throws Exception {
         MonotonicClock clock = new MonotonicClock();
-        UpstreamConnectionPool calls =
+        UpstreamConnectionPool pool =
                 new UpstreamConnectionPool(null, clock, UpstreamConnectionPool.ConnectionPermits.fixed(1), 1);
-        List<CallResult.ResponseReceived> begun = new ArrayList<>();
+        List<CallResult.ResponseReceived> streamedResponses = new ArrayList<>();
         UpstreamExchange exchange = new UpstreamExchange(
-                calls, PROVIDER, UpstreamRequest.get("/", "127.0.0.1:9"), () -> {}, begun::add, result -> {});
+                pool,
+                PROVIDER,
+                UpstreamRequest.get("/", "127.0.0.1:9"),
+                () -> {},
+                streamedResponses::add,
+                result -> {});
         exchange.consumeResponse(new BasicHttpResponse(200), new BasicEntityDetails(300_000, null), null);
         long now = clock.now();
         exchange.abortIfStalled(now);
@@ -93,6 +99,6 @@
         assertFalse(exchange.isAborted(), "ten bytes have come");
         exchange.abortIfStalled(now + 32_000_000);
         assertTrue(exchange.isAborted());
-        assertEquals(1, begun.size());
+        assertEquals(1, streamedResponses.size());
     }
 }
