--- a/src/main/java/reedmux/gatekeeper/http/BodyStream.java
+++ b/src/main/java/reedmux/gatekeeper/http/BodyStream.java
@@ -10,22 +10,23 @@
 import reedmux.gatekeeper.reducer.CallResult;
 
 /**
- * A body that is streamed from one connection, its source, to another, its sink, with flow control: it buffers what the
- * sink has not taken yet, and grants the source no more than {@link #MAX_BUFFERED_BYTES} of that. Either side may end
- * it.
+ * A message body that is relayed from a source connection to a sink connection while it is being received, with flow
+ * control. It buffers the bytes that have not been written to the sink yet, and grants the source capacity for at most
+ * {@link #MAX_BUFFERED_BYTES} more than the sink has taken. Either side may end the stream.
  *
- * <p>For all threads. The source's and the sink's connections are not called with the monitor held, except to write.
+ * <p>Thread-safe. The connections of the source and the sink are called without holding the monitor, except to write.
  */
 public final class BodyStream implements CallResult.RemainingBody {
-    /** Bytes that one stream may buffer; a read may add a little more. */
+    /** Maximum number of bytes that one stream buffers; a single read may exceed it slightly. */
     static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
+    /** Maximum number of bytes that one stream buffers while all streams together exceed the pressure threshold. */
     static final int MAX_BUFFERED_BYTES_UNDER_PRESSURE = 8 * 1024;
-    /** Bytes in all streams from which on each may buffer less. */
+    /** Total number of bytes buffered in all streams above which each stream buffers less. */
     private static final long PRESSURE_THRESHOLD_BYTES = 8L * 1024 * 1024;
 
     private static final int CHUNK_BYTES = 8 * 1024;
-    /** The source is not granted less than this. */
+    /** Minimum number of bytes granted to the source at once. */
     private static final int MIN_GRANT_BYTES = 4 * 1024;
 
     private static final AtomicLong TOTAL_BUFFERED = new AtomicLong();
@@ -44,11 +45,11 @@
     private boolean closed;
 
     /**
-     * A stream of which nothing has been received yet.
+     * Creates a stream that has not received any bytes.
      *
-     * @param length       of the body, -1 if it is not known
-     * @param maxBytes     that the body may have
-     * @param grantedBytes that the source may send so far
+     * @param length       length of the body in bytes, or -1 if it is unknown
+     * @param maxBytes     maximum length of the body in bytes
+     * @param grantedBytes number of bytes that the source may already send
      */
     BodyStream(long length, long maxBytes, long grantedBytes) {
         this.length = length;
@@ -62,7 +63,10 @@
     }
 
     // ---- The source --------------------------------------------------------------------------------
-    /** Receives bytes of the source; returns false if the body is too long, with which the stream has failed. */
+    /**
+     * Receives bytes from the source. Returns false if the body exceeds its maximum length; the stream fails in this
+     * case.
+     */
     boolean receive(ByteBuffer bytes) {
         DataStreamChannel waitingSink;
         synchronized (this) {
@@ -103,7 +107,7 @@
         }
     }
 
-    /** Sets where the source is granted further bytes. */
+    /** Sets the channel on which the source is granted further capacity. */
     void attachSource(CapacityChannel channel) throws IOException {
         synchronized (this) {
             source = channel;
@@ -125,13 +129,13 @@
             }
             grantedBytes += additionalBytes;
             if (closed) {
-                source = null; // the rest has been granted, and is discarded
+                source = null; // the source may send the entire rest, which is discarded
             }
         }
         channel.update((int) additionalBytes);
     }
 
-    /** The source has sent the whole body. */
+    /** Marks the body as completely received. */
     void complete() {
         DataStreamChannel waitingSink;
         synchronized (this) {
@@ -143,7 +147,10 @@
         }
     }
 
-    /** The source has failed. */
+    /**
+     * Marks the stream as failed, discards its bytes and runs the failure listener; has no effect if the stream is
+     * closed.
+     */
     void fail() {
         Runnable listener;
         synchronized (this) {
@@ -158,7 +165,7 @@
     }
 
     // ---- The sink ----------------------------------------------------------------------------------
-    /** Sets what is run when the source fails; it is run at once if the source has failed already. */
+    /** Sets the listener that runs when the source fails; it runs immediately if the source has already failed. */
     void onFailure(Runnable listener) {
         boolean alreadyFailed;
         synchronized (this) {
@@ -170,12 +177,12 @@
         }
     }
 
-    /** Bytes that wait for the sink; 1 if there are none but the end. */
+    /** Returns the number of bytes available to the sink, or 1 if only the end of the body remains to be signalled. */
     synchronized int available() {
         return closed ? 0 : bufferedBytes() > 0 ? (int) bufferedBytes() : complete ? 1 : 0;
     }
 
-    /** Writes as much as the sink takes; returns whether the body has been written completely. */
+    /** Writes as many bytes as the sink accepts; returns true if this call has completed the body. */
     boolean writeTo(DataStreamChannel channel) throws IOException {
         boolean bodyWritten = false;
         synchronized (this) {
@@ -193,7 +200,7 @@
                 if (chunk.limit() == chunk.capacity() || chunks.size() > 1 || complete) {
                     chunks.poll();
                 } else {
-                    chunk.limit(0); // refilled by the next read
+                    chunk.limit(0); // the next read refills this chunk
                     break;
                 }
             }
@@ -209,7 +216,7 @@
         return bodyWritten;
     }
 
-    /** The sink takes no more; what is still received is discarded. */
+    /** Stops writing to the sink; buffered bytes and all bytes that are received later are discarded. */
     void discardRest() {
         synchronized (this) {
             if (closed) {
@@ -222,7 +229,7 @@
         try {
             grantCapacity();
         } catch (IOException e) {
-            // the source's connection has been closed, too
+            // the source's connection is closed as well
         }
     }
 
@@ -231,7 +238,7 @@
         return Math.min(receivedBytes, maxBytes) - sentBytes;
     }
 
-    /** Whether nothing has been written yet, so that another sink can have the whole body. */
+    /** Whether no byte has been written yet, so that another sink can still receive the whole body. */
     synchronized boolean isUnread() {
         return sentBytes == 0 && !closed;
     }
@@ -241,17 +248,17 @@
         return complete;
     }
 
-    /** Whether the source may send more. */
+    /** Whether the stream is waiting for bytes that the source has been granted. */
     synchronized boolean awaitsSource() {
         return !closed && !complete && grantedBytes - receivedBytes >= MIN_GRANT_BYTES;
     }
 
-    /** Whether the sink has something to take. */
+    /** Whether buffered bytes are waiting to be written to the sink. */
     synchronized boolean awaitsSink() {
         return !closed && bufferedBytes() > 0;
     }
 
-    /** Bytes received plus bytes written; as long as it grows there is progress. */
+    /** Returns the sum of the bytes received and written, which grows as long as the stream makes progress. */
     synchronized long bytesMoved() {
         return receivedBytes + sentBytes;
     }
@@ -260,7 +267,7 @@
         return receivedBytes;
     }
 
-    /** Bytes that all streams buffer now. */
+    /** Returns the number of bytes currently buffered by all streams. */
     static long totalBufferedBytes() {
         return TOTAL_BUFFERED.get();
     }
--- a/src/main/java/reedmux/gatekeeper/http/BufferedBody.java
+++ b/src/main/java/reedmux/gatekeeper/http/BufferedBody.java
@@ -6,11 +6,16 @@
 import org.apache.hc.core5.http.EntityDetails;
 import org.apache.hc.core5.http.nio.DataStreamChannel;
 
-/** Bodies that are held in memory: {@link InboundBody} is received, {@link OutboundBody} is sent. */
+/**
+ * Message bodies that are held in memory: {@link InboundBody} collects a received body, {@link OutboundBody} writes a
+ * body to a connection.
+ */
 final class BufferedBody {
     static final byte[] EMPTY = {};
 
-    /** Collects a body up to {@link HttpTransport#MAX_BUFFERED_BODY_BYTES}; what exceeds that is dropped. */
+    /**
+     * Collects a body of up to {@link HttpTransport#MAX_BUFFERED_BODY_BYTES}; bytes beyond this limit are discarded.
+     */
     static final class InboundBody {
         private final ByteArrayOutputStream bytes;
         private boolean tooLong;
@@ -42,7 +47,7 @@
         }
     }
 
-    /** Writes a body, as much at a time as the connection takes. */
+    /** Writes a body in portions of the size that the connection accepts. */
     static final class OutboundBody {
         private final ByteBuffer bytes;
 
--- a/src/main/java/reedmux/gatekeeper/http/ConnectionAcceptor.java
+++ b/src/main/java/reedmux/gatekeeper/http/ConnectionAcceptor.java
@@ -14,13 +14,15 @@
 import org.apache.hc.core5.reactor.DefaultListeningIOReactor;
 
 /**
- * Accepts connections while there are permits for them. Others wait in the system's backlog, where they need no
- * descriptor. Before it closes it accepts the whole backlog: connections in the backlog of a closed socket are reset.
+ * Accepts connections while connection permits are available. Further connections wait in the operating system's
+ * backlog, where they need no file descriptor. Before it closes the socket it accepts the whole backlog, since
+ * connections in the backlog of a closed socket are reset.
  */
 public final class ConnectionAcceptor implements AutoCloseable {
-    /** Connections that the system holds until they are accepted. */
+    /** Maximum number of connections that the operating system queues until they are accepted. */
     private static final int ACCEPT_BACKLOG = 512;
 
+    /** Waiting time for a permit, and pause after a failed attempt to accept. */
     private static final long RETRY_DELAY_MILLIS = 50;
 
     private final ServerSocketChannel server;
@@ -31,10 +33,11 @@
     private volatile boolean closing;
 
     /**
-     * Listens at once.
+     * Opens the listening socket and starts the accepting thread.
      *
-     * @param shared            whether another process may listen on the address, such as one that replaces ours
-     * @param connectionPermits acquired for each connection
+     * @param shared            whether other processes may listen on the same address, such as the one that replaces
+     *                          this process
+     * @param connectionPermits one permit is acquired for each accepted connection
      */
     public ConnectionAcceptor(
             SocketAddress listen,
@@ -66,7 +69,7 @@
         thread.start();
     }
 
-    /** The address that it listens on. */
+    /** Returns the local address of the listening socket. */
     public SocketAddress address() throws IOException {
         return server.getLocalAddress();
     }
@@ -81,7 +84,7 @@
             }
             acceptAll();
         } catch (IOException e) {
-            log.accept("accepting has ended: " + e);
+            log.accept("the connection acceptor stopped: " + e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -103,7 +106,7 @@
                 }
                 AcceptedChannels.hand(reactor, accepted);
                 permitUsed = true;
-            } catch (IOException | RuntimeException e) { // no descriptor is left, or the client has gone
+            } catch (IOException | RuntimeException e) { // no file descriptor is left, or the client has gone away
                 log.accept("cannot accept: " + e.getMessage());
                 TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MILLIS);
                 if (closing) {
@@ -117,7 +120,7 @@
         }
     }
 
-    /** Has the accepting thread accept the backlog and close; does not wait for it. */
+    /** Makes the accepting thread accept the backlog and close the socket; does not wait for completion. */
     @Override
     public void close() {
         closing = true;
--- a/src/main/java/reedmux/gatekeeper/http/ConsumerConnection.java
+++ b/src/main/java/reedmux/gatekeeper/http/ConsumerConnection.java
@@ -19,39 +19,47 @@
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
 /**
- * One accepted connection, with at most one invocation at a time. It knows which state it is in and for how long, from
- * which its time-outs follow, and it hides the library's event handler.
+ * An accepted connection, which carries at most one invocation at a time. It tracks its state and the time of the last
+ * state change, from which its time-outs are derived, and encapsulates the HTTP library's event handler.
  *
- * <p>Once {@link #hasStoppedReading} the current response is the last one. What still comes in is discarded; after the
- * response the output is shut down, and the connection is closed when the consumer closes it or after
- * {@link #LINGER_MICROS}. Closing it at once would reset it, and the consumer might lose the response.
+ * <p>Once {@link #hasStoppedReading} returns true, the current response is the last one, and further input is
+ * discarded. After the response the output is shut down, and the connection is closed when the consumer closes its side
+ * or after {@link #LINGER_MICROS}. Closing it immediately would reset it, and the consumer might lose the response.
  *
- * <p>All methods are for the I/O thread, but for those that say otherwise.
+ * <p>Methods must be called on the I/O thread, unless documented otherwise.
  */
 final class ConsumerConnection implements Http1StreamListener, ConnectionReuseStrategy {
-    /** A request must be complete so long after its first byte; the first one so long after connecting. */
+    /**
+     * Time limit for a complete request, counted from its first byte; for the first request, from accepting the
+     * connection.
+     */
     static final long REQUEST_TIMEOUT_MICROS = TimeUnit.MILLISECONDS.toMicros(2_000);
-    /** Usual consumers send a request at once; slower ones are evicted first when connections are scarce. */
+    /**
+     * Regular consumers send a request immediately. Connections without a complete request after this time are evicted
+     * first when connections are scarce.
+     */
     static final long SLOW_REQUEST_MICROS = TimeUnit.MILLISECONDS.toMicros(100);
 
-    /** How long the consumer may take to read the last response. */
+    /** Time that the consumer has to read the last response before the connection is closed. */
     private static final long LINGER_MICROS = TimeUnit.MILLISECONDS.toMicros(500);
-    /** How long a consumer may read nothing of a response. */
+    /** Time after which a connection is closed if the consumer reads none of its pending response. */
     private static final long WRITE_TIMEOUT_MICROS = TimeUnit.SECONDS.toMicros(10);
-    /** How long a connection may be without a request: some consumers never close theirs. */
+    /** Time after which a connection without a request is closed; some consumers never close their connections. */
     private static final long IDLE_TIMEOUT_MICROS = TimeUnit.SECONDS.toMicros(15);
-    /** Bytes that are read and discarded after the last request; more than that are not worth reading. */
+    /**
+     * Maximum number of bytes that are read and discarded after the last request; reading more is not worth its cost.
+     */
     private static final int MAX_DISCARDED_BYTES = 256 * 1024;
 
-    /** What a connection is doing, in the order in which connections are evicted. */
+    /** State of a connection; connections are evicted in the order of these constants. */
     enum ConsumerConnectionState {
-        /** The last response has been written. */
+        /** The last response has been written, and the connection is about to be closed. */
         CLOSING,
-        /** It has been without a complete request for longer than usual consumers take. */
+        /** No complete request has been received within the time that regular consumers take. */
         SLOW,
-        /** It is between two requests. */
+        /** The connection is waiting for its next request. */
         IDLE,
-        /** It is new, or a request is coming in. */
+        /** The connection is new, or a request is being received. */
         STARTING,
         /** A request is being served. */
         SERVING
@@ -62,20 +70,23 @@
     private final StrictHeadParsers.StrictRequestParser requestParser = new StrictHeadParsers.StrictRequestParser();
     private final StrictServerDuplexer duplexer;
     private final ConsumerEventHandler eventHandler;
-    /** The one exchange that may have an invocation. */
+    /** The only exchange that may have an invocation. */
     private volatile ConsumerExchange currentExchange;
-    /** Exchanges whose response is not written yet. */
+    /** Number of exchanges whose response has not been written completely. */
     private volatile int pendingResponses;
-    /** Bytes that had been received when the last request was complete. */
+    /** Number of bytes received by the end of the last complete request. */
     private volatile long bytesAtLastRequestEnd;
-    /** Since when it is idle, reads a request or closes; also the last progress of a response. */
+    /**
+     * When the connection became idle, began to receive a request or began to close; also when a response last
+     * progressed.
+     */
     private volatile long stateSince;
 
     private volatile boolean closing;
     private volatile boolean closed;
     private volatile boolean closeRequested;
     private int discardedBytes;
-    /** Limits the next request, as the last one determined; null for no limit. */
+    /** Limiter of the next request, determined by the last request; null for no limit. */
     private IntakeLimiter intakeLimiter;
 
     private volatile boolean waitingForIntake;
@@ -92,7 +103,9 @@
         return eventHandler;
     }
 
-    /** The exchange of a request whose head has been read; only one at a time may have an invocation. */
+    /**
+     * Creates the exchange of a request whose head has been read; only one exchange at a time may have an invocation.
+     */
     ConsumerExchange createExchange() {
         ConsumerExchange previous = currentExchange;
         boolean onlyExchange = previous == null || previous.isAnswered();
@@ -105,7 +118,7 @@
     }
 
     // ---- For the exchange --------------------------------------------------------------------------
-    /** What is wrong with the head that was just read, or null. */
+    /** Returns the error in the head that was read last, or null. */
     String headError() {
         return requestParser.error();
     }
@@ -114,13 +127,13 @@
         return requestParser.errorStatus();
     }
 
-    /** The current request has been received completely. */
+    /** Called when the current request has been received completely. */
     void onRequestReceived() {
         bytesAtLastRequestEnd = duplexer.getEndpointDetails().getReceivedBytesCount();
         stateSince = server.frontend().now();
     }
 
-    /** Something of the current response is being written. */
+    /** Called when the current response makes progress. */
     void onResponseProgress() {
         stateSince = server.frontend().now();
     }
@@ -129,7 +142,7 @@
         intakeLimiter = limiter;
     }
 
-    /** Makes the current response the last one. */
+    /** Stops reading requests, so that the current response is the last one. */
     void stopReading() {
         requestParser.stop();
     }
@@ -138,12 +151,12 @@
         return requestParser.isStopped();
     }
 
-    /** Closes the connection with a reset; for all threads. */
+    /** Closes the connection with a reset; may be called on any thread. */
     void abort() {
         session.close(CloseMode.IMMEDIATE);
     }
 
-    /** A chunked body is malformed: nobody can tell where the next request would begin. */
+    /** Handles a malformed chunked body, after which the start of the next request cannot be determined. */
     void onChunkError(String problem) {
         ConsumerExchange exchange = currentExchange;
         if (exchange == null || !exchange.rejectUnreadable(problem)) {
@@ -184,7 +197,7 @@
         return pendingResponses > 0;
     }
 
-    /** Whether the time-out of its state has passed. */
+    /** Whether the time-out of the connection's current state has expired. */
     boolean isOverdue(long now) {
         ConsumerExchange exchange = currentExchange;
         long timeInState = now - stateSince;
@@ -203,19 +216,19 @@
         };
     }
 
-    /** Whether it has no request, or has sent nothing for longer than usual consumers take. */
+    /** Whether the connection is between requests, or has sent nothing for longer than regular consumers take. */
     boolean isIdle(long now) {
         ConsumerConnectionState state = state(now);
         return state == ConsumerConnectionState.IDLE || state == ConsumerConnectionState.SLOW && !isReadingRequest();
     }
 
-    /** Has the I/O thread close it, unless a request has come in by then. */
+    /** Requests that the I/O thread close the connection, unless a request has arrived by then. */
     void requestClose() {
         closeRequested = true;
         session.setEvent(SelectionKey.OP_WRITE);
     }
 
-    /** Has the I/O thread read its next request; returns false if it is closed. */
+    /** Requests that the I/O thread read the next request; returns false if the connection is closed. */
     private boolean resumeReading() {
         waitingForIntake = false;
         session.setEvent(SelectionKey.OP_READ);
@@ -229,8 +242,9 @@
     }
 
     /**
-     * Closes it to make room for another connection, unless a request has arrived: on a busy machine the I/O thread
-     * may be delayed for longer than a usual consumer takes, with the request waiting to be read.
+     * Closes the connection to make room for another one, unless a request has arrived; returns whether it was closed.
+     * On a busy machine the I/O thread may be delayed for longer than a regular consumer takes to send a request, which
+     * may then be waiting to be read.
      */
     boolean tryEvict() throws IOException {
         if (!requestParser.isStopped()) {
@@ -243,7 +257,10 @@
         return true;
     }
 
-    /** Closes it if the sweep's reason still holds; on the I/O thread nothing can change in between. */
+    /**
+     * Closes the connection if the reason that the sweep found still holds; on the I/O thread it cannot change
+     * meanwhile.
+     */
     private void closeIfStillDue(IOSession ioSession) throws IOException {
         closeRequested = false;
         long now = server.frontend().now();
@@ -259,7 +276,7 @@
         }
     }
 
-    /** The last response has been written: the consumer gets some time to read it. */
+    /** Starts the linger period after the last response, in which the consumer can read it. */
     private void startLinger() {
         closing = true;
         stateSince = server.frontend().now();
@@ -290,7 +307,7 @@
     }
 
     // ---- Callbacks of the library ------------------------------------------------------------------
-    /** A connection that has stopped reading is kept alive for the library, since it is closed after lingering. */
+    /** Keeps a connection that has stopped reading alive, since this class closes it after the linger period. */
     @Override
     public boolean keepAlive(HttpRequest request, HttpResponse response, HttpContext context) {
         return requestParser.isStopped()
@@ -312,7 +329,10 @@
         }
     }
 
-    /** The library's event handler, which also notices that the consumer has disconnected. */
+    /**
+     * The library's event handler, extended by intake limiting and by the detection of consumers that have
+     * disconnected.
+     */
     private final class ConsumerEventHandler extends ServerHttp1IOEventHandler {
 
         ConsumerEventHandler() {
@@ -340,23 +360,24 @@
             readInput(ioSession, source);
         }
 
-        /** Whether the input begins a request that is subject to the limiter. */
+        /** Whether the input starts a request that is subject to the intake limiter. */
         private boolean isNextRequest() {
             return intakeLimiter != null && !requestParser.isStopped() && pendingResponses == 0 && !isReadingRequest();
         }
 
-        /** Reads the input, whatever the limiter says. */
+        /** Reads the input regardless of the intake limiter. */
         void readInput(IOSession ioSession, ByteBuffer source) throws IOException {
             if (requestParser.isStopped()) {
                 discardInput(ioSession);
                 return;
             }
             if (bytesAtLastRequestEnd > 0 && pendingResponses == 0 && !isReadingRequest()) {
-                stateSince = server.frontend().now(); // the first bytes of a further request
+                stateSince = server.frontend().now(); // the first bytes of the next request
             }
             super.inputReady(ioSession, source);
-            // The library takes the end of the input for a half-closed connection and goes on to respond. Here a
-            // consumer that closes has gone away, and the policy must know that at once.
+            // The library treats the end of the input as a half-closed connection and continues to respond. A consumer
+            // that closes its connection no longer waits for the response, and the policy must be notified of that
+            // immediately.
             ConsumerExchange exchange = currentExchange;
             if (exchange != null && exchange.isAwaited() && !duplexer.isOpen()) {
                 session.close(CloseMode.IMMEDIATE);
--- a/src/main/java/reedmux/gatekeeper/http/ConsumerExchange.java
+++ b/src/main/java/reedmux/gatekeeper/http/ConsumerExchange.java
@@ -25,11 +25,11 @@
 import reedmux.gatekeeper.reducer.ReducerEvent;
 
 /**
- * One request of a consumer and its response. The request is buffered up to {@link
- * HttpTransport#MAX_BUFFERED_BODY_BYTES}; a longer body is streamed, and the request is parsed as soon as that is
- * known. A response is sent once, whatever else happens.
+ * A consumer's request and its response. The request body is buffered up to {@link
+ * HttpTransport#MAX_BUFFERED_BODY_BYTES}; a longer body is streamed, and the request is parsed as soon as the body is
+ * known to be longer. At most one response is sent, whatever events occur concurrently.
  *
- * <p>The library calls on the I/O thread; the answer of an invocation comes from the event loop.
+ * <p>The library calls this class on the I/O thread; the answer to an invocation arrives on the event loop.
  */
 public final class ConsumerExchange implements AsyncServerExchangeHandler, Invocation.AnswerSink {
     private static final String BODY_TOO_LONG = "the body is too long";
@@ -54,22 +54,22 @@
     private volatile Invocation invocation;
     private volatile Metrics.ClassMetrics classMetrics;
     private volatile BufferedBody.OutboundBody bufferedResponse;
-    /** The request's body if it is streamed, otherwise null. */
+    /** Stream of the request body, or null if the body is buffered. */
     private volatile BodyStream requestStream;
-    /** The response's body if it is streamed, otherwise null. */
+    /** Stream of the response body, or null if the body is buffered. */
     private volatile BodyStream responseStream;
-    /** Whether the streamed response has been written, or has failed. */
+    /** Whether the streamed response has been written completely, has failed or has been abandoned. */
     private volatile boolean streamEnded;
-    /** Bytes of the body that the library may have read so far. */
+    /** Number of body bytes that the library has been allowed to read so far. */
     private long grantedBytes = HttpTransport.INITIAL_WINDOW_BYTES;
-    /** Since when the rate of the body is measured; 0 for the begin of the request. */
+    /** Start of the period in which the rate of the body is measured; 0 for the start of the request. */
     private long rateMeasuredSince;
-    /** The bytes that had been received then. */
+    /** Number of body bytes that had been received at the start of this period. */
     private long rateMeasuredFromBytes;
-    /** When the request was received, if the response reports the time that it took; otherwise 0. */
+    /** When the request was received, if the response reports its processing time; otherwise 0. */
     private long receivedAt;
 
-    /** An exchange; {@code onlyExchange} is false if another one is still open on its connection. */
+    /** Creates an exchange; {@code onlyExchange} is false if another exchange is still open on the connection. */
     ConsumerExchange(ConsumerServer server, ConsumerConnection connection, boolean onlyExchange) {
         this.server = server;
         this.connection = connection;
@@ -80,21 +80,22 @@
         return answered.get();
     }
 
-    /** Whether the request's body is still being received. */
+    /** Whether the request body is still being received. */
     boolean isReadingBody() {
         return readingBody && !isAnswered();
     }
 
-    /** Whether the request has become an invocation, be its body complete or not. */
+    /** Whether the request has become an invocation, even if its body is not complete yet. */
     boolean isForwarded() {
         return invocation != null;
     }
 
     /**
-     * Whether the body is received too slowly. Time in which we do not ask for more does not count.
+     * Whether the body is received too slowly. Periods in which the gateway grants the consumer no capacity are not
+     * counted.
      *
-     * @param startedAt         when the request began
-     * @param headTimeoutMicros how long a head may take
+     * @param startedAt         when the request started
+     * @param headTimeoutMicros time limit for the request head
      */
     boolean isBodyTooSlow(long now, long startedAt, long headTimeoutMicros) {
         BodyStream stream = requestStream;
@@ -114,12 +115,12 @@
                 stream.bytesReceived() - rateMeasuredFromBytes);
     }
 
-    /** Whether the consumer still has something to wait for: its response, or the rest of a streamed one. */
+    /** Whether the consumer is still waiting for its response, or for the rest of a streamed one. */
     boolean isAwaited() {
         return !isAnswered() || responseStream != null && !streamEnded;
     }
 
-    /** Whether the response waits for the consumer to read it. */
+    /** Whether the response is waiting for the consumer to read it. */
     boolean awaitsConsumer() {
         BodyStream stream = responseStream;
         return isAnswered() && (stream == null || streamEnded || stream.awaitsSink());
@@ -139,11 +140,11 @@
         } else if (entity == null) {
             dispatch(RequestBody.buffered(BufferedBody.EMPTY));
         } else if (entity.getContentLength() > server.frontend().maxBodyBytes()) {
-            rejectAndClose(STATUS_CONTENT_TOO_LARGE, BODY_TOO_LONG); // without reading the body first
+            rejectAndClose(STATUS_CONTENT_TOO_LARGE, BODY_TOO_LONG); // rejected before the body is read
         } else {
             bufferedRequest = new BufferedBody.InboundBody(entity);
             readingBody = true;
-            if (request.containsHeader("Expect")) { // the consumer may hold the body back until then
+            if (request.containsHeader("Expect")) { // the consumer may wait for this before it sends the body
                 channel.sendInformation(new BasicHttpResponse(STATUS_CONTINUE), context);
             }
             if (entity.getContentLength() > HttpTransport.MAX_BUFFERED_BODY_BYTES) {
@@ -165,7 +166,7 @@
         }
     }
 
-    /** Makes the body a stream, and an invocation of the request before the body is complete. */
+    /** Switches the body to streaming, and dispatches the request before the body is complete. */
     private void startStreaming(long length) throws HttpException, IOException {
         BodyStream stream = new BodyStream(length, server.frontend().maxBodyBytes(), grantedBytes);
         stream.receive(ByteBuffer.wrap(bufferedRequest.bytes()));
@@ -182,7 +183,7 @@
         BodyStream stream = requestStream;
         if (isAnswered()) {
             source.position(source.limit());
-            connection.onResponseProgress(); // what is discarded shows that the consumer is alive, too
+            connection.onResponseProgress(); // discarded input also shows that the consumer is alive
         } else if (stream != null) {
             if (!stream.receive(source)) {
                 tryRejectAndClose(STATUS_CONTENT_TOO_LARGE, BODY_TOO_LONG);
@@ -225,7 +226,7 @@
         return !isAnswered() && tryRejectAndClose(STATUS_BAD_REQUEST, problem);
     }
 
-    /** Rejects a request that is not complete in time; returns whether a response could be sent. */
+    /** Rejects a request that was not complete in time; returns whether a response could be sent. */
     boolean rejectTimedOut() {
         return !isAnswered() && tryRejectAndClose(STATUS_REQUEST_TIMEOUT, "the request did not come in whole in time");
     }
@@ -240,17 +241,19 @@
         }
     }
 
-    /** Sends a response after which the connection is closed, since what follows cannot be read as a request. */
+    /**
+     * Sends a response after which the connection is closed, since the following input cannot be parsed as a request.
+     */
     private void rejectAndClose(int status, String problem) throws HttpException, IOException {
         connection.stopReading();
         sendResponse(GatewayResponse.text(status, problem));
-        if (invocation != null) { // its body will never be complete
+        if (invocation != null) { // the body will never be complete
             eventSink.accept(new ReducerEvent.ConsumerDisconnected(invocation));
             requestStream.fail();
         }
     }
 
-    /** Responds to a health check, or has the frontend make an invocation or a rejection of the request. */
+    /** Responds to a health check, or has the frontend parse the request into an invocation or a rejection. */
     private void dispatch(RequestBody body) throws HttpException, IOException {
         if (body.stream() == null) {
             readingBody = false;
@@ -292,8 +295,8 @@
         try {
             sendResponse(server.frontend().toResponse(answer));
         } catch (HttpException | IOException | RuntimeException e) {
-            // The consumer's connection has just broken, and nobody is left to be answered. An exception that left
-            // this method would interrupt the reducer in the middle of a decision.
+            // The consumer's connection has just failed, so the response cannot be delivered. An exception thrown from
+            // here would interrupt the reducer in the middle of a decision.
             connection.abort();
         }
     }
@@ -334,7 +337,10 @@
         }
     }
 
-    /** The rest of the response will never come; the consumer sees that its connection ends too early. */
+    /**
+     * Handles the failure of a streamed response whose rest will never arrive; aborting the connection shows the
+     * consumer that the response is truncated.
+     */
     private void onResponseStreamFailed() {
         if (!streamEnded) {
             streamEnded = true;
@@ -371,7 +377,9 @@
     }
 
     // ---- The end -----------------------------------------------------------------------------------
-    /** The connection has been closed. Without a response that means that the consumer does not wait any more. */
+    /**
+     * Called when the connection has been closed. If the response is incomplete, the consumer no longer waits for it.
+     */
     void onConsumerDisconnected() {
         BodyStream unfinished = responseStream;
         if (unfinished != null && !streamEnded) {
--- a/src/main/java/reedmux/gatekeeper/http/ConsumerRequest.java
+++ b/src/main/java/reedmux/gatekeeper/http/ConsumerRequest.java
@@ -3,9 +3,9 @@
 import reedmux.gatekeeper.reducer.Invocation;
 
 /**
- * A consumer's request as it is forwarded to a provider; other headers are not forwarded.
+ * A consumer's request in the form in which it is forwarded to a provider; no other headers are forwarded.
  *
- * @param timeoutMicros how long the consumer waits after the last byte of the request
+ * @param timeoutMicros how long the consumer waits after the last byte of the request, in microseconds
  */
 public record ConsumerRequest(
         String method, String target, String traceId, String contentType, RequestBody requestBody, long timeoutMicros)
--- a/src/main/java/reedmux/gatekeeper/http/ConsumerServer.java
+++ b/src/main/java/reedmux/gatekeeper/http/ConsumerServer.java
@@ -13,13 +13,14 @@
 import reedmux.gatekeeper.http.ConsumerConnection.ConsumerConnectionState;
 
 /**
- * The server side of one listener, for consumers or for other regions: its accepted connections, how many there may be,
- * and which are evicted when they become scarce. Connections are created on the I/O thread; the event loop sweeps.
+ * The server side of one listener, for consumers or for other regions. It tracks the accepted connections, limits their
+ * number, and selects connections for eviction when they become scarce. Connections are created on the I/O thread; the
+ * event loop calls {@link #sweep}.
  */
 public final class ConsumerServer {
     /**
-     * The fraction of the maximum of connections from which idle ones are evicted. It is below what the usual consumers
-     * may open together, so that these are never kept waiting by their own idle connections.
+     * Fraction of the maximum number of connections above which idle connections are evicted. It is lower than the
+     * fraction that regular consumers may open together, so that their own idle connections never keep them waiting.
      */
     private static final double EVICTION_THRESHOLD = 0.65;
 
@@ -29,7 +30,7 @@
     private final BooleanSupplier ready;
     private final LifeCycle lifeCycle;
     private final int maxConnections;
-    /** For the I/O thread alone. */
+    /** Accessed only by the I/O thread. */
     private final ByteBuffer discardBuffer = ByteBuffer.allocate(DISCARD_BUFFER_BYTES);
 
     private final Set<ConsumerConnection> connections = new LinkedHashSet<>();
@@ -37,11 +38,11 @@
     private volatile long requestTimeoutMicros = ConsumerConnection.REQUEST_TIMEOUT_MICROS;
 
     /**
-     * A server without connections.
+     * Creates a server without connections.
      *
-     * @param ready          whether consumers may be sent here, for health checks
-     * @param lifeCycle      says when connections are closed
-     * @param maxConnections connections that may be open at once
+     * @param ready          whether this gateway is ready for requests, as health checks report it
+     * @param lifeCycle      determines when connections are closed
+     * @param maxConnections maximum number of open connections
      */
     public ConsumerServer(RequestFrontend frontend, BooleanSupplier ready, LifeCycle lifeCycle, int maxConnections) {
         this.frontend = frontend;
@@ -51,7 +52,7 @@
         connectionPermits = new Semaphore(maxConnections);
     }
 
-    /** A permit for each connection that may still be accepted; returned when a connection is closed. */
+    /** Returns the permits for the connections that may still be accepted; closing a connection releases its permit. */
     public Semaphore connectionPermits() {
         return connectionPermits;
     }
@@ -72,17 +73,17 @@
         return frontend;
     }
 
-    /** Where bytes are read to that nobody needs. */
+    /** Returns the buffer into which discarded input is read. */
     ByteBuffer discardBuffer() {
         return discardBuffer;
     }
 
-    /** How long a request may take until it is complete; less while connections are scarce. */
+    /** Returns the time limit for a complete request, in microseconds; it is shorter while connections are scarce. */
     long requestTimeoutMicros() {
         return requestTimeoutMicros;
     }
 
-    /** Connections with a response that is not written yet. */
+    /** Returns the number of connections whose response has not been written completely. */
     public int connectionsWithPendingResponses() {
         return (int) openConnections().stream()
                 .filter(ConsumerConnection::hasPendingResponses)
@@ -96,11 +97,11 @@
         }
     }
 
-    /** Closes connections whose time-out has passed; to be called now and then. */
+    /** Closes connections whose time-out has expired; must be called periodically. */
     public void sweep() {
         long now = frontend.now();
         List<ConsumerConnection> open = openConnections();
-        // Usual consumers may be waiting to be accepted behind hundreds of connections that send nothing.
+        // Regular consumers may be waiting in the backlog behind hundreds of connections that send nothing.
         requestTimeoutMicros = open.size() > maxConnections * EVICTION_THRESHOLD
                 ? ConsumerConnection.SLOW_REQUEST_MICROS
                 : ConsumerConnection.REQUEST_TIMEOUT_MICROS;
@@ -119,10 +120,11 @@
     }
 
     /**
-     * Adds a connection, and evicts others beyond the threshold. Some consumers send one request and keep their
-     * connection for ever, so a new connection takes the place of one that sends nothing or half a request, or else of
-     * an idle one, of the one that has been in that state the longest. A connection that is being served is never
-     * evicted; at the maximum no more are accepted.
+     * Adds a connection, and evicts others above the eviction threshold. Some consumers send a single request and keep
+     * their connection open indefinitely, so a new connection replaces one that has sent nothing or only part of a
+     * request, or otherwise an idle one; within a state, the connection that has been in it the longest is evicted
+     * first. A connection whose request is being served is never evicted; once the maximum is reached, no more
+     * connections are accepted.
      */
     void add(ConsumerConnection added) throws IOException {
         synchronized (connections) {
@@ -141,7 +143,7 @@
         }
     }
 
-    /** The connection to evict next: by state first, then by how long it has been in it; null if there is none. */
+    /** Selects the connection to evict next, by its state and then by the time in that state; null if there is none. */
     private ConsumerConnection findEvictable(List<ConsumerConnection> candidates) {
         long now = frontend.now();
         ConsumerConnection selected = null;
@@ -159,7 +161,7 @@
         return selected;
     }
 
-    /** A connection has been closed, by whichever side. */
+    /** Removes a connection that has been closed by either side. */
     void remove(ConsumerConnection closed) {
         connectionPermits.release();
         synchronized (connections) {
--- a/src/main/java/reedmux/gatekeeper/http/HttpTransport.java
+++ b/src/main/java/reedmux/gatekeeper/http/HttpTransport.java
@@ -12,24 +12,27 @@
 import org.apache.hc.core5.reactor.IOReactorConfig;
 import org.apache.hc.core5.util.TimeValue;
 
-/** The limits of HTTP messages, and the reactor whose one thread does all reading and writing. */
+/** The limits of HTTP messages, and the reactor whose single thread performs all reads and writes. */
 public final class HttpTransport {
-    /** The longest body that is buffered; a longer one is streamed. */
+    /** Maximum size of a buffered body; longer bodies are streamed. */
     public static final int MAX_BUFFERED_BODY_BYTES = 64 * 1024;
-    /** The longest body of a request or a response. */
+    /** Maximum size of the body of a request or a response. */
     public static final long MAX_STREAMED_BODY_BYTES = 32L * 1024 * 1024;
-    /** Bytes of a body that are read before its reader has to ask for more. */
+    /** Number of body bytes that are read before the receiver has to grant more capacity. */
     static final int INITIAL_WINDOW_BYTES = 16 * 1024;
-    /** The buffers of a connection; a usual request with its body fits in, so that it is one write. */
+    /** Size of a connection's buffers; a typical request fits with its body, so that it is sent in a single write. */
     private static final int BUFFER_BYTES = 4096;
-    /** Headers of a message; with the length of a line this limits the memory of an endless head. */
+    /**
+     * Maximum number of headers of a message; together with the maximum line length it limits the memory that an
+     * endless head can occupy.
+     */
     private static final int MAX_HEADERS = 40;
 
     private static final int MAX_LINE_BYTES = 4096;
-    /** How often the reactor checks time-outs; its connections have none. */
+    /** How often the reactor checks for session time-outs, although connections have none. */
     private static final TimeValue SELECT_INTERVAL = TimeValue.ofSeconds(5);
 
-    /** The exchanges set all headers themselves. */
+    /** Adds no headers to messages, since the exchanges set all headers themselves. */
     static final HttpProcessor NO_ADDED_HEADERS = HttpProcessorBuilder.create().build();
 
     static final Http1Config HTTP1_CONFIG = Http1Config.custom()
@@ -45,8 +48,8 @@
     /**
      * Creates the reactor.
      *
-     * @param servers the server of each listening address, for accepted connections
-     * @param threads gets the reactor's threads when they start
+     * @param servers returns the server of a listening address, for accepted connections
+     * @param threads receives the reactor's threads when they are created
      */
     public static DefaultListeningIOReactor createReactor(
             Function<SocketAddress, ConsumerServer> servers, Consumer<String> log, Collection<Thread> threads) {
@@ -69,7 +72,7 @@
                 daemonThreads,
                 daemonThreads,
                 null,
-                failure -> log.accept("reactor: " + failure),
+                failure -> log.accept("I/O reactor failure: " + failure),
                 null,
                 null);
     }
--- a/src/main/java/reedmux/gatekeeper/http/IntakeLimiter.java
+++ b/src/main/java/reedmux/gatekeeper/http/IntakeLimiter.java
@@ -6,46 +6,48 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Limits how many requests of one service may have been read but not decided on. Beyond that the connections whose last
- * request was for this service wait unread, in the order of their arrival, so that a service with hundreds of
- * connections takes no more of the I/O thread's time than one with a single connection. Requests in flight are not
- * limited: the next one is read as soon as one has been decided on, whatever the decision. For all threads.
+ * Limits the number of requests of one service that have been read but not decided on. When the limit is reached,
+ * connections whose last request was for this service are not read and wait in the order of their arrival, so that a
+ * service with hundreds of connections takes no more of the I/O thread's time than one with a single connection.
+ * Requests in flight are not limited: the next request is read as soon as another one has been decided on, whatever the
+ * decision. Thread-safe.
  */
 public final class IntakeLimiter {
     private final int maxUndecided;
     private final AtomicInteger undecided = new AtomicInteger();
     private final Queue<BooleanSupplier> waitingConnections = new ConcurrentLinkedQueue<>();
 
-    /** A limiter of so many undecided requests. */
+    /** Creates a limiter that allows up to {@code maxUndecided} undecided requests. */
     public IntakeLimiter(int maxUndecided) {
         this.maxUndecided = maxUndecided;
     }
 
-    /** Whether a connection with a next request has to wait. */
+    /** Whether a connection has to wait before its next request is read. */
     boolean isFull() {
         return undecided.get() >= maxUndecided;
     }
 
-    /** A request has been read. */
+    /** Called when a request has been read. */
     public void onRequestRead() {
         undecided.incrementAndGet();
     }
 
-    /** A request has been admitted, rejected or cancelled. */
+    /** Called when a request has been admitted, rejected or cancelled. */
     public void onRequestDecided() {
-        // The last one resumes as many as allowed: those resumed before may have had no request at all.
+        // When no request is left undecided, as many connections as the limit allows are resumed, since those resumed
+        // earlier may not have sent a request.
         resume(undecided.decrementAndGet() == 0 ? maxUndecided : 1);
     }
 
-    /** Has a connection wait; {@code resume} has it read, and returns false if it has been closed. */
+    /** Makes a connection wait; {@code resume} resumes reading and returns false if the connection has been closed. */
     void enqueue(BooleanSupplier resume) {
         waitingConnections.add(resume);
         if (undecided.get() == 0) {
-            resume(maxUndecided); // all have been decided on in the meantime
+            resume(maxUndecided); // all requests have been decided on in the meantime
         }
     }
 
-    /** Resumes waiting connections if nothing is undecided; to be called now and then. */
+    /** Resumes waiting connections if no request is undecided; must be called periodically. */
     public void sweep() {
         if (undecided.get() == 0) {
             resume(maxUndecided);
--- a/src/main/java/reedmux/gatekeeper/http/InvalidHeaderException.java
+++ b/src/main/java/reedmux/gatekeeper/http/InvalidHeaderException.java
@@ -1,10 +1,12 @@
 package reedmux.gatekeeper.http;
 
-/** A header of a request that is missing or invalid; the message names it and becomes the response's text. */
+/** Thrown if a request header is missing or invalid; the message names the header and becomes the response's text. */
 final class InvalidHeaderException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** Without a stack trace: the fault is the consumer's, and a flood of such requests has to be cheap. */
+    /**
+     * Creates an exception without a stack trace: the consumer causes it, and a flood of such requests must be cheap.
+     */
     InvalidHeaderException(String message) {
         super(message, null, false, false);
     }
--- a/src/main/java/reedmux/gatekeeper/http/LineCheckingBuffer.java
+++ b/src/main/java/reedmux/gatekeeper/http/LineCheckingBuffer.java
@@ -9,8 +9,8 @@
 import reedmux.common.http1.Http1Grammar;
 
 /**
- * A connection's input buffer for the library's parsers, which checks each line before they see it: the library accepts
- * lines that the standard does not allow, and that another reader might read differently.
+ * A connection's input buffer that validates each line before the library's parser processes it: the library accepts
+ * lines that the standard forbids, and that another implementation might interpret differently.
  */
 abstract class LineCheckingBuffer implements SessionInputBuffer {
     private SessionInputBuffer delegate;
@@ -20,7 +20,7 @@
         return this;
     }
 
-    /** Checks a complete line; an exception ends the parsing. */
+    /** Validates a complete line; an exception aborts the parsing. */
     abstract void checkLine(CharArrayBuffer line) throws IOException;
 
     @Override
@@ -72,9 +72,9 @@
         return delegate.read(destination);
     }
 
-    /** The lines of a request's head. */
+    /** Validates the lines of a request's head. */
     static final class HeadLineChecker extends LineCheckingBuffer {
-        /** A line that violates the grammar; the message says how. */
+        /** Thrown if a line violates the grammar; the message describes the violation. */
         static final class MalformedLineException extends IOException {
             private static final long serialVersionUID = 1;
 
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Checks the lines of a chunked body; after an error everything is discarded. */
+    /** Validates the lines of a chunked body; after an error all further input is discarded. */
     static final class ChunkLineChecker extends LineCheckingBuffer {
         private enum ChunkState {
             SIZE,
@@ -111,7 +111,7 @@
             FAILED
         }
 
-        /** Is called once, for the first error. */
+        /** Listener for the first error in a body; called at most once. */
         interface ChunkErrorListener {
             void onChunkError(String problem);
         }
@@ -132,7 +132,7 @@
             boolean complete = false;
             try {
                 complete = super.readLine(line, endOfStream);
-            } catch (IOException e) { // longer than a line may be
+            } catch (IOException e) { // the line exceeds the maximum length
                 reportError("a line between chunks is too long");
             }
             if (state == ChunkState.FAILED) {
--- a/src/main/java/reedmux/gatekeeper/http/ProviderClient.java
+++ b/src/main/java/reedmux/gatekeeper/http/ProviderClient.java
@@ -8,9 +8,9 @@
 import reedmux.gatekeeper.reducer.ReducerEvent;
 import reedmux.gatekeeper.reducer.UpstreamCall;
 
-/** Sends calls and health checks to providers, and requests to discovery and to ourselves. */
+/** Sends calls and health checks to providers, and requests to the discovery service and to this gateway itself. */
 public final class ProviderClient {
-    /** The provider id of what is no provider. */
+    /** Provider id of endpoints that are not providers. */
     private static final String NO_PROVIDER_ID = "";
 
     private final UpstreamConnectionPool pool;
@@ -18,7 +18,8 @@
     private final Runnable writtenListener;
 
     /**
-     * A client whose results go to {@code eventSink}; {@code writtenListener} is run for each call that was written.
+     * Creates a client that sends results to {@code eventSink} and runs {@code writtenListener} for each call that has
+     * been written completely.
      */
     public ProviderClient(UpstreamConnectionPool pool, Consumer<ReducerEvent> eventSink, Runnable writtenListener) {
         this.writtenListener = writtenListener;
@@ -26,11 +27,11 @@
         this.eventSink = eventSink;
     }
 
-    /** Starts a call with a time-out in microseconds; that of a streamed request begins with its last byte. */
+    /** Starts a call with a time-out in microseconds; the time-out of a streamed request starts after its last byte. */
     public void call(UpstreamCall call, long timeout) {
         ConsumerRequest message = (ConsumerRequest) call.invocation().message();
         long advertisedTimeout =
-                message.stream() == null ? timeout : message.timeoutMicros(); // it begins with the last byte
+                message.stream() == null ? timeout : message.timeoutMicros(); // starts after the last byte
         call.transportState(pool.execute(
                 new UpstreamEndpoint(call.provider(), call.address()),
                 new UpstreamRequest(
@@ -48,22 +49,24 @@
                 result -> eventSink.accept(new ReducerEvent.CallEnded(call, result))));
     }
 
-    /** Aborts a call; its result follows when its connection is closed. */
+    /** Aborts a call; its result is reported when its connection has been closed. */
     public void abort(UpstreamCall call) {
         ((UpstreamExchange) call.transportState()).abort();
     }
 
-    /** Aborts a call of which the provider cannot have received the whole request. */
+    /**
+     * Aborts a call, unless its request has been written completely and the provider may therefore have received it.
+     */
     public void abortUnlessSent(UpstreamCall call) {
         ((UpstreamExchange) call.transportState()).abortUnlessSent();
     }
 
-    /** Ends a call whose connection is not established yet. */
+    /** Aborts a call whose connection has not been established yet. */
     public void abortConnect(UpstreamCall call) {
         ((UpstreamExchange) call.transportState()).abortConnect();
     }
 
-    /** Asks a provider for {@code /healthz}; the outcome comes as an event. */
+    /** Requests {@code /healthz} from a provider; the result is sent as an event. */
     public void checkHealth(String provider, InetSocketAddress address, long startedAt) {
         pool.execute(
                 new UpstreamEndpoint(provider, address),
@@ -71,7 +74,7 @@
                 result -> eventSink.accept(new ReducerEvent.HealthCheckCompleted(provider, startedAt, result)));
     }
 
-    /** Fetches a document; the returned handle aborts the call. */
+    /** Fetches a document; running the returned handle aborts the call. */
     public Runnable fetch(InetSocketAddress address, String target, Consumer<CallResult> completionListener) {
         return pool.execute(
                 new UpstreamEndpoint(NO_PROVIDER_ID, address),
@@ -79,7 +82,7 @@
                 completionListener)::abort;
     }
 
-    /** Sends a POST with a body, or a GET without one. */
+    /** Sends a POST request if {@code body} is not empty, and a GET request otherwise. */
     public void send(InetSocketAddress address, String target, byte[] body, Consumer<CallResult> completionListener) {
         String method = body.length > 0 ? "POST" : "GET";
         pool.execute(
@@ -88,7 +91,7 @@
                 completionListener);
     }
 
-    /** Sends a POST whose body is streamed. */
+    /** Sends a POST request with a streamed body. */
     public void sendStreamed(
             InetSocketAddress address, String target, byte[] body, Consumer<CallResult> completionListener) {
         BodyStream stream = new BodyStream(body.length, body.length, body.length);
@@ -106,7 +109,7 @@
         pool.closeIdle(new UpstreamEndpoint(provider, address));
     }
 
-    /** Closes the idle connections to an address that is no provider's. */
+    /** Closes the idle connections to an endpoint that is not a provider. */
     public void closeIdle(InetSocketAddress address) {
         closeIdle(NO_PROVIDER_ID, address);
     }
--- a/src/main/java/reedmux/gatekeeper/http/RegionClient.java
+++ b/src/main/java/reedmux/gatekeeper/http/RegionClient.java
@@ -8,14 +8,14 @@
 import reedmux.gatekeeper.reducer.ReducerEvent;
 import reedmux.gatekeeper.reducer.UpstreamCall;
 
-/** Sends forwarded requests to the gateways of another region, over connections of their own. */
+/** Forwards requests to the gateways of another region, over a separate connection pool. */
 public final class RegionClient {
     private final UpstreamConnectionPool pool;
     private final Consumer<ReducerEvent> eventSink;
     private final PolicySettings settings;
     private final String ownRegion;
 
-    /** A client; {@code ownRegion} is the name that the requests carry as the region that they have passed. */
+    /** Creates a client; {@code ownRegion} is the region name that forwarded requests carry in their region path. */
     public RegionClient(
             UpstreamConnectionPool pool, Consumer<ReducerEvent> eventSink, PolicySettings settings, String ownRegion) {
         this.pool = pool;
@@ -24,7 +24,7 @@
         this.ownRegion = ownRegion;
     }
 
-    /** Starts a call, with the time-out that the decision grants the other region. */
+    /** Starts a call with the time-out that the forwarding decision grants to the other region. */
     public void call(UpstreamCall call, ForwardedRequest forwardedRequest) {
         ConsumerRequest message = (ConsumerRequest) call.invocation().message();
         UpstreamRequest.RegionHop hop = new UpstreamRequest.RegionHop(
--- a/src/main/java/reedmux/gatekeeper/http/RegionFrontend.java
+++ b/src/main/java/reedmux/gatekeeper/http/RegionFrontend.java
@@ -18,9 +18,9 @@
 import reedmux.gatekeeper.reducer.ReducerEvent;
 
 /**
- * Parses the requests that other regions forward; their form is described in docs/regions.md. Responses to requests
- * that certainly did not run here, and only to these, have the header {@link #NEVER_RAN_HEADER}; an invalid request did
- * not run either.
+ * Parses the requests that other regions forward; docs/regions.md describes their format. A response carries the header
+ * {@link #NEVER_RAN_HEADER} if and only if the request certainly did not run in this region; this includes invalid
+ * requests.
  */
 public final class RegionFrontend implements RequestFrontend {
     static final String REGION_PATH_HEADER = "X-Region-Path";
@@ -28,7 +28,10 @@
     static final String REGION_UNITS_HEADER = "X-Region-Units";
     static final String REGION_TOOK_HEADER = "X-Region-Took-Us";
     static final String NEVER_RAN_HEADER = "X-Never-Ran";
-    /** Advice to a region whose requests are invalid here: somebody has to correct the settings first. */
+    /**
+     * Retry delay sent to a region whose requests are invalid here; they remain invalid until the settings are
+     * corrected.
+     */
     private static final long MISCONFIGURATION_RETRY_AFTER_MICROS = 10_000_000;
 
     private final PolicySettings settings;
@@ -36,7 +39,7 @@
     private final Consumer<ReducerEvent> eventSink;
     private final Map<String, Integer> classes = new HashMap<>();
 
-    /** A frontend for the requests of other regions; {@code eventSink} gets the events of all invocations. */
+    /** Creates a frontend for requests from other regions; {@code eventSink} receives the events of all invocations. */
     public RegionFrontend(PolicySettings settings, MonotonicClock clock, Consumer<ReducerEvent> eventSink) {
         this.eventSink = eventSink;
         this.settings = settings;
@@ -47,7 +50,7 @@
         }
     }
 
-    /** The name of a class's idempotency in {@link #REGION_REPEAT_HEADER}. */
+    /** Returns the value of {@link #REGION_REPEAT_HEADER} for the idempotency of a request class. */
     static String wireName(Idempotency idempotency) {
         return idempotency.name().toLowerCase(Locale.ROOT);
     }
@@ -122,8 +125,8 @@
     }
 
     /**
-     * A class must have the same idempotency in both regions: otherwise one of them would retry what the other must not
-     * run twice.
+     * Checks that the request class has the same idempotency in both regions: otherwise one region would retry requests
+     * that the other must not run twice.
      */
     private Idempotency checkIdempotency(HttpRequest request, int requestClass) throws InvalidHeaderException {
         RequestClass own = settings.classes().get(requestClass);
--- a/src/main/java/reedmux/gatekeeper/http/RequestFrontend.java
+++ b/src/main/java/reedmux/gatekeeper/http/RequestFrontend.java
@@ -9,16 +9,18 @@
 import reedmux.gatekeeper.reducer.ReducerEvent;
 
 /**
- * Parses the requests of one listener and turns answers into responses. Connections are the same for all listeners and
- * are handled by {@link ConsumerServer}. Called by the I/O thread; {@link #toResponse} also by the event loop.
+ * Parses the requests of one listener and converts answers into responses. {@link ConsumerServer} handles the
+ * connections, in the same way for all listeners. Methods are called on the I/O thread; {@link #toResponse} is also
+ * called on the event loop.
  */
 public interface RequestFrontend {
 
-    /** Microseconds of the program's clock. */
+    /** Returns the time of the process's monotonic clock, in microseconds. */
     long now();
 
     /**
-     * Maximum size of a request's body; what exceeds {@link HttpTransport#MAX_BUFFERED_BODY_BYTES} is streamed.
+     * Returns the maximum size of a request body in bytes; a body larger than {@link
+     * HttpTransport#MAX_BUFFERED_BODY_BYTES} is streamed.
      */
     default long maxBodyBytes() {
         return HttpTransport.MAX_STREAMED_BODY_BYTES;
@@ -27,31 +29,31 @@
     /**
      * Parses a request whose target is in origin form.
      *
-     * @param body       may still be streamed in
-     * @param receivedAt microseconds of the program's clock
-     * @param answerSink where the answer to the request goes
+     * @param body       body of the request; a streamed one may be incomplete
+     * @param receivedAt time of the process's monotonic clock, in microseconds
+     * @param answerSink receives the answer to the request
      */
     ParsedRequest parse(HttpRequest request, RequestBody body, long receivedAt, Invocation.AnswerSink answerSink);
 
-    /** Turns the answer to a request into a response. */
+    /** Converts the answer to a request into a response. */
     default GatewayResponse toResponse(FinalAnswer answer) {
         return GatewayResponse.of(answer);
     }
 
-    /** Whether responses have a header with the time that the request took here. */
+    /** Whether responses carry a header with the time that this gateway took to process the request. */
     default boolean reportsProcessingTime() {
         return false;
     }
 
     /**
-     * A parsed request: an invocation or a rejection.
+     * The result of parsing a request: an invocation or a rejection.
      *
      * @param invocation       null if the request is rejected
-     * @param event            to be sent to {@code eventSink}, as all later events of the invocation
+     * @param event            first event of the invocation; it and all later events are sent to {@code eventSink}
      * @param rejection        null if the request is not rejected
-     * @param closesConnection whether nothing more is read from the connection after the rejection
-     * @param intakeLimiter    limits the connection's next request, if not null
-     * @param classMetrics     counts the request, if not null
+     * @param closesConnection whether the connection is no longer read after the rejection
+     * @param intakeLimiter    limiter of the connection's next request, or null
+     * @param classMetrics     metrics that count the request, or null
      */
     record ParsedRequest(
             Invocation invocation,
@@ -66,31 +68,31 @@
             return new ParsedRequest(invocation, event, eventSink, null, false, null, null);
         }
 
-        /** A request that is answered at once. */
+        /** Returns a rejection, which is sent immediately. */
         public static ParsedRequest rejected(GatewayResponse rejection) {
             return new ParsedRequest(null, null, null, rejection, false, null, null);
         }
 
-        /** A request that is answered at once, after which nothing more is read from the connection. */
+        /** Returns a rejection, which is sent immediately and after which the connection is no longer read. */
         public static ParsedRequest rejectedAndClosed(int status, String problem) {
             return new ParsedRequest(null, null, null, GatewayResponse.text(status, problem), true, null, null);
         }
 
-        /** The same, with a limiter of the connection's next request. */
+        /** Returns a copy with a limiter of the connection's next request. */
         public ParsedRequest withIntakeLimiter(IntakeLimiter limiter) {
             return new ParsedRequest(invocation, event, eventSink, rejection, closesConnection, limiter, classMetrics);
         }
 
-        /** The same, with the metrics that count it. */
+        /** Returns a copy with the metrics that count the request. */
         ParsedRequest withMetrics(Metrics.ClassMetrics metrics) {
             return new ParsedRequest(invocation, event, eventSink, rejection, closesConnection, intakeLimiter, metrics);
         }
     }
 
     /**
-     * A response.
+     * A response to a consumer or to another region.
      *
-     * @param retryAfterMicros negative for none
+     * @param retryAfterMicros suggested retry delay in microseconds; negative for none
      * @param neverRan         whether the request certainly did not run
      * @param bodyStream       the body if it is streamed, otherwise null
      */
@@ -103,7 +105,7 @@
             BodyStream bodyStream) {
         private static final long NO_RETRY_AFTER = -1;
 
-        /** The response to a consumer. */
+        /** Returns the response to a consumer for the answer to its request. */
         public static GatewayResponse of(FinalAnswer answer) {
             if (answer instanceof FinalAnswer.Served served) {
                 BodyStream stream = (BodyStream) served.result().remainingBody();
@@ -116,13 +118,13 @@
             return text(deadlineExceeded ? 504 : 502, deadlineExceeded ? "no answer in time" : "failed");
         }
 
-        /** A response with one line of text. */
+        /** Returns a response with one line of text. */
         public static GatewayResponse text(int status, String line, long retryAfterMicros, boolean neverRan) {
             byte[] body = (line + '\n').getBytes(StandardCharsets.UTF_8);
             return new GatewayResponse(status, "text/plain", body, retryAfterMicros, neverRan, null);
         }
 
-        /** A response with one line of text and no advice when to retry. */
+        /** Returns a response with one line of text and without a retry delay. */
         public static GatewayResponse text(int status, String line) {
             return text(status, line, NO_RETRY_AFTER, false);
         }
--- a/src/main/java/reedmux/gatekeeper/http/RequestHeaders.java
+++ b/src/main/java/reedmux/gatekeeper/http/RequestHeaders.java
@@ -6,15 +6,15 @@
 import org.apache.hc.core5.http.HttpRequest;
 
 /**
- * Reads the target and the headers of requests. Numbers are digits only: the JDK's own parsers also accept signs and
- * the digits of other scripts.
+ * Reads the target and the headers of requests. Numbers must consist of ASCII digits; the JDK's own parsers also accept
+ * signs and the digits of other scripts.
  */
 final class RequestHeaders {
-    /** The time that is left until the request's deadline. */
+    /** Header with the time left until the request's deadline, in milliseconds. */
     static final String EXPIRES_IN_MILLIS = "X-Expires-In-Ms";
 
     static final String TRACE_ID = "X-Trace-Id";
-    /** Digits of the 64-bit numbers that identify traces and customers. */
+    /** Number of hexadecimal digits of the 64-bit ids of traces and customers. */
     static final int HEX_DIGITS = 16;
 
     private static final long MAX_TIMEOUT_MILLIS = 3_600_000;
@@ -26,12 +26,15 @@
     private RequestHeaders() {}
 
     // ---- The target --------------------------------------------------------------------------------
-    /** Whether a target reaches the provider as it is; what is not printable ASCII would not. */
+    /**
+     * Whether a target can be forwarded to the provider unchanged; characters other than printable ASCII would be
+     * altered.
+     */
     static boolean isPlainTarget(String target) {
         return target.startsWith("/") && target.chars().allMatch(c -> c > ' ' && c < 0x7F && c != '#');
     }
 
-    /** The request class that a target names by its first segment. */
+    /** Returns the name of the request class, which is the first segment of the target. */
     static String requestClassName(String target) {
         int end = 1;
         while (end < target.length() && target.charAt(end) != '/' && target.charAt(end) != '?') {
@@ -41,13 +44,13 @@
     }
 
     // ---- Headers -----------------------------------------------------------------------------------
-    /** The content type, or null. */
+    /** Returns the content type, or null if the header is missing. */
     static String contentType(HttpRequest request) {
         Header header = request.getFirstHeader("Content-Type");
         return header == null ? null : header.getValue();
     }
 
-    /** The value of a header that has to occur exactly once. */
+    /** Returns the value of a header that must occur exactly once. */
     static String requireHeader(HttpRequest request, String name) throws InvalidHeaderException {
         Header header = request.getFirstHeader(name);
         if (header == null || header.getValue() == null || header.getValue().isEmpty()) {
@@ -58,7 +61,7 @@
         return header.getValue();
     }
 
-    /** A 64-bit number in hexadecimal digits, as text. */
+    /** Returns a header's value, which must be a 64-bit id in hexadecimal digits. */
     static String requireHexId(HttpRequest request, String name) throws InvalidHeaderException {
         String value = requireHeader(request, name);
         boolean valid = value.length() == HEX_DIGITS;
@@ -71,7 +74,7 @@
         return value;
     }
 
-    /** The time that is left until the request's deadline, in microseconds. */
+    /** Returns the time left until the request's deadline, in microseconds. */
     static long remainingTimeMicros(HttpRequest request) throws InvalidHeaderException {
         long millis = parseInteger(requireHeader(request, EXPIRES_IN_MILLIS), MAX_TIMEOUT_MILLIS);
         if (millis < 0) {
@@ -82,7 +85,7 @@
     }
 
     // ---- Numbers -----------------------------------------------------------------------------------
-    /** An integer from 0 to {@code max}, or -1 if the text is none. */
+    /** Parses an integer from 0 to {@code max}; returns -1 if the text is not one. */
     static long parseInteger(String text, long max) {
         if (!INTEGER.matcher(text).matches()) {
             return INVALID;
@@ -91,7 +94,7 @@
         return value <= max ? value : INVALID;
     }
 
-    /** A decimal number of 0 or more, or -1 if the text is none. */
+    /** Parses a non-negative decimal number; returns -1 if the text is not one. */
     static double parseDecimal(String text) {
         return DECIMAL.matcher(text).matches() ? Double.parseDouble(text) : INVALID;
     }
--- a/src/main/java/reedmux/gatekeeper/http/RequestTarget.java
+++ b/src/main/java/reedmux/gatekeeper/http/RequestTarget.java
@@ -4,15 +4,15 @@
 import org.apache.hc.core5.http.HttpRequest;
 import reedmux.common.http1.HostName;
 
-/** A request's target, RFC 9112, section 3.2. */
+/** The target of a request (RFC 9112, section 3.2). */
 final class RequestTarget {
     private static final String SCHEME = "http://";
 
     private RequestTarget() {}
 
     /**
-     * Converts a target in absolute form into origin form. Returns false if it has another scheme, or another host than
-     * the header {@code Host}.
+     * Converts a target in absolute form into origin form. Returns false if the scheme is not {@code http}, the
+     * authority differs from the {@code Host} header, or the target has a fragment.
      */
     static boolean toOriginForm(HttpRequest request) {
         String target = request.getPath();
--- a/src/main/java/reedmux/gatekeeper/http/ResponseHead.java
+++ b/src/main/java/reedmux/gatekeeper/http/ResponseHead.java
@@ -6,7 +6,7 @@
 import org.apache.hc.core5.http.message.BasicHttpResponse;
 import reedmux.gatekeeper.http.RequestFrontend.GatewayResponse;
 
-/** Builds the heads of responses to consumers and to other regions. */
+/** Builds the heads of responses to consumers and other regions. */
 final class ResponseHead {
     private static final int STATUS_METHOD_NOT_ALLOWED = 405;
     private static final int MICROS_PER_MILLI = 1_000;
@@ -15,11 +15,12 @@
     private ResponseHead() {}
 
     /**
-     * The head of a response.
+     * Returns the head of a response.
      *
-     * @param request    what is responded to
-     * @param processingMicros how long the request took here, or negative to leave the header out
-     * @param closesConnection     whether the connection is closed after the response
+     * @param request          the request that is answered
+     * @param processingMicros time that this gateway took to process the request, in microseconds; negative to omit the
+     *                         header
+     * @param closesConnection whether the connection is closed after the response
      */
     static HttpResponse of(
             GatewayResponse response, HttpRequest request, long processingMicros, boolean closesConnection) {
@@ -46,7 +47,7 @@
         return head;
     }
 
-    /** HTTP/1.0 has no chunked coding: there a body of unknown length ends with the connection. */
+    /** HTTP/1.0 has no chunked coding, so the end of the connection delimits a body of unknown length. */
     private static void addBodyHeader(HttpResponse head, GatewayResponse response, HttpRequest request) {
         BodyStream stream = response.bodyStream();
         long length = stream == null ? response.body().length : stream.length();
@@ -58,7 +59,7 @@
         }
     }
 
-    /** Seconds with three decimals, rounded up, since whoever comes back too early is rejected again. */
+    /** Formats seconds with three decimals, rounded up, since a client that retries too early is rejected again. */
     static String formatSeconds(long micros) {
         long millis = (micros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
         String decimals = Long.toString(MILLIS_PER_SECOND + millis % MILLIS_PER_SECOND);
--- a/src/main/java/reedmux/gatekeeper/http/ServiceFrontend.java
+++ b/src/main/java/reedmux/gatekeeper/http/ServiceFrontend.java
@@ -17,12 +17,13 @@
 import reedmux.gatekeeper.reducer.Invocation;
 import reedmux.gatekeeper.reducer.ReducerEvent;
 
-/** Parses the requests of one service's consumers; a request that is invalid is rejected with the reason. */
+/** Parses the requests of one service's consumers; invalid requests are rejected with the reason. */
 public final class ServiceFrontend implements RequestFrontend {
+    /** Exclusive upper bound of customer ids. */
     private static final long MAX_CUSTOMERS = 1L << 33;
     /**
-     * Taken off the time that a consumer waits: its deadline began when it sent the request, a little before it was
-     * received here, and the response needs time for its way back.
+     * Subtracted from the time that a consumer waits: its deadline started when it sent the request, slightly before
+     * the request was received here, and the response needs time to travel back.
      */
     private static final long NETWORK_ALLOWANCE_MICROS = 2_000;
 
@@ -34,10 +35,10 @@
     private final Consumer<ReducerEvent> eventSink;
 
     /**
-     * A frontend of one service.
+     * Creates a frontend for one service.
      *
-     * @param eventSink gets the events of all invocations, from any thread
-     * @param metrics   count the requests
+     * @param eventSink receives the events of all invocations, on any thread
+     * @param metrics   metrics that count the requests
      */
     public ServiceFrontend(
             PolicySettings settings,
@@ -63,7 +64,7 @@
         return clock.now();
     }
 
-    /** Parses a request of the warm-up, whose answer nobody reads; null if it is invalid here. */
+    /** Parses a warm-up request, whose answer is discarded; returns null if the request is invalid. */
     public Invocation parseWarmUp(HttpRequest request, byte[] body, long receivedAt) {
         return parse(request, RequestBody.buffered(body), receivedAt, answer -> {})
                 .invocation();
@@ -147,14 +148,17 @@
         return header != null && "1".equals(header.getValue());
     }
 
-    /** How long a streamed body may take until it is complete; 0 if it is already. */
+    /** Returns the time limit for a streamed body in microseconds, or 0 if the body is already complete. */
     private static long maxUploadMicros(RequestBody body) {
         return body.stream() == null
                 ? 0
                 : MinimumRateGuard.maxDurationMicros(body.stream().length());
     }
 
-    /** How long the consumer waits after the request's last byte, in microseconds; 0 if its header is invalid. */
+    /**
+     * Returns how long the consumer waits after the last byte of the request, in microseconds; 0 if the header is
+     * invalid.
+     */
     static long timeoutMicros(HttpRequest request) {
         try {
             return withoutNetworkAllowance(RequestHeaders.remainingTimeMicros(request));
@@ -167,10 +171,10 @@
         return Math.max(0, consumerWaitMicros - NETWORK_ALLOWANCE_MICROS);
     }
 
-    /** The header {@code X-Quota}: the units, and which gatekeepers of the group count them. */
+    /** The {@code X-Quota} header: the units of the request, and which gatekeepers of the group count them. */
     private record QuotaHeader(double units, int spread, int first) {}
 
-    /** Parses {@code units=2,spread=3,first=0}; unknown fields are ignored. */
+    /** Parses a value such as {@code units=2,spread=3,first=0}; unknown fields are ignored. */
     private QuotaHeader parseQuota(String header) throws InvalidHeaderException {
         Map<String, String> fields = new HashMap<>();
         for (String field : header.split(",", -1)) {
--- a/src/main/java/reedmux/gatekeeper/http/StrictHeadParsers.java
+++ b/src/main/java/reedmux/gatekeeper/http/StrictHeadParsers.java
@@ -24,9 +24,9 @@
 import reedmux.common.http1.Http1Grammar;
 
 /**
- * Strict variants of the library's parsers of heads. The library itself takes a head that the end of the connection
- * truncated for a complete one, prefers one of two contradicting lengths, and reads what follows a body that it could
- * not delimit as the next message: each of these allows request smuggling.
+ * Strict variants of the library's parsers of message heads. The library accepts a head that is truncated by the end of
+ * the connection, chooses one of two conflicting body lengths, and parses the input after a body that it could not
+ * delimit as the next message. Each of these permits request smuggling.
  */
 final class StrictHeadParsers {
     private static final DefaultHttpRequestParserFactory REQUEST_PARSERS =
@@ -40,8 +40,8 @@
     private StrictHeadParsers() {}
 
     /**
-     * A request whose path is the target as it was received. The library's own would take {@code //a/b} for the path
-     * {@code /b} of the host a, drop fragments, and invent a path where there is none.
+     * Returns a request whose path is the target exactly as received. The library's own constructor would interpret
+     * {@code //a/b} as the path {@code /b} on host a, drop fragments, and add a path to a target that has none.
      */
     static HttpRequest requestWithRawTarget(String method, String target) {
         return new BasicHttpRequest(method, (HttpHost) null, target);
@@ -59,7 +59,7 @@
         }
     }
 
-    /** What is wrong with the headers that delimit the body, or with the headers' names; null if nothing is. */
+    /** Returns the error in the headers that delimit the body or in the names of headers, or null if there is none. */
     private static String findFramingError(HttpMessage message) {
         int lengths = 0;
         int codings = 0;
@@ -88,8 +88,8 @@
     }
 
     /**
-     * RFC 9112, section 3.2: a single host that is not ambiguous. A missing or empty one is accepted, since the
-     * platform's own consumers send none.
+     * Returns an error unless the request has a single, unambiguous host (RFC 9112, section 3.2), otherwise null. A
+     * missing or empty host is accepted, since the platform's own consumers do not send one.
      */
     private static String findHostError(HttpRequest request) {
         int hosts = request.countHeaders("Host");
@@ -116,8 +116,8 @@
     }
 
     /**
-     * Parses the heads of a consumer's requests. The first malformed one becomes a dummy request, so that it can be
-     * rejected; nothing after it is read, since nobody can tell where the next request would begin.
+     * Parses the heads of a consumer's requests. The first malformed head is replaced by a dummy request, so that it
+     * can be rejected; nothing after it is read, since the start of the next request cannot be determined.
      */
     static final class StrictRequestParser implements NHttpMessageParser<HttpRequest> {
         private final NHttpMessageParser<HttpRequest> parser = REQUEST_PARSERS.create();
@@ -126,7 +126,7 @@
         private int errorStatus = STATUS_BAD_REQUEST;
         private String error;
 
-        /** Discards all further input. */
+        /** Makes the parser discard all further input. */
         void stop() {
             stopped = true;
         }
@@ -135,7 +135,7 @@
             return stopped;
         }
 
-        /** What is wrong with the malformed head, or null. */
+        /** Returns the error in the malformed head, or null. */
         String error() {
             return error;
         }
@@ -183,7 +183,7 @@
         }
     }
 
-    /** Whether the end of the connection delimits the body, RFC 9112, section 6.3. */
+    /** Whether the end of the connection delimits the body (RFC 9112, section 6.3). */
     private static boolean endsWithConnection(HttpResponse response) {
         for (Iterator<Header> headers = response.headerIterator("Connection"); headers.hasNext(); ) {
             for (String token : headers.next().getValue().split(",")) {
@@ -195,14 +195,14 @@
         return false;
     }
 
-    /** Parses the heads of responses; a malformed or unsolicited one ends the connection. */
+    /** Parses the heads of responses; a malformed or unsolicited response terminates the connection. */
     static final class StrictResponseParser implements NHttpMessageParser<HttpResponse> {
         private static final int MAX_STATUS = 599;
         private final NHttpMessageParser<HttpResponse> parser = RESPONSE_PARSERS.create();
         private final BooleanSupplier responseExpected;
         private boolean inputEnded;
 
-        /** A parser; {@code responseExpected} says whether a request is waiting for its response. */
+        /** Creates a parser; {@code responseExpected} returns whether a request is waiting for its response. */
         StrictResponseParser(BooleanSupplier responseExpected) {
             this.responseExpected = responseExpected;
         }
@@ -222,7 +222,7 @@
             inputEnded |= endOfStream;
             if (!responseExpected.getAsBoolean()) {
                 if (input.hasData()) {
-                    throw new ProtocolException("bytes that belong to no answer");
+                    throw new ProtocolException("received bytes that belong to no response");
                 }
                 return null;
             }
@@ -232,16 +232,16 @@
             }
             String problem = findFramingError(response);
             if (problem == null && response.getCode() > MAX_STATUS) {
-                problem = "there is no such status";
+                problem = "the response has an invalid status";
             }
-            // Without a length only the end of the connection would delimit the body, and a broken connection looks
-            // the same: a truncated response would be forwarded as a complete one.
+            // Without a length only the end of the connection would delimit the body. A broken connection looks the
+            // same, so a truncated response would be forwarded as a complete one.
             if (problem == null
                     && response.getCode() >= 200
                     && !response.containsHeader("Content-Length")
                     && !response.containsHeader("Transfer-Encoding")
                     && !endsWithConnection(response)) {
-                problem = "the answer does not tell its length";
+                problem = "the response does not declare its length";
             }
             if (problem != null) {
                 throw new ProtocolException(problem);
--- a/src/main/java/reedmux/gatekeeper/http/StrictServerDuplexer.java
+++ b/src/main/java/reedmux/gatekeeper/http/StrictServerDuplexer.java
@@ -11,7 +11,7 @@
 import org.apache.hc.core5.http.nio.SessionInputBuffer;
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
-/** The library's HTTP/1.1 state of a server connection, with strict parsing of heads and of chunked bodies. */
+/** The library's HTTP/1.1 protocol state of a server connection, with strict parsing of heads and chunked bodies. */
 final class StrictServerDuplexer extends ServerHttp1StreamDuplexer {
     private static final DefaultHttpResponseWriterFactory RESPONSE_WRITERS =
             new DefaultHttpResponseWriterFactory(HttpTransport.HTTP1_CONFIG);
--- a/src/main/java/reedmux/gatekeeper/http/UpstreamConnection.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamConnection.java
@@ -18,20 +18,21 @@
 import org.apache.hc.core5.reactor.ProtocolIOSession;
 
 /**
- * A connection to a provider, to discovery or to another region; it carries one call at a time.
+ * A connection to a provider, to the discovery service or to another region; it carries one call at a time.
  *
- * <p>A pooled connection may be used for a further call only if nothing was read after its last response and if it is
- * still open when the I/O thread is about to write the request ({@link #isStale}). Until then nothing of the call has
- * been written, so it moves to another connection without being a retry.
+ * <p>A pooled connection is reused only if nothing was read after its last response and if it is still open when the
+ * I/O thread is about to write the request ({@link #isStale}). Until then no byte of the call has been written, so
+ * moving the call to another connection does not count as a retry.
  */
 public final class UpstreamConnection {
     private static final DefaultHttpRequestWriterFactory REQUEST_WRITERS =
             new DefaultHttpRequestWriterFactory(HttpTransport.HTTP1_CONFIG);
 
-    /** Whom a connection leads to. An address alone is not enough, since another provider may reuse it. */
+    /** The endpoint of a connection. It includes the provider id, since another provider may reuse the address. */
     public record UpstreamEndpoint(String providerId, InetSocketAddress address) {
 
-        // Written out: the generated methods of a record are linked at run time, which slows a start down.
+        // Written explicitly, since the generated methods of a record are linked at run time, which slows down the
+        // start of the process.
         @Override
         public boolean equals(Object other) {
             return other instanceof UpstreamEndpoint endpoint
@@ -50,7 +51,7 @@
     private final StrictHeadParsers.StrictResponseParser responseParser =
             new StrictHeadParsers.StrictResponseParser(this::isResponseExpected);
     private final ByteBuffer unsolicited = ByteBuffer.allocate(1);
-    /** The call that is to be written next. */
+    /** The call to be written next, or null. */
     private final AtomicReference<UpstreamExchange> pendingExchange = new AtomicReference<>();
 
     private volatile ClientHttp1StreamDuplexer duplexer;
@@ -58,9 +59,9 @@
     private volatile boolean responseExpected;
     private boolean aborted;
     private boolean holdsPermit = true;
-    /** The call that has the connection; guarded by the pool. */
+    /** The call that uses the connection, or null; guarded by the pool's monitor. */
     UpstreamExchange currentExchange;
-    /** Since when it is idle; guarded by the pool. */
+    /** When the connection became idle; guarded by the pool's monitor. */
     long idleSinceMicros;
 
     UpstreamConnection(UpstreamEndpoint endpoint, UpstreamConnectionPool pool) {
@@ -68,7 +69,7 @@
         this.pool = pool;
     }
 
-    /** The connection is up. */
+    /** Called when the connection is established; returns its event handler. */
     synchronized IOEventHandler createEventHandler(ProtocolIOSession establishedSession) {
         ClientHttp1StreamDuplexer client = new ClientHttp1StreamDuplexer(
                 establishedSession,
@@ -89,7 +90,7 @@
         return new UpstreamEventHandler(client);
     }
 
-    /** Aborts it while it is being connected. */
+    /** Aborts the connection while it is being established. */
     synchronized void abortConnect() {
         aborted = true;
         if (session == null) {
@@ -106,12 +107,14 @@
         }
     }
 
-    /** Whether a call may be written to it, as far as is known. */
+    /** Whether the connection is open, as far as is known without reading from it. */
     boolean isOpen() {
         return session.isOpen() && duplexer.isOpen();
     }
 
-    /** Closes it and returns its permit at once, not only when the I/O thread has closed it. */
+    /**
+     * Closes the connection and releases its permit immediately, without waiting until the I/O thread has closed it.
+     */
     void closeAndReleasePermit() {
         synchronized (this) {
             releasePermit();
@@ -130,29 +133,32 @@
         return responseExpected;
     }
 
-    /** A request is being written; what is read from now on is its response. */
+    /** Called when a request is about to be written; input that is read from now on is its response. */
     void onRequestStarted() {
         responseExpected = true;
     }
 
-    /** The response is complete; nothing may be read until the next request. */
+    /** Called when the response is complete; no input is expected until the next request. */
     void onResponseComplete() {
         responseExpected = false;
     }
 
-    /** Executes a call on a connection that has just come up, or is known to be usable. */
+    /** Executes a call on a connection that has just been established or is known to be usable. */
     void execute(UpstreamExchange exchange) {
         session.enqueue(
                 new RequestExecutionCommand(exchange, null, null, HttpCoreContext.create()),
                 Command.Priority.IMMEDIATE);
     }
 
-    /** Executes a call on an idle connection if it is usable when the I/O thread comes to it. */
+    /**
+     * Executes a call on an idle connection if the connection is still usable when the I/O thread processes it;
+     * otherwise the call moves to another connection.
+     */
     void executeIfStillUsable(UpstreamExchange exchange) {
         pendingExchange.set(exchange);
         session.setEvent(SelectionKey.OP_WRITE);
         if (!session.isOpen()) {
-            moveToAnotherConnection(); // the I/O thread may not come to it any more
+            moveToAnotherConnection(); // the I/O thread may no longer process this connection
         }
     }
 
@@ -164,8 +170,9 @@
     }
 
     /**
-     * Whether anything can be read, be it the end of the input. Unsolicited bytes, which a provider may send after its
-     * response, would be taken for the response to the next request; what is written to a closed connection is lost.
+     * Whether any input can be read, including the end of the input. Unsolicited bytes, which a provider may send after
+     * its response, would be taken for the response to the next request; a request written to a closed connection is
+     * lost.
      */
     private boolean isStale() {
         try {
@@ -175,7 +182,7 @@
         }
     }
 
-    /** The library's event handler, with the checks that it lacks. */
+    /** The library's event handler, with the checks that it lacks for truncated heads and stale connections. */
     private final class UpstreamEventHandler extends ClientHttp1IOEventHandler {
         private final ClientHttp1StreamDuplexer client;
 
@@ -189,7 +196,7 @@
             try {
                 super.inputReady(ioSession, source);
                 if (responseParser.hasInputEnded() && client.isOpen()) {
-                    client.onException(new ConnectionClosedException()); // within a head
+                    client.onException(new ConnectionClosedException()); // the input ended within a head
                 }
             } finally {
                 UpstreamExchange exchange = pool.exchangeOn(UpstreamConnection.this);
@@ -218,7 +225,7 @@
                 current.reportIfWritten();
             }
             if (pendingExchange.get() != null) {
-                ioSession.setEvent(SelectionKey.OP_WRITE); // assigned while the library cleared the event
+                ioSession.setEvent(SelectionKey.OP_WRITE); // a call was assigned while the library cleared the event
             }
         }
 
--- a/src/main/java/reedmux/gatekeeper/http/UpstreamConnectionPool.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamConnectionPool.java
@@ -21,9 +21,9 @@
 import reedmux.gatekeeper.reducer.CallResult.CallStage;
 
 /**
- * Sends calls to providers, discovery and other regions over pooled connections. A call is written to one connection
- * and never sent again here: whether it is retried is the policy's decision. For all threads; the monitor guards the
- * connections.
+ * Sends calls to providers, the discovery service and other regions over pooled connections. A call is written to one
+ * connection and never sent again here: the policy decides whether to retry it. Thread-safe; the monitor guards the
+ * assignment of connections.
  */
 public final class UpstreamConnectionPool {
     private final ConnectionInitiator reactor;
@@ -36,21 +36,21 @@
 
     private boolean shutDown;
 
-    /** Limits the number of connections; for all threads. */
+    /** Limits the number of connections. Implementations must be thread-safe. */
     public interface ConnectionPermits {
-        /** Acquires a permit; returns false if there is none. */
+        /** Acquires a permit; returns false if none is available. */
         boolean tryAcquire();
 
-        /** Returns a permit. */
+        /** Releases a permit. */
         void release();
 
-        /** A fixed number of permits. */
+        /** Returns a fixed number of permits. */
         static ConnectionPermits fixed(int count) {
             AtomicInteger available = new AtomicInteger(count);
             return new ConnectionPermits() {
                 @Override
                 public boolean tryAcquire() {
-                    return available.getAndUpdate(now -> Math.max(0, now - 1)) > 0;
+                    return available.getAndUpdate(count -> Math.max(0, count - 1)) > 0;
                 }
 
                 @Override
@@ -62,7 +62,8 @@
     }
 
     /**
-     * A pool that closes connections which have been idle for {@code maxIdleMicros}, and does not use them after that.
+     * Creates a pool that closes connections which have been idle for {@code maxIdleMicros}, and does not reuse them
+     * after that time.
      */
     public UpstreamConnectionPool(
             ConnectionInitiator reactor, MonotonicClock clock, ConnectionPermits permits, long maxIdleMicros) {
@@ -72,7 +73,7 @@
         this.maxIdleMicros = maxIdleMicros;
     }
 
-    /** Starts a call; {@code completionListener} gets its result exactly once, on any thread. */
+    /** Starts a call; {@code completionListener} receives its result exactly once, on any thread. */
     UpstreamExchange execute(
             UpstreamEndpoint endpoint, UpstreamRequest request, Consumer<CallResult> completionListener) {
         return execute(endpoint, request, () -> {}, null, completionListener);
@@ -81,9 +82,10 @@
     /**
      * Starts a call.
      *
-     * @param writtenListener    is run once if the request has been written completely
-     * @param streamingListener  gets a response that is streamed, before it is complete; null to have none streamed
-     * @param completionListener gets the result exactly once, on any thread
+     * @param writtenListener    runs once when the request has been written completely
+     * @param streamingListener  receives a streamed response before it is complete; null to disable streaming of the
+     *                           response
+     * @param completionListener receives the result exactly once, on any thread
      */
     UpstreamExchange execute(
             UpstreamEndpoint endpoint,
@@ -100,13 +102,13 @@
         return exchange;
     }
 
-    /** Finds or opens a connection for a call of which nothing has been written yet. */
+    /** Finds or opens a connection for a call of which no byte has been written yet. */
     void assignConnection(UpstreamExchange exchange) {
         UpstreamConnection idle = leaseIdle(exchange);
         if (idle != null) {
             idle.executeIfStillUsable(exchange);
         } else if (exchange.isAborted()) {
-            exchange.finish(new CallResult.ConnectionBroken(CallStage.CONNECTING, "given up"));
+            exchange.finish(new CallResult.ConnectionBroken(CallStage.CONNECTING, "the call was aborted"));
         } else if (acquirePermit()) {
             connect(exchange);
         } else {
@@ -125,7 +127,7 @@
                             if (tryAssign(connection, exchange)) {
                                 connection.execute(exchange);
                             } else {
-                                connectFailed("given up");
+                                connectFailed("the call was aborted");
                             }
                         }
 
@@ -136,7 +138,7 @@
 
                         @Override
                         public void cancelled() {
-                            connectFailed("given up");
+                            connectFailed("the call was aborted");
                         }
 
                         private void connectFailed(String reason) {
@@ -155,21 +157,21 @@
     }
 
     /**
-     * The library's form of an address, with the host name given. Otherwise the library would look the name up on the
-     * calling thread, which without DNS blocks each first call for 20 s.
+     * Returns the library's representation of an address, with the numeric address as its host name. Otherwise the
+     * library would look the name up on the calling thread, which without DNS blocks each first call for 20 s.
      */
     private static HttpHost httpHost(InetSocketAddress address) {
         return new HttpHost(null, address.getAddress(), address.getAddress().getHostAddress(), address.getPort());
     }
 
     private synchronized UpstreamConnection leaseIdle(UpstreamExchange exchange) {
-        exchange.connection = null; // a stale connection that it had before does not count any more
+        exchange.connection = null; // a stale connection that the call had before no longer counts
         Deque<UpstreamConnection> idle = exchange.isAborted() ? null : idleConnections.get(exchange.endpoint());
         long idleSinceLimit = clock.now() - maxIdleMicros;
         while (idle != null && !idle.isEmpty()) {
             UpstreamConnection connection = idle.pollLast();
-            // The provider may close a connection that it has idle for long while our request is on the way to it.
-            // The reset would not tell whether the request ran, so a non-idempotent one could not be retried.
+            // The provider may close a connection that has been idle for long while a request is on its way. The
+            // resulting reset would not show whether the request ran, so a non-idempotent request could not be retried.
             if (connection.isOpen() && connection.idleSinceMicros > idleSinceLimit) {
                 tryAssign(connection, exchange);
                 return connection;
@@ -179,7 +181,7 @@
         return null;
     }
 
-    /** Assigns a connection to a call, unless the call has been aborted. */
+    /** Assigns a connection to a call; returns false if the call has been aborted. */
     private synchronized boolean tryAssign(UpstreamConnection connection, UpstreamExchange exchange) {
         if (exchange.isAborted()) {
             return false;
@@ -194,8 +196,8 @@
     }
 
     /**
-     * Closes the connection of a call that is aborted, but only while the call still has it: after its response the
-     * connection may already belong to the next call.
+     * Closes the connection of an aborted call, but only while the call still uses it: after the response the
+     * connection may already carry the next call.
      */
     synchronized void abort(UpstreamExchange exchange) {
         UpstreamConnection connection = exchange.connection;
@@ -206,12 +208,15 @@
         }
     }
 
-    /** Acquires a permit for a connection, evicting an idle one if there is none left. */
+    /** Acquires a permit for a connection, and evicts an idle connection if no permit is left. */
     private boolean acquirePermit() {
         return permits.tryAcquire() || evictLongestIdle() && permits.tryAcquire();
     }
 
-    /** Closes the connection that has been idle the longest and returns its permit at once; false if none is idle. */
+    /**
+     * Closes the connection that has been idle the longest and releases its permit immediately; returns false if no
+     * connection is idle.
+     */
     public synchronized boolean evictLongestIdle() {
         Deque<UpstreamConnection> longest = null;
         for (Deque<UpstreamConnection> idle : idleConnections.values()) {
@@ -226,19 +231,19 @@
         return true;
     }
 
-    /** Closes idle connections now, and the others when their calls end. */
+    /** Closes idle connections immediately, and the others when their calls end. */
     public synchronized void shutDown() {
         shutDown = true;
         idleConnections.values().forEach(idle -> idle.forEach(UpstreamConnection::close));
         idleConnections.clear();
     }
 
-    /** A connection has been closed and does not need its permit any more. */
+    /** Called when a connection no longer needs its permit. */
     void onConnectionClosed() {
         permits.release();
     }
 
-    /** Returns the connection of a call that has ended; it is closed unless {@code reusable}. */
+    /** Returns the connection of a finished call to the pool; closes it unless {@code reusable} is true. */
     synchronized void release(UpstreamConnection connection, boolean reusable) {
         connection.currentExchange = null;
         if (reusable && !shutDown) {
@@ -259,7 +264,7 @@
         }
     }
 
-    /** Microseconds of the program's clock. */
+    /** Returns the time of the process's monotonic clock, in microseconds. */
     long now() {
         return clock.now();
     }
@@ -272,10 +277,7 @@
         streamingExchanges.remove(exchange);
     }
 
-    /**
-     * Closes connections that have been idle for too long, and aborts streams that have stalled; to be called now and
-     * then.
-     */
+    /** Closes connections that have been idle for too long, and aborts stalled streams; must be called periodically. */
     public void sweep() {
         long now = clock.now();
         streamingExchanges.forEach(exchange -> exchange.abortIfStalled(now));
--- a/src/main/java/reedmux/gatekeeper/http/UpstreamExchange.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamExchange.java
@@ -26,21 +26,24 @@
 /**
  * One call: its request, its response and its result.
  *
- * <p>The result is reported once. It says how far a broken call had come ({@link CallStage}), which decides whether it
- * may be retried: a request that was not sent completely cannot have run. A long or slow response is streamed: it is
- * reported to the streaming listener before it is complete.
+ * <p>The result is reported exactly once. For a broken call it contains the stage that the call had reached ({@link
+ * CallStage}), which determines whether the call may be retried: a request that was not sent completely cannot have
+ * run. A long or slow response is streamed: it is reported to the streaming listener before it is complete.
  */
 final class UpstreamExchange implements AsyncClientExchangeHandler {
     private static final int STATUS_OK = 200;
-    /** A response of unknown length is streamed if it has more bytes than this and takes longer than the time below. */
+    /**
+     * Size above which a response of unknown length is streamed, if receiving it takes longer than {@link
+     * #STREAMING_THRESHOLD_MICROS}.
+     */
     private static final int STREAMING_THRESHOLD_BYTES = 4 * 1024;
 
     private static final long STREAMING_THRESHOLD_MICROS = TimeUnit.MILLISECONDS.toMicros(20);
-    /** How long a provider may neither read nor write a byte of a streamed body. */
+    /** Time after which a call is aborted if the provider neither reads nor writes a byte of a streamed body. */
     private static final long STALL_TIMEOUT_MICROS = TimeUnit.SECONDS.toMicros(15);
 
     private static final double MICROS_PER_SECOND = 1e6;
-    /** The longest time that the headers of another region may report. */
+    /** Maximum time that is accepted from the headers of another region; longer times are reduced to it. */
     private static final double MAX_REPORTED_MICROS = 3.6e9;
 
     private final UpstreamConnectionPool pool;
@@ -53,7 +56,7 @@
     private final AtomicBoolean finished = new AtomicBoolean();
     private volatile boolean aborted;
     private volatile Future<?> connectFuture;
-    /** The connection that it has; guarded by the pool. */
+    /** The connection that the call uses, or null; guarded by the pool's monitor. */
     volatile UpstreamConnection connection;
 
     private volatile EndpointDetails connectionDetails;
@@ -63,16 +66,16 @@
     private HttpRequest requestHead;
     private HttpResponse response;
     private long responseHeadAt;
-    /** Whether the response has no length. */
+    /** Whether the response does not declare its length. */
     private boolean responseLengthUnknown;
 
     private BufferedBody.InboundBody responseBody;
-    /** The response if it is streamed, otherwise null. */
+    /** Stream of the response body, or null if the body is buffered. */
     private volatile BodyStream responseStream;
 
     private volatile boolean requestStreamed;
     private long grantedBytes = HttpTransport.INITIAL_WINDOW_BYTES;
-    /** Bytes that both streams had moved when it was last checked; negative before the first check. */
+    /** Number of bytes that both streams had moved at the last check for stalls; negative before the first check. */
     private long lastBytesMoved = -1;
 
     private long lastProgressAt;
@@ -105,7 +108,10 @@
         return aborted;
     }
 
-    /** Aborts the call. Its result follows when the connection is closed, since only then its stage is certain. */
+    /**
+     * Aborts the call. Its result is reported when the connection has been closed, since its stage is not certain
+     * before.
+     */
     void abort() {
         aborted = true;
         pool.abort(this);
@@ -144,7 +150,7 @@
         connectionDetails = details;
         int bodyLength = request.body().length;
         if (request.stream() != null) {
-            request.stream().onFailure(this::abort); // an incomplete request never runs
+            request.stream().onFailure(this::abort); // a provider does not run an incomplete request
             channel.sendRequest(
                     requestHead, new BasicEntityDetails(request.stream().length(), null), context);
             return;
@@ -182,7 +188,7 @@
             onResponseComplete(BufferedBody.EMPTY);
         } else if (entity.getContentLength()
                 > (mayStream() ? HttpTransport.MAX_STREAMED_BODY_BYTES : HttpTransport.MAX_BUFFERED_BODY_BYTES)) {
-            throw new IOException("the answer is too long");
+            throw new IOException("the response is too long");
         } else {
             responseBody = new BufferedBody.InboundBody(entity);
             responseLengthUnknown = entity.getContentLength() < 0;
@@ -206,7 +212,7 @@
     public void consume(ByteBuffer source) throws IOException {
         if (responseStream != null) {
             if (!responseStream.receive(source)) {
-                throw new IOException("the answer is too long");
+                throw new IOException("the response is too long");
             }
             return;
         }
@@ -223,7 +229,7 @@
                 responseStream.receive(unreadView);
             }
         } else if (responseBody.isTooLong()) {
-            throw new IOException("the answer is too long");
+            throw new IOException("the response is too long");
         }
     }
 
@@ -242,7 +248,7 @@
         return streamingListener != null && response.getCode() == STATUS_OK;
     }
 
-    /** Streams the response from here on; {@code length} is -1 if it is not known. */
+    /** Switches the response to streaming; {@code length} is -1 if it is unknown. */
     private void startStreaming(long length, long alreadyGrantedBytes) {
         responseStream = new BodyStream(length, HttpTransport.MAX_STREAMED_BODY_BYTES, alreadyGrantedBytes);
         responseStream.receive(ByteBuffer.wrap(responseBody.bytes()));
@@ -259,7 +265,7 @@
                 0));
     }
 
-    /** Aborts it if the provider neither reads nor writes anything although it should. */
+    /** Aborts the call if the provider makes no progress although the gateway is waiting for it to read or write. */
     void abortIfStalled(long now) {
         BodyStream requestStream = request.stream();
         BodyStream down = responseStream;
@@ -293,8 +299,8 @@
     }
 
     /**
-     * Reports a complete response. The connection calls this after it has read all input: only then is it known whether
-     * there was more than the response, in which case the connection must not be reused.
+     * Reports the result if the response is complete. The connection calls this after it has read all input: only then
+     * is it known whether anything followed the response, in which case the connection must not be reused.
      */
     void finishIfResponseComplete(boolean connectionOpen) {
         CallResult result = pendingResult;
@@ -305,14 +311,14 @@
         }
     }
 
-    /** A numeric header in microseconds; -1 if it is missing or invalid. */
+    /** Returns a numeric header converted to microseconds, or -1 if it is missing or invalid. */
     private long numericHeader(String name, double microsPerUnit) {
         Header header = response.getFirstHeader(name);
         double value = header == null || header.getValue() == null ? 0 : RequestHeaders.parseDecimal(header.getValue());
         return header == null || value < 0 ? -1 : (long) Math.min(value * microsPerUnit, MAX_REPORTED_MICROS);
     }
 
-    /** Reports, once, that the request has been written completely; called whenever something may have been written. */
+    /** Reports once that the request has been written completely; called whenever bytes may have been written. */
     void reportIfWritten() {
         if (!writtenReported.get() && isFullySent() && writtenReported.compareAndSet(false, true)) {
             writtenListener.run();
--- a/src/main/java/reedmux/gatekeeper/http/UpstreamRequest.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamRequest.java
@@ -4,10 +4,10 @@
 import org.apache.hc.core5.http.HttpRequest;
 
 /**
- * A request that we send.
+ * A request that this gateway sends.
  *
- * @param traceId         null to leave the header out
- * @param expiresInMillis negative to leave the header out
+ * @param traceId         null to omit the header
+ * @param expiresInMillis time left until the deadline in milliseconds; negative to omit the header
  * @param stream          the body if it is streamed, otherwise null
  * @param hop             the headers for another region, or null
  */
@@ -22,7 +22,10 @@
         BodyStream stream,
         RegionHop hop) {
 
-    /** The headers for another region: the regions passed, the class's idempotency, and the units counted here. */
+    /**
+     * The headers for another region: the regions passed, the idempotency of the request class, and the units counted
+     * here.
+     */
     public record RegionHop(String regionPath, String idempotency, String units) {}
 
     UpstreamRequest(
@@ -72,8 +75,8 @@
     }
 
     /**
-     * The length of the request on the wire, from which we know whether a broken call can have run; of a chunked body
-     * only that of the head.
+     * Returns the length of the request on the wire, from which the gateway determines whether a broken call can have
+     * run; for a chunked body only the length of the head.
      */
     long lengthOnWire(HttpRequest head) {
         long length = REQUEST_LINE_OVERHEAD_BYTES
--- a/src/test/java/reedmux/gatekeeper/http/BodyStreamTest.java
+++ b/src/test/java/reedmux/gatekeeper/http/BodyStreamTest.java
@@ -14,13 +14,13 @@
 import org.apache.hc.core5.http.nio.DataStreamChannel;
 import org.junit.Test;
 
-/** A body that is passed on while it arrives: back-pressure, bounds and ends. */
+/** Tests of the relaying of a body while it is received: back-pressure, size limits, and normal and failed ends. */
 public final class BodyStreamTest {
     private static final long MAX_BODY_BYTES = HttpTransport.MAX_STREAMED_BODY_BYTES;
-    /** What one read of the library may bring beyond what was asked for. */
+    /** Number of bytes by which one read of the library may exceed the granted capacity. */
     private static final int READ_BYTES = 4_096;
 
-    /** A connection that takes as much as it is allowed to at a time. */
+    /** A sink that accepts a limited number of bytes per write and records them. */
     private static final class RecordingSink implements DataStreamChannel {
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         int acceptedBytes;
@@ -44,7 +44,7 @@
 
         @Override
         public void endStream() {
-            assertFalse("ended twice", ended);
+            assertFalse("the end of the stream was signalled twice", ended);
             ended = true;
         }
 
@@ -54,7 +54,10 @@
         }
     }
 
-    /** Pieces of any size in, pieces of any size out: the same bytes, in bounds, and nothing is kept. */
+    /**
+     * Pieces of random sizes are received and written: the sink gets the same bytes, the buffer stays within its limit,
+     * and nothing remains buffered.
+     */
     @Test
     public void deliversAllBytesWithinTheBufferBound() throws IOException {
         SplittableRandom random = new SplittableRandom(3);
@@ -72,7 +75,7 @@
             while (!bodyWritten) {
                 int count = Math.min(
                         Math.min(READ_BYTES, random.nextInt(1, maxPieceBytes + 1)), body.length - receivedBytes);
-                if (granted[0] > 0 && count > 0) { // a source brings nothing that it was not asked for
+                if (granted[0] > 0 && count > 0) { // a source sends nothing beyond its grant
                     assertTrue(stream.receive(ByteBuffer.wrap(body, receivedBytes, count)));
                     receivedBytes += count;
                     granted[0] -= count;
@@ -88,9 +91,9 @@
                     bodyWritten = stream.writeTo(sink);
                 }
                 assertTrue(
-                        "holds " + stream.available(),
+                        "buffered bytes: " + stream.available(),
                         stream.available() <= BodyStream.MAX_BUFFERED_BYTES + READ_BYTES);
-                assertTrue("stands still", ++steps < 2_000_000);
+                assertTrue("no progress", ++steps < 2_000_000);
             }
             assertTrue(sink.ended);
             assertArrayEquals(body, sink.bytes.toByteArray());
@@ -112,12 +115,12 @@
             }
         }
         assertEquals(BodyStream.MAX_BUFFERED_BYTES, receivedBytes);
-        assertFalse("it waits for the sink", stream.awaitsSource());
+        assertFalse("the stream is waiting for the sink", stream.awaitsSource());
         assertTrue(stream.awaitsSink());
         RecordingSink sink = new RecordingSink();
         sink.acceptedBytes = 10_000;
         stream.writeTo(sink);
-        assertEquals("as much again", 10_000, granted[0]);
+        assertEquals("the grant equals the bytes written", 10_000, granted[0]);
         assertTrue(stream.awaitsSource());
         stream.discardRest();
     }
@@ -130,7 +133,7 @@
         assertTrue(stream.receive(ByteBuffer.allocate(10)));
         assertFalse(stream.receive(ByteBuffer.allocate(1)));
         stream.fail();
-        assertEquals("told once", 1, failures[0]);
+        assertEquals("failures reported", 1, failures[0]);
         assertEquals(0, stream.available());
     }
 
@@ -171,7 +174,7 @@
     public void staysUnreadUntilTheFirstByteIsWritten() throws IOException {
         BodyStream stream = new BodyStream(100, MAX_BODY_BYTES, 100);
         stream.receive(ByteBuffer.allocate(50));
-        RecordingSink blockedSink = new RecordingSink(); // whose connection took nothing yet
+        RecordingSink blockedSink = new RecordingSink(); // its connection accepts no bytes
         stream.writeTo(blockedSink);
         assertTrue(stream.isUnread());
         RecordingSink writableSink = new RecordingSink();
@@ -179,11 +182,11 @@
         stream.writeTo(writableSink);
         assertFalse(stream.isUnread());
         stream.receive(ByteBuffer.allocate(1));
-        assertEquals("who reads it now is woken", 1, writableSink.outputRequests);
+        assertEquals("output requests of the current sink", 1, writableSink.outputRequests);
         stream.discardRest();
     }
 
-    /** Each row: milliseconds since its first byte, bytes of its body, late or not; a head may take 2 s. */
+    /** Each row: milliseconds since the first byte, number of body bytes, 1 if too slow; the head may take 2 s. */
     @Test
     public void minimumRateRejectsOnlyBodiesBelowIt() {
         long[][] table = {
@@ -200,7 +203,7 @@
         };
         for (long[] row : table) {
             assertEquals(
-                    row[0] + " ms, " + row[1],
+                    row[0] + " ms, " + row[1] + " bytes",
                     row[2] == 1,
                     MinimumRateGuard.isTooSlow(row[0] * 1_000, 2_000_000, row[1]));
         }
--- a/src/test/java/reedmux/gatekeeper/http/IntakeLimiterTest.java
+++ b/src/test/java/reedmux/gatekeeper/http/IntakeLimiterTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Connections that wait unread while enough of their service's requests are on their way. */
+/** Tests that connections wait unread while the limit of their service's undecided requests is reached. */
 final class IntakeLimiterTest {
     private final IntakeLimiter limiter = new IntakeLimiter(2);
     private final List<String> resumed = new ArrayList<>();
@@ -59,7 +59,7 @@
         assertEquals(List.of("late", "a"), resumed);
     }
 
-    /** Whoever is let in may say nothing: all the others come to be read all the same. */
+    /** A resumed connection may send no request; all other waiting connections must be resumed nevertheless. */
     @Property(tries = 2_000, seed = "95")
     void everyConnectionIsEventuallyResumed(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -88,7 +88,7 @@
             while (!resumedConnections.isEmpty()) {
                 resumedConnections.remove(0);
                 if (random.nextInt(4) == 0) {
-                    served++; // it had closed, or says nothing
+                    served++; // the connection was closed or sent no request
                 } else {
                     randomLimiter.onRequestRead();
                     undecided++;
--- a/src/test/java/reedmux/gatekeeper/http/UpstreamConnectionPoolTest.java
+++ b/src/test/java/reedmux/gatekeeper/http/UpstreamConnectionPoolTest.java
@@ -17,7 +17,7 @@
 import reedmux.gatekeeper.reducer.CallResult;
 import reedmux.gatekeeper.reducer.CallResult.CallStage;
 
-/** Calls that get no connection at all end at once, and as never run. */
+/** Tests of calls without a connection, which fail immediately as never run, and of stalled responses. */
 final class UpstreamConnectionPoolTest {
     private static final UpstreamConnection.UpstreamEndpoint PROVIDER =
             new UpstreamConnection.UpstreamEndpoint("s-1", new InetSocketAddress("127.0.0.1", 9));
@@ -37,7 +37,10 @@
         assertEquals(AttemptOutcome.CONNECT_FAILED, results.get(0).outcome());
     }
 
-    /** As at the very end of leaving; the place goes back, or the next call would find none. */
+    /**
+     * The reactor is shut down at the end of a graceful shutdown. The permit must be released, or the next call would
+     * find none.
+     */
     @Test
     void returnsThePermitWhenTheReactorIsShutDown() {
         UpstreamConnectionPool pool = new UpstreamConnectionPool(
@@ -53,7 +56,7 @@
         }
     }
 
-    /** There is no DNS: a thread that asks it for the name of an address stands still for 20 s. */
+    /** Without DNS, a thread that resolves the name of an address blocks for 20 s. */
     @Test
     void connectsWithoutNameResolution() throws Exception {
         InetAddress address = InetAddress.getByAddress(new byte[] {127, 0, 0, 1});
@@ -71,10 +74,12 @@
                 UpstreamRequest.get("/", "127.0.0.1:9"),
                 results::add);
         assertEquals(1, results.size());
-        assertEquals("/127.0.0.1", address.toString(), "an address keeps the name that was found for it");
+        assertEquals("/127.0.0.1", address.toString(), "a reverse lookup would have stored a host name in the address");
     }
 
-    /** At its very first look a sweep took an answer of which only the head had come for one at a halt. */
+    /**
+     * Guards against a sweep that took a response for stalled at its first check, when only the head had been received.
+     */
     @Test
     void abortsAStreamedResponseOnlyAfterAStall() throws Exception {
         MonotonicClock clock = new MonotonicClock();
@@ -96,7 +101,7 @@
         exchange.consume(ByteBuffer.allocate(10));
         exchange.abortIfStalled(now + 16_000_000);
         exchange.abortIfStalled(now + 30_000_000);
-        assertFalse(exchange.isAborted(), "ten bytes have come");
+        assertFalse(exchange.isAborted(), "ten bytes were received");
         exchange.abortIfStalled(now + 32_000_000);
         assertTrue(exchange.isAborted());
         assertEquals(1, streamedResponses.size());
