--- a/src/main/java/reedmux/gatekeeper/http/BodyStream.java
+++ b/src/main/java/reedmux/gatekeeper/http/BodyStream.java
@@ -26,7 +26,7 @@
     private static final long PRESSURE_THRESHOLD_BYTES = 8L * 1024 * 1024;
 
     private static final int CHUNK_BYTES = 8 * 1024;
-    /** Minimum number of bytes granted to the source at once. */
+    /** Minimum number of bytes of one grant to the source; a smaller capacity is not granted. */
     private static final int MIN_GRANT_BYTES = 4 * 1024;
 
     private static final AtomicLong TOTAL_BUFFERED = new AtomicLong();
--- a/src/main/java/reedmux/gatekeeper/http/ConsumerConnection.java
+++ b/src/main/java/reedmux/gatekeeper/http/ConsumerConnection.java
@@ -42,7 +42,7 @@
 
     /** Time that the consumer has to read the last response before the connection is closed. */
     private static final long LINGER_MICROS = TimeUnit.MILLISECONDS.toMicros(500);
-    /** Time after which a connection is closed if the consumer reads none of its pending response. */
+    /** Time after which a connection is closed if the consumer has read nothing of its pending response. */
     private static final long WRITE_TIMEOUT_MICROS = TimeUnit.SECONDS.toMicros(10);
     /** Time after which a connection without a request is closed; some consumers never close their connections. */
     private static final long IDLE_TIMEOUT_MICROS = TimeUnit.SECONDS.toMicros(15);
@@ -159,7 +159,7 @@
     /** Handles a malformed chunked body, after which the start of the next request cannot be determined. */
     void onChunkError(String problem) {
         ConsumerExchange exchange = currentExchange;
-        if (exchange == null || !exchange.rejectUnreadable(problem)) {
+        if (exchange == null || !exchange.rejectMalformedBody(problem)) {
             abort();
         }
     }
--- a/src/main/java/reedmux/gatekeeper/http/ConsumerExchange.java
+++ b/src/main/java/reedmux/gatekeeper/http/ConsumerExchange.java
@@ -222,7 +222,7 @@
     }
 
     /** Rejects a request whose body is malformed; returns whether a response could be sent. */
-    boolean rejectUnreadable(String problem) {
+    boolean rejectMalformedBody(String problem) {
         return !isAnswered() && tryRejectAndClose(STATUS_BAD_REQUEST, problem);
     }
 
--- a/src/main/java/reedmux/gatekeeper/http/HttpTransport.java
+++ b/src/main/java/reedmux/gatekeeper/http/HttpTransport.java
@@ -29,7 +29,7 @@
     private static final int MAX_HEADERS = 40;
 
     private static final int MAX_LINE_BYTES = 4096;
-    /** How often the reactor checks for session time-outs, although connections have none. */
+    /** Interval at which the reactor checks for session time-outs, which its connections do not use. */
     private static final TimeValue SELECT_INTERVAL = TimeValue.ofSeconds(5);
 
     /** Adds no headers to messages, since the exchanges set all headers themselves. */
@@ -53,7 +53,7 @@
      */
     public static DefaultListeningIOReactor createReactor(
             Function<SocketAddress, ConsumerServer> servers, Consumer<String> log, Collection<Thread> threads) {
-        ThreadFactory daemonThreads = task -> {
+        ThreadFactory daemonThreadFactory = task -> {
             Thread thread = new Thread(task, "reedmux-io");
             thread.setDaemon(true);
             threads.add(thread);
@@ -69,8 +69,8 @@
                         .setSoReuseAddress(true)
                         .setSelectInterval(SELECT_INTERVAL)
                         .build(),
-                daemonThreads,
-                daemonThreads,
+                daemonThreadFactory,
+                daemonThreadFactory,
                 null,
                 failure -> log.accept("I/O reactor failure: " + failure),
                 null,
--- a/src/main/java/reedmux/gatekeeper/http/IntakeLimiter.java
+++ b/src/main/java/reedmux/gatekeeper/http/IntakeLimiter.java
@@ -39,7 +39,7 @@
         resume(undecided.decrementAndGet() == 0 ? maxUndecided : 1);
     }
 
-    /** Makes a connection wait; {@code resume} resumes reading and returns false if the connection has been closed. */
+    /** Makes a connection wait; {@code resume} makes it read again, and returns false if it has been closed. */
     void enqueue(BooleanSupplier resume) {
         waitingConnections.add(resume);
         if (undecided.get() == 0) {
--- a/src/main/java/reedmux/gatekeeper/http/ProviderClient.java
+++ b/src/main/java/reedmux/gatekeeper/http/ProviderClient.java
@@ -30,8 +30,8 @@
     /** Starts a call with a time-out in microseconds; the time-out of a streamed request starts after its last byte. */
     public void call(UpstreamCall call, long timeout) {
         ConsumerRequest message = (ConsumerRequest) call.invocation().message();
-        long advertisedTimeout =
-                message.stream() == null ? timeout : message.timeoutMicros(); // starts after the last byte
+        // The time-out of a streamed request starts after its last byte.
+        long advertisedTimeout = message.stream() == null ? timeout : message.timeoutMicros();
         call.transportState(pool.execute(
                 new UpstreamEndpoint(call.provider(), call.address()),
                 new UpstreamRequest(
--- a/src/main/java/reedmux/gatekeeper/http/UpstreamConnectionPool.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamConnectionPool.java
@@ -50,7 +50,7 @@
             return new ConnectionPermits() {
                 @Override
                 public boolean tryAcquire() {
-                    return available.getAndUpdate(count -> Math.max(0, count - 1)) > 0;
+                    return available.getAndUpdate(current -> Math.max(0, current - 1)) > 0;
                 }
 
                 @Override
--- a/src/main/java/reedmux/gatekeeper/http/UpstreamExchange.java
+++ b/src/main/java/reedmux/gatekeeper/http/UpstreamExchange.java
@@ -267,13 +267,13 @@
 
     /** Aborts the call if the provider makes no progress although the gateway is waiting for it to read or write. */
     void abortIfStalled(long now) {
-        BodyStream requestStream = request.stream();
-        BodyStream down = responseStream;
-        long bytesMoved =
-                (requestStream == null ? 0 : requestStream.bytesMoved()) + (down == null ? 0 : down.bytesMoved());
-        boolean awaitsProvider = down == null
-                ? requestStream != null && !requestStreamed && requestStream.awaitsSink()
-                : down.awaitsSource();
+        BodyStream requestBodyStream = request.stream();
+        BodyStream responseBodyStream = responseStream;
+        long bytesMoved = (requestBodyStream == null ? 0 : requestBodyStream.bytesMoved())
+                + (responseBodyStream == null ? 0 : responseBodyStream.bytesMoved());
+        boolean awaitsProvider = responseBodyStream == null
+                ? requestBodyStream != null && !requestStreamed && requestBodyStream.awaitsSink()
+                : responseBodyStream.awaitsSource();
         if (bytesMoved != lastBytesMoved || !awaitsProvider) {
             lastBytesMoved = bytesMoved;
             lastProgressAt = now;
@@ -318,7 +318,7 @@
         return header == null || value < 0 ? -1 : (long) Math.min(value * microsPerUnit, MAX_REPORTED_MICROS);
     }
 
-    /** Reports once that the request has been written completely; called whenever bytes may have been written. */
+    /** Reports, once, that the request has been written completely; called whenever bytes may have been written. */
     void reportIfWritten() {
         if (!writtenReported.get() && isFullySent() && writtenReported.compareAndSet(false, true)) {
             writtenListener.run();
--- a/src/test/java/reedmux/gatekeeper/http/BodyStreamTest.java
+++ b/src/test/java/reedmux/gatekeeper/http/BodyStreamTest.java
@@ -203,7 +203,7 @@
         };
         for (long[] row : table) {
             assertEquals(
-                    row[0] + " ms, " + row[1] + " bytes",
+                    row[0] + " ms, " + row[1],
                     row[2] == 1,
                     MinimumRateGuard.isTooSlow(row[0] * 1_000, 2_000_000, row[1]));
         }
