--- a/src/main/java/reedmux/control/changes/ChangeCounter.java
+++ b/src/main/java/reedmux/control/changes/ChangeCounter.java
@@ -1,6 +1,6 @@
 package reedmux.control.changes;
 
-/** Numbers all changes of one process, from 1 on, in one sequence. */
+/** Numbers all changes of one process in a single sequence that starts at 1. */
 public final class ChangeCounter {
     private long last;
 
@@ -9,7 +9,7 @@
         return ++last;
     }
 
-    /** The number of the last change; 0 before the first one. */
+    /** The number of the last change, or 0 before the first one. */
     public long last() {
         return last;
     }
--- a/src/main/java/reedmux/control/changes/ChangeList.java
+++ b/src/main/java/reedmux/control/changes/ChangeList.java
@@ -1,17 +1,17 @@
 package reedmux.control.changes;
 
 /**
- * Values in the order of their last change: a doubly linked list, so that moving a value to the end takes constant
- * time, and reading what is newer than a change takes time in proportion to what there is.
+ * Values in the order of their last change. The list is doubly linked, so moving a value to the end takes constant time,
+ * and reading the values that changed after a given change takes time proportional to their number.
  *
  * @param <T> the type of the values
  */
 public final class ChangeList<T> {
-    /** Closes the list to a ring: its newer neighbour is the oldest node, its older neighbour the newest one. */
+    /** Makes the list circular: the next newer node is the oldest one, and the next older node is the newest one. */
     private final ChangeListNode<T> sentinel = new ChangeListNode<>(null);
 
     /**
-     * A value's place in at most one list.
+     * Holds a value and its links in a list. A node is in at most one list at a time.
      *
      * @param <T> the type of the value
      */
@@ -21,7 +21,7 @@
         private ChangeListNode<T> older = this;
         private ChangeListNode<T> newer = this;
 
-        /** Creates a node that is in no list yet. */
+        /** Creates a node that is not in a list. */
         public ChangeListNode(T value) {
             this.value = value;
         }
@@ -31,13 +31,16 @@
             return value;
         }
 
-        /** The number of the value's last change; 0 before it is in a list. */
+        /** The number of the value's last change, or 0 if the node has never been in a list. */
         public long change() {
             return change;
         }
     }
 
-    /** Makes a node the newest one, whether it was in the list or not; the change has to be above all others. */
+    /**
+     * Adds a node as the newest one, or moves it there if it is already in the list. The change number must be higher than
+     * all others in the list.
+     */
     public void moveToNewest(ChangeListNode<T> node, long change) {
         remove(node);
         node.change = change;
@@ -47,7 +50,7 @@
         sentinel.older = node;
     }
 
-    /** Removes a node; without effect on one that is in no list. */
+    /** Removes a node. Has no effect on a node that is not in a list. */
     public void remove(ChangeListNode<T> node) {
         node.older.newer = node.newer;
         node.newer.older = node.older;
@@ -55,7 +58,7 @@
         node.newer = node;
     }
 
-    /** Returns the oldest of the nodes that have changed after a change, or null. */
+    /** Returns the oldest node that changed after the given change, or null if there is none. */
     public ChangeListNode<T> firstAfterChange(long change) {
         ChangeListNode<T> first = sentinel;
         while (first.older != sentinel && first.older.change > change) {
@@ -64,17 +67,17 @@
         return first == sentinel ? null : first;
     }
 
-    /** Returns the next newer node, or null. */
+    /** Returns the next newer node, or null if this one is the newest. */
     public ChangeListNode<T> nextNewer(ChangeListNode<T> node) {
         return node.newer == sentinel ? null : node.newer;
     }
 
-    /** The number of the newest change; 0 where there is none. */
+    /** The number of the newest change, or 0 if the list is empty. */
     public long lastChange() {
         return sentinel.older.change;
     }
 
-    /** Returns the node whose last change is the oldest, or null. */
+    /** Returns the node with the oldest last change, or null if the list is empty. */
     public ChangeListNode<T> oldest() {
         return sentinel.newer == sentinel ? null : sentinel.newer;
     }
--- a/src/main/java/reedmux/control/changes/package-info.java
+++ b/src/main/java/reedmux/control/changes/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Change numbers: each process numbers the changes of what it replicates, keeps its entries in the order of their last
- * change, and so sends a reader only what has changed since the reader's position. Pure.
+ * Incremental replication by change numbers. Each process numbers the changes of its replicated entries and keeps the
+ * entries in the order of their last change, so that it can send a reader only the changes after the reader's position.
+ * Uses no I/O, threads or clocks.
  */
 package reedmux.control.changes;
--- a/src/main/java/reedmux/control/instances/InstanceDirectory.java
+++ b/src/main/java/reedmux/control/instances/InstanceDirectory.java
@@ -13,29 +13,32 @@
 import reedmux.control.instances.RegistryHeartbeatTable.RegistryProcess;
 
 /**
- * The incarnations of all instances, as one process knows them. Registries and proxies each have a directory, and
- * replicate it by merging reports, which may come in any order and more than once:
+ * The incarnations of all instances that one process knows. Each registry and proxy has a directory and replicates it by
+ * merging reports, which may arrive in any order and more than once:
  *
  * <ul>
- *   <li>Phases are a ratchet: an incarnation goes from ready to draining to gone, and no report takes it back.
- *   <li>The registry that an instance sends its heartbeats to is its owner, and only that one says from the heartbeats
- *       whether the instance is responsive. Everybody else takes an instance for responsive as long as its owner sends
- *       heartbeats itself, so that the heartbeats of instances need not be replicated.
- *   <li>An owner that hears somebody else call its instance unresponsive refutes it by reporting the instance again.
- *   <li>An address has one incarnation at a time. A heartbeat claims its address; the previous incarnation there is
- *       gone once it has missed its heartbeats for {@link #ADDRESS_HOLD_MICROS}. Reports of others claim no address, as
- *       they may be older than the incarnation that has it.
+ *   <li>The phase of an incarnation only advances, from ready to draining to gone; no report reverts it.
+ *   <li>The registry that receives an instance's heartbeats is its owner. Only the owner determines from these heartbeats
+ *       whether the instance is responsive. All other processes consider the instance responsive as long as the owner
+ *       itself sends heartbeats, so the heartbeats of instances need not be replicated.
+ *   <li>An owner that receives a report that its instance is unresponsive refutes it by reporting the instance again.
+ *   <li>An address belongs to one incarnation at a time. A heartbeat claims its address; the previous incarnation at the
+ *       address is marked as gone once its heartbeats have been missing for {@link #ADDRESS_HOLD_MICROS}. Reports from
+ *       other processes claim no address, because they may be older than the incarnation that holds it.
  * </ul>
  *
- * <p>Changes are numbered by the process's {@link ChangeCounter}. Pure; times are microseconds of the caller's clock.
- * Not thread-safe.
+ * <p>The process's {@link ChangeCounter} numbers the changes. Uses no I/O, threads or clocks; times are microseconds of the
+ * caller's clock. Not thread-safe.
  */
 public final class InstanceDirectory {
-    /** How long what has ended is kept, so that no late report brings it back. */
+    /** How long ended incarnations and registry processes are retained, so that no late report adds them again. */
     static final long RETENTION_MICROS = 600_000_000;
 
     private static final long MICROS_PER_MILLI = 1000;
-    /** More than two of the usual heartbeat intervals. */
+    /**
+     * How long an incarnation holds its address after its last heartbeat. This is more than two of the usual heartbeat
+     * intervals.
+     */
     private static final long ADDRESS_HOLD_MICROS = 4_000_000;
 
     private static final long NO_SEQUENCE = -1;
@@ -48,21 +51,21 @@
     private final ChangeCounter counter;
     private final long localProcessId;
 
-    /** One incarnation here. */
+    /** The local state of one incarnation. */
     private static final class InstanceEntry {
         private InstanceIncarnation incarnation;
-        /** When a report with a higher sequence came last. */
+        /** When the last report with a higher sequence than before was received. */
         private long lastReportMicros;
 
         private long slowStartEndMicros;
         private final ChangeListNode<InstanceEntry> changeNode = new ChangeListNode<>(this);
-        /** Null while it is not known. */
+        /** The registry that receives the heartbeats; null if unknown. */
         private RegistryProcess owner;
-        /** Of the heartbeat by which the owner is known to be it. */
+        /** The sequence of the latest heartbeat that the owner is known to have received. */
         private long ownerSequence;
-        /** Null as long as the owner is. */
+        /** The node in the list of owner changes; null as long as the owner is unknown. */
         private ChangeListNode<InstanceEntry> ownerChangeNode;
-        /** The incarnation that was reported to have this one's address now, or null. */
+        /** The incarnation that was reported as the new holder of this one's address, or null. */
         private String addressClaimantId;
 
         private boolean isGone() {
@@ -73,8 +76,8 @@
     /**
      * Creates the directory of a registry.
      *
-     * @param localProcessId the registry's incarnation; it owns the instances whose heartbeats it receives
-     * @param counter numbers the changes
+     * @param localProcessId the incarnation of the registry, which owns the instances whose heartbeats it receives
+     * @param counter assigns the change numbers
      */
     public InstanceDirectory(long localProcessId, ChangeCounter counter) {
         this.localProcessId = localProcessId;
@@ -82,7 +85,7 @@
         registries = new RegistryHeartbeatTable(localProcessId);
     }
 
-    /** Creates the directory of a process that receives no heartbeats and that nobody pulls from. */
+    /** Creates the directory of a process that receives no heartbeats and whose changes are not pulled by others. */
     public InstanceDirectory() {
         this(0, new ChangeCounter());
     }
@@ -93,7 +96,7 @@
 
     // ---- Reports on instances -----------------------------------------------------------------------
 
-    /** Applies a heartbeat that an instance has sent to this registry; returns whether others need to know. */
+    /** Applies a heartbeat from an instance to this registry; returns whether it has to be replicated. */
     public boolean onHeartbeat(InstanceIncarnation reported, long now) {
         boolean changed = merge(reported, now);
         InstanceEntry entry = entries.get(reported.id());
@@ -105,7 +108,7 @@
         return claimAddress(entry, now) | changed;
     }
 
-    /** Applies what somebody else reports; returns whether others need to know. */
+    /** Merges a report from another process; returns whether it has to be replicated. */
     public boolean merge(InstanceIncarnation reported, long now) {
         InstanceEntry entry = entries.get(reported.id());
         if (entry == null) {
@@ -155,7 +158,7 @@
 
     // ---- Addresses ----------------------------------------------------------------------------------
 
-    /** Returns whether this ends the previous incarnation at the address. */
+    /** Claims the address of an incarnation; returns whether this marks the previous holder as gone. */
     private boolean claimAddress(InstanceEntry claimant, long now) {
         if (claimant.isGone()) {
             return false;
@@ -175,7 +178,10 @@
         return held;
     }
 
-    /** Ends an instance of ours whose address another one claims elsewhere, once it has missed its heartbeats. */
+    /**
+     * Marks an instance owned by this registry as gone if another instance claims its address at another registry and its
+     * heartbeats have been missing for {@link #ADDRESS_HOLD_MICROS}.
+     */
     private void resolveAddressClaim(InstanceEntry entry, long now) {
         InstanceEntry claimant = entries.get(entry.addressClaimantId);
         if (claimant == null || claimant.isGone() || claimant.incarnation.unresponsive()) {
@@ -206,7 +212,7 @@
         ownerChangeOrder.moveToNewest(entry.ownerChangeNode, counter.next());
     }
 
-    /** Applies what another registry states about an instance's owner; without effect for unknown instances. */
+    /** Merges the owner of an instance as reported by another registry. Has no effect for unknown instances. */
     public void mergeOwner(InstanceOwner reported, long now) {
         InstanceEntry entry = entries.get(reported.instanceId());
         if (entry == null) {
@@ -218,11 +224,11 @@
         if (supersedes) {
             setOwner(entry, registries.process(reported.processId(), now), reported.sequence());
         } else if (reported.processId() != entry.owner.id()) {
-            setOwner(entry, entry.owner, knownSequence); // a change, so that the sender hears who the owner is
+            setOwner(entry, entry.owner, knownSequence); // record a change, so that the sender receives the owner
         }
     }
 
-    /** Returns the owners that have changed after a change. */
+    /** Returns the owners that changed after the given change, the oldest change first. */
     public List<InstanceOwner> ownersChangedSince(long change) {
         List<InstanceOwner> owners = new ArrayList<>();
         ChangeListNode<InstanceEntry> listNode = ownerChangeOrder.firstAfterChange(change);
@@ -234,19 +240,22 @@
         return owners;
     }
 
-    /** Applies a heartbeat of a registry, from itself or forwarded. */
+    /** Applies a heartbeat of a registry, received either from that registry or forwarded by another one. */
     public void onRegistryHeartbeat(RegistryHeartbeat heartbeat, long now) {
         registries.onHeartbeat(heartbeat, now);
     }
 
-    /** Counts on for this registry; returns its heartbeat, and behind it those of others to forward. */
+    /**
+     * Increments this registry's heartbeat counter; returns its heartbeat, followed by the heartbeats of other registries to
+     * forward.
+     */
     public List<RegistryHeartbeat> nextHeartbeats(long now) {
         return registries.nextHeartbeats(now);
     }
 
     // ---- Time-outs ----------------------------------------------------------------------------------
 
-    /** When an instance counts as heard of: by its own heartbeats, or by those of an owner elsewhere. */
+    /** Returns the time of an instance's last report, or of its owner's last heartbeat if that is later. */
     private long lastContactMicros(InstanceEntry entry) {
         return entry.owner == null || isOwnedHere(entry)
                 ? entry.lastReportMicros
@@ -254,8 +263,8 @@
     }
 
     /**
-     * Marks the instances that were not heard of for {@code timeoutMicros} as unresponsive, and forgets those that have
-     * ended long ago. Returns how many have become unresponsive.
+     * Marks instances without contact for more than {@code timeoutMicros} as unresponsive, and removes those that ended more
+     * than {@link #RETENTION_MICROS} ago. Returns how many instances have become unresponsive.
      */
     public int detectTimeouts(long now, long timeoutMicros) {
         removeExpired(now);
@@ -290,13 +299,16 @@
 
     // ---- Queries ------------------------------------------------------------------------------------
 
-    /** Returns the incarnation with an id, or null where it is not known. */
+    /** Returns the incarnation with the given id, or null if it is unknown. */
     public InstanceIncarnation get(String id, long now) {
         InstanceEntry entry = entries.get(id);
         return entry == null ? null : withRemainingSlowStart(entry, now);
     }
 
-    /** How many milliseconds ago an instance was last heard of; -1 where it is not known. */
+    /**
+     * Returns the milliseconds since the last contact with an instance, or with its owner if that is later; -1 if the
+     * instance is unknown.
+     */
     public long millisSinceLastContact(String id, long now) {
         InstanceEntry entry = entries.get(id);
         return entry == null ? -1 : (now - lastContactMicros(entry)) / MICROS_PER_MILLI;
@@ -308,12 +320,12 @@
         return incarnation.withStatus(incarnation.phase(), incarnation.unresponsive(), slowStartMillis);
     }
 
-    /** The number of the last change of an instance; 0 before the first one. */
+    /** The number of the last change of an instance, or 0 before the first one. */
     public long lastChange() {
         return changeOrder.lastChange();
     }
 
-    /** Returns the incarnations that have changed after a change, the oldest change first. */
+    /** Returns the incarnations that changed after the given change, the oldest change first. */
     public List<InstanceIncarnation> changedSince(long change, long now) {
         List<InstanceIncarnation> changed = new ArrayList<>();
         ChangeListNode<InstanceEntry> listNode = changeOrder.firstAfterChange(change);
@@ -324,7 +336,7 @@
         return changed;
     }
 
-    /** Returns all incarnations, also those that are gone and still kept, the oldest change first. */
+    /** Returns all incarnations including those that are gone but still retained, the oldest change first. */
     public Collection<InstanceIncarnation> all(long now) {
         return changedSince(0, now);
     }
--- a/src/main/java/reedmux/control/instances/InstanceIncarnation.java
+++ b/src/main/java/reedmux/control/instances/InstanceIncarnation.java
@@ -1,17 +1,17 @@
 package reedmux.control.instances;
 
 /**
- * What is known of one incarnation of an instance: one run of a process that serves requests. Each start is another
- * incarnation, with an id of its own. The phase only ever rises, so of two reports on one incarnation the higher phase
- * counts; of everything else, the report with the higher sequence.
+ * The known state of one incarnation of an instance. An incarnation is one run of a process that serves requests; each start
+ * of the process creates a new incarnation with its own id. The phase never decreases, so the higher phase of two reports
+ * takes precedence. All other components are taken from the report with the higher sequence.
  *
  * @param service the service that the instance belongs to
- * @param address {@code ip:port}, where requests are sent
+ * @param address the address that requests are sent to, as {@code ip:port}
  * @param zone the instance's failure domain
- * @param capacity how many requests it serves at a time
+ * @param capacity the number of requests that it serves concurrently
  * @param phase {@link #READY}, {@link #DRAINING} or {@link #GONE}
- * @param sequence the number of the heartbeat that reported this
- * @param slowStartMillis how much longer its slow start lasts, as of the report
+ * @param sequence the sequence number of the heartbeat that reported this state
+ * @param slowStartMillis the remaining duration of its slow start at the time of the report
  * @param unresponsive whether its heartbeats have timed out
  */
 public record InstanceIncarnation(
@@ -24,11 +24,11 @@
         long sequence,
         long slowStartMillis,
         boolean unresponsive) {
-    /** Serves requests. */
+    /** The instance accepts and serves requests. */
     public static final int READY = 0;
-    /** Completes the requests that it has, and gets no others. */
+    /** The instance completes its requests in flight and receives no new ones. */
     public static final int DRAINING = 1;
-    /** Has ended, or was replaced at its address. */
+    /** The instance has ended, or another one has replaced it at its address. */
     public static final int GONE = 2;
 
     InstanceIncarnation withStatus(int newPhase, boolean newUnresponsive, long newSlowStartMillis) {
--- a/src/main/java/reedmux/control/instances/InstanceOwner.java
+++ b/src/main/java/reedmux/control/instances/InstanceOwner.java
@@ -1,10 +1,10 @@
 package reedmux.control.instances;
 
 /**
- * States which registry an instance sends its heartbeats to. Of two statements on one instance that with the higher
- * sequence counts, and of two with the same sequence that with the higher process.
+ * The registry that an instance sends its heartbeats to. If two reports on an instance conflict, the one with the higher
+ * sequence takes precedence; if the sequences are equal, the one with the higher process id.
  *
- * @param sequence of the heartbeat that the registry received
- * @param processId the registry's process, by its incarnation
+ * @param sequence the sequence of the latest heartbeat that the registry is known to have received
+ * @param processId the incarnation of the registry's process
  */
 public record InstanceOwner(String instanceId, long sequence, long processId) {}
--- a/src/main/java/reedmux/control/instances/RegistryHeartbeatTable.java
+++ b/src/main/java/reedmux/control/instances/RegistryHeartbeatTable.java
@@ -7,18 +7,18 @@
 import java.util.Map;
 
 /**
- * The registry processes that this one has heard of, directly or from others, with their heartbeat counters. Only a
- * counter that has risen shows that a process is alive, so forwarding a heartbeat in circles keeps no process alive.
- * Pure; times are microseconds of the caller's clock.
+ * The heartbeat counters of the registry processes that this process knows, directly or through others. Only an increased
+ * counter proves that a process is alive, so a heartbeat that is forwarded in a cycle does not keep a process alive. Uses no
+ * I/O, threads or clocks; times are microseconds of the caller's clock.
  */
 final class RegistryHeartbeatTable {
-    /** Heartbeats of processes whose counter rose within this are forwarded: three intervals. */
+    /** Heartbeats are forwarded for processes whose counter increased within this time: three heartbeat intervals. */
     private static final long FORWARD_WINDOW_MICROS = 3_000_000;
 
     private final long localProcessId;
     private final Map<Long, RegistryProcess> processes = new HashMap<>();
 
-    /** One process of a registry. */
+    /** One registry process. */
     static final class RegistryProcess {
         private final long id;
         private long heartbeatCount;
@@ -33,7 +33,7 @@
             return id;
         }
 
-        /** When the counter rose last, or when the process was first heard of. */
+        /** When the counter last increased, or when the process became known. */
         long lastAdvanceMicros() {
             return lastAdvanceMicros;
         }
@@ -43,7 +43,7 @@
         this.localProcessId = localProcessId;
     }
 
-    /** Returns a process, which is added if it was not known. */
+    /** Returns the process with the given id, and adds it if it is unknown. */
     RegistryProcess process(long id, long now) {
         RegistryProcess process = processes.get(id);
         if (process == null) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Counts on for this process; returns its heartbeat, and behind it the ones to forward. */
+    /** Increments the counter of this process; returns its heartbeat, followed by the heartbeats to forward. */
     List<RegistryHeartbeat> nextHeartbeats(long now) {
         RegistryProcess local = process(localProcessId, now);
         local.heartbeatCount++;
@@ -72,10 +72,10 @@
             if (process == local) {
                 continue;
             }
-            long silence = now - process.lastAdvanceMicros;
-            if (silence <= FORWARD_WINDOW_MICROS) {
+            long sinceAdvance = now - process.lastAdvanceMicros;
+            if (sinceAdvance <= FORWARD_WINDOW_MICROS) {
                 heartbeats.add(new RegistryHeartbeat(process.id, process.heartbeatCount));
-            } else if (silence > InstanceDirectory.RETENTION_MICROS) {
+            } else if (sinceAdvance > InstanceDirectory.RETENTION_MICROS) {
                 iterator.remove();
             }
         }
--- a/src/main/java/reedmux/control/replication/ChangeBatch.java
+++ b/src/main/java/reedmux/control/replication/ChangeBatch.java
@@ -4,19 +4,22 @@
 import reedmux.control.configuration.ConfigurationItem;
 
 /**
- * Some of what has changed in a {@link Replica}, in the order of the changes.
+ * A batch of the changes of a {@link Replica}, in ascending order of their change numbers.
  *
- * @param upToChange the change that a follower has reached once it has applied this and everything before it
- * @param last whether nothing has changed since
+ * @param upToChange the position of a follower that has applied this batch and all batches before it
+ * @param last whether the replica has no changes after this batch
  */
 public record ChangeBatch(long upToChange, List<ConfigurationItem> items, List<Watermark> watermarks, boolean last) {
 
-    /** At most {@code maxEntries} of the items and of the watermarks, each from the first on; never the last batch. */
+    /**
+     * Returns a batch of the first {@code maxEntries} items and the first {@code maxEntries} watermarks, or fewer. It is
+     * never marked as the last batch.
+     */
     public ChangeBatch first(int maxEntries) {
         return new ChangeBatch(upToChange, firstOf(items, maxEntries), firstOf(watermarks, maxEntries), false);
     }
 
-    /** What {@link #first} leaves; null for nothing. */
+    /** Returns the entries that {@link #first} omits, or null if it omits none. */
     public ChangeBatch remainder(int maxEntries) {
         if (items.size() <= maxEntries && watermarks.size() <= maxEntries) {
             return null;
--- a/src/main/java/reedmux/control/replication/ConfigurationFollower.java
+++ b/src/main/java/reedmux/control/replication/ConfigurationFollower.java
@@ -8,33 +8,33 @@
 import reedmux.control.configuration.ConfigurationTable;
 
 /**
- * What a process that only follows knows of the configuration: items that were merged from several sources, and how far
- * it has come with each of these. No item goes back to an earlier revision, whichever source it comes from. No I/O,
- * threads or clocks.
+ * The configuration of a process that follows the stores without taking part in consensus. It merges the items that it
+ * receives from several sources and keeps its replication position for each source. An item never returns to an earlier
+ * revision, no matter which source sends it. Uses no I/O, threads or clocks.
  */
 public final class ConfigurationFollower {
-    /** By key. */
+    /** The latest revision of each item, by key. */
     private final Map<String, ConfigurationItem> items = new TreeMap<>();
-    /** Those items that are not in the table yet, as they were not valid together with it. */
+    /** Items that are not in the table yet because the table would not be valid with them, by key. */
     private final Map<String, ConfigurationItem> notApplied = new TreeMap<>();
 
     private final SnapshotAssembler snapshots = new SnapshotAssembler();
-    /** By the source's name. */
+    /** The replication positions, by the name of the source. */
     private final Map<String, ReplicationPosition> positions = new HashMap<>();
 
     private ConfigurationTable table;
     private String problem;
 
-    /** The chunks of snapshots that aren't complete. */
+    /** The assembler that holds the chunks of incomplete snapshots. */
     public SnapshotAssembler snapshotAssembler() {
         return snapshots;
     }
 
     /**
-     * Merges what a source has committed, with the chunks that came before.
+     * Merges items that a source has committed, together with the chunks of the same snapshot received before.
      *
-     * @return whether the table has changed: not where everything was known, and not where the items aren't valid
-     *     together until more of them come
+     * @return whether the table has changed. It does not change if all items were already known, or if the items are not
+     *     valid together until further items are received.
      */
     public boolean onUpdate(String source, long incarnation, long upToChange, List<ConfigurationItem> update) {
         positions.put(source, new ReplicationPosition(incarnation, upToChange));
@@ -50,7 +50,7 @@
         }
         ConfigurationTable next = table == null ? new ConfigurationTable() : table;
         if (!next.applyIfValid(notApplied.values())) {
-            problem = next.problem(); // a part of a change has come; the rest is on its way
+            problem = next.problem(); // only a part of a change has been received so far
             return false;
         }
         notApplied.clear();
@@ -59,22 +59,22 @@
         return true;
     }
 
-    /** How far the changes of a source were applied. */
+    /** Returns how far the changes of a source have been applied. */
     public ReplicationPosition position(String source) {
         return positions.getOrDefault(source, ReplicationPosition.NONE);
     }
 
-    /** The latest configuration that was valid; null before there was one. */
+    /** The latest valid configuration; null until there is one. */
     public ConfigurationTable table() {
         return table;
     }
 
-    /** Why the latest items aren't valid together; null where they are. */
+    /** Why the latest items are not valid together, or null if they are valid. */
     public String problem() {
         return problem;
     }
 
-    /** Whether no item has ever come. */
+    /** Whether no item has been received yet. */
     public boolean isEmpty() {
         return items.isEmpty();
     }
--- a/src/main/java/reedmux/control/replication/DigestTree.java
+++ b/src/main/java/reedmux/control/replication/DigestTree.java
@@ -4,32 +4,36 @@
 import java.util.List;
 
 /**
- * Digests by which two replicas find the keys in which they differ without sending everything: a Merkle tree of two
- * levels. A key is in one of {@link #FINE_RANGES} fine ranges by its hash, and {@link #RANGES_PER_LEVEL} fine ranges
- * are one coarse range. The digest of a range is the exclusive or of the digests of its entries, so that an entry is
- * added or removed at the same cost whatever there is. The digests are compared between versions, and may never change.
+ * A Merkle tree of two levels, by which two replicas find the keys in which they differ without transferring all
+ * entries. The hash of a key assigns it to one of {@link #FINE_RANGES} fine ranges, and {@link #RANGES_PER_LEVEL}
+ * consecutive fine ranges form one coarse range. The digest of a range is the exclusive or of the digests of its
+ * entries, so adding or removing an entry takes constant time. Processes of different versions compare their digests, so
+ * the way in which digests are computed must never change.
  */
 public final class DigestTree {
-    /** How many coarse ranges there are, and how many fine ones in each of these. */
+    /** The number of coarse ranges, and of fine ranges in each coarse range. */
     public static final int RANGES_PER_LEVEL = 64;
-    /** How many fine ranges there are. */
+    /** The total number of fine ranges. */
     static final int FINE_RANGES = RANGES_PER_LEVEL * RANGES_PER_LEVEL;
 
-    /** The golden ratio's fraction in 32 bits: spreads the hashes of similar keys (Fibonacci hashing). */
+    /**
+     * The fractional part of the golden ratio, scaled to 32 bits. Multiplying by it spreads the hashes of similar keys
+     * over all ranges (Fibonacci hashing).
+     */
     private static final int HASH_MULTIPLIER = 0x9E3779B1;
-    /** Leaves the 12 upper bits of a hash, as many as {@link #FINE_RANGES} needs. */
+    /** Shifts the upper 12 bits of a 32-bit hash to the bottom; they select one of {@link #FINE_RANGES}. */
     private static final int HASH_SHIFT_BITS = 20;
 
     private static final long FNV_PRIME = 0x100000001B3L;
     private final long[] fine = new long[FINE_RANGES];
     private final long[] coarse = new long[RANGES_PER_LEVEL];
 
-    /** The fine range of a key. */
+    /** Returns the fine range of a key. */
     static int rangeOf(String key) {
         return key.hashCode() * HASH_MULTIPLIER >>> HASH_SHIFT_BITS;
     }
 
-    /** Adds an entry that is not there, or removes one that is. A committed item is represented by its watermark. */
+    /** Adds an absent entry or removes a present one. A committed item is represented by its watermark. */
     void toggle(Watermark entry) {
         int range = rangeOf(entry.key());
         long digest = mix(mix(entry.revision()) ^ entry.digest());
@@ -49,9 +53,10 @@
     }
 
     /**
-     * Digests in the order of their ranges.
+     * Returns digests in ascending order of their ranges.
      *
-     * @param coarseRanges those whose fine ranges' digests are wanted; empty for the digests of all coarse ranges
+     * @param coarseRanges the coarse ranges whose fine ranges' digests are returned; if empty, the digests of all
+     *     coarse ranges are returned
      */
     public List<Long> digestsOf(List<Integer> coarseRanges) {
         List<Long> digests = new ArrayList<>();
@@ -73,11 +78,12 @@
     }
 
     /**
-     * The ranges whose digests are others here than at a peer.
+     * Returns the ranges whose digests differ from those of a peer.
      *
      * @param coarseRanges as for {@link #digestsOf}
-     * @param theirs what {@link #digestsOf} has returned at the peer
-     * @return coarse ranges where {@code coarseRanges} is empty, else fine ones; null where the arguments make no sense
+     * @param theirs the peer's result of {@link #digestsOf}
+     * @return coarse ranges if {@code coarseRanges} is empty, fine ranges otherwise; null if a range is out of bounds,
+     *     there are too many ranges, or the number of digests does not match
      */
     public List<Integer> differingRanges(List<Integer> coarseRanges, List<Long> theirs) {
         if (coarseRanges.size() > RANGES_PER_LEVEL) {
--- a/src/main/java/reedmux/control/replication/Replica.java
+++ b/src/main/java/reedmux/control/replication/Replica.java
@@ -12,42 +12,42 @@
 import reedmux.control.consensus.Proposal;
 
 /**
- * What one store has of the configuration: the committed items, the proposals that are pending until it is known
- * whether they are committed, and watermarks of the revisions that were overtaken. A proposal's items become pending,
- * are committed or are dropped together. Everything that is committed, and every watermark, gets a change number, by
- * which followers continue. No I/O, threads or clocks.
+ * One store's replica of the configuration: the committed items, the proposals that are pending until their outcome is
+ * known, and the watermarks of superseded revisions. The items of a proposal become pending, are committed or are
+ * discarded together. Each committed item and each watermark is assigned a change number, from which followers resume
+ * replication. Uses no I/O, threads or clocks.
  */
 public final class Replica {
 
-    /** What a store says of a proposal. */
+    /** The result of validating a proposal against a replica. */
     public enum ValidationResult {
-        /** It may become pending. */
+        /** The proposal may become pending. */
         VALID,
-        /** It is not valid together with the committed items. */
+        /** The proposal is not valid together with the committed items. */
         INVALID,
-        /** It is not valid together with another pending proposal, or not without one: try again later. */
+        /** Its validity depends on whether another, pending proposal is committed; the caller should retry later. */
         CONFLICTS_WITH_PENDING,
-        /** One of its revisions was committed with another body, so that it can never be committed. */
+        /** One of its revisions has been committed with another body, so the proposal can never be committed. */
         REVISION_REUSED,
-        /** One of its revisions is so old that it is no longer known whether it was committed. */
+        /** One of its revisions is so old that the replica no longer knows whether it was committed. */
         REVISION_EXPIRED
     }
 
-    /** About how many bytes an item or a watermark takes in a message beside its name and body. */
+    /** The approximate size in bytes of an item or watermark in a message, without its name and body. */
     private static final int ENTRY_OVERHEAD_BYTES = 24;
 
-    /** By key. */
+    /** The committed items, by key. */
     private final Map<String, ConfigurationItem> committed = new TreeMap<>();
-    /** By key: the change that has brought the committed item. */
+    /** The number of the change that committed each item, by the item's key. */
     private final Map<String, Long> changeNumbers = new HashMap<>();
 
     private final TreeMap<Long, ConfigurationItem> itemsByChange = new TreeMap<>();
-    /** Of the committed items and the watermarks; null until another store compares, as most never do. */
+    /** Digests of the committed items and watermarks; null until first used, as most replicas are never compared. */
     private DigestTree digests;
-    /** The committed items; null until the first proposal is validated, as a start does without. */
+    /** The committed items; null until the first proposal is validated, as it is not needed during startup. */
     private ConfigurationTable table;
 
-    /** By the proposal's id, the oldest first. */
+    /** The pending proposals by id, in the order in which they became pending. */
     private final Map<String, Proposal> pending = new LinkedHashMap<>();
 
     private final WatermarkTable watermarks = new WatermarkTable();
@@ -56,7 +56,10 @@
 
     // ---- Validation --------------------------------------------------------------------------------
 
-    /** Judges a proposal; what is wrong with it is told by {@link #problem()}. One that is pending stays valid. */
+    /**
+     * Validates a proposal; {@link #problem()} returns the reason why it is not valid. A proposal that is already pending
+     * remains valid.
+     */
     public ValidationResult validate(String proposalId, List<ConfigurationItem> items) {
         if (pending.containsKey(proposalId)) {
             return ValidationResult.VALID;
@@ -79,8 +82,8 @@
         }
         String problemAlone = problem;
         List<List<ConfigurationItem>> withPending = new ArrayList<>();
-        for (Proposal other : pending.values()) {
-            withPending.add(other.items());
+        for (Proposal proposal : pending.values()) {
+            withPending.add(proposal.items());
         }
         withPending.add(uncommitted);
         boolean validWithPending = isValidTogether(withPending);
@@ -92,11 +95,12 @@
     }
 
     private boolean reusesPendingRevision(List<ConfigurationItem> items) {
-        for (Proposal other : pending.values()) {
-            for (ConfigurationItem theirs : other.items()) {
-                for (ConfigurationItem ours : items) {
-                    boolean sameRevision = ours.key().equals(theirs.key()) && ours.revision() == theirs.revision();
-                    if (sameRevision && !ours.equals(theirs)) {
+        for (Proposal proposal : pending.values()) {
+            for (ConfigurationItem pendingItem : proposal.items()) {
+                for (ConfigurationItem item : items) {
+                    boolean sameRevision =
+                            item.key().equals(pendingItem.key()) && item.revision() == pendingItem.revision();
+                    if (sameRevision && !item.equals(pendingItem)) {
                         return true;
                     }
                 }
@@ -106,8 +110,8 @@
     }
 
     /**
-     * What is known of one item's revision: null where it was committed with this body, {@link ValidationResult#VALID}
-     * where it was not committed.
+     * Validates the revision of one item. Returns null if the revision has been committed with the same body, and {@link
+     * ValidationResult#VALID} if it has not been committed.
      */
     private ValidationResult classify(ConfigurationItem item) {
         ConfigurationItem current = committed.get(item.key());
@@ -128,12 +132,12 @@
         return ValidationResult.REVISION_REUSED;
     }
 
-    /** Why the last proposal that was validated was not valid. */
+    /** Why the most recently validated invalid proposal was not valid. */
     public String problem() {
         return problem;
     }
 
-    /** Those of some items whose revisions were not committed yet, as far as is known here. */
+    /** Returns the items whose revisions have not been committed, as far as this replica knows. */
     public List<ConfigurationItem> findUncommitted(List<ConfigurationItem> items) {
         List<ConfigurationItem> uncommitted = new ArrayList<>();
         for (ConfigurationItem item : items) {
@@ -144,7 +148,7 @@
         return uncommitted;
     }
 
-    /** Whether the committed items would be valid after these proposals, each with its items. */
+    /** Whether the committed items would be valid after the given proposals, each of them a list of items. */
     private boolean isValidTogether(List<List<ConfigurationItem>> proposals) {
         Map<String, ConfigurationItem> changed = new LinkedHashMap<>();
         for (List<ConfigurationItem> items : proposals) {
@@ -170,12 +174,12 @@
 
     // ---- Proposals ---------------------------------------------------------------------------------
 
-    /** A proposal that was found valid is pending from now on, or goes on being so under another ballot. */
+    /** Adds a valid proposal to the pending ones, or replaces it there if its ballot has changed. */
     public void addPending(Proposal proposal) {
         pending.put(proposal.id(), proposal);
     }
 
-    /** A proposal is no longer pending; its items are committed now, or dropped. */
+    /** Removes a proposal from the pending ones and commits or discards its items. */
     public void resolvePending(String proposalId, boolean commit, List<ConfigurationItem> items) {
         pending.remove(proposalId);
         if (commit) {
@@ -188,14 +192,14 @@
         return pending.containsKey(proposalId);
     }
 
-    /** The pending proposals by their ids, the oldest first; a view. */
+    /** Returns a live view of the pending proposals by id, in the order in which they became pending. */
     public Map<String, Proposal> pending() {
         return pending;
     }
 
     // ---- Committed items and watermarks ------------------------------------------------------------
 
-    /** Merges items that are committed elsewhere; returns those that have taken the place of others here. */
+    /** Merges items that other stores have committed; returns those that are newer than the items held here. */
     public List<ConfigurationItem> merge(Collection<ConfigurationItem> items) {
         List<ConfigurationItem> merged = new ArrayList<>();
         for (ConfigurationItem item : items) {
@@ -213,7 +217,7 @@
         return merged;
     }
 
-    /** {@code replaced} is null for none. */
+    /** Commits an item; {@code replaced} is the item committed before under the same key, or null. */
     private void commit(ConfigurationItem item, ConfigurationItem replaced) {
         committed.put(item.key(), item);
         Long replacedChange = changeNumbers.put(item.key(), ++lastChange);
@@ -232,7 +236,7 @@
         }
     }
 
-    /** Those of some items that {@link #merge} would keep, as items or as watermarks. */
+    /** Returns the items that {@link #merge} would retain, either as items or as watermarks. */
     public List<ConfigurationItem> findMissing(Collection<ConfigurationItem> items) {
         List<ConfigurationItem> missing = new ArrayList<>();
         for (ConfigurationItem item : items) {
@@ -246,10 +250,10 @@
         return missing;
     }
 
-    /** Merges watermarks of another store; returns those that were new here. */
-    public List<Watermark> mergeWatermarks(Collection<Watermark> others) {
+    /** Merges the watermarks of another store; returns those that were not known here. */
+    public List<Watermark> mergeWatermarks(Collection<Watermark> received) {
         List<Watermark> added = new ArrayList<>();
-        for (Watermark watermark : others) {
+        for (Watermark watermark : received) {
             if (mergeWatermark(watermark)) {
                 added.add(watermark);
             }
@@ -269,34 +273,37 @@
         return true;
     }
 
-    /** All watermarks, in the order in which they came; a view. */
+    /** Returns a live view of all watermarks, in the order in which they were added. */
     public Collection<Watermark> watermarks() {
         return watermarks.all();
     }
 
-    /** The watermarks that have come after a change. */
+    /** Returns the watermarks that were added after a change. */
     public List<Watermark> watermarksSince(long change) {
         return watermarks.since(change);
     }
 
-    /** All committed items, deletions included, in the order of their keys; a view. */
+    /** Returns a live view of all committed items including deletions, in the order of their keys. */
     public Collection<ConfigurationItem> committed() {
         return committed.values();
     }
 
-    /** The number of the last change; 0 for none. */
+    /** The number of the last change, or 0 if there is none. */
     public long lastChange() {
         return lastChange;
     }
 
-    /** The items that were committed after a change. */
+    /** Returns the items that were committed after a change, in the order of their commits. */
     public List<ConfigurationItem> committedSince(long change) {
         return new ArrayList<>(itemsByChange.tailMap(change, false).values());
     }
 
     // ---- Batches for followers ---------------------------------------------------------------------
 
-    /** What has changed after {@code change}: up to about {@code maxBytes} of it, and at least one change. */
+    /**
+     * Returns the changes after {@code change}, in a batch that is limited to about {@code maxBytes}. It holds at least one
+     * change if there is one.
+     */
     public ChangeBatch batchSince(long change, int maxBytes) {
         List<ConfigurationItem> items = new ArrayList<>();
         List<Watermark> marks = new ArrayList<>();
@@ -324,7 +331,7 @@
         }
     }
 
-    /** Digests of all committed items and watermarks; kept up to date from the first call on. */
+    /** Returns the digests of all committed items and watermarks; after the first call they are kept up to date. */
     public DigestTree digests() {
         if (digests == null) {
             digests = new DigestTree();
@@ -336,7 +343,7 @@
         return digests;
     }
 
-    /** Everything in some of the fine ranges of {@link #digests()}. */
+    /** Returns all items and watermarks whose keys are in the given fine ranges of {@link #digests()}. */
     public ChangeBatch batchInRanges(Collection<Integer> fineRanges) {
         boolean[] wanted = new boolean[DigestTree.FINE_RANGES];
         for (int range : fineRanges) {
--- a/src/main/java/reedmux/control/replication/ReplicationPosition.java
+++ b/src/main/java/reedmux/control/replication/ReplicationPosition.java
@@ -1,13 +1,13 @@
 package reedmux.control.replication;
 
 /**
- * How far a follower has applied the changes of one source. Change numbers belong to one run of the source's process,
- * so that a position says nothing about another incarnation.
+ * How far a follower has applied the changes of one source. Each run of the source's process numbers its changes anew, so
+ * a position is valid for one incarnation only.
  *
- * @param incarnation the incarnation of the source; 0 for none
- * @param change the last change of that incarnation that was applied; 0 for none
+ * @param incarnation the incarnation of the source, or 0 if there is none
+ * @param change the last applied change of that incarnation, or 0 if there is none
  */
 public record ReplicationPosition(long incarnation, long change) {
-    /** Nothing was applied yet. */
+    /** The position of a follower that has applied no changes. */
     public static final ReplicationPosition NONE = new ReplicationPosition(0, 0);
 }
--- a/src/main/java/reedmux/control/replication/SnapshotAssembler.java
+++ b/src/main/java/reedmux/control/replication/SnapshotAssembler.java
@@ -8,19 +8,20 @@
 import reedmux.control.configuration.ConfigurationItem;
 
 /**
- * Collects the chunks in which a source sends many items. Nothing is applied before the last chunk has come, as items
- * that belong together may be in two of them. What has come is kept over a lost connection, as long as the source runs.
+ * Assembles snapshots that sources send in chunks. No chunk is applied before the last one has been received, because
+ * items that are only valid together may be in different chunks. After a connection loss, the chunks that were received
+ * are kept as long as the source runs in the same incarnation.
  */
 public final class SnapshotAssembler {
-    /** What {@link #resumeFrom} returns where nothing has come, or a chunk was as of no change. */
+    /** Returned by {@link #resumeFrom} if no chunk was received, or the last one had no change number. */
     private static final long UNKNOWN_CHANGE = -1;
 
-    /** By the source's name. */
+    /** The incomplete snapshots, by the name of the source. */
     private final Map<String, PartialSnapshot> partialSnapshots = new HashMap<>();
 
     private static final class PartialSnapshot {
         private final long incarnation;
-        /** The change up to which everything has come; below 0 where that is not known yet. */
+        /** The change up to which all items have been received; negative if unknown. */
         private long upToChange;
 
         private final List<ConfigurationItem> items = new ArrayList<>();
@@ -30,7 +31,7 @@
         }
     }
 
-    /** A chunk that is not the last one; {@code upToChange} is below 0 where it is as of no change. */
+    /** Adds a chunk that is not the last one; {@code upToChange} is negative if the chunk has no change number. */
     public void addChunk(String source, long incarnation, long upToChange, Collection<ConfigurationItem> items) {
         PartialSnapshot partial = partialSnapshots.get(source);
         if (partial == null || partial.incarnation != incarnation) {
@@ -41,7 +42,7 @@
         partial.items.addAll(items);
     }
 
-    /** The last chunk, which may be the only one; returns the items of all. */
+    /** Completes a snapshot with its last chunk, which may be the only one; returns the items of all chunks. */
     public List<ConfigurationItem> complete(String source, long incarnation, List<ConfigurationItem> items) {
         PartialSnapshot partial = partialSnapshots.remove(source);
         if (partial == null || partial.incarnation != incarnation) {
@@ -52,8 +53,8 @@
     }
 
     /**
-     * On a new connection to a source: the change behind which its next chunk begins. Where that is below 0 no snapshot
-     * can be resumed, and what has come of one is dropped.
+     * Returns the change after which the next chunk has to start on a new connection to a source. If the result is
+     * negative, no snapshot can be resumed and the chunks received so far are discarded.
      */
     public long resumeFrom(String source, long incarnation) {
         PartialSnapshot partial = partialSnapshots.get(source);
--- a/src/main/java/reedmux/control/replication/Watermark.java
+++ b/src/main/java/reedmux/control/replication/Watermark.java
@@ -3,21 +3,22 @@
 import reedmux.control.configuration.ConfigurationItem;
 
 /**
- * A record that a revision of an item was committed and has been overtaken since: of its body a digest is left. With it
- * a store tells an operator's repetition of a change (the same digest) from a revision that is used for another body.
+ * Records that a revision of an item has been committed and superseded. Only a digest of the revision's body is retained.
+ * It lets a store distinguish an operator's retry of a change, which has the same digest, from the reuse of the revision
+ * for another body.
  *
- * @param key of the item
- * @param digest of the body; or {@link #LOW_WATERMARK}, which says that nothing is known any more of this revision and
- *     all below
+ * @param key the key of the item
+ * @param digest the digest of the body, or {@link #LOW_WATERMARK} if the digests of this revision and all earlier ones
+ *     have been discarded
  */
 public record Watermark(String key, long revision, long digest) {
-    /** In place of a digest. */
+    /** Takes the place of the digest in a low watermark. */
     public static final long LOW_WATERMARK = 0;
 
     private static final long FNV_OFFSET_BASIS = 0xCBF29CE484222325L;
     private static final long FNV_PRIME = 0x100000001B3L;
 
-    // Written out: what a record generates is linked at run time, in the middle of a start.
+    // Implemented explicitly because the methods generated for a record are linked at run time, which delays startup.
     @Override
     public boolean equals(Object other) {
         return other instanceof Watermark watermark
@@ -31,7 +32,10 @@
         return 31 * key.hashCode() + Long.hashCode(revision);
     }
 
-    /** The watermark of an item. Its digest is on disks and in messages, so that it may never change. */
+    /**
+     * Returns the watermark of an item. Its digest is stored on disk and sent in messages, so the way in which it is computed
+     * must never change.
+     */
     public static Watermark of(ConfigurationItem item) {
         long digest = FNV_OFFSET_BASIS;
         String body = item.body();
--- a/src/main/java/reedmux/control/replication/WatermarkTable.java
+++ b/src/main/java/reedmux/control/replication/WatermarkTable.java
@@ -8,55 +8,59 @@
 import java.util.TreeMap;
 
 /**
- * The watermarks that one store has: for each item its latest overtaken revisions, and below these a low watermark,
- * under which nothing is known. Two tables are merged as a union, so that all stores end with the same one.
+ * The watermarks of one store. For each item, the table holds the digests of the latest superseded revisions and a low
+ * watermark; the digests of all revisions up to the low watermark have been discarded. Tables are merged by set union, so
+ * all stores converge to the same table.
  */
 public final class WatermarkTable {
-    /** Beyond this the low watermark of an item is raised; operators repeat changes of the last few revisions only. */
+    /**
+     * The maximum number of superseded revisions retained for each item; with more, the low watermark is raised. Operators
+     * only retry changes of the last few revisions.
+     */
     public static final int MAX_REVISIONS_PER_ITEM = 256;
 
-    /** What {@link #lowWatermark} returns where there is none; revisions are from 0. */
+    /** Returned by {@link #lowWatermark} if an item has none; the lowest revision is 0. */
     private static final long NO_LOW_WATERMARK = -1;
 
-    /** By the item's key and the revision. */
+    /** The digests of superseded revisions, by the key of the item and the revision. */
     private final Map<String, TreeMap<Long, Long>> digestsByRevision = new HashMap<>();
-    /** By the item's key. */
+    /** The low watermarks, by the key of the item. */
     private final Map<String, Long> lowWatermarks = new HashMap<>();
 
     private final TreeMap<Long, Watermark> watermarksByChange = new TreeMap<>();
     private final Map<Watermark, Long> changeNumbers = new HashMap<>();
-    /** Null until {@link #attachDigests}. */
+    /** The digests that are kept up to date; null until {@link #attachDigests} is called. */
     private DigestTree digests;
 
-    /** Whether {@link #add} would change anything. */
+    /** Whether {@link #add} would change the table. */
     boolean isNew(Watermark watermark) {
         if (watermark.revision() <= lowWatermark(watermark.key())) {
             return false;
         }
-        TreeMap<Long, Long> ofItem = digestsByRevision.get(watermark.key());
+        TreeMap<Long, Long> itemDigests = digestsByRevision.get(watermark.key());
         return watermark.digest() == Watermark.LOW_WATERMARK
-                || ofItem == null
-                || !ofItem.containsKey(watermark.revision());
+                || itemDigests == null
+                || !itemDigests.containsKey(watermark.revision());
     }
 
-    /** The revision up to which nothing is known of an item; below 0 where everything is. */
+    /** Returns the revision up to which the digests of an item have been discarded; negative if none have been. */
     long lowWatermark(String key) {
         return lowWatermarks.getOrDefault(key, NO_LOW_WATERMARK);
     }
 
-    /** The digest of an overtaken revision; null where it is not known. */
+    /** Returns the digest of a superseded revision, or null if it is not known. */
     Long digest(String key, long revision) {
-        TreeMap<Long, Long> ofItem = digestsByRevision.get(key);
-        return ofItem == null ? null : ofItem.get(revision);
+        TreeMap<Long, Long> itemDigests = digestsByRevision.get(key);
+        return itemDigests == null ? null : itemDigests.get(revision);
     }
 
-    /** Adds a watermark that {@link #isNew}, under the number of the change that has brought it. */
+    /** Adds a watermark for which {@link #isNew} returns true, under the given change number. */
     void add(Watermark watermark, long change) {
-        TreeMap<Long, Long> ofItem = digestsByRevision.computeIfAbsent(watermark.key(), key -> new TreeMap<>());
+        TreeMap<Long, Long> itemDigests = digestsByRevision.computeIfAbsent(watermark.key(), key -> new TreeMap<>());
         if (watermark.digest() == Watermark.LOW_WATERMARK) {
-            raiseLowWatermark(watermark, ofItem);
+            raiseLowWatermark(watermark, itemDigests);
         } else {
-            ofItem.put(watermark.revision(), watermark.digest());
+            itemDigests.put(watermark.revision(), watermark.digest());
         }
         watermarksByChange.put(change, watermark);
         changeNumbers.put(watermark, change);
@@ -65,14 +69,14 @@
         }
     }
 
-    private void raiseLowWatermark(Watermark lowWatermark, TreeMap<Long, Long> ofItem) {
-        while (!ofItem.isEmpty() && ofItem.firstKey() <= lowWatermark.revision()) {
-            Map.Entry<Long, Long> lowest = ofItem.pollFirstEntry();
+    private void raiseLowWatermark(Watermark lowWatermark, TreeMap<Long, Long> itemDigests) {
+        while (!itemDigests.isEmpty() && itemDigests.firstKey() <= lowWatermark.revision()) {
+            Map.Entry<Long, Long> lowest = itemDigests.pollFirstEntry();
             remove(new Watermark(lowWatermark.key(), lowest.getKey(), lowest.getValue()));
         }
-        Long before = lowWatermarks.put(lowWatermark.key(), lowWatermark.revision());
-        if (before != null) {
-            remove(new Watermark(lowWatermark.key(), before, Watermark.LOW_WATERMARK));
+        Long previous = lowWatermarks.put(lowWatermark.key(), lowWatermark.revision());
+        if (previous != null) {
+            remove(new Watermark(lowWatermark.key(), previous, Watermark.LOW_WATERMARK));
         }
     }
 
@@ -83,25 +87,25 @@
         }
     }
 
-    /** The low watermark that is due for an item, as it has too many revisions; null where it hasn't. */
+    /** Returns the low watermark to add for an item that has too many revisions, or null if it has not. */
     Watermark requiredLowWatermark(String key) {
-        TreeMap<Long, Long> ofItem = digestsByRevision.get(key);
-        return ofItem == null || ofItem.size() <= MAX_REVISIONS_PER_ITEM
+        TreeMap<Long, Long> itemDigests = digestsByRevision.get(key);
+        return itemDigests == null || itemDigests.size() <= MAX_REVISIONS_PER_ITEM
                 ? null
-                : new Watermark(key, ofItem.firstKey(), Watermark.LOW_WATERMARK);
+                : new Watermark(key, itemDigests.firstKey(), Watermark.LOW_WATERMARK);
     }
 
-    /** The watermarks that have come after a change. */
+    /** Returns the watermarks that were added after a change. */
     List<Watermark> since(long change) {
         return new ArrayList<>(watermarksByChange.tailMap(change, false).values());
     }
 
-    /** The next watermark that has come after a change, with its change; null for none. */
+    /** Returns the first watermark that was added after a change, with its change number, or null. */
     Map.Entry<Long, Watermark> nextAfter(long change) {
         return watermarksByChange.higherEntry(change);
     }
 
-    /** Keeps all watermarks, now and from now on, in these digests, too. */
+    /** Adds all present watermarks to the given digests, and keeps these up to date from then on. */
     void attachDigests(DigestTree tree) {
         digests = tree;
         for (Watermark watermark : watermarksByChange.values()) {
@@ -109,7 +113,7 @@
         }
     }
 
-    /** All watermarks, in the order in which they came; a view. */
+    /** Returns a live view of all watermarks, in the order in which they were added. */
     Collection<Watermark> all() {
         return watermarksByChange.values();
     }
--- a/src/main/java/reedmux/control/session/ProxySession.java
+++ b/src/main/java/reedmux/control/session/ProxySession.java
@@ -1,14 +1,14 @@
 package reedmux.control.session;
 
 /**
- * The session of a proxy with a registry.
+ * A session of a proxy with a registry.
  *
- * @param node the name of the proxy's machine; a node has one session at a time
- * @param incarnation drawn at the start of the proxy's process
+ * @param node the name of the proxy's machine, which has one session at a time
+ * @param incarnation identifies the proxy's process; chosen when the process starts
  */
 public record ProxySession(String node, String ip, String zone, long incarnation) implements Comparable<ProxySession> {
 
-    // Written out, as the generated methods of records are linked at run time, which delays the start of a program.
+    // Implemented explicitly because the methods generated for a record are linked at run time, which delays startup.
     @Override
     public boolean equals(Object other) {
         return other instanceof ProxySession session
--- a/src/main/java/reedmux/control/session/SessionChangeLog.java
+++ b/src/main/java/reedmux/control/session/SessionChangeLog.java
@@ -9,23 +9,25 @@
 import reedmux.control.changes.ChangeList.ChangeListNode;
 
 /**
- * One session a node, in the order of their last changes, so that a reader is sent what has changed since it read last.
- * The latest of the nodes whose session has ended are kept for that; a reader from before the oldest change of an end
- * that was forgotten gets the complete state.
+ * The current session of each node, in the order of the last changes, so that a reader receives only what has changed since
+ * its last read. The log also retains the nodes whose sessions ended most recently, up to {@link #MAX_ENDED_ENTRIES}. A
+ * reader whose position is older than an evicted end receives the complete state instead.
  */
 final class SessionChangeLog {
+    /** The number of nodes without a session that are retained. */
     private static final int MAX_ENDED_ENTRIES = 2048;
+
     private final ChangeCounter counter;
     private final Map<String, ChangeListNode<SessionEntry>> entries = new HashMap<>();
     private final ChangeList<SessionEntry> changeOrder = new ChangeList<>();
-    /** The entries without a session, in the order in which the sessions ended. */
+    /** The entries whose session has ended, in the order in which the sessions ended. */
     private final ChangeList<SessionEntry> endOrder = new ChangeList<>();
 
     private int endedCount;
-    /** Ends up to this change may be forgotten. */
+    /** Entries whose session ended at or before this change may have been evicted. */
     private long evictedUpToChange;
 
-    /** A node, and its session or null. */
+    /** A node with its session, which is null once it has ended. */
     private static final class SessionEntry {
         private final String node;
         private final ChangeListNode<SessionEntry> endNode = new ChangeListNode<>(this);
@@ -40,7 +42,7 @@
         this.counter = counter;
     }
 
-    /** Sets the session of its node; returns whether that is a change. */
+    /** Sets the session of the session's node; returns whether it differs from the previous one. */
     boolean start(ProxySession session) {
         ChangeListNode<SessionEntry> listNode = entries.get(session.node());
         if (listNode == null) {
@@ -57,7 +59,7 @@
         return true;
     }
 
-    /** Ends the session of a node; returns whether there was one. */
+    /** Ends the session of a node; returns whether the node had one. */
     boolean end(String node) {
         ChangeListNode<SessionEntry> listNode = entries.get(node);
         if (listNode == null || listNode.value().session == null) {
@@ -82,7 +84,7 @@
         changeOrder.remove(entries.remove(oldest.value().node));
     }
 
-    /** Returns the changes behind a change; negative stands for a reader that has nothing. */
+    /** Returns everything that changed after the given change; a negative value requests the complete state. */
     SessionChanges changesSince(long change) {
         boolean complete = change < evictedUpToChange;
         List<ProxySession> started = new ArrayList<>();
--- a/src/main/java/reedmux/control/session/SessionSource.java
+++ b/src/main/java/reedmux/control/session/SessionSource.java
@@ -7,14 +7,17 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The sessions that one other registry has reported, and whether that registry can be reached. Pure. */
+/**
+ * The sessions reported by one other registry, and whether that registry is reachable. Uses no I/O, threads or clocks; times
+ * are microseconds of the caller's clock.
+ */
 final class SessionSource {
     private static final long NOT_LOST = -1;
     private final Map<String, ProxySession> sessions = new TreeMap<>();
     private final Map<String, Long> firstReportedMicros = new HashMap<>();
     private long lostAtMicros = NOT_LOST;
 
-    /** Applies the changes since the last report. */
+    /** Applies the changes since the source's previous report. */
     void apply(SessionChanges changes, long now) {
         if (changes.complete()) {
             Set<String> unreported = new HashSet<>(sessions.keySet());
@@ -41,7 +44,7 @@
         return sessions.values();
     }
 
-    /** When the source first reported the session that it has for a node; there has to be one. */
+    /** Returns when the source first reported its current session of a node; the node must have one. */
     long firstReportedMicros(String node) {
         return firstReportedMicros.get(node);
     }
@@ -50,7 +53,7 @@
         return lostAtMicros != NOT_LOST;
     }
 
-    /** When the source was lost, if it is. */
+    /** When the source became unreachable; only valid if {@link #isLost}. */
     long lostAtMicros() {
         return lostAtMicros;
     }
--- a/src/main/java/reedmux/control/session/SessionTable.java
+++ b/src/main/java/reedmux/control/session/SessionTable.java
@@ -9,43 +9,46 @@
 import reedmux.control.changes.ChangeCounter;
 
 /**
- * Which proxies hold a session, as one process knows it. A registry has sessions of its own, with the proxies that are
- * connected to it, and those that other registries report; a proxy has only reported ones. Both together are the
- * {@link SessionView}.
+ * The proxy sessions that one process knows. A registry has local sessions, with the proxies that are connected to it, and
+ * sessions reported by other registries; a proxy has only reported ones. The {@link SessionView} combines both.
  *
  * <ul>
- *   <li>A session starts with a connection and ends with the last connection of its node.
- *   <li>Where sources report different incarnations of a node, the one that was first reported last counts; a session
- *       of our own counts before any reported one.
- *   <li>The sessions of a source that cannot be reached count for a grace period, as the source is more often
- *       partitioned than its proxies are gone. After that they count only as long as no source can be reached: a
- *       process that is partitioned from all of them goes on with what it knew last.
+ *   <li>A session starts when a connection is established, and ends with the last connection of its node.
+ *   <li>If sources report different incarnations of a node, the one with the latest first report takes precedence. A local
+ *       session takes precedence over any reported one.
+ *   <li>The sessions of an unreachable source remain in effect for a grace period, because a network partition from the
+ *       source is more likely than the loss of its proxies. After the grace period they are in effect only as long as no
+ *       source with reachable or unexpired sessions is left: a process that is partitioned from all sources continues with
+ *       the last known sessions.
  * </ul>
  *
- * <p>Changes are numbered by the process's {@link ChangeCounter}, those of its own sessions and those of the view
- * separately. Pure; times are microseconds of the caller's clock. Not thread-safe.
+ * <p>The process's {@link ChangeCounter} numbers the changes. Changes of local sessions and changes of the view are logged
+ * separately. Uses no I/O, threads or clocks; times are microseconds of the caller's clock. Not thread-safe.
  */
 public final class SessionTable {
     private final long lostSourceGraceMicros;
     private final Map<String, SessionSource> sources = new HashMap<>();
-    /** By node; the connections of one node may overlap, and are in the order in which they were established. */
+    /**
+     * The sessions of the open connections, by node. Connections of one node may overlap; they are in the order in which they
+     * were established.
+     */
     private final Map<String, List<ProxySession>> localSessions = new TreeMap<>();
 
     private final ChangeCounter counter;
     private final SessionChangeLog localChanges;
     private final SessionChangeLog viewChanges;
-    /** Null after a change. */
+    /** The cached view; null after a change. */
     private SessionView view;
-    /** Until when the view is right if nothing changes: the next lost source's grace period ends then. */
+    /** Until when the cached view is valid without further changes: the end of the next grace period of a lost source. */
     private long viewValidUntilMicros;
-    /** The view whose changes were numbered last. */
+    /** The view whose changes were last recorded in {@link #viewChanges}. */
     private SessionView recordedView = SessionView.of(List.of());
 
     /**
-     * Creates a table whose changes others pull.
+     * Creates a table whose changes are pulled by other processes.
      *
-     * @param lostSourceGraceMicros how long the sessions of a lost source still count
-     * @param counter numbers the changes
+     * @param lostSourceGraceMicros how long the sessions of an unreachable source remain in effect
+     * @param counter assigns the change numbers
      */
     public SessionTable(long lostSourceGraceMicros, ChangeCounter counter) {
         this.lostSourceGraceMicros = lostSourceGraceMicros;
@@ -55,9 +58,9 @@
     }
 
     /**
-     * Creates a table that nobody pulls from.
+     * Creates a table whose changes are not pulled by other processes.
      *
-     * @param lostSourceGraceMicros how long the sessions of a lost source still count
+     * @param lostSourceGraceMicros how long the sessions of an unreachable source remain in effect
      */
     public SessionTable(long lostSourceGraceMicros) {
         this(lostSourceGraceMicros, new ChangeCounter());
@@ -65,7 +68,7 @@
 
     // ---- Local sessions -----------------------------------------------------------------------------
 
-    /** A connection of a proxy is established. */
+    /** Adds the session of a connection that a proxy has established. */
     public void start(ProxySession session) {
         localSessions
                 .computeIfAbsent(session.node(), node -> new ArrayList<>(1))
@@ -75,7 +78,7 @@
         }
     }
 
-    /** A connection has ended; the node may have others, of the same incarnation or of another one. */
+    /** Removes the session of a closed connection. The node may have other connections, of any incarnation. */
     public void end(ProxySession session) {
         List<ProxySession> connections = localSessions.get(session.node());
         if (connections == null || !connections.remove(session)) {
@@ -94,7 +97,7 @@
         return connections.get(connections.size() - 1);
     }
 
-    /** Returns one session for each connected node: that of its latest connection. */
+    /** Returns the session of the latest connection of each connected node. */
     public Collection<ProxySession> localSessions() {
         List<ProxySession> sessions = new ArrayList<>(localSessions.size());
         for (List<ProxySession> connections : localSessions.values()) {
@@ -103,14 +106,14 @@
         return sessions;
     }
 
-    /** How many nodes are connected. */
+    /** The number of connected nodes. */
     public int localSessionCount() {
         return localSessions.size();
     }
 
     // ---- Reported sessions --------------------------------------------------------------------------
 
-    /** Applies what a source reports to have changed since its last report; the source can be reached. */
+    /** Applies the changes that a source has reported since its previous report, and marks the source as reachable. */
     public void merge(String source, SessionChanges changes, long now) {
         SessionSource entry = sources.computeIfAbsent(source, name -> new SessionSource());
         entry.apply(changes, now);
@@ -120,7 +123,7 @@
         entry.markReachable();
     }
 
-    /** A source cannot be reached any more. */
+    /** Marks a source as unreachable; its grace period starts. */
     public void onSourceLost(String source, long now) {
         SessionSource entry = sources.get(source);
         if (entry != null && !entry.isLost()) {
@@ -129,7 +132,7 @@
         }
     }
 
-    /** A source can be reached again in the same incarnation, so what it has reported is still right. */
+    /** Marks a source as reachable again in the same incarnation, so the sessions it reported are still valid. */
     public void onSourceRestored(String source) {
         SessionSource entry = sources.get(source);
         if (entry != null && entry.isLost()) {
@@ -138,14 +141,14 @@
         }
     }
 
-    /** Whether no source can be reached. */
+    /** Whether no source is reachable. */
     public boolean isIsolated() {
         return sources.values().stream().allMatch(SessionSource::isLost);
     }
 
     // ---- View ---------------------------------------------------------------------------------------
 
-    /** Returns the view of all sessions that count at a time. */
+    /** Returns the view of all sessions in effect at the given time. */
     public SessionView view(long now) {
         if (view == null || now > viewValidUntilMicros) {
             Map<String, ProxySession> sessions = mergeReported(sourcesInEffect(now));
@@ -155,7 +158,7 @@
         return view;
     }
 
-    /** Returns the sources whose sessions count, and sets until when that holds. */
+    /** Returns the sources whose sessions are in effect, and updates {@link #viewValidUntilMicros}. */
     private List<SessionSource> sourcesInEffect(long now) {
         List<SessionSource> inEffect = new ArrayList<>();
         List<SessionSource> expired = new ArrayList<>();
@@ -173,7 +176,7 @@
         return inEffect.isEmpty() ? expired : inEffect;
     }
 
-    /** Returns for each node the session that was first reported last. */
+    /** Returns the session of each node with the latest first report. */
     private static Map<String, ProxySession> mergeReported(List<SessionSource> sourcesInEffect) {
         Map<String, ProxySession> latest = new HashMap<>();
         Map<String, Long> reportedMicros = new HashMap<>();
@@ -191,7 +194,7 @@
 
     // ---- Changes ------------------------------------------------------------------------------------
 
-    /** Numbers the changes of the view since the last call, so that {@link #viewChangesSince} has them. */
+    /** Records the changes of the view since the last call, for {@link #viewChangesSince}. */
     public void recordViewChanges(long now) {
         SessionView next = view(now);
         if (next == recordedView || next.digest() == recordedView.digest()) {
@@ -213,12 +216,12 @@
         return counter.last();
     }
 
-    /** Returns how our own sessions have changed behind a change, for those who merge them with others'. */
+    /** Returns the changes of the local sessions after a change, for readers that merge them with other registries'. */
     public SessionChanges localChangesSince(long change) {
         return localChanges.changesSince(change);
     }
 
-    /** Returns how the view has changed behind a change, as of the last {@link #recordViewChanges}. */
+    /** Returns the changes of the view after a change, as of the last call of {@link #recordViewChanges}. */
     public SessionChanges viewChangesSince(long change) {
         return viewChanges.changesSince(change);
     }
--- a/src/main/java/reedmux/control/session/SessionView.java
+++ b/src/main/java/reedmux/control/session/SessionView.java
@@ -8,9 +8,9 @@
 import java.util.TreeMap;
 
 /**
- * The proxies that a process knows of, in an order that is the same in every process: by node. The position in that
- * order is also the position in a binary heap, by which the proxies exchange quota counts with their parent and
- * children. Immutable.
+ * The proxies that a process knows, sorted by node, so that the order is the same in every process. The index of a proxy is
+ * also its position in a binary heap; the proxies exchange quota counts with their parent and children in this heap.
+ * Immutable.
  */
 public final class SessionView {
     /** 2^64 divided by the golden ratio, as in Fibonacci hashing. */
@@ -34,44 +34,45 @@
         digest = hash;
     }
 
-    /** Creates the view of some sessions; of two sessions of one node the later in the collection counts. */
+    /** Creates a view of the given sessions. If a node has several, the last one in the collection is used. */
     public static SessionView of(Collection<ProxySession> sessions) {
         Map<String, ProxySession> byNode = new TreeMap<>();
         sessions.forEach(session -> byNode.put(session.node(), session));
         return new SessionView(new ArrayList<>(byNode.values()));
     }
 
-    /** How many members there are. */
+    /** The number of members. */
     public int size() {
         return members.size();
     }
 
-    /** The member at an index, from 0. */
+    /** Returns the member at an index, which starts at 0. */
     public ProxySession member(int index) {
         return members.get(index);
     }
 
-    /** All members in their order; not to be changed. */
+    /** Returns all members in order; the list must not be modified. */
     public List<ProxySession> members() {
         return members;
     }
 
-    /** The index of a node, or -1 where it is no member. */
+    /** Returns the index of a node, or -1 if the node is not a member. */
     public int indexOf(String node) {
         return indexByNode.getOrDefault(node, NONE);
     }
 
-    /** A hash of the members' nodes and incarnations: two processes have the same view if their digests are equal. */
+    /** A hash of the members' nodes and incarnations; processes with equal digests have the same view. */
     public long digest() {
         return digest;
     }
 
-    /** The indexes of the parent, the left and the right child in the heap, in this order; -1 where there is none. */
+    /** Returns the heap indexes of the parent, the left child and the right child, in this order; -1 if absent. */
     public int[] heapNeighbours(int index) {
         int parent = index <= 0 ? NONE : (index - 1) / 2;
         return new int[] {parent, childOf(index, 1), childOf(index, 2)};
     }
 
+    /** Returns the heap index of child 1 (left) or 2 (right), or -1 if there is none. */
     private int childOf(int index, int childNumber) {
         int child = 2 * index + childNumber;
         return index >= 0 && child < members.size() ? child : NONE;
