--- a/src/main/java/reedmux/control/changes/ChangeList.java
+++ b/src/main/java/reedmux/control/changes/ChangeList.java
@@ -1,8 +1,8 @@
 package reedmux.control.changes;
 
 /**
- * Values in the order of their last change. The list is doubly linked, so moving a value to the end takes constant time,
- * and reading the values that changed after a given change takes time proportional to their number.
+ * Values in the order of their last change. The list is doubly linked, so moving a value to the end takes constant
+ * time, and reading the values that changed after a given change takes time proportional to their number.
  *
  * @param <T> the type of the values
  */
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Adds a node as the newest one, or moves it there if it is already in the list. The change number must be higher than
-     * all others in the list.
+     * Adds a node as the newest one, or moves it there if it is already in the list. The change number must be higher
+     * than all others in the list.
      */
     public void moveToNewest(ChangeListNode<T> node, long change) {
         remove(node);
--- a/src/main/java/reedmux/control/instances/InstanceDirectory.java
+++ b/src/main/java/reedmux/control/instances/InstanceDirectory.java
@@ -13,22 +13,22 @@
 import reedmux.control.instances.RegistryHeartbeatTable.RegistryProcess;
 
 /**
- * The incarnations of all instances that one process knows. Each registry and proxy has a directory and replicates it by
- * merging reports, which may arrive in any order and more than once:
+ * The incarnations of all instances that one process knows. Each registry and proxy has a directory and replicates it
+ * by merging reports, which may arrive in any order and more than once:
  *
  * <ul>
  *   <li>The phase of an incarnation only advances, from ready to draining to gone; no report reverts it.
- *   <li>The registry that receives an instance's heartbeats is its owner. Only the owner determines from these heartbeats
- *       whether the instance is responsive. All other processes consider the instance responsive as long as the owner
- *       itself sends heartbeats, so the heartbeats of instances need not be replicated.
+ *   <li>The registry that receives an instance's heartbeats is its owner. Only the owner determines from these
+ *       heartbeats whether the instance is responsive. All other processes consider the instance responsive as long as
+ *       the owner itself sends heartbeats, so the heartbeats of instances need not be replicated.
  *   <li>An owner that receives a report that its instance is unresponsive refutes it by reporting the instance again.
- *   <li>An address belongs to one incarnation at a time. A heartbeat claims its address; the previous incarnation at the
- *       address is marked as gone once its heartbeats have been missing for {@link #ADDRESS_HOLD_MICROS}. Reports from
- *       other processes claim no address, because they may be older than the incarnation that holds it.
+ *   <li>An address belongs to one incarnation at a time. A heartbeat claims its address; the previous incarnation at
+ *       the address is marked as gone once its heartbeats have been missing for {@link #ADDRESS_HOLD_MICROS}. Reports
+ *       from other processes claim no address, because they may be older than the incarnation that holds it.
  * </ul>
  *
- * <p>The process's {@link ChangeCounter} numbers the changes. Uses no I/O, threads or clocks; times are microseconds of the
- * caller's clock. Not thread-safe.
+ * <p>The process's {@link ChangeCounter} numbers the changes. Uses no I/O, threads or clocks; times are microseconds of
+ * the caller's clock. Not thread-safe.
  */
 public final class InstanceDirectory {
     /** How long ended incarnations and registry processes are retained, so that no late report adds them again. */
@@ -179,8 +179,8 @@
     }
 
     /**
-     * Marks an instance owned by this registry as gone if another instance claims its address at another registry and its
-     * heartbeats have been missing for {@link #ADDRESS_HOLD_MICROS}.
+     * Marks an instance owned by this registry as gone if another instance claims its address at another registry and
+     * its heartbeats have been missing for {@link #ADDRESS_HOLD_MICROS}.
      */
     private void resolveAddressClaim(InstanceEntry entry, long now) {
         InstanceEntry claimant = entries.get(entry.addressClaimantId);
@@ -246,8 +246,8 @@
     }
 
     /**
-     * Increments this registry's heartbeat counter; returns its heartbeat, followed by the heartbeats of other registries to
-     * forward.
+     * Increments this registry's heartbeat counter; returns its heartbeat, followed by the heartbeats of other
+     * registries to forward.
      */
     public List<RegistryHeartbeat> nextHeartbeats(long now) {
         return registries.nextHeartbeats(now);
@@ -263,8 +263,8 @@
     }
 
     /**
-     * Marks instances without contact for more than {@code timeoutMicros} as unresponsive, and removes those that ended more
-     * than {@link #RETENTION_MICROS} ago. Returns how many instances have become unresponsive.
+     * Marks instances without contact for more than {@code timeoutMicros} as unresponsive, and removes those that ended
+     * more than {@link #RETENTION_MICROS} ago. Returns how many instances have become unresponsive.
      */
     public int detectTimeouts(long now, long timeoutMicros) {
         removeExpired(now);
--- a/src/main/java/reedmux/control/instances/InstanceIncarnation.java
+++ b/src/main/java/reedmux/control/instances/InstanceIncarnation.java
@@ -1,9 +1,9 @@
 package reedmux.control.instances;
 
 /**
- * The known state of one incarnation of an instance. An incarnation is one run of a process that serves requests; each start
- * of the process creates a new incarnation with its own id. The phase never decreases, so the higher phase of two reports
- * takes precedence. All other components are taken from the report with the higher sequence.
+ * The known state of one incarnation of an instance. An incarnation is one run of a process that serves requests; each
+ * start of the process creates a new incarnation with its own id. The phase never decreases, so the higher phase of two
+ * reports takes precedence. All other components are taken from the report with the higher sequence.
  *
  * @param service the service that the instance belongs to
  * @param address the address that requests are sent to, as {@code ip:port}
--- a/src/main/java/reedmux/control/instances/RegistryHeartbeatTable.java
+++ b/src/main/java/reedmux/control/instances/RegistryHeartbeatTable.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * The heartbeat counters of the registry processes that this process knows, directly or through others. Only an increased
- * counter proves that a process is alive, so a heartbeat that is forwarded in a cycle does not keep a process alive. Uses no
- * I/O, threads or clocks; times are microseconds of the caller's clock.
+ * The heartbeat counters of the registry processes that this process knows, directly or through others. Only an
+ * increased counter proves that a process is alive, so a heartbeat that is forwarded in a cycle does not keep a process
+ * alive. Uses no I/O, threads or clocks; times are microseconds of the caller's clock.
  */
 final class RegistryHeartbeatTable {
     /** Heartbeats are forwarded for processes whose counter increased within this time: three heartbeat intervals. */
--- a/src/main/java/reedmux/control/replication/ChangeBatch.java
+++ b/src/main/java/reedmux/control/replication/ChangeBatch.java
@@ -12,8 +12,8 @@
 public record ChangeBatch(long upToChange, List<ConfigurationItem> items, List<Watermark> watermarks, boolean last) {
 
     /**
-     * Returns a batch of the first {@code maxEntries} items and the first {@code maxEntries} watermarks, or fewer. It is
-     * never marked as the last batch.
+     * Returns a batch of the first {@code maxEntries} items and the first {@code maxEntries} watermarks, or fewer. It
+     * is never marked as the last batch.
      */
     public ChangeBatch first(int maxEntries) {
         return new ChangeBatch(upToChange, firstOf(items, maxEntries), firstOf(watermarks, maxEntries), false);
--- a/src/main/java/reedmux/control/replication/ConfigurationFollower.java
+++ b/src/main/java/reedmux/control/replication/ConfigurationFollower.java
@@ -33,8 +33,8 @@
     /**
      * Merges items that a source has committed, together with the chunks of the same snapshot received before.
      *
-     * @return whether the table has changed. It does not change if all items were already known, or if the items are not
-     *     valid together until further items are received.
+     * @return whether the table has changed. It does not change if all items were already known, or if the items are
+     *     not valid together until further items are received.
      */
     public boolean onUpdate(String source, long incarnation, long upToChange, List<ConfigurationItem> update) {
         positions.put(source, new ReplicationPosition(incarnation, upToChange));
--- a/src/main/java/reedmux/control/replication/DigestTree.java
+++ b/src/main/java/reedmux/control/replication/DigestTree.java
@@ -7,8 +7,8 @@
  * A Merkle tree of two levels, by which two replicas find the keys in which they differ without transferring all
  * entries. The hash of a key assigns it to one of {@link #FINE_RANGES} fine ranges, and {@link #RANGES_PER_LEVEL}
  * consecutive fine ranges form one coarse range. The digest of a range is the exclusive or of the digests of its
- * entries, so adding or removing an entry takes constant time. Processes of different versions compare their digests, so
- * the way in which digests are computed must never change.
+ * entries, so adding or removing an entry takes constant time. Processes of different versions compare their digests,
+ * so the way in which digests are computed must never change.
  */
 public final class DigestTree {
     /** The number of coarse ranges, and of fine ranges in each coarse range. */
--- a/src/main/java/reedmux/control/replication/Replica.java
+++ b/src/main/java/reedmux/control/replication/Replica.java
@@ -57,8 +57,8 @@
     // ---- Validation --------------------------------------------------------------------------------
 
     /**
-     * Validates a proposal; {@link #problem()} returns the reason why it is not valid. A proposal that is already pending
-     * remains valid.
+     * Validates a proposal; {@link #problem()} returns the reason why it is not valid. A proposal that is already
+     * pending remains valid.
      */
     public ValidationResult validate(String proposalId, List<ConfigurationItem> items) {
         if (pending.containsKey(proposalId)) {
@@ -110,8 +110,8 @@
     }
 
     /**
-     * Validates the revision of one item. Returns null if the revision has been committed with the same body, and {@link
-     * ValidationResult#VALID} if it has not been committed.
+     * Validates the revision of one item. Returns null if the revision has been committed with the same body, and
+     * {@link ValidationResult#VALID} if it has not been committed.
      */
     private ValidationResult classify(ConfigurationItem item) {
         ConfigurationItem current = committed.get(item.key());
@@ -301,8 +301,8 @@
     // ---- Batches for followers ---------------------------------------------------------------------
 
     /**
-     * Returns the changes after {@code change}, in a batch that is limited to about {@code maxBytes}. It holds at least one
-     * change if there is one.
+     * Returns the changes after {@code change}, in a batch that is limited to about {@code maxBytes}. It holds at least
+     * one change if there is one.
      */
     public ChangeBatch batchSince(long change, int maxBytes) {
         List<ConfigurationItem> items = new ArrayList<>();
--- a/src/main/java/reedmux/control/replication/Watermark.java
+++ b/src/main/java/reedmux/control/replication/Watermark.java
@@ -3,9 +3,9 @@
 import reedmux.control.configuration.ConfigurationItem;
 
 /**
- * Records that a revision of an item has been committed and superseded. Only a digest of the revision's body is retained.
- * It lets a store distinguish an operator's retry of a change, which has the same digest, from the reuse of the revision
- * for another body.
+ * Records that a revision of an item has been committed and superseded. Only a digest of the revision's body is
+ * retained. It lets a store distinguish an operator's retry of a change, which has the same digest, from the reuse of
+ * the revision for another body.
  *
  * @param key the key of the item
  * @param digest the digest of the body, or {@link #LOW_WATERMARK} if the digests of this revision and all earlier ones
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Returns the watermark of an item. Its digest is stored on disk and sent in messages, so the way in which it is computed
-     * must never change.
+     * Returns the watermark of an item. Its digest is stored on disk and sent in messages, so the way in which it is
+     * computed must never change.
      */
     public static Watermark of(ConfigurationItem item) {
         long digest = FNV_OFFSET_BASIS;
--- a/src/main/java/reedmux/control/replication/WatermarkTable.java
+++ b/src/main/java/reedmux/control/replication/WatermarkTable.java
@@ -9,13 +9,13 @@
 
 /**
  * The watermarks of one store. For each item, the table holds the digests of the latest superseded revisions and a low
- * watermark; the digests of all revisions up to the low watermark have been discarded. Tables are merged by set union, so
- * all stores converge to the same table.
+ * watermark; the digests of all revisions up to the low watermark have been discarded. Tables are merged by set union,
+ * so all stores converge to the same table.
  */
 public final class WatermarkTable {
     /**
-     * The maximum number of superseded revisions retained for each item; with more, the low watermark is raised. Operators
-     * only retry changes of the last few revisions.
+     * The maximum number of superseded revisions retained for each item; with more, the low watermark is raised.
+     * Operators only retry changes of the last few revisions.
      */
     public static final int MAX_REVISIONS_PER_ITEM = 256;
 
--- a/src/main/java/reedmux/control/session/SessionChangeLog.java
+++ b/src/main/java/reedmux/control/session/SessionChangeLog.java
@@ -9,9 +9,9 @@
 import reedmux.control.changes.ChangeList.ChangeListNode;
 
 /**
- * The current session of each node, in the order of the last changes, so that a reader receives only what has changed since
- * its last read. The log also retains the nodes whose sessions ended most recently, up to {@link #MAX_ENDED_ENTRIES}. A
- * reader whose position is older than an evicted end receives the complete state instead.
+ * The current session of each node, in the order of the last changes, so that a reader receives only what has changed
+ * since its last read. The log also retains the nodes whose sessions ended most recently, up to {@link
+ * #MAX_ENDED_ENTRIES}. A reader whose position is older than an evicted end receives the complete state instead.
  */
 final class SessionChangeLog {
     /** The number of nodes without a session that are retained. */
--- a/src/main/java/reedmux/control/session/SessionSource.java
+++ b/src/main/java/reedmux/control/session/SessionSource.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * The sessions reported by one other registry, and whether that registry is reachable. Uses no I/O, threads or clocks; times
- * are microseconds of the caller's clock.
+ * The sessions reported by one other registry, and whether that registry is reachable. Uses no I/O, threads or clocks;
+ * times are microseconds of the caller's clock.
  */
 final class SessionSource {
     private static final long NOT_LOST = -1;
--- a/src/main/java/reedmux/control/session/SessionTable.java
+++ b/src/main/java/reedmux/control/session/SessionTable.java
@@ -9,28 +9,28 @@
 import reedmux.control.changes.ChangeCounter;
 
 /**
- * The proxy sessions that one process knows. A registry has local sessions, with the proxies that are connected to it, and
- * sessions reported by other registries; a proxy has only reported ones. The {@link SessionView} combines both.
+ * The proxy sessions that one process knows. A registry has local sessions, with the proxies that are connected to it,
+ * and sessions reported by other registries; a proxy has only reported ones. The {@link SessionView} combines both.
  *
  * <ul>
  *   <li>A session starts when a connection is established, and ends with the last connection of its node.
- *   <li>If sources report different incarnations of a node, the one with the latest first report takes precedence. A local
- *       session takes precedence over any reported one.
+ *   <li>If sources report different incarnations of a node, the one with the latest first report takes precedence. A
+ *       local session takes precedence over any reported one.
  *   <li>The sessions of an unreachable source remain in effect for a grace period, because a network partition from the
- *       source is more likely than the loss of its proxies. After the grace period they are in effect only as long as no
- *       source with reachable or unexpired sessions is left: a process that is partitioned from all sources continues with
+ *       source is more likely than the loss of its proxies. After the grace period they are in effect only if all
+ *       sources have been unreachable for longer than it: a process that is partitioned from all sources continues with
  *       the last known sessions.
  * </ul>
  *
- * <p>The process's {@link ChangeCounter} numbers the changes. Changes of local sessions and changes of the view are logged
- * separately. Uses no I/O, threads or clocks; times are microseconds of the caller's clock. Not thread-safe.
+ * <p>The process's {@link ChangeCounter} numbers the changes. Changes of local sessions and changes of the view are
+ * logged separately. Uses no I/O, threads or clocks; times are microseconds of the caller's clock. Not thread-safe.
  */
 public final class SessionTable {
     private final long lostSourceGraceMicros;
     private final Map<String, SessionSource> sources = new HashMap<>();
     /**
-     * The sessions of the open connections, by node. Connections of one node may overlap; they are in the order in which they
-     * were established.
+     * The sessions of the open connections, by node. Connections of one node may overlap; they are in the order in
+     * which they were established.
      */
     private final Map<String, List<ProxySession>> localSessions = new TreeMap<>();
 
@@ -39,7 +39,9 @@
     private final SessionChangeLog viewChanges;
     /** The cached view; null after a change. */
     private SessionView view;
-    /** Until when the cached view is valid without further changes: the end of the next grace period of a lost source. */
+    /**
+     * Until when the cached view is valid without further changes: the end of the next grace period of a lost source.
+     */
     private long viewValidUntilMicros;
     /** The view whose changes were last recorded in {@link #viewChanges}. */
     private SessionView recordedView = SessionView.of(List.of());
--- a/src/main/java/reedmux/control/session/SessionView.java
+++ b/src/main/java/reedmux/control/session/SessionView.java
@@ -8,9 +8,9 @@
 import java.util.TreeMap;
 
 /**
- * The proxies that a process knows, sorted by node, so that the order is the same in every process. The index of a proxy is
- * also its position in a binary heap; the proxies exchange quota counts with their parent and children in this heap.
- * Immutable.
+ * The proxies that a process knows, sorted by node, so that the order is the same in every process. The index of a
+ * proxy is also its position in a binary heap; the proxies exchange quota counts with their parent and children in this
+ * heap. Immutable.
  */
 public final class SessionView {
     /** 2^64 divided by the golden ratio, as in Fibonacci hashing. */
--- a/src/test/java/reedmux/control/session/SessionChangesTest.java
+++ b/src/test/java/reedmux/control/session/SessionChangesTest.java
@@ -9,34 +9,34 @@
 import reedmux.control.changes.ChangeCounter;
 import reedmux.testing.ScheduleExplorer;
 
-/** Incremental changes of sessions lead to the same view as the complete state. */
+/** Verifies that incremental session changes produce the same view as the complete state. */
 public class SessionChangesTest {
     private static final long GRACE_MICROS = 2_000_000;
 
-    private static ProxySession session(int node, long life) {
-        return new ProxySession("edge-" + node, "10.1.0." + node, "a", life);
+    private static ProxySession session(int node, long incarnation) {
+        return new ProxySession("edge-" + node, "10.1.0." + node, "a", incarnation);
     }
 
-    /** Two proxies whose sessions start and end, and a reader that pulls after any of the steps. */
+    /** The sessions of two proxies start and end, and a reader pulls the changes after any subset of the steps. */
     @Test
-    public void incrementalChangesEqualTheFullStateInAllOrders() {
-        int orderings = ScheduleExplorer.exploreAll(1_000_000, orders -> {
+    public void incrementalChangesProduceTheFullStateInAllOrders() {
+        int orderings = ScheduleExplorer.exploreAll(1_000_000, schedule -> {
             ChangeCounter counter = new ChangeCounter();
             SessionTable registry = new SessionTable(GRACE_MICROS, counter);
             SessionTable proxy = new SessionTable(GRACE_MICROS);
             long since = -1;
-            long life = 0;
+            long incarnation = 0;
             for (int step = 0; step < 5; step++) {
-                int node = orders.choose(2);
-                if (orders.choose(2) == 0) {
-                    registry.start(session(node, ++life));
+                int node = schedule.choose(2);
+                if (schedule.choose(2) == 0) {
+                    registry.start(session(node, ++incarnation));
                 } else {
-                    for (long old = 1; old <= life; old++) {
-                        registry.end(session(node, old));
+                    for (long started = 1; started <= incarnation; started++) {
+                        registry.end(session(node, started));
                     }
                 }
                 registry.recordViewChanges(step);
-                if (orders.choose(2) == 0 || step == 4) {
+                if (schedule.choose(2) == 0 || step == 4) {
                     proxy.merge("core", registry.viewChangesSince(since), step);
                     since = counter.last();
                     assertEquals(proxy.view(step).members(), registry.view(step).members());
@@ -48,7 +48,7 @@
     }
 
     @Test
-    public void oneChangeIsReportedAlone() {
+    public void onlyChangedSessionsAreReported() {
         ChangeCounter counter = new ChangeCounter();
         SessionTable registry = new SessionTable(GRACE_MICROS, counter);
         for (int i = 0; i < 1000; i++) {
@@ -66,31 +66,31 @@
         assertTrue(registry.viewChangesSince(counter.last()).isEmpty());
     }
 
-    /** Only the latest ends are kept. */
+    /** The log retains a limited number of ended sessions, so a reader that is too far behind needs the full state. */
     @Test
-    public void readerBehindTheEndedEntriesGetsTheFullState() {
+    public void readerBehindTheRetainedEndsReceivesTheFullState() {
         ChangeCounter counter = new ChangeCounter();
         SessionTable registry = new SessionTable(GRACE_MICROS, counter);
         registry.start(session(0, 1));
         registry.start(session(1, 1));
-        SessionTable other = new SessionTable(GRACE_MICROS);
-        other.merge("core", registry.localChangesSince(-1), 0);
+        SessionTable reader = new SessionTable(GRACE_MICROS);
+        reader.merge("core", registry.localChangesSince(-1), 0);
         long since = counter.last();
         registry.end(session(1, 1));
         for (int i = 2; i < 5000; i++) {
             registry.start(session(i, 1));
             registry.end(session(i, 1));
         }
-        SessionChanges news = registry.localChangesSince(since);
-        assertTrue(news.complete() && news.started().size() == 1);
-        other.merge("core", news, 1);
-        assertEquals(other.view(1).members(), List.of(session(0, 1)));
+        SessionChanges changes = registry.localChangesSince(since);
+        assertTrue(changes.complete() && changes.started().size() == 1);
+        reader.merge("core", changes, 1);
+        assertEquals(reader.view(1).members(), List.of(session(0, 1)));
         assertFalse(registry.localChangesSince(counter.last() - 2).complete());
     }
 
-    /** What a source repeats does not replace a newer incarnation that another source has reported since. */
+    /** A session that a source reports again does not replace a newer incarnation that another source has reported. */
     @Test
-    public void newerSessionWinsOverAnOlderOneReportedAgain() {
+    public void newerSessionTakesPrecedenceOverAnOlderOneReportedAgain() {
         for (String[] source : new String[][] {{"one", "two"}, {"two", "one"}}) {
             SessionTable proxy = new SessionTable(GRACE_MICROS);
             proxy.merge(source[0], new SessionChanges(true, List.of(session(1, 1)), List.of()), 0);
@@ -100,9 +100,9 @@
         }
     }
 
-    /** A connection that is established again may have no change to report. */
+    /** A source that reconnects in the same incarnation may have no changes to report. */
     @Test
-    public void restoredSourceCountsAgain() {
+    public void sessionsOfARestoredSourceAreInEffectAgain() {
         SessionTable proxy = new SessionTable(GRACE_MICROS);
         proxy.merge("one", new SessionChanges(true, List.of(session(1, 1)), List.of()), 0);
         proxy.merge("two", new SessionChanges(true, List.of(session(2, 1)), List.of()), 0);
@@ -114,6 +114,6 @@
         proxy.onSourceLost("one", GRACE_MICROS + 20);
         proxy.onSourceLost("two", GRACE_MICROS + 20);
         assertTrue(proxy.isIsolated());
-        assertEquals(proxy.view(9 * GRACE_MICROS).size(), 2, "whoever is alone goes on with what was last known");
+        assertEquals(proxy.view(9 * GRACE_MICROS).size(), 2, "an isolated process keeps the last known sessions");
     }
 }
--- a/src/test/java/reedmux/control/session/SessionTableTest.java
+++ b/src/test/java/reedmux/control/session/SessionTableTest.java
@@ -7,25 +7,25 @@
 import org.testng.annotations.Test;
 import reedmux.testing.ScheduleExplorer;
 
-/** Connections of one node that start and end in every order. */
+/** Tests the sessions of a node whose connections overlap and whose events arrive in every order. */
 public class SessionTableTest {
     private static final long NOW = 5_000_000;
 
-    private static ProxySession session(long life) {
-        return new ProxySession("edge-1", "10.1.0.1", "a", life);
+    private static ProxySession session(long incarnation) {
+        return new ProxySession("edge-1", "10.1.0.1", "a", incarnation);
     }
 
-    /** Starts two connections and ends the first, in every order; returns the number of orders. */
+    /** Starts two connections and ends the first one, in every order; returns the number of orders explored. */
     private static int endFirstInEveryOrder(long first, long second) {
-        return ScheduleExplorer.exploreAll(1000, orders -> {
+        return ScheduleExplorer.exploreAll(1000, schedule -> {
             SessionTable sessions = new SessionTable(2_000_000);
-            List<Runnable> ofFirst =
+            List<Runnable> firstEvents =
                     new ArrayList<>(List.of(() -> sessions.start(session(first)), () -> sessions.end(session(first))));
-            List<Runnable> ofSecond = new ArrayList<>(List.of(() -> sessions.start(session(second))));
-            while (ofFirst.size() + ofSecond.size() > 0) {
-                List<Runnable> next = ofFirst.isEmpty()
-                        ? ofSecond
-                        : ofSecond.isEmpty() ? ofFirst : orders.choose(2) == 0 ? ofFirst : ofSecond;
+            List<Runnable> secondEvents = new ArrayList<>(List.of(() -> sessions.start(session(second))));
+            while (firstEvents.size() + secondEvents.size() > 0) {
+                List<Runnable> next = firstEvents.isEmpty()
+                        ? secondEvents
+                        : secondEvents.isEmpty() ? firstEvents : schedule.choose(2) == 0 ? firstEvents : secondEvents;
                 next.remove(0).run();
             }
             assertEquals(sessions.view(NOW).members(), List.of(session(second)));
@@ -35,20 +35,20 @@
         });
     }
 
-    /** A proxy reconnects before its registry has noticed the end of the previous connection. */
+    /** A proxy reconnects before its registry has detected that the previous connection was closed. */
     @Test
-    public void endOfAConnectionKeepsItsSuccessor() {
+    public void endOfAConnectionKeepsTheSessionOfItsSuccessor() {
         assertEquals(endFirstInEveryOrder(7, 7), 3);
     }
 
-    /** A registry that was suspended reads the connections of two incarnations in any order. */
+    /** A registry that was suspended processes the connections of two incarnations in any order. */
     @Test
-    public void endedIncarnationDoesNotReplaceTheNextOne() {
+    public void endedIncarnationDoesNotReplaceItsSuccessor() {
         assertEquals(endFirstInEveryOrder(7, 8), 3);
         assertEquals(endFirstInEveryOrder(8, 7), 3);
     }
 
-    /** While both seem to be open, the one that started last counts, and each change is numbered. */
+    /** While two connections appear to be open, the latest one determines the session, and each change gets a number. */
     @Test
     public void latestConnectionDeterminesTheSession() {
         SessionTable sessions = new SessionTable(2_000_000);
