--- a/src/main/java/reedmux/control/instances/InstanceDirectory.java
+++ b/src/main/java/reedmux/control/instances/InstanceDirectory.java
@@ -96,7 +96,7 @@
 
     // ---- Reports on instances -----------------------------------------------------------------------
 
-    /** Applies a heartbeat from an instance to this registry; returns whether it has to be replicated. */
+    /** Applies a heartbeat from an instance to this registry; returns whether it changes replicated state. */
     public boolean onHeartbeat(InstanceIncarnation reported, long now) {
         boolean changed = merge(reported, now);
         InstanceEntry entry = entries.get(reported.id());
@@ -108,7 +108,7 @@
         return claimAddress(entry, now) | changed;
     }
 
-    /** Merges a report from another process; returns whether it has to be replicated. */
+    /** Merges a report from another process; returns whether it changes replicated state. */
     public boolean merge(InstanceIncarnation reported, long now) {
         InstanceEntry entry = entries.get(reported.id());
         if (entry == null) {
@@ -253,9 +253,9 @@
         return registries.nextHeartbeats(now);
     }
 
-    // ---- Time-outs ----------------------------------------------------------------------------------
+    // ---- Timeouts -----------------------------------------------------------------------------------
 
-    /** Returns the time of an instance's last report, or of its owner's last heartbeat if that is later. */
+    /** Returns the time of an instance's last report, or of the last heartbeat of a remote owner if that is later. */
     private long lastContactMicros(InstanceEntry entry) {
         return entry.owner == null || isOwnedHere(entry)
                 ? entry.lastReportMicros
@@ -306,8 +306,8 @@
     }
 
     /**
-     * Returns the milliseconds since the last contact with an instance, or with its owner if that is later; -1 if the
-     * instance is unknown.
+     * Returns the milliseconds since the last contact with an instance, or with its remote owner if that is later; -1
+     * if the instance is unknown.
      */
     public long millisSinceLastContact(String id, long now) {
         InstanceEntry entry = entries.get(id);
--- a/src/main/java/reedmux/control/replication/ChangeBatch.java
+++ b/src/main/java/reedmux/control/replication/ChangeBatch.java
@@ -4,7 +4,8 @@
 import reedmux.control.configuration.ConfigurationItem;
 
 /**
- * A batch of the changes of a {@link Replica}, in ascending order of their change numbers.
+ * A batch of changes of a {@link Replica}. A batch from {@link Replica#batchSince} lists them in the order in which
+ * they were made; one from {@link Replica#batchInRanges} does not.
  *
  * @param upToChange the position of a follower that has applied this batch and all batches before it
  * @param last whether the replica has no changes after this batch
--- a/src/main/java/reedmux/control/replication/DigestTree.java
+++ b/src/main/java/reedmux/control/replication/DigestTree.java
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Returns digests in ascending order of their ranges.
+     * Returns the digests of ranges, in the order of these ranges.
      *
      * @param coarseRanges the coarse ranges whose fine ranges' digests are returned; if empty, the digests of all
      *     coarse ranges are returned
@@ -81,11 +81,11 @@
      * Returns the ranges whose digests differ from those of a peer.
      *
      * @param coarseRanges as for {@link #digestsOf}
-     * @param theirs the peer's result of {@link #digestsOf}
+     * @param peerDigests the peer's result of {@link #digestsOf}
      * @return coarse ranges if {@code coarseRanges} is empty, fine ranges otherwise; null if a range is out of bounds,
      *     there are too many ranges, or the number of digests does not match
      */
-    public List<Integer> differingRanges(List<Integer> coarseRanges, List<Long> theirs) {
+    public List<Integer> differingRanges(List<Integer> coarseRanges, List<Long> peerDigests) {
         if (coarseRanges.size() > RANGES_PER_LEVEL) {
             return null;
         }
@@ -94,13 +94,13 @@
                 return null;
             }
         }
-        List<Long> ours = digestsOf(coarseRanges);
-        if (ours.size() != theirs.size()) {
+        List<Long> localDigests = digestsOf(coarseRanges);
+        if (localDigests.size() != peerDigests.size()) {
             return null;
         }
         List<Integer> differing = new ArrayList<>();
-        for (int i = 0; i < ours.size(); i++) {
-            if (!ours.get(i).equals(theirs.get(i))) {
+        for (int i = 0; i < localDigests.size(); i++) {
+            if (!localDigests.get(i).equals(peerDigests.get(i))) {
                 boolean isCoarse = coarseRanges.isEmpty();
                 differing.add(isCoarse ? i : fineRange(coarseRanges.get(i / RANGES_PER_LEVEL), i % RANGES_PER_LEVEL));
             }
--- a/src/main/java/reedmux/control/replication/Replica.java
+++ b/src/main/java/reedmux/control/replication/Replica.java
@@ -199,7 +199,7 @@
 
     // ---- Committed items and watermarks ------------------------------------------------------------
 
-    /** Merges items that other stores have committed; returns those that are newer than the items held here. */
+    /** Merges items that other stores have committed; returns those that were added here or replaced an older item. */
     public List<ConfigurationItem> merge(Collection<ConfigurationItem> items) {
         List<ConfigurationItem> merged = new ArrayList<>();
         for (ConfigurationItem item : items) {
--- a/src/test/java/reedmux/control/session/SessionTableTest.java
+++ b/src/test/java/reedmux/control/session/SessionTableTest.java
@@ -48,7 +48,7 @@
         assertEquals(endFirstInEveryOrder(8, 7), 3);
     }
 
-    /** While two connections appear to be open, the latest one determines the session, and each change gets a number. */
+    /** While two connections appear to be open, the latest one determines the session, and each change is numbered. */
     @Test
     public void latestConnectionDeterminesTheSession() {
         SessionTable sessions = new SessionTable(2_000_000);
