--- a/src/main/java/reedmux/gatekeeper/failover/FailoverPolicy.java
+++ b/src/main/java/reedmux/gatekeeper/failover/FailoverPolicy.java
@@ -7,8 +7,9 @@
 import reedmux.gatekeeper.failover.RemoteRejection.RemoteRejectionReason;
 
 /**
- * All decisions of one gatekeeper about other regions: which requests it forwards, and which remote ones it accepts.
- * Pure: it is given the events with their times in microseconds. For one thread, the one that owns the reducer.
+ * Makes the failover decisions of one gatekeeper: which requests it forwards to another region, and which requests of
+ * other regions it admits. It performs no I/O and reads no clock: callers pass each event together with its time in
+ * microseconds. Not thread-safe; used only by the thread that owns the reducer.
  */
 public final class FailoverPolicy {
     private final int gatekeepers;
@@ -21,11 +22,12 @@
     private long admittedCount;
 
     /**
-     * The decisions of one of the region's gatekeepers. All budgets start empty: after a restart nothing is known of
-     * what was forwarded before.
+     * Creates the policy of one gatekeeper. All budgets start empty, because a restarted gatekeeper does not know what
+     * it forwarded before the restart.
      *
-     * @param gatekeepers how many the region has
-     * @param seed        of all random choices
+     * @param gatekeepers number of gatekeepers in the region
+     * @param now         the current time in microseconds
+     * @param seed        seed of all random choices
      */
     public FailoverPolicy(FailoverRules rules, int gatekeepers, long now, long seed) {
         this.rules = rules;
@@ -40,8 +42,8 @@
     }
 
     /**
-     * Replaces the rules. Budgets keep what has accumulated, up to the new bursts. If there is no target any more,
-     * nothing is forwarded, but requests in flight are still counted when they end.
+     * Replaces the rules. Budgets keep their accumulated units, up to the new bursts. If the new rules have no target,
+     * no further request is forwarded, but requests in flight are still counted when they end.
      */
     public void applyRules(FailoverRules newRules, long now) {
         remoteAdmission.applyRules(newRules, now);
@@ -53,24 +55,27 @@
         rules = newRules;
     }
 
-    /** The rules that hold now. */
+    /** Returns the current rules. */
     public FailoverRules rules() {
         return rules;
     }
 
-    /** A request of our own consumers has come in. */
+    /** Records the arrival of a request from a local consumer. */
     public void onLocalRequest() {
         if (forwarding != null) {
             forwarding.onLocalRequest();
         }
     }
 
-    /** A request of our own consumers has ended; to be called once for each, whether it was served in time or not. */
+    /**
+     * Records the end of a request from a local consumer. Must be called once for each request, whether or not it was
+     * served in time.
+     */
     public void onLocalRequestEnded(long now, boolean servedInTime) {
         remoteAdmission.onLocalRequestEnded(now, servedInTime);
     }
 
-    /** Decides whether a request that our own providers cannot serve is forwarded. */
+    /** Decides whether to forward a request that the local providers cannot serve. */
     public ForwardDecision decideForward(long now, OverflowRequest request) {
         ForwardDecision decision =
                 rules.target() == null ? ForwardDecision.reject(ForwardReason.NONE) : forwarding.decide(now, request);
@@ -79,11 +84,11 @@
     }
 
     /**
-     * A forwarded request has ended.
+     * Records the end of a forwarded request.
      *
-     * @param tookMicros       from its start here
-     * @param remoteMicros     how long the other region says it had it, or -1
-     * @param retryAfterMicros for how long the gateway wants no further request, or -1
+     * @param tookMicros       time since the request was started here
+     * @param remoteMicros     processing time that the other region reported, or -1 if it reported none
+     * @param retryAfterMicros how long the remote gateway wants to receive no further requests, or -1
      */
     public void onForwardEnded(
             long now,
@@ -98,9 +103,10 @@
     }
 
     /**
-     * Admits a request of another region.
+     * Decides whether to admit a request of another region.
      *
-     * @return null if it is admitted; {@link #onRemoteRequestEnded} has to follow then
+     * @return null if the request is admitted, in which case {@link #onRemoteRequestEnded} must be called when it ends;
+     *     otherwise the rejection
      */
     public RemoteRejection admitRemote(long now, RegionPath path, double units) {
         RemoteRejection rejection = remoteAdmission.admit(now, path, units);
@@ -112,37 +118,37 @@
         return rejection;
     }
 
-    /** A request that was admitted has been answered or cancelled. */
+    /** Records that an admitted remote request has been answered or cancelled. */
     public void onRemoteRequestEnded() {
         remoteAdmission.onRemoteRequestEnded();
     }
 
-    /** Remote requests that are in flight here. */
+    /** Returns the number of admitted remote requests in flight. */
     public int remoteInFlight() {
         return remoteAdmission.inFlight();
     }
 
-    /** Requests of ours that are in flight in the other region. */
+    /** Returns the number of forwarded requests in flight. */
     public int forwardedInFlight() {
         return forwarding == null ? 0 : forwarding.inFlight();
     }
 
-    /** The estimated latency of the link, both ways, in microseconds; -1 if there has never been a target. */
+    /** Returns the estimated round-trip latency of the link in microseconds, or -1 if there has never been a target. */
     public long linkLatencyMicros() {
         return forwarding == null ? -1 : forwarding.linkLatencyMicros();
     }
 
-    /** How many requests have been forwarded. */
+    /** Returns the number of requests forwarded since the start. */
     public long forwardedCount() {
         return forwardCounts.getOrDefault(ForwardReason.SENT, 0L);
     }
 
-    /** How many remote requests have been admitted. */
+    /** Returns the number of remote requests admitted since the start. */
     public long admittedCount() {
         return admittedCount;
     }
 
-    /** All counts since the start in one line for the log; empty while there is nothing to count. */
+    /** Returns all counts since the start as one log line, or an empty string if nothing has been counted. */
     public String summary() {
         return forwardCounts.isEmpty() && rejectionCounts.isEmpty() && admittedCount == 0
                 ? ""
--- a/src/main/java/reedmux/gatekeeper/failover/FailoverRules.java
+++ b/src/main/java/reedmux/gatekeeper/failover/FailoverRules.java
@@ -4,25 +4,25 @@
 import java.util.Set;
 
 /**
- * What the operators have set about other regions. Rates and bursts are those of the whole region, of which each
- * gatekeeper uses an equal share. Times are microseconds; units are the quota's.
+ * The operators' settings for failover between regions. Rates and bursts apply to the whole region, and each gatekeeper
+ * gets an equal share of them. Times are in microseconds; units are quota units.
  *
- * @param name         our region's name, as other regions know it
- * @param acceptsFrom  the regions whose requests we accept; empty if none
- * @param remoteLimits the limits on the requests that we accept
- * @param target       the region of last resort, to which we forward; null if there is none
+ * @param name         name of this region, as other regions know it
+ * @param acceptsFrom  names of the regions whose requests are accepted; empty if there are none
+ * @param remoteLimits limits on the requests accepted from other regions
+ * @param target       the region of last resort, which requests are forwarded to; null if there is none
  */
 public record FailoverRules(
         String name, Set<String> acceptsFrom, RemoteRequestLimits remoteLimits, FailoverTarget target) {
 
     /**
-     * Limits on the requests of other regions.
+     * Limits on the requests accepted from other regions.
      *
-     * @param maxConcurrent      requests in flight at one gatekeeper
-     * @param unitsPerSecond     rate over the region
-     * @param burstUnits         burst over the region
-     * @param closeAtFailureRate failure rate of our own consumers' requests from which no remote one is accepted
-     * @param minBackoffMicros         how long none is accepted after that
+     * @param maxConcurrent      maximum number of these requests in flight at one gatekeeper
+     * @param unitsPerSecond     maximum rate, for the whole region
+     * @param burstUnits         maximum burst, for the whole region
+     * @param closeAtFailureRate failure rate of local requests above which no remote request is admitted
+     * @param minBackoffMicros   how long admission stays closed, before any doubling
      */
     public record RemoteRequestLimits(
             int maxConcurrent,
@@ -32,17 +32,19 @@
             long minBackoffMicros) {}
 
     /**
-     * Where requests go that our own providers cannot serve.
+     * The region to which requests are forwarded that the local providers cannot serve.
      *
-     * @param region               its name
-     * @param gateways             the names of its gateways
-     * @param maxShare             requests forwarded, as a fraction of the requests received
-     * @param unitsPerSecond       rate of forwarded units, over our region
-     * @param burstUnits           burst of forwarded units, over our region
-     * @param maxConcurrent        forwarded requests in flight, of one gatekeeper
-     * @param minRemainingMicros   a request is not forwarded if less time than this is left for the other region
-     * @param marginMicros         time kept for the response's way to the consumer, besides the link's latency
-     * @param initialLatencyMicros the link's latency until it has been measured
+     * @param region               name of that region
+     * @param gateways             names of its gateways
+     * @param maxShare             maximum number of forwarded requests, as a fraction of the local requests received
+     * @param unitsPerSecond       maximum rate of forwarded units, for the whole local region
+     * @param burstUnits           maximum burst of forwarded units, for the whole local region
+     * @param maxConcurrent        maximum number of forwarded requests in flight, for one gatekeeper
+     * @param minRemainingMicros   minimum time that must remain for the other region; otherwise the request is not
+     *                             forwarded
+     * @param marginMicros         time reserved for returning the response to the consumer, in addition to the link
+     *                             latency
+     * @param initialLatencyMicros link latency that is assumed before the first measurement
      */
     public record FailoverTarget(
             String region,
--- a/src/main/java/reedmux/gatekeeper/failover/ForwardDecision.java
+++ b/src/main/java/reedmux/gatekeeper/failover/ForwardDecision.java
@@ -1,29 +1,31 @@
 package reedmux.gatekeeper.failover;
 
-/** The decision about a request that our own providers cannot serve; {@code forwarded} is null if it stays. */
+/**
+ * The decision about a request that the local providers cannot serve; {@code forwarded} is null if it is not forwarded.
+ */
 public record ForwardDecision(ForwardedRequest forwarded, ForwardReason reason) {
 
-    /** Why a request is forwarded or not. The log counts by these names. */
+    /** The reason why a request is or is not forwarded. The log prints counts under these names. */
     public enum ForwardReason {
-        /** It is forwarded. */
+        /** The request is forwarded. */
         SENT,
-        /** There is no region of last resort. */
+        /** No region of last resort is configured. */
         NONE,
-        /** Another region sent it; a request is forwarded only once. */
+        /** Another region sent the request; a request is forwarded at most once. */
         VISITOR,
-        /** An attempt of it may have run, and it is not idempotent. */
+        /** An earlier attempt may have executed, and the request is not idempotent. */
         MAY_HAVE_RUN,
-        /** It has no attempt left. */
+        /** The request has no attempts left. */
         NO_CALL_LEFT,
-        /** Too little time is left until its deadline. */
+        /** Too little time remains until the deadline. */
         NO_TIME,
-        /** The limit of forwarded requests in flight is reached. */
+        /** The maximum number of forwarded requests is in flight. */
         AT_ONCE,
-        /** The fraction of requests that may be forwarded is used up. */
+        /** The maximum fraction of forwarded requests is reached. */
         SHARE,
-        /** The rate of units that may be forwarded is used up. */
+        /** The rate limit for forwarded units is reached. */
         RATE,
-        /** All gateways are ejected or in backoff. */
+        /** All gateways of the other region are ejected or backing off. */
         NO_GATEWAY
     }
 
--- a/src/main/java/reedmux/gatekeeper/failover/ForwardResult.java
+++ b/src/main/java/reedmux/gatekeeper/failover/ForwardResult.java
@@ -1,13 +1,13 @@
 package reedmux.gatekeeper.failover;
 
-/** How a forwarded request ended. */
+/** The outcome of a forwarded request. */
 public enum ForwardResult {
-    /** With a response of any status, but a rejection. */
+    /** The other region sent a response, with any status except a rejection. */
     ANSWERED,
-    /** It was rejected, and certainly did not run. */
+    /** The other region rejected the request, which certainly did not execute. */
     REJECTED,
-    /** Without a response: no connection, a broken one, or a time-out. */
+    /** No response was received: the connection could not be opened, it broke, or the request timed out. */
     FAILED,
-    /** We cancelled it, as its consumer did not wait any more. */
+    /** The request was cancelled here because its consumer stopped waiting. */
     CANCELLED
 }
--- a/src/main/java/reedmux/gatekeeper/failover/ForwardedRequest.java
+++ b/src/main/java/reedmux/gatekeeper/failover/ForwardedRequest.java
@@ -1,10 +1,10 @@
 package reedmux.gatekeeper.failover;
 
 /**
- * A request that is forwarded to another region.
+ * Where a forwarded request is sent, and its timeouts.
  *
- * @param gateway       the gateway that it goes to
- * @param grantedMicros the time-out that the other region is given
- * @param timeoutMicros our own time-out; longer than {@code grantedMicros} by the latency of the link
+ * @param gateway       name of the remote gateway that receives the request
+ * @param grantedMicros timeout granted to the other region
+ * @param timeoutMicros local timeout, which exceeds {@code grantedMicros} by the link latency
  */
 public record ForwardedRequest(String gateway, long grantedMicros, long timeoutMicros) {}
--- a/src/main/java/reedmux/gatekeeper/failover/ForwardingControl.java
+++ b/src/main/java/reedmux/gatekeeper/failover/ForwardingControl.java
@@ -5,13 +5,17 @@
 import reedmux.gatekeeper.failover.ForwardDecision.ForwardReason;
 
 /**
- * Decides whether a request that our own providers cannot serve is forwarded to the other region. Three limits apply:
- * a fraction of the requests received, a rate with a burst, and requests in flight. The fraction accumulates with each
- * request received, and the rate is split equally over the region's gatekeepers. So both hold over all gatekeepers
- * together without any communication, also when one of them crashes or restarts.
+ * Decides whether to forward a request that the local providers cannot serve to the other region. Three limits apply: a
+ * fraction of the requests received, a rate with a burst, and a maximum number of requests in flight. Each gatekeeper
+ * accumulates its fraction from the requests it receives itself, and the rate is divided equally between the region's
+ * gatekeepers. Both limits therefore hold for all gatekeepers together without any communication, even if one of them
+ * crashes or restarts.
  */
 final class ForwardingControl {
-    /** Forwarded requests that the fraction may accumulate, so that a long calm does not allow a flood. */
+    /**
+     * Maximum number of forwarded requests accumulated from the fraction, which bounds the burst after a long period
+     * without forwarding.
+     */
     private static final double MAX_ACCUMULATED_REQUESTS = 20;
 
     private final int gatekeepers;
@@ -31,7 +35,7 @@
         linkLatency = new LinkLatencyEstimator(target.initialLatencyMicros());
     }
 
-    /** Replaces the target; the latency is measured anew where the region is another one. */
+    /** Replaces the target. The latency estimate starts again if the region or its initial latency has changed. */
     void setTarget(FailoverTarget newTarget, long now) {
         if (!newTarget.region().equals(target.region())
                 || newTarget.initialLatencyMicros() != target.initialLatencyMicros()) {
@@ -42,7 +46,7 @@
         gateways.setGateways(newTarget.gateways());
     }
 
-    /** A request of our own consumers has come in. */
+    /** Records the arrival of a request from a local consumer. */
     void onLocalRequest() {
         requestBudget.deposit(target.maxShare());
     }
@@ -77,7 +81,7 @@
         return new ForwardDecision(new ForwardedRequest(gateway, granted, remaining), ForwardReason.SENT);
     }
 
-    /** A forwarded request has ended; the parameters are those of {@link FailoverPolicy#onForwardEnded}. */
+    /** Records the end of a forwarded request; the parameters are those of {@link FailoverPolicy#onForwardEnded}. */
     void onForwardEnded(
             long now, String gateway, ForwardResult result, long tookMicros, long remoteMicros, long retryAfterMicros) {
         inFlight--;
--- a/src/main/java/reedmux/gatekeeper/failover/LinkLatencyEstimator.java
+++ b/src/main/java/reedmux/gatekeeper/failover/LinkLatencyEstimator.java
@@ -1,10 +1,10 @@
 package reedmux.gatekeeper.failover;
 
 /**
- * Estimates the latency of the link to another region, both ways, from the time that a call took here minus the time
- * that it took there. Smoothed mean and deviation as in RFC 6298 for TCP; the estimate is the mean plus four
- * deviations. It rises at once with a slow sample and falls slowly: too low an estimate loses a response, too high a
- * one only takes some time from the other region.
+ * Estimates the round-trip latency of the link to another region. A sample is the duration of a call measured here
+ * minus the processing time reported by the other region. As in RFC 6298 for TCP, the estimate is a smoothed mean plus
+ * four times the smoothed mean deviation, so it rises immediately after a slow sample and falls slowly. An estimate
+ * that is too low loses a response, whereas one that is too high only leaves the other region somewhat less time.
  */
 final class LinkLatencyEstimator {
     private static final double MEAN_WEIGHT = 1.0 / 8;
@@ -12,7 +12,7 @@
     private static final int DEVIATIONS = 4;
 
     private final long initialEstimate;
-    /** Negative before the first sample. */
+    /** Smoothed mean of the samples in microseconds; negative before the first sample. */
     private double mean = -1;
 
     private double deviation;
@@ -21,7 +21,7 @@
         this.initialEstimate = initialEstimate;
     }
 
-    /** Adds a sample in microseconds; a negative one, which a clock that steps can cause, is ignored. */
+    /** Adds a sample in microseconds. Ignores negative samples, which a clock step can cause. */
     void addSample(long sample) {
         if (sample < 0) {
             return;
@@ -35,7 +35,7 @@
         }
     }
 
-    /** The estimated latency both ways. */
+    /** Returns the estimated round-trip latency in microseconds. */
     long estimateMicros() {
         return mean < 0 ? initialEstimate : (long) (mean + DEVIATIONS * deviation);
     }
--- a/src/main/java/reedmux/gatekeeper/failover/LocalServiceHealth.java
+++ b/src/main/java/reedmux/gatekeeper/failover/LocalServiceHealth.java
@@ -1,13 +1,16 @@
 package reedmux.gatekeeper.failover;
 
 /**
- * The failure rate of our own consumers' requests over the last seconds: the fraction that our providers did not serve
- * in time, with exponentially decaying weights. Requests that the quota rejects do not count.
+ * Tracks the recent failure rate of local consumers' requests: the fraction that the local providers did not serve in
+ * time, with weights that decay exponentially over a few seconds. Requests rejected by the quota are not counted.
  */
 final class LocalServiceHealth {
-    /** The time constant of the decay, in microseconds: after it a request counts for 1/e. */
+    /** Time constant of the decay in microseconds, after which the weight of a request has decayed to 1/e. */
     private static final double DECAY_MICROS = 2e6;
-    /** Successes added to those counted, so that one failure among few requests is no high rate. */
+    /**
+     * Successes added to those counted, so that a single failure among few requests does not produce a high failure
+     * rate.
+     */
     private static final double ASSUMED_SUCCESSES = 5;
 
     private double weightedTotal;
@@ -27,7 +30,7 @@
         weightedFailures *= factor;
     }
 
-    /** From 0, if all requests succeed, to 1. */
+    /** Returns the failure rate, from 0 (no request fails) to 1. */
     double failureRate(long now) {
         decay(now);
         return weightedFailures / (weightedTotal + ASSUMED_SUCCESSES);
--- a/src/main/java/reedmux/gatekeeper/failover/OverflowRequest.java
+++ b/src/main/java/reedmux/gatekeeper/failover/OverflowRequest.java
@@ -1,14 +1,14 @@
 package reedmux.gatekeeper.failover;
 
 /**
- * A request that our own providers cannot serve.
+ * A request that the local providers cannot serve.
  *
- * @param deadline     when its consumer gives up, in microseconds of the clock
- * @param units        the units that it takes from the quota
- * @param idempotent   whether it may run twice
- * @param neverRan     whether all its attempts so far are known never to have run
- * @param remote       whether another region sent it
- * @param attemptsLeft attempts that it may still be given
+ * @param deadline     clock time in microseconds at which the consumer stops waiting
+ * @param units        quota units that the request consumes
+ * @param idempotent   whether the request may be executed more than once
+ * @param neverRan     whether all attempts so far are known not to have been executed
+ * @param remote       whether the request was sent by another region
+ * @param attemptsLeft number of attempts that remain
  */
 public record OverflowRequest(
         long deadline, double units, boolean idempotent, boolean neverRan, boolean remote, int attemptsLeft) {}
--- a/src/main/java/reedmux/gatekeeper/failover/RegionPath.java
+++ b/src/main/java/reedmux/gatekeeper/failover/RegionPath.java
@@ -5,21 +5,24 @@
 import java.util.regex.Pattern;
 
 /**
- * The regions that a request has passed, in order, as the header {@code X-Region-Path} lists them: {@code east} or
- * {@code east, west}.
+ * The regions that a request has passed through, in order, as listed in the header {@code X-Region-Path}: {@code east}
+ * or {@code east, west}.
  */
 public record RegionPath(List<String> regions) {
-    /** A region's name; it cannot contain the list's separator. */
+    /** Pattern of a region name, which cannot contain the separator of the list. */
     public static final Pattern REGION_NAME = Pattern.compile("[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?");
-    /** A longer header is rejected unread; no valid one is nearly as long. */
+    /**
+     * Maximum header length in characters; longer headers are rejected without parsing. No valid header comes close to
+     * it.
+     */
     private static final int MAX_HEADER_LENGTH = 256;
 
-    /** A path that does not change with the given list. */
+    /** Copies the list, so that later changes to it do not affect this path. */
     public RegionPath {
         regions = List.copyOf(regions);
     }
 
-    /** Parses a header's value; null if it is no list of region names. */
+    /** Parses a header value; returns null if it is not a list of region names. */
     public static RegionPath parse(String header) {
         if (header.length() > MAX_HEADER_LENGTH) {
             return null;
@@ -29,7 +32,7 @@
         return names.stream().allMatch(name -> REGION_NAME.matcher(name).matches()) ? new RegionPath(names) : null;
     }
 
-    /** The region that sent the request to us. */
+    /** Returns the region that sent the request to this one. */
     public String lastHop() {
         return regions.get(regions.size() - 1);
     }
--- a/src/main/java/reedmux/gatekeeper/failover/RemoteGateways.java
+++ b/src/main/java/reedmux/gatekeeper/failover/RemoteGateways.java
@@ -7,18 +7,19 @@
 import java.util.SplittableRandom;
 
 /**
- * Chooses the gateway of the other region that a request is forwarded to. A gateway that fails several times in a row
- * is ejected for a time that doubles with each ejection, and is then tried with one idempotent request. A gateway that
- * rejects a request gets none for as long as its {@code Retry-After} says. Times are microseconds.
+ * Chooses the gateway of the other region to which a request is forwarded. A gateway that fails several times in a row
+ * is ejected. The ejection time doubles with each consecutive ejection, and afterwards one idempotent request is sent
+ * as a trial. A gateway that rejects a request receives no further requests until its {@code Retry-After} has expired.
+ * Times are in microseconds.
  */
 final class RemoteGateways {
-    /** Consecutive failures after which a gateway is ejected. */
+    /** Number of consecutive failures after which a gateway is ejected. */
     static final int EJECTION_FAILURES = 3;
-    /** The length of the first ejection. */
+    /** Duration of the first ejection. */
     static final long MIN_EJECTION_MICROS = 500_000;
-    /** The length that ejections do not exceed, however often they are doubled. */
+    /** Maximum duration of an ejection, regardless of the number of doublings. */
     static final long MAX_EJECTION_MICROS = 8_000_000;
-    /** The longest {@code Retry-After} that is honoured. */
+    /** Maximum {@code Retry-After} that is honoured; longer values are reduced to it. */
     static final long MAX_BACKOFF_MICROS = 5_000_000;
 
     private static final int MAX_DOUBLINGS = 5;
@@ -28,7 +29,7 @@
         final String name;
         int inFlight;
         int consecutiveFailures;
-        /** Ejections since the last response. */
+        /** Number of ejections since the last response. */
         int consecutiveEjections;
 
         long ejectedUntil = NOT_EJECTED;
@@ -42,7 +43,7 @@
             return ejectedUntil != NOT_EJECTED;
         }
 
-        /** Whether its ejection is over and a trial request may show how it is now. */
+        /** Returns whether the ejection has expired and a trial request may be sent. */
         boolean isReadyForTrial(long now) {
             return now >= ejectedUntil && inFlight == 0;
         }
@@ -56,7 +57,7 @@
         setGateways(names);
     }
 
-    /** Replaces the list; what is known of the gateways that remain is kept. */
+    /** Replaces the list of gateways, keeping the state of those that remain. */
     void setGateways(List<String> names) {
         Map<String, RemoteGateway> known = new HashMap<>();
         gateways.forEach(gateway -> known.put(gateway.name, gateway));
@@ -66,10 +67,10 @@
     }
 
     /**
-     * The gateway with the fewest requests of ours in flight, a random one of several; a gateway that is due for its
-     * trial comes first.
+     * Returns the gateway with the fewest forwarded requests in flight, and a random one among equals. A gateway that
+     * is ready for its trial request takes precedence if the request is idempotent.
      *
-     * @return null if no gateway can be used now
+     * @return null if no gateway is available
      */
     String choose(long now, boolean idempotent) {
         RemoteGateway best = null;
@@ -94,7 +95,7 @@
         return best == null ? null : best.name;
     }
 
-    /** A request was forwarded to it. */
+    /** Records that a request was forwarded to a gateway. */
     void onForwarded(String name) {
         RemoteGateway gateway = find(name);
         if (gateway != null) {
@@ -102,7 +103,7 @@
         }
     }
 
-    /** It answered, with whatever status. */
+    /** Records that a gateway sent a response, with any status. */
     void onAnswered(String name) {
         RemoteGateway gateway = find(name);
         if (gateway != null) {
@@ -113,7 +114,7 @@
         }
     }
 
-    /** It rejected a request. */
+    /** Records that a gateway rejected a request. */
     void onRejected(String name, long now, long retryAfterMicros) {
         onAnswered(name);
         RemoteGateway gateway = find(name);
@@ -123,7 +124,7 @@
         }
     }
 
-    /** It could not be reached, its connection broke, or it did not answer in time. */
+    /** Records that a gateway could not be reached, that its connection broke, or that a request to it timed out. */
     void onFailed(String name, long now) {
         RemoteGateway gateway = find(name);
         if (gateway == null) {
@@ -132,7 +133,7 @@
         gateway.inFlight = Math.max(0, gateway.inFlight - 1);
         gateway.consecutiveFailures++;
         if (gateway.isEjected() && now < gateway.ejectedUntil) {
-            return; // a request that was forwarded before the ejection
+            return; // the request was forwarded before the ejection
         }
         if (gateway.isEjected() || gateway.consecutiveFailures >= EJECTION_FAILURES) {
             long ejection = MIN_EJECTION_MICROS << Math.min(MAX_DOUBLINGS, gateway.consecutiveEjections);
@@ -141,7 +142,7 @@
         }
     }
 
-    /** The request was cancelled by us, which says nothing about the gateway. */
+    /** Records that a request was cancelled here, which says nothing about the health of the gateway. */
     void onCancelled(String name) {
         RemoteGateway gateway = find(name);
         if (gateway != null) {
@@ -155,6 +156,6 @@
                 return gateway;
             }
         }
-        return null; // no longer in the list
+        return null; // removed from the list by a change of the settings
     }
 }
--- a/src/main/java/reedmux/gatekeeper/failover/RemoteRejection.java
+++ b/src/main/java/reedmux/gatekeeper/failover/RemoteRejection.java
@@ -1,19 +1,19 @@
 package reedmux.gatekeeper.failover;
 
-/** The rejection of a remote request, with the advice when to try again, in microseconds. */
+/** The rejection of a remote request, and the time in microseconds after which it may be retried. */
 public record RemoteRejection(RemoteRejectionReason reason, long retryAfterMicros) {
 
-    /** Why a remote request is rejected. The log counts by these names. */
+    /** The reason why a remote request is rejected. The log prints counts under these names. */
     public enum RemoteRejectionReason {
-        /** It has passed several regions or our own; a request is forwarded only once. */
+        /** The request has passed through several regions or through this one; a request is forwarded at most once. */
         TRAVELLED,
-        /** It comes from a region whose requests we do not accept. */
+        /** The request comes from a region whose requests are not accepted. */
         STRANGER,
-        /** As many remote requests as allowed are in flight. */
+        /** The maximum number of remote requests is in flight. */
         FULL,
-        /** The rate of remote units is used up. */
+        /** The rate limit for remote units is reached. */
         RATE,
-        /** Too many of our own consumers' requests fail. */
+        /** The failure rate of local requests is or recently was too high. */
         SUFFERING
     }
 }
--- a/src/main/java/reedmux/gatekeeper/failover/RemoteRequestAdmission.java
+++ b/src/main/java/reedmux/gatekeeper/failover/RemoteRequestAdmission.java
@@ -3,29 +3,32 @@
 import reedmux.gatekeeper.failover.RemoteRejection.RemoteRejectionReason;
 
 /**
- * Admission control for the requests of other regions. Our own consumers come first: while too many of their requests
- * fail, and for a while after, no remote request is admitted.
+ * Admission control for the requests of other regions. Local consumers have priority: while too many of their requests
+ * fail, and during a backoff period afterwards, no remote request is admitted.
  *
- * <p>The window of remote requests in flight grows linearly while the local failure rate is low and is halved when
- * admission closes. If it closes again soon after it was opened, the time that it stays closed doubles. So a region
- * without spare capacity finds out with few remote requests and tries seldom; the price is that spare capacity is used
- * only after some seconds.
+ * <p>The limit on remote requests in flight (the window) grows linearly while the local failure rate is low, and is
+ * halved when admission closes. If admission closes again soon after it has reopened, the backoff doubles. A region
+ * without spare capacity therefore needs only a few remote requests to detect that, and tries again rarely; the
+ * drawback is that spare capacity is used only after some seconds.
  */
 final class RemoteRequestAdmission {
-    /** Advice to a region that found the window full. */
+    /** Retry delay sent to a region when the window is full. */
     private static final long FULL_RETRY_AFTER_MICROS = 500_000;
-    /** Advice to a region whose requests are never admitted: somebody has to correct the settings first. */
+    /**
+     * Retry delay sent to a region whose requests are never admitted; long, because an operator must correct the
+     * settings first.
+     */
     private static final long MISCONFIGURATION_RETRY_AFTER_MICROS = 10_000_000;
-    /** Admission opens again below this fraction of the failure rate at which it closes. */
+    /** Admission reopens when the failure rate has fallen to this fraction of the rate at which it closes. */
     private static final double REOPEN_FRACTION = 0.5;
 
-    /** Remote requests in flight that are allowed at the start. */
+    /** Initial window: the number of remote requests that may be in flight. */
     private static final double INITIAL_WINDOW = 2;
-    /** How many more are allowed after each second with a low failure rate. */
+    /** Growth of the window per second while the local failure rate is low. */
     private static final double WINDOW_GROWTH_PER_SECOND = 2;
-    /** How often the time that admission stays closed is doubled at most. */
+    /** Maximum number of times that the backoff is doubled. */
     private static final int MAX_DOUBLINGS = 5;
-    /** Closing within so many of the last closed times after opening counts as closing again. */
+    /** Admission counts as closing again if it closes within this multiple of the last backoff after reopening. */
     private static final int RECLOSE_BACKOFF_MULTIPLE = 4;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -36,11 +39,11 @@
     private FailoverRules rules;
     private int inFlight;
     private long closedUntil = Long.MIN_VALUE;
-    /** How long admission stayed closed the last time; 0 before the first. */
+    /** Duration of the last backoff; 0 if admission has never closed. */
     private long lastBackoffMicros;
 
     private int doublings;
-    /** Remote requests that may be in flight. */
+    /** Maximum number of remote requests in flight at present. */
     private double window = INITIAL_WINDOW;
 
     private long windowUpdatedAt;
@@ -63,7 +66,7 @@
                 now);
     }
 
-    /** A request of our own consumers has ended, served in time or not. */
+    /** Records the end of a request from a local consumer. */
     void onLocalRequestEnded(long now, boolean servedInTime) {
         localHealth.record(now, servedInTime);
         if (!servedInTime) {
@@ -71,7 +74,7 @@
         }
     }
 
-    /** Opens, closes or keeps closed, by the local failure rate now. */
+    /** Closes admission, extends the backoff or grows the window, depending on the current local failure rate. */
     private void updateState(long now) {
         boolean closed = now < closedUntil;
         double limit = rules.remoteLimits().closeAtFailureRate() * (closed ? REOPEN_FRACTION : 1);
@@ -100,7 +103,7 @@
         closedUntil = Math.max(closedUntil, now + lastBackoffMicros);
     }
 
-    /** Admits a remote request and returns null, or the reason why not. */
+    /** Admits a remote request and returns null, or returns the rejection. */
     RemoteRejection admit(long now, RegionPath path, double units) {
         if (path.regions().size() != 1 || path.regions().contains(rules.name())) {
             return new RemoteRejection(RemoteRejectionReason.TRAVELLED, MISCONFIGURATION_RETRY_AFTER_MICROS);
--- a/src/main/java/reedmux/gatekeeper/failover/TokenBucket.java
+++ b/src/main/java/reedmux/gatekeeper/failover/TokenBucket.java
@@ -1,8 +1,8 @@
 package reedmux.gatekeeper.failover;
 
 /**
- * A token bucket. It starts empty: if a gatekeeper started with a full burst, a rolling restart would multiply the
- * budget. Times are microseconds.
+ * A token bucket that starts empty: if each gatekeeper started with a full burst, a rolling restart would multiply the
+ * budget. Times are in microseconds.
  */
 final class TokenBucket {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -11,14 +11,14 @@
     private double level;
     private long refilledAt;
 
-    /** A bucket that fills at {@code unitsPerSecond} up to {@code burstUnits}. */
+    /** Creates an empty bucket that refills at {@code unitsPerSecond} up to {@code burstUnits}. */
     TokenBucket(double unitsPerSecond, double burstUnits, long now) {
         this.unitsPerSecond = unitsPerSecond;
         this.burstUnits = burstUnits;
         refilledAt = now;
     }
 
-    /** Replaces the limits; what has accumulated stays, up to the new burst. */
+    /** Replaces the limits. Accumulated units are kept, up to the new burst. */
     void setLimits(double newUnitsPerSecond, double newBurstUnits, long now) {
         refill(now);
         unitsPerSecond = newUnitsPerSecond;
@@ -31,23 +31,23 @@
         refilledAt = Math.max(refilledAt, now);
     }
 
-    /** Whether it holds so many units now. */
+    /** Returns whether at least this many units are available now. */
     boolean hasUnits(double units, long now) {
         refill(now);
         return level >= units;
     }
 
-    /** Removes units that it {@link #hasUnits}. */
+    /** Removes units that {@link #hasUnits} has found to be available. */
     void consume(double units) {
         level -= units;
     }
 
-    /** Adds units, besides those of the rate. */
+    /** Adds units in addition to those of the rate, up to the burst. */
     void deposit(double units) {
         level = Math.min(burstUnits, level + units);
     }
 
-    /** Microseconds until it holds so many units; one second if it never will. */
+    /** Returns the time in microseconds until this many units are available, or one second if they never will be. */
     long microsUntil(double units, long now) {
         refill(now);
         if (unitsPerSecond <= 0 || units > burstUnits) {
--- a/src/test/java/reedmux/gatekeeper/failover/FailoverPolicyTest.java
+++ b/src/test/java/reedmux/gatekeeper/failover/FailoverPolicyTest.java
@@ -20,7 +20,17 @@
 import reedmux.gatekeeper.failover.FailoverRules.FailoverTarget;
 import reedmux.gatekeeper.failover.FailoverRules.RemoteRequestLimits;
 
-/** Each promise of docs/regions.md about the decisions alone, over sequences of events drawn by a seed. */
+/**
+ * Checks the guarantees of {@link FailoverPolicy}, which docs/regions.md describes, with seeded random sequences of
+ * events:
+ *
+ * <ul>
+ *   <li>All gatekeepers together stay within the forwarding budget, even if some of them restart or reload their rules.
+ *   <li>Only requests are forwarded that come from a local consumer, may be executed again and have attempts left.
+ *   <li>Remote requests are admitted only if they come directly from an accepted region, so that no request loops.
+ *   <li>Admitted remote requests stay within their limits, and none is admitted while too many local requests fail.
+ * </ul>
+ */
 public final class FailoverPolicyTest {
     private static final long MICROS_PER_MILLI = 1000;
     private static final long MICROS_PER_SECOND = 1000 * MICROS_PER_MILLI;
@@ -46,13 +56,13 @@
         return new OverflowRequest(deadline, 1, false, true, false, 4);
     }
 
-    /** One that went away, and when. */
+    /** The units of a forwarded request, and the time at which it was forwarded. */
     private record ForwardedUnits(long sentAt, double units) {}
 
     /**
-     * Any order of requests, returns, restarts and reloads keeps the budget: over any stretch of time all
-     * gatekeepers together send no more units than the rate allows in it and one burst, and no more requests
-     * than the share of those taken.
+     * For any order of requests, responses, restarts and reloads, all gatekeepers together stay within the budget: in
+     * any period they forward at most the units that the rate allows plus one burst, and never more requests than the
+     * maximum share of the requests received.
      */
     @Property(tries = 10_000, seed = "21")
     void forwardingBudgetHoldsAcrossAllGatekeepers(
@@ -93,12 +103,14 @@
                 if (decision.forwarded() != null) {
                     sent.add(new ForwardedUnits(now, units));
                     inFlight.get(i).add(decision.forwarded());
-                    assertTrue(inFlight.get(i).size() <= 3, "at once");
-                    assertTrue(decision.forwarded().grantedMicros() >= 50 * MICROS_PER_MILLI, "least time");
+                    assertTrue(inFlight.get(i).size() <= 3, "more than 3 requests in flight");
+                    assertTrue(
+                            decision.forwarded().grantedMicros() >= 50 * MICROS_PER_MILLI,
+                            "granted timeout below the minimum");
                     assertTrue(
                             decision.forwarded().grantedMicros()
                                     <= decision.forwarded().timeoutMicros(),
-                            "shrinks");
+                            "granted timeout exceeds the local timeout");
                 }
             } else if (action < 18 && !inFlight.get(i).isEmpty()) {
                 long tookMicros = random.nextLong(MICROS_PER_SECOND);
@@ -110,26 +122,31 @@
                         random.nextLong(tookMicros + 1) - 1,
                         random.nextLong(MICROS_PER_SECOND));
             } else if (action == 18) {
-                policies[i] =
-                        new FailoverPolicy(rules, gatekeepers, now, seed + step); // restarted: what was away is lost
+                policies[i] = new FailoverPolicy(
+                        rules, gatekeepers, now, seed + step); // a restart loses the requests in flight
                 inFlight.get(i).clear();
             } else if (action == 19) {
                 policies[i].applyRules(createRules(maxShare, rate, burst, 3), now);
             }
         }
-        assertTrue(sent.size() <= maxShare * received + 1e-6, "share: " + sent.size() + " of " + received);
+        assertTrue(
+                sent.size() <= maxShare * received + 1e-6,
+                "forwarded " + sent.size() + " of " + received + " requests");
         for (int first = 0; first < sent.size(); first++) {
             double units = 0;
             for (int last = first; last < sent.size(); last++) {
                 units += sent.get(last).units();
                 double maxUnits =
                         rate * (sent.get(last).sentAt() - sent.get(first).sentAt()) / MICROS_PER_SECOND + burst;
-                assertTrue(units <= maxUnits + 1e-6, units + " units, at most " + maxUnits);
+                assertTrue(units <= maxUnits + 1e-6, units + " units forwarded, limit " + maxUnits);
             }
         }
     }
 
-    /** No visitor, nothing that may have run, and nothing that has had its calls ever goes away. */
+    /**
+     * Remote requests, requests that may have been executed and are not idempotent, and requests without attempts left
+     * are never forwarded.
+     */
     @Property(tries = 10_000, seed = "22")
     void onlyForwardableRequestsAreForwarded(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -150,17 +167,18 @@
             if (decision.forwarded() != null) {
                 long remaining = request.deadline() - MICROS_PER_SECOND;
                 assertTrue(
-                        decision.forwarded().timeoutMicros() <= remaining - 10 * MICROS_PER_MILLI, "a margin is kept");
+                        decision.forwarded().timeoutMicros() <= remaining - 10 * MICROS_PER_MILLI,
+                        "the timeout must leave the margin of 10 ms");
                 assertTrue(
                         decision.forwarded().grantedMicros() <= remaining - 30 * MICROS_PER_MILLI,
-                        "the link's time is taken off");
+                        "the granted timeout must leave the margin and the link latency of 20 ms");
             } else if (forwardable && i == 0) {
                 assertEquals(ForwardDecision.ForwardReason.NO_TIME, decision.reason());
             }
         }
     }
 
-    /** Only a request that has passed just its own region, one that we take from, comes in. */
+    /** A remote request is admitted only if its path consists of exactly one region, whose requests are accepted. */
     @Property(tries = 10_000, seed = "23")
     void admitsOnlyRequestsDirectlyFromAnAcceptedRegion(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -175,7 +193,10 @@
         assertTrue(rejection == null || rejection.retryAfterMicros() > 0);
     }
 
-    /** Visitors keep to their bounds in any order of events, and stay out while own service suffers. */
+    /**
+     * For any order of events, remote requests stay within their limits, and none is admitted while too many local
+     * requests fail.
+     */
     @Property(tries = 10_000, seed = "24")
     void remoteRequestsStayWithinTheirLimits(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -193,10 +214,12 @@
                 if (rejection == null) {
                     inFlight++;
                     admittedUnits += 2;
-                    assertTrue(now >= closedAt + MICROS_PER_SECOND, "closed for its hold");
+                    assertTrue(now >= closedAt + MICROS_PER_SECOND, "admission must stay closed for the backoff");
                 }
-                assertTrue(inFlight <= 4, "at once");
-                assertTrue(admittedUnits <= 20 + 50.0 * now / MICROS_PER_SECOND + 1e-6, "rate");
+                assertTrue(inFlight <= 4, "more than 4 requests in flight");
+                assertTrue(
+                        admittedUnits <= 20 + 50.0 * now / MICROS_PER_SECOND + 1e-6,
+                        "admitted units exceed the rate and burst");
             } else if (action < 6 && inFlight > 0) {
                 policy.onRemoteRequestEnded();
                 inFlight--;
@@ -206,7 +229,7 @@
                 for (int i = random.nextInt(3); i > 0; i--) {
                     policy.onLocalRequestEnded(now, false);
                     policy.onLocalRequestEnded(now, false);
-                    closedAt = now; // two bad ones in a row are over a tenth of any seven
+                    closedAt = now; // 2 failures in a row exceed a failure rate of 0.1 despite the 5 assumed successes
                 }
             }
             assertEquals(inFlight, policy.remoteInFlight());
@@ -244,7 +267,10 @@
         assertEquals(20, sent);
     }
 
-    /** A gateway that fails is out, its trial is never one that must not run twice, and it comes back. */
+    /**
+     * A failing gateway is ejected, receives an idempotent request as its trial, and is used again once the trial
+     * succeeds.
+     */
     @Example
     void ejectsAFailingGatewayAndTriesItAgain() {
         FailoverPolicy policy = new FailoverPolicy(createRules(1, 1000, 1000, 100), 1, 0, 1);
@@ -267,7 +293,7 @@
         ForwardedRequest trial = policy.decideForward(
                         now, new OverflowRequest(now + MICROS_PER_SECOND, 1, true, true, false, 4))
                 .forwarded();
-        assertEquals("w1", trial.gateway(), "its time is over, and this one may be repeated");
+        assertEquals("w1", trial.gateway(), "the ejection has expired and the request is idempotent");
         policy.onForwardEnded(now, trial, ForwardResult.ANSWERED, MICROS_PER_MILLI, 0, -1);
         boolean chosenAgain = false;
         for (int i = 0; i < 20 && !chosenAgain; i++) {
@@ -327,7 +353,7 @@
                 40 * MICROS_PER_MILLI,
                 policy.linkLatencyMicros(),
                 MICROS_PER_MILLI,
-                "40 ms on the way, whatever is done there");
+                "link latency of 40 ms, without the processing time of the other region");
         policy.onLocalRequest();
         ForwardedRequest sent = policy.decideForward(
                         MICROS_PER_SECOND, createOverflowRequest(MICROS_PER_SECOND + 500 * MICROS_PER_MILLI))
@@ -338,7 +364,7 @@
                 policy.decideForward(
                                 MICROS_PER_SECOND, createOverflowRequest(MICROS_PER_SECOND + 99 * MICROS_PER_MILLI))
                         .forwarded(),
-                "10 and 40 ms off leave under 50");
+                "99 ms less the margin of 10 ms and the latency of 40 ms is below the minimum of 50 ms");
     }
 
     @Example
