--- a/src/main/java/reedmux/gatekeeper/handover/HandoverConnection.java
+++ b/src/main/java/reedmux/gatekeeper/handover/HandoverConnection.java
@@ -17,25 +17,28 @@
 import java.util.function.BiConsumer;
 
 /**
- * A connection to the other process of the same gatekeeper, over a Unix domain socket. Frames are read on a thread of
- * its own and written on another, so that neither process ever waits for the other. The handler is notified of the end
- * once, however it comes about.
+ * A connection to the other process of the same gatekeeper, over a Unix domain socket. Frames are read on one thread
+ * and written on another, so that neither process ever blocks on the other. The handler is notified exactly once when
+ * the connection ends, for whatever reason.
  */
 public final class HandoverConnection implements AutoCloseable {
-    /** Frames that may wait to be written; a process that reads none for so long is as good as gone. */
+    /**
+     * Maximum number of queued outgoing frames. If the queue is full, the other process is treated as unresponsive and
+     * the connection is closed.
+     */
     private static final int MAX_QUEUED_FRAMES = 256;
 
-    /** In place of a frame: nothing is written after it. */
+    /** Marks the end of the outgoing queue; no frame is written after it. */
     private static final byte[] END_OF_FRAMES = {};
-    /** Connections that may wait to be accepted. */
+    /** Maximum number of connections that wait to be accepted. */
     private static final int ACCEPT_BACKLOG = 2;
 
-    /** Is notified of frames and of the end, on threads of the connection. */
+    /** Receives frames and the end of a connection, on the threads of the connection. */
     public interface HandoverFrameHandler {
-        /** A frame has come in. */
+        /** Handles a received frame. */
         void onFrame(HandoverConnection from, HandoverFrame frame);
 
-        /** The connection has ended, for that reason; called once. */
+        /** Handles the end of the connection, for the given reason; called once. */
         void onClosed(HandoverConnection connection, String reason);
     }
 
@@ -61,27 +64,27 @@
         thread.start();
     }
 
-    /** Connects to the process that listens at a socket's path; returns null where none does. */
+    /** Connects to the process that listens on a socket path. Returns null if no process does. */
     public static HandoverConnection connect(Path socketPath, HandoverFrameHandler handler) {
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open(StandardProtocolFamily.UNIX);
             channel.connect(UnixDomainSocketAddress.of(socketPath));
             return new HandoverConnection(channel, handler).start();
-        } catch (IOException | RuntimeException e) { // no such file, a stale one, or a path that is too long
+        } catch (IOException | RuntimeException e) { // the file does not exist or is stale, or the path is too long
             closeQuietly(channel);
             return null;
         }
     }
 
-    /** Accepts connections of other processes, until closed. */
+    /** Accepts connections from other processes until it is closed. */
     public static final class HandoverServer implements AutoCloseable {
         private final ServerSocketChannel server;
         private final Path socketPath;
         private final Object fileKey;
 
         /**
-         * Listens at a path, in place of any file there.
+         * Listens on a socket path, replacing any existing file.
          *
          * @param onConnected receives each connection before its first frame is handled
          */
@@ -114,7 +117,7 @@
             });
         }
 
-        /** Stops listening and deletes the socket's file, unless it is another process's by now. */
+        /** Stops listening and deletes the socket file, unless another process has replaced it. */
         public void closeAndRemove() {
             close();
             try {
@@ -122,7 +125,7 @@
                     Files.deleteIfExists(socketPath);
                 }
             } catch (IOException e) {
-                // it is stale then, and whoever finds it can tell
+                // the file stays, and processes that connect to it find it stale
             }
         }
 
@@ -136,10 +139,10 @@
         }
     }
 
-    /** Queues a frame to be written; returns false where the connection has ended or its queue is full. */
+    /** Queues a frame to be written. Returns false if the connection has ended or the queue is full. */
     public boolean send(HandoverFrame frame) {
         if (!outgoing.offer(HandoverFrameCodec.encode(frame))) {
-            closeWithReason("the other process takes nothing");
+            closeWithReason("the other process does not read frames");
             return false;
         }
         return !isClosed();
@@ -150,7 +153,7 @@
             while (true) {
                 byte[] next = outgoing.poll(1, TimeUnit.MINUTES);
                 if (next == END_OF_FRAMES || isClosed()) {
-                    closeWithReason("closed here");
+                    closeWithReason("closed by this process");
                     return;
                 }
                 for (ByteBuffer bytes = next == null ? null : ByteBuffer.wrap(next);
@@ -170,7 +173,7 @@
             while (true) {
                 int length = readFully(ByteBuffer.allocate(Integer.BYTES)).getInt();
                 if (length <= 0 || length > HandoverFrameCodec.MAX_BODY_BYTES) {
-                    throw new IOException("a frame of " + length + " bytes");
+                    throw new IOException("invalid frame length: " + length + " bytes");
                 }
                 handler.onFrame(
                         this,
@@ -178,7 +181,7 @@
                                 readFully(ByteBuffer.allocate(length)).array()));
             }
         } catch (EOFException e) {
-            closeWithReason("the other process has gone");
+            closeWithReason("the other process closed the connection");
         } catch (IOException | RuntimeException e) {
             closeWithReason(String.valueOf(e.getMessage()));
         }
@@ -210,17 +213,17 @@
         handler.onClosed(this, reason);
     }
 
-    /** Closes the connection once all queued frames are written. */
+    /** Closes the connection after all queued frames have been written. */
     public void closeAfterWriting() {
         if (!outgoing.offer(END_OF_FRAMES)) {
             close();
         }
     }
 
-    /** Closes the connection; the handler is notified of that too. */
+    /** Closes the connection. The handler is notified of this, too. */
     @Override
     public void close() {
-        closeWithReason("closed here");
+        closeWithReason("closed by this process");
     }
 
     private static void closeQuietly(AutoCloseable closeable) {
@@ -229,11 +232,11 @@
                 closeable.close();
             }
         } catch (Exception e) {
-            // nothing is left to be done with it
+            // ignored: the channel is not used any more
         }
     }
 
-    /** The path at which a gatekeeper of this name and address listens for other processes of its own. */
+    /** Returns the socket path on which a gatekeeper with this name and listen address accepts its other processes. */
     public static Path socketPath(Path folder, String name, String listen) {
         return folder.resolve("reedmux-" + (name + '-' + listen).replaceAll("[^A-Za-z0-9.-]", "_") + ".sock");
     }
--- a/src/main/java/reedmux/gatekeeper/handover/HandoverCoordinator.java
+++ b/src/main/java/reedmux/gatekeeper/handover/HandoverCoordinator.java
@@ -10,48 +10,56 @@
 import reedmux.gatekeeper.policy.HandoverCounts.AccountUsage;
 
 /**
- * One process's part in hand-overs, by which a new process of a gatekeeper replaces the old one under load. A process
- * is first, perhaps, the successor of another, and may later be the predecessor of a third. The phases:
+ * Coordinates hand-overs, in which a new process of a gatekeeper replaces the old one under load. A process may first
+ * be the successor of another process and later the predecessor of a third one. The phases are:
  *
  * <ol>
- *   <li>The successor connects, both say hello and compare versions and rules.
- *   <li>Once it is ready, the successor requests a snapshot; the predecessor closes its peers' socket and sends it.
- *   <li>The successor restores them, opens the peers' socket, serves, and says so.
- *   <li>Both send each other what they count, until the predecessor has answered its last request and ends.
+ *   <li>The successor connects. Both processes send a hello frame and compare versions and rules.
+ *   <li>When the successor is ready, it requests a snapshot. The predecessor closes its peer socket and sends the
+ *     snapshot.
+ *   <li>The successor restores the snapshot, opens the peer socket, starts to serve, and notifies the predecessor.
+ *   <li>Both processes send each other the usage that they count, until the predecessor has answered its last request
+ *     and ends.
  * </ol>
  *
- * <p>Every step that fails leads to where the process would be without the other one. Frames are handled on threads of
- * the connection; state that they share with the gatekeeper's loop is guarded by this object's monitor.
+ * <p>If a step fails, each process continues as if the other one did not exist. Frames are handled on the threads of
+ * the connection; state that these share with the gatekeeper's event loop is guarded by the monitor of this object.
  */
 public final class HandoverCoordinator implements HandoverConnection.HandoverFrameHandler, AutoCloseable {
-    /** How long the other process may take to answer; a busy one answers within a few iterations of its loop. */
+    /**
+     * Maximum time for a reply of the other process. Even a busy process replies within a few iterations of its event
+     * loop.
+     */
     private static final long REPLY_TIMEOUT_MILLIS = 1_000;
 
-    /** What a hand-over asks of the gatekeeper; on the loop's thread unless it says otherwise. */
+    /**
+     * The operations that a hand-over requires of the gatekeeper. They are called on the event loop's thread unless
+     * documented otherwise.
+     */
     public interface HandoverHost {
-        /** Has a task run on the loop's thread; from any thread. */
+        /** Runs a task on the event loop's thread; may be called from any thread. */
         void runOnLoop(Runnable task);
 
-        /** Closes the peers' socket, and returns what was counted. */
+        /** Closes the peer socket and returns a snapshot of all counts. */
         List<HandoverFrame.ServiceSnapshot> releaseAndSnapshot();
 
-        /** Goes on from what another process has counted, and opens the peers' socket. */
+        /** Restores the snapshots of another process, and opens the peer socket. */
         void restoreAndOpen(List<HandoverFrame.ServiceSnapshot> snapshots);
 
-        /** Counts what the other process has counted since. */
+        /** Adds usage that the other process has counted. */
         void addUsage(String service, List<AccountUsage> usage);
 
-        /** Returns what was counted here since the last time. */
+        /** Returns the usage counted by this process since the last call. */
         List<HandoverFrame.ServiceUsage> takeUsage();
 
         /**
-         * The other process has gone.
+         * Handles the end of the connection to the other process.
          *
-         * @param wasSuccessor whether it had taken our place, which is ours again
+         * @param wasSuccessor whether the other process had taken over from this one, which now serves alone again
          */
         void onOtherProcessDisconnected(boolean wasSuccessor);
 
-        /** Notes whether another process serves in our place; from any thread. */
+        /** Records whether a successor serves in place of this process; may be called from any thread. */
         void setSuccessorServing(boolean serving);
     }
 
@@ -72,10 +80,10 @@
     private boolean abandoned;
 
     /**
-     * A coordinator that neither connects nor listens yet.
+     * Creates a coordinator, which neither connects nor listens yet.
      *
-     * @param rules all that must be the same in two processes for their counts to mean the same
-     * @param log   receives lines for the log, on any thread
+     * @param rules description of all settings that must be equal in both processes for their counts to be compatible
+     * @param log   receives log lines, on any thread
      */
     public HandoverCoordinator(Path socketPath, String rules, HandoverHost host, Consumer<String> log) {
         this.socketPath = socketPath;
@@ -84,11 +92,11 @@
         ownHello = new HandoverFrame.HandoverHello(HandoverFrameCodec.PROTOCOL_VERSION, rules);
     }
 
-    // ---- The successor -------------------------------------------------------------------------------------------
+    // ---- As the successor ----------------------------------------------------------------------------------------
     /**
-     * Connects to another process of this gatekeeper and waits for its hello.
+     * Connects to another process of this gatekeeper and waits for its hello frame.
      *
-     * @return whether one runs, be it one of another version, which hands nothing over
+     * @return whether such a process is running, even if its version is incompatible and it hands nothing over
      */
     public boolean connectToPredecessor() throws InterruptedException {
         HandoverConnection connection = HandoverConnection.connect(socketPath, this);
@@ -106,9 +114,10 @@
     }
 
     /**
-     * Takes over what the predecessor has counted, if there is one; to be called when all else is ready.
+     * Requests the counts of the predecessor, if there is one, and restores them. To be called when everything else is
+     * ready.
      *
-     * @return whether the counts are restored
+     * @return whether the counts have been restored
      */
     public boolean takeOverCounts() throws InterruptedException {
         HandoverConnection connection;
@@ -123,7 +132,7 @@
         CountDownLatch restored = new CountDownLatch(1);
         synchronized (this) {
             if (!complete || predecessor == null) {
-                abandonTakeover("the other process does not tell what it has counted");
+                abandonTakeover("no complete snapshot was received from the other process");
                 return false;
             }
             snapshotRestored = true;
@@ -150,7 +159,7 @@
         snapshotReceived.countDown();
     }
 
-    /** This process serves now: the predecessor is notified, and successors may connect. */
+    /** Notifies the predecessor that this process serves now, and starts listening for a successor. */
     public synchronized void onServing() {
         if (predecessor != null) {
             predecessor.send(new HandoverFrame.SuccessorServing());
@@ -169,17 +178,17 @@
         }
     }
 
-    // ---- The predecessor -----------------------------------------------------------------------------------------
+    // ---- As the predecessor --------------------------------------------------------------------------------------
     private synchronized void onSuccessorConnected(
             HandoverConnection connection, HandoverConnection.HandoverServer acceptedBy) {
         if (successor != null || closed || acceptedBy != server && server != null) {
-            connection.close(); // one at a time
+            connection.close(); // only one successor at a time
         } else {
             successor = connection;
         }
     }
 
-    /** Ends this process's part; a process that starts now starts from nothing. */
+    /** Ends the hand-over for this process. A process that starts afterwards takes over no counts from it. */
     @Override
     public synchronized void close() {
         closed = true;
@@ -196,8 +205,10 @@
         }
     }
 
-    // ---- Either one ----------------------------------------------------------------------------------------------
-    /** Sends the other process what was counted here; on the loop's thread, every few dozen milliseconds. */
+    // ---- In both roles -------------------------------------------------------------------------------------------
+    /**
+     * Sends the other process the usage counted here. Called on the event loop's thread, every few dozen milliseconds.
+     */
     public void sendUsage() {
         HandoverConnection peer = usagePeer;
         if (peer != null) {
@@ -207,7 +218,7 @@
         }
     }
 
-    /** Whether there is another process to send counts to. */
+    /** Returns whether there is another process to exchange usage with. */
     public boolean isExchangingUsage() {
         return usagePeer != null;
     }
@@ -293,7 +304,7 @@
         }
     }
 
-    /** The successor has gone, so that its place is ours again, and others may connect. */
+    /** Resumes serving in place of a successor that has disconnected, and listens for another one. */
     private void resumeServing(String reason) {
         log.accept("hand-over: the process that took our place has gone (" + reason + "); serving on");
         host.setSuccessorServing(false);
--- a/src/main/java/reedmux/gatekeeper/handover/HandoverFrame.java
+++ b/src/main/java/reedmux/gatekeeper/handover/HandoverFrame.java
@@ -4,26 +4,26 @@
 import reedmux.gatekeeper.policy.HandoverCounts.AccountSnapshot;
 import reedmux.gatekeeper.policy.HandoverCounts.AccountUsage;
 
-/** The messages between two processes of one gatekeeper, as one replaces the other. */
+/** The messages that two processes of one gatekeeper exchange while one replaces the other. */
 public sealed interface HandoverFrame {
 
     /**
-     * The first message of either side.
+     * The first message that each side sends.
      *
-     * @param version of these frames
-     * @param rules   all that must be the same for counts to mean the same
+     * @param version version of the frame protocol
+     * @param rules   description of all settings that must be equal in both processes for their counts to be compatible
      */
     record HandoverHello(int version, String rules) implements HandoverFrame {}
 
-    /** The successor is ready and requests what was counted. */
+    /** Sent by the successor when it is ready, to request a snapshot of the counts. */
     record SnapshotRequest() implements HandoverFrame {}
 
-    /** What one service's policy has counted; {@code last} in the one of the last service. */
+    /** The counts of one service's policy; {@code last} is true in the frame of the last service. */
     record ServiceSnapshot(String service, List<AccountSnapshot> accounts, boolean last) implements HandoverFrame {}
 
-    /** The successor serves. */
+    /** Sent by the successor when it has started to serve. */
     record SuccessorServing() implements HandoverFrame {}
 
-    /** What one service's policy has counted since the last time. */
+    /** The usage counted by one service's policy since the last frame of this type. */
     record ServiceUsage(String service, List<AccountUsage> accounts) implements HandoverFrame {}
 }
--- a/src/main/java/reedmux/gatekeeper/handover/HandoverFrameCodec.java
+++ b/src/main/java/reedmux/gatekeeper/handover/HandoverFrameCodec.java
@@ -13,27 +13,27 @@
 import reedmux.gatekeeper.policy.HandoverCounts.AccountUsage;
 
 /**
- * The form of a {@link HandoverFrame}: the body's length in four bytes, a letter for its kind, its fields as {@link
- * DataOutputStream} writes them.
+ * Encodes and decodes {@link HandoverFrame}s. A frame consists of the length of its body in four bytes, one letter for
+ * its type, and its fields as {@link DataOutputStream} writes them.
  */
 public final class HandoverFrameCodec {
-    /** Processes of different versions hand nothing over. */
+    /** Version of the frame protocol. Processes with different versions hand nothing over. */
     public static final int PROTOCOL_VERSION = 1;
-    /** Bytes of a frame's body at most: some fifty thousand customers. */
+    /** Maximum length of a frame body in bytes, which is enough for about fifty thousand customers. */
     static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
 
     private static final int NEIGHBOUR_SLOTS = 3;
 
     private HandoverFrameCodec() {}
 
-    /** A frame's bytes, with its length in front. */
+    /** Returns the bytes of a frame, including the length prefix. */
     public static byte[] encode(HandoverFrame frame) {
         ByteArrayOutputStream buffer = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(buffer)) {
             out.writeInt(0);
             write(frame, out);
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // writing to memory does no I/O
+            throw new UncheckedIOException(e); // not expected: writing to memory performs no I/O
         }
         byte[] bytes = buffer.toByteArray();
         int length = bytes.length - Integer.BYTES;
@@ -99,9 +99,9 @@
     }
 
     /**
-     * Reads a frame's body.
+     * Decodes the body of a frame.
      *
-     * @throws IOException where it is no frame, or bytes follow it
+     * @throws IOException if it is not a valid frame, or if more bytes follow the frame
      */
     public static HandoverFrame decode(byte[] body) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(body));
@@ -109,10 +109,10 @@
         try {
             frame = decode(in);
         } catch (EOFException e) {
-            throw new IOException("a frame is cut short", e);
+            throw new IOException("truncated frame", e);
         }
         if (in.available() > 0) {
-            throw new IOException(in.available() + " bytes behind a frame");
+            throw new IOException(in.available() + " bytes after the end of the frame");
         }
         return frame;
     }
@@ -125,7 +125,7 @@
             case 'C' -> readSnapshot(in);
             case 'S' -> new HandoverFrame.SuccessorServing();
             case 'D' -> readUsage(in);
-            default -> throw new IOException("no frame begins with " + kind);
+            default -> throw new IOException("unknown frame type: " + kind);
         };
     }
 
@@ -134,7 +134,7 @@
         boolean last = in.readBoolean();
         int size = in.readInt();
         List<AccountSnapshot> accounts = new ArrayList<>();
-        for (int i = 0; i < size; i++) { // a size that is too large ends with the body
+        for (int i = 0; i < size; i++) { // if size is too large, reading ends with an EOFException
             long customer = in.readLong();
             int plan = in.readShort();
             int firstMember = in.readInt();
@@ -182,7 +182,7 @@
     private static double readFiniteDouble(DataInputStream in) throws IOException {
         double value = in.readDouble();
         if (!Double.isFinite(value)) {
-            throw new IOException("a count is no number");
+            throw new IOException("count is not a finite number");
         }
         return value;
     }
--- a/src/main/java/reedmux/gatekeeper/handover/package-info.java
+++ b/src/main/java/reedmux/gatekeeper/handover/package-info.java
@@ -1,7 +1,8 @@
 /**
- * One process of a gatekeeper replaces another under load. {@link reedmux.gatekeeper.handover.HandoverCoordinator}
- * knows the phases, {@link reedmux.gatekeeper.handover.HandoverConnection} is the socket, and {@link
- * reedmux.gatekeeper.handover.HandoverFrameCodec} is the form of the messages and knows no I/O. What was counted is
- * carried over by {@link reedmux.gatekeeper.policy.HandoverCounts}.
+ * Hand-over: replaces one process of a gatekeeper by another under load. {@link
+ * reedmux.gatekeeper.handover.HandoverCoordinator} controls the phases, {@link
+ * reedmux.gatekeeper.handover.HandoverConnection} manages the socket, and {@link
+ * reedmux.gatekeeper.handover.HandoverFrameCodec} encodes and decodes the messages without performing I/O. {@link
+ * reedmux.gatekeeper.policy.HandoverCounts} transfers the counts.
  */
 package reedmux.gatekeeper.handover;
--- a/src/main/java/reedmux/gatekeeper/service/AdmissionControl.java
+++ b/src/main/java/reedmux/gatekeeper/service/AdmissionControl.java
@@ -4,38 +4,38 @@
 import java.util.List;
 
 /**
- * Admission control over several services. Of the requests in flight, and of the bytes that they buffer, each service
- * has a share by its weight and may borrow what others leave unused. A service within its share is admitted at once,
- * even while others have borrowed from it: so both totals can exceed their limit by what is lent, which is why the
- * limits are set to half of what the process has memory for.
+ * Admission control for several services. The limits on requests in flight and on the bytes that they buffer are
+ * divided between the services by weight, and a service may borrow what others leave unused. A service within its share
+ * is admitted at once, even while others have borrowed from it. Both totals can therefore exceed their limits by the
+ * borrowed amount, which is why the limits are set to half of what the memory of the process allows.
  *
- * <p>Times are microseconds. Owned by the event loop's thread.
+ * <p>Times are in microseconds. Used only by the event loop's thread.
  */
 public final class AdmissionControl {
-    /** The fraction of a share that is never lent. */
+    /** The fraction of each share that other services cannot borrow. */
     private static final double RESERVED_FRACTION = 0.5;
-    /** Advice to rejected requests until a residence time has been measured. */
+    /** Retry delay of rejected requests until a residence time has been measured. */
     private static final long INITIAL_RETRY_AFTER_MICROS = 100_000;
 
     private static final long MIN_RETRY_AFTER_MICROS = 20_000;
     private static final long MAX_RETRY_AFTER_MICROS = 5_000_000;
-    /** The weight of the last request in the mean residence time. */
+    /** Weight of the latest request in the exponential moving average of the residence time. */
     private static final double RESIDENCE_SMOOTHING = 0.05;
-    /** Bytes are counted in blocks of this size. */
+    /** Buffered bytes are counted in blocks of this size. */
     private static final int BLOCK_BYTES = 1024;
 
-    /** A service's own limits, which hold whatever others leave unused. */
+    /** Limits of a single service, which apply even if other services leave capacity unused. */
     public record AdmissionLimits(int maxInFlight, long maxBytes) {
-        /** No limits but the shares. */
+        /** No limits other than the shares. */
         public static final AdmissionLimits UNLIMITED = new AdmissionLimits(Integer.MAX_VALUE, Long.MAX_VALUE);
     }
 
-    /** Whether a request is admitted; if not, after how long it may be sent again. */
+    /** The decision on a request and, if it is rejected, the time after which it may be retried. */
     public record AdmissionDecision(boolean admitted, long retryAfterMicros) {}
 
     private static final AdmissionDecision ADMITTED = new AdmissionDecision(true, 0);
 
-    /** What one service uses. */
+    /** The capacity that one service uses. */
     private static final class AdmittedUsage {
         AdmissionLimits limits = AdmissionLimits.UNLIMITED;
         int inFlight;
@@ -50,21 +50,26 @@
     private final List<Integer> blockShares = new ArrayList<>();
     private long usedBlocks;
 
-    /** Limits over all services: requests in flight, and the bytes that they buffer. */
+    /**
+     * Creates an admission control without services.
+     *
+     * @param maxInFlight limit on the requests in flight, for all services together
+     * @param maxBytes    limit on the bytes that these requests buffer
+     */
     public AdmissionControl(int maxInFlight, long maxBytes) {
         requestBudget = new SharedBudget(maxInFlight, RESERVED_FRACTION);
         totalRequests = maxInFlight;
         totalBlocks = (int) Math.max(1, maxBytes / BLOCK_BYTES);
     }
 
-    /** Adds a service without a share; returns its number. */
+    /** Adds a service with an empty share and returns its index. */
     public int addService() {
         services.add(new AdmittedUsage());
         blockShares.add(0);
         return requestBudget.addShare(0);
     }
 
-    /** Sets the shares of all services by their weights, 0 for one that drains, and their own limits. */
+    /** Sets the shares of all services by weight, which is 0 for a draining service, and the limits of each service. */
     public void setWeights(List<Double> weights, List<AdmissionLimits> limits) {
         double sum = weights.stream().mapToDouble(Double::doubleValue).sum();
         for (boolean grow : new boolean[] {false, true}) {
@@ -81,7 +86,10 @@
         }
     }
 
-    /** Decides on a request that buffers so many bytes; {@link #onRequestEnded} has to follow if it is admitted. */
+    /**
+     * Decides on a request that buffers {@code bytes} bytes. If it is admitted, {@link #onRequestEnded} must be called
+     * when it ends.
+     */
     public AdmissionDecision admit(int service, long bytes) {
         AdmittedUsage usage = services.get(service);
         long blocks = blocksFor(bytes);
@@ -107,12 +115,15 @@
         return result.decision() == SharedBudget.BudgetDecision.GRANTED;
     }
 
-    /** The decision on a request for which the service's queue has no place. */
+    /** Returns the rejection of a request for which the queue of its service is full. */
     public AdmissionDecision rejectQueueFull(int service) {
         return new AdmissionDecision(false, retryAfterMicros(services.get(service)));
     }
 
-    /** A request that had been admitted has ended, {@code residenceMicros} after that; 0 if it was never started. */
+    /**
+     * Records the end of an admitted request, {@code residenceMicros} after its admission, or 0 if it was never
+     * started.
+     */
     public void onRequestEnded(int service, long bytes, long residenceMicros) {
         AdmittedUsage usage = services.get(service);
         requestBudget.release(service);
@@ -124,7 +135,10 @@
         }
     }
 
-    /** After a mean residence time about half of the requests in flight have ended. */
+    /**
+     * Returns the mean residence time, after which about half of the requests in flight have ended, within fixed
+     * bounds.
+     */
     private static long retryAfterMicros(AdmittedUsage usage) {
         return (long) Math.max(MIN_RETRY_AFTER_MICROS, Math.min(MAX_RETRY_AFTER_MICROS, usage.meanResidenceMicros));
     }
@@ -133,7 +147,7 @@
         return 1 + bytes / BLOCK_BYTES;
     }
 
-    /** Blocks that the other services have not used of what is never lent. */
+    /** Returns the number of unused blocks that are reserved for other services. */
     private long blocksReservedForOthers(int service) {
         long reserved = 0;
         for (int i = 0; i < services.size(); i++) {
@@ -144,12 +158,12 @@
         return reserved;
     }
 
-    /** Requests of a service that are in flight. */
+    /** Returns the number of admitted requests of a service that are in flight. */
     public int inFlight(int service) {
         return services.get(service).inFlight;
     }
 
-    /** Bytes that a service's requests buffer, rounded up to blocks. */
+    /** Returns the number of bytes that the requests of a service buffer, rounded up to blocks. */
     public long bufferedBytes(int service) {
         return services.get(service).usedBlocks * BLOCK_BYTES;
     }
--- a/src/main/java/reedmux/gatekeeper/service/DeficitRoundRobinQueue.java
+++ b/src/main/java/reedmux/gatekeeper/service/DeficitRoundRobinQueue.java
@@ -6,23 +6,23 @@
 import java.util.List;
 
 /**
- * Several queues, served by deficit round robin (Shreedhar and Varghese, 1995): in its turn each queue may spend its
- * quantum, and the rest is carried over while it has work. A flood of one queue makes only that one long; any other
- * waits for at most one quantum of each. All queues are bounded.
+ * A set of bounded queues scheduled by deficit round robin (Shreedhar and Varghese, 1995). In its turn, each queue may
+ * dequeue items up to its quantum; the unused remainder is carried over while the queue has items. If one queue is
+ * flooded, only that queue grows long: every other queue waits for at most one quantum of each queue.
  *
- * <p>Round robin by items would favour queues with expensive items; fair queueing by virtual time has tighter bounds,
- * but costs a logarithm of the queues for each item. With costs that differ by a factor of ten, and dozens of queues,
- * the constant cost was preferred.
+ * <p>Plain round robin by item would favour queues with expensive items. Fair queueing by virtual time has tighter
+ * bounds, but its cost per item is logarithmic in the number of queues. With costs that differ by a factor of ten and
+ * with dozens of queues, the constant cost per item is preferable.
  *
- * @param <E> an item of work
+ * @param <E> type of the items
  */
 public final class DeficitRoundRobinQueue<E> {
-    /** An item and the queue that it comes from. */
+    /** An item and the index of the queue it was taken from. */
     public record ScheduledItem<E>(int queue, E item) {}
 
     private record QueuedItem<E>(E item, long cost) {}
 
-    /** One queue; what it has not spent of its quanta is its deficit counter. */
+    /** One queue. Its deficit counter is the part of its quanta that it has not used. */
     private static final class WeightedQueue<E> {
         final Deque<QueuedItem<E>> items = new ArrayDeque<>();
         long quantum;
@@ -37,7 +37,7 @@
     }
 
     private final List<WeightedQueue<E>> queues = new ArrayList<>();
-    /** The queues that have work, the one whose turn it is first. */
+    /** Indices of the queues that have items; the queue whose turn it is comes first. */
     private final Deque<Integer> activeQueues = new ArrayDeque<>();
 
     private int size;
@@ -45,10 +45,10 @@
     /**
      * Adds a queue.
      *
-     * @param quantum  what it may spend in its turn, in the unit of the costs; {@link #poll} takes constant time if it
-     *                 is no less than the highest cost of an item
-     * @param maxItems items that it may hold
-     * @return the queue's number
+     * @param quantum  cost that it may dequeue in its turn, in the unit of the item costs; {@link #poll} takes constant
+     *                 time if the quantum is at least the highest cost of an item
+     * @param maxItems maximum number of items
+     * @return the index of the queue
      */
     public int addQueue(long quantum, int maxItems) {
         checkPositive(quantum, maxItems);
@@ -56,7 +56,7 @@
         return queues.size() - 1;
     }
 
-    /** Changes a queue's quantum and capacity. */
+    /** Changes the quantum and the capacity of a queue. */
     public void configure(int queue, long quantum, int maxItems) {
         checkPositive(quantum, maxItems);
         queues.get(queue).quantum = quantum;
@@ -65,14 +65,14 @@
 
     private static void checkPositive(long quantum, int maxItems) {
         if (quantum <= 0 || maxItems <= 0) {
-            throw new IllegalArgumentException("a queue needs a quantum and a capacity: " + quantum + ", " + maxItems);
+            throw new IllegalArgumentException("quantum and capacity must be positive: " + quantum + ", " + maxItems);
         }
     }
 
-    /** Adds an item with a positive cost; returns false if the queue is full. */
+    /** Adds an item with a positive cost. Returns false if the queue is full. */
     public boolean offer(int queue, E item, long cost) {
         if (cost <= 0) {
-            throw new IllegalArgumentException("an item needs a positive cost: " + cost);
+            throw new IllegalArgumentException("cost must be positive: " + cost);
         }
         if (queues.get(queue).items.size() >= queues.get(queue).maxItems) {
             return false;
@@ -88,12 +88,12 @@
         size++;
         if (!target.active) {
             target.active = true;
-            target.deficit = 0; // an idle queue saves nothing
+            target.deficit = 0; // an idle queue does not accumulate deficit
             activeQueues.add(queue);
         }
     }
 
-    /** The next item, or null if there is none. */
+    /** Removes and returns the next item, or returns null if all queues are empty. */
     public ScheduledItem<E> poll() {
         while (!activeQueues.isEmpty()) {
             int number = activeQueues.peek();
@@ -113,24 +113,24 @@
                 queue.active = false;
                 activeQueues.poll();
             } else if (queue.deficit < queue.items.peek().cost) {
-                activeQueues.add(activeQueues.poll()); // its turn has ended
+                activeQueues.add(activeQueues.poll()); // the remaining deficit is too small, which ends the turn
             }
             return new ScheduledItem<>(number, next.item);
         }
         return null;
     }
 
-    /** How many queues there are. */
+    /** Returns the number of queues. */
     public int queueCount() {
         return queues.size();
     }
 
-    /** Items of one queue. */
+    /** Returns the number of items in one queue. */
     public int sizeOf(int queue) {
         return queues.get(queue).items.size();
     }
 
-    /** Items of all queues. */
+    /** Returns the number of items in all queues. */
     public int size() {
         return size;
     }
--- a/src/main/java/reedmux/gatekeeper/service/DescriptorBudget.java
+++ b/src/main/java/reedmux/gatekeeper/service/DescriptorBudget.java
@@ -6,10 +6,10 @@
 import reedmux.gatekeeper.http.UpstreamConnectionPool;
 
 /**
- * Divides the descriptors for connections to providers between the services. What one leaves unused others may borrow;
- * it is reclaimed by closing an idle connection of the service that has borrowed the most. If that one has no idle
- * connection the service has to wait until a call ends, which is why a part of each share is never lent. For all
- * threads.
+ * Divides the file descriptors for connections to providers between the services. A service may borrow descriptors that
+ * others leave unused. A borrowed descriptor is reclaimed by closing an idle connection of the service that has
+ * borrowed the most. If that service has no idle connection, the requesting service must wait until a call ends, which
+ * is why a part of each share cannot be borrowed. Thread-safe.
  */
 public final class DescriptorBudget {
     private static final double RESERVED_FRACTION = 0.5;
@@ -18,25 +18,26 @@
     private final int total;
     private final Map<Integer, BooleanSupplier> evictors = new HashMap<>();
 
-    /** A budget of so many descriptors. */
+    /** Creates a budget of {@code total} descriptors. */
     public DescriptorBudget(int total) {
         budget = new SharedBudget(total, RESERVED_FRACTION);
         this.total = total;
     }
 
-    /** Adds a service without a share. */
+    /** Adds a service with an empty share and returns its index. */
     synchronized int addService() {
         return budget.addShare(0);
     }
 
     /**
-     * Sets what closes an idle connection of a service and releases its descriptor; it returns false if none is idle.
+     * Sets the function that closes an idle connection of a service and releases its descriptor. It returns false if no
+     * connection is idle.
      */
     synchronized void setEvictor(int service, BooleanSupplier evictor) {
         evictors.put(service, evictor);
     }
 
-    /** Sets the shares by the services' weights. */
+    /** Sets the shares in proportion to the services' weights. */
     synchronized void setWeights(double[] weights) {
         double sum = 0;
         for (double weight : weights) {
@@ -52,7 +53,7 @@
         }
     }
 
-    /** The permits of one service. */
+    /** Returns the connection permits of one service. */
     UpstreamConnectionPool.ConnectionPermits permitsOf(int service) {
         return new UpstreamConnectionPool.ConnectionPermits() {
             @Override
@@ -79,14 +80,16 @@
                 }
                 evictor = evictors.get(result.reclaimFrom());
             }
-            // Without our lock: the evictor takes its pool's lock first, and then ours to release the descriptor.
+            // Called without holding this lock: the evictor first acquires its pool's lock, and then this one to
+            // release
+            // the descriptor.
             if (evictor == null || !evictor.getAsBoolean()) {
                 return false;
             }
         }
     }
 
-    /** Descriptors that a service uses. */
+    /** Returns the number of descriptors that a service uses. */
     synchronized int used(int service) {
         return budget.used(service);
     }
--- a/src/main/java/reedmux/gatekeeper/service/RoutingFrontend.java
+++ b/src/main/java/reedmux/gatekeeper/service/RoutingFrontend.java
@@ -9,8 +9,8 @@
 import reedmux.gatekeeper.routing.RouteTable;
 
 /**
- * The frontend of all services: routes each request by host and path to its service, whose frontend parses it. A
- * request whose host or path is ambiguous is rejected and its connection closed.
+ * The common frontend of all services. It routes each request by host and path to its service, whose frontend parses
+ * the request. A request with an ambiguous host or path is rejected, and its connection is closed.
  */
 public final class RoutingFrontend implements RequestFrontend {
     private final MonotonicClock clock;
@@ -20,7 +20,7 @@
         this.clock = clock;
     }
 
-    /** Routes the requests that are parsed from now on. */
+    /** Replaces the routing for all requests parsed from now on. */
     void setRouting(ServiceRouting newRouting) {
         routing = newRouting;
     }
--- a/src/main/java/reedmux/gatekeeper/service/ServiceManager.java
+++ b/src/main/java/reedmux/gatekeeper/service/ServiceManager.java
@@ -21,21 +21,24 @@
 
 /**
  * Owns the services of one gatekeeper: creates them, replaces them when the settings are reloaded, and routes requests
- * to them. What they do on the event loop is {@link ServiceScheduler}'s.
+ * to them. {@link ServiceScheduler} runs them on the event loop.
  *
- * <p>The monitor guards what is created and reloaded. Methods that say so are for the event loop's thread only.
+ * <p>The monitor guards creation and reloading. Methods documented as such may only be called by the event loop's
+ * thread.
  */
 public final class ServiceManager implements AutoCloseable {
-    /** How long a reload waits for the provider lists of new services before requests are routed to them. */
+    /**
+     * Maximum time for which a reload waits for the provider lists of new services before it routes requests to them.
+     */
     private static final long PROVIDER_LIST_TIMEOUT_MILLIS = 3_000;
 
     /**
-     * What the services share.
+     * Capacity that the services share.
      *
-     * @param maxInFlight    requests in flight over all services
-     * @param maxBytes       bytes that these buffer
-     * @param maxDescriptors descriptors for connections to providers
-     * @param fair           whether services take turns, or events are handled in the order of their arrival
+     * @param maxInFlight    limit on the requests in flight, for all services together
+     * @param maxBytes       limit on the bytes that these requests buffer
+     * @param maxDescriptors number of file descriptors for connections to providers
+     * @param fair           whether services are scheduled in turn; otherwise events are handled in order of arrival
      */
     public record SharedCapacity(int maxInFlight, long maxBytes, int maxDescriptors, boolean fair) {}
 
@@ -51,10 +54,10 @@
     private final ServiceScheduler scheduler;
     private SharedResources sharedResources;
     private int slotCount;
-    /** The services that requests are routed to, in the order of the settings. */
+    /** The services to which requests are routed, in the order of the settings. */
     private List<ServiceRuntime> currentServices = List.of();
 
-    /** A manager without services. */
+    /** Creates a manager without services. */
     public ServiceManager(
             SharedCapacity capacity,
             MonotonicClock clock,
@@ -74,28 +77,29 @@
         scheduler = new ServiceScheduler(eventLoop, capacity, log);
     }
 
-    /** Parses the consumers' requests and routes them to the services. */
+    /** Returns the frontend that parses the consumers' requests and routes them to the services. */
     public RequestFrontend frontend() {
         return frontend;
     }
 
-    /** The loop that runs all services. */
+    /** Returns the event loop that runs all services. */
     public GatekeeperLoop eventLoop() {
         return eventLoop;
     }
 
-    /** What the event loop runs: all services. */
+    /** Returns the tasks of the event loop, which run all services. */
     public GatekeeperLoop.LoopTasks loopTasks() {
         return scheduler;
     }
 
     // ---- Start and reload --------------------------------------------------------------------------
     /**
-     * Creates the first services; to be called once, before the event loop runs.
+     * Creates the initial services. Must be called once, before the event loop runs.
      *
-     * @param setups     the platform's own service first
-     * @param routes     by the services' indices; null if one service takes all requests
-     * @param forwarding to other regions, of the platform's own service; may be null
+     * @param setups     the services to create, beginning with the default service
+     * @param routes     the routes to the services, by their indices in {@code setups}; null if a single service
+     *                   receives all requests
+     * @param forwarding forwarding to other regions, for the default service; may be null
      */
     public synchronized void open(
             ConnectionInitiator reactor, List<ServiceSetup> setups, RouteTable routes, RegionForwarding forwarding) {
@@ -121,7 +125,9 @@
         return service;
     }
 
-    /** The current services by their indices in the routes; the last index stands for no service. */
+    /**
+     * Returns the current services by their route index; the last index stands for requests without a matching service.
+     */
     private List<ServiceRuntime> routeTargets() {
         List<ServiceRuntime> targets = new ArrayList<>(currentServices);
         targets.add(null);
@@ -135,17 +141,17 @@
         descriptorBudget.setWeights(weights);
     }
 
-    /** Starts to watch discovery for all services. */
+    /** Starts watching service discovery for all services. */
     public synchronized void start() {
         currentServices.forEach(ServiceRuntime::startDiscovery);
     }
 
     /**
-     * Replaces services and routes. A service with the same name and rules continues with all its state. New ones get
-     * their provider lists first, for {@link #PROVIDER_LIST_TIMEOUT_MILLIS} at most; then all routes change at once, and
-     * services that are no longer set drain and end.
+     * Replaces the services and routes. A service that keeps its name and rules continues with its complete state. For
+     * new services, this method first waits up to {@link #PROVIDER_LIST_TIMEOUT_MILLIS} for their provider lists. Then
+     * all routes are replaced at once, and services that are no longer configured drain and end.
      *
-     * <p>Blocks; to be called by one thread at a time, neither the event loop's nor the I/O thread.
+     * <p>Blocks. Must not be called by several threads at a time, nor by the event loop's thread or the I/O thread.
      */
     public synchronized void reload(List<ServiceSetup> setups, RouteTable routes) throws InterruptedException {
         List<ServiceRuntime> newServices = new ArrayList<>();
@@ -211,43 +217,46 @@
         return services.stream().map(ServiceRuntime::name).toList();
     }
 
-    /** The platform's own service; for all threads. */
+    /** Returns the default service; thread-safe. */
     public ServiceRuntime defaultService() {
         return frontend.routing().defaultService();
     }
 
-    /** The names of the services that requests are routed to. */
+    /** Returns the names of the services to which requests are routed. */
     public synchronized List<String> serviceNames() {
         return names(currentServices);
     }
 
-    /** Has the event loop run a task at its next turn; for all threads. */
+    /** Runs a task in the next iteration of the event loop; thread-safe. */
     public void runInEventLoop(Runnable task) {
         scheduler.post(task);
     }
 
-    // ---- For the event loop's thread ---------------------------------------------------------------
-    /** Requests without an answer yet, in all services; for the event loop's thread. */
+    // ---- Called by the event loop's thread ---------------------------------------------------------------
+    /** Returns the number of requests of all services that have not been answered; for the event loop's thread. */
     public int unansweredCount() {
         return scheduler.unansweredCount();
     }
 
-    /** Closes idle connections and ends services that have drained; for the event loop's thread, now and then. */
+    /** Closes idle connections and ends drained services. Called periodically, by the event loop's thread. */
     public void sweep(long now) {
         scheduler.sweep(now);
     }
 
-    /** What is handed over to a process that replaces this one, by service; for the event loop's thread. */
+    /**
+     * Returns the counts of each service, by name, that are handed over to a process that replaces this one; for the
+     * event loop's thread.
+     */
     public Map<String, HandoverCounts> handoverCounts() {
         return scheduler.handoverCounts();
     }
 
-    /** Datagrams of services that are unknown here; for the event loop's thread. */
+    /** Returns the number of received datagrams for services that do not exist here; for the event loop's thread. */
     public long unknownServiceMessages() {
         return scheduler.unknownServiceMessages();
     }
 
-    /** Closes all services; for the event loop's thread, after its last turn. */
+    /** Closes all services; for the event loop's thread, after its last iteration. */
     @Override
     public void close() {
         scheduler.close();
--- a/src/main/java/reedmux/gatekeeper/service/ServiceRouting.java
+++ b/src/main/java/reedmux/gatekeeper/service/ServiceRouting.java
@@ -4,15 +4,16 @@
 import reedmux.gatekeeper.routing.RouteTable;
 
 /**
- * The routes and the services that they lead to. A reload replaces both at once; a request stays with the service that
- * it was routed to.
+ * The routes and the services they lead to. A reload replaces both at once; a request in progress stays with the
+ * service to which it was routed.
  *
- * @param routes  null if one service takes all requests
- * @param targets the services by their indices in the routes; the last one is null, for requests that nobody serves
+ * @param routes  null if a single service receives all requests
+ * @param targets the services by route index; the last element is null and stands for requests without a matching
+ *                service
  */
 public record ServiceRouting(RouteTable routes, List<ServiceRuntime> targets) {
 
-    /** The platform's own service. */
+    /** Returns the default service. */
     ServiceRuntime defaultService() {
         return targets.get(0);
     }
--- a/src/main/java/reedmux/gatekeeper/service/ServiceRuntime.java
+++ b/src/main/java/reedmux/gatekeeper/service/ServiceRuntime.java
@@ -32,20 +32,23 @@
 import reedmux.gatekeeper.reducer.UpstreamCall;
 
 /**
- * What one service has for itself: its policy and state, its provider list and discovery, its connections and calls.
- * Services share none of it, even if their providers have the same addresses.
+ * A running service with everything that it does not share: its policy and state, its provider list and discovery, and
+ * its connections and calls. Services share none of these, even if their providers have the same addresses.
  *
- * <p>Any thread may {@link #post} events; they are reduced on the event loop, as the effects are executed.
+ * <p>Any thread may {@link #post} events. They are reduced on the event loop, which also executes the effects.
  */
 public final class ServiceRuntime implements ReducerEffects {
-    /** We close idle connections after this fraction of the time after which a provider would close them. */
+    /** Idle connections are closed after this fraction of the time after which a provider would close them. */
     private static final double IDLE_FRACTION = 0.5;
-    /** Advice to a request that was routed to a service just before that ended. */
+    /** Retry delay of a request that was routed to a service just before the service ended. */
     private static final long ENDED_RETRY_AFTER_MICROS = 100_000;
-    /** Requests that may be read but not decided on; beyond that connections wait unread. */
+    /**
+     * Maximum number of requests that have been read but not decided on. When it is reached, further connections are
+     * not read.
+     */
     private static final int MAX_UNDECIDED = 8;
 
-    /** What all services use together. */
+    /** Resources that all services use. */
     public record SharedResources(
             ConnectionInitiator reactor,
             MonotonicClock clock,
@@ -56,14 +59,14 @@
             BiConsumer<ServiceRuntime, Invocation> admittedRequestListener,
             Metrics metrics) {}
 
-    /** The access to other regions, which only the platform's own service has. */
+    /** Forwarding to other regions, which only the default service has. */
     public record RegionForwarding(RegionCoordinator coordinator, BiConsumer<UpstreamCall, ForwardedRequest> sender) {}
 
     private final SharedResources resources;
     private final RegionForwarding regionForwarding;
     private final String logPrefix;
     private final int tag;
-    /** Its number among the services; free for another one when it has ended. */
+    /** Index of this service; reused for another service after this one has ended. */
     final int slot;
 
     private final Queue<ReducerEvent> postedEvents = new ConcurrentLinkedQueue<>();
@@ -79,7 +82,7 @@
     private volatile ServiceSetup setup;
     private volatile boolean peerMessagesMuted;
     private volatile boolean closed;
-    /** Since when no request is routed to it, or 0; for the event loop alone. */
+    /** Time since which no request has been routed to this service, or 0; accessed only by the event loop. */
     private long drainingSince;
 
     private long rejectedCount;
@@ -124,7 +127,7 @@
         postedEvents.add(new ReducerEvent.ProvidersUpdated(service.knownProviders()));
     }
 
-    /** Starts to watch discovery. */
+    /** Starts watching service discovery. */
     void startDiscovery() {
         discoveryWatch.sendRequest();
     }
@@ -134,12 +137,12 @@
         providersKnown.countDown();
     }
 
-    /** Waits for the first list of discovery; returns false on a time-out. */
+    /** Waits for the first provider list from service discovery. Returns false on a timeout. */
     public boolean awaitProviders(long millis) throws InterruptedException {
         return providersKnown.await(millis, TimeUnit.MILLISECONDS);
     }
 
-    /** The name of the service. */
+    /** Returns the name of the service. */
     public String name() {
         return setup.name();
     }
@@ -168,39 +171,39 @@
         return connectionPool;
     }
 
-    /** Whether there is a provider to send requests to; for all threads. */
+    /** Returns whether there is a provider to which requests can be sent; thread-safe. */
     public boolean hasProvider() {
         return reducer.hasProviders();
     }
 
-    /** Whether the policy has found out, from its peers, that this process has been restarted. */
+    /** Returns whether the policy has detected, from the messages of its peers, that this process was restarted. */
     public boolean restartDetected() {
         return policy.restartDetected();
     }
 
-    /** The client, for the warm-up, which sends requests to our own address. */
+    /** Returns the client that calls providers. The warm-up uses it to send requests to the own address. */
     public ProviderClient client() {
         return providerClient;
     }
 
-    /** Whether this service can continue with another setup of the same name, keeping its state. */
+    /** Returns whether this service can continue with a new setup of the same name and keep its state. */
     boolean canContinueWith(ServiceSetup newSetup) {
         return tag == PoolTag.NONE || setup.service().hasSameRules(newSetup.service());
     }
 
-    /** Replaces the setup by one that it {@link #canContinueWith}. */
+    /** Replaces the setup. {@link #canContinueWith} must have returned true for the new one. */
     void applySetup(ServiceSetup newSetup) {
         setup = newSetup;
         discoveryWatch.setDiscovery(newSetup.service().discovery());
     }
 
-    /** Sends nothing to peers any more, since another service with the same name does. */
+    /** Stops sending messages to peers, because another service with the same name sends them from now on. */
     void mutePeerMessages() {
         peerMessagesMuted = true;
     }
 
-    // ---- For all threads ---------------------------------------------------------------------------
-    /** Adds an event for the event loop. A service that has ended rejects requests at once. */
+    // ---- Called by any thread ----------------------------------------------------------------------
+    /** Queues an event for the event loop. A service that has ended rejects requests at once. */
     public void post(ReducerEvent event) {
         if (event instanceof ReducerEvent.InvocationAccepted) {
             intakeLimiter.onRequestRead();
@@ -224,7 +227,7 @@
         }
     }
 
-    // ---- For the event loop ------------------------------------------------------------------------
+    // ---- Called by the event loop ------------------------------------------------------------------
     ReducerEvent poll() {
         return postedEvents.poll();
     }
@@ -233,7 +236,7 @@
         return !postedEvents.isEmpty();
     }
 
-    /** Rejects a request before the policy has seen it, as the service's share is used up. */
+    /** Rejects a request without passing it to the policy, because the service's share of the capacity is used up. */
     void reject(Invocation invocation, long retryAfterMicros) {
         rejectedCount++;
         sendAnswer(invocation, new FinalAnswer.Rejected(retryAfterMicros, false, true));
@@ -262,7 +265,7 @@
         return reducer.nextDue();
     }
 
-    /** Updates the metrics of the provider list. */
+    /** Updates the host metrics from the current provider list. */
     void updateHostMetrics() {
         metrics.setHosts(reducer.providerCount(), policy.ejectedServers());
     }
@@ -271,12 +274,12 @@
         return reducer.unansweredCount();
     }
 
-    /** What is handed over to a process that replaces this one. */
+    /** Returns the counts to be handed over to a process that replaces this one. */
     HandoverCounts handoverCounts() {
         return policy.handoverCounts();
     }
 
-    /** Limits the messages of peers that are processed in a second. */
+    /** Limits the number of peer messages that are processed per second. */
     void setPeerMessageRate(double perSecond) {
         policy.setPeerMessageLimit(perSecond);
     }
@@ -285,7 +288,7 @@
         return setup.service().settings().limits().peerMessagesPerSecond();
     }
 
-    /** No further request is routed here. */
+    /** Marks this service as draining: no further requests are routed to it. */
     void drain(long now) {
         drainingSince = now;
     }
@@ -298,12 +301,12 @@
         return drainingSince;
     }
 
-    /** Whether all its requests are answered and all its calls have ended. */
+    /** Returns whether all requests are answered and all calls have ended. */
     boolean isIdle() {
         return reducer.isIdle() && postedEvents.isEmpty();
     }
 
-    /** Ends it; connections in use are closed when their calls end. */
+    /** Closes this service. Connections in use are closed when their calls end. */
     void close() {
         closed = true;
         metrics.setHosts(0, 0);
--- a/src/main/java/reedmux/gatekeeper/service/ServiceScheduler.java
+++ b/src/main/java/reedmux/gatekeeper/service/ServiceScheduler.java
@@ -20,34 +20,37 @@
 import reedmux.gatekeeper.service.ServiceManager.SharedCapacity;
 
 /**
- * Runs the services of one gatekeeper on its event loop. A single service gets its events in the order of their
- * arrival, and nothing is counted. With several services {@link AdmissionControl} decides which requests are admitted,
- * and {@link DeficitRoundRobinQueue} which service's event is next.
+ * Runs the services of one gatekeeper on its event loop. A single service receives its events in order of arrival,
+ * without admission control. With several services, {@link AdmissionControl} decides which requests are admitted, and
+ * {@link DeficitRoundRobinQueue} selects the service whose event is handled next.
  *
- * <p>Owned by the event loop, but for {@link #post} and {@link #apply}, which any thread may call.
+ * <p>Used only by the event loop's thread, except for {@link #post} and {@link #apply}, which any thread may call.
  */
 final class ServiceScheduler implements GatekeeperLoop.LoopTasks {
-    /** Events of one turn of the loop; the loop's other work has to wait for them. */
-    private static final int MAX_EVENTS_PER_TURN = 64;
-    /** What a service with the lowest weight may spend in its turn, in the unit of the costs below. */
+    /**
+     * Maximum number of events handled in one iteration of the event loop. A larger value delays the other work of the
+     * loop.
+     */
+    private static final int MAX_EVENTS_PER_ITERATION = 64;
+    /** Quantum of a service with the lowest weight, in the unit of the costs below. */
     private static final int BASE_QUANTUM = 8;
 
     private static final long DECISION_COST = 4;
     private static final long COMPLETION_COST = 3;
     private static final long OTHER_COST = 1;
-    /** A draining service ends this long after its last request was routed to it, at the earliest. */
+    /** Minimum time for which a service drains after the last request was routed to it. */
     private static final long MIN_DRAIN_MICROS = TimeUnit.SECONDS.toMicros(1);
-    /** And at the latest so long after, which is longer than any request's deadline. */
+    /** Maximum time for which a service drains, which is longer than the deadline of any request. */
     private static final long MAX_DRAIN_MICROS = TimeUnit.SECONDS.toMicros(60);
-    /** The interval of the lines about rejected requests. */
+    /** Interval between log lines about rejected requests. */
     private static final long LOG_INTERVAL_MICROS = TimeUnit.SECONDS.toMicros(10);
 
     private static final long NOT_ADMITTED = -1;
 
-    /** Services that start and services that drain from now on. */
+    /** Services that start and services that begin to drain. */
     record ServiceSetChange(List<ServiceRuntime> starting, List<ServiceRuntime> draining) {}
 
-    /** An event in its service's queue. */
+    /** An event and the service it belongs to. */
     private record ServiceEvent(ServiceRuntime service, ReducerEvent event) {}
 
     private final GatekeeperLoop eventLoop;
@@ -57,16 +60,16 @@
     private final DeficitRoundRobinQueue<ServiceEvent> queues = new DeficitRoundRobinQueue<>();
     private final Queue<ServiceSetChange> changes = new ConcurrentLinkedQueue<>();
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    /** The slots of services that have ended; read by whoever creates services. */
+    /** Indices of services that have ended; read by the thread that creates services. */
     private final Queue<Integer> freeSlots = new ConcurrentLinkedQueue<>();
-    /** All services that have not ended, draining ones included. */
+    /** All services that have not ended, including draining ones. */
     private final List<ServiceRuntime> running = new ArrayList<>();
 
     private final Map<Integer, ServiceRuntime> servicesByTag = new HashMap<>();
-    /** The running service if there is one alone and nothing is queued; otherwise null. */
+    /** The running service, if there is only one and no event is queued; otherwise null. */
     private ServiceRuntime onlyService;
 
-    private long turnStartedAt;
+    private long iterationStartedAt;
     private long unknownServiceMessages;
     private long lastLoggedAt;
 
@@ -77,20 +80,20 @@
         admissionControl = new AdmissionControl(capacity.maxInFlight(), capacity.maxBytes());
     }
 
-    // ---- From other threads ------------------------------------------------------------------------
-    /** Has the event loop run a task at its next turn. */
+    // ---- Called by other threads -------------------------------------------------------------------
+    /** Runs a task in the next iteration of the event loop. */
     void post(Runnable task) {
         tasks.add(task);
         eventLoop.notifyPosted();
     }
 
-    /** Has the event loop apply a change at its next turn. */
+    /** Applies a change in the next iteration of the event loop. */
     void apply(ServiceSetChange change) {
         changes.add(change);
         eventLoop.notifyPosted();
     }
 
-    /** The slot of a service that has ended, or null. */
+    /** Returns the index of a service that has ended, or null if there is none. */
     Integer pollFreeSlot() {
         return freeSlots.poll();
     }
@@ -102,7 +105,7 @@
         }
     }
 
-    /** Applies a change at once; for the event loop's thread, and before the loop runs. */
+    /** Applies a change immediately. Called by the event loop's thread, or before the event loop runs. */
     void applyNow(ServiceSetChange change, long now) {
         for (ServiceRuntime service : change.starting) {
             add(service);
@@ -131,7 +134,7 @@
         log.accept("service " + service.name() + ": has ended");
     }
 
-    /** Divides what the services share by their weights; draining ones have none. */
+    /** Divides the shared capacity between the services by weight. Draining services have a weight of 0. */
     private void applyWeights() {
         onlyService = running.size() == 1 && queues.size() == 0 ? running.get(0) : null;
         Double[] weights = new Double[queues.queueCount()];
@@ -165,10 +168,10 @@
         return lowest;
     }
 
-    // ---- Turns of the event loop -------------------------------------------------------------------
+    // ---- Iterations of the event loop --------------------------------------------------------------
     @Override
     public void processPosted(long now) {
-        turnStartedAt = now;
+        iterationStartedAt = now;
         for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
             task.run();
         }
@@ -186,7 +189,7 @@
                 enqueue(service, event);
             }
         }
-        for (int i = 0; i < MAX_EVENTS_PER_TURN; i++) {
+        for (int i = 0; i < MAX_EVENTS_PER_ITERATION; i++) {
             ScheduledItem<ServiceEvent> next = queues.poll();
             if (next == null) {
                 return;
@@ -195,7 +198,10 @@
         }
     }
 
-    /** Requests are queued if they are admitted; the events of admitted ones always. */
+    /**
+     * Queues an event. A new request is queued only if it is admitted. All other events, such as the end of a call for
+     * an admitted request, are always queued.
+     */
     private void enqueue(ServiceRuntime service, ReducerEvent event) {
         int queue = fair ? service.slot : running.get(0).slot;
         ServiceEvent queued = new ServiceEvent(service, event);
@@ -212,15 +218,15 @@
             decision = admissionControl.rejectQueueFull(service.slot);
         }
         if (decision.admitted()) {
-            invocation.admittedAt(turnStartedAt);
+            invocation.admittedAt(iterationStartedAt);
         } else {
             service.reject(invocation, decision.retryAfterMicros());
         }
     }
 
-    /** To be called by the service for each request that was admitted, when it has ended. */
+    /** Records the end of an admitted request. Called once by its service for each admitted request. */
     void onAdmittedEnded(ServiceRuntime service, Invocation invocation) {
-        long residence = turnStartedAt - invocation.admittedAt();
+        long residence = iterationStartedAt - invocation.admittedAt();
         admissionControl.onRequestEnded(service.slot, invocation.message().sizeBytes(), residence);
         invocation.admittedAt(NOT_ADMITTED);
     }
@@ -237,7 +243,7 @@
 
     @Override
     public void processDueTimers(long now) {
-        turnStartedAt = now;
+        iterationStartedAt = now;
         if (onlyService != null) {
             onlyService.reduceDue(now);
             return;
@@ -266,8 +272,8 @@
         return next;
     }
 
-    // ---- Between turns -----------------------------------------------------------------------------
-    /** Requests without an answer yet, in all services; events that are still queued count too. */
+    // ---- Between iterations of the event loop ------------------------------------------------------
+    /** Returns the number of unanswered requests of all services, including all events that are still queued. */
     int unansweredCount() {
         int sum = queues.size();
         for (ServiceRuntime service : running) {
@@ -276,7 +282,7 @@
         return sum;
     }
 
-    /** Closes connections that were idle for too long, and ends services that have drained. */
+    /** Closes connections that have been idle for too long, and ends drained services. */
     void sweep(long now) {
         if (now - lastLoggedAt >= LOG_INTERVAL_MICROS) {
             lastLoggedAt = now;
@@ -298,7 +304,7 @@
                 || drainedFor > MIN_DRAIN_MICROS && service.isIdle() && queues.sizeOf(service.slot) == 0;
     }
 
-    /** What the services' policies hand over to a process that replaces this one, by the services' names. */
+    /** Returns the counts to be handed over to a process that replaces this one, by service name. */
     Map<String, HandoverCounts> handoverCounts() {
         Map<String, HandoverCounts> counts = new TreeMap<>();
         for (ServiceRuntime service : running) {
@@ -309,7 +315,7 @@
         return counts;
     }
 
-    /** Datagrams of services that are unknown here. */
+    /** Returns the number of received datagrams for services that do not exist here. */
     long unknownServiceMessages() {
         return unknownServiceMessages;
     }
--- a/src/main/java/reedmux/gatekeeper/service/ServiceSetup.java
+++ b/src/main/java/reedmux/gatekeeper/service/ServiceSetup.java
@@ -3,13 +3,15 @@
 import reedmux.gatekeeper.config.ServiceConfig;
 
 /**
- * How one service is set up.
+ * The configuration of one service and its share of the common capacity.
  *
- * @param name              the same at all gatekeepers
- * @param weight            its share of what the services share, relative to the others' weights; positive
- * @param maxQueued         events that may wait for the event loop
- * @param limits            its own limits, besides its share
- * @param servesWithoutHost whether it serves requests without {@code Host}
+ * @param name              name of the service, which is the same at all gatekeepers
+ * @param service           configuration of the service
+ * @param weight            positive weight that determines its share of the common capacity, relative to the other
+ *                          weights
+ * @param maxQueued         maximum number of events that may wait for the event loop
+ * @param limits            limits of this service in addition to its share
+ * @param servesWithoutHost whether it accepts requests without a {@code Host} header
  */
 public record ServiceSetup(
         String name,
@@ -18,12 +20,12 @@
         int maxQueued,
         AdmissionControl.AdmissionLimits limits,
         boolean servesWithoutHost) {
-    /** The name of the platform's own service. */
+    /** Name of the default service, which is the platform's own. */
     public static final String DEFAULT_SERVICE = "default";
-    /** Events that may wait where nothing is set. */
+    /** Default for the maximum number of events that may wait for the event loop. */
     public static final int DEFAULT_MAX_QUEUED = 1_024;
 
-    /** The platform's own service if the operators have set nothing about services. */
+    /** Returns the setup of the default service for a configuration that defines no services. */
     public static ServiceSetup onlyService(ServiceConfig service) {
         return new ServiceSetup(
                 DEFAULT_SERVICE, service, 1, DEFAULT_MAX_QUEUED, AdmissionControl.AdmissionLimits.UNLIMITED, true);
--- a/src/main/java/reedmux/gatekeeper/service/SharedBudget.java
+++ b/src/main/java/reedmux/gatekeeper/service/SharedBudget.java
@@ -4,33 +4,38 @@
 import java.util.List;
 
 /**
- * Divides a fixed number of things, such as descriptors, between users that each have a guaranteed share. What a user
- * leaves unused others may borrow, except for a reserve. If a user wants one of its share and all are in use, the
- * result names the user that has borrowed the most, which has to release one.
+ * Divides a fixed number of resources, such as descriptors, between users that each have a guaranteed share. Users may
+ * borrow what others leave unused, except for a reserved fraction of each share. If a user requests a resource of its
+ * share while all are in use, the result identifies the user that has borrowed the most and must release one.
  */
 public final class SharedBudget {
-    /** The decision on a wish for one more. */
+    /** The decision on a request for one resource. */
     public enum BudgetDecision {
-        /** The user has one more. */
+        /** The user has acquired the resource. */
         GRANTED,
-        /** The user has all that it may have. */
+        /** The user may not acquire any more resources at present. */
         REJECTED,
-        /** It is one of the user's share, but another user must release one first. */
+        /** The resource is part of the user's guaranteed share, but another user must release one first. */
         RECLAIM
     }
 
-    /** A decision; with {@link BudgetDecision#RECLAIM} the user that must release one, otherwise {@link #NO_USER}. */
+    /**
+     * A decision and, for {@link BudgetDecision#RECLAIM}, the user that must release a resource; otherwise {@link
+     * #NO_USER}.
+     */
     public record BudgetResult(BudgetDecision decision, int reclaimFrom) {}
 
     private static final int NO_USER = -1;
     private static final BudgetResult GRANTED = new BudgetResult(BudgetDecision.GRANTED, NO_USER);
     private static final BudgetResult REJECTED = new BudgetResult(BudgetDecision.REJECTED, NO_USER);
 
-    /** One user's share, and how much of it is used. */
+    /** The guaranteed share of one user, and the number of resources it uses. */
     private static final class BudgetShare {
         int guaranteed;
         int used;
-        /** One of its share was not free; others may not borrow the next one that is. */
+        /**
+         * Whether a resource of its share was unavailable; others may not borrow the next resource that is released.
+         */
         boolean waiting;
 
         BudgetShare(int guaranteed) {
@@ -45,23 +50,25 @@
     private int totalGuaranteed;
 
     /**
-     * A budget without users.
+     * Creates a budget without users.
      *
-     * @param total            how many things there are
-     * @param reservedFraction the fraction of each share that is never lent, from 0 to 1
+     * @param total            total number of resources
+     * @param reservedFraction fraction of each share that cannot be borrowed, from 0 to 1
      */
     public SharedBudget(int total, double reservedFraction) {
         if (total <= 0 || !(reservedFraction >= 0 && reservedFraction <= 1)) {
-            throw new IllegalArgumentException("nothing to divide, or no fraction: " + total + ", " + reservedFraction);
+            throw new IllegalArgumentException("total must be positive and the reserved fraction between 0 and 1: "
+                    + total + ", " + reservedFraction);
         }
         this.total = total;
         this.reservedFraction = reservedFraction;
     }
 
-    /** Adds a user with its share and returns its number; the shares must not exceed the total. */
+    /** Adds a user with a guaranteed share and returns its index. The sum of the shares must not exceed the total. */
     public int addShare(int guaranteed) {
         if (guaranteed < 0 || totalGuaranteed + guaranteed > total) {
-            throw new IllegalArgumentException("the shares come to " + (totalGuaranteed + guaranteed) + " of " + total);
+            throw new IllegalArgumentException("share is negative or exceeds the total: sum of shares "
+                    + (totalGuaranteed + guaranteed) + ", total " + total);
         }
         totalGuaranteed += guaranteed;
         shares.add(new BudgetShare(guaranteed));
@@ -69,24 +76,24 @@
     }
 
     /**
-     * Changes a user's share; what it uses beyond that is borrowed from then on. Shares that shrink have to be set
-     * before those that grow.
+     * Changes a user's guaranteed share. Resources that it uses beyond the new share count as borrowed. Shares that
+     * shrink must be set before those that grow.
      */
     public void setGuaranteed(int user, int guaranteed) {
         BudgetShare share = shares.get(user);
         if (guaranteed < 0 || totalGuaranteed - share.guaranteed + guaranteed > total) {
-            throw new IllegalArgumentException(
-                    "the shares come to " + (totalGuaranteed - share.guaranteed + guaranteed) + " of " + total);
+            throw new IllegalArgumentException("share is negative or exceeds the total: sum of shares "
+                    + (totalGuaranteed - share.guaranteed + guaranteed) + ", total " + total);
         }
         totalGuaranteed += guaranteed - share.guaranteed;
         share.guaranteed = guaranteed;
     }
 
-    /** Acquires one for a user, or says why not. */
+    /** Tries to acquire one resource for a user. */
     public BudgetResult tryAcquire(int user) {
         BudgetShare share = shares.get(user);
         if (share.used < reserved(share) && totalUsed < total) {
-            // One of the reserve, which nobody else can have borrowed.
+            // Part of the reserved fraction, which no other user can have borrowed.
         } else if (share.used < share.guaranteed) {
             if (totalUsed + reservedForOthers(user, false) >= total) {
                 share.waiting = true;
@@ -101,21 +108,24 @@
         return GRANTED;
     }
 
-    /** Acquires one of a user's share without waiting for one to be released; exceeds the total if all are in use. */
+    /**
+     * Acquires a resource of a user's share without waiting for another to be released. Exceeds the total if all are in
+     * use.
+     */
     public void acquireBeyondTotal(int user) {
         shares.get(user).used++;
         shares.get(user).waiting = false;
         totalUsed++;
     }
 
-    /** Releases one. */
+    /** Releases one resource of a user. */
     public void release(int user) {
         BudgetShare share = shares.get(user);
         if (share.used == 0) {
             throw new IllegalStateException("user " + user + " has nothing to release");
         }
         share.used--;
-        share.waiting = false; // the one released is free for it
+        share.waiting = false; // the released resource is available to this user
         totalUsed--;
     }
 
@@ -123,7 +133,10 @@
         return (int) Math.ceil(reservedFraction * share.guaranteed);
     }
 
-    /** What others have not used of their reserves, and one for each that waits if {@code borrows}. */
+    /**
+     * Returns the unused reserved resources of the other users and, if {@code borrows}, at least one for each waiting
+     * user.
+     */
     private int reservedForOthers(int user, boolean borrows) {
         int reserved = 0;
         for (int i = 0; i < shares.size(); i++) {
@@ -135,7 +148,10 @@
         return reserved;
     }
 
-    /** The user that has borrowed the most; exists if all are in use and {@code user} is below its share. */
+    /**
+     * Returns the user that has borrowed the most. One exists if all resources are in use and {@code user} is below its
+     * share.
+     */
     private int largestBorrower(int user) {
         int borrower = NO_USER;
         int most = 0;
@@ -149,17 +165,17 @@
         return borrower;
     }
 
-    /** A user's share. */
+    /** Returns the guaranteed share of a user. */
     public int guaranteed(int user) {
         return shares.get(user).guaranteed;
     }
 
-    /** How many a user has. */
+    /** Returns the number of resources that a user uses. */
     public int used(int user) {
         return shares.get(user).used;
     }
 
-    /** How many are in use in all. */
+    /** Returns the number of resources in use by all users. */
     public int used() {
         return totalUsed;
     }
--- a/src/test/java/reedmux/gatekeeper/handover/HandoverCompatibilityTest.java
+++ b/src/test/java/reedmux/gatekeeper/handover/HandoverCompatibilityTest.java
@@ -11,7 +11,9 @@
 import reedmux.compatibility.FixtureFiles;
 import reedmux.gatekeeper.policy.HandoverCounts.AccountSnapshot;
 
-/** Handover frames of an earlier version are understood, and this version writes the same bytes. */
+/**
+ * Checks that frames written by an earlier version are decoded correctly, and that this version encodes the same bytes.
+ */
 public class HandoverCompatibilityTest {
 
     @Test
--- a/src/test/java/reedmux/gatekeeper/handover/HandoverFixtures.java
+++ b/src/test/java/reedmux/gatekeeper/handover/HandoverFixtures.java
@@ -6,7 +6,7 @@
 import reedmux.gatekeeper.policy.HandoverCounts.AccountSnapshot;
 import reedmux.gatekeeper.policy.HandoverCounts.AccountUsage;
 
-/** One frame of every kind that two processes of one gatekeeper exchange. */
+/** Sample frames of each type that two processes of one gatekeeper exchange. */
 public final class HandoverFixtures {
     static final AccountSnapshot FIRST_ACCOUNT = new AccountSnapshot(
             77L << 32,
@@ -45,7 +45,7 @@
         return frames;
     }
 
-    /** Returns the bytes of each frame with its length in front. */
+    /** Returns the encoded bytes of each frame, including the length prefix. */
     public static Map<String, byte[]> encoded() {
         Map<String, byte[]> encoded = new LinkedHashMap<>();
         frames().forEach((name, frame) -> encoded.put(name, HandoverFrameCodec.encode(frame)));
--- a/src/test/java/reedmux/gatekeeper/handover/HandoverFrameCodecTest.java
+++ b/src/test/java/reedmux/gatekeeper/handover/HandoverFrameCodecTest.java
@@ -14,7 +14,7 @@
 import reedmux.gatekeeper.policy.HandoverCounts.AccountSnapshot;
 import reedmux.gatekeeper.policy.HandoverCounts.AccountUsage;
 
-/** Frames come back as they were, and bytes that are none are an error. */
+/** Checks that decoded frames equal the encoded ones, and that invalid bytes are rejected. */
 public final class HandoverFrameCodecTest {
     private static final AccountSnapshot ACCOUNT = new AccountSnapshot(
             77, 1, 2, 3, 4, 5.5, 0.25, 1, -2, 9_000_000, new int[] {-1, 0, 7}, new double[] {0, 1.5, 2});
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Whatever stands there is a frame or an error, and no count that is no number gets through. */
+    /** A corrupted frame is either rejected or decoded to a valid frame; non-finite counts are always rejected. */
     @Test
     public void corruptedFrameIsRejectedOrDecoded() {
         SplittableRandom random = new SplittableRandom(5);
@@ -105,6 +105,6 @@
                 errors++;
             }
         }
-        assertTrue("errors " + errors, errors > 500);
+        assertTrue("rejected frames: " + errors, errors > 500);
     }
 }
--- a/src/test/java/reedmux/gatekeeper/service/AdmissionControlTest.java
+++ b/src/test/java/reedmux/gatekeeper/service/AdmissionControlTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import reedmux.gatekeeper.service.AdmissionControl.AdmissionLimits;
 
-/** Which requests of which service are admitted. */
+/** Checks which requests of which services are admitted. */
 final class AdmissionControlTest {
     private static final AdmissionLimits UNLIMITED = new AdmissionLimits(Integer.MAX_VALUE, Long.MAX_VALUE);
 
@@ -29,7 +29,8 @@
     }
 
     /**
-     * Whatever the others do, a pool within its own part of both is let in; and nothing grows without bound.
+     * A service within its share of both limits is always admitted, regardless of the load of other services, and the
+     * totals stay below twice the limits.
      */
     @Property(tries = 3_000, seed = "91")
     void everyServiceGetsItsShareAtOnce(@ForAll long seed) {
@@ -59,11 +60,12 @@
                     && admission.bufferedBytes(service) / 1024 + 1 + bytes / 1024
                             <= (int) (maxBlocks * weights[service] / weightSum);
             AdmissionControl.AdmissionDecision decision = admission.admit(service, bytes);
-            assertTrue(decision.admitted() || !withinShare, "its own part is there at once");
+            assertTrue(
+                    decision.admitted() || !withinShare, "a request within the share of its service must be admitted");
             if (decision.admitted()) {
                 admittedRequests.get(service).add(bytes);
             } else {
-                assertTrue(decision.retryAfterMicros() > 0, "who is turned away is told when to come back");
+                assertTrue(decision.retryAfterMicros() > 0, "a rejection must carry a positive retry delay");
             }
             int inFlight = 0;
             long bufferedBytes = 0;
@@ -73,7 +75,8 @@
                 bufferedBytes += admission.bufferedBytes(i);
             }
             assertTrue(
-                    inFlight < 2 * maxInFlight && bufferedBytes < 2 * maxBlocks * 1024L, "twice the bound at the most");
+                    inFlight < 2 * maxInFlight && bufferedBytes < 2 * maxBlocks * 1024L,
+                    "the totals must stay below twice the limits");
         }
     }
 
@@ -86,11 +89,13 @@
         }
         assertEquals(30, admitted);
         for (int i = 0; i < 20; i++) {
-            assertTrue(admission.admit(1, 0).admitted(), "what was lent is had back");
+            assertTrue(
+                    admission.admit(1, 0).admitted(),
+                    "a service must get its whole share although others have borrowed from it");
         }
         assertFalse(admission.admit(1, 0).admitted());
         admission.onRequestEnded(0, 0, 2_000_000);
-        assertFalse(admission.admit(0, 0).admitted(), "and not lent again before it is there");
+        assertFalse(admission.admit(0, 0).admitted(), "capacity must not be borrowed while the total is exceeded");
     }
 
     @Example
@@ -99,9 +104,9 @@
         admission.addService();
         admission.setWeights(List.of(1.0), List.of(new AdmissionLimits(2, 10_240)));
         assertTrue(admission.admit(0, 5_000).admitted());
-        assertFalse(admission.admit(0, 6_000).admitted(), "too many bytes");
+        assertFalse(admission.admit(0, 6_000).admitted(), "byte limit of the service exceeded");
         assertTrue(admission.admit(0, 4_000).admitted());
-        assertFalse(admission.admit(0, 0).admitted(), "too many requests");
+        assertFalse(admission.admit(0, 0).admitted(), "request limit of the service exceeded");
     }
 
     @Example
@@ -112,7 +117,7 @@
             admission.onRequestEnded(0, 0, 800_000);
         }
         while (admission.admit(0, 0).admitted()) {
-            // until it is full
+            // admit until the limit is reached
         }
         assertEquals(800_000, admission.admit(0, 0).retryAfterMicros(), 1_000);
         assertEquals(admission.rejectQueueFull(0), admission.admit(0, 0));
@@ -126,7 +131,8 @@
         }
         admission.setWeights(List.of(1.0, 0.0), List.of(UNLIMITED, UNLIMITED));
         assertFalse(
-                admission.admit(1, 0).admitted(), "one that leaves takes nothing more while all are spoken" + " for");
+                admission.admit(1, 0).admitted(),
+                "a draining service must not be admitted while the whole capacity is guaranteed to others");
         for (int i = 0; i < 40; i++) {
             assertTrue(admission.admit(0, 0).admitted());
         }
--- a/src/test/java/reedmux/gatekeeper/service/DeficitRoundRobinQueueTest.java
+++ b/src/test/java/reedmux/gatekeeper/service/DeficitRoundRobinQueueTest.java
@@ -15,11 +15,11 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Order within a queue, shares between queues, and the longest wait. */
+/** Checks the order within a queue, the shares of the queues, and the maximum wait. */
 final class DeficitRoundRobinQueueTest {
     private static final int MAX_COST = 10;
 
-    /** Nothing is lost, duplicated or overtaken within its queue, and a full queue rejects further items. */
+    /** No item is lost, duplicated or reordered within its queue, and a full queue rejects further items. */
     @Property(tries = 10_000, seed = "61")
     void keepsTheOrderWithinAQueue(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -51,7 +51,7 @@
         }
     }
 
-    /** While two queues have work, what each has spent follows the weights within a quantum and an item. */
+    /** While two queues have items, the costs served from them follow their weights within one quantum and one item. */
     @Property(tries = 10_000, seed = "62")
     void sharesByWeight(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -76,15 +76,16 @@
                 for (int j = 0; j < queueCount; j++) {
                     assertTrue(
                             Math.abs(servedCost[i] / weight[i] - servedCost[j] / weight[j]) <= 2 * MAX_COST + 1e-9,
-                            "rounds apart: " + servedCost[i] / weight[i] + " and " + servedCost[j] / weight[j]);
+                            "served cost divided by weight: " + servedCost[i] / weight[i] + " and "
+                                    + servedCost[j] / weight[j]);
                 }
             }
         }
     }
 
     /**
-     * However long another pool's queue is, one waits for at most a quantum and a piece of each other
-     * pool.
+     * An item at the head of its queue waits for at most one quantum and one item of each other queue, however long
+     * those queues are.
      */
     @Property(tries = 2_000, seed = "63")
     void floodedQueueDoesNotDelayOthers(@ForAll long seed) {
@@ -111,7 +112,7 @@
         }
         assertTrue(
                 costBefore <= 2L * MAX_COST * floodedQueues,
-                costBefore + " before it, of " + floodedQueues + " others");
+                costBefore + " cost units served before the item, by " + floodedQueues + " other queues");
     }
 
     @Example
--- a/src/test/java/reedmux/gatekeeper/service/DescriptorBudgetTest.java
+++ b/src/test/java/reedmux/gatekeeper/service/DescriptorBudgetTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.Example;
 import reedmux.gatekeeper.http.UpstreamConnectionPool.ConnectionPermits;
 
-/** Descriptors that are lent, and reclaimed by closing idle connections. */
+/** Checks that unused descriptors can be borrowed, and are reclaimed by closing idle connections. */
 final class DescriptorBudgetTest {
     private final DescriptorBudget budget = new DescriptorBudget(20);
     private final ConnectionPermits firstPermits = budget.permitsOf(budget.addService());
@@ -33,14 +33,17 @@
             }
             return evicted;
         });
-        assertEquals(15, acquireAll(firstPermits), "half of the other's part is kept for it");
+        assertEquals(15, acquireAll(firstPermits), "half of the share of the other service is reserved");
         for (int i = 0; i < 8; i++) {
-            assertTrue(secondPermits.tryAcquire(), "five are kept, three are idle and closed for it");
+            assertTrue(
+                    secondPermits.tryAcquire(), "5 descriptors are reserved and 3 are reclaimed from idle connections");
         }
-        assertFalse(secondPermits.tryAcquire(), "all that is left is in use");
+        assertFalse(secondPermits.tryAcquire(), "no reserved descriptor and no idle connection is left");
         assertEquals(12, budget.used(0));
         firstPermits.release();
-        assertFalse(firstPermits.tryAcquire(), "what is free belongs to the one that lacks of its part");
+        assertFalse(
+                firstPermits.tryAcquire(),
+                "a released descriptor must go to the service that is waiting for its share");
         assertTrue(secondPermits.tryAcquire());
     }
 
@@ -51,6 +54,7 @@
         budget.setWeights(new double[] {0, 1});
         assertFalse(firstPermits.tryAcquire());
         budget.setEvictor(0, () -> false);
-        assertEquals(3, acquireAll(secondPermits), "one that leaves keeps its connections until its calls end");
+        assertEquals(
+                3, acquireAll(secondPermits), "a service without a share keeps its connections until its calls end");
     }
 }
--- a/src/test/java/reedmux/gatekeeper/service/SharedBudgetTest.java
+++ b/src/test/java/reedmux/gatekeeper/service/SharedBudgetTest.java
@@ -11,12 +11,12 @@
 import reedmux.gatekeeper.service.SharedBudget.BudgetDecision;
 import reedmux.gatekeeper.service.SharedBudget.BudgetResult;
 
-/** Shares that are lent and reclaimed at once. */
+/** Checks that unused shares can be borrowed, and are reclaimed at once. */
 final class SharedBudgetTest {
 
     /**
-     * Never more than there are; each gets its own part, at once or when the one that is named gives
-     * back.
+     * The total is never exceeded, and each user can acquire its whole share, either at once or after the user named in
+     * the result has released a resource.
      */
     @Property(tries = 10_000, seed = "71")
     void everyShareCanBeUsedInFull(@ForAll long seed) {
@@ -44,17 +44,19 @@
             int totalUsedBefore = budget.used();
             BudgetResult result = budget.tryAcquire(user);
             if (usedBefore < guaranteed[user]) {
-                assertTrue(result.decision() != BudgetDecision.REJECTED, "its own part is never refused");
+                assertTrue(
+                        result.decision() != BudgetDecision.REJECTED,
+                        "a resource within the guaranteed share must not be rejected");
                 assertTrue(
                         totalUsedBefore < total || result.decision() == BudgetDecision.RECLAIM,
-                        "there is no more than all");
+                        "no resource may be granted if all are in use");
             } else {
-                assertTrue(result.decision() != BudgetDecision.RECLAIM, "nobody gives back for a borrower");
+                assertTrue(result.decision() != BudgetDecision.RECLAIM, "no resource may be reclaimed for a borrower");
             }
             if (result.decision() == BudgetDecision.RECLAIM) {
                 assertTrue(
                         budget.used(result.reclaimFrom()) > guaranteed[result.reclaimFrom()],
-                        "only a borrower gives back");
+                        "a resource may be reclaimed only from a borrower");
                 budget.release(result.reclaimFrom());
                 assertEquals(BudgetDecision.GRANTED, budget.tryAcquire(user).decision());
             }
@@ -67,7 +69,7 @@
         }
     }
 
-    /** The reserve is available without reclaiming, whatever others have borrowed. */
+    /** The reserved fraction of a share is available without reclaiming, regardless of what others have borrowed. */
     @Property(tries = 5_000, seed = "72")
     void reserveIsAvailableAtOnce(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -92,7 +94,7 @@
         while (budget.tryAcquire(borrower).decision() == BudgetDecision.GRANTED) {
             acquired++;
         }
-        assertEquals(9, acquired, "all but a fifth of the other's five");
+        assertEquals(9, acquired, "all resources except the reserved fifth of the other share of 5");
         assertEquals(BudgetDecision.GRANTED, budget.tryAcquire(lender).decision());
         assertEquals(new BudgetResult(BudgetDecision.RECLAIM, borrower), budget.tryAcquire(lender));
     }
