--- a/src/main/java/reedmux/gatekeeper/service/DescriptorBudget.java
+++ b/src/main/java/reedmux/gatekeeper/service/DescriptorBudget.java
@@ -81,8 +81,7 @@
                 evictor = evictors.get(result.reclaimFrom());
             }
             // Called without holding this lock: the evictor first acquires its pool's lock, and then this one to
-            // release
-            // the descriptor.
+            // release the descriptor.
             if (evictor == null || !evictor.getAsBoolean()) {
                 return false;
             }
--- a/src/main/java/reedmux/gatekeeper/service/ServiceManager.java
+++ b/src/main/java/reedmux/gatekeeper/service/ServiceManager.java
@@ -23,8 +23,8 @@
  * Owns the services of one gatekeeper: creates them, replaces them when the settings are reloaded, and routes requests
  * to them. {@link ServiceScheduler} runs them on the event loop.
  *
- * <p>The monitor guards creation and reloading. Methods documented as such may only be called by the event loop's
- * thread.
+ * <p>The monitor guards creation and reloading. Methods documented as being for the event loop's thread must not be
+ * called by other threads.
  */
 public final class ServiceManager implements AutoCloseable {
     /**
@@ -232,7 +232,7 @@
         scheduler.post(task);
     }
 
-    // ---- Called by the event loop's thread ---------------------------------------------------------------
+    // ---- Called by the event loop's thread ---------------------------------------------------------
     /** Returns the number of requests of all services that have not been answered; for the event loop's thread. */
     public int unansweredCount() {
         return scheduler.unansweredCount();
--- a/src/main/java/reedmux/gatekeeper/service/ServiceRuntime.java
+++ b/src/main/java/reedmux/gatekeeper/service/ServiceRuntime.java
@@ -181,7 +181,7 @@
         return policy.restartDetected();
     }
 
-    /** Returns the client that calls providers. The warm-up uses it to send requests to the own address. */
+    /** Returns the client that calls providers. The warm-up uses it to send requests to this gatekeeper. */
     public ProviderClient client() {
         return providerClient;
     }
--- a/src/test/java/reedmux/gatekeeper/failover/FailoverPolicyTest.java
+++ b/src/test/java/reedmux/gatekeeper/failover/FailoverPolicyTest.java
@@ -103,7 +103,7 @@
                 if (decision.forwarded() != null) {
                     sent.add(new ForwardedUnits(now, units));
                     inFlight.get(i).add(decision.forwarded());
-                    assertTrue(inFlight.get(i).size() <= 3, "more than 3 requests in flight");
+                    assertTrue(inFlight.get(i).size() <= 3, "limit on requests in flight exceeded");
                     assertTrue(
                             decision.forwarded().grantedMicros() >= 50 * MICROS_PER_MILLI,
                             "granted timeout below the minimum");
@@ -129,9 +129,7 @@
                 policies[i].applyRules(createRules(maxShare, rate, burst, 3), now);
             }
         }
-        assertTrue(
-                sent.size() <= maxShare * received + 1e-6,
-                "forwarded " + sent.size() + " of " + received + " requests");
+        assertTrue(sent.size() <= maxShare * received + 1e-6, "requests forwarded: " + sent.size() + " of " + received);
         for (int first = 0; first < sent.size(); first++) {
             double units = 0;
             for (int last = first; last < sent.size(); last++) {
@@ -216,7 +214,7 @@
                     admittedUnits += 2;
                     assertTrue(now >= closedAt + MICROS_PER_SECOND, "admission must stay closed for the backoff");
                 }
-                assertTrue(inFlight <= 4, "more than 4 requests in flight");
+                assertTrue(inFlight <= 4, "limit on requests in flight exceeded");
                 assertTrue(
                         admittedUnits <= 20 + 50.0 * now / MICROS_PER_SECOND + 1e-6,
                         "admitted units exceed the rate and burst");
