--- a/src/main/java/reedmux/gatekeeper/handover/HandoverFrameCodec.java
+++ b/src/main/java/reedmux/gatekeeper/handover/HandoverFrameCodec.java
@@ -19,7 +19,7 @@
 public final class HandoverFrameCodec {
     /** Version of the frame protocol. Processes with different versions hand nothing over. */
     public static final int PROTOCOL_VERSION = 1;
-    /** Maximum length of a frame body in bytes, which is enough for about fifty thousand customers. */
+    /** Maximum length of a frame body in bytes, which is enough for more than fifty thousand customers. */
     static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
 
     private static final int NEIGHBOUR_SLOTS = 3;
