--- a/src/test/java/reedmux/common/eventloop/ScriptedEnvironment.java
+++ b/src/test/java/reedmux/common/eventloop/ScriptedEnvironment.java
@@ -50,12 +50,12 @@
         private final Deque<byte[]> input = new ArrayDeque<>();
         private ReadinessHandler handler;
         private boolean connected;
-        private boolean ended;
-        private boolean broken;
-        private boolean brokenBehindInput;
+        private boolean inputEnded;
+        private boolean wasReset;
+        private boolean resetAfterInput;
         private boolean closed;
-        private boolean reads;
-        private boolean writes;
+        private boolean readInterest;
+        private boolean writeInterest;
         private long remainingCapacity = socketCapacityBytes;
 
         /** It comes up. */
@@ -75,30 +75,30 @@
         }
 
         /** Comes in behind the next event, as what is on its way while we write. */
-        public void receiveUnannounced(String text) {
+        public void receiveWithoutEvent(String text) {
             input.add(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
         /** Input with the end of the connection behind it, all of which is there before anybody reads. */
         public void receiveAndEnd(String text, boolean reset) {
             input.add(text.getBytes(StandardCharsets.ISO_8859_1));
-            ended = !reset;
-            brokenBehindInput = reset;
+            inputEnded = !reset;
+            resetAfterInput = reset;
             notifyHandler(true, false);
         }
 
         /** The end comes in behind the next event. */
-        public void endInputUnannounced() {
-            ended = true;
+        public void endInputWithoutEvent() {
+            inputEnded = true;
         }
 
         public void endInput() {
-            ended = true;
+            inputEnded = true;
             notifyHandler(true, false);
         }
 
         public void reset() {
-            broken = true;
+            wasReset = true;
             notifyHandler(true, true);
         }
 
@@ -113,10 +113,10 @@
                 return;
             }
             try {
-                if (!connected || readable && reads || writable && writes) {
+                if (!connected || readable && readInterest || writable && writeInterest) {
                     handler.onReady(readable && connected, writable);
                 }
-                while (!closed && !input.isEmpty() && reads) {
+                while (!closed && !input.isEmpty() && readInterest) {
                     handler.onReady(true, false);
                 }
             } catch (IOException e) {
@@ -150,24 +150,24 @@
 
         @Override
         public boolean finishConnect() throws IOException {
-            check();
+            throwIfReset();
             return connected;
         }
 
-        private void check() throws IOException {
-            if (broken) {
+        private void throwIfReset() throws IOException {
+            if (wasReset) {
                 throw new IOException("Connection reset by peer");
             }
         }
 
         @Override
         public int read(ByteBuffer into) throws IOException {
-            check();
+            throwIfReset();
             byte[] next = input.poll();
-            if (next == null && brokenBehindInput) {
+            if (next == null && resetAfterInput) {
                 throw new IOException("Connection reset by peer");
             } else if (next == null) {
-                return ended ? -1 : 0;
+                return inputEnded ? -1 : 0;
             }
             int some = Math.min(next.length, into.remaining());
             into.put(next, 0, some);
@@ -179,7 +179,7 @@
 
         @Override
         public int write(ByteBuffer from) throws IOException {
-            check();
+            throwIfReset();
             int some = (int) Math.min(remainingCapacity, from.remaining());
             for (int i = 0; i < some; i++) {
                 written.write(from.get());
@@ -190,8 +190,8 @@
 
         @Override
         public void setInterest(boolean wantsReads, boolean wantsWrites) {
-            reads = wantsReads;
-            writes = wantsWrites;
+            readInterest = wantsReads;
+            writeInterest = wantsWrites;
         }
 
         @Override
@@ -252,7 +252,7 @@
     public Connection acceptConnection() throws IOException {
         ScriptedSocket conn = new ScriptedSocket();
         conn.connected = true;
-        conn.reads = true;
+        conn.readInterest = true;
         sockets.add(conn);
         return Connection.ofAccepted(reactor, conn);
     }
--- a/src/test/java/reedmux/proxy/ClientConnectionTest.java
+++ b/src/test/java/reedmux/proxy/ClientConnectionTest.java
@@ -241,7 +241,7 @@
         ClientRequest request = harness.dispatched.get(0);
         harness.sockets.advanceMicros(MICROS_PER_SECOND);
         assertFalse(harness.client.hasLeft(request));
-        harness.socket.endInputUnannounced();
+        harness.socket.endInputWithoutEvent();
         assertTrue(harness.client.hasLeft(request));
         assertEquals(harness.abandoned.size(), 0);
         harness.sockets.runReactorOnce();
