--- a/src/main/java/reedmux/cli/ConfigurationReloader.java
+++ b/src/main/java/reedmux/cli/ConfigurationReloader.java
@@ -41,7 +41,7 @@
     void reload(ConfigurationSource source) {
         try {
             LoadedConfiguration loaded = source.read();
-            List<String> unchangeable = configAtStart.fixedAtStart(loaded.config());
+            List<String> unchangeable = configAtStart.keysRequiringRestart(loaded.config());
             if (!unchangeable.isEmpty()) {
                 log.accept("configuration: a change takes a restart: " + String.join(", ", unchangeable));
             }
--- a/src/main/java/reedmux/cli/Main.java
+++ b/src/main/java/reedmux/cli/Main.java
@@ -192,7 +192,7 @@
 
     /** Runs this at each SIGHUP, on a thread of its own. */
     static void onHangUp(Runnable task) {
-        Signals.on("HUP", task, line -> System.err.println("reedmux: " + line));
+        Signals.handle("HUP", task, line -> System.err.println("reedmux: " + line));
     }
 
     /** Speaks the simulator's wire on standard input and output. */
--- a/src/main/java/reedmux/cli/ProgramCommand.java
+++ b/src/main/java/reedmux/cli/ProgramCommand.java
@@ -115,8 +115,8 @@
                     reactor.info(line);
                 }
             };
-            Signals.on("TERM", new ReactorTask(reactor, shutdown), log);
-            Signals.on("HUP", new ReactorTask(reactor, reload), log);
+            Signals.handle("TERM", new ReactorTask(reactor, shutdown), log);
+            Signals.handle("HUP", new ReactorTask(reactor, reload), log);
         }
 
         /** Has the program take up the file; one that cannot be used is logged and changes nothing. */
--- a/src/main/java/reedmux/cli/RegionConnector.java
+++ b/src/main/java/reedmux/cli/RegionConnector.java
@@ -132,8 +132,8 @@
                             settings.rules().name(), Set.of(), settings.rules().remoteLimits(), null),
                     Map.of());
         }
-        if (!settings.fixedAtStart(now).isEmpty()) {
-            log.accept("settings: a change takes a restart: " + String.join(", ", settings.fixedAtStart(now)));
+        if (!settings.keysRequiringRestart(now).isEmpty()) {
+            log.accept("settings: a change takes a restart: " + String.join(", ", settings.keysRequiringRestart(now)));
         }
         FailoverRules rules = now.rules();
         return new ReducerEvent.RegionRulesUpdated(
--- a/src/main/java/reedmux/common/disk/GenerationReader.java
+++ b/src/main/java/reedmux/common/disk/GenerationReader.java
@@ -105,7 +105,7 @@
         input.position(input.limit());
     }
 
-    private void addProblem(int offset, String what) {
-        problems.add(file + " at " + offset + ": " + what);
+    private void addProblem(int offset, String description) {
+        problems.add(file + " at " + offset + ": " + description);
     }
 }
--- a/src/main/java/reedmux/common/settings/Signals.java
+++ b/src/main/java/reedmux/common/settings/Signals.java
@@ -29,10 +29,10 @@
      *
      * @param name the signal without {@code SIG}
      */
-    public static void on(String name, Runnable task, Consumer<String> log) {
+    public static void handle(String name, Runnable task, Consumer<String> log) {
         try {
-            SignalHandler before = Signal.handle(new Signal(name), new TaskHandler(task));
-            if (before == SignalHandler.SIG_IGN) {
+            SignalHandler previous = Signal.handle(new Signal(name), new TaskHandler(task));
+            if (previous == SignalHandler.SIG_IGN) {
                 // the JVM leaves a signal ignored that its parent ignores, and calls no handler
                 log.accept("SIG" + name + " is ignored, as by the process that started this one");
             }
--- a/src/main/java/reedmux/gatekeeper/config/GatekeeperConfig.java
+++ b/src/main/java/reedmux/gatekeeper/config/GatekeeperConfig.java
@@ -103,7 +103,7 @@
             return new ServiceConfig(
                     settings,
                     serviceDiscovery,
-                    resolveKnown(document, providerListReader),
+                    resolveKnownProviders(document, providerListReader),
                     providerListReader,
                     connectTimeoutMicros,
                     connectionIdleMicros,
@@ -122,7 +122,7 @@
         return new ServiceConfig(
                 reader.settings(),
                 serviceDiscovery,
-                resolveKnown(document, listReader),
+                resolveKnownProviders(document, listReader),
                 listReader,
                 reader.micros("limits.connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_MICROS),
                 reader.micros("limits.connIdleUs", DEFAULT_CONNECTION_IDLE_MICROS),
@@ -141,7 +141,7 @@
                 "");
     }
 
-    private static ProviderList resolveKnown(ConfigDocument document, ProviderListReader listReader) {
+    private static ProviderList resolveKnownProviders(ConfigDocument document, ProviderListReader listReader) {
         return document.knownProviders == null
                 ? NO_PROVIDERS
                 : listReader.resolve(document.knownProviders, ServerListScope.CACHED);
@@ -170,7 +170,7 @@
     }
 
     /** The keys whose values differ from another configuration but take effect only with a restart. */
-    public List<String> fixedAtStart(GatekeeperConfig other) {
+    public List<String> keysRequiringRestart(GatekeeperConfig other) {
         List<String> keys = new ArrayList<>();
         if (!listen.equals(other.listen)) {
             keys.add("listen");
@@ -205,7 +205,7 @@
         SettingsReader reader = new SettingsReader("settings.", document.settings);
         PolicySettings settings = reader.settings();
         ProviderListReader listReader = new ProviderListReader(reader.names("dcs"), reader.names("kinds"), clock);
-        ProviderList known = resolveKnown(document, listReader);
+        ProviderList known = resolveKnownProviders(document, listReader);
         if (settings.limits().peerMessages()) {
             checkPeers(document, settings.groupSize());
         }
--- a/src/main/java/reedmux/gatekeeper/settings/RegionSettings.java
+++ b/src/main/java/reedmux/gatekeeper/settings/RegionSettings.java
@@ -47,14 +47,14 @@
     private static final int DEFAULT_REMOTE_CONCURRENT = 16;
     private static final double DEFAULT_REMOTE_UNITS_PER_SECOND = 20;
     private static final double DEFAULT_REMOTE_CLOSE_AT_FAILURE_RATE = 0.02;
-    private static final long DEFAULT_REMOTE_HOLD_MICROS = MICROS_PER_SECOND;
+    private static final long DEFAULT_REMOTE_BACKOFF_MICROS = MICROS_PER_SECOND;
     private static final int DEFAULT_FORWARDED_CONCURRENT = 16;
     private static final long DEFAULT_MIN_REMAINING_MICROS = 100 * MICROS_PER_MILLI;
     private static final long DEFAULT_MARGIN_MICROS = 20 * MICROS_PER_MILLI;
     private static final long DEFAULT_INITIAL_LATENCY_MICROS = 50 * MICROS_PER_MILLI;
-    private static final long MAX_HOLD_MICROS = 60 * MICROS_PER_SECOND;
+    private static final long MAX_REMOTE_BACKOFF_MICROS = 60 * MICROS_PER_SECOND;
     private static final long MAX_MIN_REMAINING_MICROS = 60 * MICROS_PER_SECOND;
-    private static final long MAX_LINK_MICROS = 10 * MICROS_PER_SECOND;
+    private static final long MAX_LINK_LATENCY_MICROS = 10 * MICROS_PER_SECOND;
     /** A burst that is not set lasts this long at the rate. */
     private static final double DEFAULT_BURST_SECONDS = 2;
     /** At most one descriptor in so many is for connections between regions. */
@@ -93,7 +93,7 @@
                     DEFAULT_REMOTE_UNITS_PER_SECOND,
                     DEFAULT_BURST_SECONDS * DEFAULT_REMOTE_UNITS_PER_SECOND,
                     DEFAULT_REMOTE_CLOSE_AT_FAILURE_RATE,
-                    DEFAULT_REMOTE_HOLD_MICROS);
+                    DEFAULT_REMOTE_BACKOFF_MICROS);
         }
         DeclarationReader limits = region.nested("visitors", "visitors");
         double unitsPerSecond = limits.number("rate", 0, MAX_COUNT, DEFAULT_REMOTE_UNITS_PER_SECOND);
@@ -102,7 +102,7 @@
                 unitsPerSecond,
                 limits.number("burst", 0, MAX_COUNT, DEFAULT_BURST_SECONDS * unitsPerSecond),
                 limits.number("suffers_at", 0, 1, DEFAULT_REMOTE_CLOSE_AT_FAILURE_RATE),
-                limits.micros("hold", 0, MAX_HOLD_MICROS, DEFAULT_REMOTE_HOLD_MICROS));
+                limits.micros("hold", 0, MAX_REMOTE_BACKOFF_MICROS, DEFAULT_REMOTE_BACKOFF_MICROS));
     }
 
     private static FailoverTarget readTarget(
@@ -125,8 +125,8 @@
                 lastResort.integer("most_at_once", 0, MAX_COUNT, DEFAULT_FORWARDED_CONCURRENT),
                 lastResort.micros(
                         "least_time", MICROS_PER_MILLI, MAX_MIN_REMAINING_MICROS, DEFAULT_MIN_REMAINING_MICROS),
-                lastResort.micros("margin", 0, MAX_LINK_MICROS, DEFAULT_MARGIN_MICROS),
-                lastResort.micros("first_guess", 0, MAX_LINK_MICROS, DEFAULT_INITIAL_LATENCY_MICROS));
+                lastResort.micros("margin", 0, MAX_LINK_LATENCY_MICROS, DEFAULT_MARGIN_MICROS),
+                lastResort.micros("first_guess", 0, MAX_LINK_LATENCY_MICROS, DEFAULT_INITIAL_LATENCY_MICROS));
     }
 
     private static String format(InetSocketAddress address) {
@@ -134,7 +134,7 @@
     }
 
     /** The keys whose values differ from other settings but take effect only with a restart. */
-    public List<String> fixedAtStart(RegionSettings other) {
+    public List<String> keysRequiringRestart(RegionSettings other) {
         if (!rules.name().equals(other.rules.name())) {
             return List.of("region.name");
         } else if (!Objects.equals(listen, other.listen)) {
@@ -166,14 +166,14 @@
 
     private static void checkBurst(
             List<String> conflicts, String key, double burstUnits, int gatekeepers, double maxUnits) {
-        double burstOfEach = burstUnits / gatekeepers;
-        if (burstOfEach < maxUnits) {
+        double burstPerGatekeeper = burstUnits / gatekeepers;
+        if (burstPerGatekeeper < maxUnits) {
             conflicts.add(String.format(
                     Locale.ROOT,
                     "%s of %s is %s for each of %d gatekeepers, less than one request may take: %s",
                     key,
                     burstUnits,
-                    burstOfEach,
+                    burstPerGatekeeper,
                     gatekeepers,
                     maxUnits));
         }
--- a/src/main/java/reedmux/gatekeeper/settings/ServicesSettings.java
+++ b/src/main/java/reedmux/gatekeeper/settings/ServicesSettings.java
@@ -99,12 +99,12 @@
         }
         List<String> names = services.stream().map(ServiceSettings::name).toList();
         List<ServiceRoute> routes = readRoutes(declarations, names);
-        boolean onlyUnsetDefault = services.size() == 1 && services.get(DEFAULT_SERVICE_INDEX).position == null;
-        if (onlyUnsetDefault && routes.isEmpty()) {
+        boolean onlyImplicitDefault = services.size() == 1 && services.get(DEFAULT_SERVICE_INDEX).position == null;
+        if (onlyImplicitDefault && routes.isEmpty()) {
             return NONE;
         }
         checkReachable(services, routes);
-        if (routes.stream().noneMatch(ServicesSettings::takesEverything)) {
+        if (routes.stream().noneMatch(ServicesSettings::matchesAllRequests)) {
             routes.add(new ServiceRoute(ANY_HOST, ANY_PATH, DEFAULT_SERVICE_INDEX, 1));
         }
         SharingSettings shared = sharing == null ? NONE.sharing : readSharing(sharing);
@@ -126,11 +126,11 @@
                 continue;
             }
             ServiceSettings service = readService(new DeclarationReader(declaration));
-            ServiceSettings before = services.put(service.name, service);
-            if (before != null && before.position != null) {
+            ServiceSettings previous = services.put(service.name, service);
+            if (previous != null && previous.position != null) {
                 throw new ScriptFaultException(
                         declaration.position(),
-                        "service " + service.name + " is declared twice, first in line " + before.position.line());
+                        "service " + service.name + " is declared twice, first in line " + previous.position.line());
             }
         }
         return List.copyOf(services.values());
@@ -224,7 +224,7 @@
         }
     }
 
-    private static boolean takesEverything(ServiceRoute route) {
+    private static boolean matchesAllRequests(ServiceRoute route) {
         return route.host().equals(ANY_HOST) && route.path().equals(ANY_PATH);
     }
 
