--- a/src/main/java/reedmux/cli/GatekeeperProcess.java
+++ b/src/main/java/reedmux/cli/GatekeeperProcess.java
@@ -372,7 +372,7 @@
                         services.unansweredCount() + consumers.connectionsWithPendingResponses(),
                         consumers.hasConnections())
                 ? GatekeeperLoop.STOP
-                : Math.min(lifeCycle.nextCheck(now), nextSweepAt());
+                : Math.min(lifeCycle.nextTerminationCheck(now), nextSweepAt());
     }
 
     private void sweep(long now) {
--- a/src/main/java/reedmux/gatekeeper/admin/AdminCommands.java
+++ b/src/main/java/reedmux/gatekeeper/admin/AdminCommands.java
@@ -45,8 +45,8 @@
                 lifeCycle.stopDraining(clock.getAsLong());
                 yield phaseReply("drain-off");
             }
-            case "" -> error("no call");
-            default -> error("unknown call; known are check, vars, drain-on, drain-off");
+            case "" -> errorReply("no call");
+            default -> errorReply("unknown call; known are check, vars, drain-on, drain-off");
         };
     }
 
@@ -55,20 +55,20 @@
         if (acceptsClients.getAsBoolean()) {
             return "+OK " + phase + '\n';
         }
-        return error(lifeCycle.acceptsClients() ? "no provider is known" : phase);
+        return errorReply(lifeCycle.acceptsClients() ? "no provider is known" : phase);
     }
 
     private String phaseReply(String call) {
         LifeCycle.LifeCyclePhase phase = lifeCycle.phase();
         log.accept("operator: " + call + "; now " + phase.name().toLowerCase(Locale.ROOT));
         if (phase == LifeCycle.LifeCyclePhase.LEAVING) {
-            return error("leaving");
+            return errorReply("leaving");
         }
         return "+OK " + phase.name().toLowerCase(Locale.ROOT) + '\n';
     }
 
     /** The reply to what is no command. */
-    public static String error(String why) {
+    public static String errorReply(String why) {
         return "-ERR " + why + '\n';
     }
 }
--- a/src/main/java/reedmux/gatekeeper/admin/AdminServer.java
+++ b/src/main/java/reedmux/gatekeeper/admin/AdminServer.java
@@ -30,9 +30,9 @@
     private static final long TIMEOUT_CHECK_MILLIS = 1_000;
     private static final int ACCEPT_BACKLOG = 64;
 
-    private final ServerSocketChannel server;
+    private final ServerSocketChannel serverChannel;
     private final Selector selector;
-    private final UnaryOperator<String> commands;
+    private final UnaryOperator<String> commandHandler;
     private final Consumer<String> log;
     /** The open connections, the oldest first; for the server's thread alone. */
     private final Deque<AdminConnection> connections = new ArrayDeque<>();
@@ -40,15 +40,15 @@
     /** Listens at once; {@code commands} gives the reply to a line. */
     public AdminServer(InetSocketAddress address, UnaryOperator<String> commands, Consumer<String> log)
             throws IOException {
-        this.commands = commands;
+        this.commandHandler = commands;
         this.log = log;
         selector = Selector.open();
-        server = ServerSocketChannel.open();
+        serverChannel = ServerSocketChannel.open();
         try {
-            server.socket().setReuseAddress(true);
-            server.bind(address, ACCEPT_BACKLOG);
-            server.configureBlocking(false);
-            server.register(selector, SelectionKey.OP_ACCEPT);
+            serverChannel.socket().setReuseAddress(true);
+            serverChannel.bind(address, ACCEPT_BACKLOG);
+            serverChannel.configureBlocking(false);
+            serverChannel.register(selector, SelectionKey.OP_ACCEPT);
         } catch (IOException e) {
             close();
             throw new IOException("operator: cannot listen on " + address + ": " + e.getMessage(), e);
@@ -60,14 +60,14 @@
 
     /** The address that it listens on. */
     public InetSocketAddress address() throws IOException {
-        return (InetSocketAddress) server.getLocalAddress();
+        return (InetSocketAddress) serverChannel.getLocalAddress();
     }
 
     private void run() {
         try {
-            while (server.isOpen()) {
+            while (serverChannel.isOpen()) {
                 selector.select(connections.isEmpty() ? 0 : TIMEOUT_CHECK_MILLIS);
-                if (!server.isOpen()) {
+                if (!serverChannel.isOpen()) {
                     break;
                 }
                 for (SelectionKey key : selector.selectedKeys()) {
@@ -86,7 +86,7 @@
                 }
             }
         } catch (IOException | RuntimeException e) {
-            if (server.isOpen()) {
+            if (serverChannel.isOpen()) {
                 log.accept("operator: the door has ended: " + e);
             }
         } finally {
@@ -97,7 +97,7 @@
     private void accept() throws IOException {
         SocketChannel channel;
         try {
-            channel = server.accept();
+            channel = serverChannel.accept();
         } catch (IOException e) { // no descriptor is left, or the client has gone
             log.accept("operator: cannot accept: " + e.getMessage());
             if (!connections.isEmpty()) {
@@ -160,11 +160,11 @@
             }
             if (end < input.position()) {
                 int length = end > 0 && input.get(end - 1) == '\r' ? end - 1 : end;
-                reply = encode(commands.apply(new String(input.array(), 0, length, StandardCharsets.ISO_8859_1)));
+                reply = encode(commandHandler.apply(new String(input.array(), 0, length, StandardCharsets.ISO_8859_1)));
             } else if (!input.hasRemaining()) {
-                reply = encode(AdminCommands.error("the line is over " + MAX_LINE_BYTES + " bytes"));
+                reply = encode(AdminCommands.errorReply("the line is over " + MAX_LINE_BYTES + " bytes"));
             } else if (inputEnded && input.position() > 0) {
-                reply = encode(AdminCommands.error("the line has no end"));
+                reply = encode(AdminCommands.errorReply("the line has no end"));
             } else if (inputEnded) {
                 close();
             }
@@ -197,8 +197,8 @@
 
     @Override
     public void close() throws IOException {
-        if (server != null) {
-            server.close();
+        if (serverChannel != null) {
+            serverChannel.close();
         }
         selector.close();
     }
--- a/src/main/java/reedmux/gatekeeper/admin/LifeCycle.java
+++ b/src/main/java/reedmux/gatekeeper/admin/LifeCycle.java
@@ -32,16 +32,16 @@
     static final long FINAL_WRITE_GRACE_MICROS = TimeUnit.MILLISECONDS.toMicros(50);
 
     /** The state, replaced as a whole; {@code since} is the begin of the phase. */
-    private record LifeCycleState(LifeCyclePhase phase, long since, boolean ready, boolean hasSuccessor) {}
+    private record LifeCycleState(LifeCyclePhase phase, long phaseStart, boolean ready, boolean hasSuccessor) {}
 
     private volatile LifeCycleState state = new LifeCycleState(LifeCyclePhase.STARTING, 0, false, false);
-    private long quietSince = Long.MAX_VALUE;
+    private long quiescentSince = Long.MAX_VALUE;
 
     /** It listens and has warmed up; if it drains it goes on draining. */
     public synchronized void onReady(long now) {
         LifeCycleState current = state;
         LifeCyclePhase next = current.phase == LifeCyclePhase.STARTING ? LifeCyclePhase.SERVING : current.phase;
-        state = new LifeCycleState(next, next == current.phase ? current.since : now, true, current.hasSuccessor);
+        state = new LifeCycleState(next, next == current.phase ? current.phaseStart : now, true, current.hasSuccessor);
     }
 
     /** Starts draining; no effect if it drains or leaves already. */
@@ -64,7 +64,7 @@
 
     /** Sets whether another process has taken over our address and state. */
     public synchronized void setSuccessor(boolean present) {
-        state = new LifeCycleState(state.phase, state.since, state.ready, present);
+        state = new LifeCycleState(state.phase, state.phaseStart, state.ready, present);
     }
 
     /** Starts the graceful shutdown; only the first call counts. */
@@ -94,9 +94,10 @@
         LifeCycleState current = state;
         return switch (current.phase) {
             case STARTING, SERVING -> false;
-            case DRAINING -> now - current.since >= DRAIN_IDLE_GRACE_MICROS;
+            case DRAINING -> now - current.phaseStart >= DRAIN_IDLE_GRACE_MICROS;
             case LEAVING ->
-                now - current.since >= (current.hasSuccessor ? IDLE_GRACE_WITH_SUCCESSOR_MICROS : ACCEPT_GRACE_MICROS);
+                now - current.phaseStart
+                        >= (current.hasSuccessor ? IDLE_GRACE_WITH_SUCCESSOR_MICROS : ACCEPT_GRACE_MICROS);
         };
     }
 
@@ -104,7 +105,7 @@
     public boolean acceptsConnections(long now) {
         LifeCycleState current = state;
         return current.phase != LifeCyclePhase.LEAVING
-                || now - current.since
+                || now - current.phaseStart
                         < (current.hasSuccessor ? ACCEPT_GRACE_WITH_SUCCESSOR_MICROS : ACCEPT_GRACE_MICROS);
     }
 
@@ -120,17 +121,17 @@
                 && !acceptsConnections(now)
                 && unanswered == 0
                 && (closesIdleConnections(now) || !connected);
-        quietSince = quiet ? Math.min(quietSince, now) : Long.MAX_VALUE;
-        return quiet && now - quietSince >= FINAL_WRITE_GRACE_MICROS;
+        quiescentSince = quiet ? Math.min(quiescentSince, now) : Long.MAX_VALUE;
+        return quiet && now - quiescentSince >= FINAL_WRITE_GRACE_MICROS;
     }
 
     /** When to call {@link #mayTerminate} again at the latest. */
-    public long nextCheck(long now) {
+    public long nextTerminationCheck(long now) {
         LifeCycleState current = state;
         return current.phase != LifeCyclePhase.LEAVING
                 ? Long.MAX_VALUE
                 : acceptsConnections(now)
-                        ? current.since
+                        ? current.phaseStart
                                 + (current.hasSuccessor ? ACCEPT_GRACE_WITH_SUCCESSOR_MICROS : ACCEPT_GRACE_MICROS)
                         : now + FINAL_WRITE_GRACE_MICROS;
     }
--- a/src/main/java/reedmux/gatekeeper/admin/Metrics.java
+++ b/src/main/java/reedmux/gatekeeper/admin/Metrics.java
@@ -58,9 +58,9 @@
     /** The metrics of one service. */
     public static final class ServiceMetrics {
         private final Map<String, ClassMetrics> classes = new ConcurrentHashMap<>();
-        private final LongAdder calls = new LongAdder();
-        private volatile int listed;
-        private volatile int down;
+        private final LongAdder providerCalls = new LongAdder();
+        private volatile int listedHosts;
+        private volatile int ejectedHosts;
 
         /** The counters of a class, which are listed from now on even if they are 0. */
         public ClassMetrics forClass(String name) {
@@ -69,13 +69,13 @@
 
         /** A call has been written to a provider; for all threads. */
         public void onProviderCall() {
-            calls.increment();
+            providerCalls.increment();
         }
 
         /** Sets how many providers are listed, and how many of them are ejected; for one thread. */
-        public void setHosts(int listedHosts, int ejectedHosts) {
-            listed = listedHosts;
-            down = ejectedHosts;
+        public void setHosts(int listed, int ejected) {
+            listedHosts = listed;
+            ejectedHosts = ejected;
         }
     }
 
@@ -101,9 +101,9 @@
                 appendLine(text, "failure." + prefix + entry.getKey(), counts.failure.sum(), 'c');
                 open += counts.inFlight();
             }
-            calls += metrics.calls.sum();
-            listed += metrics.listed;
-            down += metrics.down;
+            calls += metrics.providerCalls.sum();
+            listed += metrics.listedHosts;
+            down += metrics.ejectedHosts;
         }
         appendLine(text, "backend_calls", calls, 'c');
         appendLine(text, "inflight", open, 'g');
--- a/src/main/java/reedmux/gatekeeper/discovery/DiscoveryWatch.java
+++ b/src/main/java/reedmux/gatekeeper/discovery/DiscoveryWatch.java
@@ -163,7 +163,7 @@
         if (closed || !asked.equals(discovery)) {
             return;
         }
-        String problem = problemOf(result);
+        String problem = applyResponse(result);
         if (problem == null) {
             failing = false;
             listReceived = true;
@@ -178,7 +178,7 @@
     }
 
     /** Applies the list of a response; returns why there is none, or null. */
-    private String problemOf(CallResult result) {
+    private String applyResponse(CallResult result) {
         if (result instanceof CallResult.ResponseReceived response) {
             return response.status() == STATUS_OK ? applyList(response.body()) : "status " + response.status();
         }
--- a/src/main/java/reedmux/gatekeeper/peer/PeerSocket.java
+++ b/src/main/java/reedmux/gatekeeper/peer/PeerSocket.java
@@ -27,13 +27,13 @@
     private static final long MICROS_PER_MILLI = 1000;
 
     private final Selector selector;
-    private final InetSocketAddress listen;
+    private final InetSocketAddress listenAddress;
     private DatagramChannel channel;
     private final List<InetSocketAddress> peers;
     private final InetSocketAddress broadcastAddress;
-    private final Map<SocketAddress, Integer> peerNumbers = new HashMap<>();
-    private final ByteBuffer in = ByteBuffer.allocateDirect(MAX_DATAGRAM_BYTES + 1);
-    private final ByteBuffer out = ByteBuffer.allocateDirect(MAX_DATAGRAM_BYTES);
+    private final Map<SocketAddress, Integer> peerIndexes = new HashMap<>();
+    private final ByteBuffer receiveBuffer = ByteBuffer.allocateDirect(MAX_DATAGRAM_BYTES + 1);
+    private final ByteBuffer sendBuffer = ByteBuffer.allocateDirect(MAX_DATAGRAM_BYTES);
     private long droppedCount;
     private long unsentCount;
 
@@ -46,11 +46,11 @@
      */
     public PeerSocket(InetSocketAddress listen, List<InetSocketAddress> peers, InetSocketAddress broadcastAddress)
             throws IOException {
-        this.listen = listen;
+        this.listenAddress = listen;
         this.peers = peers;
         this.broadcastAddress = broadcastAddress;
         for (int i = 0; i < peers.size(); i++) {
-            peerNumbers.put(peers.get(i), i);
+            peerIndexes.put(peers.get(i), i);
         }
         selector = Selector.open();
     }
@@ -61,13 +61,13 @@
      * @throws IOException where it cannot be, also where another process has the address
      */
     public void open() throws IOException {
-        if (listen == null || channel != null) {
+        if (listenAddress == null || channel != null) {
             return;
         }
         DatagramChannel opened = DatagramChannel.open();
         try {
             opened.configureBlocking(false);
-            opened.bind(listen);
+            opened.bind(listenAddress);
             opened.register(selector, SelectionKey.OP_READ);
         } catch (IOException e) {
             opened.close();
@@ -107,10 +107,10 @@
     @Override
     public void receive(GatekeeperLoop.PeerDatagramHandler handler) {
         for (int i = 0; channel != null && i < MAX_DATAGRAMS_PER_RECEIVE; i++) {
-            in.clear();
+            receiveBuffer.clear();
             SocketAddress from;
             try {
-                from = channel.receive(in);
+                from = channel.receive(receiveBuffer);
             } catch (IOException e) {
                 droppedCount++; // an ICMP error of an earlier send comes up here and says nothing of the next
                 continue;
@@ -118,15 +118,15 @@
             if (from == null) {
                 return;
             }
-            Integer number = peerNumbers.get(from);
-            if (number == null || in.position() > MAX_DATAGRAM_BYTES) {
+            Integer number = peerIndexes.get(from);
+            if (number == null || receiveBuffer.position() > MAX_DATAGRAM_BYTES) {
                 droppedCount++;
                 continue;
             }
-            byte[] bytes = new byte[in.position()];
-            in.flip().get(bytes);
-            int tag = PoolTag.read(bytes);
-            handler.onDatagram(tag, number, tag == PoolTag.NONE ? bytes : PoolTag.untagged(bytes));
+            byte[] bytes = new byte[receiveBuffer.position()];
+            receiveBuffer.flip().get(bytes);
+            int tag = ServiceTag.read(bytes);
+            handler.onDatagram(tag, number, tag == ServiceTag.NONE ? bytes : ServiceTag.removeTag(bytes));
         }
     }
 
@@ -137,10 +137,10 @@
             unsentCount++;
             return;
         }
-        out.clear();
-        out.put(bytes).flip();
+        sendBuffer.clear();
+        sendBuffer.put(bytes).flip();
         try {
-            channel.send(out, to);
+            channel.send(sendBuffer, to);
         } catch (IOException e) {
             unsentCount++;
         }
--- a/src/main/java/reedmux/gatekeeper/peer/PoolTag.java
+++ b/src/main/java/reedmux/gatekeeper/peer/ServiceTag.java
@@ -11,7 +11,7 @@
  * half with some bits flipped. So no datagram is ever valid as both: a gatekeeper of a version before there were
  * several services drops what is tagged, and what is not tagged belongs to the default service.
  */
-public final class PoolTag {
+public final class ServiceTag {
     /** No tag: the default service's. */
     public static final int NONE = 0;
     /** Bytes that a tag takes, with its checksum. */
@@ -20,7 +20,7 @@
     /** The bits that are flipped, which tell a tagged datagram's checksum from a policy's. */
     private static final int CHECKSUM_MASK = 0xA5C3;
 
-    private PoolTag() {}
+    private ServiceTag() {}
 
     /** The tag of a service, the same at all gatekeepers; never {@link #NONE}. */
     public static int of(String name) {
@@ -38,7 +38,7 @@
     }
 
     /** The policy's datagram with a tag. */
-    public static byte[] tagged(int tag, byte[] untagged) {
+    public static byte[] addTag(int tag, byte[] untagged) {
         byte[] all = ByteBuffer.allocate(LENGTH_BYTES + untagged.length)
                 .putShort((short) 0)
                 .putInt(tag)
@@ -48,7 +48,7 @@
     }
 
     /** The policy's own bytes of a datagram with a tag. */
-    static byte[] untagged(byte[] datagram) {
+    static byte[] removeTag(byte[] datagram) {
         byte[] own = new byte[datagram.length - LENGTH_BYTES];
         System.arraycopy(datagram, LENGTH_BYTES, own, 0, own.length);
         return own;
--- a/src/main/java/reedmux/gatekeeper/routing/RouteTable.java
+++ b/src/main/java/reedmux/gatekeeper/routing/RouteTable.java
@@ -29,28 +29,28 @@
     /** Host patterns in lower case; a wildcard's without its {@code *}, so that it begins with a dot. */
     private final String[] hosts;
 
-    private final int[] hostNumbers;
+    private final int[] hostIds;
     /** Paths without trailing slash, each with the number of its host and its service. */
     private final String[] paths;
 
-    private final int[] pathHosts;
+    private final int[] pathHostIds;
     private final int[] services;
     private final boolean hasPathRoutes;
     private final int maxPathLength;
 
     private RouteTable(Map<String, Integer> numbers, List<ServiceRoute> routes) {
         hosts = new String[tableSize(numbers.size())];
-        hostNumbers = new int[hosts.length];
+        hostIds = new int[hosts.length];
         numbers.forEach((host, number) -> {
             int slot = slot(hash(host, 0, host.length()), hosts.length);
             while (hosts[slot] != null) {
                 slot = slot + 1 & hosts.length - 1;
             }
             hosts[slot] = host;
-            hostNumbers[slot] = number;
+            hostIds[slot] = number;
         });
         paths = new String[tableSize(routes.size())];
-        pathHosts = new int[paths.length];
+        pathHostIds = new int[paths.length];
         services = new int[paths.length];
         int longest = 0;
         boolean any = false;
@@ -62,7 +62,7 @@
                 slot = slot + 1 & paths.length - 1;
             }
             paths[slot] = path;
-            pathHosts[slot] = number;
+            pathHostIds[slot] = number;
             services[slot] = route.service();
             longest = Math.max(longest, path.length());
             any |= !path.isEmpty();
@@ -107,7 +107,7 @@
             throw new InvalidRouteException(route.line(), "nothing lies below an address: " + host);
         }
         String path = withoutTrailingSlash(route.path());
-        if (!route.path().startsWith("/") || !path.isEmpty() && UnambiguousPath.end(path) != path.length()) {
+        if (!route.path().startsWith("/") || !path.isEmpty() && UnambiguousPath.pathEnd(path) != path.length()) {
             throw new InvalidRouteException(
                     route.line(), "the route's path can be read in two ways, or is none: " + route.path());
         }
@@ -148,7 +148,7 @@
         }
         int end = 0;
         if (hasPathRoutes) {
-            end = UnambiguousPath.end(target);
+            end = UnambiguousPath.pathEnd(target);
             if (end == UnambiguousPath.AMBIGUOUS) {
                 return AMBIGUOUS;
             }
@@ -174,7 +174,7 @@
     private int lookUpHost(int hash, String text, int from, int to) {
         for (int slot = slot(hash, hosts.length); hosts[slot] != null; slot = slot + 1 & hosts.length - 1) {
             if (sameHost(hosts[slot], text, from, to)) {
-                return hostNumbers[slot];
+                return hostIds[slot];
             }
         }
         return NONE;
@@ -217,7 +217,7 @@
 
     private int lookUpPath(int hash, int host, String target, int length) {
         for (int slot = slot(hash, paths.length); paths[slot] != null; slot = slot + 1 & paths.length - 1) {
-            if (pathHosts[slot] == host && paths[slot].length() == length && target.startsWith(paths[slot])) {
+            if (pathHostIds[slot] == host && paths[slot].length() == length && target.startsWith(paths[slot])) {
                 return services[slot];
             }
         }
--- a/src/main/java/reedmux/gatekeeper/routing/UnambiguousPath.java
+++ b/src/main/java/reedmux/gatekeeper/routing/UnambiguousPath.java
@@ -12,7 +12,7 @@
     private UnambiguousPath() {}
 
     /** Where the path ends in an origin-form target, at its query or its own end, or {@link #AMBIGUOUS}. */
-    public static int end(String target) {
+    public static int pathEnd(String target) {
         if (target.isEmpty() || target.charAt(0) != '/') {
             return AMBIGUOUS;
         }
--- a/src/main/java/reedmux/gatekeeper/service/ServiceRuntime.java
+++ b/src/main/java/reedmux/gatekeeper/service/ServiceRuntime.java
@@ -19,7 +19,7 @@
 import reedmux.gatekeeper.http.ServiceFrontend;
 import reedmux.gatekeeper.http.UpstreamConnectionPool;
 import reedmux.gatekeeper.peer.PeerSocket;
-import reedmux.gatekeeper.peer.PoolTag;
+import reedmux.gatekeeper.peer.ServiceTag;
 import reedmux.gatekeeper.policy.GatekeeperPolicy;
 import reedmux.gatekeeper.policy.HandoverCounts;
 import reedmux.gatekeeper.reducer.FinalAnswer;
@@ -100,10 +100,10 @@
         this.resources = resources;
         this.regionForwarding = forwarding;
         boolean isDefault = setup.name().equals(ServiceSetup.DEFAULT_SERVICE);
-        tag = isDefault ? PoolTag.NONE : PoolTag.of(setup.name());
+        tag = isDefault ? ServiceTag.NONE : ServiceTag.of(setup.name());
         logPrefix = isDefault ? "" : "service " + setup.name() + ": ";
         ServiceConfig service =
-                isDefault ? setup.service() : setup.service().withSmallerPeerMessages(PoolTag.LENGTH_BYTES);
+                isDefault ? setup.service() : setup.service().withSmallerPeerMessages(ServiceTag.LENGTH_BYTES);
         metrics = resources.metrics.forService(isDefault ? "" : setup.name());
         frontend = new ServiceFrontend(service.settings(), resources.clock, this::post, metrics);
         connectionPool = new UpstreamConnectionPool(
@@ -188,7 +188,7 @@
 
     /** Returns whether this service can continue with a new setup of the same name and keep its state. */
     boolean canContinueWith(ServiceSetup newSetup) {
-        return tag == PoolTag.NONE || setup.service().hasSameRules(newSetup.service());
+        return tag == ServiceTag.NONE || setup.service().hasSameRules(newSetup.service());
     }
 
     /** Replaces the setup. {@link #canContinueWith} must have returned true for the new one. */
@@ -367,7 +367,7 @@
     @Override
     public void sendToPeer(int peer, byte[] bytes) {
         if (!peerMessagesMuted) {
-            resources.peers.send(peer, tag == PoolTag.NONE ? bytes : PoolTag.tagged(tag, bytes));
+            resources.peers.send(peer, tag == ServiceTag.NONE ? bytes : ServiceTag.addTag(tag, bytes));
         }
     }
 
--- a/src/main/java/reedmux/gatekeeper/simulator/SimulatorLine.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/SimulatorLine.java
@@ -9,7 +9,7 @@
     /** In place of a value. */
     private static final String ABSENT = "-";
     /** Customers' numbers lie below this. */
-    private static final long CUSTOMER_BOUND = 1L << 33;
+    private static final long CUSTOMER_NUMBER_BOUND = 1L << 33;
     /** Characters of a line that an error shows. */
     private static final int SHOWN_CHARACTERS = 120;
 
@@ -17,42 +17,42 @@
 
     private final long lineNumber;
     private final String line;
-    private final List<String> parts = new ArrayList<>(16);
-    private int next;
+    private final List<String> fields = new ArrayList<>(16);
+    private int nextIndex;
 
     SimulatorLine(long number, String line) {
         this.lineNumber = number;
         this.line = line;
         int start = 0;
         for (int tab = line.indexOf('\t'); tab >= 0; tab = line.indexOf('\t', start)) {
-            parts.add(line.substring(start, tab));
+            fields.add(line.substring(start, tab));
             start = tab + 1;
         }
-        parts.add(line.substring(start));
+        fields.add(line.substring(start));
     }
 
     /** The error that names this line. */
-    MalformedFrameException malformed(String what) {
+    SimulatorProtocolException malformed(String what) {
         String shown = line.length() > SHOWN_CHARACTERS ? line.substring(0, SHOWN_CHARACTERS) + "..." : line;
-        return new MalformedFrameException("line " + lineNumber + ": " + what + ": " + shown.replace('\t', ' '));
+        return new SimulatorProtocolException("line " + lineNumber + ": " + what + ": " + shown.replace('\t', ' '));
     }
 
     /** A text that is not empty. */
-    String text() throws MalformedFrameException {
-        if (next >= parts.size() || parts.get(next).isEmpty()) {
+    String nextText() throws SimulatorProtocolException {
+        if (nextIndex >= fields.size() || fields.get(nextIndex).isEmpty()) {
             throw malformed("too few values");
         }
-        return parts.get(next++);
+        return fields.get(nextIndex++);
     }
 
     /** All values that are left. */
-    List<String> remaining() {
-        return parts.subList(next, parts.size());
+    List<String> remainingFields() {
+        return fields.subList(nextIndex, fields.size());
     }
 
     /** An integer that is not negative; 0 when absent. */
-    long nonNegativeLong() throws MalformedFrameException {
-        String part = text();
+    long nextNonNegativeLong() throws SimulatorProtocolException {
+        String part = nextText();
         if (part.equals(ABSENT)) {
             return 0;
         }
@@ -68,29 +68,29 @@
     }
 
     /** An integer that is not negative and below {@code bound}. */
-    int intBelow(int bound) throws MalformedFrameException {
-        long value = nonNegativeLong();
+    int nextIntBelow(int bound) throws SimulatorProtocolException {
+        long value = nextNonNegativeLong();
         if (value >= bound) {
             throw malformed("out of range: " + value);
         }
         return (int) value;
     }
 
-    int nonNegativeInt() throws MalformedFrameException {
-        return intBelow(Integer.MAX_VALUE);
+    int nextNonNegativeInt() throws SimulatorProtocolException {
+        return nextIntBelow(Integer.MAX_VALUE);
     }
 
-    long customerNumber() throws MalformedFrameException {
-        long value = nonNegativeLong();
-        if (value >= CUSTOMER_BOUND) {
+    long nextCustomerNumber() throws SimulatorProtocolException {
+        long value = nextNonNegativeLong();
+        if (value >= CUSTOMER_NUMBER_BOUND) {
             throw malformed("out of range: " + value);
         }
         return value;
     }
 
     /** A finite number; 0 when absent. */
-    double finiteDouble() throws MalformedFrameException {
-        String part = text();
+    double nextFiniteDouble() throws SimulatorProtocolException {
+        String part = nextText();
         if (part.equals(ABSENT)) {
             return 0;
         }
@@ -105,16 +105,16 @@
         throw malformed("not a number: '" + part + "'");
     }
 
-    double positiveDouble() throws MalformedFrameException {
-        double value = finiteDouble();
+    double nextPositiveDouble() throws SimulatorProtocolException {
+        double value = nextFiniteDouble();
         if (value <= 0) {
             throw malformed("not above nought: " + value);
         }
         return value;
     }
 
-    boolean flag() throws MalformedFrameException {
-        String part = text();
+    boolean nextFlag() throws SimulatorProtocolException {
+        String part = nextText();
         return switch (part) {
             case "1" -> true;
             case "0", ABSENT -> false;
@@ -122,8 +122,8 @@
         };
     }
 
-    String requestId() throws MalformedFrameException {
-        String part = text();
+    String nextRequestId() throws SimulatorProtocolException {
+        String part = nextText();
         boolean good = part.length() == REQUEST_ID_DIGITS;
         for (int i = 0; good && i < REQUEST_ID_DIGITS; i++) {
             good = Character.digit(part.charAt(i), 16) >= 0;
@@ -134,8 +134,8 @@
         return part;
     }
 
-    byte[] hexBytes() throws MalformedFrameException {
-        String part = text();
+    byte[] nextHexBytes() throws SimulatorProtocolException {
+        String part = nextText();
         try {
             return part.equals(ABSENT) ? new byte[0] : HexFormat.of().parseHex(part);
         } catch (IllegalArgumentException e) {
--- a/src/main/java/reedmux/gatekeeper/simulator/SimulatorMain.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/SimulatorMain.java
@@ -28,7 +28,7 @@
         try {
             session.run(in, out);
             return 0;
-        } catch (MalformedFrameException | IOException e) {
+        } catch (SimulatorProtocolException | IOException e) {
             err.println("reedmux: " + e.getMessage());
             return 1;
         }
--- a/src/main/java/reedmux/gatekeeper/simulator/SimulatorOptions.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/SimulatorOptions.java
@@ -11,10 +11,10 @@
     private final SimulatorLine line;
     private final SettingsReader reader;
 
-    SimulatorOptions(SimulatorLine line) throws MalformedFrameException {
+    SimulatorOptions(SimulatorLine line) throws SimulatorProtocolException {
         this.line = line;
         Map<String, String> values = new HashMap<>();
-        for (String pair : line.remaining()) {
+        for (String pair : line.remainingFields()) {
             int equals = pair.indexOf('=');
             if (equals < 1) {
                 throw line.malformed("not a setting: '" + pair + "'");
@@ -25,7 +25,7 @@
     }
 
     /** Reads the settings; a contradiction in them names its key. */
-    PolicySettings settings() throws MalformedFrameException {
+    PolicySettings readSettings() throws SimulatorProtocolException {
         try {
             return reader.settings();
         } catch (ConfigException e) {
--- a/src/main/java/reedmux/gatekeeper/simulator/MalformedFrameException.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/SimulatorProtocolException.java
@@ -1,10 +1,10 @@
 package reedmux.gatekeeper.simulator;
 
 /** Input that the simulator's protocol does not allow; the message names the line. */
-final class MalformedFrameException extends Exception {
+final class SimulatorProtocolException extends Exception {
     private static final long serialVersionUID = 1;
 
-    MalformedFrameException(String message) {
+    SimulatorProtocolException(String message) {
         super(message);
     }
 }
--- a/src/main/java/reedmux/gatekeeper/simulator/SimulatorReplyWriter.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/SimulatorReplyWriter.java
@@ -99,15 +99,15 @@
 
     @Override
     public void log(String line) {
-        beginLine("DEBUG").append('\t').append(oneLine(line)).append('\n');
+        beginLine("DEBUG").append('\t').append(toSingleLine(line)).append('\n');
     }
 
     /** Reports that the policy itself has failed. */
     void reportPolicyFailure(String reason) {
-        beginLine("GIVE_IN").append('\t').append(oneLine(reason)).append('\n');
+        beginLine("GIVE_IN").append('\t').append(toSingleLine(reason)).append('\n');
     }
 
-    private static String oneLine(String text) {
+    private static String toSingleLine(String text) {
         return text.replaceAll("[\\t\\r\\n]+", " ");
     }
 
--- a/src/main/java/reedmux/gatekeeper/simulator/SimulatorSession.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/SimulatorSession.java
@@ -39,7 +39,7 @@
 
     private final BiFunction<PolicySettings, Long, TrafficPolicy> policyFactory;
     private final Map<Integer, GatekeeperInstance> instances = new HashMap<>();
-    private final StringBuilder out = new StringBuilder(1 << 16);
+    private final StringBuilder replyText = new StringBuilder(1 << 16);
     private long lineNumber;
     private long now;
 
@@ -51,37 +51,37 @@
     /**
      * Answers batches until the input ends between two of them.
      *
-     * @throws MalformedFrameException at the first line that cannot be read
+     * @throws SimulatorProtocolException at the first line that cannot be read
      */
-    void run(BufferedReader in, OutputStream sink) throws IOException, MalformedFrameException {
-        for (SimulatorLine line = read(in); line != null; line = read(in)) {
-            if (!line.text().equals("CLOCK")) {
+    void run(BufferedReader in, OutputStream sink) throws IOException, SimulatorProtocolException {
+        for (SimulatorLine line = readLine(in); line != null; line = readLine(in)) {
+            if (!line.nextText().equals("CLOCK")) {
                 throw line.malformed("a batch begins with CLOCK");
             }
-            long clock = line.nonNegativeLong();
+            long clock = line.nextNonNegativeLong();
             if (clock < now) {
                 throw line.malformed("the clock went backwards");
             }
             now = clock;
             readBatch(in);
-            sink.write(out.append("FINISHED\n").toString().getBytes(StandardCharsets.UTF_8));
+            sink.write(replyText.append("FINISHED\n").toString().getBytes(StandardCharsets.UTF_8));
             sink.flush();
-            out.setLength(0);
+            replyText.setLength(0);
         }
     }
 
-    private SimulatorLine read(BufferedReader in) throws IOException {
+    private SimulatorLine readLine(BufferedReader in) throws IOException {
         String line = in.readLine();
         return line == null ? null : new SimulatorLine(++lineNumber, line);
     }
 
-    private void readBatch(BufferedReader in) throws IOException, MalformedFrameException {
-        for (SimulatorLine line = read(in); line != null; line = read(in)) {
-            String name = line.text();
+    private void readBatch(BufferedReader in) throws IOException, SimulatorProtocolException {
+        for (SimulatorLine line = readLine(in); line != null; line = readLine(in)) {
+            String name = line.nextText();
             if (name.equals("YOUR_TURN")) {
                 return;
             }
-            int id = line.nonNegativeInt();
+            int id = line.nextNonNegativeInt();
             switch (name) {
                 case "CONFIGURE" -> configure(id, line);
                 case "DOWN" -> instances.remove(id);
@@ -90,19 +90,19 @@
                     if (instance == null) {
                         throw line.malformed("no such instance");
                     }
-                    PolicyEvent event = event(name, line, instance, in);
+                    PolicyEvent event = parseEvent(name, line, instance, in);
                     runGuarded(instance.reply, () -> instance.policy.handle(now, event, instance.reply));
                 }
             }
         }
-        throw new MalformedFrameException("line " + lineNumber + ": the input ends within a batch");
+        throw new SimulatorProtocolException("line " + lineNumber + ": the input ends within a batch");
     }
 
-    private void configure(int id, SimulatorLine line) throws MalformedFrameException {
-        long seed = line.nonNegativeLong();
+    private void configure(int id, SimulatorLine line) throws SimulatorProtocolException {
+        long seed = line.nextNonNegativeLong();
         SimulatorOptions options = new SimulatorOptions(line);
-        PolicySettings settings = options.settings();
-        SimulatorReplyWriter reply = new SimulatorReplyWriter(out, id);
+        PolicySettings settings = options.readSettings();
+        SimulatorReplyWriter reply = new SimulatorReplyWriter(replyText, id);
         runGuarded(
                 reply,
                 () -> instances.put(id, new GatekeeperInstance(policyFactory.apply(settings, seed), settings, reply)));
@@ -118,33 +118,39 @@
         }
     }
 
-    private PolicyEvent event(String name, SimulatorLine line, GatekeeperInstance instance, BufferedReader in)
-            throws IOException, MalformedFrameException {
+    private PolicyEvent parseEvent(String name, SimulatorLine line, GatekeeperInstance instance, BufferedReader in)
+            throws IOException, SimulatorProtocolException {
         return switch (name) {
-            case "VIEW" -> serverList(line, in);
-            case "KNOCK" -> request(line, instance.settings);
-            case "ELAPSED" -> new TimerExpired(line.nonNegativeLong());
-            case "SETTLED" -> attemptEnded(line);
-            case "INBOX" -> new PeerMessage(line.intBelow(instance.settings.groupSize()), line.hexBytes());
+            case "VIEW" -> parseServerList(line, in);
+            case "KNOCK" -> parseRequest(line, instance.settings);
+            case "ELAPSED" -> new TimerExpired(line.nextNonNegativeLong());
+            case "SETTLED" -> parseAttemptEnded(line);
+            case "INBOX" -> new PeerMessage(line.nextIntBelow(instance.settings.groupSize()), line.nextHexBytes());
             case "FIRST_BYTE" ->
-                new ResponseStreamStarted(line.requestId(), line.text(), line.nonNegativeInt(), line.nonNegativeLong());
+                new ResponseStreamStarted(
+                        line.nextRequestId(), line.nextText(), line.nextNonNegativeInt(), line.nextNonNegativeLong());
             case "TALLY_BACK" ->
-                new CounterResult(line.nonNegativeLong(), outcome(line), line.finiteDouble(), line.nonNegativeLong());
-            case "WITHDRAWN" -> new RequestWithdrawn(line.requestId());
-            case "CHECKED" -> new HealthCheckEnded(line.text(), outcome(line), line.nonNegativeLong());
+                new CounterResult(
+                        line.nextNonNegativeLong(),
+                        parseOutcome(line),
+                        line.nextFiniteDouble(),
+                        line.nextNonNegativeLong());
+            case "WITHDRAWN" -> new RequestWithdrawn(line.nextRequestId());
+            case "CHECKED" -> new HealthCheckEnded(line.nextText(), parseOutcome(line), line.nextNonNegativeLong());
             default -> throw line.malformed("unknown event '" + name + "'");
         };
     }
 
-    private static IncomingRequest request(SimulatorLine line, PolicySettings settings) throws MalformedFrameException {
-        String id = line.requestId();
-        int requestClass = line.intBelow(settings.classes().size());
-        int plan = line.intBelow(settings.plans().size());
-        long customer = line.customerNumber();
-        long deadline = line.nonNegativeLong();
-        double units = line.positiveDouble();
-        int memberCount = (int) Math.round(line.positiveDouble());
-        int firstMember = (int) Math.round(line.finiteDouble());
+    private static IncomingRequest parseRequest(SimulatorLine line, PolicySettings settings)
+            throws SimulatorProtocolException {
+        String id = line.nextRequestId();
+        int requestClass = line.nextIntBelow(settings.classes().size());
+        int plan = line.nextIntBelow(settings.plans().size());
+        long customer = line.nextCustomerNumber();
+        long deadline = line.nextNonNegativeLong();
+        double units = line.nextPositiveDouble();
+        int memberCount = (int) Math.round(line.nextPositiveDouble());
+        int firstMember = (int) Math.round(line.nextFiniteDouble());
         if (memberCount < 1
                 || memberCount > settings.groupSize()
                 || firstMember < 0
@@ -160,22 +166,23 @@
                 units,
                 memberCount,
                 firstMember,
-                (line.nonNegativeLong() & CLIENT_RETRY_BIT) != 0);
+                (line.nextNonNegativeLong() & CLIENT_RETRY_BIT) != 0);
     }
 
-    private static AttemptEnded attemptEnded(SimulatorLine line) throws MalformedFrameException {
-        String id = line.requestId();
-        boolean over = line.flag();
-        String server = line.text();
-        line.nonNegativeLong(); // the meter's figure, which no decision uses
-        int attempt = line.nonNegativeInt();
-        double units = line.finiteDouble();
-        long took = line.nonNegativeLong();
-        return new AttemptEnded(id, over, server, attempt, units, took, outcome(line));
+    private static AttemptEnded parseAttemptEnded(SimulatorLine line) throws SimulatorProtocolException {
+        String id = line.nextRequestId();
+        boolean over = line.nextFlag();
+        String server = line.nextText();
+        line.nextNonNegativeLong(); // the meter's figure, which no decision uses
+        int attempt = line.nextNonNegativeInt();
+        double units = line.nextFiniteDouble();
+        long took = line.nextNonNegativeLong();
+        return new AttemptEnded(id, over, server, attempt, units, took, parseOutcome(line));
     }
 
-    private ServerList serverList(SimulatorLine line, BufferedReader in) throws IOException, MalformedFrameException {
-        String word = line.text();
+    private ServerList parseServerList(SimulatorLine line, BufferedReader in)
+            throws IOException, SimulatorProtocolException {
+        String word = line.nextText();
         ServerListScope scope =
                 switch (word) {
                     case "delta" -> ServerListScope.CHANGES;
@@ -184,28 +191,28 @@
                     case "failed" -> ServerListScope.FAILED;
                     default -> throw line.malformed("unknown scope '" + word + "'");
                 };
-        line.nonNegativeLong();
-        int entries = line.nonNegativeInt();
+        line.nextNonNegativeLong();
+        int entries = line.nextNonNegativeInt();
         List<ListedServer> servers = new ArrayList<>();
         for (int i = 0; i < entries; i++) {
-            SimulatorLine entry = read(in);
-            if (entry == null || !entry.text().equals("SERVER")) {
+            SimulatorLine entry = readLine(in);
+            if (entry == null || !entry.nextText().equals("SERVER")) {
                 throw (entry == null ? line : entry).malformed("a SERVER line is missing");
             }
             servers.add(new ListedServer(
-                    entry.text(),
-                    entry.nonNegativeInt(),
-                    entry.nonNegativeInt(),
-                    entry.nonNegativeInt(),
-                    status(entry),
-                    entry.finiteDouble(),
-                    entry.nonNegativeLong()));
+                    entry.nextText(),
+                    entry.nextNonNegativeInt(),
+                    entry.nextNonNegativeInt(),
+                    entry.nextNonNegativeInt(),
+                    parseStatus(entry),
+                    entry.nextFiniteDouble(),
+                    entry.nextNonNegativeLong()));
         }
         return new ServerList(scope, servers);
     }
 
-    private static ServerStatus status(SimulatorLine line) throws MalformedFrameException {
-        String word = line.text();
+    private static ServerStatus parseStatus(SimulatorLine line) throws SimulatorProtocolException {
+        String word = line.nextText();
         return switch (word) {
             case "Ready" -> ServerStatus.READY;
             case "Terminating" -> ServerStatus.DRAINING;
@@ -214,8 +221,8 @@
         };
     }
 
-    private static AttemptOutcome outcome(SimulatorLine line) throws MalformedFrameException {
-        String word = line.text();
+    private static AttemptOutcome parseOutcome(SimulatorLine line) throws SimulatorProtocolException {
+        String word = line.nextText();
         return switch (word) {
             case "done" -> AttemptOutcome.OK;
             case "err" -> AttemptOutcome.ERROR;
--- a/src/test/java/reedmux/gatekeeper/admin/LifeCycleTest.java
+++ b/src/test/java/reedmux/gatekeeper/admin/LifeCycleTest.java
@@ -12,11 +12,11 @@
 
 /** The phases of a process, from each order of events. */
 public final class LifeCycleTest {
-    private static final long AT = 5_000_000;
+    private static final long START_MICROS = 5_000_000;
     private static final long MICROS_PER_MILLI = 1_000;
 
     /** Each row: events in their order, the phase that comes of them, clients taken, last answers. */
-    private static final String[][] TABLE = {
+    private static final String[][] TRANSITIONS = {
         {"", "STARTING", "no", "no"},
         {"ready", "SERVING", "yes", "no"},
         {"ready ready", "SERVING", "yes", "no"},
@@ -56,14 +56,14 @@
     private static LifeCycle lifeCycleAfter(String events) {
         LifeCycle life = new LifeCycle();
         for (String event : events.isEmpty() ? new String[0] : events.split(" ")) {
-            apply(life, event, AT);
+            apply(life, event, START_MICROS);
         }
         return life;
     }
 
     @Test
     public void followsTheTransitionTable() {
-        for (String[] row : TABLE) {
+        for (String[] row : TRANSITIONS) {
             LifeCycle life = lifeCycleAfter(row[0]);
             assertEquals(row[0], LifeCyclePhase.valueOf(row[1]), life.phase());
             assertEquals(row[0], row[2].equals("yes"), life.acceptsClients());
@@ -74,20 +74,20 @@
     @Test
     public void drainingAcceptsAndClosesIdleConnectionsAfterTheGrace() {
         LifeCycle life = lifeCycleAfter("ready on");
-        assertFalse(life.closesIdleConnections(AT + 999 * MICROS_PER_MILLI));
-        assertTrue(life.closesIdleConnections(AT + 1_000 * MICROS_PER_MILLI));
-        assertTrue(life.acceptsConnections(AT + 3_600_000 * MICROS_PER_MILLI));
-        assertFalse(life.mayTerminate(AT + 3_600_000 * MICROS_PER_MILLI, 0, false));
-        life.startDraining(AT + 2_000 * MICROS_PER_MILLI); // a repeat does not begin it anew
-        assertTrue(life.closesIdleConnections(AT + 2_000 * MICROS_PER_MILLI));
-        life.stopDraining(AT + 2_000 * MICROS_PER_MILLI);
-        assertFalse(life.closesIdleConnections(AT + 9_000 * MICROS_PER_MILLI));
+        assertFalse(life.closesIdleConnections(START_MICROS + 999 * MICROS_PER_MILLI));
+        assertTrue(life.closesIdleConnections(START_MICROS + 1_000 * MICROS_PER_MILLI));
+        assertTrue(life.acceptsConnections(START_MICROS + 3_600_000 * MICROS_PER_MILLI));
+        assertFalse(life.mayTerminate(START_MICROS + 3_600_000 * MICROS_PER_MILLI, 0, false));
+        life.startDraining(START_MICROS + 2_000 * MICROS_PER_MILLI); // a repeat does not begin it anew
+        assertTrue(life.closesIdleConnections(START_MICROS + 2_000 * MICROS_PER_MILLI));
+        life.stopDraining(START_MICROS + 2_000 * MICROS_PER_MILLI);
+        assertFalse(life.closesIdleConnections(START_MICROS + 9_000 * MICROS_PER_MILLI));
     }
 
     @Test
     public void shutdownWhileDrainingHasItsOwnGrace() {
         LifeCycle life = lifeCycleAfter("ready on");
-        long term = AT + 5_000 * MICROS_PER_MILLI;
+        long term = START_MICROS + 5_000 * MICROS_PER_MILLI;
         life.startShutdown(term);
         assertTrue(life.acceptsConnections(term + 599 * MICROS_PER_MILLI));
         assertFalse(life.closesIdleConnections(term + 599 * MICROS_PER_MILLI));
@@ -99,7 +99,7 @@
     @Test
     public void terminatesOnlyAfterTheFinalWriteGrace() {
         LifeCycle life = lifeCycleAfter("ready leave");
-        long late = AT + 700 * MICROS_PER_MILLI;
+        long late = START_MICROS + 700 * MICROS_PER_MILLI;
         assertFalse(life.mayTerminate(late, 1, true));
         assertFalse(life.mayTerminate(late, 0, true));
         assertFalse(life.mayTerminate(late + 49 * MICROS_PER_MILLI, 0, true));
@@ -111,17 +111,18 @@
     @Test
     public void withASuccessorStopsAcceptingAtOnce() {
         LifeCycle life = lifeCycleAfter("ready succeeded leave");
-        assertFalse(life.acceptsConnections(AT + 20 * MICROS_PER_MILLI));
-        assertFalse(life.closesIdleConnections(AT + 999 * MICROS_PER_MILLI));
-        assertFalse("clients still hold connections", life.mayTerminate(AT + 500 * MICROS_PER_MILLI, 0, true));
-        assertFalse(life.mayTerminate(AT + 600 * MICROS_PER_MILLI, 0, false));
-        assertTrue(life.mayTerminate(AT + 650 * MICROS_PER_MILLI, 0, false));
+        assertFalse(life.acceptsConnections(START_MICROS + 20 * MICROS_PER_MILLI));
+        assertFalse(life.closesIdleConnections(START_MICROS + 999 * MICROS_PER_MILLI));
+        assertFalse(
+                "clients still hold connections", life.mayTerminate(START_MICROS + 500 * MICROS_PER_MILLI, 0, true));
+        assertFalse(life.mayTerminate(START_MICROS + 600 * MICROS_PER_MILLI, 0, false));
+        assertTrue(life.mayTerminate(START_MICROS + 650 * MICROS_PER_MILLI, 0, false));
     }
 
     @Test
     public void endedSuccessorIsIgnored() {
         LifeCycle life = lifeCycleAfter("ready succeeded alone leave");
-        assertTrue(life.acceptsConnections(AT + 599 * MICROS_PER_MILLI));
+        assertTrue(life.acceptsConnections(START_MICROS + 599 * MICROS_PER_MILLI));
     }
 
     /** Whatever comes in whatever order: leaving is final, and clients are never taken with last answers. */
@@ -133,7 +134,7 @@
             LifeCycle life = new LifeCycle();
             List<String> told = new ArrayList<>();
             boolean left = false;
-            long now = AT;
+            long now = START_MICROS;
             for (int i = 0; i < 8; i++) {
                 now += random.nextLong(2_000 * MICROS_PER_MILLI);
                 String event = events.get(random.nextInt(events.size()));
--- a/src/test/java/reedmux/gatekeeper/admin/MetricsTest.java
+++ b/src/test/java/reedmux/gatekeeper/admin/MetricsTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    public void sumsOverServicesAndKeepsCountsOfEndedOnes() {
+    public void sumsOverServicesAndKeepsCountersOfEndedServices() {
         metrics.forService("").onProviderCall();
         metrics.forService("").setHosts(3, 1);
         Metrics.ServiceMetrics invoices = metrics.forService("invoices");
--- a/src/test/java/reedmux/gatekeeper/routing/RouteTableTest.java
+++ b/src/test/java/reedmux/gatekeeper/routing/RouteTableTest.java
@@ -181,7 +181,7 @@
 
     /** The table against a plain reading of the same rules, over routes and requests that often meet. */
     @Property(tries = 10_000, seed = "41")
-    void agreesWithALinearSearch(@ForAll long seed) throws InvalidRouteException {
+    void agreesWithLinearSearch(@ForAll long seed) throws InvalidRouteException {
         SplittableRandom random = new SplittableRandom(seed);
         List<ServiceRoute> routes = new ArrayList<>();
         Set<String> keys = new HashSet<>();
@@ -251,7 +251,7 @@
 
     /** Whatever is put into a host, the answer is that of its plain form or none, never another's. */
     @Property(tries = 10_000, seed = "42")
-    void hostIsNeverTakenForAnother(
+    void malformedHostNeverMatchesAnotherHost(
             @ForAll
                     @AlphaChars
                     @Chars({'.', '-', ':', '@', '%', '[', ']', ' ', '\t', '\u00e9', '1', '8', '/'})
--- a/src/test/java/reedmux/gatekeeper/simulator/SimulatorSessionTest.java
+++ b/src/test/java/reedmux/gatekeeper/simulator/SimulatorSessionTest.java
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void everyEventAndActionIsTranslated() throws IOException, MalformedFrameException {
+    void everyEventAndActionIsTranslated() throws IOException, SimulatorProtocolException {
         List<PolicyEvent> seen = new ArrayList<>();
         SimulatorSession drill = new SimulatorSession((settings, seed) -> (now, event, act) -> {
             seen.add(event);
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void exceptionOfThePolicyIsReportedForItsInstance() throws IOException, MalformedFrameException {
+    void exceptionOfThePolicyIsReportedForItsInstance() throws IOException, SimulatorProtocolException {
         SimulatorSession drill = new SimulatorSession((settings, seed) -> (now, event, act) -> {
             throw new IllegalStateException("broken\there");
         });
