--- a/src/main/java/reedmux/proxy/CheckerConnection.java
+++ b/src/main/java/reedmux/proxy/CheckerConnection.java
@@ -33,11 +33,11 @@
     private static final String TIMEOUT_PARAMETER = "timeout=";
     private static final int MAX_TIMEOUT_DIGITS = 6;
     /** Of a checker's own idle timeout in seconds, how long we use a connection: 80%, so that we close it first. */
-    private static final long IDLE_MICROS_PER_ANNOUNCED_SECOND = 800_000;
+    private static final long IDLE_MICROS_PER_KEEP_ALIVE_SECOND = 800_000;
 
-    private static final int STATUS_FIRST_FINAL = 200;
-    private static final int STATUS_FIRST_REDIRECT = 300;
-    private static final int STATUS_MISDIRECTED = 421;
+    private static final int FIRST_FINAL_STATUS = 200;
+    private static final int FIRST_REDIRECT_STATUS = 300;
+    private static final int STATUS_MISDIRECTED_REQUEST = 421;
     private static final int STATUS_BAD_GATEWAY = 502;
     private static final byte[] CRLF = {'\r', '\n'};
     private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
@@ -69,7 +69,7 @@
 
     private ClientRequest request;
     /** How far the request's body is written. */
-    private int nextChunk;
+    private int nextChunkIndex;
 
     private boolean chunked;
     private boolean requestWritten;
@@ -116,7 +116,7 @@
         attempt = nextAttempt;
         request = nextRequest;
         nextAttempt.setConnection(this);
-        nextChunk = 0;
+        nextChunkIndex = 0;
         requestWritten = false;
         staleResponses = 0;
         if (connection.isConnected()) {
@@ -135,7 +135,7 @@
         attempt.onConnected();
         bytesBeforeRequest = connection.sentBytes() + connection.queuedBytes();
         ClientRequestBody body = request.body();
-        byte[] head = request.headFor(attempt, reactor.now());
+        byte[] head = request.encodeHead(attempt, reactor.now());
         chunked = body != null && body.length() < 0;
         connection.write(head);
         if (body == null) {
@@ -160,14 +160,14 @@
         }
         ClientRequestBody body = request.body();
         while (connection.queuedBytes() < MAX_WRITE_QUEUE_BYTES) {
-            byte[] chunk = body.chunk(nextChunk);
+            byte[] chunk = body.chunk(nextChunkIndex);
             if (chunk == null) {
                 break;
             }
-            nextChunk++;
+            nextChunkIndex++;
             writeChunk(chunk);
         }
-        if (!requestWritten && body.isExhausted(nextChunk)) {
+        if (!requestWritten && body.isExhausted(nextChunkIndex)) {
             if (chunked) {
                 connection.write(LAST_CHUNK);
             }
@@ -199,7 +199,7 @@
                 onResponse();
             }
         } catch (MalformedMessageException e) {
-            onBroken();
+            abort();
             return;
         }
         if (attempt == null) {
@@ -207,7 +207,7 @@
                 close(); // bytes that belong to no request, or the checker has closed it
             }
         } else if (connection.isInputEnded()) {
-            onBroken();
+            abort();
         }
     }
 
@@ -217,7 +217,7 @@
             responseHead = headReader.read(connection, MAX_HEAD_BYTES);
             if (responseHead == null) {
                 return false;
-            } else if (responseHead.status() < STATUS_FIRST_FINAL) {
+            } else if (responseHead.status() < FIRST_FINAL_STATUS) {
                 responseHead = null;
                 continue;
             }
@@ -243,11 +243,11 @@
      */
     private void onResponse() throws MalformedMessageException {
         Http1Head head = responseHead;
-        byte[] content = responseBody.toByteArray();
+        byte[] body = responseBody.toByteArray();
         responseHead = null;
         responseBody = null;
-        String attemptId = head.get(RequestAdmission.ATTEMPT_ID);
-        boolean successful = head.status() < STATUS_FIRST_REDIRECT;
+        String attemptId = head.get(RequestAdmission.ATTEMPT_ID_HEADER);
+        boolean successful = head.status() < FIRST_REDIRECT_STATUS;
         if (attemptId == null && successful) {
             throw new MalformedMessageException(STATUS_BAD_GATEWAY, "a successful response without an attempt's id");
         }
@@ -262,15 +262,15 @@
         if (successful && (head.get("Reedmux-Server-Seal") == null || head.get("Content-Encoding") != null)) {
             throw new MalformedMessageException(STATUS_BAD_GATEWAY, "a response that is not the checker's own");
         }
-        boolean notExecuted = head.get("Reedmux-Not-Executed") != null || head.status() == STATUS_MISDIRECTED;
-        notReusable |= mayNotBeReused(head, attemptId, notExecuted);
+        boolean notExecuted = head.get("Reedmux-Not-Executed") != null || head.status() == STATUS_MISDIRECTED_REQUEST;
+        notReusable |= preventsReuse(head, attemptId, notExecuted);
         readIdleTimeout(head);
         endAttempt(
                 notExecuted ? ExecutionStatus.NOT_EXECUTED : ExecutionStatus.EXECUTED,
-                new ProxyResponse.CheckerResponse(head, content, notExecuted));
+                new ProxyResponse.CheckerResponse(head, body, notExecuted));
     }
 
-    private boolean mayNotBeReused(Http1Head head, String attemptId, boolean notExecuted) {
+    private boolean preventsReuse(Http1Head head, String attemptId, boolean notExecuted) {
         // The checker closes it.
         return head.closesConnection()
                 // The checker is overloaded or leaving, or its address is another's.
@@ -285,19 +285,20 @@
     /** Follows a {@code Keep-Alive: timeout=SECONDS}; anything else in it is ignored. */
     private void readIdleTimeout(Http1Head head) {
         String keepAlive = head.get("Keep-Alive");
-        int at = keepAlive == null ? -1 : keepAlive.indexOf(TIMEOUT_PARAMETER);
-        if (at < 0) {
+        int parameterStart = keepAlive == null ? -1 : keepAlive.indexOf(TIMEOUT_PARAMETER);
+        if (parameterStart < 0) {
             return;
         }
-        int start = at + TIMEOUT_PARAMETER.length();
-        int end = start;
-        while (end < keepAlive.length()
-                && Character.isDigit(keepAlive.charAt(end))
-                && end < start + MAX_TIMEOUT_DIGITS) {
-            end++;
+        int digitsStart = parameterStart + TIMEOUT_PARAMETER.length();
+        int digitsEnd = digitsStart;
+        while (digitsEnd < keepAlive.length()
+                && Character.isDigit(keepAlive.charAt(digitsEnd))
+                && digitsEnd < digitsStart + MAX_TIMEOUT_DIGITS) {
+            digitsEnd++;
         }
-        if (end > start) {
-            idleTimeoutMicros = Long.parseLong(keepAlive.substring(start, end)) * IDLE_MICROS_PER_ANNOUNCED_SECOND;
+        if (digitsEnd > digitsStart) {
+            idleTimeoutMicros =
+                    Long.parseLong(keepAlive.substring(digitsStart, digitsEnd)) * IDLE_MICROS_PER_KEEP_ALIVE_SECOND;
         }
     }
 
@@ -324,7 +325,7 @@
      * Ends the connection without a complete response. Only a request of which no byte went out has certainly not been
      * executed: a checker may begin with one that it has received in part.
      */
-    private void onBroken() {
+    private void abort() {
         boolean bytesSent = attempt != null && attempt.isConnected() && connection.sentBytes() > bytesBeforeRequest;
         connection.close();
         notReusable = true;
@@ -337,13 +338,13 @@
 
     @Override
     public void onClosed(String reason) {
-        onBroken();
+        abort();
     }
 
     /** Cancels an attempt by closing the connection, if it is still under way here. */
-    void cancel(RequestAttempt cancelled) {
-        if (cancelled == attempt) {
-            onBroken();
+    void cancel(RequestAttempt cancelledAttempt) {
+        if (cancelledAttempt == attempt) {
+            abort();
         }
     }
 
--- a/src/main/java/reedmux/proxy/CheckerConnectionPool.java
+++ b/src/main/java/reedmux/proxy/CheckerConnectionPool.java
@@ -22,7 +22,7 @@
 final class CheckerConnectionPool implements CheckerConnection.CheckerConnectionListener {
     private final Reactor reactor;
     private final RequestTracker tracker;
-    private final Map<CheckerStats, Deque<CheckerConnection>> idle = new LinkedHashMap<>();
+    private final Map<CheckerStats, Deque<CheckerConnection>> idleConnections = new LinkedHashMap<>();
 
     CheckerConnectionPool(Reactor reactor, RequestTracker tracker) {
         this.reactor = reactor;
@@ -32,7 +32,7 @@
     /** Sends an attempt of a {@link ClientRequest} over an idle connection or a new one. */
     void send(RequestAttempt attempt) {
         ClientRequest request = (ClientRequest) attempt.request().source();
-        Deque<CheckerConnection> connections = idle.get(attempt.checker());
+        Deque<CheckerConnection> connections = idleConnections.get(attempt.checker());
         while (connections != null && !connections.isEmpty()) {
             CheckerConnection connection = connections.pollLast();
             if (connection.isReusable(reactor.now())) {
@@ -71,13 +71,14 @@
 
     @Override
     public void onIdle(CheckerConnection connection) {
-        idle.computeIfAbsent(connection.checker(), checker -> new ArrayDeque<>())
+        idleConnections
+                .computeIfAbsent(connection.checker(), checker -> new ArrayDeque<>())
                 .add(connection);
     }
 
     @Override
     public void onClosed(CheckerConnection connection) {
-        Deque<CheckerConnection> connections = idle.get(connection.checker());
+        Deque<CheckerConnection> connections = idleConnections.get(connection.checker());
         if (connections != null) {
             connections.remove(connection);
         }
@@ -85,7 +86,7 @@
 
     /** Closes connections that have expired, or whose checker takes no more requests. */
     void closeUnusable() {
-        for (Deque<CheckerConnection> connections : List.copyOf(idle.values())) {
+        for (Deque<CheckerConnection> connections : List.copyOf(idleConnections.values())) {
             for (CheckerConnection connection : List.copyOf(connections)) {
                 boolean checkerReady = connection.checker().incarnation().phase() == InstanceIncarnation.READY;
                 if (connection.isExpired(reactor.now()) || !checkerReady) {
@@ -93,6 +94,6 @@
                 }
             }
         }
-        idle.values().removeIf(Deque::isEmpty);
+        idleConnections.values().removeIf(Deque::isEmpty);
     }
 }
--- a/src/main/java/reedmux/proxy/ClientConnection.java
+++ b/src/main/java/reedmux/proxy/ClientConnection.java
@@ -85,7 +85,7 @@
 
     private long lastProgressAt;
     /** What the client was told: limits that fall hold from the next response on. */
-    private long announcedIdleMicros;
+    private long announcedIdleTimeoutMicros;
 
     private Http1Head deferredHead;
     private long headReceivedAt;
@@ -105,7 +105,7 @@
         pipelinedInput = new PipelinedInput(connection);
         stateSince = handler.now();
         lastProgressAt = stateSince;
-        announcedIdleMicros = handler.requestLimits().idleTimeoutMicros();
+        announcedIdleTimeoutMicros = handler.requestLimits().idleTimeoutMicros();
         connection.setHandler(this);
     }
 
@@ -147,12 +147,12 @@
      * Whether the client of a request has left by now. A departure that the reactor has not reported yet is handled in
      * a later turn.
      */
-    boolean hasLeft(ClientRequest of) {
-        return of != request || lastProgressAt != handler.now() && endsByNow();
+    boolean hasDisconnected(ClientRequest clientRequest) {
+        return clientRequest != request || lastProgressAt != handler.now() && pollInputEnded();
     }
 
-    private boolean endsByNow() {
-        return bodyReader == null ? pipelinedInput.pollEnd() : connection.pollInputEnded();
+    private boolean pollInputEnded() {
+        return bodyReader == null ? pipelinedInput.pollInputEnded() : connection.pollInputEnded();
     }
 
     int bufferedBodyBytes() {
@@ -185,8 +185,8 @@
         } else if (state == State.READING_BODY || state == State.DISCARDING_BODY) {
             return readBody();
         } else if (state == State.AWAITING_RESPONSE) {
-            pipelinedInput.dropExcess();
-            if (pipelinedInput.exceedsLimit()) {
+            pipelinedInput.discardExcess();
+            if (pipelinedInput.exceedsDiscardLimit()) {
                 disconnect();
             }
             return false;
@@ -284,8 +284,8 @@
         } else if (body != null && !responded && body.isFull()) {
             connection.setReadPaused(true);
         }
-        boolean ready = body == null || body.isReadyToSend();
-        if (request != null && !dispatched && !responded && ready && !endsByNow()) {
+        boolean readyToSend = body == null || body.isReadyToSend();
+        if (request != null && !dispatched && !responded && readyToSend && !pollInputEnded()) {
             dispatched = true;
             handler.dispatch(request);
         }
@@ -319,8 +319,8 @@
     // ---- Responding --------------------------------------------------------------------------------
 
     /** Sends the response to a request, if that is still the one that is under way here and has none. */
-    void respond(ClientRequest to, ProxyResponse response) {
-        if (to == request) {
+    void respond(ClientRequest answeredRequest, ProxyResponse response) {
+        if (answeredRequest == request) {
             respond(response);
         }
     }
@@ -330,12 +330,12 @@
             return;
         }
         responded = true;
-        boolean last = !keepAlive || handler.isDraining() || pipelinedInput.wasDropped();
+        boolean last = !keepAlive || handler.isDraining() || pipelinedInput.hasDiscarded();
         if (!last) {
-            announcedIdleMicros = handler.requestLimits().idleTimeoutMicros();
+            announcedIdleTimeoutMicros = handler.requestLimits().idleTimeoutMicros();
         }
         connection.write(ClientResponseEncoder.encode(
-                response, request, last ? ClientResponseEncoder.CLOSES : announcedIdleMicros));
+                response, request, last ? ClientResponseEncoder.CLOSE_CONNECTION : announcedIdleTimeoutMicros));
         requestBody = null;
         if (last) {
             closeAfterResponse();
@@ -417,23 +417,24 @@
     void checkTimeouts(long now, boolean closeIdle) {
         RequestLimits limits = handler.requestLimits();
         State state = state();
-        long inState = now - stateSince;
+        long timeInState = now - stateSince;
         if (state == State.CLOSING) {
-            boolean sent = connection.queuedBytes() == 0;
-            if (inState > LAST_RESPONSE_LINGER_MICROS && (sent || inState > UNSENT_RESPONSE_LINGER_MICROS)) {
+            boolean fullySent = connection.queuedBytes() == 0;
+            if (timeInState > LAST_RESPONSE_LINGER_MICROS
+                    && (fullySent || timeInState > UNSENT_RESPONSE_LINGER_MICROS)) {
                 close();
             }
         } else if (state == State.READING_HEAD) {
-            if (inState > limits.headerTimeoutMicros()) {
+            if (timeInState > limits.headerTimeoutMicros()) {
                 rejectMalformed(new MalformedMessageException(STATUS_REQUEST_TIMEOUT, "the head has not come in time"));
             }
         } else if (state == State.READING_BODY) {
-            boolean heldUpByUs = requestBody != null && requestBody.isFull();
-            if (now - lastProgressAt > limits.idleTimeoutMicros() && !heldUpByUs) {
+            boolean backPressured = requestBody != null && requestBody.isFull();
+            if (now - lastProgressAt > limits.idleTimeoutMicros() && !backPressured) {
                 onBodyTimeout();
             }
         } else if (state == State.IDLE) {
-            boolean expired = inState > Math.max(announcedIdleMicros, limits.idleTimeoutMicros());
+            boolean expired = timeInState > Math.max(announcedIdleTimeoutMicros, limits.idleTimeoutMicros());
             if (expired || closeIdle && connection.available() == 0) {
                 close();
             }
--- a/src/main/java/reedmux/proxy/ClientFrontend.java
+++ b/src/main/java/reedmux/proxy/ClientFrontend.java
@@ -19,18 +19,18 @@
     /** After a change of the limits clients may go by the former ones for this long. */
     private static final long LIMITS_TRANSITION_MICROS = 5_000_000;
     /** Beyond the time of any client: closes whatever is idle. */
-    private static final long END_OF_TIME = Long.MAX_VALUE / 2;
+    private static final long FAR_FUTURE_MICROS = Long.MAX_VALUE / 2;
 
     private final Reactor reactor;
     private final ControlPlaneClient controlPlane;
-    private final StartupGate startup;
+    private final StartupGate startupGate;
     private final RequestAdmission admission;
     private final RequestTracker tracker;
     private final GracefulShutdown shutdown;
     private final int maxClients;
     private final Set<ClientConnection> clients = new LinkedHashSet<>();
     /** The limits as configured now, and what clients may do until the end of a transition. */
-    private RequestLimits limits;
+    private RequestLimits configuredLimits;
 
     private RequestLimits transitionLimits;
     private long transitionEndsAt;
@@ -45,7 +45,7 @@
             int maxClients) {
         this.reactor = reactor;
         this.controlPlane = controlPlane;
-        this.startup = startup;
+        this.startupGate = startup;
         this.admission = admission;
         this.tracker = tracker;
         this.shutdown = shutdown;
@@ -58,7 +58,7 @@
             clients.stream()
                     .filter(ClientConnection::isIdle)
                     .findFirst()
-                    .ifPresent(oldest -> oldest.checkTimeouts(END_OF_TIME, true));
+                    .ifPresent(oldest -> oldest.checkTimeouts(FAR_FUTURE_MICROS, true));
         }
         if (clients.size() >= maxClients) {
             connection.close();
@@ -97,7 +97,7 @@
     /** Rejects the requests of which a part is still coming in: nothing of them was sent on. */
     void rejectUndispatched() {
         for (ClientConnection client : List.copyOf(clients)) {
-            client.rejectUndispatched(RequestAdmission.leavingRejection());
+            client.rejectUndispatched(RequestAdmission.shutdownRejection());
         }
     }
 
@@ -113,16 +113,16 @@
 
     @Override
     public RequestLimits requestLimits() {
-        RequestLimits next = controlPlane.table() == null
+        RequestLimits currentLimits = controlPlane.table() == null
                 ? RequestLimits.DEFAULTS
                 : controlPlane.table().requestLimits();
-        if (next != limits) {
-            RequestLimits before = now() < transitionEndsAt ? transitionLimits : limits;
-            transitionLimits = before == null ? next : before.mostPermissive(next);
+        if (currentLimits != configuredLimits) {
+            RequestLimits previousLimits = now() < transitionEndsAt ? transitionLimits : configuredLimits;
+            transitionLimits = previousLimits == null ? currentLimits : previousLimits.mostPermissive(currentLimits);
             transitionEndsAt = now() + LIMITS_TRANSITION_MICROS;
-            limits = next;
+            configuredLimits = currentLimits;
         }
-        return now() < transitionEndsAt ? transitionLimits : next;
+        return now() < transitionEndsAt ? transitionLimits : currentLimits;
     }
 
     @Override
@@ -132,7 +132,7 @@
 
     @Override
     public boolean deferUntilStarted(ClientConnection client, Http1Head head) {
-        return startup.defer(client, head);
+        return startupGate.defer(client, head);
     }
 
     @Override
@@ -162,6 +162,6 @@
     public void onClientClosed(ClientConnection client) {
         clients.remove(client);
         tracker.onEvent(now(), new RequestEvent.ClientConnectionClosed(client));
-        startup.onClientClosed(client);
+        startupGate.onClientClosed(client);
     }
 }
--- a/src/main/java/reedmux/proxy/ClientRequest.java
+++ b/src/main/java/reedmux/proxy/ClientRequest.java
@@ -12,8 +12,8 @@
     /** From here on the transfer of a body matters for the choice of a checker. */
     private static final int LARGE_BODY_BYTES = 20_000;
 
-    private static final String TENANT = "Reedmux-Tenant";
-    private static final String TARGET_INSTANCE = "Reedmux-Target-Instance";
+    private static final String TENANT_HEADER = "Reedmux-Tenant";
+    private static final String TARGET_INSTANCE_HEADER = "Reedmux-Target-Instance";
 
     private final Http1Head head;
     private final String attemptId;
@@ -31,8 +31,8 @@
         this.body = body;
     }
 
-    void setProxyRequest(ProxyRequest next) {
-        proxyRequest = next;
+    void setProxyRequest(ProxyRequest newProxyRequest) {
+        proxyRequest = newProxyRequest;
     }
 
     ProxyRequest proxyRequest() {
@@ -76,32 +76,32 @@
     }
 
     /** The head that an attempt sends: without hop-by-hop fields, and with the proxy's own. */
-    byte[] headFor(RequestAttempt attempt, long now) {
-        Http1Head out = Http1Head.request(head.method(), head.target());
+    byte[] encodeHead(RequestAttempt attempt, long now) {
+        Http1Head forwardedHead = Http1Head.request(head.method(), head.target());
         for (int i = 0; i < head.size(); i++) {
             String name = head.name(i);
             if (!head.isHopByHop(name) && !isReplacedHeader(name)) {
-                out.add(name, head.value(i));
+                forwardedHead.add(name, head.value(i));
             }
         }
         long timeLeftMillis = Math.max(1, (attempt.request().deadline() - now - RETURN_PATH_MICROS) / 1000);
-        out.add(RequestAdmission.TIME_LEFT_MS, Long.toString(timeLeftMillis));
-        out.add(TARGET_INSTANCE, attempt.checker().id());
+        forwardedHead.add(RequestAdmission.TIME_LEFT_HEADER, Long.toString(timeLeftMillis));
+        forwardedHead.add(TARGET_INSTANCE_HEADER, attempt.checker().id());
         if (tenant != null) {
-            out.add(TENANT, tenant);
+            forwardedHead.add(TENANT_HEADER, tenant);
         }
         if (body != null && body.length() < 0) {
-            out.add("Transfer-Encoding", "chunked");
+            forwardedHead.add("Transfer-Encoding", "chunked");
         } else if (body != null) {
-            out.add("Content-Length", Long.toString(body.length()));
+            forwardedHead.add("Content-Length", Long.toString(body.length()));
         }
-        return out.encode();
+        return forwardedHead.encode();
     }
 
     private boolean isReplacedHeader(String name) {
-        return name.equalsIgnoreCase(RequestAdmission.TIME_LEFT_MS)
-                || name.equalsIgnoreCase(TENANT)
-                || name.equalsIgnoreCase(TARGET_INSTANCE)
+        return name.equalsIgnoreCase(RequestAdmission.TIME_LEFT_HEADER)
+                || name.equalsIgnoreCase(TENANT_HEADER)
+                || name.equalsIgnoreCase(TARGET_INSTANCE_HEADER)
                 || tenant != null && name.equalsIgnoreCase("Authorization");
     }
 }
--- a/src/main/java/reedmux/proxy/ClientRequestBody.java
+++ b/src/main/java/reedmux/proxy/ClientRequestBody.java
@@ -22,8 +22,8 @@
     private long receivedBytes;
     private boolean complete;
     private boolean streaming;
-    private Runnable onChunk = () -> {};
-    private Runnable onCapacity = () -> {};
+    private Runnable chunkListener = () -> {};
+    private Runnable capacityListener = () -> {};
 
     ClientRequestBody(long declaredLength) {
         this.declaredLength = declaredLength;
@@ -33,13 +33,13 @@
         chunks.add(chunk);
         bufferedBytes += chunk.length;
         receivedBytes += chunk.length;
-        onChunk.run();
+        chunkListener.run();
     }
 
     /** All of it has come in. */
     void finish() {
         complete = true;
-        onChunk.run();
+        chunkListener.run();
     }
 
     /** Whether it can be sent now: it is complete, or too large to wait for the rest. */
@@ -72,12 +72,12 @@
 
     /** Sets who is called when a chunk or the end has come in; replaces the one before. */
     void setChunkListener(Runnable listener) {
-        onChunk = listener;
+        chunkListener = listener;
     }
 
     /** Sets who is called when half of the buffer is free again. */
     void setCapacityListener(Runnable listener) {
-        onCapacity = listener;
+        capacityListener = listener;
     }
 
     /** The chunk of an index, or null while it has not come in; in a stream, each can be read once. */
@@ -93,7 +93,7 @@
         chunks.set(index, null);
         bufferedBytes -= chunk.length;
         if (bufferedBytes < MAX_BUFFERED_BYTES / 2) {
-            onCapacity.run();
+            capacityListener.run();
         }
         return chunk;
     }
--- a/src/main/java/reedmux/proxy/ClientResponseEncoder.java
+++ b/src/main/java/reedmux/proxy/ClientResponseEncoder.java
@@ -8,11 +8,11 @@
 /** The bytes of the responses to clients. */
 final class ClientResponseEncoder {
     /** In place of an idle time: the response is the last one on its connection. */
-    static final long CLOSES = -1;
+    static final long CLOSE_CONNECTION = -1;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
-    private static final int NO_CONTENT = 204;
-    private static final int NOT_MODIFIED = 304;
+    private static final int STATUS_NO_CONTENT = 204;
+    private static final int STATUS_NOT_MODIFIED = 304;
     private static final String CONTENT_LENGTH = "Content-Length";
 
     private ClientResponseEncoder() {}
@@ -21,54 +21,54 @@
      * Encodes a response.
      *
      * @param request    the request that it is for, or null where that was rejected by its head
-     * @param idleMicros how long the connection may be idle afterwards, or {@link #CLOSES}
+     * @param idleTimeoutMicros how long the connection may be idle afterwards, or {@link #CLOSE_CONNECTION}
      */
-    static byte[] encode(ProxyResponse response, ClientRequest request, long idleMicros) {
+    static byte[] encode(ProxyResponse response, ClientRequest request, long idleTimeoutMicros) {
         boolean headOnly = request != null && request.method().equals("HEAD");
         Http1Head head;
-        byte[] content;
+        byte[] body;
         if (response instanceof ProxyResponse.CheckerResponse checkerResponse) {
-            head = headOf(checkerResponse, headOnly);
-            content = checkerResponse.body();
+            head = buildHead(checkerResponse, headOnly);
+            body = checkerResponse.body();
         } else {
             ProxyResponse.LocalResponse localResponse = (ProxyResponse.LocalResponse) response;
-            head = headOf(localResponse, request);
-            content = (localResponse.text() + '\n').getBytes(StandardCharsets.UTF_8);
+            head = buildHead(localResponse, request);
+            body = (localResponse.text() + '\n').getBytes(StandardCharsets.UTF_8);
         }
-        if (!headOnly && head.status() != NO_CONTENT && head.status() != NOT_MODIFIED) {
-            head.add(CONTENT_LENGTH, Integer.toString(content.length));
+        if (!headOnly && head.status() != STATUS_NO_CONTENT && head.status() != STATUS_NOT_MODIFIED) {
+            head.add(CONTENT_LENGTH, Integer.toString(body.length));
         }
-        if (idleMicros == CLOSES) {
+        if (idleTimeoutMicros == CLOSE_CONNECTION) {
             head.add("Connection", "close");
         } else {
             // A second less than we wait, so that a client does not send while we close.
-            head.add("Keep-Alive", "timeout=" + Math.max(1, idleMicros / MICROS_PER_SECOND - 1));
+            head.add("Keep-Alive", "timeout=" + Math.max(1, idleTimeoutMicros / MICROS_PER_SECOND - 1));
         }
-        return headOnly ? head.encode() : join(head.encode(), content);
+        return headOnly ? head.encode() : concatenate(head.encode(), body);
     }
 
-    private static Http1Head headOf(ProxyResponse.CheckerResponse response, boolean headOnly) {
-        Http1Head from = response.head();
-        Http1Head head = Http1Head.response(from.status());
-        for (int i = 0; i < from.size(); i++) {
-            if (!from.isHopByHop(from.name(i))) {
-                head.add(from.name(i), from.value(i));
+    private static Http1Head buildHead(ProxyResponse.CheckerResponse response, boolean headOnly) {
+        Http1Head checkerHead = response.head();
+        Http1Head head = Http1Head.response(checkerHead.status());
+        for (int i = 0; i < checkerHead.size(); i++) {
+            if (!checkerHead.isHopByHop(checkerHead.name(i))) {
+                head.add(checkerHead.name(i), checkerHead.value(i));
             }
         }
-        String length = from.get(CONTENT_LENGTH);
+        String length = checkerHead.get(CONTENT_LENGTH);
         if (headOnly && length != null) {
             head.add(CONTENT_LENGTH, length);
         }
         return head;
     }
 
-    private static Http1Head headOf(ProxyResponse.LocalResponse response, ClientRequest request) {
+    private static Http1Head buildHead(ProxyResponse.LocalResponse response, ClientRequest request) {
         Http1Head head = Http1Head.response(response.status()).add("Content-Type", "text/plain");
         if (response.retryAfterMicros() >= 0) {
             head.add("Retry-After", formatSeconds(response.retryAfterMicros()));
         }
         if (request != null) {
-            head.add(RequestAdmission.ATTEMPT_ID, request.attemptId());
+            head.add(RequestAdmission.ATTEMPT_ID_HEADER, request.attemptId());
         }
         return head;
     }
@@ -79,9 +79,9 @@
         return millis / 1000 + "." + Long.toString(1000 + millis % 1000).substring(1);
     }
 
-    private static byte[] join(byte[] first, byte[] second) {
-        byte[] all = Arrays.copyOf(first, first.length + second.length);
-        System.arraycopy(second, 0, all, first.length, second.length);
-        return all;
+    private static byte[] concatenate(byte[] first, byte[] second) {
+        byte[] joined = Arrays.copyOf(first, first.length + second.length);
+        System.arraycopy(second, 0, joined, first.length, second.length);
+        return joined;
     }
 }
--- a/src/main/java/reedmux/proxy/ControlPlaneClient.java
+++ b/src/main/java/reedmux/proxy/ControlPlaneClient.java
@@ -60,13 +60,13 @@
     private final MessageCodec codec;
     private final LoadBalancer loadBalancer;
     private final ControlPlaneListener listener;
-    private final CoreAddresses core;
-    private final Hello self;
+    private final CoreAddresses coreAddresses;
+    private final Hello hello;
     private final ConfigurationFollower configuration = new ConfigurationFollower();
     private final InstanceDirectory instances = new InstanceDirectory();
     private final SessionTable sessions = new SessionTable(LOST_REGISTRY_LINGER_MICROS);
-    private final List<RpcDialer> stores = new ArrayList<>();
-    private final List<RpcDialer> registries = new ArrayList<>();
+    private final List<RpcDialer> storeDialers = new ArrayList<>();
+    private final List<RpcDialer> registryDialers = new ArrayList<>();
     /** By node of a registry, how far its changes are known. */
     private final Map<String, ReplicationPosition> registryPositions = new HashMap<>();
     /** Whether a store has sent all that was committed when it was in contact with a quorum, after our start. */
@@ -84,25 +84,25 @@
         this.codec = codec;
         this.loadBalancer = loadBalancer;
         this.listener = listener;
-        core = new CoreAddresses(settings, false);
-        self = new Hello(
+        coreAddresses = new CoreAddresses(settings, false);
+        hello = new Hello(
                 Messages.FORMAT_VERSION,
                 PROGRAM_NAME,
                 settings.node(),
                 settings.ip(),
                 settings.zone(),
                 incarnation,
-                core.machines());
+                coreAddresses.machines());
     }
 
     /** Dials the core machines that the settings name. */
     void connect() {
-        core.peerAddresses(settings.storePort()).forEach(this::dial);
+        coreAddresses.peerAddresses(settings.storePort()).forEach(this::dial);
     }
 
     /** Dials the core machines that changed settings name beyond those that are known. */
-    void onSettingsChange(ProcessSettings next) {
-        dialAll(core.addDiscovered(new CoreAddresses(next, false).machines(), settings.storePort()));
+    void onSettingsChange(ProcessSettings newSettings) {
+        dialAll(coreAddresses.addDiscovered(new CoreAddresses(newSettings, false).machines(), settings.storePort()));
     }
 
     private void dialAll(List<InetSocketAddress> storeAddresses) {
@@ -112,10 +112,10 @@
     }
 
     /** Keeps up connections to the store and the registry of a core machine. */
-    private void dial(InetSocketAddress store) {
-        InetSocketAddress registry = new InetSocketAddress(store.getAddress(), settings.registryPort());
-        stores.add(new RpcDialer(reactor, codec, self, store, this));
-        registries.add(new RpcDialer(reactor, codec, self, registry, this));
+    private void dial(InetSocketAddress storeAddress) {
+        InetSocketAddress registryAddress = new InetSocketAddress(storeAddress.getAddress(), settings.registryPort());
+        storeDialers.add(new RpcDialer(reactor, codec, hello, storeAddress, this));
+        registryDialers.add(new RpcDialer(reactor, codec, hello, registryAddress, this));
     }
 
     /** The newest configuration that could be used, or null. */
@@ -129,7 +129,7 @@
     }
 
     boolean isRegistryConnected() {
-        for (RpcDialer registry : registries) {
+        for (RpcDialer registry : registryDialers) {
             if (registry.connection() != null) {
                 return true;
             }
@@ -149,7 +149,7 @@
 
     @Override
     public void onConnected(RpcConnection connection) {
-        dialAll(core.addDiscovered(connection.peer().coreIps(), settings.storePort()));
+        dialAll(coreAddresses.addDiscovered(connection.peer().coreIps(), settings.storePort()));
         pull(connection);
     }
 
@@ -196,7 +196,7 @@
         } else if (message instanceof MembershipUpdate update) {
             onMembershipUpdate(connection, update);
         } else if (message instanceof CoreMembershipNotice notice) {
-            onCoreMembership(notice.core());
+            onCoreMembershipNotice(notice.core());
         } else if (message instanceof ChangesRequest) {
             // A registry that has restarted may have lost incarnations that we know.
             connection.sendMessage(new IncarnationNotice(0, List.copyOf(instances.all(reactor.now()))));
@@ -243,22 +243,22 @@
     }
 
     /** Follows a change of the core that was agreed on: dials new members and drops those that were removed. */
-    private void onCoreMembership(CoreMembers members) {
-        if (!core.adopt(members)) {
+    private void onCoreMembershipNotice(CoreMembers members) {
+        if (!coreAddresses.adopt(members)) {
             return;
         }
-        closeRemoved(stores);
-        closeRemoved(registries);
-        for (InetSocketAddress address : core.peerAddresses(settings.storePort())) {
-            if (stores.stream().noneMatch(dialer -> dialer.address().equals(address))) {
+        closeRemovedMembers(storeDialers);
+        closeRemovedMembers(registryDialers);
+        for (InetSocketAddress address : coreAddresses.peerAddresses(settings.storePort())) {
+            if (storeDialers.stream().noneMatch(dialer -> dialer.address().equals(address))) {
                 dial(address);
             }
         }
     }
 
-    private void closeRemoved(List<RpcDialer> dialers) {
+    private void closeRemovedMembers(List<RpcDialer> dialers) {
         for (RpcDialer dialer : List.copyOf(dialers)) {
-            if (core.isRemoved(dialer.address())) {
+            if (coreAddresses.isRemoved(dialer.address())) {
                 dialers.remove(dialer);
                 dialer.close();
             }
@@ -266,9 +266,9 @@
     }
 
     /** Passes on heartbeats of a registry which the other registries may be unable to hear themselves. */
-    private void forwardToOtherRegistries(RpcConnection from, Object heartbeats) {
-        for (RpcDialer registry : registries) {
-            if (registry.connection() != null && registry.connection() != from) {
+    private void forwardToOtherRegistries(RpcConnection sender, Object heartbeats) {
+        for (RpcDialer registry : registryDialers) {
+            if (registry.connection() != null && registry.connection() != sender) {
                 registry.connection().sendMessage(heartbeats);
             }
         }
--- a/src/main/java/reedmux/proxy/GracefulShutdown.java
+++ b/src/main/java/reedmux/proxy/GracefulShutdown.java
@@ -24,7 +24,7 @@
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long MICROS_PER_MILLI = 1000;
     /** How long balancers send clients after SIGTERM: they ask once a second and need two answers. */
-    private static final long BALANCER_LAG_MICROS = 2 * MICROS_PER_SECOND;
+    private static final long BALANCER_DETECTION_MICROS = 2 * MICROS_PER_SECOND;
     /** Connections are accepted, and idle ones kept, this long; later ones would hold up the end. */
     private static final long MAX_LEAVING_MICROS = 3 * MICROS_PER_SECOND;
     /** The process ends this long before the grace period does, or a fraction of it where that is short. */
@@ -32,7 +32,7 @@
 
     private static final int END_MARGIN_DIVISOR = 8;
     /** Between the last responses and the end, so that they get to their clients. */
-    private static final long FLUSH_MICROS = 100 * MICROS_PER_MILLI;
+    private static final long RESPONSE_FLUSH_MICROS = 100 * MICROS_PER_MILLI;
 
     private static final long NOT_BEGUN = -1;
 
@@ -73,7 +73,7 @@
 
     /** By when every request that is admitted has its response; what is not under way by then is rejected. */
     long lastResponseAt() {
-        return endsAt() - FLUSH_MICROS;
+        return endsAt() - RESPONSE_FLUSH_MICROS;
     }
 
     /** When the process ends, whatever is under way. */
@@ -82,8 +82,8 @@
     }
 
     /** Whether a balancer that works as it should may not have noticed at that time. */
-    private boolean balancersMayLag(long time) {
-        return time - begunAt <= Math.min(BALANCER_LAG_MICROS, graceMicros / 3);
+    private boolean balancersMayStillRoute(long time) {
+        return time - begunAt <= Math.min(BALANCER_DETECTION_MICROS, graceMicros / 3);
     }
 
     boolean isDraining(long now) {
@@ -92,7 +92,7 @@
 
     /** Whether a request with that deadline is admitted; otherwise it is rejected at once, before it is sent on. */
     boolean admits(long now, long deadline) {
-        boolean admitted = !hasBegun() || deadline <= lastResponseAt() || balancersMayLag(now);
+        boolean admitted = !hasBegun() || deadline <= lastResponseAt() || balancersMayStillRoute(now);
         if (hasBegun()) {
             admittedRequests += admitted ? 1 : 0;
             rejectedRequests += admitted ? 0 : 1;
@@ -109,7 +109,7 @@
     /** Whether the class's invariant allows that these requests get no response. */
     boolean mayLeaveUnanswered(List<UnansweredRequest> requests) {
         for (UnansweredRequest request : requests) {
-            if (request.deadline <= lastResponseAt() || !balancersMayLag(request.receivedAt)) {
+            if (request.deadline <= lastResponseAt() || !balancersMayStillRoute(request.receivedAt)) {
                 return false;
             }
         }
@@ -117,10 +117,10 @@
     }
 
     /** What operators are told at the end; {@code cut}: the requests that get no response. */
-    String summary(long now, List<UnansweredRequest> cut) {
+    String summary(long now, List<UnansweredRequest> unanswered) {
         return "ends " + (now - begunAt) / MICROS_PER_MILLI + " ms after the signal: since then " + acceptedConnections
                 + " connections accepted, " + admittedRequests + " requests admitted, the last one after "
                 + (lastAdmittedAt - begunAt) / MICROS_PER_MILLI + " ms, " + rejectedRequests + " rejected; "
-                + cut.size() + " without a response";
+                + unanswered.size() + " without a response";
     }
 }
--- a/src/main/java/reedmux/proxy/PipelinedInput.java
+++ b/src/main/java/reedmux/proxy/PipelinedInput.java
@@ -9,42 +9,42 @@
  */
 final class PipelinedInput {
     /** Bytes of later requests that are kept. */
-    private static final int MAX_KEPT_BYTES = 64 * 1024;
+    private static final int MAX_BUFFERED_BYTES = 64 * 1024;
     /** With more than this a client is given up. */
-    private static final long MAX_DROPPED_BYTES = 1024 * 1024;
+    private static final long MAX_DISCARDED_BYTES = 1024 * 1024;
 
     private final Connection connection;
-    private long droppedBytes;
+    private long discardedBytes;
 
     PipelinedInput(Connection connection) {
         this.connection = connection;
     }
 
     /** Whether anything was dropped. */
-    boolean wasDropped() {
-        return droppedBytes > 0;
+    boolean hasDiscarded() {
+        return discardedBytes > 0;
     }
 
     /** Whether more was dropped than a client may send. */
-    boolean exceedsLimit() {
-        return droppedBytes > MAX_DROPPED_BYTES;
+    boolean exceedsDiscardLimit() {
+        return discardedBytes > MAX_DISCARDED_BYTES;
     }
 
     /** Drops what would not be kept; returns whether there was any. */
-    boolean dropExcess() {
+    boolean discardExcess() {
         int available = connection.available();
-        if (available == 0 || !wasDropped() && available < MAX_KEPT_BYTES) {
+        if (available == 0 || !hasDiscarded() && available < MAX_BUFFERED_BYTES) {
             return false;
         }
-        droppedBytes += available;
+        discardedBytes += available;
         connection.skip(available);
         return true;
     }
 
     /** Whether the client's input ends by now, if that is seen behind what has to be dropped for it. */
-    boolean pollEnd() {
+    boolean pollInputEnded() {
         while (!connection.pollInputEnded()) {
-            if (!dropExcess() || exceedsLimit()) {
+            if (!discardExcess() || exceedsDiscardLimit()) {
                 return false;
             }
         }
--- a/src/main/java/reedmux/proxy/Proxy.java
+++ b/src/main/java/reedmux/proxy/Proxy.java
@@ -46,7 +46,7 @@
     private static final double DEFAULT_RETRY_RATIO = 0.1;
     private static final double DEFAULT_RETRY_SLACK = 10;
 
-    private final String node;
+    private final String nodeName;
     private final Reactor reactor;
     private final TcpListener clientListener;
     private final ControlPlaneClient controlPlane;
@@ -56,12 +56,12 @@
     private final RetryBudget retryBudget;
     private final RequestTracker tracker;
     private final CheckerConnectionPool checkerConnections;
-    private final StartupGate startup;
+    private final StartupGate startupGate;
     private final RequestAdmission admission;
     private final ClientFrontend clients;
     private final GracefulShutdown shutdown;
     private final long startedAt;
-    private SessionView view = SessionView.of(List.of());
+    private SessionView sessionView = SessionView.of(List.of());
     private long lastMaintenanceAt;
     private boolean ready;
 
@@ -73,30 +73,30 @@
      */
     public Proxy(ProcessSettings settings, Reactor reactor) throws ProcessSettingsException, IOException {
         this.reactor = reactor;
-        node = settings.node();
+        nodeName = settings.node();
         // Before anything else, so that clients of a restarted proxy wait for it and are not refused.
         clientListener =
                 new TcpListener(reactor, settings.socketAddress(SettingKeys.FRONT_SOCKET), this::onClientAccepted);
         new TcpListener(reactor, settings.socketAddress(SettingKeys.READY_SOCKET), this::onReadinessClientAccepted);
         startedAt = reactor.now();
         lastMaintenanceAt = startedAt;
-        long incarnation = reactor.newIncarnationId() ^ (long) node.hashCode() << 32;
+        long incarnation = reactor.newIncarnationId() ^ (long) nodeName.hashCode() << 32;
         MessageCodec codec = new MessageCodec();
-        loadBalancer = new LoadBalancer(node, settings.zone(), incarnation);
+        loadBalancer = new LoadBalancer(nodeName, settings.zone(), incarnation);
         controlPlane = new ControlPlaneClient(settings, reactor, codec, loadBalancer, this, incarnation);
-        quotas = new QuotaTracker(node, incarnation, !settings.coldStart(), reactor.now());
+        quotas = new QuotaTracker(nodeName, incarnation, !settings.coldStart(), reactor.now());
         retryBudget = new RetryBudget(
                 settings.number(SettingKeys.RETRY_RATIO, DEFAULT_RETRY_RATIO),
                 settings.number(SettingKeys.RETRY_SLACK, DEFAULT_RETRY_SLACK),
                 !settings.coldStart());
         tracker = new RequestTracker(this, loadBalancer, retryBudget, incarnation);
         checkerConnections = new CheckerConnectionPool(reactor, tracker);
-        startup = new StartupGate(reactor, controlPlane, loadBalancer, startedAt);
+        startupGate = new StartupGate(reactor, controlPlane, loadBalancer, startedAt);
         double graceSeconds = settings.number(SettingKeys.SHUTDOWN_GRACE_SECONDS, DEFAULT_GRACE_SECONDS);
         shutdown = new GracefulShutdown((long) (graceSeconds * MICROS_PER_SECOND));
-        admission = new RequestAdmission(reactor, controlPlane, startup, shutdown, quotas);
-        clients =
-                new ClientFrontend(reactor, controlPlane, startup, admission, tracker, shutdown, maxClients(settings));
+        admission = new RequestAdmission(reactor, controlPlane, startupGate, shutdown, quotas);
+        clients = new ClientFrontend(
+                reactor, controlPlane, startupGate, admission, tracker, shutdown, maxClients(settings));
         controlPlane.connect();
         quotaExchange = new QuotaExchange(settings, reactor, codec, quotas, controlPlane);
         reactor.scheduleEvery(MAINTENANCE_INTERVAL_MICROS, this::runMaintenance);
@@ -104,8 +104,8 @@
     }
 
     private static int maxClients(ProcessSettings settings) throws ProcessSettingsException {
-        int descriptors = (int) settings.number(SettingKeys.DESCRIPTOR_LIMIT, DEFAULT_DESCRIPTOR_LIMIT);
-        return Math.max(MIN_CLIENTS, descriptors - RESERVED_DESCRIPTORS);
+        int descriptorLimit = (int) settings.number(SettingKeys.DESCRIPTOR_LIMIT, DEFAULT_DESCRIPTOR_LIMIT);
+        return Math.max(MIN_CLIENTS, descriptorLimit - RESERVED_DESCRIPTORS);
     }
 
     private void onClientAccepted(Connection connection) {
@@ -122,19 +122,19 @@
 
     @Override
     public void onUpdateProcessed() {
-        startup.resumeIfStarted();
+        startupGate.resumeIfStarted();
     }
 
     /** Hands the members, if they have changed, to all who divide something among them. */
     private void updateSessionView() {
-        SessionView next = controlPlane.sessionView();
+        SessionView newView = controlPlane.sessionView();
         quotas.setRegistriesUnreachable(controlPlane.isIsolated());
-        if (next.digest() != view.digest()) {
-            reactor.debug(next.size() + " members, before " + view.size());
-            view = next;
-            quotaExchange.onViewChange(view);
-            loadBalancer.onViewChange(view);
-            retryBudget.setMemberCount(view.size());
+        if (newView.digest() != sessionView.digest()) {
+            reactor.debug(newView.size() + " members, before " + sessionView.size());
+            sessionView = newView;
+            quotaExchange.onViewChange(sessionView);
+            loadBalancer.onViewChange(sessionView);
+            retryBudget.setMemberCount(sessionView.size());
         }
     }
 
@@ -143,7 +143,7 @@
     @Override
     public void send(RequestAttempt attempt) {
         ClientRequest request = (ClientRequest) attempt.request().source();
-        if (request.client().hasLeft(request)) {
+        if (request.client().hasDisconnected(request)) {
             checkerConnections.reportUnsent(attempt);
         } else {
             checkerConnections.send(attempt);
@@ -174,13 +174,13 @@
     // ---- Life cycle --------------------------------------------------------------------------------
 
     private void onReadinessClientAccepted(Connection connection) {
-        new Http1ServerConnection(reactor, connection, this::answerReadiness);
+        new Http1ServerConnection(reactor, connection, this::respondToReadinessProbe);
     }
 
-    private void answerReadiness(Http1ServerConnection.Http1Request request, Http1ServerConnection from) {
-        boolean known = request.head().path().equals("/v1/readiness");
+    private void respondToReadinessProbe(Http1ServerConnection.Http1Request request, Http1ServerConnection connection) {
+        boolean knownPath = request.head().path().equals("/v1/readiness");
         boolean isReady = isReady();
-        from.respond(!known ? 404 : isReady ? 200 : 503, isReady ? "ready" : "not ready");
+        connection.respond(!knownPath ? 404 : isReady ? 200 : 503, isReady ? "ready" : "not ready");
     }
 
     /** Whether clients are to be sent here: from the first time that everything is known, until draining. */
@@ -192,10 +192,10 @@
             ready = controlPlane.isConfigurationCurrent()
                     && controlPlane.isRegistryConnected()
                     && !loadBalancer.isEmpty()
-                    && view.indexOf(node) >= 0;
+                    && sessionView.indexOf(nodeName) >= 0;
             if (ready) {
                 reactor.info("ready after " + (reactor.now() - startedAt) / 1000 + " ms, with " + loadBalancer.size()
-                        + " checkers and " + view.size() + " members");
+                        + " checkers and " + sessionView.size() + " members");
             }
         }
         return ready;
@@ -218,7 +218,7 @@
                         "an attempt ends when it is cancelled",
                         () -> tracker.attempts().summary());
         if (draining && !clients.hasClients() && tracker.attempts().isEmpty()) {
-            end();
+            terminate();
         }
     }
 
@@ -232,8 +232,8 @@
         reactor.info("shuts down, with " + clients.connectionCount() + " connections and "
                 + clients.unansweredRequests().size() + " requests");
         reactor.scheduleAt(shutdown.drainsAt(), this::drain);
-        reactor.scheduleAt(shutdown.lastResponseAt(), this::rejectWhatWaits);
-        reactor.scheduleAt(shutdown.endsAt(), this::end);
+        reactor.scheduleAt(shutdown.lastResponseAt(), this::rejectPendingRequests);
+        reactor.scheduleAt(shutdown.endsAt(), this::terminate);
     }
 
     private void drain() {
@@ -241,28 +241,28 @@
         clients.checkTimeouts(true);
     }
 
-    private void rejectWhatWaits() {
+    private void rejectPendingRequests() {
         tracker.onEvent(reactor.now(), new RequestEvent.ProxyShutdown());
         clients.rejectUndispatched();
     }
 
-    private void end() {
-        List<GracefulShutdown.UnansweredRequest> cut = clients.unansweredRequests();
-        reactor.info(shutdown.summary(reactor.now(), cut));
+    private void terminate() {
+        List<GracefulShutdown.UnansweredRequest> unanswered = clients.unansweredRequests();
+        reactor.info(shutdown.summary(reactor.now(), unanswered));
         reactor.info(tracker.attempts().summary());
         reactor.invariants()
                 .check(
-                        shutdown.mayLeaveUnanswered(cut),
+                        shutdown.mayLeaveUnanswered(unanswered),
                         "a request that is admitted after SIGTERM has its response before the process ends",
-                        () -> cut.toString());
+                        () -> unanswered.toString());
         reactor.stop();
     }
 
     @Override
-    public void reload(ProcessSettings next) throws ProcessSettingsException {
-        controlPlane.onSettingsChange(next);
+    public void reload(ProcessSettings newSettings) throws ProcessSettingsException {
+        controlPlane.onSettingsChange(newSettings);
         retryBudget.setLimits(
-                next.number(SettingKeys.RETRY_RATIO, DEFAULT_RETRY_RATIO),
-                next.number(SettingKeys.RETRY_SLACK, DEFAULT_RETRY_SLACK));
+                newSettings.number(SettingKeys.RETRY_RATIO, DEFAULT_RETRY_RATIO),
+                newSettings.number(SettingKeys.RETRY_SLACK, DEFAULT_RETRY_SLACK));
     }
 }
--- a/src/main/java/reedmux/proxy/QuotaExchange.java
+++ b/src/main/java/reedmux/proxy/QuotaExchange.java
@@ -42,8 +42,8 @@
         socket = new UdpEndpoint(reactor, SocketAddresses.parse(settings.ip() + ':' + peerPort), this::onDatagram);
     }
 
-    void onViewChange(SessionView next) {
-        quotas.onViewChange(next, reactor.now());
+    void onViewChange(SessionView newView) {
+        quotas.onViewChange(newView, reactor.now());
     }
 
     /** Sends what is due, now and from now on. */
@@ -58,22 +58,22 @@
     /** Sends an update in as many datagrams as it needs; one without entries is a heartbeat. */
     private void send(InetSocketAddress receiver, QuotaUpdate update) {
         List<TenantTotal> entries = update.entries();
-        int from = 0;
+        int fromIndex = 0;
         do {
-            int to = Math.min(entries.size(), from + MAX_ENTRIES_PER_DATAGRAM);
+            int toIndex = Math.min(entries.size(), fromIndex + MAX_ENTRIES_PER_DATAGRAM);
             QuotaUpdate part = new QuotaUpdate(
                     update.sender(),
                     update.incarnation(),
                     update.generation(),
                     update.viewDigest(),
                     update.reachableMembers(),
-                    new ArrayList<>(entries.subList(from, to)));
+                    new ArrayList<>(entries.subList(fromIndex, toIndex)));
             socket.send(receiver, codec.encode(part));
-            from = to;
-        } while (from < entries.size());
+            fromIndex = toIndex;
+        } while (fromIndex < entries.size());
     }
 
-    private void onDatagram(InetSocketAddress from, byte[] bytes) {
+    private void onDatagram(InetSocketAddress sender, byte[] bytes) {
         if (codec.decodeOrNull(bytes) instanceof QuotaUpdate update && controlPlane.table() != null) {
             quotas.onUpdate(update, name -> controlPlane.table().tenant(name), reactor.now());
         }
--- a/src/main/java/reedmux/proxy/RequestAdmission.java
+++ b/src/main/java/reedmux/proxy/RequestAdmission.java
@@ -16,19 +16,19 @@
  * Nothing is refused for good by a configuration that may be old. For the reactor's thread.
  */
 final class RequestAdmission {
-    static final String ATTEMPT_ID = "Reedmux-Attempt-Id";
-    static final String TIME_LEFT_MS = "Reedmux-Time-Left-Ms";
-    private static final String BEARER = "Bearer ";
+    static final String ATTEMPT_ID_HEADER = "Reedmux-Attempt-Id";
+    static final String TIME_LEFT_HEADER = "Reedmux-Time-Left-Ms";
+    private static final String BEARER_PREFIX = "Bearer ";
     /** Bodies in memory of all clients together; beyond it no further body is accepted. */
     private static final int MAX_BUFFERED_BODY_BYTES = 24 * 1024 * 1024;
     /** When to come back where it is not the client's own quota that is used up. */
     private static final long RETRY_AFTER_MICROS = 250_000;
     /** A request that waits here for the start is late; one that comes back soon after it is new. */
-    private static final long MIN_RETRY_AFTER_START_MICROS = RETRY_AFTER_MICROS / 2;
+    private static final long MIN_STARTUP_RETRY_AFTER_MICROS = RETRY_AFTER_MICROS / 2;
 
-    private static final long MIN_RETRY_AFTER_QUOTA_MICROS = RETRY_AFTER_MICROS / 4;
+    private static final long MIN_QUOTA_RETRY_AFTER_MICROS = RETRY_AFTER_MICROS / 4;
     /** Another proxy can take the request at once. */
-    private static final long RETRY_ELSEWHERE_MICROS = 50_000;
+    private static final long SHUTDOWN_RETRY_AFTER_MICROS = 50_000;
 
     private static final long NO_RETRY_AFTER = -1;
     /** The time that a request has which names none: an hour. */
@@ -38,7 +38,7 @@
 
     private final Reactor reactor;
     private final ControlPlaneClient controlPlane;
-    private final StartupGate startup;
+    private final StartupGate startupGate;
     private final GracefulShutdown shutdown;
     private final QuotaTracker quotas;
 
@@ -53,7 +53,7 @@
             QuotaTracker quotas) {
         this.reactor = reactor;
         this.controlPlane = controlPlane;
-        this.startup = startup;
+        this.startupGate = startup;
         this.shutdown = shutdown;
         this.quotas = quotas;
     }
@@ -67,9 +67,11 @@
     AdmissionResult admit(
             ClientConnection client, Http1Head head, ClientRequestBody body, RequestLimits limits, long bufferedBytes) {
         ConfigurationTable table = controlPlane.table();
-        if (!startup.canServe()) {
+        if (!startupGate.canServe()) {
             return reject(
-                    503, "not ready yet", Math.max(MIN_RETRY_AFTER_START_MICROS, startup.expectedRemainingMicros()));
+                    503,
+                    "not ready yet",
+                    Math.max(MIN_STARTUP_RETRY_AFTER_MICROS, startupGate.expectedRemainingMicros()));
         }
         RouteItem route = table.matchRoute(head.get("Host"), head.path());
         if (route == null) {
@@ -82,9 +84,9 @@
                 return rejectByConfiguration(401, "the key is not known");
             }
         }
-        String attemptId = head.get(ATTEMPT_ID);
+        String attemptId = head.get(ATTEMPT_ID_HEADER);
         long timeLeftMillis = timeLeftMillis(head);
-        if (attemptId == null || attemptId.isEmpty() || head.count(ATTEMPT_ID) > 1 || timeLeftMillis < 0) {
+        if (attemptId == null || attemptId.isEmpty() || head.count(ATTEMPT_ID_HEADER) > 1 || timeLeftMillis < 0) {
             return reject(
                     400, "Reedmux-Attempt-Id is missing, or Reedmux-Time-Left-Ms is no whole number", NO_RETRY_AFTER);
         }
@@ -96,11 +98,11 @@
         }
         long deadline = client.headReceivedAt() + Math.min(timeLeftMillis * 1000, route.timeoutMicros());
         if (!shutdown.admits(reactor.now(), deadline)) {
-            return new AdmissionResult(null, leavingRejection());
+            return new AdmissionResult(null, shutdownRejection());
         }
         if (tenant != null && !quotas.admit(tenant, reactor.now())) {
             long retryAfterMicros = quotas.retryAfterMicros(tenant, reactor.now());
-            return reject(429, "the quota is used up", Math.max(MIN_RETRY_AFTER_QUOTA_MICROS, retryAfterMicros));
+            return reject(429, "the quota is used up", Math.max(MIN_QUOTA_RETRY_AFTER_MICROS, retryAfterMicros));
         }
         ClientRequest request = new ClientRequest(client, head, attemptId, tenant == null ? null : tenant.name(), body);
         request.setProxyRequest(new ProxyRequest(route, tenant, request, deadline));
@@ -108,8 +110,8 @@
     }
 
     /** The response to what comes too late for this process. */
-    static ProxyResponse leavingRejection() {
-        return new ProxyResponse.LocalResponse(503, "this process ends", RETRY_ELSEWHERE_MICROS);
+    static ProxyResponse shutdownRejection() {
+        return new ProxyResponse.LocalResponse(503, "this process ends", SHUTDOWN_RETRY_AFTER_MICROS);
     }
 
     /** Gives back what a request that was certainly not executed has used of its tenant's quota. */
@@ -122,10 +124,10 @@
     /** The tenant whose key the request carries, or null. */
     private static TenantItem authenticate(ConfigurationTable table, Http1Head head) {
         String authorization = head.count("Authorization") == 1 ? head.get("Authorization") : null;
-        if (authorization == null || !authorization.regionMatches(true, 0, BEARER, 0, BEARER.length())) {
+        if (authorization == null || !authorization.regionMatches(true, 0, BEARER_PREFIX, 0, BEARER_PREFIX.length())) {
             return null;
         }
-        return table.tenantByKey(authorization.substring(BEARER.length()).trim());
+        return table.tenantByKey(authorization.substring(BEARER_PREFIX.length()).trim());
     }
 
     private AdmissionResult rejectByConfiguration(int status, String text) {
@@ -140,7 +142,7 @@
 
     /** The time that a request has left when it comes in, in milliseconds; -1 where the header is malformed. */
     static long timeLeftMillis(Http1Head head) {
-        String text = head.get(TIME_LEFT_MS);
+        String text = head.get(TIME_LEFT_HEADER);
         if (text == null) {
             return DEFAULT_TIME_LEFT_MILLIS;
         }
--- a/src/main/java/reedmux/proxy/StartupGate.java
+++ b/src/main/java/reedmux/proxy/StartupGate.java
@@ -15,22 +15,22 @@
 final class StartupGate {
     private static final long MICROS_PER_SECOND = 1_000_000;
     /** After this time a configuration that no store has confirmed is served, so that an outage of the core is none. */
-    private static final long UNCONFIRMED_START_MICROS = 4 * MICROS_PER_SECOND;
+    private static final long UNCONFIRMED_CONFIGURATION_DELAY_MICROS = 4 * MICROS_PER_SECOND;
     /** Within this time a start has usually come so far that requests can be served. */
-    private static final long TYPICAL_START_MICROS = MICROS_PER_SECOND / 5;
+    private static final long TYPICAL_STARTUP_MICROS = MICROS_PER_SECOND / 5;
     /** After this time a start is no usual one, and requests are rejected at once. */
-    private static final long MAX_START_MICROS = 2 * MICROS_PER_SECOND;
+    private static final long MAX_DEFERRAL_PERIOD_MICROS = 2 * MICROS_PER_SECOND;
     /** A request waits for the start this part of the time that it has left, and at most the limit. */
-    private static final int START_WAIT_DIVISOR = 8;
+    private static final int DEFERRAL_TIME_DIVISOR = 8;
 
-    private static final long MAX_START_WAIT_MICROS = MICROS_PER_SECOND / 4;
-    private static final int MAX_CLIENTS_AWAITING_START = 256;
+    private static final long MAX_DEFERRAL_MICROS = MICROS_PER_SECOND / 4;
+    private static final int MAX_DEFERRED_CLIENTS = 256;
 
     private final Reactor reactor;
     private final ControlPlaneClient controlPlane;
     private final LoadBalancer loadBalancer;
     private final long startedAt;
-    private final Set<ClientConnection> clientsAwaitingStart = new LinkedHashSet<>();
+    private final Set<ClientConnection> deferredClients = new LinkedHashSet<>();
 
     StartupGate(Reactor reactor, ControlPlaneClient controlPlane, LoadBalancer loadBalancer, long startedAt) {
         this.reactor = reactor;
@@ -43,12 +43,13 @@
     boolean canServe() {
         return controlPlane.table() != null
                 && !loadBalancer.isEmpty()
-                && (controlPlane.isConfigurationCurrent() || reactor.now() - startedAt > UNCONFIRMED_START_MICROS);
+                && (controlPlane.isConfigurationCurrent()
+                        || reactor.now() - startedAt > UNCONFIRMED_CONFIGURATION_DELAY_MICROS);
     }
 
     /** How long until requests can probably be served, in microseconds; below zero once that time is over. */
     long expectedRemainingMicros() {
-        return startedAt + TYPICAL_START_MICROS - reactor.now();
+        return startedAt + TYPICAL_STARTUP_MICROS - reactor.now();
     }
 
     /**
@@ -62,15 +63,16 @@
             return false;
         }
         long now = reactor.now();
-        long wait = Math.min(MAX_START_WAIT_MICROS, RequestAdmission.timeLeftMillis(head) * 1000 / START_WAIT_DIVISOR);
-        if (now + wait < startedAt + TYPICAL_START_MICROS
-                || now > startedAt + MAX_START_MICROS
-                || clientsAwaitingStart.size() >= MAX_CLIENTS_AWAITING_START) {
+        long deferralMicros =
+                Math.min(MAX_DEFERRAL_MICROS, RequestAdmission.timeLeftMillis(head) * 1000 / DEFERRAL_TIME_DIVISOR);
+        if (now + deferralMicros < startedAt + TYPICAL_STARTUP_MICROS
+                || now > startedAt + MAX_DEFERRAL_PERIOD_MICROS
+                || deferredClients.size() >= MAX_DEFERRED_CLIENTS) {
             return false;
         }
-        clientsAwaitingStart.add(client);
-        reactor.scheduleAfter(wait, () -> {
-            if (clientsAwaitingStart.remove(client)) {
+        deferredClients.add(client);
+        reactor.scheduleAfter(deferralMicros, () -> {
+            if (deferredClients.remove(client)) {
                 client.resumeDeferred();
             }
         });
@@ -79,14 +81,14 @@
 
     /** Resumes the requests that are held, if they can be served now. */
     void resumeIfStarted() {
-        if (!clientsAwaitingStart.isEmpty() && canServe()) {
-            List<ClientConnection> all = List.copyOf(clientsAwaitingStart);
-            clientsAwaitingStart.clear();
-            all.forEach(ClientConnection::resumeDeferred);
+        if (!deferredClients.isEmpty() && canServe()) {
+            List<ClientConnection> resumedClients = List.copyOf(deferredClients);
+            deferredClients.clear();
+            resumedClients.forEach(ClientConnection::resumeDeferred);
         }
     }
 
     void onClientClosed(ClientConnection client) {
-        clientsAwaitingStart.remove(client);
+        deferredClients.remove(client);
     }
 }
--- a/src/test/java/reedmux/proxy/CheckerConnectionTest.java
+++ b/src/test/java/reedmux/proxy/CheckerConnectionTest.java
@@ -48,8 +48,8 @@
         /** Answers that come a second time, with the next one on their connection. */
         final Map<ScriptedEnvironment.ScriptedSocket, String> duplicateResponses = new HashMap<>();
 
-        CheckerHarness(int checkers) {
-            for (int i = 0; i < checkers; i++) {
+        CheckerHarness(int checkerCount) {
+            for (int i = 0; i < checkerCount; i++) {
                 loadBalancer.onIncarnationUpdate(
                         new InstanceIncarnation(
                                 "c" + i,
@@ -65,7 +65,7 @@
             }
         }
 
-        void accept(String attempt, boolean repeatable, String body) {
+        void accept(String attemptId, boolean repeatable, String body) {
             RouteItem route = new RouteItem(
                     "r",
                     "h",
@@ -77,17 +77,17 @@
                     List.of(new RouteItem.WeightedService("desk", 1)),
                     2,
                     true);
-            ClientRequestBody upload = body == null ? null : new ClientRequestBody(body.length());
-            if (upload != null) {
-                upload.append(body.getBytes(StandardCharsets.ISO_8859_1));
-                upload.finish();
+            ClientRequestBody requestBody = body == null ? null : new ClientRequestBody(body.length());
+            if (requestBody != null) {
+                requestBody.append(body.getBytes(StandardCharsets.ISO_8859_1));
+                requestBody.finish();
             }
             ClientRequest request = new ClientRequest(
                     null,
-                    Http1Head.request(body == null ? "GET" : "POST", "/x").add("Reedmux-Attempt-Id", attempt),
-                    attempt,
+                    Http1Head.request(body == null ? "GET" : "POST", "/x").add("Reedmux-Attempt-Id", attemptId),
+                    attemptId,
                     null,
-                    upload);
+                    requestBody);
             request.setProxyRequest(new ProxyRequest(route, null, request, sockets.now() + 400 * MICROS_PER_MILLI));
             tracker.onEvent(sockets.now(), new RequestEvent.RequestAccepted(request.proxyRequest()));
             sockets.runReactorOnce();
@@ -116,128 +116,135 @@
         }
 
         @Override
-        public void schedule(long at, RequestEvent event) {
-            sockets.reactor().scheduleAt(at, () -> tracker.onEvent(sockets.now(), event));
+        public void schedule(long time, RequestEvent event) {
+            sockets.reactor().scheduleAt(time, () -> tracker.onEvent(sockets.now(), event));
         }
 
         /** The ids of the requests that have come over a connection. */
-        List<String> receivedAttemptIds(ScriptedEnvironment.ScriptedSocket conn) {
-            List<String> all = new ArrayList<>();
-            String text = conn.writtenText();
-            for (int at = text.indexOf(ATTEMPT_ID_HEADER); at >= 0; at = text.indexOf(ATTEMPT_ID_HEADER, at + 1)) {
-                all.add(text.substring(at + ATTEMPT_ID_HEADER.length(), text.indexOf('\r', at)));
+        List<String> receivedAttemptIds(ScriptedEnvironment.ScriptedSocket socket) {
+            List<String> attemptIds = new ArrayList<>();
+            String text = socket.writtenText();
+            for (int headerStart = text.indexOf(ATTEMPT_ID_HEADER);
+                    headerStart >= 0;
+                    headerStart = text.indexOf(ATTEMPT_ID_HEADER, headerStart + 1)) {
+                attemptIds.add(
+                        text.substring(headerStart + ATTEMPT_ID_HEADER.length(), text.indexOf('\r', headerStart)));
             }
-            return all;
+            return attemptIds;
         }
 
         /** The connections on which a checker owes an answer, or that are not up yet. */
-        List<ScriptedEnvironment.ScriptedSocket> awaitingChecker() {
-            List<ScriptedEnvironment.ScriptedSocket> all = new ArrayList<>();
-            for (ScriptedEnvironment.ScriptedSocket conn : sockets.sockets) {
-                int owed = receivedAttemptIds(conn).size() - responsesSent.getOrDefault(conn, 0);
-                assertTrue(owed <= 1, "one request at a time");
-                if (!conn.isClosed() && (owed == 1 || !conn.isConnected())) {
-                    all.add(conn);
+        List<ScriptedEnvironment.ScriptedSocket> socketsAwaitingChecker() {
+            List<ScriptedEnvironment.ScriptedSocket> awaiting = new ArrayList<>();
+            for (ScriptedEnvironment.ScriptedSocket socket : sockets.sockets) {
+                int unanswered = receivedAttemptIds(socket).size() - responsesSent.getOrDefault(socket, 0);
+                assertTrue(unanswered <= 1, "one request at a time");
+                if (!socket.isClosed() && (unanswered == 1 || !socket.isConnected())) {
+                    awaiting.add(socket);
                 }
             }
-            return all;
+            return awaiting;
         }
 
-        static String okResponse(String attempt) {
-            String body = "body of " + attempt;
-            return "HTTP/1.1 200 OK\r\nReedmux-Attempt-Id: " + attempt + "\r\nReedmux-Server-Seal: s\r\n"
+        static String okResponse(String attemptId) {
+            String body = "body of " + attemptId;
+            return "HTTP/1.1 200 OK\r\nReedmux-Attempt-Id: " + attemptId + "\r\nReedmux-Server-Seal: s\r\n"
                     + "Content-Length: " + body.length() + "\r\n\r\n" + body;
         }
 
         /** One step: time passes, or a checker does something. */
-        void step(ScheduleExplorer orders) {
-            List<ScriptedEnvironment.ScriptedSocket> open = awaitingChecker();
-            int which = orders.choose(open.size() + 1);
-            if (which == open.size()) {
+        void step(ScheduleExplorer explorer) {
+            List<ScriptedEnvironment.ScriptedSocket> awaiting = socketsAwaitingChecker();
+            int socketIndex = explorer.choose(awaiting.size() + 1);
+            if (socketIndex == awaiting.size()) {
                 sockets.advanceMicros(60 * MICROS_PER_MILLI);
                 return;
             }
-            ScriptedEnvironment.ScriptedSocket conn = open.get(which);
-            if (!conn.isConnected()) {
-                if (orders.choose(2) == 0) {
-                    conn.completeConnect();
+            ScriptedEnvironment.ScriptedSocket socket = awaiting.get(socketIndex);
+            if (!socket.isConnected()) {
+                if (explorer.choose(2) == 0) {
+                    socket.completeConnect();
                 } else {
-                    conn.reset();
+                    socket.reset();
                 }
                 return;
             }
-            List<String> all = receivedAttemptIds(conn);
-            String attempt = all.get(all.size() - 1);
-            String late = duplicateResponses.getOrDefault(conn, "");
-            duplicateResponses.remove(conn);
-            responsesSent.merge(conn, 1, Integer::sum);
-            boolean runs = true;
-            switch (orders.choose(12)) {
-                case 0 -> conn.receive(late + okResponse(attempt));
+            List<String> receivedIds = receivedAttemptIds(socket);
+            String attemptId = receivedIds.get(receivedIds.size() - 1);
+            String duplicate = duplicateResponses.getOrDefault(socket, "");
+            duplicateResponses.remove(socket);
+            responsesSent.merge(socket, 1, Integer::sum);
+            boolean mayExecute = true;
+            switch (explorer.choose(12)) {
+                case 0 -> socket.receive(duplicate + okResponse(attemptId));
                 case 1 -> { // and once more, later
-                    duplicateResponses.put(conn, okResponse(attempt));
-                    conn.receive(late + okResponse(attempt));
+                    duplicateResponses.put(socket, okResponse(attemptId));
+                    socket.receive(duplicate + okResponse(attemptId));
                 }
-                case 2 -> conn.receive(late + okResponse(attempt) + okResponse(attempt)); // and once more, at once
+                case 2 ->
+                    socket.receive(duplicate + okResponse(attemptId) + okResponse(attemptId)); // and once more, at once
                 case 3 -> {
-                    runs = false;
-                    conn.receive(
-                            late + "HTTP/1.1 503 Busy\r\nReedmux-Not-Executed: 1\r\n" + "Content-Length: 0\r\n\r\n");
+                    mayExecute = false;
+                    socket.receive(duplicate + "HTTP/1.1 503 Busy\r\nReedmux-Not-Executed: 1\r\n"
+                            + "Content-Length: 0\r\n\r\n");
                 }
                 case 4 -> {
-                    runs = false; // the address is another's
-                    conn.receive(late + "HTTP/1.1 421 Other\r\nReedmux-Instance-Id: other\r\n"
+                    mayExecute = false; // the address is another's
+                    socket.receive(duplicate + "HTTP/1.1 421 Other\r\nReedmux-Instance-Id: other\r\n"
                             + "Content-Length: 0\r\n\r\n");
                 }
                 case 5 ->
-                    conn.receive(late + "HTTP/1.1 429 Many\r\nReedmux-Attempt-Id: " + attempt
+                    socket.receive(duplicate + "HTTP/1.1 429 Many\r\nReedmux-Attempt-Id: " + attemptId
                             + "\r\nContent-Length: 0\r\n\r\n"); // without the mark: it may have run
-                case 6 -> conn.receive(late + okResponse("another")); // and nothing of ours
-                case 7 -> conn.receive(late + okResponse(attempt).replace("Reedmux-Attempt-Id", "X-None"));
+                case 6 -> socket.receive(duplicate + okResponse("another")); // and nothing of ours
+                case 7 -> socket.receive(duplicate + okResponse(attemptId).replace("Reedmux-Attempt-Id", "X-None"));
                 case 8 -> {
-                    conn.receive(late + okResponse(attempt).replaceAll("body of .*", "body"));
-                    conn.reset();
+                    socket.receive(duplicate + okResponse(attemptId).replaceAll("body of .*", "body"));
+                    socket.reset();
                 }
                 case 10 -> { // a failure of its own without id, and once more, later
-                    String failure = "HTTP/1.1 500 Bad\r\nX-For: " + attempt + "\r\nContent-Length: 0\r\n\r\n";
-                    duplicateResponses.put(conn, failure);
-                    conn.receive(late + failure);
+                    String failure = "HTTP/1.1 500 Bad\r\nX-For: " + attemptId + "\r\nContent-Length: 0\r\n\r\n";
+                    duplicateResponses.put(socket, failure);
+                    socket.receive(duplicate + failure);
                 }
-                case 9 -> conn.receive(late + "what is this\r\n\r\n");
-                default -> conn.reset();
+                case 9 -> socket.receive(duplicate + "what is this\r\n\r\n");
+                default -> socket.reset();
             }
-            if (runs) {
-                executions.merge(attempt, 1, Integer::sum);
+            if (mayExecute) {
+                executions.merge(attemptId, 1, Integer::sum);
             }
         }
 
         /** What no order may lead to. */
-        void check(String attempt, boolean repeatable) {
-            for (ScriptedEnvironment.ScriptedSocket conn :
+        void verify(String attemptId, boolean repeatable) {
+            for (ScriptedEnvironment.ScriptedSocket socket :
                     sockets.sockets) { // what no checker has ended may have run, too
-                List<String> all = receivedAttemptIds(conn);
-                if (all.size() > responsesSent.getOrDefault(conn, 0)
-                        && all.get(all.size() - 1).equals(attempt)) {
-                    executions.merge(attempt, 1, Integer::sum);
+                List<String> receivedIds = receivedAttemptIds(socket);
+                if (receivedIds.size() > responsesSent.getOrDefault(socket, 0)
+                        && receivedIds.get(receivedIds.size() - 1).equals(attemptId)) {
+                    executions.merge(attemptId, 1, Integer::sum);
                 }
             }
-            int times = executions.getOrDefault(attempt, 0);
-            assertTrue(repeatable || times <= 1, "TWICE: " + times);
-            ProxyResponse answer = responses.get(attempt);
-            assertTrue(answer != null, "no answer");
-            int status = answer instanceof ProxyResponse.LocalResponse own
-                    ? own.status()
-                    : ((ProxyResponse.CheckerResponse) answer).head().status();
+            int executionCount = executions.getOrDefault(attemptId, 0);
+            assertTrue(repeatable || executionCount <= 1, "TWICE: " + executionCount);
+            ProxyResponse response = responses.get(attemptId);
+            assertTrue(response != null, "no answer");
+            int status = response instanceof ProxyResponse.LocalResponse localResponse
+                    ? localResponse.status()
+                    : ((ProxyResponse.CheckerResponse) response).head().status();
             assertFalse(
-                    times > 0 && (status == 503 || status == 429 || status == 408 || status == 421),
+                    executionCount > 0 && (status == 503 || status == 429 || status == 408 || status == 421),
                     "REFUSED: " + status);
-            assertFalse(times > 0 && quotaRefunds.contains(attempt), "given back");
-            if (answer instanceof ProxyResponse.CheckerResponse told && status == 500) {
-                assertEquals(told.head().get("X-For"), attempt, "MIXED");
+            assertFalse(executionCount > 0 && quotaRefunds.contains(attemptId), "given back");
+            if (response instanceof ProxyResponse.CheckerResponse checkerResponse && status == 500) {
+                assertEquals(checkerResponse.head().get("X-For"), attemptId, "MIXED");
             }
-            if (answer instanceof ProxyResponse.CheckerResponse told && status == 200) {
-                assertEquals(new String(told.body(), StandardCharsets.ISO_8859_1), "body of " + attempt, "MIXED");
-                assertEquals(told.head().get("Reedmux-Attempt-Id"), attempt, "MIXED");
+            if (response instanceof ProxyResponse.CheckerResponse checkerResponse && status == 200) {
+                assertEquals(
+                        new String(checkerResponse.body(), StandardCharsets.ISO_8859_1),
+                        "body of " + attemptId,
+                        "MIXED");
+                assertEquals(checkerResponse.head().get("Reedmux-Attempt-Id"), attemptId, "MIXED");
             }
         }
     }
@@ -248,7 +255,7 @@
      * and a connection that goes from one request to the next. With five steps: 173,483 orders.
      */
     @Test
-    public void noOrderMixesResponsesExecutesTwiceOrBreaksAPromise() {
+    public void noScheduleMixesResponsesOrExecutesTwiceOrRejectsAnExecutedRequest() {
         int plays = 0;
         for (int kinds = 0; kinds < 4; kinds++) {
             boolean first = kinds % 2 == 0;
@@ -265,8 +272,8 @@
                     harness.step(orders);
                 }
                 harness.sockets.advanceMicros(900 * MICROS_PER_MILLI);
-                harness.check("one", first);
-                harness.check("two", second);
+                harness.verify("one", first);
+                harness.verify("two", second);
             });
         }
         assertTrue(plays > 25_000, plays + " orders");
@@ -274,32 +281,32 @@
 
     /** A send that ends after each of its bytes, by a reset or by silence. */
     @Test
-    public void requestOfWhichAByteWasSentMayHaveBeenExecuted() {
-        CheckerHarness whole = new CheckerHarness(2);
-        whole.accept("one", false, "0123456789");
-        whole.sockets.sockets.get(0).completeConnect();
-        int total = whole.sockets.sockets.get(0).writtenText().length();
-        assertTrue(total > 100, total + " bytes");
-        for (int sent = 0; sent <= total; sent++) {
+    public void partlySentRequestMayHaveBeenExecuted() {
+        CheckerHarness unlimited = new CheckerHarness(2);
+        unlimited.accept("one", false, "0123456789");
+        unlimited.sockets.sockets.get(0).completeConnect();
+        int requestBytes = unlimited.sockets.sockets.get(0).writtenText().length();
+        assertTrue(requestBytes > 100, requestBytes + " bytes");
+        for (int sentBytes = 0; sentBytes <= requestBytes; sentBytes++) {
             for (boolean silent : new boolean[] {true, false}) {
                 CheckerHarness harness = new CheckerHarness(2);
-                harness.sockets.socketCapacityBytes = sent;
+                harness.sockets.socketCapacityBytes = sentBytes;
                 harness.accept("one", false, "0123456789");
                 harness.sockets.socketCapacityBytes = Long.MAX_VALUE;
-                ScriptedEnvironment.ScriptedSocket conn = harness.sockets.sockets.get(0);
-                conn.completeConnect();
-                assertEquals(conn.writtenText().length(), sent);
+                ScriptedEnvironment.ScriptedSocket socket = harness.sockets.sockets.get(0);
+                socket.completeConnect();
+                assertEquals(socket.writtenText().length(), sentBytes);
                 if (!silent) {
-                    conn.reset();
-                    assertEquals(harness.sockets.sockets.size(), sent == 0 ? 2 : 1, sent + " bytes");
+                    socket.reset();
+                    assertEquals(harness.sockets.sockets.size(), sentBytes == 0 ? 2 : 1, sentBytes + " bytes");
                 }
                 harness.sockets.advanceMicros(900 * MICROS_PER_MILLI);
-                ProxyResponse answer = harness.responses.get("one");
+                ProxyResponse response = harness.responses.get("one");
                 assertEquals(
-                        ((ProxyResponse.LocalResponse) answer).status(),
-                        silent ? 504 : sent == 0 ? 503 : 502,
-                        sent + " bytes");
-                assertEquals(harness.quotaRefunds.size(), !silent && sent == 0 ? 1 : 0);
+                        ((ProxyResponse.LocalResponse) response).status(),
+                        silent ? 504 : sentBytes == 0 ? 503 : 502,
+                        sentBytes + " bytes");
+                assertEquals(harness.quotaRefunds.size(), !silent && sentBytes == 0 ? 1 : 0);
             }
         }
     }
--- a/src/test/java/reedmux/proxy/ClientConnectionTest.java
+++ b/src/test/java/reedmux/proxy/ClientConnectionTest.java
@@ -22,8 +22,8 @@
         final List<ClientRequest> dispatched = new ArrayList<>();
         final List<ClientRequest> abandoned = new ArrayList<>();
         RequestLimits limits = new RequestLimits(300, 8 << 20, 3 * MICROS_PER_SECOND, 15 * MICROS_PER_SECOND);
-        int closed;
-        boolean starting;
+        int closedCount;
+        boolean deferRequests;
 
         ScriptedEnvironment.ScriptedSocket socket;
         final ClientConnection client;
@@ -34,7 +34,7 @@
         }
 
         /** Time passes, with a look each quarter of a second. */
-        void pass(long micros) {
+        void advanceMicros(long micros) {
             for (long passed = 0; passed < micros && !socket.isClosed(); passed += MICROS_PER_SECOND / 4) {
                 sockets.advanceMicros(MICROS_PER_SECOND / 4);
                 client.checkTimeouts(now(), false);
@@ -62,14 +62,16 @@
         }
 
         @Override
-        public boolean deferUntilStarted(ClientConnection who, Http1Head head) {
-            return starting;
+        public boolean deferUntilStarted(ClientConnection connection, Http1Head head) {
+            return deferRequests;
         }
 
         @Override
-        public RequestAdmission.AdmissionResult admit(ClientConnection who, Http1Head head, ClientRequestBody upload) {
-            String attempt = head.get("Reedmux-Attempt-Id");
-            return new RequestAdmission.AdmissionResult(new ClientRequest(who, head, attempt, null, upload), null);
+        public RequestAdmission.AdmissionResult admit(
+                ClientConnection connection, Http1Head head, ClientRequestBody body) {
+            String attemptId = head.get("Reedmux-Attempt-Id");
+            return new RequestAdmission.AdmissionResult(
+                    new ClientRequest(connection, head, attemptId, null, body), null);
         }
 
         @Override
@@ -78,18 +80,18 @@
         }
 
         @Override
-        public void onRequestAbandoned(ClientRequest request, boolean wasLaunched) {
+        public void onRequestAbandoned(ClientRequest request, boolean wasDispatched) {
             abandoned.add(request);
         }
 
         @Override
-        public void onClientClosed(ClientConnection who) {
-            closed++;
+        public void onClientClosed(ClientConnection connection) {
+            closedCount++;
         }
     }
 
-    private static String get(String attempt) {
-        return "GET /x HTTP/1.1\r\nHost: h\r\nReedmux-Attempt-Id: " + attempt + "\r\n\r\n";
+    private static String getRequest(String attemptId) {
+        return "GET /x HTTP/1.1\r\nHost: h\r\nReedmux-Attempt-Id: " + attemptId + "\r\n\r\n";
     }
 
     private static ProxyResponse localResponse(int status) {
@@ -99,9 +101,9 @@
     @Test
     public void sendsAResponseOnlyToItsOwnRequest() throws IOException {
         ClientHarness harness = new ClientHarness();
-        harness.socket.receive(get("one"));
+        harness.socket.receive(getRequest("one"));
         harness.client.respond(harness.dispatched.get(0), localResponse(503));
-        harness.socket.receive(get("two"));
+        harness.socket.receive(getRequest("two"));
         harness.client.respond(harness.dispatched.get(0), localResponse(502)); // late, and not the second one's
         assertFalse(harness.socket.writtenText().contains("502"));
         harness.client.respond(harness.dispatched.get(1), localResponse(504));
@@ -111,14 +113,14 @@
 
     /** A body that goes wrong after the answer: what was counted for the request is not given back again. */
     @Test
-    public void doesNotAbandonARequestThatHasItsResponse() throws IOException {
+    public void malformedBodyAfterTheResponseDoesNotAbandonTheRequest() throws IOException {
         for (boolean answered : new boolean[] {true, false}) {
             ClientHarness harness = new ClientHarness();
             harness.socket.receive("POST /x HTTP/1.1\r\nHost: h\r\nReedmux-Attempt-Id: a\r\n"
                     + "Transfer-Encoding: chunked\r\n\r\n90000\r\n" + "y".repeat(0x90000) + "\r\n");
             assertEquals(harness.dispatched.size(), 1);
-            ClientRequestBody upload = harness.dispatched.get(0).body();
-            for (int i = 0; upload.chunk(i) != null; i++) {
+            ClientRequestBody body = harness.dispatched.get(0).body();
+            for (int i = 0; body.chunk(i) != null; i++) {
                 assertFalse(harness.socket.isClosed()); // a checker takes it
             }
             if (answered) {
@@ -132,19 +134,19 @@
     /** A connection may rest as long as its client was told, and for as long as holds now. */
     @Test
     public void keepsConnectionsOpenForTheAnnouncedIdleTime() throws IOException {
-        for (long next : new long[] {5 * MICROS_PER_SECOND, 15 * MICROS_PER_SECOND, 40 * MICROS_PER_SECOND}) {
+        for (long newIdleTimeout : new long[] {5 * MICROS_PER_SECOND, 15 * MICROS_PER_SECOND, 40 * MICROS_PER_SECOND}) {
             ClientHarness harness = new ClientHarness();
-            harness.socket.receive(get("one"));
+            harness.socket.receive(getRequest("one"));
             harness.client.respond(harness.dispatched.get(0), localResponse(404));
-            harness.limits = new RequestLimits(300, 8 << 20, MICROS_PER_SECOND, next);
-            harness.pass(Math.max(12 * MICROS_PER_SECOND, next / 5 * 4));
-            assertFalse(harness.socket.isClosed(), "rests, " + next);
-            harness.socket.receive(get("two"));
+            harness.limits = new RequestLimits(300, 8 << 20, MICROS_PER_SECOND, newIdleTimeout);
+            harness.advanceMicros(Math.max(12 * MICROS_PER_SECOND, newIdleTimeout / 5 * 4));
+            assertFalse(harness.socket.isClosed(), "rests, " + newIdleTimeout);
+            harness.socket.receive(getRequest("two"));
             assertEquals(harness.dispatched.size(), 2);
             harness.client.respond(harness.dispatched.get(1), localResponse(404));
-            harness.pass(next / 5 * 4);
+            harness.advanceMicros(newIdleTimeout / 5 * 4);
             assertFalse(harness.socket.isClosed());
-            harness.pass(next / 5 * 2);
+            harness.advanceMicros(newIdleTimeout / 5 * 2);
             assertTrue(harness.socket.isClosed());
         }
     }
@@ -152,15 +154,15 @@
     /** A head of just the bound, however its bytes come, and one byte more. */
     @Test
     public void acceptsAHeadOfExactlyTheLimitByteByByte() throws IOException {
-        for (int beyond = 0; beyond < 2; beyond++) {
+        for (int excessBytes = 0; excessBytes < 2; excessBytes++) {
             ClientHarness harness = new ClientHarness();
-            String head = get("one").replace("\r\n\r\n", "\r\nPad: \r\n\r\n");
-            head = head.replace("Pad: ", "Pad: " + "p".repeat(300 + 4 + beyond - head.length()));
+            String head = getRequest("one").replace("\r\n\r\n", "\r\nPad: \r\n\r\n");
+            head = head.replace("Pad: ", "Pad: " + "p".repeat(300 + 4 + excessBytes - head.length()));
             for (int i = 0; i < head.length() && !harness.socket.isClosed(); i++) {
                 harness.socket.receive(head.substring(i, i + 1));
             }
-            assertEquals(harness.dispatched.size(), 1 - beyond);
-            assertEquals(harness.socket.writtenText().startsWith("HTTP/1.1 431"), beyond == 1);
+            assertEquals(harness.dispatched.size(), 1 - excessBytes);
+            assertEquals(harness.socket.writtenText().startsWith("HTTP/1.1 431"), excessBytes == 1);
         }
     }
 
@@ -168,38 +170,38 @@
     public void rejectsAHeadThatTakesTooLong() throws IOException {
         ClientHarness harness = new ClientHarness();
         harness.socket.receive("GET /x HT");
-        harness.pass(5 * MICROS_PER_SECOND / 2);
+        harness.advanceMicros(5 * MICROS_PER_SECOND / 2);
         assertEquals(harness.socket.writtenText(), "");
-        harness.pass(MICROS_PER_SECOND);
+        harness.advanceMicros(MICROS_PER_SECOND);
         assertTrue(harness.socket.writtenText().startsWith("HTTP/1.1 408"));
     }
 
     /** It is we who hold up a body that no checker takes: its client is not late by that. */
     @Test
-    public void doesNotTimeOutABodyThatTheProxyHeldUp() throws IOException {
+    public void doesNotTimeOutABodyUnderBackPressure() throws IOException {
         ClientHarness harness = new ClientHarness();
         harness.socket.receive("POST /x HTTP/1.1\r\nHost: h\r\nReedmux-Attempt-Id: a\r\n"
                 + "Content-Length: 1000000\r\n\r\n" + "y".repeat(600_000));
-        harness.pass(20 * MICROS_PER_SECOND);
-        ClientRequestBody upload = harness.dispatched.get(0).body();
-        for (int i = 0; upload.chunk(i) != null; i++) {
+        harness.advanceMicros(20 * MICROS_PER_SECOND);
+        ClientRequestBody body = harness.dispatched.get(0).body();
+        for (int i = 0; body.chunk(i) != null; i++) {
             assertFalse(harness.socket.isClosed());
         }
         harness.client.checkTimeouts(harness.now(), false);
         assertFalse(harness.socket.isClosed());
         harness.socket.receive("y".repeat(400_000));
-        assertTrue(upload.isComplete());
+        assertTrue(body.isComplete());
     }
 
     /** Its own body may be long, and is no later request. */
     @Test
-    public void keepsTheBodyOfARequestThatWaitsForTheStart() throws IOException {
+    public void keepsTheBodyOfADeferredRequest() throws IOException {
         ClientHarness harness = new ClientHarness();
-        harness.starting = true;
+        harness.deferRequests = true;
         harness.socket.receive("POST /x HTTP/1.1\r\nHost: h\r\nReedmux-Attempt-Id: a\r\n"
                 + "Content-Length: 300000\r\n\r\n" + "y".repeat(300_000));
         assertEquals(harness.dispatched.size(), 0);
-        harness.starting = false;
+        harness.deferRequests = false;
         harness.client.resumeDeferred();
         harness.socket.receive("");
         assertEquals(harness.dispatched.size(), 1);
@@ -208,13 +210,13 @@
 
     /** Whoever sends more than is read ahead is answered once, and what was dropped is never taken for a request. */
     @Test
-    public void endsBehindTheResponseWhereLaterInputWasDropped() throws IOException {
+    public void closesAfterTheResponseIfPipelinedInputWasDiscarded() throws IOException {
         ClientHarness harness = new ClientHarness();
-        harness.socket.receive(get("one"));
-        harness.socket.receive(get("two") + "y".repeat(100_000));
-        harness.socket.receive(get("three"));
+        harness.socket.receive(getRequest("one"));
+        harness.socket.receive(getRequest("two") + "y".repeat(100_000));
+        harness.socket.receive(getRequest("three"));
         harness.client.respond(harness.dispatched.get(0), localResponse(200));
-        harness.pass(MICROS_PER_SECOND);
+        harness.advanceMicros(MICROS_PER_SECOND);
         assertTrue(harness.socket.writtenText().contains("Connection: close"), harness.socket.writtenText());
         assertTrue(harness.socket.isClosed());
         assertEquals(harness.dispatched.size(), 1);
@@ -222,27 +224,28 @@
 
     /** Its client's end has come in together with it: it is not dispatched, and its quota is given back. */
     @Test
-    public void doesNotDispatchARequestWhoseClientHasLeft() throws IOException {
-        for (int further : new int[] {0, 100, 300_000, -1}) {
+    public void doesNotDispatchARequestWhoseClientHasDisconnected() throws IOException {
+        for (int pipelinedBytes : new int[] {0, 100, 300_000, -1}) {
             ClientHarness harness = new ClientHarness();
-            harness.socket.receiveAndEnd(get("one") + "y".repeat(Math.max(0, further)), further < 0);
+            harness.socket.receiveAndEnd(
+                    getRequest("one") + "y".repeat(Math.max(0, pipelinedBytes)), pipelinedBytes < 0);
             harness.sockets.runReactorOnce();
             assertEquals(harness.dispatched.size(), 0);
             assertEquals(harness.abandoned.size(), 1);
-            assertEquals(harness.closed, 1);
+            assertEquals(harness.closedCount, 1);
         }
     }
 
     /** Before a retry the socket is asked: the end that nobody has reported yet is seen, and handled a turn later. */
     @Test
-    public void knowsOfADepartureThatIsNotReportedYet() throws IOException {
+    public void detectsADisconnectBeforeTheReactorReportsIt() throws IOException {
         ClientHarness harness = new ClientHarness();
-        harness.socket.receive(get("one"));
+        harness.socket.receive(getRequest("one"));
         ClientRequest request = harness.dispatched.get(0);
         harness.sockets.advanceMicros(MICROS_PER_SECOND);
-        assertFalse(harness.client.hasLeft(request));
+        assertFalse(harness.client.hasDisconnected(request));
         harness.socket.endInputWithoutEvent();
-        assertTrue(harness.client.hasLeft(request));
+        assertTrue(harness.client.hasDisconnected(request));
         assertEquals(harness.abandoned.size(), 0);
         harness.sockets.runReactorOnce();
         assertEquals(harness.abandoned.size(), 1);
--- a/src/test/java/reedmux/proxy/GracefulShutdownTest.java
+++ b/src/test/java/reedmux/proxy/GracefulShutdownTest.java
@@ -10,53 +10,57 @@
 
 /** What is admitted after SIGTERM has time for its response, whatever the grace period is. */
 public class GracefulShutdownTest {
-    private static final long SECOND = 1_000_000;
-    private static final long SIGNAL = 100 * SECOND;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final long SIGTERM_TIME = 100 * MICROS_PER_SECOND;
 
     @DataProvider
     public Object[][] gracePeriods() {
-        return new Object[][] {{SECOND / 2}, {2 * SECOND}, {6 * SECOND}, {30 * SECOND}};
+        return new Object[][] {
+            {MICROS_PER_SECOND / 2}, {2 * MICROS_PER_SECOND}, {6 * MICROS_PER_SECOND}, {30 * MICROS_PER_SECOND}
+        };
     }
 
     @Test(dataProvider = "gracePeriods")
-    public void phasesFollowOneAnotherWithinTheGracePeriod(long grace) {
+    public void phasesAreOrderedWithinTheGracePeriod(long grace) {
         GracefulShutdown shutdown = new GracefulShutdown(grace);
-        assertFalse(shutdown.hasBegun() || shutdown.isDraining(SIGNAL));
-        assertTrue(shutdown.admits(SIGNAL, Long.MAX_VALUE));
-        shutdown.begin(SIGNAL);
-        assertTrue(shutdown.hasBegun() && !shutdown.isDraining(SIGNAL));
+        assertFalse(shutdown.hasBegun() || shutdown.isDraining(SIGTERM_TIME));
+        assertTrue(shutdown.admits(SIGTERM_TIME, Long.MAX_VALUE));
+        shutdown.begin(SIGTERM_TIME);
+        assertTrue(shutdown.hasBegun() && !shutdown.isDraining(SIGTERM_TIME));
         assertTrue(shutdown.drainsAt() <= shutdown.endsAt() && shutdown.lastResponseAt() < shutdown.endsAt());
-        assertTrue(shutdown.endsAt() < SIGNAL + grace);
+        assertTrue(shutdown.endsAt() < SIGTERM_TIME + grace);
         assertTrue(shutdown.isDraining(shutdown.drainsAt()));
     }
 
     /** At any time after the signal, with any deadline. */
     @Test(dataProvider = "gracePeriods")
-    public void whatIsAdmittedLateHasItsResponseBeforeTheEnd(long grace) {
+    public void lateAdmissionsHaveTheirDeadlineBeforeTermination(long grace) {
         GracefulShutdown shutdown = new GracefulShutdown(grace);
-        shutdown.begin(SIGNAL);
-        for (long now = SIGNAL; now < SIGNAL + grace; now += grace / 60) {
+        shutdown.begin(SIGTERM_TIME);
+        for (long now = SIGTERM_TIME; now < SIGTERM_TIME + grace; now += grace / 60) {
             for (long timeLeft = 0; timeLeft < 2 * grace; timeLeft += grace / 40) {
                 boolean admitted = shutdown.admits(now, now + timeLeft);
-                boolean early = now <= SIGNAL + Math.min(2 * SECOND, grace / 3);
-                assertEquals(admitted, early || now + timeLeft <= shutdown.lastResponseAt());
-                List<GracefulShutdown.UnansweredRequest> cut =
+                boolean balancersMayStillRoute = now <= SIGTERM_TIME + Math.min(2 * MICROS_PER_SECOND, grace / 3);
+                assertEquals(admitted, balancersMayStillRoute || now + timeLeft <= shutdown.lastResponseAt());
+                List<GracefulShutdown.UnansweredRequest> unanswered =
                         List.of(new GracefulShutdown.UnansweredRequest(now, now + timeLeft));
-                assertEquals(shutdown.mayLeaveUnanswered(cut), early && now + timeLeft > shutdown.lastResponseAt());
+                assertEquals(
+                        shutdown.mayLeaveUnanswered(unanswered),
+                        balancersMayStillRoute && now + timeLeft > shutdown.lastResponseAt());
             }
         }
     }
 
     @Test
-    public void summaryCountsWhatCameSinceTheSignal() {
-        GracefulShutdown shutdown = new GracefulShutdown(6 * SECOND);
+    public void summaryCountsEventsSinceTheSignal() {
+        GracefulShutdown shutdown = new GracefulShutdown(6 * MICROS_PER_SECOND);
         shutdown.onAccepted();
-        shutdown.begin(SIGNAL);
+        shutdown.begin(SIGTERM_TIME);
         shutdown.onAccepted();
-        shutdown.admits(SIGNAL + SECOND, SIGNAL + 3 * SECOND);
-        shutdown.admits(SIGNAL + 4 * SECOND, SIGNAL + 9 * SECOND);
+        shutdown.admits(SIGTERM_TIME + MICROS_PER_SECOND, SIGTERM_TIME + 3 * MICROS_PER_SECOND);
+        shutdown.admits(SIGTERM_TIME + 4 * MICROS_PER_SECOND, SIGTERM_TIME + 9 * MICROS_PER_SECOND);
         assertEquals(
-                shutdown.summary(SIGNAL + 5 * SECOND, List.of()),
+                shutdown.summary(SIGTERM_TIME + 5 * MICROS_PER_SECOND, List.of()),
                 "ends 5000 ms after the signal: since then 1 connections accepted, 1 requests admitted, the last one"
                         + " after 1000 ms, 1 rejected; 0 without a response");
     }
