--- a/src/main/java/reedmux/proxy/CheckerConnection.java
+++ b/src/main/java/reedmux/proxy/CheckerConnection.java
@@ -15,24 +15,35 @@
 import reedmux.proxy.request.RequestAttempt;
 
 /**
- * A connection to a checker, which carries one request at a time. Its states: connecting, with a request that waits
- * for it; active, from the first byte of a request to the last one of its response; idle, in the pool; closed. Whether
- * it may become idle after a response, or must be closed, is decided in {@link #onResponse()}: a second response on
- * the wire could otherwise be taken for that of the next request. For the reactor's thread.
+ * An HTTP/1.1 connection to a checker, which carries one request at a time. It is connecting, with a request that is
+ * sent once the connection is established; active, from the first byte of a request to the last byte of its response;
+ * idle, in the pool; or closed.
+ *
+ * <p>After each response {@link #onResponse()} decides whether the connection may become idle or must be closed. It
+ * must be closed if a second response could still arrive, because that could be mistaken for the response to the next
+ * request.
+ *
+ * <p>Not thread-safe; used on the reactor's thread only.
  */
 final class CheckerConnection implements Connection.ConnectionHandler {
     private static final int MAX_HEAD_BYTES = 64 * 1024;
     private static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
-    /** Bytes of a request that wait here until the checker takes them. */
+    /**
+     * Output queued for the checker, in bytes, from which on no more of the request body is written until the queue
+     * drains.
+     */
     private static final int MAX_WRITE_QUEUE_BYTES = 128 * 1024;
-    /** Responses to earlier requests that are skipped in front of the one that is awaited. */
+    /** Maximum number of responses to earlier requests that are skipped before the awaited response. */
     private static final int MAX_STALE_RESPONSES = 4;
 
     private static final int MIN_RESPONSE_BUFFER_BYTES = 32;
     private static final long DEFAULT_IDLE_TIMEOUT_MICROS = 8_000_000;
     private static final String TIMEOUT_PARAMETER = "timeout=";
     private static final int MAX_TIMEOUT_DIGITS = 6;
-    /** Of a checker's own idle timeout in seconds, how long we use a connection: 80%, so that we close it first. */
+    /**
+     * Time for which a connection may be idle per second of the idle timeout that the checker announces in {@code
+     * Keep-Alive}. It is 80% of that timeout, so that the proxy closes the connection before the checker does.
+     */
     private static final long IDLE_MICROS_PER_KEEP_ALIVE_SECOND = 800_000;
 
     private static final int FIRST_FINAL_STATUS = 200;
@@ -42,20 +53,20 @@
     private static final byte[] CRLF = {'\r', '\n'};
     private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
-    /** Hears of the ends of attempts and of connections. */
+    /** Receives the results of attempts and the state changes of connections. */
     interface CheckerConnectionListener {
 
-        /** An attempt has ended; {@code response} is null where none came. */
+        /** Called when an attempt has ended; {@code response} is null if no valid response was received. */
         void onAttemptEnded(
                 CheckerConnection connection,
                 RequestAttempt attempt,
                 ExecutionStatus execution,
                 ProxyResponse.CheckerResponse response);
 
-        /** The connection may carry another request. */
+        /** Called when the connection can carry another request. */
         void onIdle(CheckerConnection connection);
 
-        /** The connection is closed; called once. */
+        /** Called once, when the connection is closed. */
         void onClosed(CheckerConnection connection);
     }
 
@@ -64,17 +75,17 @@
     private final CheckerConnectionListener listener;
     private final Connection connection;
     private final Http1HeadReader headReader = new Http1HeadReader(false);
-    /** What is under way; both null while the connection is idle. */
+    /** The attempt in flight and its request; both are null while the connection is idle. */
     private RequestAttempt attempt;
 
     private ClientRequest request;
-    /** How far the request's body is written. */
+    /** Index of the next chunk of the request body to write. */
     private int nextChunkIndex;
 
     private boolean chunked;
     private boolean requestWritten;
     private long bytesBeforeRequest;
-    /** The response that is being read; null in front of a head. */
+    /** Head of the response that is being read; null until a head is complete. */
     private Http1Head responseHead;
 
     private Http1BodyReader bodyReader;
@@ -85,7 +96,7 @@
     private long idleTimeoutMicros = DEFAULT_IDLE_TIMEOUT_MICROS;
     private boolean closeReported;
 
-    /** Opens a connection; {@link #start} is to be called at once. */
+    /** Opens a connection. The caller must call {@link #start} immediately afterwards. */
     CheckerConnection(Reactor reactor, CheckerStats checker, CheckerConnectionListener listener) throws IOException {
         this.reactor = reactor;
         this.checker = checker;
@@ -97,7 +108,10 @@
         return checker;
     }
 
-    /** Whether it is idle and may carry one more request: nothing unexpected has come in, and it is still in time. */
+    /**
+     * Returns whether the connection is idle and can carry another request: it has received no unsolicited input and
+     * its idle timeout has not expired.
+     */
     boolean isReusable(long now) {
         return attempt == null
                 && connection.isConnected()
@@ -106,12 +120,12 @@
                 && connection.isQuiescent();
     }
 
-    /** Whether it has been idle for too long, or was closed meanwhile. */
+    /** Returns whether the connection has exceeded its idle timeout, or was closed while it was idle. */
     boolean isExpired(long now) {
         return attempt == null && (!connection.isOpen() || now - idleSince >= idleTimeoutMicros);
     }
 
-    /** Takes a request, which is written once the connection is up. */
+    /** Starts an attempt. Its request is written as soon as the connection is established. */
     void start(RequestAttempt nextAttempt, ClientRequest nextRequest) {
         attempt = nextAttempt;
         request = nextRequest;
@@ -153,7 +167,7 @@
         }
     }
 
-    /** Writes as much of the body as has come in and as the checker takes. */
+    /** Writes the chunks of the body that have been received, as far as the output queue has room. */
     private void writeBody() {
         if (attempt == null || requestWritten || !connection.isOpen()) {
             return;
@@ -204,14 +218,14 @@
         }
         if (attempt == null) {
             if (connection.available() > 0 || connection.isInputEnded()) {
-                close(); // bytes that belong to no request, or the checker has closed it
+                close(); // unsolicited input, or the checker has closed the connection
             }
         } else if (connection.isInputEnded()) {
             abort();
         }
     }
 
-    /** Reads on; returns whether a response is complete. */
+    /** Reads the available input of a response; returns whether the response is complete. */
     private boolean readResponse() throws MalformedMessageException {
         while (responseHead == null) {
             responseHead = headReader.read(connection, MAX_HEAD_BYTES);
@@ -236,10 +250,9 @@
     }
 
     /**
-     * Handles a complete response: the one that is awaited ends the attempt, one that repeats an earlier request's is
-     * skipped.
+     * Handles a complete response. The awaited response ends the attempt; a response to an earlier request is skipped.
      *
-     * @throws MalformedMessageException if it can be neither
+     * @throws MalformedMessageException if the response is not valid, or if too many earlier responses were skipped
      */
     private void onResponse() throws MalformedMessageException {
         Http1Head head = responseHead;
@@ -252,7 +265,7 @@
             throw new MalformedMessageException(STATUS_BAD_GATEWAY, "a successful response without an attempt's id");
         }
         if (attemptId != null && !attemptId.equals(request.attemptId())) {
-            // The checker repeats itself: more copies may come, also behind the awaited response.
+            // The checker has repeated a response, and may send further copies, even after the awaited response.
             notReusable = true;
             if (++staleResponses > MAX_STALE_RESPONSES) {
                 throw new MalformedMessageException(STATUS_BAD_GATEWAY, "too many responses to other requests");
@@ -271,18 +284,18 @@
     }
 
     private boolean preventsReuse(Http1Head head, String attemptId, boolean notExecuted) {
-        // The checker closes it.
+        // The checker closes the connection.
         return head.closesConnection()
-                // The checker is overloaded or leaving, or its address is another's.
+                // The checker is overloaded or shutting down, or another instance has its address.
                 || notExecuted
-                // A late copy of this response could not be told from that of the next request, which may lack an id.
+                // A late copy of this response is indistinguishable from the next response, which may lack an id too.
                 || attemptId == null
-                // The rest of this request would be written in front of the next one.
+                // The rest of this request would be written before the next request.
                 || !requestWritten
                 || connection.queuedBytes() > 0;
     }
 
-    /** Follows a {@code Keep-Alive: timeout=SECONDS}; anything else in it is ignored. */
+    /** Adopts the timeout of {@code Keep-Alive: timeout=SECONDS}; ignores all other parameters of the header. */
     private void readIdleTimeout(Http1Head head) {
         String keepAlive = head.get("Keep-Alive");
         int parameterStart = keepAlive == null ? -1 : keepAlive.indexOf(TIMEOUT_PARAMETER);
@@ -311,7 +324,7 @@
         }
         request = null;
         if (connection.available() > 0 || connection.isInputEnded()) {
-            notReusable = true; // something behind the response that no request has asked for, or the end
+            notReusable = true; // unsolicited input after the response, or the checker has closed the connection
         }
         if (notReusable || !connection.isOpen()) {
             close();
@@ -322,8 +335,8 @@
     }
 
     /**
-     * Ends the connection without a complete response. Only a request of which no byte went out has certainly not been
-     * executed: a checker may begin with one that it has received in part.
+     * Closes the connection without a complete response. Only a request of which no byte was sent was certainly not
+     * executed: a checker may start to execute a request that it has received in part.
      */
     private void abort() {
         boolean bytesSent = attempt != null && attempt.isConnected() && connection.sentBytes() > bytesBeforeRequest;
@@ -341,7 +354,7 @@
         abort();
     }
 
-    /** Cancels an attempt by closing the connection, if it is still under way here. */
+    /** Cancels an attempt by closing the connection, if the attempt is still in flight on it. */
     void cancel(RequestAttempt cancelledAttempt) {
         if (cancelledAttempt == attempt) {
             abort();
--- a/src/main/java/reedmux/proxy/CheckerConnectionPool.java
+++ b/src/main/java/reedmux/proxy/CheckerConnectionPool.java
@@ -16,8 +16,8 @@
 import reedmux.proxy.request.RequestTracker;
 
 /**
- * The idle connections to checkers. Each belongs to one incarnation of a checker; the one that was used last is used
- * first, so that the others can expire. For the reactor's thread.
+ * A pool of idle connections to checkers. Each connection belongs to one incarnation of a checker. The most recently
+ * used connection is reused first, so that the others can expire. Not thread-safe; used on the reactor's thread only.
  */
 final class CheckerConnectionPool implements CheckerConnection.CheckerConnectionListener {
     private final Reactor reactor;
@@ -29,7 +29,7 @@
         this.tracker = tracker;
     }
 
-    /** Sends an attempt of a {@link ClientRequest} over an idle connection or a new one. */
+    /** Sends an attempt of a {@link ClientRequest} on an idle connection, or on a new one if there is none. */
     void send(RequestAttempt attempt) {
         ClientRequest request = (ClientRequest) attempt.request().source();
         Deque<CheckerConnection> connections = idleConnections.get(attempt.checker());
@@ -48,12 +48,12 @@
         }
     }
 
-    /** Ends an attempt, in a later turn, of which nothing was or will be sent. */
+    /** Reports, in a later turn of the reactor, the end of an attempt of which nothing was sent or will be sent. */
     void reportUnsent(RequestAttempt attempt) {
         reactor.execute(() -> onAttemptEnded(null, attempt, ExecutionStatus.NOT_EXECUTED, null));
     }
 
-    /** Cancels an attempt, if it is still under way; its end is reported as of any other. */
+    /** Cancels an attempt if it is still in flight. Its end is reported like that of any other attempt. */
     void cancel(RequestAttempt attempt) {
         if (attempt.connection() instanceof CheckerConnection connection) {
             connection.cancel(attempt);
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Closes connections that have expired, or whose checker takes no more requests. */
+    /** Closes the connections that have expired or whose checker no longer accepts requests. */
     void closeUnusable() {
         for (Deque<CheckerConnection> connections : List.copyOf(idleConnections.values())) {
             for (CheckerConnection connection : List.copyOf(connections)) {
--- a/src/main/java/reedmux/proxy/ClientConnection.java
+++ b/src/main/java/reedmux/proxy/ClientConnection.java
@@ -10,67 +10,79 @@
 import reedmux.proxy.request.ProxyResponse;
 
 /**
- * A client's connection, which carries one request at a time; see {@link State} for its way. A response may come at
- * any time after a request was admitted, also while its body is still being read. For the reactor's thread.
+ * An HTTP/1.1 connection of a client, which carries one request at a time; {@link State} lists its states. The response
+ * may be sent at any time after the request was admitted, even while the request body is still being received.
+ *
+ * <p>Not thread-safe; used on the reactor's thread only.
  */
 final class ClientConnection implements Connection.ConnectionHandler {
     private static final long MICROS_PER_SECOND = 1_000_000;
-    /** How long a last response has to be read before the connection is closed; and where it is not all sent yet. */
+    /** Time that a client has to read a last response that was sent completely, before the connection is closed. */
     private static final long LAST_RESPONSE_LINGER_MICROS = MICROS_PER_SECOND / 2;
 
+    /** Time after which the connection is closed even if its last response was not sent completely. */
     private static final long UNSENT_RESPONSE_LINGER_MICROS = 10 * MICROS_PER_SECOND;
-    /** What is read and dropped of a body whose request has its response; a longer one ends the connection. */
+    /**
+     * Maximum number of bytes that are read and discarded of a request body after its response was sent. If the body is
+     * longer, the connection is closed, because it could not carry another request.
+     */
     private static final long MAX_DISCARDED_BODY_BYTES = 1024 * 1024;
-    /** Bytes behind a head that are read while it waits for the start of the proxy. */
+    /**
+     * Number of unread bytes after the head of a deferred request above which reading is paused until the request is
+     * resumed.
+     */
     private static final int MAX_DEFERRED_BYTES = 64 * 1024;
 
     private static final int STATUS_REQUEST_TIMEOUT = 408;
     private static final int STATUS_CONTENT_TOO_LARGE = 413;
     private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    /** What a connection needs to know, and where its requests go. */
+    /** The environment of the client connections, which handles their requests. */
     interface ClientRequestHandler {
 
-        /** The time in microseconds. */
+        /** Returns the current time in microseconds. */
         long now();
 
-        /** Runs a task in a later turn of the reactor. */
+        /** Executes a task in a later turn of the reactor. */
         void executeLater(Runnable task);
 
         RequestLimits requestLimits();
 
-        /** Whether each response is the last one on its connection. */
+        /** Returns whether each response must be the last one on its connection. */
         boolean isDraining();
 
-        /** Whether a request is held until the proxy has started; then {@link #resumeDeferred()} is called. */
+        /**
+         * Returns whether a request is deferred until the proxy has started. If so, {@link #resumeDeferred()} is called
+         * later.
+         */
         boolean deferUntilStarted(ClientConnection client, Http1Head head);
 
-        /** Admits or rejects a request; {@code body} is null where it has none. */
+        /** Admits or rejects a request; {@code body} is null if the request has none. */
         RequestAdmission.AdmissionResult admit(ClientConnection client, Http1Head head, ClientRequestBody body);
 
-        /** Takes an admitted request, whose response comes by {@link #respond(ClientRequest, ProxyResponse)}. */
+        /** Dispatches an admitted request. Its response is passed to {@link #respond(ClientRequest, ProxyResponse)}. */
         void dispatch(ClientRequest request);
 
-        /** Nobody waits for the response of an admitted request any more. */
+        /** Called when the response to an admitted request is no longer needed. */
         void onRequestAbandoned(ClientRequest request, boolean dispatched);
 
         void onClientClosed(ClientConnection client);
     }
 
     private enum State {
-        /** Between requests, with no byte of the next one. */
+        /** Between two requests; no byte of the next one was received. */
         IDLE,
-        /** A head has come in in part. */
+        /** A part of a head was received. */
         READING_HEAD,
-        /** A head is complete and waits for the start of the proxy. */
+        /** A head is complete, and its request waits until the proxy has started. */
         DEFERRED,
-        /** A body is coming in; its request is dispatched as soon as it can be sent. */
+        /** A body is being received. Its request is dispatched as soon as the body can be sent. */
         READING_BODY,
-        /** A request is complete and dispatched. */
+        /** A request was received completely and dispatched. */
         AWAITING_RESPONSE,
-        /** The response went out before all of the body came in; the rest is dropped. */
+        /** The response was sent before the whole body was received; the rest of the body is discarded. */
         DISCARDING_BODY,
-        /** The last response is out, and the client is to read it before the connection is closed. */
+        /** The last response was written. The client gets time to read it before the connection is closed. */
         CLOSING
     }
 
@@ -80,16 +92,19 @@
     private final Http1HeadReader headReader = new Http1HeadReader(true);
     private boolean readingHead;
     private boolean closing;
-    /** Since when it has been idle, reading a head, or closing. */
+    /** Time since which the connection has been idle, reading a head, or closing, in microseconds. */
     private long stateSince;
 
     private long lastProgressAt;
-    /** What the client was told: limits that fall hold from the next response on. */
+    /**
+     * Idle timeout announced to the client in the last response, in microseconds. A lower configured timeout takes
+     * effect only with the next response.
+     */
     private long announcedIdleTimeoutMicros;
 
     private Http1Head deferredHead;
     private long headReceivedAt;
-    /** The request that is under way; null also for one that was rejected by its head. */
+    /** The current request; null if there is none, or if it was rejected by its head. */
     private ClientRequest request;
 
     private Http1BodyReader bodyReader;
@@ -98,7 +113,7 @@
     private boolean dispatched;
     private boolean responded;
 
-    /** Serves an accepted connection, whose handler it becomes. */
+    /** Serves an accepted connection and becomes its handler. */
     ClientConnection(ClientRequestHandler handler, Connection connection) {
         this.handler = handler;
         this.connection = connection;
@@ -122,30 +137,30 @@
         return readingHead ? State.READING_HEAD : State.IDLE;
     }
 
-    /** Whether no request is under way. */
+    /** Returns whether no request is in progress; a head that was received in part does not count. */
     boolean isIdle() {
         State state = state();
         return state == State.IDLE || state == State.READING_HEAD;
     }
 
-    /** When the head of the request that is under way was complete. */
+    /** Returns the time at which the head of the current request was complete, in microseconds. */
     long headReceivedAt() {
         return headReceivedAt;
     }
 
-    /** Whether a request was dispatched whose response has not gone out. */
+    /** Returns whether a request was dispatched and its response has not been sent. */
     boolean awaitsResponse() {
         return request != null && dispatched && !responded;
     }
 
-    /** When the client of the request that is under way stops waiting. */
+    /** Returns the time at which the client of the current request stops waiting, in microseconds. */
     long deadline() {
         return request.proxyRequest().deadline();
     }
 
     /**
-     * Whether the client of a request has left by now. A departure that the reactor has not reported yet is handled in
-     * a later turn.
+     * Returns whether the client of a request has disconnected by now. Reads the socket, as the reactor may not have
+     * reported the disconnect yet; it is then handled in a later turn.
      */
     boolean hasDisconnected(ClientRequest clientRequest) {
         return clientRequest != request || lastProgressAt != handler.now() && pollInputEnded();
@@ -166,7 +181,7 @@
         lastProgressAt = handler.now();
         try {
             while (connection.isOpen() && readNextPart()) {
-                // each turn reads one head or one body
+                // each iteration reads one head or one body
             }
         } catch (MalformedMessageException e) {
             rejectMalformed(e);
@@ -176,7 +191,7 @@
         }
     }
 
-    /** Reads what the state calls for; returns whether there may be more to read. */
+    /** Reads the next part of the input, depending on the state; returns whether there may be more to read. */
     private boolean readNextPart() throws MalformedMessageException {
         State state = state();
         if (state == State.CLOSING) {
@@ -191,7 +206,8 @@
             }
             return false;
         } else if (state == State.DEFERRED) {
-            connection.setReadPaused(connection.available() > MAX_DEFERRED_BYTES); // it may be the request's own body
+            connection.setReadPaused(
+                    connection.available() > MAX_DEFERRED_BYTES); // it may be the body of the deferred request
             return false;
         }
         return readHead();
@@ -216,7 +232,7 @@
         return true;
     }
 
-    /** Goes on with a request that was held for the start, whether or not the proxy can serve it by now. */
+    /** Resumes a deferred request, whether or not the proxy can serve it by now. */
     void resumeDeferred() {
         Http1Head head = deferredHead;
         if (head == null || !connection.isOpen()) {
@@ -257,7 +273,10 @@
         }
     }
 
-    /** The body has capacity again; until now the client was held up by us and is not late by that. */
+    /**
+     * Resumes reading once the body has capacity again. The time for which the proxy had paused reading does not count
+     * toward the timeout of the body.
+     */
     private void resumeReading() {
         lastProgressAt = handler.now();
         connection.setReadPaused(false);
@@ -302,7 +321,7 @@
         }
     }
 
-    /** A request cannot be read: the connection ends behind its response. */
+    /** Rejects a request that cannot be read. The connection is closed after the response. */
     private void rejectMalformed(MalformedMessageException malformed) {
         ClientRequest abandoned = responded ? null : request;
         boolean wasDispatched = dispatched;
@@ -318,7 +337,7 @@
 
     // ---- Responding --------------------------------------------------------------------------------
 
-    /** Sends the response to a request, if that is still the one that is under way here and has none. */
+    /** Sends the response to a request, if it is still the current request and has not been answered. */
     void respond(ClientRequest answeredRequest, ProxyResponse response) {
         if (answeredRequest == request) {
             respond(response);
@@ -361,7 +380,7 @@
         }
     }
 
-    /** Rejects the request that is under way if it was not dispatched. */
+    /** Rejects the current request if it was not dispatched. */
     void rejectUndispatched(ProxyResponse rejection) {
         if (request == null || dispatched || responded) {
             return;
@@ -393,7 +412,7 @@
         }
     }
 
-    /** The client is gone, or is given up without a response. */
+    /** Closes the connection without a response: the client has disconnected, or has exceeded a limit. */
     private void disconnect() {
         ClientRequest abandoned = responded ? null : request;
         deferredHead = null;
@@ -413,7 +432,10 @@
         handler.onClientClosed(this);
     }
 
-    /** Closes the connection if its state has taken too long, or if it is idle and {@code closeIdle}. */
+    /**
+     * Closes or rejects the connection if its state has exceeded its timeout, or closes it if it is idle and {@code
+     * closeIdle}.
+     */
     void checkTimeouts(long now, boolean closeIdle) {
         RequestLimits limits = handler.requestLimits();
         State state = state();
--- a/src/main/java/reedmux/proxy/ClientFrontend.java
+++ b/src/main/java/reedmux/proxy/ClientFrontend.java
@@ -12,13 +12,13 @@
 import reedmux.proxy.request.RequestTracker;
 
 /**
- * The clients' connections: accepts them, bounds their number and time, and hands their requests to admission and
- * from there to the {@link RequestTracker}. For the reactor's thread.
+ * Accepts the connections of clients, limits their number, enforces their timeouts, and passes their requests to {@link
+ * RequestAdmission} and from there to the {@link RequestTracker}. Not thread-safe; used on the reactor's thread only.
  */
 final class ClientFrontend implements ClientConnection.ClientRequestHandler {
-    /** After a change of the limits clients may go by the former ones for this long. */
+    /** Time after a change of the limits during which clients may still use the previous limits. */
     private static final long LIMITS_TRANSITION_MICROS = 5_000_000;
-    /** Beyond the time of any client: closes whatever is idle. */
+    /** A time later than every timeout, in microseconds. Timeouts that are checked at this time are expired. */
     private static final long FAR_FUTURE_MICROS = Long.MAX_VALUE / 2;
 
     private final Reactor reactor;
@@ -29,10 +29,12 @@
     private final GracefulShutdown shutdown;
     private final int maxClients;
     private final Set<ClientConnection> clients = new LinkedHashSet<>();
-    /** The limits as configured now, and what clients may do until the end of a transition. */
+    /** The limits that were configured last. */
     private RequestLimits configuredLimits;
 
+    /** The limits that apply until the end of a transition; they allow what the previous or the new limits allow. */
     private RequestLimits transitionLimits;
+
     private long transitionEndsAt;
 
     ClientFrontend(
@@ -52,7 +54,10 @@
         this.maxClients = maxClients;
     }
 
-    /** Serves a connection; where there are too many, the oldest idle one is closed for it, or else the new one. */
+    /**
+     * Serves an accepted connection. If there are too many connections, the oldest idle one is closed to make room; if
+     * none is idle, the new one is closed.
+     */
     void onAccepted(Connection connection) {
         if (clients.size() >= maxClients) {
             clients.stream()
@@ -76,7 +81,7 @@
         return clients.size();
     }
 
-    /** The requests that were handed to the tracker and have no response yet. */
+    /** Returns the requests that were dispatched to the tracker and have no response yet. */
     List<GracefulShutdown.UnansweredRequest> unansweredRequests() {
         List<GracefulShutdown.UnansweredRequest> unanswered = new ArrayList<>();
         for (ClientConnection client : clients) {
@@ -87,14 +92,14 @@
         return unanswered;
     }
 
-    /** Closes the connections whose time is over, and those that are idle if {@code closeIdle}. */
+    /** Closes the connections whose timeouts have expired, and all idle ones if {@code closeIdle}. */
     void checkTimeouts(boolean closeIdle) {
         for (ClientConnection client : List.copyOf(clients)) {
             client.checkTimeouts(reactor.now(), closeIdle);
         }
     }
 
-    /** Rejects the requests of which a part is still coming in: nothing of them was sent on. */
+    /** Rejects the requests that are still being received and of which nothing was forwarded. */
     void rejectUndispatched() {
         for (ClientConnection client : List.copyOf(clients)) {
             client.rejectUndispatched(RequestAdmission.shutdownRejection());
--- a/src/main/java/reedmux/proxy/ClientRequest.java
+++ b/src/main/java/reedmux/proxy/ClientRequest.java
@@ -4,12 +4,14 @@
 import reedmux.proxy.request.ProxyRequest;
 import reedmux.proxy.request.RequestAttempt;
 
-/** A client's HTTP request, in the form in which it is forwarded to checkers. For the reactor's thread. */
+/** A client's HTTP request, as it is forwarded to checkers. Not thread-safe; used on the reactor's thread only. */
 final class ClientRequest implements ProxyRequest.RequestSource {
-    /** Taken off the time left that is sent to a checker, for the way back. */
+    /**
+     * Time subtracted from the time left that is sent to a checker, as an allowance for the transfer of the response.
+     */
     private static final long RETURN_PATH_MICROS = 2_000;
 
-    /** From here on the transfer of a body matters for the choice of a checker. */
+    /** Size of a body in bytes above which its transfer time affects the choice of a checker. */
     private static final int LARGE_BODY_BYTES = 20_000;
 
     private static final String TENANT_HEADER = "Reedmux-Tenant";
@@ -22,7 +24,9 @@
     private final ClientConnection client;
     private ProxyRequest proxyRequest;
 
-    /** {@code tenant} is null for a request without a key, {@code body} for one without a body. */
+    /**
+     * Creates a request; {@code tenant} is null for a request without a key, {@code body} for a request without a body.
+     */
     ClientRequest(ClientConnection client, Http1Head head, String attemptId, String tenant, ClientRequestBody body) {
         this.client = client;
         this.head = head;
@@ -75,7 +79,10 @@
         return body != null && (body.length() < 0 || body.length() > LARGE_BODY_BYTES);
     }
 
-    /** The head that an attempt sends: without hop-by-hop fields, and with the proxy's own. */
+    /**
+     * Encodes the head that an attempt sends: without hop-by-hop headers, and with the headers that the proxy sets
+     * itself.
+     */
     byte[] encodeHead(RequestAttempt attempt, long now) {
         Http1Head forwardedHead = Http1Head.request(head.method(), head.target());
         for (int i = 0; i < head.size(); i++) {
--- a/src/main/java/reedmux/proxy/ClientRequestBody.java
+++ b/src/main/java/reedmux/proxy/ClientRequestBody.java
@@ -4,17 +4,22 @@
 import java.util.List;
 
 /**
- * The body of a client's request. It has two modes: a body that is complete before it is first read is buffered and
- * can be sent more than once; one that is read while it still comes in is streamed, and a chunk is dropped once it has
- * been read, so that it can be sent only once. For the reactor's thread.
+ * The body of a client's request. A body that is complete before it is first read is buffered and can be sent more than
+ * once. A body that is read while it is still being received is streamed: each chunk is released when it is read, so
+ * that the body can be sent only once.
+ *
+ * <p>Not thread-safe; used on the reactor's thread only.
  */
 final class ClientRequestBody {
-    /** A body up to this size is buffered before it is sent; a larger one is streamed. */
+    /**
+     * Size in bytes at which an incomplete body is sent without waiting for the rest, and is thus streamed. Smaller
+     * bodies are buffered completely before they are sent.
+     */
     private static final int MAX_REPLAYABLE_BYTES = 512 * 1024;
-    /** Bytes that may wait here to be read, before the client is held up. */
+    /** Buffered bytes above which back-pressure is applied to the client. */
     private static final int MAX_BUFFERED_BYTES = 512 * 1024;
 
-    /** The Content-Length, or -1 for a chunked body. */
+    /** The value of Content-Length, or -1 for a chunked body. */
     private final long declaredLength;
 
     private final List<byte[]> chunks = new ArrayList<>();
@@ -36,13 +41,13 @@
         chunkListener.run();
     }
 
-    /** All of it has come in. */
+    /** Marks the body as completely received. */
     void finish() {
         complete = true;
         chunkListener.run();
     }
 
-    /** Whether it can be sent now: it is complete, or too large to wait for the rest. */
+    /** Returns whether the body can be sent now: it is complete, or too large to wait for the rest. */
     boolean isReadyToSend() {
         return complete || bufferedBytes >= MAX_REPLAYABLE_BYTES;
     }
@@ -51,12 +56,15 @@
         return complete;
     }
 
-    /** Whether no chunk has been dropped, so that it can be sent from its start. */
+    /** Returns whether no chunk has been released, so that the body can be sent again from its start. */
     boolean isReplayable() {
         return !streaming;
     }
 
-    /** Whether the client is to be held up until {@link #setCapacityListener} hears. */
+    /**
+     * Returns whether reading from the client must be paused until the listener set by {@link #setCapacityListener} is
+     * called.
+     */
     boolean isFull() {
         return bufferedBytes > MAX_BUFFERED_BYTES;
     }
@@ -65,22 +73,25 @@
         return bufferedBytes;
     }
 
-    /** The length in bytes, or -1 while it is not known. */
+    /** Returns the length in bytes, or -1 if it is not known yet. */
     long length() {
         return complete ? receivedBytes : declaredLength;
     }
 
-    /** Sets who is called when a chunk or the end has come in; replaces the one before. */
+    /** Sets the listener that is called when a chunk or the end of the body was received; replaces the previous one. */
     void setChunkListener(Runnable listener) {
         chunkListener = listener;
     }
 
-    /** Sets who is called when half of the buffer is free again. */
+    /** Sets the listener that is called when a chunk is read while less than half of the buffer is in use. */
     void setCapacityListener(Runnable listener) {
         capacityListener = listener;
     }
 
-    /** The chunk of an index, or null while it has not come in; in a stream, each can be read once. */
+    /**
+     * Returns the chunk at an index, or null if it was not received yet. Each chunk of a streamed body can be read only
+     * once.
+     */
     byte[] chunk(int index) {
         if (complete && !streaming) {
             return index < chunks.size() ? chunks.get(index) : null;
@@ -98,7 +109,7 @@
         return chunk;
     }
 
-    /** Whether there is no chunk at an index, and never will be. */
+    /** Returns whether the body is complete and has no chunk at an index. */
     boolean isExhausted(int index) {
         return complete && index >= chunks.size();
     }
--- a/src/main/java/reedmux/proxy/ClientResponseEncoder.java
+++ b/src/main/java/reedmux/proxy/ClientResponseEncoder.java
@@ -5,9 +5,9 @@
 import reedmux.common.http1.Http1Head;
 import reedmux.proxy.request.ProxyResponse;
 
-/** The bytes of the responses to clients. */
+/** Encodes responses to clients as HTTP/1.1 messages. */
 final class ClientResponseEncoder {
-    /** In place of an idle time: the response is the last one on its connection. */
+    /** Value in place of an idle timeout if the connection is closed after the response. */
     static final long CLOSE_CONNECTION = -1;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -20,8 +20,9 @@
     /**
      * Encodes a response.
      *
-     * @param request    the request that it is for, or null where that was rejected by its head
-     * @param idleTimeoutMicros how long the connection may be idle afterwards, or {@link #CLOSE_CONNECTION}
+     * @param request           request that is answered, or null if it was rejected by its head
+     * @param idleTimeoutMicros time for which the connection may be idle after the response, or {@link
+     *     #CLOSE_CONNECTION}
      */
     static byte[] encode(ProxyResponse response, ClientRequest request, long idleTimeoutMicros) {
         boolean headOnly = request != null && request.method().equals("HEAD");
@@ -41,7 +42,8 @@
         if (idleTimeoutMicros == CLOSE_CONNECTION) {
             head.add("Connection", "close");
         } else {
-            // A second less than we wait, so that a client does not send while we close.
+            // One second less than the real timeout, so that a client does not send while the proxy closes the
+            // connection.
             head.add("Keep-Alive", "timeout=" + Math.max(1, idleTimeoutMicros / MICROS_PER_SECOND - 1));
         }
         return headOnly ? head.encode() : concatenate(head.encode(), body);
@@ -73,7 +75,7 @@
         return head;
     }
 
-    /** Seconds with three decimals, rounded up. */
+    /** Formats a time as seconds with three decimals, rounded up. */
     private static String formatSeconds(long micros) {
         long millis = (micros + 999) / 1000;
         return millis / 1000 + "." + Long.toString(1000 + millis % 1000).substring(1);
--- a/src/main/java/reedmux/proxy/ControlPlaneClient.java
+++ b/src/main/java/reedmux/proxy/ControlPlaneClient.java
@@ -33,25 +33,30 @@
 import reedmux.proxy.loadbalancer.LoadBalancer;
 
 /**
- * The proxy's subscription to the control plane. It keeps a connection to the store and the registry of every core
- * machine. From the stores comes the configuration, from the registries the checkers' incarnations and the sessions
- * of the other proxies. Both are pulled: a request names the last change that is known of the source's incarnation
- * and is answered once there is a later one. For the reactor's thread.
+ * The proxy's subscription to the control plane. It maintains connections to the store and the registry of every core
+ * machine. The stores send the configuration; the registries send the checkers' incarnations and the sessions of the
+ * other proxies. Both are pulled: a request contains the last change that is known of the source's incarnation, and is
+ * answered as soon as there is a later change.
+ *
+ * <p>Not thread-safe; used on the reactor's thread only.
  */
 final class ControlPlaneClient implements RpcConnection.RpcConnectionHandler {
     private static final String PROGRAM_NAME = "proxy";
     private static final String STORE = "store";
     private static final String REGISTRY = "registry";
-    /** How long the sessions of a registry that was lost still count; it is lost more often than its proxies are. */
+    /**
+     * Time for which the sessions of a registry remain valid after its connection is lost. They are kept because
+     * connections to registries are lost more often than the proxies whose sessions they report.
+     */
     private static final long LOST_REGISTRY_LINGER_MICROS = 2_000_000;
 
-    /** What follows an update; called on the reactor's thread. */
+    /** Receives notifications of updates, on the reactor's thread. */
     interface ControlPlaneListener {
 
-        /** The view is to be looked at again, and checkers may have become available. */
+        /** Called when the session view may have changed and checkers may have become available. */
         void onMembershipUpdate();
 
-        /** Some update has been processed, and the next one is requested. */
+        /** Called when an update of any kind was processed and the next one was requested. */
         void onUpdateProcessed();
     }
 
@@ -67,9 +72,12 @@
     private final SessionTable sessions = new SessionTable(LOST_REGISTRY_LINGER_MICROS);
     private final List<RpcDialer> storeDialers = new ArrayList<>();
     private final List<RpcDialer> registryDialers = new ArrayList<>();
-    /** By node of a registry, how far its changes are known. */
+    /** Position up to which the changes of each registry are known, by the node name of the registry. */
     private final Map<String, ReplicationPosition> registryPositions = new HashMap<>();
-    /** Whether a store has sent all that was committed when it was in contact with a quorum, after our start. */
+    /**
+     * Whether a store has sent everything that was committed at a time after the start at which it was in contact with
+     * a quorum.
+     */
     private boolean configurationConfirmed;
 
     ControlPlaneClient(
@@ -95,12 +103,12 @@
                 coreAddresses.machines());
     }
 
-    /** Dials the core machines that the settings name. */
+    /** Connects to the core machines that the settings contain. */
     void connect() {
         coreAddresses.peerAddresses(settings.storePort()).forEach(this::dial);
     }
 
-    /** Dials the core machines that changed settings name beyond those that are known. */
+    /** Connects to the core machines in changed settings that are not known yet. */
     void onSettingsChange(ProcessSettings newSettings) {
         dialAll(coreAddresses.addDiscovered(new CoreAddresses(newSettings, false).machines(), settings.storePort()));
     }
@@ -111,19 +119,19 @@
         }
     }
 
-    /** Keeps up connections to the store and the registry of a core machine. */
+    /** Maintains connections to the store and the registry of a core machine. */
     private void dial(InetSocketAddress storeAddress) {
         InetSocketAddress registryAddress = new InetSocketAddress(storeAddress.getAddress(), settings.registryPort());
         storeDialers.add(new RpcDialer(reactor, codec, hello, storeAddress, this));
         registryDialers.add(new RpcDialer(reactor, codec, hello, registryAddress, this));
     }
 
-    /** The newest configuration that could be used, or null. */
+    /** Returns the newest valid configuration, or null if there is none. */
     ConfigurationTable table() {
         return configuration.table();
     }
 
-    /** Whether the configuration has everything that was acknowledged before our start. */
+    /** Returns whether the configuration contains everything that was acknowledged before the start of this process. */
     boolean isConfigurationCurrent() {
         return configuration.table() != null && !configuration.isEmpty() && configurationConfirmed;
     }
@@ -137,12 +145,12 @@
         return false;
     }
 
-    /** The sessions of all proxies, as of now. */
+    /** Returns the current view of the sessions of all proxies. */
     SessionView sessionView() {
         return sessions.view(reactor.now());
     }
 
-    /** Whether no registry can be reached, so that the view is no longer updated. */
+    /** Returns whether no registry is reachable, so that the session view is no longer updated. */
     boolean isIsolated() {
         return sessions.isIsolated();
     }
@@ -160,7 +168,7 @@
         }
     }
 
-    /** Requests the changes after the last one that is known, or the rest of a snapshot that was interrupted. */
+    /** Requests the changes after the last known one, or the rest of a snapshot whose transfer was interrupted. */
     private void pull(RpcConnection connection) {
         String source = connection.peer().node();
         long incarnation = connection.peer().incarnation();
@@ -198,7 +206,7 @@
         } else if (message instanceof CoreMembershipNotice notice) {
             onCoreMembershipNotice(notice.core());
         } else if (message instanceof ChangesRequest) {
-            // A registry that has restarted may have lost incarnations that we know.
+            // A restarted registry may have lost incarnations that this proxy knows.
             connection.sendMessage(new IncarnationNotice(0, List.copyOf(instances.all(reactor.now()))));
         } else if (message instanceof RegistryHeartbeats) {
             forwardToOtherRegistries(connection, message);
@@ -206,7 +214,8 @@
     }
 
     private void onConfigurationUpdate(RpcConnection connection, ConfigurationUpdate update) {
-        // A store that lacks acknowledged items may add to what we have, but is not where we begin.
+        // An update of a store that may lack acknowledged items is merged into an existing configuration, but is not
+        // used as the first one.
         if (update.complete() || !configuration.isEmpty()) {
             boolean changed = configuration.onUpdate(
                     connection.peer().node(), update.incarnation(), update.upToChange(), update.items());
@@ -242,7 +251,10 @@
         listener.onUpdateProcessed();
     }
 
-    /** Follows a change of the core that was agreed on: dials new members and drops those that were removed. */
+    /**
+     * Applies a committed change of the core membership: connects to new members and closes the connections to removed
+     * ones.
+     */
     private void onCoreMembershipNotice(CoreMembers members) {
         if (!coreAddresses.adopt(members)) {
             return;
@@ -265,7 +277,7 @@
         }
     }
 
-    /** Passes on heartbeats of a registry which the other registries may be unable to hear themselves. */
+    /** Forwards the heartbeats of a registry to the other registries, which may be unable to receive them directly. */
     private void forwardToOtherRegistries(RpcConnection sender, Object heartbeats) {
         for (RpcDialer registry : registryDialers) {
             if (registry.connection() != null && registry.connection() != sender) {
--- a/src/main/java/reedmux/proxy/GracefulShutdown.java
+++ b/src/main/java/reedmux/proxy/GracefulShutdown.java
@@ -3,35 +3,46 @@
 import java.util.List;
 
 /**
- * The end of a proxy's life, from SIGTERM until the process ends: which requests are still admitted, until when
- * connections are accepted and kept, and when the process ends. Its phases:
+ * Schedules the graceful shutdown of a proxy, from SIGTERM until the process terminates: which requests are still
+ * admitted, how long connections are accepted and kept open, and when the process terminates. Its phases:
  *
  * <ul>
  *   <li><em>running</em>: before SIGTERM;
- *   <li><em>leaving</em>: the proxy is not ready, but balancers that have not noticed yet still send clients. They are
- *       served, each response being the last one on its connection;
- *   <li><em>draining</em>: the listener and idle connections are closed. What comes over a connection that is still
- *       open is admitted only if its deadline lies before the end of the process, and else rejected at once;
- *   <li><em>ended</em>: once no connection is left, and at the latest a margin before the grace period is over.
+ *   <li><em>leaving</em>: the proxy reports that it is not ready, but load balancers that have not detected this yet
+ *       still send clients. These clients are served, and each response is the last one on its connection;
+ *   <li><em>draining</em>: the listener and idle connections are closed. A request on a connection that is still open
+ *       is admitted only if its deadline is before the process terminates; otherwise it is rejected at once;
+ *   <li><em>ended</em>: as soon as no connection is left, and at the latest a margin before the end of the grace
+ *       period.
  * </ul>
  *
- * <p>Invariant: a request that is without a response when the process ends was received before the balancers can have
- * noticed, and its deadline lies behind that end. All others have their response, if only at their deadline.
+ * <p>Invariant: a request that has no response when the process terminates was received before the load balancers can
+ * have detected the shutdown, and its deadline is later than the termination. All other requests have received a
+ * response, at the latest at their deadline.
  *
- * <p>Times are microseconds of a monotonic clock. No I/O; for one thread.
+ * <p>Times are microseconds of a monotonic clock. Performs no I/O; not thread-safe.
  */
 final class GracefulShutdown {
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long MICROS_PER_MILLI = 1000;
-    /** How long balancers send clients after SIGTERM: they ask once a second and need two answers. */
+    /**
+     * Time after SIGTERM for which load balancers may still send clients. They check the readiness once a second and
+     * need two failed checks.
+     */
     private static final long BALANCER_DETECTION_MICROS = 2 * MICROS_PER_SECOND;
-    /** Connections are accepted, and idle ones kept, this long; later ones would hold up the end. */
+    /**
+     * Maximum time after SIGTERM during which connections are accepted and idle connections are kept open. With a
+     * higher value, connections accepted late would delay the termination.
+     */
     private static final long MAX_LEAVING_MICROS = 3 * MICROS_PER_SECOND;
-    /** The process ends this long before the grace period does, or a fraction of it where that is short. */
+    /**
+     * Maximum time by which the process terminates before the end of the grace period. For a short grace period a
+     * fraction of the period is used.
+     */
     private static final long MAX_END_MARGIN_MICROS = MICROS_PER_SECOND / 3;
 
     private static final int END_MARGIN_DIVISOR = 8;
-    /** Between the last responses and the end, so that they get to their clients. */
+    /** Time between the last responses and the termination, so that the responses reach their clients. */
     private static final long RESPONSE_FLUSH_MICROS = 100 * MICROS_PER_MILLI;
 
     private static final long NOT_BEGUN = -1;
@@ -44,19 +55,22 @@
     private long lastAdmittedAt;
 
     /**
-     * A request that was dispatched and has no response.
+     * A request that was dispatched and has no response yet.
      *
-     * @param receivedAt when its head was complete
-     * @param deadline   when its client stops waiting
+     * @param receivedAt time at which its head was complete
+     * @param deadline   time at which its client stops waiting
      */
     record UnansweredRequest(long receivedAt, long deadline) {}
 
-    /** {@code graceMicros}: after SIGTERM the platform kills the process once this time is over. */
+    /**
+     * Creates a shutdown in the running phase. After SIGTERM, the platform kills the process once {@code graceMicros}
+     * have passed.
+     */
     GracefulShutdown(long graceMicros) {
         this.graceMicros = graceMicros;
     }
 
-    /** SIGTERM has come. */
+    /** Begins the shutdown, on SIGTERM. */
     void begin(long now) {
         begunAt = now;
         lastAdmittedAt = now;
@@ -66,22 +80,25 @@
         return begunAt != NOT_BEGUN;
     }
 
-    /** From when on connections are accepted no more, and those without a request are closed. */
+    /** Returns the time from which on connections are no longer accepted and idle connections are closed. */
     long drainsAt() {
         return begunAt + Math.min(MAX_LEAVING_MICROS, graceMicros / 2);
     }
 
-    /** By when every request that is admitted has its response; what is not under way by then is rejected. */
+    /**
+     * Returns the time at which all requests that are still waiting to be sent are rejected. Requests admitted after
+     * the load balancers have detected the shutdown have their deadline before this time.
+     */
     long lastResponseAt() {
         return endsAt() - RESPONSE_FLUSH_MICROS;
     }
 
-    /** When the process ends, whatever is under way. */
+    /** Returns the time at which the process terminates, even if requests are still in progress. */
     long endsAt() {
         return begunAt + graceMicros - Math.min(MAX_END_MARGIN_MICROS, graceMicros / END_MARGIN_DIVISOR);
     }
 
-    /** Whether a balancer that works as it should may not have noticed at that time. */
+    /** Returns whether a correctly working load balancer may not have detected the shutdown yet at a time. */
     private boolean balancersMayStillRoute(long time) {
         return time - begunAt <= Math.min(BALANCER_DETECTION_MICROS, graceMicros / 3);
     }
@@ -90,7 +107,10 @@
         return hasBegun() && now >= drainsAt();
     }
 
-    /** Whether a request with that deadline is admitted; otherwise it is rejected at once, before it is sent on. */
+    /**
+     * Returns whether a request with the given deadline is admitted. If not, it is rejected at once, before it is
+     * forwarded.
+     */
     boolean admits(long now, long deadline) {
         boolean admitted = !hasBegun() || deadline <= lastResponseAt() || balancersMayStillRoute(now);
         if (hasBegun()) {
@@ -101,12 +121,12 @@
         return admitted;
     }
 
-    /** A client's connection was accepted. */
+    /** Called when the connection of a client was accepted. */
     void onAccepted() {
         acceptedConnections += hasBegun() ? 1 : 0;
     }
 
-    /** Whether the class's invariant allows that these requests get no response. */
+    /** Returns whether the invariant of this class allows these requests to remain without a response. */
     boolean mayLeaveUnanswered(List<UnansweredRequest> requests) {
         for (UnansweredRequest request : requests) {
             if (request.deadline <= lastResponseAt() || !balancersMayStillRoute(request.receivedAt)) {
@@ -116,7 +136,10 @@
         return true;
     }
 
-    /** What operators are told at the end; {@code cut}: the requests that get no response. */
+    /**
+     * Returns a summary of the shutdown for the log; {@code unanswered} are the requests that remain without a
+     * response.
+     */
     String summary(long now, List<UnansweredRequest> unanswered) {
         return "ends " + (now - begunAt) / MICROS_PER_MILLI + " ms after the signal: since then " + acceptedConnections
                 + " connections accepted, " + admittedRequests + " requests admitted, the last one after "
--- a/src/main/java/reedmux/proxy/PipelinedInput.java
+++ b/src/main/java/reedmux/proxy/PipelinedInput.java
@@ -3,14 +3,17 @@
 import reedmux.common.eventloop.Connection;
 
 /**
- * What a client sends behind a request that is open. Some of it is kept for later; the rest is dropped, up to a limit,
- * so that the connection is read on and the client's end is seen. Once something was dropped no later request can be
- * read, and the connection ends behind the response. For the reactor's thread.
+ * The input that a client sends while its current request is still in progress. A limited amount is buffered for the
+ * next requests. Larger input is discarded, up to a limit, so that the proxy keeps reading and detects when the client
+ * disconnects. Once any input was discarded no later request can be read, and the connection is closed after the
+ * current response.
+ *
+ * <p>Not thread-safe; used on the reactor's thread only.
  */
 final class PipelinedInput {
-    /** Bytes of later requests that are kept. */
+    /** Size of buffered input of later requests, in bytes, from which on all of it is discarded. */
     private static final int MAX_BUFFERED_BYTES = 64 * 1024;
-    /** With more than this a client is given up. */
+    /** Number of discarded bytes above which the client is disconnected. */
     private static final long MAX_DISCARDED_BYTES = 1024 * 1024;
 
     private final Connection connection;
@@ -20,17 +23,20 @@
         this.connection = connection;
     }
 
-    /** Whether anything was dropped. */
+    /** Returns whether any input was discarded. */
     boolean hasDiscarded() {
         return discardedBytes > 0;
     }
 
-    /** Whether more was dropped than a client may send. */
+    /** Returns whether more input was discarded than a client may send. */
     boolean exceedsDiscardLimit() {
         return discardedBytes > MAX_DISCARDED_BYTES;
     }
 
-    /** Drops what would not be kept; returns whether there was any. */
+    /**
+     * Discards the available input if it is too large to buffer, or if input was discarded before; returns whether
+     * there was any to discard.
+     */
     boolean discardExcess() {
         int available = connection.available();
         if (available == 0 || !hasDiscarded() && available < MAX_BUFFERED_BYTES) {
@@ -41,7 +47,10 @@
         return true;
     }
 
-    /** Whether the client's input ends by now, if that is seen behind what has to be dropped for it. */
+    /**
+     * Returns whether the client has ended its input by now. Input that is too large to buffer is discarded to find the
+     * end; if that exceeds the limit, the end is not detected and the result is false.
+     */
     boolean pollInputEnded() {
         while (!connection.pollInputEnded()) {
             if (!discardExcess() || exceedsDiscardLimit()) {
--- a/src/main/java/reedmux/proxy/Proxy.java
+++ b/src/main/java/reedmux/proxy/Proxy.java
@@ -23,21 +23,27 @@
 import reedmux.proxy.retry.RetryBudget;
 
 /**
- * The proxy program: puts its parts together, carries out what the {@link RequestTracker} decides, and has a life
- * cycle of three states: starting, ready, and draining until the end.
+ * The proxy process. It creates and connects its components, performs the actions that the {@link RequestTracker}
+ * requests, and manages the life cycle, whose states are starting, ready, and draining until the process terminates.
  *
- * <p>The way of a request: {@link ClientConnection} reads it, {@link RequestAdmission} admits it, the tracker chooses
- * a checker by the {@link LoadBalancer}, {@link CheckerConnectionPool} sends it, and the response goes back by the
- * same connection. What all of them know of the system comes from the {@link ControlPlaneClient}.
+ * <p>A request is read by {@link ClientConnection} and admitted by {@link RequestAdmission}. The tracker selects a
+ * checker with the {@link LoadBalancer}, {@link CheckerConnectionPool} sends the request to it, and the response is
+ * returned on the connection of the client. The {@link ControlPlaneClient} supplies the configuration and the
+ * membership for all of this.
  *
- * <p>Everything runs on the reactor's thread.
+ * <p>Not thread-safe; everything runs on the reactor's thread.
  */
 public final class Proxy implements Program, RequestPort, ControlPlaneClient.ControlPlaneListener {
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long MAINTENANCE_INTERVAL_MICROS = MICROS_PER_SECOND / 4;
-    /** Maintenance that comes this late was held up, and what clients have sent meanwhile is not read yet. */
+    /**
+     * Time between two maintenance runs above which the process is considered stalled. Timeouts of clients are then
+     * skipped once, because input that arrived in the meantime has not been read yet.
+     */
     private static final long STALL_THRESHOLD_MICROS = MICROS_PER_SECOND;
-    /** Descriptors that are no clients': checkers, the control plane, files. */
+    /**
+     * File descriptors reserved for everything but clients: connections to checkers and the control plane, and files.
+     */
     private static final int RESERVED_DESCRIPTORS = 400;
 
     private static final int MIN_CLIENTS = 64;
@@ -68,13 +74,14 @@
     /**
      * Starts a proxy on a reactor.
      *
-     * @throws ProcessSettingsException if a setting cannot be used
+     * @throws ProcessSettingsException if a setting is not valid
      * @throws IOException              if a socket cannot be opened
      */
     public Proxy(ProcessSettings settings, Reactor reactor) throws ProcessSettingsException, IOException {
         this.reactor = reactor;
         nodeName = settings.node();
-        // Before anything else, so that clients of a restarted proxy wait for it and are not refused.
+        // Opened before all else, so that clients of a restarted proxy wait instead of having their connections
+        // refused.
         clientListener =
                 new TcpListener(reactor, settings.socketAddress(SettingKeys.FRONT_SOCKET), this::onClientAccepted);
         new TcpListener(reactor, settings.socketAddress(SettingKeys.READY_SOCKET), this::onReadinessClientAccepted);
@@ -125,12 +132,12 @@
         startupGate.resumeIfStarted();
     }
 
-    /** Hands the members, if they have changed, to all who divide something among them. */
+    /** Passes a changed session view to all components that divide a resource among the proxies. */
     private void updateSessionView() {
         SessionView newView = controlPlane.sessionView();
         quotas.setRegistriesUnreachable(controlPlane.isIsolated());
         if (newView.digest() != sessionView.digest()) {
-            reactor.debug(newView.size() + " members, before " + sessionView.size());
+            reactor.debug("session view changed: " + newView.size() + " members, previously " + sessionView.size());
             sessionView = newView;
             quotaExchange.onViewChange(sessionView);
             loadBalancer.onViewChange(sessionView);
@@ -138,7 +145,7 @@
         }
     }
 
-    // ---- What the request tracker asks for ---------------------------------------------------------
+    // ---- Actions of the request tracker ------------------------------------------------------------
 
     @Override
     public void send(RequestAttempt attempt) {
@@ -183,7 +190,10 @@
         connection.respond(!knownPath ? 404 : isReady ? 200 : 503, isReady ? "ready" : "not ready");
     }
 
-    /** Whether clients are to be sent here: from the first time that everything is known, until draining. */
+    /**
+     * Returns whether load balancers should send clients to this proxy: from the time at which the configuration, a
+     * registry, a checker and its own session were all known for the first time, until shutdown.
+     */
     private boolean isReady() {
         if (shutdown.hasBegun()) {
             return false;
@@ -215,22 +225,25 @@
         reactor.invariants()
                 .check(
                         tracker.attempts().overdueCancellations(now).isEmpty(),
-                        "an attempt ends when it is cancelled",
+                        "a cancelled attempt ends within the maximum time",
                         () -> tracker.attempts().summary());
         if (draining && !clients.hasClients() && tracker.attempts().isEmpty()) {
             terminate();
         }
     }
 
-    /** Begins what {@link GracefulShutdown} describes: readiness is withdrawn, and the end follows. */
+    /**
+     * Begins the shutdown that {@link GracefulShutdown} describes: readiness is withdrawn at once, the later phases are
+     * scheduled.
+     */
     @Override
     public void beginShutdown() {
         if (shutdown.hasBegun()) {
             return;
         }
         shutdown.begin(reactor.now());
-        reactor.info("shuts down, with " + clients.connectionCount() + " connections and "
-                + clients.unansweredRequests().size() + " requests");
+        reactor.info("shutting down with " + clients.connectionCount() + " client connections and "
+                + clients.unansweredRequests().size() + " unanswered requests");
         reactor.scheduleAt(shutdown.drainsAt(), this::drain);
         reactor.scheduleAt(shutdown.lastResponseAt(), this::rejectPendingRequests);
         reactor.scheduleAt(shutdown.endsAt(), this::terminate);
@@ -253,7 +266,7 @@
         reactor.invariants()
                 .check(
                         shutdown.mayLeaveUnanswered(unanswered),
-                        "a request that is admitted after SIGTERM has its response before the process ends",
+                        "a request admitted after SIGTERM is answered before the process terminates",
                         () -> unanswered.toString());
         reactor.stop();
     }
--- a/src/main/java/reedmux/proxy/QuotaExchange.java
+++ b/src/main/java/reedmux/proxy/QuotaExchange.java
@@ -15,9 +15,9 @@
 import reedmux.proxy.quota.QuotaTracker;
 import reedmux.proxy.quota.QuotaTracker.OutgoingUpdate;
 
-/** Exchanges the quota counters with other proxies, as datagrams. For the reactor's thread. */
+/** Exchanges the quota counters with the other proxies over UDP. Not thread-safe; used on the reactor's thread only. */
 final class QuotaExchange {
-    /** Keeps a datagram below the size that networks carry in one packet. */
+    /** Maximum number of entries per datagram, which keeps a datagram small enough for a single network packet. */
     private static final int MAX_ENTRIES_PER_DATAGRAM = 24;
 
     private final Reactor reactor;
@@ -46,7 +46,7 @@
         quotas.onViewChange(newView, reactor.now());
     }
 
-    /** Sends what is due, now and from now on. */
+    /** Sends the updates that are due, and schedules itself for the next send interval. */
     void sendUpdates() {
         for (OutgoingUpdate update : quotas.collectUpdates(reactor.now())) {
             InetSocketAddress receiver = SocketAddresses.parse(update.receiver().ip() + ':' + peerPort);
@@ -55,7 +55,7 @@
         reactor.scheduleAfter(quotas.sendIntervalMicros(), this::sendUpdates);
     }
 
-    /** Sends an update in as many datagrams as it needs; one without entries is a heartbeat. */
+    /** Sends an update, split into as many datagrams as it needs. An update without entries is a heartbeat. */
     private void send(InetSocketAddress receiver, QuotaUpdate update) {
         List<TenantTotal> entries = update.entries();
         int fromIndex = 0;
--- a/src/main/java/reedmux/proxy/RequestAdmission.java
+++ b/src/main/java/reedmux/proxy/RequestAdmission.java
@@ -11,29 +11,38 @@
 import reedmux.proxy.request.ProxyResponse;
 
 /**
- * Decides on a request by its head: whether the proxy can serve at all, which route and tenant it belongs to, whether
- * it is well-formed and within the limits, and last whether it fits into the tenant's quota, which it then uses.
- * Nothing is refused for good by a configuration that may be old. For the reactor's thread.
+ * Admits or rejects a request by its head. The checks are, in this order: whether the proxy can serve requests at all,
+ * which route and tenant the request belongs to, whether it is well-formed and within the limits, and finally whether
+ * the tenant's quota permits it. An admitted request consumes quota.
+ *
+ * <p>While the configuration may be outdated, a request that does not match it is rejected with a retryable status
+ * instead of a permanent one. Not thread-safe; used on the reactor's thread only.
  */
 final class RequestAdmission {
     static final String ATTEMPT_ID_HEADER = "Reedmux-Attempt-Id";
     static final String TIME_LEFT_HEADER = "Reedmux-Time-Left-Ms";
     private static final String BEARER_PREFIX = "Bearer ";
-    /** Bodies in memory of all clients together; beyond it no further body is accepted. */
+    /**
+     * Maximum size of the buffered bodies of all clients together, in bytes. Above it, no request with a body is
+     * admitted.
+     */
     private static final int MAX_BUFFERED_BODY_BYTES = 24 * 1024 * 1024;
-    /** When to come back where it is not the client's own quota that is used up. */
+    /** Retry-After of rejections whose reason is not the client's own quota. */
     private static final long RETRY_AFTER_MICROS = 250_000;
-    /** A request that waits here for the start is late; one that comes back soon after it is new. */
+    /**
+     * Minimum Retry-After during startup. Deferring the request until it can be served would delay it, whereas a retry
+     * shortly after the startup is a new request.
+     */
     private static final long MIN_STARTUP_RETRY_AFTER_MICROS = RETRY_AFTER_MICROS / 2;
 
     private static final long MIN_QUOTA_RETRY_AFTER_MICROS = RETRY_AFTER_MICROS / 4;
-    /** Another proxy can take the request at once. */
+    /** Retry-After of a proxy that shuts down. It is short because another proxy can serve the request at once. */
     private static final long SHUTDOWN_RETRY_AFTER_MICROS = 50_000;
 
     private static final long NO_RETRY_AFTER = -1;
-    /** The time that a request has which names none: an hour. */
+    /** Time left of a request without the header: one hour. */
     private static final long DEFAULT_TIME_LEFT_MILLIS = 3_600_000;
-    /** More digits are no sensible time and might overflow. */
+    /** Maximum number of digits of the time left. Longer values are not plausible and could overflow. */
     private static final int MAX_TIME_LEFT_DIGITS = 9;
 
     private final Reactor reactor;
@@ -42,7 +51,9 @@
     private final GracefulShutdown shutdown;
     private final QuotaTracker quotas;
 
-    /** A request that is admitted, or else the response that rejects it; the other one is null. */
+    /**
+     * The result of {@link #admit}: either the admitted request or the response that rejects it; the other one is null.
+     */
     record AdmissionResult(ClientRequest request, ProxyResponse rejection) {}
 
     RequestAdmission(
@@ -61,8 +72,8 @@
     /**
      * Admits or rejects a request.
      *
-     * @param body          null for a request without one
-     * @param bufferedBytes of the bodies of all clients
+     * @param body          body of the request, or null if it has none
+     * @param bufferedBytes size of the buffered bodies of all clients
      */
     AdmissionResult admit(
             ClientConnection client, Http1Head head, ClientRequestBody body, RequestLimits limits, long bufferedBytes) {
@@ -109,19 +120,19 @@
         return new AdmissionResult(request, null);
     }
 
-    /** The response to what comes too late for this process. */
+    /** Returns the response to requests that can no longer be answered before this process terminates. */
     static ProxyResponse shutdownRejection() {
         return new ProxyResponse.LocalResponse(503, "this process ends", SHUTDOWN_RETRY_AFTER_MICROS);
     }
 
-    /** Gives back what a request that was certainly not executed has used of its tenant's quota. */
+    /** Refunds the quota of a request that was certainly not executed. */
     void refund(ProxyRequest request) {
         if (request.tenant() != null) {
             quotas.refund(request.tenant(), reactor.now());
         }
     }
 
-    /** The tenant whose key the request carries, or null. */
+    /** Returns the tenant whose key the request carries, or null. */
     private static TenantItem authenticate(ConfigurationTable table, Http1Head head) {
         String authorization = head.count("Authorization") == 1 ? head.get("Authorization") : null;
         if (authorization == null || !authorization.regionMatches(true, 0, BEARER_PREFIX, 0, BEARER_PREFIX.length())) {
@@ -140,7 +151,7 @@
         return new AdmissionResult(null, new ProxyResponse.LocalResponse(status, text, retryAfterMicros));
     }
 
-    /** The time that a request has left when it comes in, in milliseconds; -1 where the header is malformed. */
+    /** Returns the time left of a request at its receipt, in milliseconds; -1 if the header is malformed. */
     static long timeLeftMillis(Http1Head head) {
         String text = head.get(TIME_LEFT_HEADER);
         if (text == null) {
--- a/src/main/java/reedmux/proxy/StartupGate.java
+++ b/src/main/java/reedmux/proxy/StartupGate.java
@@ -8,19 +8,27 @@
 import reedmux.proxy.loadbalancer.LoadBalancer;
 
 /**
- * Says whether requests can be served yet, and holds those that come shortly before that. A start has three states:
- * without configuration or checkers nothing is served; with a configuration that no quorum has confirmed requests are
- * served after a while; with a confirmed one, at once. For the reactor's thread.
+ * Decides whether requests can be served during startup, and defers requests that are received shortly before they can.
+ * Without a configuration or without checkers, no request is served. With a configuration that was not confirmed by a
+ * quorum, requests are served after a delay; with a confirmed configuration, they are served at once.
+ *
+ * <p>Not thread-safe; used on the reactor's thread only.
  */
 final class StartupGate {
     private static final long MICROS_PER_SECOND = 1_000_000;
-    /** After this time a configuration that no store has confirmed is served, so that an outage of the core is none. */
+    /**
+     * Time after the start from which on an unconfirmed configuration is served, so that an outage of the core does not
+     * prevent a restarted proxy from serving.
+     */
     private static final long UNCONFIRMED_CONFIGURATION_DELAY_MICROS = 4 * MICROS_PER_SECOND;
-    /** Within this time a start has usually come so far that requests can be served. */
+    /** Time after the start within which a proxy can usually serve requests. */
     private static final long TYPICAL_STARTUP_MICROS = MICROS_PER_SECOND / 5;
-    /** After this time a start is no usual one, and requests are rejected at once. */
+    /**
+     * Time after the start from which on requests are rejected at once instead of being deferred, because a startup
+     * that takes this long is not a usual one.
+     */
     private static final long MAX_DEFERRAL_PERIOD_MICROS = 2 * MICROS_PER_SECOND;
-    /** A request waits for the start this part of the time that it has left, and at most the limit. */
+    /** Divisor of the time left of a request; the quotient is the time for which it is deferred, up to the maximum. */
     private static final int DEFERRAL_TIME_DIVISOR = 8;
 
     private static final long MAX_DEFERRAL_MICROS = MICROS_PER_SECOND / 4;
@@ -39,7 +47,7 @@
         this.startedAt = startedAt;
     }
 
-    /** Whether requests can be admitted and dispatched. */
+    /** Returns whether requests can be admitted and dispatched. */
     boolean canServe() {
         return controlPlane.table() != null
                 && !loadBalancer.isEmpty()
@@ -47,16 +55,19 @@
                         || reactor.now() - startedAt > UNCONFIRMED_CONFIGURATION_DELAY_MICROS);
     }
 
-    /** How long until requests can probably be served, in microseconds; below zero once that time is over. */
+    /**
+     * Returns the expected time until requests can be served, in microseconds; negative if the expected time has
+     * passed.
+     */
     long expectedRemainingMicros() {
         return startedAt + TYPICAL_STARTUP_MICROS - reactor.now();
     }
 
     /**
-     * Holds a request if the start will probably end in time for it. It is resumed at the end of the start, or when
-     * its wait is over.
+     * Defers a request if the startup is expected to complete while it waits. The request is resumed when the startup
+     * completes, or when its waiting time has passed.
      *
-     * @return whether it is held
+     * @return whether the request is deferred
      */
     boolean defer(ClientConnection client, Http1Head head) {
         if (canServe()) {
@@ -79,7 +90,7 @@
         return true;
     }
 
-    /** Resumes the requests that are held, if they can be served now. */
+    /** Resumes the deferred requests if they can be served now. */
     void resumeIfStarted() {
         if (!deferredClients.isEmpty() && canServe()) {
             List<ClientConnection> resumedClients = List.copyOf(deferredClients);
--- a/src/main/java/reedmux/proxy/package-info.java
+++ b/src/main/java/reedmux/proxy/package-info.java
@@ -1,6 +1,8 @@
 /**
- * The proxy program, on edge machines: receives the requests of clients and forwards them to checkers, by what it pulls
- * from the control plane. Everything runs on one reactor's thread; what decides is in the packages below, which know no
- * socket and no clock.
+ * The proxy process, which runs on edge machines. It receives HTTP requests from clients and forwards them to checkers,
+ * according to the configuration and the instance directory that it replicates from the control plane.
+ *
+ * <p>This package does the I/O, all of it on the thread of one reactor. The decisions are made in its subpackages,
+ * which use neither sockets nor a clock.
  */
 package reedmux.proxy;
--- a/src/test/java/reedmux/proxy/CheckerConnectionTest.java
+++ b/src/test/java/reedmux/proxy/CheckerConnectionTest.java
@@ -25,15 +25,18 @@
 import reedmux.testing.ScheduleExplorer;
 
 /**
- * Requests, their tries and the connections to checkers together, with all orders of what checkers may do
- * to them. The checkers are as bad as the protocol lets them be: what has reached one in part may have run.
+ * Explores all schedules of what checkers may do to requests, attempts and checker connections, which are tested
+ * together. The checkers behave as badly as the protocol permits: a request that a checker has received in part may
+ * have been executed.
  */
 public class CheckerConnectionTest {
     private static final long MICROS_PER_MILLI = 1000;
     private static final int STEPS = 4;
     private static final String ATTEMPT_ID_HEADER = "Reedmux-Attempt-Id: ";
 
-    /** Two checkers, whose sides of the connections are the test's, and what they have seen. */
+    /**
+     * The connection pool and the request tracker of a proxy, with checkers that the test plays over scripted sockets.
+     */
     private static final class CheckerHarness implements RequestPort {
         final ScriptedEnvironment sockets = new ScriptedEnvironment();
         final LoadBalancer loadBalancer = new LoadBalancer("me", "here", 1);
@@ -41,11 +44,11 @@
         final CheckerConnectionPool pool = new CheckerConnectionPool(sockets.reactor(), tracker);
         final Map<String, ProxyResponse> responses = new HashMap<>();
         final List<String> quotaRefunds = new ArrayList<>();
-        /** What each connection's other side has made of what came: requests taken, and answered so far. */
+        /** Number of responses that the checker has sent on each connection. */
         final Map<ScriptedEnvironment.ScriptedSocket, Integer> responsesSent = new HashMap<>();
-        /** Of each request, how many checkers may have run it, and which answers would be its own. */
+        /** Number of checkers that may have executed each request, by attempt id. */
         final Map<String, Integer> executions = new HashMap<>();
-        /** Answers that come a second time, with the next one on their connection. */
+        /** Responses that the checker will repeat before its next response on the same connection. */
         final Map<ScriptedEnvironment.ScriptedSocket, String> duplicateResponses = new HashMap<>();
 
         CheckerHarness(int checkerCount) {
@@ -106,7 +109,7 @@
         @Override
         public void respond(ProxyRequest request, ProxyResponse response) {
             String attemptId = ((ClientRequest) request.source()).attemptId();
-            assertFalse(responses.containsKey(attemptId), "answered twice");
+            assertFalse(responses.containsKey(attemptId), "received a second response");
             responses.put(attemptId, response);
         }
 
@@ -120,7 +123,7 @@
             sockets.reactor().scheduleAt(time, () -> tracker.onEvent(sockets.now(), event));
         }
 
-        /** The ids of the requests that have come over a connection. */
+        /** Returns the attempt ids of the requests that were sent on a connection. */
         List<String> receivedAttemptIds(ScriptedEnvironment.ScriptedSocket socket) {
             List<String> attemptIds = new ArrayList<>();
             String text = socket.writtenText();
@@ -133,12 +136,12 @@
             return attemptIds;
         }
 
-        /** The connections on which a checker owes an answer, or that are not up yet. */
+        /** Returns the open connections that await a response of the checker, or that are not established yet. */
         List<ScriptedEnvironment.ScriptedSocket> socketsAwaitingChecker() {
             List<ScriptedEnvironment.ScriptedSocket> awaiting = new ArrayList<>();
             for (ScriptedEnvironment.ScriptedSocket socket : sockets.sockets) {
                 int unanswered = receivedAttemptIds(socket).size() - responsesSent.getOrDefault(socket, 0);
-                assertTrue(unanswered <= 1, "one request at a time");
+                assertTrue(unanswered <= 1, "more than one unanswered request on a connection");
                 if (!socket.isClosed() && (unanswered == 1 || !socket.isConnected())) {
                     awaiting.add(socket);
                 }
@@ -152,7 +155,7 @@
                     + "Content-Length: " + body.length() + "\r\n\r\n" + body;
         }
 
-        /** One step: time passes, or a checker does something. */
+        /** Performs one step: either time passes or a checker acts. */
         void step(ScheduleExplorer explorer) {
             List<ScriptedEnvironment.ScriptedSocket> awaiting = socketsAwaitingChecker();
             int socketIndex = explorer.choose(awaiting.size() + 1);
@@ -177,32 +180,32 @@
             boolean mayExecute = true;
             switch (explorer.choose(12)) {
                 case 0 -> socket.receive(duplicate + okResponse(attemptId));
-                case 1 -> { // and once more, later
+                case 1 -> { // repeated before the next response
                     duplicateResponses.put(socket, okResponse(attemptId));
                     socket.receive(duplicate + okResponse(attemptId));
                 }
-                case 2 ->
-                    socket.receive(duplicate + okResponse(attemptId) + okResponse(attemptId)); // and once more, at once
+                case 2 -> // repeated at once
+                    socket.receive(duplicate + okResponse(attemptId) + okResponse(attemptId));
                 case 3 -> {
                     mayExecute = false;
                     socket.receive(duplicate + "HTTP/1.1 503 Busy\r\nReedmux-Not-Executed: 1\r\n"
                             + "Content-Length: 0\r\n\r\n");
                 }
                 case 4 -> {
-                    mayExecute = false; // the address is another's
+                    mayExecute = false; // another instance has the address
                     socket.receive(duplicate + "HTTP/1.1 421 Other\r\nReedmux-Instance-Id: other\r\n"
                             + "Content-Length: 0\r\n\r\n");
                 }
-                case 5 ->
+                case 5 -> // without Reedmux-Not-Executed, so it may have been executed
                     socket.receive(duplicate + "HTTP/1.1 429 Many\r\nReedmux-Attempt-Id: " + attemptId
-                            + "\r\nContent-Length: 0\r\n\r\n"); // without the mark: it may have run
-                case 6 -> socket.receive(duplicate + okResponse("another")); // and nothing of ours
+                            + "\r\nContent-Length: 0\r\n\r\n");
+                case 6 -> socket.receive(duplicate + okResponse("another")); // only a response to another request
                 case 7 -> socket.receive(duplicate + okResponse(attemptId).replace("Reedmux-Attempt-Id", "X-None"));
                 case 8 -> {
                     socket.receive(duplicate + okResponse(attemptId).replaceAll("body of .*", "body"));
                     socket.reset();
                 }
-                case 10 -> { // a failure of its own without id, and once more, later
+                case 10 -> { // a failure without an attempt id, repeated before the next response
                     String failure = "HTTP/1.1 500 Bad\r\nX-For: " + attemptId + "\r\nContent-Length: 0\r\n\r\n";
                     duplicateResponses.put(socket, failure);
                     socket.receive(duplicate + failure);
@@ -215,10 +218,10 @@
             }
         }
 
-        /** What no order may lead to. */
+        /** Verifies the invariants for one request, which hold for every schedule. */
         void verify(String attemptId, boolean repeatable) {
-            for (ScriptedEnvironment.ScriptedSocket socket :
-                    sockets.sockets) { // what no checker has ended may have run, too
+            // A request that no checker has answered may have been executed too.
+            for (ScriptedEnvironment.ScriptedSocket socket : sockets.sockets) {
                 List<String> receivedIds = receivedAttemptIds(socket);
                 if (receivedIds.size() > responsesSent.getOrDefault(socket, 0)
                         && receivedIds.get(receivedIds.size() - 1).equals(attemptId)) {
@@ -226,60 +229,71 @@
                 }
             }
             int executionCount = executions.getOrDefault(attemptId, 0);
-            assertTrue(repeatable || executionCount <= 1, "TWICE: " + executionCount);
+            assertTrue(repeatable || executionCount <= 1, "TWICE: executed " + executionCount + " times");
             ProxyResponse response = responses.get(attemptId);
-            assertTrue(response != null, "no answer");
+            assertTrue(response != null, "no response to " + attemptId);
             int status = response instanceof ProxyResponse.LocalResponse localResponse
                     ? localResponse.status()
                     : ((ProxyResponse.CheckerResponse) response).head().status();
             assertFalse(
                     executionCount > 0 && (status == 503 || status == 429 || status == 408 || status == 421),
-                    "REFUSED: " + status);
-            assertFalse(executionCount > 0 && quotaRefunds.contains(attemptId), "given back");
+                    "REFUSED: rejected with status " + status + ", but may have been executed");
+            assertFalse(
+                    executionCount > 0 && quotaRefunds.contains(attemptId),
+                    "quota refunded, but the request may have been executed");
             if (response instanceof ProxyResponse.CheckerResponse checkerResponse && status == 500) {
-                assertEquals(checkerResponse.head().get("X-For"), attemptId, "MIXED");
+                assertEquals(checkerResponse.head().get("X-For"), attemptId, "MIXED: response to another request");
             }
             if (response instanceof ProxyResponse.CheckerResponse checkerResponse && status == 200) {
                 assertEquals(
                         new String(checkerResponse.body(), StandardCharsets.ISO_8859_1),
                         "body of " + attemptId,
-                        "MIXED");
-                assertEquals(checkerResponse.head().get("Reedmux-Attempt-Id"), attemptId, "MIXED");
+                        "MIXED: body of another response");
+                assertEquals(
+                        checkerResponse.head().get("Reedmux-Attempt-Id"),
+                        attemptId,
+                        "MIXED: response to another request");
             }
         }
     }
 
     /**
-     * Two requests, the second one taken at any step: silence, a reset before, in and behind a head, late and
-     * second answers, noise, other owners of the address, no id; with a further try, a second copy under way,
-     * and a connection that goes from one request to the next. With five steps: 173,483 orders.
+     * Explores all schedules of two requests, the second of which is accepted before any step. Guards against mixed-up
+     * responses, double execution and rejection of requests that may have been executed. The steps include silence;
+     * resets before, within and after a head; delayed and duplicate responses; malformed input; another instance at the
+     * address; and a missing attempt id. They occur together with retries, hedged attempts and reuse of connections.
+     * With five steps there are 173,483 schedules.
      */
     @Test
     public void noScheduleMixesResponsesOrExecutesTwiceOrRejectsAnExecutedRequest() {
-        int plays = 0;
-        for (int kinds = 0; kinds < 4; kinds++) {
-            boolean first = kinds % 2 == 0;
-            boolean second = kinds / 2 == 0;
-            plays += ScheduleExplorer.exploreAll(1_000_000, orders -> {
+        int scheduleCount = 0;
+        for (int combination = 0; combination < 4; combination++) {
+            boolean firstRepeatable = combination % 2 == 0;
+            boolean secondRepeatable = combination / 2 == 0;
+            scheduleCount += ScheduleExplorer.exploreAll(1_000_000, explorer -> {
                 CheckerHarness harness = new CheckerHarness(2);
-                harness.accept("one", first, null);
+                harness.accept("one", firstRepeatable, null);
                 harness.sockets.sockets.get(0).completeConnect();
-                int next = orders.choose(STEPS);
+                int secondRequestStep = explorer.choose(STEPS);
                 for (int i = 0; i < STEPS; i++) {
-                    if (i == next) {
-                        harness.accept("two", second, "text");
+                    if (i == secondRequestStep) {
+                        harness.accept("two", secondRepeatable, "text");
                     }
-                    harness.step(orders);
+                    harness.step(explorer);
                 }
                 harness.sockets.advanceMicros(900 * MICROS_PER_MILLI);
-                harness.verify("one", first);
-                harness.verify("two", second);
+                harness.verify("one", firstRepeatable);
+                harness.verify("two", secondRepeatable);
             });
         }
-        assertTrue(plays > 25_000, plays + " orders");
+        assertTrue(scheduleCount > 25_000, scheduleCount + " schedules");
     }
 
-    /** A send that ends after each of its bytes, by a reset or by silence. */
+    /**
+     * Ends the transmission of a request after each number of bytes, by a reset or by silence. If any byte was sent,
+     * the request may have been executed: it must neither be retried nor rejected as not executed, and its quota must
+     * not be refunded.
+     */
     @Test
     public void partlySentRequestMayHaveBeenExecuted() {
         CheckerHarness unlimited = new CheckerHarness(2);
--- a/src/test/java/reedmux/proxy/ClientConnectionTest.java
+++ b/src/test/java/reedmux/proxy/ClientConnectionTest.java
@@ -13,7 +13,7 @@
 import reedmux.control.configuration.RequestLimits;
 import reedmux.proxy.request.ProxyResponse;
 
-/** What a client's connection does with bounds, late answers and bodies that go wrong. */
+/** Tests limits, timeouts, late responses and malformed bodies on the connection of a client. */
 public class ClientConnectionTest {
     private static final long MICROS_PER_SECOND = 1_000_000;
 
@@ -33,7 +33,7 @@
             socket = sockets.sockets.get(0);
         }
 
-        /** Time passes, with a look each quarter of a second. */
+        /** Advances the time, and checks the timeouts every 250 ms. */
         void advanceMicros(long micros) {
             for (long passed = 0; passed < micros && !socket.isClosed(); passed += MICROS_PER_SECOND / 4) {
                 sockets.advanceMicros(MICROS_PER_SECOND / 4);
@@ -104,34 +104,38 @@
         harness.socket.receive(getRequest("one"));
         harness.client.respond(harness.dispatched.get(0), localResponse(503));
         harness.socket.receive(getRequest("two"));
-        harness.client.respond(harness.dispatched.get(0), localResponse(502)); // late, and not the second one's
+        harness.client.respond(
+                harness.dispatched.get(0), localResponse(502)); // late; must not answer the second request
         assertFalse(harness.socket.writtenText().contains("502"));
         harness.client.respond(harness.dispatched.get(1), localResponse(504));
         assertTrue(harness.socket.writtenText().endsWith("told 504\n"), harness.socket.writtenText());
         assertTrue(harness.socket.writtenText().contains("Reedmux-Attempt-Id: two"));
     }
 
-    /** A body that goes wrong after the answer: what was counted for the request is not given back again. */
+    /**
+     * Guards against a second refund of the quota: a request whose body turns out to be malformed after its response
+     * was sent must not be reported as abandoned.
+     */
     @Test
     public void malformedBodyAfterTheResponseDoesNotAbandonTheRequest() throws IOException {
-        for (boolean answered : new boolean[] {true, false}) {
+        for (boolean responseSent : new boolean[] {true, false}) {
             ClientHarness harness = new ClientHarness();
             harness.socket.receive("POST /x HTTP/1.1\r\nHost: h\r\nReedmux-Attempt-Id: a\r\n"
                     + "Transfer-Encoding: chunked\r\n\r\n90000\r\n" + "y".repeat(0x90000) + "\r\n");
             assertEquals(harness.dispatched.size(), 1);
             ClientRequestBody body = harness.dispatched.get(0).body();
             for (int i = 0; body.chunk(i) != null; i++) {
-                assertFalse(harness.socket.isClosed()); // a checker takes it
+                assertFalse(harness.socket.isClosed()); // the chunk is forwarded
             }
-            if (answered) {
+            if (responseSent) {
                 harness.client.respond(harness.dispatched.get(0), localResponse(503));
             }
             harness.socket.receive("no chunk\r\n");
-            assertEquals(harness.abandoned.size(), answered ? 0 : 1);
+            assertEquals(harness.abandoned.size(), responseSent ? 0 : 1);
         }
     }
 
-    /** A connection may rest as long as its client was told, and for as long as holds now. */
+    /** The idle timeout is the one that was announced to the client or the one configured now, whichever is longer. */
     @Test
     public void keepsConnectionsOpenForTheAnnouncedIdleTime() throws IOException {
         for (long newIdleTimeout : new long[] {5 * MICROS_PER_SECOND, 15 * MICROS_PER_SECOND, 40 * MICROS_PER_SECOND}) {
@@ -140,7 +144,9 @@
             harness.client.respond(harness.dispatched.get(0), localResponse(404));
             harness.limits = new RequestLimits(300, 8 << 20, MICROS_PER_SECOND, newIdleTimeout);
             harness.advanceMicros(Math.max(12 * MICROS_PER_SECOND, newIdleTimeout / 5 * 4));
-            assertFalse(harness.socket.isClosed(), "rests, " + newIdleTimeout);
+            assertFalse(
+                    harness.socket.isClosed(),
+                    "closed too early, with a new idle timeout of " + newIdleTimeout + " us");
             harness.socket.receive(getRequest("two"));
             assertEquals(harness.dispatched.size(), 2);
             harness.client.respond(harness.dispatched.get(1), localResponse(404));
@@ -151,7 +157,7 @@
         }
     }
 
-    /** A head of just the bound, however its bytes come, and one byte more. */
+    /** A head of exactly the maximum size is accepted when it is received byte by byte; one more byte is rejected. */
     @Test
     public void acceptsAHeadOfExactlyTheLimitByteByByte() throws IOException {
         for (int excessBytes = 0; excessBytes < 2; excessBytes++) {
@@ -176,7 +182,7 @@
         assertTrue(harness.socket.writtenText().startsWith("HTTP/1.1 408"));
     }
 
-    /** It is we who hold up a body that no checker takes: its client is not late by that. */
+    /** The client of a body whose reading the proxy has paused, because no checker takes it, must not time out. */
     @Test
     public void doesNotTimeOutABodyUnderBackPressure() throws IOException {
         ClientHarness harness = new ClientHarness();
@@ -193,7 +199,7 @@
         assertTrue(body.isComplete());
     }
 
-    /** Its own body may be long, and is no later request. */
+    /** Guards against treating the body of a deferred request as pipelined input, of which only a part is kept. */
     @Test
     public void keepsTheBodyOfADeferredRequest() throws IOException {
         ClientHarness harness = new ClientHarness();
@@ -208,7 +214,10 @@
         assertEquals(harness.dispatched.get(0).body().bufferedBytes(), 300_000);
     }
 
-    /** Whoever sends more than is read ahead is answered once, and what was dropped is never taken for a request. */
+    /**
+     * A client that sends more pipelined input than is buffered receives one response, and discarded input is never
+     * parsed as a request.
+     */
     @Test
     public void closesAfterTheResponseIfPipelinedInputWasDiscarded() throws IOException {
         ClientHarness harness = new ClientHarness();
@@ -222,7 +231,10 @@
         assertEquals(harness.dispatched.size(), 1);
     }
 
-    /** Its client's end has come in together with it: it is not dispatched, and its quota is given back. */
+    /**
+     * The client disconnects together with its request: the request is abandoned without being dispatched, so that its
+     * quota is refunded.
+     */
     @Test
     public void doesNotDispatchARequestWhoseClientHasDisconnected() throws IOException {
         for (int pipelinedBytes : new int[] {0, 100, 300_000, -1}) {
@@ -236,7 +248,10 @@
         }
     }
 
-    /** Before a retry the socket is asked: the end that nobody has reported yet is seen, and handled a turn later. */
+    /**
+     * Before a retry the socket is polled: a disconnect that the reactor has not reported yet is detected at once, and
+     * handled in the next turn.
+     */
     @Test
     public void detectsADisconnectBeforeTheReactorReportsIt() throws IOException {
         ClientHarness harness = new ClientHarness();
--- a/src/test/java/reedmux/proxy/GracefulShutdownTest.java
+++ b/src/test/java/reedmux/proxy/GracefulShutdownTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What is admitted after SIGTERM has time for its response, whatever the grace period is. */
+/** Verifies that requests admitted after SIGTERM have enough time for their response, for several grace periods. */
 public class GracefulShutdownTest {
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long SIGTERM_TIME = 100 * MICROS_PER_SECOND;
@@ -32,7 +32,7 @@
         assertTrue(shutdown.isDraining(shutdown.drainsAt()));
     }
 
-    /** At any time after the signal, with any deadline. */
+    /** Tries combinations of times after the signal and deadlines. */
     @Test(dataProvider = "gracePeriods")
     public void lateAdmissionsHaveTheirDeadlineBeforeTermination(long grace) {
         GracefulShutdown shutdown = new GracefulShutdown(grace);
