--- a/src/main/java/reedmux/proxy/ClientConnection.java
+++ b/src/main/java/reedmux/proxy/ClientConnection.java
@@ -206,8 +206,8 @@
             }
             return false;
         } else if (state == State.DEFERRED) {
-            connection.setReadPaused(
-                    connection.available() > MAX_DEFERRED_BYTES); // it may be the body of the deferred request
+            // The input may be the body of the deferred request, so it is not discarded.
+            connection.setReadPaused(connection.available() > MAX_DEFERRED_BYTES);
             return false;
         }
         return readHead();
--- a/src/main/java/reedmux/proxy/ClientFrontend.java
+++ b/src/main/java/reedmux/proxy/ClientFrontend.java
@@ -40,14 +40,14 @@
     ClientFrontend(
             Reactor reactor,
             ControlPlaneClient controlPlane,
-            StartupGate startup,
+            StartupGate startupGate,
             RequestAdmission admission,
             RequestTracker tracker,
             GracefulShutdown shutdown,
             int maxClients) {
         this.reactor = reactor;
         this.controlPlane = controlPlane;
-        this.startupGate = startup;
+        this.startupGate = startupGate;
         this.admission = admission;
         this.tracker = tracker;
         this.shutdown = shutdown;
--- a/src/main/java/reedmux/proxy/GracefulShutdown.java
+++ b/src/main/java/reedmux/proxy/GracefulShutdown.java
@@ -98,7 +98,7 @@
         return begunAt + graceMicros - Math.min(MAX_END_MARGIN_MICROS, graceMicros / END_MARGIN_DIVISOR);
     }
 
-    /** Returns whether a correctly working load balancer may not have detected the shutdown yet at a time. */
+    /** Returns whether, at the given time, a correctly working load balancer may not have detected the shutdown yet. */
     private boolean balancersMayStillRoute(long time) {
         return time - begunAt <= Math.min(BALANCER_DETECTION_MICROS, graceMicros / 3);
     }
--- a/src/main/java/reedmux/proxy/Proxy.java
+++ b/src/main/java/reedmux/proxy/Proxy.java
@@ -137,7 +137,7 @@
         SessionView newView = controlPlane.sessionView();
         quotas.setRegistriesUnreachable(controlPlane.isIsolated());
         if (newView.digest() != sessionView.digest()) {
-            reactor.debug("session view changed: " + newView.size() + " members, previously " + sessionView.size());
+            reactor.debug(newView.size() + " members in the new session view, previously " + sessionView.size());
             sessionView = newView;
             quotaExchange.onViewChange(sessionView);
             loadBalancer.onViewChange(sessionView);
@@ -191,8 +191,9 @@
     }
 
     /**
-     * Returns whether load balancers should send clients to this proxy: from the time at which the configuration, a
-     * registry, a checker and its own session were all known for the first time, until shutdown.
+     * Returns whether load balancers should send clients to this proxy. It becomes ready as soon as the configuration
+     * is current, a registry is connected, a checker is known and the session view contains this proxy; it remains
+     * ready until the shutdown begins.
      */
     private boolean isReady() {
         if (shutdown.hasBegun()) {
--- a/src/main/java/reedmux/proxy/RequestAdmission.java
+++ b/src/main/java/reedmux/proxy/RequestAdmission.java
@@ -59,12 +59,12 @@
     RequestAdmission(
             Reactor reactor,
             ControlPlaneClient controlPlane,
-            StartupGate startup,
+            StartupGate startupGate,
             GracefulShutdown shutdown,
             QuotaTracker quotas) {
         this.reactor = reactor;
         this.controlPlane = controlPlane;
-        this.startupGate = startup;
+        this.startupGate = startupGate;
         this.shutdown = shutdown;
         this.quotas = quotas;
     }
--- a/src/test/java/reedmux/proxy/CheckerConnectionTest.java
+++ b/src/test/java/reedmux/proxy/CheckerConnectionTest.java
@@ -229,15 +229,15 @@
                 }
             }
             int executionCount = executions.getOrDefault(attemptId, 0);
-            assertTrue(repeatable || executionCount <= 1, "TWICE: executed " + executionCount + " times");
+            assertTrue(repeatable || executionCount <= 1, "TWICE: number of executions: " + executionCount);
             ProxyResponse response = responses.get(attemptId);
-            assertTrue(response != null, "no response to " + attemptId);
+            assertTrue(response != null, "no response");
             int status = response instanceof ProxyResponse.LocalResponse localResponse
                     ? localResponse.status()
                     : ((ProxyResponse.CheckerResponse) response).head().status();
             assertFalse(
                     executionCount > 0 && (status == 503 || status == 429 || status == 408 || status == 421),
-                    "REFUSED: rejected with status " + status + ", but may have been executed");
+                    "REFUSED: may have been executed, but was rejected with status " + status);
             assertFalse(
                     executionCount > 0 && quotaRefunds.contains(attemptId),
                     "quota refunded, but the request may have been executed");
--- a/src/test/java/reedmux/proxy/ClientConnectionTest.java
+++ b/src/test/java/reedmux/proxy/ClientConnectionTest.java
@@ -145,8 +145,7 @@
             harness.limits = new RequestLimits(300, 8 << 20, MICROS_PER_SECOND, newIdleTimeout);
             harness.advanceMicros(Math.max(12 * MICROS_PER_SECOND, newIdleTimeout / 5 * 4));
             assertFalse(
-                    harness.socket.isClosed(),
-                    "closed too early, with a new idle timeout of " + newIdleTimeout + " us");
+                    harness.socket.isClosed(), "closed too early; new idle timeout in microseconds: " + newIdleTimeout);
             harness.socket.receive(getRequest("two"));
             assertEquals(harness.dispatched.size(), 2);
             harness.client.respond(harness.dispatched.get(1), localResponse(404));
