--- a/src/test/java/reedmux/proxy/CheckerConnectionTest.java
+++ b/src/test/java/reedmux/proxy/CheckerConnectionTest.java
@@ -173,19 +173,18 @@
                 return;
             }
             List<String> receivedIds = receivedAttemptIds(socket);
-            String attemptId = receivedIds.get(receivedIds.size() - 1);
+            String id = receivedIds.get(receivedIds.size() - 1);
             String duplicate = duplicateResponses.getOrDefault(socket, "");
             duplicateResponses.remove(socket);
             responsesSent.merge(socket, 1, Integer::sum);
             boolean mayExecute = true;
             switch (explorer.choose(12)) {
-                case 0 -> socket.receive(duplicate + okResponse(attemptId));
+                case 0 -> socket.receive(duplicate + okResponse(id));
                 case 1 -> { // repeated before the next response
-                    duplicateResponses.put(socket, okResponse(attemptId));
-                    socket.receive(duplicate + okResponse(attemptId));
+                    duplicateResponses.put(socket, okResponse(id));
+                    socket.receive(duplicate + okResponse(id));
                 }
-                case 2 -> // repeated at once
-                    socket.receive(duplicate + okResponse(attemptId) + okResponse(attemptId));
+                case 2 -> socket.receive(duplicate + okResponse(id) + okResponse(id)); // repeated at once
                 case 3 -> {
                     mayExecute = false;
                     socket.receive(duplicate + "HTTP/1.1 503 Busy\r\nReedmux-Not-Executed: 1\r\n"
@@ -197,16 +196,16 @@
                             + "Content-Length: 0\r\n\r\n");
                 }
                 case 5 -> // without Reedmux-Not-Executed, so it may have been executed
-                    socket.receive(duplicate + "HTTP/1.1 429 Many\r\nReedmux-Attempt-Id: " + attemptId
+                    socket.receive(duplicate + "HTTP/1.1 429 Many\r\nReedmux-Attempt-Id: " + id
                             + "\r\nContent-Length: 0\r\n\r\n");
                 case 6 -> socket.receive(duplicate + okResponse("another")); // only a response to another request
-                case 7 -> socket.receive(duplicate + okResponse(attemptId).replace("Reedmux-Attempt-Id", "X-None"));
+                case 7 -> socket.receive(duplicate + okResponse(id).replace("Reedmux-Attempt-Id", "X-None"));
                 case 8 -> {
-                    socket.receive(duplicate + okResponse(attemptId).replaceAll("body of .*", "body"));
+                    socket.receive(duplicate + okResponse(id).replaceAll("body of .*", "body"));
                     socket.reset();
                 }
                 case 10 -> { // a failure without an attempt id, repeated before the next response
-                    String failure = "HTTP/1.1 500 Bad\r\nX-For: " + attemptId + "\r\nContent-Length: 0\r\n\r\n";
+                    String failure = "HTTP/1.1 500 Bad\r\nX-For: " + id + "\r\nContent-Length: 0\r\n\r\n";
                     duplicateResponses.put(socket, failure);
                     socket.receive(duplicate + failure);
                 }
@@ -214,7 +213,7 @@
                 default -> socket.reset();
             }
             if (mayExecute) {
-                executions.merge(attemptId, 1, Integer::sum);
+                executions.merge(id, 1, Integer::sum);
             }
         }
 
