--- a/src/main/java/reedmux/control/rpc/RpcConnection.java
+++ b/src/main/java/reedmux/control/rpc/RpcConnection.java
@@ -9,43 +9,50 @@
 import reedmux.control.rpc.Messages.KeepAlive;
 
 /**
- * A connection between two processes of the system. It carries frames: a length in four bytes, and a message as
- * {@link MessageCodec} encodes it.
+ * A connection between two processes of the system. It transports frames, each consisting of a four-byte length and a
+ * message encoded by {@link MessageCodec}. A connection passes through these states:
  *
  * <ol>
- *   <li>Connecting: from {@link #connect} until TCP is connected. An accepted connection starts behind this.
- *   <li>Handshake: each side sends its {@link Hello} at once. Until the peer's has come, no other message is taken.
- *   <li>Established: the handler is told, and gets each message. A side that has nothing else to send for
- *       {@link #KEEP_ALIVE_INTERVAL_MICROS} sends a {@link KeepAlive}, and one that has received nothing for
+ *   <li>Connecting: from {@link #connect} until TCP is connected. An accepted connection skips this state.
+ *   <li>Handshake: each side sends its {@link Hello} immediately. Any other message received before the peer's Hello is
+ *       a protocol error.
+ *   <li>Established: the handler is notified and receives every message other than keep-alives. A side that has sent
+ *       nothing for {@link #KEEP_ALIVE_INTERVAL_MICROS} sends a {@link KeepAlive}. A side that has received nothing for
  *       {@link #RECEIVE_TIMEOUT_MICROS} closes the connection.
- *   <li>Closed: by either side, a time-out, or bytes that are no valid message. There is no way back.
+ *   <li>Closed: by either side, by a timeout, or because of an invalid message. This state is final.
  * </ol>
  *
- * <p>For the reactor's thread.
+ * <p>Not thread-safe; confined to the reactor thread.
  */
 public final class RpcConnection implements Connection.ConnectionHandler {
-    /** An established connection is closed after so long without anything received: three intervals, and some more. */
+    /**
+     * Time without any input after which a connection is closed, in microseconds: three keep-alive intervals and a
+     * margin.
+     */
     public static final long RECEIVE_TIMEOUT_MICROS = 2_200_000;
 
     static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
     private static final int LENGTH_PREFIX_BYTES = 4;
-    /** Before the handshake is over anybody may be at the other end, and no more than this is buffered. */
+    /**
+     * Maximum length of a frame until the handshake is complete. The peer is unknown until then, so no more than this
+     * is buffered for it.
+     */
     private static final int MAX_HELLO_BYTES = 64 * 1024;
 
     private static final long KEEP_ALIVE_INTERVAL_MICROS = 700_000;
-    /** More than this in the output queue means that the peer does not read. */
+    /** Maximum size of the output queue; a connection that exceeds it is closed, because the peer is not reading. */
     private static final long MAX_QUEUED_BYTES = 32L * 1024 * 1024;
 
     /** Receives the events of a connection. */
     public interface RpcConnectionHandler {
 
-        /** The handshake is over: {@link RpcConnection#peer} says who is at the other end. */
+        /** Called when the handshake is complete; {@link RpcConnection#peer} identifies the peer from then on. */
         void onConnected(RpcConnection connection);
 
-        /** A message has come on an established connection. */
+        /** Called for each message received after the handshake, except keep-alives. */
         void onMessage(RpcConnection connection, Object message);
 
-        /** The connection is closed; called once, also for one that was never established. */
+        /** Called exactly once when the connection is closed, even if it was never established. */
         void onDisconnected(RpcConnection connection);
     }
 
@@ -58,7 +65,7 @@
     private boolean closed;
     private long lastReceivedMicros;
     private long lastSentMicros;
-    /** What the handler keeps with the connection. */
+    /** State that the handler associates with the connection. */
     private Object attachment;
 
     private RpcConnection(Reactor reactor, MessageCodec codec, Hello localHello, RpcConnectionHandler handler) {
@@ -70,7 +77,7 @@
         scheduleKeepAlive();
     }
 
-    /** Takes over a connection that the peer has opened. */
+    /** Creates an RPC connection from a connection that the peer has opened, and starts the handshake. */
     public static RpcConnection accept(
             Reactor reactor,
             MessageCodec codec,
@@ -85,9 +92,9 @@
     }
 
     /**
-     * Opens a connection to a peer; returns before it is connected.
+     * Starts to connect to a peer, and returns before the connection is established.
      *
-     * @throws IOException if no socket can be opened
+     * @throws IOException if the socket cannot be opened
      */
     public static RpcConnection connect(
             Reactor reactor,
@@ -119,40 +126,44 @@
     }
 
     /**
-     * Whether the peer has timed this connection out, too, so that what is still buffered here is obsolete. A process
-     * that was suspended may read input before its timers run, so every input checks it.
+     * Returns whether nothing was received for {@link #RECEIVE_TIMEOUT_MICROS}. The peer has timed out the connection
+     * as well by then, so input that is still buffered here is obsolete. This is checked on every input, because a
+     * process that was suspended may read input before its timers run.
      */
     private boolean isTimedOut() {
         return reactor.now() - lastReceivedMicros > RECEIVE_TIMEOUT_MICROS;
     }
 
-    /** When anything was last received, by the reactor's clock in microseconds; before that, when it was opened. */
+    /**
+     * Returns the time of the last input, in microseconds of the reactor's clock; the time at which the connection was
+     * created if there was no input yet.
+     */
     public long lastReceivedMicros() {
         return lastReceivedMicros;
     }
 
-    /** Who is at the other end; null before the connection is established. */
+    /** Returns the peer's Hello message; null until the handshake is complete. */
     public Hello peer() {
         return peer;
     }
 
-    /** Whether TCP is not connected yet. */
+    /** Returns whether the TCP connection is still being established. */
     public boolean isConnecting() {
         return !closed && !connection.isConnected();
     }
 
-    /** Whether the handshake is over, and the connection neither closed nor timed out. */
+    /** Returns whether the handshake is complete and the connection is neither closed nor timed out. */
     public boolean isEstablished() {
         return peer != null && !closed && !isTimedOut();
     }
 
-    /** What the handler has attached, or null; the caller knows its type. */
+    /** Returns the handler's attachment, or null if there is none; the caller must know its type. */
     @SuppressWarnings("unchecked")
     public <T> T attachment() {
         return (T) attachment;
     }
 
-    /** Attaches what the handler wants to keep with this connection. */
+    /** Sets the object that the handler associates with this connection. */
     public void attachment(Object value) {
         attachment = value;
     }
@@ -162,7 +173,7 @@
         sendMessage(localHello);
     }
 
-    /** Sends a message; without effect on a closed connection. */
+    /** Sends a message; has no effect if the connection is closed. */
     public void sendMessage(Object message) {
         if (closed) {
             return;
@@ -170,7 +181,7 @@
         sendEncoded(codec.encode(message));
     }
 
-    /** Sends a message that is encoded already, as it goes to many; without effect on a closed connection. */
+    /** Sends an encoded message, for example one that is sent to several peers; has no effect if closed. */
     public void sendEncoded(byte[] bytes) {
         if (closed) {
             return;
@@ -195,7 +206,7 @@
         while (!closed && connection.available() >= LENGTH_PREFIX_BYTES) {
             int length = peekLength();
             if (length <= 0 || length > MAX_FRAME_BYTES || peer == null && length > MAX_HELLO_BYTES) {
-                closeOnProtocolError("a length of " + length + " is no frame's", "");
+                closeOnProtocolError("frame length " + length + " is invalid", "");
                 return;
             } else if (connection.available() < LENGTH_PREFIX_BYTES + length) {
                 break;
@@ -208,7 +219,7 @@
         }
     }
 
-    /** Returns the frame length that the input starts with, in the order of the network. */
+    /** Returns the frame length at the start of the input, which is in network byte order, without consuming it. */
     private int peekLength() {
         return (connection.peek(0) & 0xFF) << 24
                 | (connection.peek(1) & 0xFF) << 16
@@ -222,7 +233,7 @@
             message = codec.decode(frame);
         } catch (MessageDecodingException e) {
             closeOnProtocolError(
-                    "a frame of " + frame.length + " bytes of kind " + frame[0] + " cannot be read",
+                    "frame of " + frame.length + " bytes with message id " + frame[0] + " cannot be decoded",
                     ": " + e.getMessage());
             return;
         }
@@ -232,33 +243,33 @@
     private void dispatch(Object message) {
         if (message instanceof Hello hello && peer == null && hello.formatVersion() == Messages.FORMAT_VERSION) {
             peer = hello;
-            reactor.debug("connection with " + hello.program() + " of " + hello.node() + " is established");
+            reactor.debug("connection to " + hello.program() + " on " + hello.node() + " established");
             handler.onConnected(this);
         } else if (peer == null && message instanceof Hello hello) {
             closeOnProtocolError(
-                    hello.program() + " of " + hello.node() + " speaks form " + hello.formatVersion() + ", here "
-                            + Messages.FORMAT_VERSION,
+                    hello.program() + " on " + hello.node() + " uses format version " + hello.formatVersion()
+                            + ", expected " + Messages.FORMAT_VERSION,
                     "");
         } else if (peer == null) {
-            closeOnProtocolError("a message before it said who it is", "");
+            closeOnProtocolError("message received before Hello", "");
         } else if (message instanceof Hello) {
-            closeOnProtocolError("it says again who it is", "");
+            closeOnProtocolError("Hello received after the handshake", "");
         } else if (!(message instanceof KeepAlive)) {
             handler.onMessage(this, message);
         }
     }
 
     /**
-     * Closes this connection alone, with a warning.
+     * Logs a warning and closes this connection; other connections are not affected.
      *
-     * @param problem what the rate limit of the warnings goes by, together with the peer
-     * @param detail what is logged behind it
+     * @param problem the error; together with the peer it is the key by which warnings are rate-limited
+     * @param detail appended to the problem in the log, but not part of the key
      */
     private void closeOnProtocolError(String problem, String detail) {
-        String sender = peer == null ? "somebody" : peer.program() + " of " + peer.node();
+        String sender = peer == null ? "unidentified peer" : peer.program() + " on " + peer.node();
         reactor.warnRateLimited(
                 sender + problem,
-                "connection with " + sender + " at " + connection.remoteAddress() + " is closed: " + problem + detail);
+                "connection to " + sender + " at " + connection.remoteAddress() + " closed: " + problem + detail);
         close();
     }
 
@@ -267,12 +278,12 @@
         close();
     }
 
-    /** Closes the connection and tells its handler; without effect on a closed one. */
+    /** Closes the connection and notifies the handler; has no effect if it is already closed. */
     public void close() {
         if (!closed) {
             closed = true;
             if (peer != null) {
-                reactor.debug("connection with " + peer.program() + " of " + peer.node() + " is closed");
+                reactor.debug("connection to " + peer.program() + " on " + peer.node() + " closed");
             }
             if (connection != null) {
                 connection.close();
--- a/src/main/java/reedmux/control/rpc/RpcDialer.java
+++ b/src/main/java/reedmux/control/rpc/RpcDialer.java
@@ -6,19 +6,25 @@
 import reedmux.control.rpc.Messages.Hello;
 
 /**
- * Keeps a connection to one address established: whenever it ends, or could not be opened, another one is opened after
- * a delay, until the dialer is closed. For the reactor's thread.
+ * Maintains a connection to one address. If the connection is closed or cannot be opened, the dialer reconnects after a
+ * delay, until it is closed itself.
+ *
+ * <p>Not thread-safe; confined to the reactor thread.
  */
 public final class RpcDialer implements RpcConnection.RpcConnectionHandler {
-    /** The first retries are fast, as programs that start together are up at about the same time. */
+    /**
+     * Delay before each of the first {@link #FAST_RETRIES} retries, in microseconds. It is short because programs that
+     * are started together become available at about the same time.
+     */
     private static final long FAST_RETRY_DELAY_MICROS = 30_000;
 
     private static final long SLOW_RETRY_DELAY_MICROS = 200_000;
     private static final int FAST_RETRIES = 20;
 
     /**
-     * A machine without power does not refuse the connection, and TCP would repeat its first packet only after a
-     * second; so much sooner a new connection is opened in its place.
+     * Time limit for establishing a TCP connection, in microseconds. A machine without power does not refuse the
+     * connection, and TCP retransmits its first packet only after one second; this much shorter time limit replaces the
+     * connection with a new attempt earlier.
      */
     private static final long CONNECT_TIMEOUT_MICROS = 300_000;
 
@@ -33,9 +39,9 @@
     private boolean closed;
 
     /**
-     * Opens the first connection.
+     * Creates a dialer and starts to connect.
      *
-     * @param handler is called for each connection that is established
+     * @param handler receives the events of every connection that completes the handshake
      */
     public RpcDialer(
             Reactor reactor,
@@ -51,22 +57,22 @@
         connect();
     }
 
-    /** The address that this dialer connects to. */
+    /** Returns the address that this dialer connects to. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** The connection if it is established, else null. */
+    /** Returns the connection if it is established, otherwise null. */
     public RpcConnection connection() {
         return connection != null && connection.isEstablished() ? connection : null;
     }
 
-    /** Whether at least one attempt has succeeded or failed. */
+    /** Returns whether at least one connection attempt has succeeded or failed. */
     public boolean hasAttempted() {
         return attempted;
     }
 
-    /** Closes the connection and opens no other one. */
+    /** Closes the connection and stops reconnecting. */
     public void close() {
         closed = true;
         if (connection != null) {
--- a/src/test/java/reedmux/control/rpc/RpcConnectionTest.java
+++ b/src/test/java/reedmux/control/rpc/RpcConnectionTest.java
@@ -14,7 +14,7 @@
 import reedmux.common.eventloop.ScriptedEnvironment;
 import reedmux.control.rpc.Messages.Hello;
 
-/** Input of accepted connections: messages, and bytes that are none. */
+/** Tests how accepted connections handle valid and malformed input. */
 public class RpcConnectionTest {
     private static final Hello PEER_HELLO =
             new Hello(Messages.FORMAT_VERSION, "proxy", "edge-1", "10.1.0.1", "a", 5, List.of());
@@ -57,43 +57,44 @@
     public Object[][] malformedInputs() {
         byte[] hello = new MessageCodec().encode(PEER_HELLO);
         return new Object[][] {
-            {"GET / HTTP/1.1\r\n\r\n", "no frame"},
-            {frame(new byte[0]), "no frame"},
-            {frame(Arrays.copyOf(hello, hello.length - 1)), "cannot be read"},
-            {frame(new byte[] {99, 1}), "cannot be read"},
+            {"GET / HTTP/1.1\r\n\r\n", "frame length " + 0x47455420 + " is invalid"},
+            {frame(new byte[0]), "frame length 0 is invalid"},
+            {frame(Arrays.copyOf(hello, hello.length - 1)), "cannot be decoded"},
+            {frame(new byte[] {99, 1}), "cannot be decoded"},
             {
                 frame(new Hello(Messages.FORMAT_VERSION + 1, "store", "n", "10.0.0.9", "a", 1, List.of())),
-                "speaks form " + (Messages.FORMAT_VERSION + 1) + ", here " + Messages.FORMAT_VERSION
+                "uses format version " + (Messages.FORMAT_VERSION + 1) + ", expected " + Messages.FORMAT_VERSION
             },
-            {frame(new Messages.IncarnationAck(1)), "before it said who it is"},
-            {frame(new byte[100_000]), "no frame"},
-            {frame(PEER_HELLO) + frame(new byte[] {99, 1}), "proxy of edge-1"},
-            {frame(PEER_HELLO) + frame(PEER_HELLO), "proxy of edge-1"}
+            {frame(new Messages.IncarnationAck(1)), "message received before Hello"},
+            {frame(new byte[100_000]), "frame length 100000 is invalid"},
+            {frame(PEER_HELLO) + frame(new byte[] {99, 1}), "proxy on edge-1"},
+            {frame(PEER_HELLO) + frame(PEER_HELLO), "proxy on edge-1"}
         };
     }
 
-    /** Three connections with the same input get one warning together, and the next connection works. */
+    /** Three connections with the same malformed input log a single warning, and the next connection works. */
     @Test(dataProvider = "malformedInputs")
-    public void malformedInputClosesOnlyItsOwnConnection(String bytes, String line) throws IOException {
-        ScriptedEnvironment sockets = new ScriptedEnvironment();
+    public void malformedInputClosesOnlyItsOwnConnection(String input, String expectedWarning) throws IOException {
+        ScriptedEnvironment environment = new ScriptedEnvironment();
         MessageCodec codec = new MessageCodec();
-        RecordingHandler owner = new RecordingHandler();
-        Hello self = new Hello(Messages.FORMAT_VERSION, "store", "core-1", "10.0.0.1", "a", 3, List.of());
+        RecordingHandler handler = new RecordingHandler();
+        Hello localHello = new Hello(Messages.FORMAT_VERSION, "store", "core-1", "10.0.0.1", "a", 3, List.of());
         for (int i = 0; i < 3; i++) {
-            RpcConnection.accept(sockets.reactor(), codec, self, sockets.acceptConnection(), owner);
-            sockets.sockets.get(i).receive(bytes);
-            assertTrue(sockets.sockets.get(i).isClosed());
+            RpcConnection.accept(environment.reactor(), codec, localHello, environment.acceptConnection(), handler);
+            environment.sockets.get(i).receive(input);
+            assertTrue(environment.sockets.get(i).isClosed());
         }
-        assertEquals(owner.disconnects, 3);
-        assertEquals(owner.messages.size(), 0);
-        assertEquals(sockets.logLines.size(), 1, sockets.logLines.toString());
-        assertTrue(sockets.logLines.get(0).contains(line), sockets.logLines.get(0));
-        RpcConnection good = RpcConnection.accept(sockets.reactor(), codec, self, sockets.acceptConnection(), owner);
-        String all = frame(PEER_HELLO) + frame(new Messages.IncarnationAck(4));
-        for (int i = 0; i < all.length(); i++) {
-            sockets.sockets.get(3).receive(all.substring(i, i + 1));
+        assertEquals(handler.disconnects, 3);
+        assertEquals(handler.messages.size(), 0);
+        assertEquals(environment.logLines.size(), 1, environment.logLines.toString());
+        assertTrue(environment.logLines.get(0).contains(expectedWarning), environment.logLines.get(0));
+        RpcConnection validConnection =
+                RpcConnection.accept(environment.reactor(), codec, localHello, environment.acceptConnection(), handler);
+        String validInput = frame(PEER_HELLO) + frame(new Messages.IncarnationAck(4));
+        for (int i = 0; i < validInput.length(); i++) {
+            environment.sockets.get(3).receive(validInput.substring(i, i + 1));
         }
-        assertTrue(good.isEstablished());
-        assertEquals(owner.messages, List.of(new Messages.IncarnationAck(4)));
+        assertTrue(validConnection.isEstablished());
+        assertEquals(handler.messages, List.of(new Messages.IncarnationAck(4)));
     }
 }
