--- a/src/main/java/reedmux/control/rpc/ConfigurationSerializer.java
+++ b/src/main/java/reedmux/control/rpc/ConfigurationSerializer.java
@@ -8,7 +8,7 @@
 import reedmux.control.consensus.Proposal;
 import reedmux.control.replication.Watermark;
 
-/** The forms of the values that replication and consensus messages are made of. */
+/** Encodes and decodes the values that replication and consensus messages contain. */
 final class ConfigurationSerializer {
     private ConfigurationSerializer() {}
 
@@ -85,7 +85,7 @@
         return new Ballot(in.readVarLong(true), in.readString());
     }
 
-    /** Writes a ballot that may be null. */
+    /** Writes a ballot that may be null: a flag, followed by the ballot if there is one. */
     static void writeOptionalBallot(Ballot ballot, Output out) {
         out.writeBoolean(ballot != null);
         if (ballot != null) {
--- a/src/main/java/reedmux/control/rpc/ConnectionSerializer.java
+++ b/src/main/java/reedmux/control/rpc/ConnectionSerializer.java
@@ -5,11 +5,11 @@
 import reedmux.control.rpc.Messages.Hello;
 import reedmux.control.rpc.Messages.KeepAlive;
 
-/** The forms of the messages that connections exchange for themselves. */
+/** Encodes and decodes the messages that connections exchange for the handshake and to stay alive. */
 final class ConnectionSerializer {
     private ConnectionSerializer() {}
 
-    /** Writes a message of this family; returns false, with nothing written, for any other. */
+    /** Writes a message of this family with its id. Returns false, and writes nothing, for any other message. */
     static boolean write(Object message, Output out) {
         if (message instanceof KeepAlive) {
             out.writeByte(MessageIds.KEEP_ALIVE);
--- a/src/main/java/reedmux/control/rpc/ConsensusSerializer.java
+++ b/src/main/java/reedmux/control/rpc/ConsensusSerializer.java
@@ -12,14 +12,14 @@
 import reedmux.control.rpc.Messages.QuorumContactResponse;
 import reedmux.control.rpc.Messages.VoteResponse;
 
-/** The forms of the messages by which stores decide on proposals, and of what they keep of them on disk. */
+/** Encodes and decodes the messages with which stores decide on proposals, and the proposals and decisions on disk. */
 final class ConsensusSerializer {
-    /** What is read in place of the ballot of a proposal from before there were ballots: lower than any of today. */
+    /** The ballot assigned to proposals written before ballots were introduced; lower than any ballot in use now. */
     private static final Ballot NO_BALLOT = new Ballot(1, "");
 
     private ConsensusSerializer() {}
 
-    /** Writes a message of this family; returns false, with nothing written, for any other. */
+    /** Writes a message of this family with its id. Returns false, and writes nothing, for any other message. */
     static boolean write(Object message, Output out) {
         if (message instanceof ProposeRequest request) {
             out.writeByte(MessageIds.PROPOSE_REQUEST);
--- a/src/main/java/reedmux/control/rpc/CoreMembershipSerializer.java
+++ b/src/main/java/reedmux/control/rpc/CoreMembershipSerializer.java
@@ -18,11 +18,11 @@
 import reedmux.control.rpc.Messages.StateTransferRequest;
 import reedmux.control.rpc.Messages.StateTransferResponse;
 
-/** The forms of the messages by which the core changes its members, and of what a store keeps of it on disk. */
+/** Encodes and decodes the messages that change the members of the core, and the core state that a store persists. */
 final class CoreMembershipSerializer {
     private CoreMembershipSerializer() {}
 
-    /** Writes a message of this family; returns false, with nothing written, for any other. */
+    /** Writes a message of this family with its id. Returns false, and writes nothing, for any other message. */
     static boolean write(Object message, Output out) {
         if (message instanceof CoreMembershipNotice notice) {
             out.writeByte(MessageIds.CORE_MEMBERSHIP_NOTICE);
@@ -75,7 +75,7 @@
                 readOptionalMembers(in));
         boolean needsValue = message.type() == EpochMessageType.ACCEPT || message.acceptedBallot() != null;
         if (needsValue && message.value() == null) {
-            throw new KryoException("an epoch message without the value to accept");
+            throw new KryoException("epoch message has no value to accept");
         }
         return message;
     }
@@ -97,7 +97,7 @@
                 in.readBoolean());
     }
 
-    /** The lists of voters have no size of their own: there is one for each pending proposal of the update. */
+    /** The number of voter lists is not written: there is one list for each pending proposal of the update. */
     private static void writeStateTransfer(StateTransferResponse response, Output out) {
         out.writeLong(response.epoch());
         ReplicationSerializer.writeUpdate(response.update(), out);
@@ -116,7 +116,7 @@
         return new StateTransferResponse(epoch, update, votersByProposal);
     }
 
-    /** Writes the number of members and one, or 0 for null, then the epoch and each member's ip and name. */
+    /** Writes the number of members plus one, followed by the epoch and the IP and name of each member; 0 for null. */
     private static void writeOptionalMembers(CoreMembers members, Output out) {
         if (members == null) {
             out.writeVarInt(0, true);
@@ -140,7 +140,7 @@
         for (int i = 1; i < sizePlusOne; i++) {
             String ip = in.readString();
             if (SocketAddresses.parse(ip + ":1") == null) {
-                throw new KryoException("not the ip of a core member: " + ip);
+                throw new KryoException("invalid IP address of a core member: " + ip);
             }
             nodeNames.put(ip, in.readString());
         }
--- a/src/main/java/reedmux/control/rpc/InstanceSerializer.java
+++ b/src/main/java/reedmux/control/rpc/InstanceSerializer.java
@@ -13,11 +13,11 @@
 import reedmux.control.session.ProxySession;
 import reedmux.control.session.SessionChanges;
 
-/** The forms of the messages about instances, their owners, and the sessions of proxies. */
+/** Encodes and decodes the messages about instances, their owners, and the sessions of proxies. */
 final class InstanceSerializer {
     private InstanceSerializer() {}
 
-    /** Writes a message of this family; returns false, with nothing written, for any other. */
+    /** Writes a message of this family with its id. Returns false, and writes nothing, for any other message. */
     static boolean write(Object message, Output out) {
         if (message instanceof MembershipUpdate update) {
             out.writeByte(MessageIds.MEMBERSHIP_UPDATE);
--- a/src/main/java/reedmux/control/rpc/ListSerializer.java
+++ b/src/main/java/reedmux/control/rpc/ListSerializer.java
@@ -5,14 +5,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The forms of lists of plain values: the size as a varint, then the elements. */
+/** Encodes and decodes lists of strings and numbers: the size as a varint, followed by the elements. */
 final class ListSerializer {
-    /** A larger list grows as its elements are read, so that a corrupt size allocates no more than this. */
+    /**
+     * Maximum number of elements allocated in advance, so that a corrupt size cannot exhaust the heap. A larger list
+     * grows while its elements are read.
+     */
     private static final int MAX_INITIAL_CAPACITY = 1024;
 
     private ListSerializer() {}
 
-    /** Returns an empty list with room for as many elements as a frame announces, within reason. */
+    /** Returns an empty list with the announced capacity, limited to {@link #MAX_INITIAL_CAPACITY}. */
     static <T> ArrayList<T> newList(int announcedSize) {
         return new ArrayList<>(Math.min(announcedSize, MAX_INITIAL_CAPACITY));
     }
@@ -33,7 +36,7 @@
         return strings;
     }
 
-    /** Writes integers, each as a varint. */
+    /** Writes each integer as a varint. */
     static void writeInts(List<Integer> numbers, Output out) {
         out.writeVarInt(numbers.size(), true);
         for (int number : numbers) {
@@ -50,7 +53,7 @@
         return numbers;
     }
 
-    /** Writes long integers, each in eight bytes, as digests use them all. */
+    /** Writes each number as eight bytes, because digests use all 64 bits. */
     static void writeLongs(List<Long> numbers, Output out) {
         out.writeVarInt(numbers.size(), true);
         for (long number : numbers) {
--- a/src/main/java/reedmux/control/rpc/MessageCodec.java
+++ b/src/main/java/reedmux/control/rpc/MessageCodec.java
@@ -4,14 +4,15 @@
 import com.esotericsoftware.kryo.io.Output;
 
 /**
- * Encodes and decodes messages, for connections, datagrams and disks. An encoded message is its id from
- * {@link MessageIds} and then its fields, in Kryo's primitive encoding and in the order in which the serializer of its
- * family reads and writes them. A change to any form requires another {@link Messages#FORMAT_VERSION}.
+ * Encodes and decodes the messages sent over connections and in datagrams, and the records on disk. An encoded message
+ * consists of its id from {@link MessageIds} and its fields, in Kryo's primitive encoding and in the order in which the
+ * serializer of its family writes and reads them. Any change to an encoding requires a new
+ * {@link Messages#FORMAT_VERSION}.
  *
- * <p>Forms are written out by hand, and Kryo's class registry is not used: building it, and looking up the fields by
- * reflection, costs 0.1 s of CPU at each start of a program, and a lambda per form 0.01 s.
+ * <p>The serializers are written by hand instead of using Kryo's class registry. Building the registry and looking up
+ * fields by reflection takes 0.1 s of CPU time at each start of a program, and a lambda per message type takes 0.01 s.
  *
- * <p>Not thread-safe: an instance belongs to one thread, as it reuses its output buffer.
+ * <p>Not thread-safe: each instance is used by a single thread, because it reuses its output buffer.
  */
 public final class MessageCodec {
     static final int INITIAL_BUFFER_BYTES = 1024;
@@ -21,17 +22,17 @@
      * Returns the encoded form of a message.
      *
      * @param message one of {@link Messages}, an epoch message of the core or a quota update
-     * @throws IllegalArgumentException if the object is no message
+     * @throws IllegalArgumentException if the object is not a message
      */
     public byte[] encode(Object message) {
         out.reset();
         if (!write(message)) {
-            throw new IllegalArgumentException("not a message: " + message.getClass());
+            throw new IllegalArgumentException("not a message type: " + message.getClass());
         }
         return out.toBytes();
     }
 
-    /** The families in the order of how often a program sends them. */
+    /** Tries the message families in descending order of how frequently a program sends them. */
     private boolean write(Object message) {
         return QuotaUpdateSerializer.write(message, out)
                 || ConnectionSerializer.write(message, out)
@@ -42,7 +43,7 @@
                 || OperatorSerializer.write(message, out);
     }
 
-    /** Like {@link #decode}, but returns null where the bytes are not a message. */
+    /** Like {@link #decode}, but returns null if the bytes are not a valid message. */
     public Object decodeOrNull(byte[] bytes) {
         try {
             return decode(bytes);
@@ -52,21 +53,21 @@
     }
 
     /**
-     * Returns the message that the bytes encode, which have to hold nothing besides.
+     * Decodes a message. The bytes must contain exactly one message and nothing else.
      *
-     * @throws MessageDecodingException if they are not one whole message; it names the offset and the reason
+     * @throws MessageDecodingException if the bytes are not exactly one valid message; states the offset and the reason
      */
     public Object decode(byte[] bytes) throws MessageDecodingException {
         Input in = new RpcFrame(bytes);
         Object message;
         try {
             message = read(in);
-        } catch (RuntimeException e) { // Kryo's own, and those of values that violate the invariants of their type
+        } catch (RuntimeException e) { // thrown by Kryo, or by constructors whose arguments violate an invariant
             throw new MessageDecodingException(in.position(), e);
         }
         if (in.position() != bytes.length) {
             throw new MessageDecodingException(
-                    in.position(), bytes.length - in.position() + " bytes follow the message");
+                    in.position(), bytes.length - in.position() + " trailing bytes after the message");
         }
         return message;
     }
--- a/src/main/java/reedmux/control/rpc/MessageDecodingException.java
+++ b/src/main/java/reedmux/control/rpc/MessageDecodingException.java
@@ -1,8 +1,8 @@
 package reedmux.control.rpc;
 
 /**
- * Thrown where bytes are not a message: they are truncated, corrupt or of a form that this version does not know. It
- * carries no stack trace, as peers cause it at will.
+ * Thrown if bytes are not a valid message, because they are truncated, corrupt or in a format unknown to this version.
+ * It has no stack trace, because any peer can cause it as often as it likes.
  */
 public final class MessageDecodingException extends Exception {
     private static final long serialVersionUID = 1L;
@@ -22,7 +22,7 @@
         return "at byte " + offset + ": " + problem;
     }
 
-    /** Returns how many bytes had been read when the problem was found. */
+    /** Returns the number of bytes that had been read when the error was detected. */
     public int offset() {
         return offset;
     }
--- a/src/main/java/reedmux/control/rpc/MessageIds.java
+++ b/src/main/java/reedmux/control/rpc/MessageIds.java
@@ -1,8 +1,8 @@
 package reedmux.control.rpc;
 
 /**
- * The byte that each encoded message starts with, on the wire and on disk. An id stands for one form for good: a form
- * that changes gets another id, as disks may hold what was written under the old one.
+ * The ids of the message encodings. An id is the first byte of an encoded message, on the wire and on disk. An id is
+ * never reused: a changed encoding gets a new id, because disks may contain messages written with the old one.
  */
 final class MessageIds {
     static final byte HELLO = 0;
@@ -37,15 +37,15 @@
     static final byte DIGEST_MISMATCH = 63;
     static final byte STORE_STATUS_REQUEST = 70;
 
-    // Forms that only disks of earlier versions hold: they are read and never written.
+    // Encodings that occur only on disks written by earlier versions. They are decoded, but never written.
 
-    /** A configuration update without the pending proposals. */
+    /** A configuration update that does not include the pending proposals. */
     static final byte CONFIGURATION_UPDATE_WITHOUT_PROPOSALS = 3;
-    /** A proposal record from before proposals carried ballots. */
+    /** A proposal record written before proposals had ballots. */
     static final byte PROPOSAL_RECORD_WITHOUT_BALLOT = 8;
-    /** A decision from before proposals carried ballots. */
+    /** A decision written before proposals had ballots. */
     static final byte DECISION_NOTICE_WITHOUT_BALLOT = 10;
-    /** A proposal record from before there was a precommit phase. */
+    /** A proposal record written before the precommit phase was introduced. */
     static final byte PROPOSAL_RECORD_WITHOUT_PRECOMMIT = 15;
 
     private MessageIds() {}
--- a/src/main/java/reedmux/control/rpc/Messages.java
+++ b/src/main/java/reedmux/control/rpc/Messages.java
@@ -15,17 +15,18 @@
 import reedmux.control.session.SessionChanges;
 
 /**
- * The messages that proxies, registries and stores exchange, and the records that they keep on disk. Their encoded
- * forms are in the serializers of this package; a class name is never a part of them.
+ * The messages that proxies, registries and stores exchange, and the records that they persist on disk. The serializers
+ * of this package define their encodings, which never contain a class name.
  *
- * <p>Replication is by pulling. A process numbers its changes, and a reader names the last one that it has, together
- * with the incarnation of the process whose numbers these are: every start of a process draws another incarnation and
- * begins to count anew. A request is answered as soon as there is a change behind that number.
+ * <p>Replication is pull-based. A process numbers its changes. A follower requests the changes after the last one that
+ * it has received, and states the incarnation of the process that assigned the number, because each start of a process
+ * chooses a new incarnation and restarts the numbering. The response is sent as soon as there is a later change (long
+ * polling).
  *
- * <p>An {@code id} in a request comes back in its response.
+ * <p>The {@code id} of a request is returned in its response.
  */
 public final class Messages {
-    /** The version of the encoded forms; a connection to a process with another one is closed. */
+    /** The version of all message encodings; a connection to a process with a different version is closed. */
     public static final int FORMAT_VERSION = 4;
 
     private Messages() {}
@@ -33,11 +34,11 @@
     // ---- Connections --------------------------------------------------------------------------------
 
     /**
-     * The first message in each direction: who the sender is.
+     * The first message in each direction, which identifies the sender.
      *
      * @param program {@code proxy}, {@code registry} or {@code store}
-     * @param incarnation drawn at the start of the sender's process
-     * @param coreIps the machines of the core that the sender knows of
+     * @param incarnation identifies the sender's process; chosen when the process starts
+     * @param coreIps the IP addresses of the core members that the sender knows
      */
     public record Hello(
             int formatVersion,
@@ -53,25 +54,26 @@
         }
     }
 
-    /** Sent where there is nothing else to send, so that the peer does not time the connection out. */
+    /** Sent on an idle connection, so that it does not time out at the peer. */
     public record KeepAlive() {}
 
     // ---- Replication of the configuration: store to store, and store to proxy -----------------------
 
     /**
-     * Asks a store for configuration changes, or a registry for membership changes.
+     * Requests configuration changes from a store, or membership changes from a registry.
      *
-     * @param incarnation whose numbers {@code sinceChange} is from; where it is not the receiver's, all is sent
-     * @param sinceChange the last change that the sender has
+     * @param incarnation the process that assigned {@code sinceChange}; if it is not the receiver, everything is sent
+     * @param sinceChange the number of the last change that the sender has received
      */
     public record ChangesRequest(long incarnation, long sinceChange) {}
 
     /**
-     * Committed items of a store: the response to a {@link ChangesRequest}, and the last message of a snapshot.
+     * Contains committed items of a store. It is the response to a {@link ChangesRequest}, and the last message of a
+     * snapshot.
      *
-     * @param upToChange the number of the last change that is contained
-     * @param complete whether the sender has everything that was ever acknowledged
-     * @param pendingProposals to another store, the proposals that are not decided yet; to a proxy, none
+     * @param upToChange the number of the last change that is included
+     * @param complete whether the sender has every change that was ever acknowledged
+     * @param pendingProposals the undecided proposals if the receiver is a store; empty if it is a proxy
      */
     public record ConfigurationUpdate(
             long incarnation,
@@ -86,7 +88,10 @@
         }
     }
 
-    /** Revisions that were taken and superseded; sent by a store to another ahead of the items, and kept on disk. */
+    /**
+     * Revisions that were committed and have been superseded. A store sends them to other stores before the items, and
+     * persists them on disk.
+     */
     public record WatermarkUpdate(List<Watermark> watermarks) {
         /** Copies the list. */
         public WatermarkUpdate {
@@ -94,14 +99,18 @@
         }
     }
 
-    /** Tells a proxy that it has everything that was committed when it began to pull: a quorum was reached since. */
+    /**
+     * Notifies a proxy that it has received everything that was committed when it started to pull: the store has
+     * contacted a quorum since then.
+     */
     public record CaughtUpNotice() {}
 
     /**
-     * A part of a snapshot that is too large for one message; the receiver applies the parts together, with the
-     * {@link ConfigurationUpdate} that ends them.
+     * A part of a snapshot that is too large for one message. The receiver buffers the chunks and applies them together
+     * with the final {@link ConfigurationUpdate}.
      *
-     * @param upToChange the last change that is contained; negative where the items are those of differing digests
+     * @param upToChange the number of the last change that is included; negative if the chunk contains the items of key
+     *     ranges whose digests differ
      */
     public record SnapshotChunk(long incarnation, long upToChange, List<ConfigurationItem> items) {
         /** Copies the list. */
@@ -110,15 +119,16 @@
         }
     }
 
-    /** Asks for the next chunk of a snapshot; what came since {@code sinceChange} is not applied yet. */
+    /** Requests the next chunk of a snapshot; the chunks up to {@code sinceChange} are received but not applied yet. */
     public record SnapshotChunkRequest(long incarnation, long sinceChange) {}
 
     /**
-     * Starts an anti-entropy repair in place of a {@link ChangesRequest}, where the sender has items but does not know
-     * the receiver's incarnation.
+     * Starts an anti-entropy repair. It is sent instead of a {@link ChangesRequest} if the sender has items but does
+     * not know the receiver's incarnation.
      *
-     * @param ranges empty: the digests are those of the coarse key ranges; else those of the fine ones within these
-     * @param digests of everything that the sender has
+     * @param ranges the coarse key ranges whose fine ranges the digests cover; empty if the digests are those of the
+     *     coarse key ranges themselves
+     * @param digests the digests of everything that the sender has in these ranges
      */
     public record DigestRequest(List<Integer> ranges, List<Long> digests) {
         /** Copies the lists. */
@@ -128,7 +138,7 @@
         }
     }
 
-    /** The coarse key ranges whose digests differ; the receiver then sends those of the fine ranges within them. */
+    /** Lists the coarse key ranges whose digests differ; the receiver replies with the digests of their fine ranges. */
     public record DigestMismatch(List<Integer> ranges) {
         /** Copies the list. */
         public DigestMismatch {
@@ -139,9 +149,9 @@
     // ---- Consensus on the configuration: store to store ---------------------------------------------
 
     /**
-     * Asks another store to accept a proposal.
+     * Requests another store to accept a proposal.
      *
-     * @param epoch of the core whose quorum the sender counts
+     * @param epoch the epoch of the core in which the sender counts a quorum
      */
     public record ProposeRequest(long epoch, Proposal proposal) {}
 
@@ -149,9 +159,10 @@
     public record VoteResponse(String proposalId, Ballot ballot, Vote vote) {}
 
     /**
-     * The outcome of a proposal, also as it is kept on disk.
+     * The decision on a proposal; also persisted on disk.
      *
-     * @param committed the items are committed; else the proposal is dropped, unless a higher ballot has been accepted
+     * @param committed true if the items are committed; false if the proposal is dropped, unless it has been accepted
+     *     under a higher ballot
      */
     public record DecisionNotice(String proposalId, Ballot ballot, boolean committed, List<ConfigurationItem> items) {
         /** Copies the list. */
@@ -160,50 +171,52 @@
         }
     }
 
-    /** A proposal that a store has accepted, as it is kept on disk. */
+    /** The disk record of a proposal that a store has accepted. */
     public record ProposalRecord(Proposal proposal) {}
 
     /**
-     * Asks another store whether it can be reached, over the connection on which the sender pulls from it.
+     * Requests confirmation that another store is reachable, on the connection on which the sender pulls from it.
      *
-     * @param afterPendingDecisions the response waits until the proposals that are pending now are decided
+     * @param afterPendingDecisions whether the response is delayed until the currently pending proposals are decided
      */
     public record QuorumContactRequest(long epoch, long id, boolean afterPendingDecisions) {}
 
-    /** Sent by a complete store, after everything that is committed there. */
+    /** Sent by a complete store, after everything that was committed there when it confirmed the contact. */
     public record QuorumContactResponse(long id) {}
 
     // ---- Membership of the core: store to store, and store to registry and proxy ---------------------
 
     /**
-     * The core as a store knows it.
+     * Announces the core that a store knows.
      *
-     * @param core null where the store does not know it
-     * @param ready the store has everything and would join
-     * @param fenced a change of the core is in progress at the store, which does not vote until that is decided
+     * @param core the core; null if the store does not know it
+     * @param ready whether the store is up to date and is a candidate for joining the core
+     * @param fenced whether a change of the core is in progress at the store, which does not vote until it is decided
      */
     public record CoreMembershipNotice(CoreMembers core, boolean ready, boolean fenced) {}
 
-    /** What a store keeps of the core on its disk. */
+    /** The disk record of the core membership state of a store. */
     public record CoreStateRecord(PersistentCoreState state) {}
 
-    /** Asks a fenced store for everything that it has behind a change of its incarnation. */
+    /** Requests everything that a fenced store has after the given change of the given incarnation. */
     public record StateTransferRequest(long epoch, long incarnation, long sinceChange) {}
 
     /**
      * The response to a {@link StateTransferRequest}.
      *
-     * @param votersByProposal for each pending proposal of the update, the proposers that the sender has voted for
+     * @param votersByProposal for each pending proposal of the update, the proposers for which the sender has voted
      */
     public record StateTransferResponse(long epoch, ConfigurationUpdate update, List<List<String>> votersByProposal) {}
 
     // ---- Instances and sessions: registry to registry, and registry to proxy --------------------------
 
     /**
-     * What has changed at a registry: the response to a {@link ChangesRequest}.
+     * Contains the changes at a registry: the response to a {@link ChangesRequest}.
      *
-     * @param owners to another registry, the registry processes that the instances call; to a proxy, none
-     * @param sessions to another registry, the sender's own ones; to a proxy, those of the merged view
+     * @param owners the registry processes to which the instances send their heartbeats, if the receiver is a registry;
+     *     empty if it is a proxy
+     * @param sessions changes to the sender's own sessions if the receiver is a registry; changes to the sessions
+     *     of the merged view if it is a proxy
      */
     public record MembershipUpdate(
             long incarnation,
@@ -218,7 +231,7 @@
         }
     }
 
-    /** Incarnations that the receiver is to acknowledge; also as a registry keeps them on disk. */
+    /** Incarnations that the receiver must acknowledge; a registry also persists them on disk in this form. */
     public record IncarnationNotice(long id, List<InstanceIncarnation> instances) {
         /** Copies the list. */
         public IncarnationNotice {
@@ -229,7 +242,7 @@
     /** Acknowledges the incarnations of one {@link IncarnationNotice}. */
     public record IncarnationAck(long id) {}
 
-    /** The heartbeat counters of registry processes, as far as the sender has seen them; proxies forward them. */
+    /** The latest heartbeat counters of registry processes that the sender has seen; proxies forward them. */
     public record RegistryHeartbeats(List<RegistryHeartbeat> heartbeats) {
         /** Copies the list. */
         public RegistryHeartbeats {
@@ -237,42 +250,42 @@
         }
     }
 
-    // ---- Calls of the operator: registry to store, and store to store ---------------------------------
+    // ---- Operator requests: registry to store, and store to store -------------------------------------
 
-    /** A call that changes items; the body is its JSON. */
+    /** An operator request that changes items; the body is the JSON document of the request. */
     public record ConfigurationChangeRequest(long id, String body) {}
 
-    /** A call that reads all items. */
+    /** An operator request that reads all items. */
     public record ConfigurationReadRequest(long id) {}
 
     /**
-     * Asks a store what it knows; it responds in JSON, also where it cannot reach a quorum.
+     * Requests the status of a store. The store responds in JSON, even if it cannot reach a quorum.
      *
-     * @param subject what to report on, as in {@code Show.Items}
-     * @param afterName the entries start behind this name; empty for the first ones
-     * @param limit the most entries to return
+     * @param subject the subject of the report, for example {@code items} for {@code Show.Items}
+     * @param afterName only entries after this name are returned; empty to start with the first entry
+     * @param limit the maximum number of entries to return
      */
     public record StoreStatusRequest(long id, String subject, String afterName, int limit) {}
 
     /**
-     * A call that removes a member from the core. Under the id {@link #REMOVAL_ORDER_ID} it is the leader's word to the member
-     * itself, which is not responded to.
+     * An operator request to remove a member from the core. With the id {@link #REMOVAL_ORDER_ID} it is the order that
+     * the leader sends to the member itself, which is not answered.
      */
     public record CoreRemovalRequest(long id, String node) {
-        /** Calls of operators have ids from 1 on. */
+        /** Marks a removal order; the ids of operator requests start at 1. */
         private static final long REMOVAL_ORDER_ID = 0;
 
-        /** The leader's word to a member. */
+        /** Returns the leader's order to a member to leave the core. */
         public static CoreRemovalRequest removalOrder(String node) {
             return new CoreRemovalRequest(REMOVAL_ORDER_ID, node);
         }
 
-        /** Whether it is the leader's word to the member itself. */
+        /** Returns whether this is the leader's order to the member itself. */
         public boolean isRemovalOrder() {
             return id == REMOVAL_ORDER_ID;
         }
     }
 
-    /** The HTTP status and body that the operator is to receive. */
+    /** The HTTP status and body of the response to the operator. */
     public record OperatorResponse(long id, int status, String body) {}
 }
--- a/src/main/java/reedmux/control/rpc/OperatorSerializer.java
+++ b/src/main/java/reedmux/control/rpc/OperatorSerializer.java
@@ -8,11 +8,11 @@
 import reedmux.control.rpc.Messages.OperatorResponse;
 import reedmux.control.rpc.Messages.StoreStatusRequest;
 
-/** The forms of the operator's calls, as registries forward them to stores, and of their responses. */
+/** Encodes and decodes the operator requests that registries forward to stores, and the responses to them. */
 final class OperatorSerializer {
     private OperatorSerializer() {}
 
-    /** Writes a message of this family; returns false, with nothing written, for any other. */
+    /** Writes a message of this family with its id. Returns false, and writes nothing, for any other message. */
     static boolean write(Object message, Output out) {
         if (message instanceof ConfigurationChangeRequest request) {
             out.writeByte(MessageIds.CONFIGURATION_CHANGE_REQUEST);
--- a/src/main/java/reedmux/control/rpc/QuotaUpdateSerializer.java
+++ b/src/main/java/reedmux/control/rpc/QuotaUpdateSerializer.java
@@ -6,14 +6,14 @@
 import reedmux.common.quota.QuotaUpdate;
 import reedmux.common.quota.QuotaUpdate.TenantTotal;
 
-/** The form of the datagrams by which proxies count the use of quotas together. */
+/** Encodes and decodes the datagrams in which proxies exchange the usage of tenant quotas. */
 final class QuotaUpdateSerializer {
-    /** More proxies than any system has; a larger number is corrupt. */
+    /** Upper bound on the number of proxies in any system; an update with a larger number is rejected as corrupt. */
     private static final int MAX_REACHABLE_MEMBERS = 1 << 20;
 
     private QuotaUpdateSerializer() {}
 
-    /** Writes a quota update; returns false, with nothing written, for any other message. */
+    /** Writes a quota update with its id. Returns false, and writes nothing, for any other message. */
     static boolean write(Object message, Output out) {
         if (!(message instanceof QuotaUpdate update)) {
             return false;
--- a/src/main/java/reedmux/control/rpc/ReplicationSerializer.java
+++ b/src/main/java/reedmux/control/rpc/ReplicationSerializer.java
@@ -12,11 +12,11 @@
 import reedmux.control.rpc.Messages.SnapshotChunkRequest;
 import reedmux.control.rpc.Messages.WatermarkUpdate;
 
-/** The forms of the messages that replicate the configuration: updates, snapshots, digests and watermarks. */
+/** Encodes and decodes the messages that replicate the configuration: updates, snapshots, digests and watermarks. */
 final class ReplicationSerializer {
     private ReplicationSerializer() {}
 
-    /** Writes a message of this family; returns false, with nothing written, for any other. */
+    /** Writes a message of this family with its id. Returns false, and writes nothing, for any other message. */
     static boolean write(Object message, Output out) {
         if (message instanceof ChangesRequest request) {
             out.writeByte(MessageIds.CHANGES_REQUEST);
@@ -75,7 +75,7 @@
         };
     }
 
-    /** Writes an update without its id, as state transfers carry one, too. */
+    /** Writes an update without its message id, because state transfer responses also contain an update. */
     static void writeUpdate(ConfigurationUpdate update, Output out) {
         out.writeLong(update.incarnation());
         out.writeLong(update.upToChange());
--- a/src/main/java/reedmux/control/rpc/RpcFrame.java
+++ b/src/main/java/reedmux/control/rpc/RpcFrame.java
@@ -4,11 +4,12 @@
 import com.esotericsoftware.kryo.io.Input;
 
 /**
- * The bytes of one message from an untrusted sender. Kryo allocates room for a string before it looks whether the frame
- * has as many bytes, so a corrupt length could exhaust the heap; here such a length is rejected first.
+ * An input over the bytes of one message from an untrusted sender. Kryo allocates the buffer of a string before it
+ * checks that the frame contains that many bytes, so a corrupt length could exhaust the heap. This class rejects such a
+ * length before anything is allocated.
  */
 final class RpcFrame extends Input {
-    /** Far above any count of requests or tokens that a proxy reports. */
+    /** Maximum absolute value of a count; far above any number of requests or tokens that a proxy reports. */
     private static final double MAX_COUNT = 1e15;
 
     RpcFrame(byte[] bytes) {
@@ -23,7 +24,8 @@
             int length = readVarIntFlag(true) - 1;
             int remaining = limit() - position();
             if (length < 0 || length > remaining) {
-                throw new KryoException("a string of " + length + " characters in " + remaining + " bytes");
+                throw new KryoException(
+                        "string length " + length + " is invalid with " + remaining + " bytes remaining");
             }
         }
         setPosition(start);
@@ -31,31 +33,31 @@
     }
 
     /**
-     * Returns a number that has to lie within bounds, both included.
+     * Returns the number if it is in the given range, both bounds included.
      *
-     * @throws KryoException if it does not
+     * @throws KryoException if the number is out of range
      */
     static long requireInRange(long min, long number, long max) {
         if (number < min || number > max) {
-            throw new KryoException(number + " is not from " + min + " to " + max);
+            throw new KryoException(number + " is not in the range from " + min + " to " + max);
         }
         return number;
     }
 
     /**
-     * Returns a count that has to be a number, and not larger than any that is sent.
+     * Returns the number if it is finite and its absolute value is at most {@link #MAX_COUNT}.
      *
-     * @throws KryoException if it is not
+     * @throws KryoException if the number is infinite, NaN or too large
      */
     static double requireFinite(double number) {
         if (!(Math.abs(number) <= MAX_COUNT)) {
-            throw new KryoException(number + " is not a finite count");
+            throw new KryoException(number + " is not a finite count in the supported range");
         }
         return number;
     }
 
-    /** Returns the exception for a message id that no form has. */
+    /** Returns the exception for an unknown message id. */
     static KryoException unknownId(byte id) {
-        return new KryoException("no message has the id " + id);
+        return new KryoException("unknown message id " + id);
     }
 }
--- a/src/main/java/reedmux/control/rpc/package-info.java
+++ b/src/main/java/reedmux/control/rpc/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Connections between proxies, registries and stores: the messages, their encoded forms, and connections that are kept
- * alive, timed out and opened again. Everything but the codec runs on the reactor's thread.
+ * RPC between proxies, registries and stores: the message types, their serialization, and connections with handshake,
+ * keep-alive, receive timeout and automatic reconnection. All classes except the codec are confined to the reactor
+ * thread.
  */
 package reedmux.control.rpc;
--- a/src/test/java/reedmux/control/rpc/MessageCodecTest.java
+++ b/src/test/java/reedmux/control/rpc/MessageCodecTest.java
@@ -28,7 +28,7 @@
 import reedmux.control.session.ProxySession;
 import reedmux.control.session.SessionChanges;
 
-/** Every message encoded and decoded, and bytes that are no message. */
+/** Tests that every message can be encoded and decoded, and that invalid bytes are rejected. */
 public class MessageCodecTest {
     private static final ConfigurationItem ITEM = new ConfigurationItem("routes", "r", 7, "{\"host\":\"h\"}");
     private static final InstanceIncarnation INCARNATION =
@@ -93,7 +93,7 @@
         for (Object message : allMessages()) {
             byte[] bytes = codec.encode(message);
             for (int end = 0; end < bytes.length; end++) {
-                assertNull(codec.decodeOrNull(Arrays.copyOf(bytes, end)), message + " cut at " + end);
+                assertNull(codec.decodeOrNull(Arrays.copyOf(bytes, end)), message + " truncated to length " + end);
             }
             assertNull(codec.decodeOrNull(Arrays.copyOf(bytes, bytes.length + 1)));
         }
@@ -105,7 +105,7 @@
     }
 
     @Test
-    public void decodingErrorsNameTheOffsetAndTheCause() {
+    public void decodingErrorsStateOffsetAndCause() {
         MessageCodec codec = new MessageCodec();
         byte[] bytes = codec.encode(new Messages.IncarnationAck(9));
         MessageDecodingException truncated =
@@ -114,13 +114,13 @@
         MessageDecodingException tooLong =
                 expectThrows(MessageDecodingException.class, () -> codec.decode(Arrays.copyOf(bytes, 11)));
         assertEquals(tooLong.offset(), 9);
-        assertEquals(tooLong.getMessage(), "at byte 9: 2 bytes follow the message");
+        assertEquals(tooLong.getMessage(), "at byte 9: 2 trailing bytes after the message");
         MessageDecodingException unknown =
                 expectThrows(MessageDecodingException.class, () -> codec.decode(new byte[] {99, 1}));
-        assertEquals(unknown.getMessage(), "at byte 1: no message has the id 99");
+        assertEquals(unknown.getMessage(), "at byte 1: unknown message id 99");
     }
 
-    /** A length of a string that the frame cannot hold, in place of the real one. */
+    /** Replaces the length of a string by an invalid one that the frame cannot hold. */
     @Test
     public void rejectsStringLengthsBeyondTheFrame() {
         MessageCodec codec = new MessageCodec();
@@ -129,11 +129,11 @@
             out.writeByte(codec.encode(new Messages.ConfigurationChangeRequest(5, "x"))[0]);
             out.writeLong(5);
             out.writeVarIntFlag(true, length, true);
-            assertNull(codec.decodeOrNull(out.toBytes()), "a string of " + length);
+            assertNull(codec.decodeOrNull(out.toBytes()), "string length " + length);
         }
     }
 
-    /** Every flip of one bit in every message is rejected, or decoded to a message within its bounds. */
+    /** Flips each bit of every message: the result is rejected, or is decoded to a message with valid values. */
     @Test
     public void survivesEverySingleBitFlip() {
         MessageCodec codec = new MessageCodec();
@@ -143,11 +143,11 @@
             for (int bit = 0; bit < 8 * bytes.length; bit++) {
                 byte[] flipped = bytes.clone();
                 flipped[bit / 8] ^= (byte) (1 << bit % 8);
-                Object read = codec.decodeOrNull(flipped);
-                if (read instanceof QuotaUpdate update) {
+                Object decoded = codec.decodeOrNull(flipped);
+                if (decoded instanceof QuotaUpdate update) {
                     update.entries().forEach(entry -> assertEquals(entry.total() - entry.total(), 0.0));
                     assertEquals(update.reachableMembers() < 0, false);
-                } else if (read instanceof Messages.IncarnationNotice notice) {
+                } else if (decoded instanceof Messages.IncarnationNotice notice) {
                     notice.instances()
                             .forEach(instance -> assertEquals(
                                     instance.phase() >= InstanceIncarnation.READY
@@ -158,6 +158,6 @@
                 flips++;
             }
         }
-        assertEquals(flips > 3000, true, flips + " flips");
+        assertEquals(flips > 3000, true, flips + " bits were flipped");
     }
 }
