--- a/src/test/java/reedmux/control/rpc/RpcCompatibilityTest.java
+++ b/src/test/java/reedmux/control/rpc/RpcCompatibilityTest.java
@@ -15,7 +15,7 @@
 import reedmux.common.eventloop.ScriptedEnvironment;
 import reedmux.compatibility.FixtureFiles;
 
-/** Frames that an earlier version sent are understood, and this version sends the same bytes. */
+/** Tests that frames sent by an earlier version are decoded, and that this version encodes them to the same bytes. */
 public class RpcCompatibilityTest {
     private static final int LENGTH_BYTES = 4;
 
@@ -24,7 +24,7 @@
     }
 
     @Test
-    public void decodesAndEncodesEveryFrameOfTheFixture() throws IOException {
+    public void decodesAndEncodesEveryFixtureFrame() throws IOException {
         MessageCodec codec = new MessageCodec();
         Map<String, byte[]> frames = FixtureFiles.readFrames("rpc-frames.txt");
         Map<String, Object> expected = RpcFixtures.messages();
@@ -47,44 +47,45 @@
         }
     }
 
-    /** A message type that is added later needs a frame in the fixture. */
+    /** Fails if a message type is added without adding a frame to the fixture. */
     @Test
     public void fixtureCoversEveryMessageType() {
         Set<Class<?>> covered = new HashSet<>();
         RpcFixtures.messages().values().forEach(message -> covered.add(message.getClass()));
         for (Class<?> type : Messages.class.getDeclaredClasses()) {
-            assertTrue(!type.isRecord() || covered.contains(type), type + " is in no fixture");
+            assertTrue(!type.isRecord() || covered.contains(type), type + " has no frame in the fixture");
         }
     }
 
     @Test
     public void connectionDispatchesEveryFixtureFrame() throws IOException {
-        ScriptedEnvironment sockets = new ScriptedEnvironment();
-        List<Object> told = new ArrayList<>();
-        RpcConnection.RpcConnectionHandler owner = new RpcConnection.RpcConnectionHandler() {
+        ScriptedEnvironment environment = new ScriptedEnvironment();
+        List<Object> received = new ArrayList<>();
+        RpcConnection.RpcConnectionHandler handler = new RpcConnection.RpcConnectionHandler() {
             @Override
-            public void onConnected(RpcConnection link) {
-                told.add(link.peer());
+            public void onConnected(RpcConnection connection) {
+                received.add(connection.peer());
             }
 
             @Override
-            public void onMessage(RpcConnection link, Object message) {
-                told.add(message);
+            public void onMessage(RpcConnection connection, Object message) {
+                received.add(message);
             }
 
             @Override
-            public void onDisconnected(RpcConnection link) {
-                throw new AssertionError("refused behind " + told);
+            public void onDisconnected(RpcConnection connection) {
+                throw new AssertionError("connection closed after " + received);
             }
         };
-        Messages.Hello self =
+        Messages.Hello localHello =
                 new Messages.Hello(Messages.FORMAT_VERSION, "proxy", "edge-1", "10.1.0.1", "a", 5, List.of());
-        RpcConnection.accept(sockets.reactor(), new MessageCodec(), self, sockets.acceptConnection(), owner);
+        RpcConnection.accept(
+                environment.reactor(), new MessageCodec(), localHello, environment.acceptConnection(), handler);
         for (byte[] frame : FixtureFiles.readFrames("rpc-frames.txt").values()) {
-            sockets.sockets.get(0).receive(new String(frame, StandardCharsets.ISO_8859_1));
+            environment.sockets.get(0).receive(new String(frame, StandardCharsets.ISO_8859_1));
         }
         List<Object> expected = new ArrayList<>(RpcFixtures.messages().values());
-        expected.remove(new Messages.KeepAlive()); // answered by the connection itself
-        assertEquals(told, expected);
+        expected.remove(new Messages.KeepAlive()); // handled by the connection and not passed to the handler
+        assertEquals(received, expected);
     }
 }
--- a/src/test/java/reedmux/control/rpc/RpcFixtures.java
+++ b/src/test/java/reedmux/control/rpc/RpcFixtures.java
@@ -23,9 +23,9 @@
 import reedmux.control.session.ProxySession;
 import reedmux.control.session.SessionChanges;
 
-/** One message of every type that the system's programs exchange, with no field at its default value. */
+/** Sample messages of every type that the system's programs exchange, with no field at its default value. */
 public final class RpcFixtures {
-    /** Longer than the texts that Kryo writes in its short form, with characters of two and three bytes. */
+    /** Longer than the strings that Kryo writes in its short encoding; contains characters of two and three bytes. */
     private static final String LONG_TEXT =
             "{\"host\":\"hügel.example\",\"note\":\"" + "€" + "0123456789".repeat(20) + "\"}";
 
@@ -51,18 +51,18 @@
 
     private RpcFixtures() {}
 
-    /** Returns every message under a name that stays the same whatever the types are called. */
+    /** Returns every message by its name in the fixture, which does not change when a type is renamed. */
     static Map<String, Object> messages() {
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put(
+        Map<String, Object> messages = new LinkedHashMap<>();
+        messages.put(
                 "hello",
                 new Messages.Hello(4, "store", "core-1", "10.0.0.1", "zone-a", -77, List.of("10.0.0.1", "10.0.0.2")));
-        all.put("ping", new Messages.KeepAlive());
-        all.put("pull", new Messages.ChangesRequest(-3, 4));
-        all.put(
+        messages.put("ping", new Messages.KeepAlive());
+        messages.put("pull", new Messages.ChangesRequest(-3, 4));
+        messages.put(
                 "configuration-update",
                 new Messages.ConfigurationUpdate(-11, 12, true, ITEMS, List.of(PREPARED, PRECOMMITTED)));
-        all.put(
+        messages.put(
                 "membership-update",
                 new Messages.MembershipUpdate(
                         -13,
@@ -70,63 +70,63 @@
                         List.of(DRAINING, READY, GONE),
                         List.of(new InstanceOwner("i-1", 900, -7)),
                         new SessionChanges(true, List.of(SESSION), List.of("edge-2", "edge-3"))));
-        all.put("change-request", new Messages.ConfigurationChangeRequest(5, LONG_TEXT));
-        all.put("read-request", new Messages.ConfigurationReadRequest(6));
-        all.put("show-request", new Messages.StoreStatusRequest(-15, "items", "routes/shop", 70_000));
-        all.put("outcome", new Messages.OperatorResponse(7, 409, LONG_TEXT));
-        all.put("propose", new Messages.ProposalRecord(PREPARED));
-        all.put("propose-precommitted", new Messages.ProposalRecord(PRECOMMITTED));
-        all.put("vote-held", new Messages.VoteResponse("call-1", BALLOT, Vote.PREPARED));
-        all.put("vote-invalid", new Messages.VoteResponse("call-1", BALLOT, Vote.INVALID));
-        all.put("vote-busy", new Messages.VoteResponse("call-1", BALLOT, Vote.BUSY));
-        all.put("vote-unable", new Messages.VoteResponse("call-1", BALLOT, Vote.UNAVAILABLE));
-        all.put("vote-passed", new Messages.VoteResponse("call-1", BALLOT, Vote.SUPERSEDED));
-        all.put("vote-conflict", new Messages.VoteResponse("call-1", BALLOT, Vote.CONFLICT));
-        all.put("vote-precommitted", new Messages.VoteResponse("call-1", BALLOT, Vote.PRECOMMITTED));
-        all.put("decided-in-force", new Messages.DecisionNotice("call-1", BALLOT, true, ITEMS));
-        all.put("decided-dropped", new Messages.DecisionNotice("call-2", LATER_BALLOT, false, List.of(ROUTE)));
-        all.put("ask", new Messages.ProposeRequest(3, PRECOMMITTED));
-        all.put("core", new Messages.CoreMembershipNotice(CORE, true, false));
-        all.put("core-fenced", new Messages.CoreMembershipNotice(CORE, false, true));
-        all.put("core-unknown", new Messages.CoreMembershipNotice(null, true, true));
-        all.put(
+        messages.put("change-request", new Messages.ConfigurationChangeRequest(5, LONG_TEXT));
+        messages.put("read-request", new Messages.ConfigurationReadRequest(6));
+        messages.put("show-request", new Messages.StoreStatusRequest(-15, "items", "routes/shop", 70_000));
+        messages.put("outcome", new Messages.OperatorResponse(7, 409, LONG_TEXT));
+        messages.put("propose", new Messages.ProposalRecord(PREPARED));
+        messages.put("propose-precommitted", new Messages.ProposalRecord(PRECOMMITTED));
+        messages.put("vote-held", new Messages.VoteResponse("call-1", BALLOT, Vote.PREPARED));
+        messages.put("vote-invalid", new Messages.VoteResponse("call-1", BALLOT, Vote.INVALID));
+        messages.put("vote-busy", new Messages.VoteResponse("call-1", BALLOT, Vote.BUSY));
+        messages.put("vote-unable", new Messages.VoteResponse("call-1", BALLOT, Vote.UNAVAILABLE));
+        messages.put("vote-passed", new Messages.VoteResponse("call-1", BALLOT, Vote.SUPERSEDED));
+        messages.put("vote-conflict", new Messages.VoteResponse("call-1", BALLOT, Vote.CONFLICT));
+        messages.put("vote-precommitted", new Messages.VoteResponse("call-1", BALLOT, Vote.PRECOMMITTED));
+        messages.put("decided-in-force", new Messages.DecisionNotice("call-1", BALLOT, true, ITEMS));
+        messages.put("decided-dropped", new Messages.DecisionNotice("call-2", LATER_BALLOT, false, List.of(ROUTE)));
+        messages.put("ask", new Messages.ProposeRequest(3, PRECOMMITTED));
+        messages.put("core", new Messages.CoreMembershipNotice(CORE, true, false));
+        messages.put("core-fenced", new Messages.CoreMembershipNotice(CORE, false, true));
+        messages.put("core-unknown", new Messages.CoreMembershipNotice(null, true, true));
+        messages.put(
                 "core-state",
                 new Messages.CoreStateRecord(new PersistentCoreState(CORE, LATER_BALLOT, BALLOT, NEXT_CORE, true)));
-        all.put(
+        messages.put(
                 "core-state-first",
                 new Messages.CoreStateRecord(new PersistentCoreState(CORE, null, null, null, false)));
-        all.put("step-prepare", new EpochMessage(EpochMessageType.PREPARE, 4, BALLOT, null, null));
-        all.put("step-promise", new EpochMessage(EpochMessageType.PROMISE, 4, LATER_BALLOT, BALLOT, NEXT_CORE));
-        all.put("step-accept", new EpochMessage(EpochMessageType.ACCEPT, 4, BALLOT, null, NEXT_CORE));
-        all.put("step-accepted", new EpochMessage(EpochMessageType.ACCEPTED, 4, BALLOT, null, null));
-        all.put("step-passed", new EpochMessage(EpochMessageType.REJECTED, 4, BALLOT, null, null));
-        all.put("fetch", new Messages.StateTransferRequest(4, -5, 6));
-        all.put(
+        messages.put("step-prepare", new EpochMessage(EpochMessageType.PREPARE, 4, BALLOT, null, null));
+        messages.put("step-promise", new EpochMessage(EpochMessageType.PROMISE, 4, LATER_BALLOT, BALLOT, NEXT_CORE));
+        messages.put("step-accept", new EpochMessage(EpochMessageType.ACCEPT, 4, BALLOT, null, NEXT_CORE));
+        messages.put("step-accepted", new EpochMessage(EpochMessageType.ACCEPTED, 4, BALLOT, null, null));
+        messages.put("step-passed", new EpochMessage(EpochMessageType.REJECTED, 4, BALLOT, null, null));
+        messages.put("fetch", new Messages.StateTransferRequest(4, -5, 6));
+        messages.put(
                 "fetched",
                 new Messages.StateTransferResponse(
                         4,
                         new Messages.ConfigurationUpdate(-1, 2, true, ITEMS, List.of(PREPARED, PRECOMMITTED)),
                         List.of(List.of("10.0.0.1", "10.0.0.2"), List.of("10.0.0.3"))));
-        all.put("leave", new Messages.CoreRemovalRequest(8, "core-1"));
-        all.put("incarnations", new Messages.IncarnationNotice(9, List.of(DRAINING, GONE)));
-        all.put("incarnations-known", new Messages.IncarnationAck(10));
-        all.put(
+        messages.put("leave", new Messages.CoreRemovalRequest(8, "core-1"));
+        messages.put("incarnations", new Messages.IncarnationNotice(9, List.of(DRAINING, GONE)));
+        messages.put("incarnations-known", new Messages.IncarnationAck(10));
+        messages.put(
                 "contacts",
                 new Messages.RegistryHeartbeats(
                         List.of(new RegistryHeartbeat(-3, 4_000_000), new RegistryHeartbeat(5, 6))));
-        all.put(
+        messages.put(
                 "watermarks",
                 new Messages.WatermarkUpdate(List.of(
                         new Watermark("routes/shop", 7, -9),
                         new Watermark("plants/p", 1L << 33, Watermark.LOW_WATERMARK))));
-        all.put("confirm", new Messages.QuorumContactRequest(2, -4, true));
-        all.put("confirmed", new Messages.QuorumContactResponse(-4));
-        all.put("current", new Messages.CaughtUpNotice());
-        all.put("piece", new Messages.SnapshotChunk(-17, -1, ITEMS));
-        all.put("resume", new Messages.SnapshotChunkRequest(-18, 19));
-        all.put("compare", new Messages.DigestRequest(List.of(1, 300), List.of(-5L, 1L << 50)));
-        all.put("differ", new Messages.DigestMismatch(List.of(2, 63)));
-        all.put(
+        messages.put("confirm", new Messages.QuorumContactRequest(2, -4, true));
+        messages.put("confirmed", new Messages.QuorumContactResponse(-4));
+        messages.put("current", new Messages.CaughtUpNotice());
+        messages.put("piece", new Messages.SnapshotChunk(-17, -1, ITEMS));
+        messages.put("resume", new Messages.SnapshotChunkRequest(-18, 19));
+        messages.put("compare", new Messages.DigestRequest(List.of(1, 300), List.of(-5L, 1L << 50)));
+        messages.put("differ", new Messages.DigestMismatch(List.of(2, 63)));
+        messages.put(
                 "quota-packet",
                 new QuotaUpdate(
                         "edge-1",
@@ -136,15 +136,15 @@
                         24,
                         new ArrayList<>(List.of(
                                 new TenantTotal("tenant-1", 1234.5, -1), new TenantTotal("tenant-2", 0.1, 0.25)))));
-        return all;
+        return messages;
     }
 
-    /** Returns the bytes of each message as a connection carries them: the length and then the message. */
+    /** Returns the frame of each message as sent over a connection: the length followed by the message. */
     public static Map<String, byte[]> encodedFrames() {
         MessageCodec codec = new MessageCodec();
-        Map<String, byte[]> all = new LinkedHashMap<>();
-        messages().forEach((name, message) -> all.put(name, framed(codec.encode(message))));
-        return all;
+        Map<String, byte[]> frames = new LinkedHashMap<>();
+        messages().forEach((name, message) -> frames.put(name, framed(codec.encode(message))));
+        return frames;
     }
 
     static byte[] framed(byte[] message) {
@@ -154,38 +154,39 @@
                 .array();
     }
 
-    /** Returns what earlier versions left on disks, in forms that are read and no longer written. */
+    /** Returns messages that earlier versions wrote to disk in encodings that are still read but no longer written. */
     static Map<String, Object> readOnlyMessages() {
-        Ballot none = new Ballot(1, "");
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("items-without-held", new Messages.ConfigurationUpdate(-31, 32, true, ITEMS, List.of()));
-        all.put("propose-without-ballot", new Messages.ProposalRecord(new Proposal("call-3", none, ITEMS, false)));
-        all.put("decided-without-ballot", new Messages.DecisionNotice("call-3", none, true, ITEMS));
-        all.put("propose-of-one-phase", new Messages.ProposalRecord(PREPARED));
-        return all;
+        Ballot noBallot = new Ballot(1, "");
+        Map<String, Object> messages = new LinkedHashMap<>();
+        messages.put("items-without-held", new Messages.ConfigurationUpdate(-31, 32, true, ITEMS, List.of()));
+        messages.put(
+                "propose-without-ballot", new Messages.ProposalRecord(new Proposal("call-3", noBallot, ITEMS, false)));
+        messages.put("decided-without-ballot", new Messages.DecisionNotice("call-3", noBallot, true, ITEMS));
+        messages.put("propose-of-one-phase", new Messages.ProposalRecord(PREPARED));
+        return messages;
     }
 
-    /** Returns the bytes of those, written out here as no code of the programs writes them. */
+    /** Returns the bytes of {@link #readOnlyMessages}, encoded here because the programs no longer write them. */
     public static Map<String, byte[]> encodedReadOnlyMessages() {
-        Map<String, byte[]> all = new LinkedHashMap<>();
+        Map<String, byte[]> encoded = new LinkedHashMap<>();
         Output out = startMessage(3);
         out.writeLong(-31);
         out.writeLong(32);
         out.writeBoolean(true);
-        all.put("items-without-held", appendItems(out));
+        encoded.put("items-without-held", appendItems(out));
         out = startMessage(8);
         out.writeString("call-3");
-        all.put("propose-without-ballot", appendItems(out));
+        encoded.put("propose-without-ballot", appendItems(out));
         out = startMessage(10);
         out.writeString("call-3");
         out.writeBoolean(true);
-        all.put("decided-without-ballot", appendItems(out));
+        encoded.put("decided-without-ballot", appendItems(out));
         out = startMessage(15);
         out.writeString("call-1");
         out.writeVarLong(300, true);
         out.writeString("core-1");
-        all.put("propose-of-one-phase", appendItems(out));
-        return all;
+        encoded.put("propose-of-one-phase", appendItems(out));
+        return encoded;
     }
 
     private static Output startMessage(int type) {
