--- a/src/main/java/reedmux/cli/WorldCommand.java
+++ b/src/main/java/reedmux/cli/WorldCommand.java
@@ -5,8 +5,8 @@
 import com.github.rvesse.airline.annotations.Command;
 import com.github.rvesse.airline.annotations.Option;
 import java.util.concurrent.Callable;
-import reedmux.simulation.cluster.DayRunner;
-import reedmux.simulation.cluster.SimulatedDay;
+import reedmux.simulation.cluster.SimulatedRun;
+import reedmux.simulation.cluster.SimulatedRunBatch;
 
 /**
  * Simulates days of a whole deployment in virtual time, each with traffic and faults drawn from its seed, and checks
@@ -62,9 +62,9 @@
             return ExitCode.BAD_USAGE;
         }
         long startNanos = System.nanoTime();
-        DayRunner runner =
-                new DayRunner(new SimulatedDay.DayOptions(proxies, cores, pace, storm, point, !sameAddresses));
-        DayRunner.DayTotals totals = runner.play(
+        SimulatedRunBatch runner =
+                new SimulatedRunBatch(new SimulatedRun.RunOptions(proxies, cores, pace, storm, point, !sameAddresses));
+        SimulatedRunBatch.BatchTotals totals = runner.run(
                 range.first(),
                 range.last(),
                 log ? 1 : jobs,
@@ -74,19 +74,19 @@
         System.out.printf(
                 "%d days with %d proxies and %d core machines, %d broken; %.0f simulated seconds, "
                         + "%.1f a wall second; %d of %d requests served; digest %016x%n",
-                totals.days(),
+                totals.runs(),
                 proxies,
                 cores,
-                totals.violatedDays(),
+                totals.violatedRuns(),
                 totals.simulatedMicros() / 1e6,
                 totals.simulatedMicros() / 1e6 / wallSeconds,
                 totals.served(),
                 totals.requests(),
                 totals.digest());
-        return totals.violatedDays() == 0 ? ExitCode.OK : ExitCode.FAILED;
+        return totals.violatedRuns() == 0 ? ExitCode.OK : ExitCode.FAILED;
     }
 
-    private static void printViolations(SimulatedDay.DayOutcome day) {
+    private static void printViolations(SimulatedRun.RunOutcome day) {
         if (!day.violations().isEmpty()) {
             System.out.printf("seed %d breaks rules (digest %016x)%n", day.seed(), day.digest());
             day.violations().stream().limit(MAX_PRINTED_VIOLATIONS).forEach(line -> System.out.println("    " + line));
--- a/src/main/java/reedmux/simulation/cluster/CatchUpExperiment.java
+++ b/src/main/java/reedmux/simulation/cluster/CatchUpExperiment.java
@@ -34,7 +34,7 @@
         deployment.start();
         operator = new SimulatedOperator(
                 simulation, "10.8.0.1", deployment.controlAddresses().subList(0, 2), new ClusterInvariantChecker());
-        laggard = deployment.cores().get(2);
+        laggard = deployment.coreNodes().get(2);
         simulation.runFor(5 * SECOND_MICROS);
     }
 
@@ -47,10 +47,10 @@
     }
 
     /** Changes items from one on, so many, in calls of some hundred. */
-    void changeItems(int first, int many) {
+    void changeItems(int first, int count) {
         revision++;
-        for (int from = first; from < first + many; from += ITEMS_PER_CALL) {
-            String body = tenantsChange(from, Math.min(ITEMS_PER_CALL, first + many - from), revision);
+        for (int from = first; from < first + count; from += ITEMS_PER_CALL) {
+            String body = tenantsChange(from, Math.min(ITEMS_PER_CALL, first + count - from), revision);
             boolean[] done = {false};
             operator.changeConfiguration(
                     body,
@@ -67,9 +67,9 @@
     }
 
     /** A call that changes so many tenants. */
-    static String tenantsChange(int first, int many, long revision) {
+    static String tenantsChange(int first, int count, long revision) {
         StringBuilder body = new StringBuilder("{\"apply\":{\"signals\":[");
-        for (int i = first; i < first + many; i++) {
+        for (int i = first; i < first + count; i++) {
             body.append(i == first ? "" : ",")
                     .append("{\"signalKind\":\"tenants\",\"heading\":{\"name\":\"t")
                     .append(i)
@@ -93,64 +93,65 @@
 
     DiskContent readDisk() {
         Replica replica = new Replica();
-        boolean whole = false;
+        boolean complete = false;
         MessageCodec codec = new MessageCodec();
         for (byte[] record : new Journal(laggard.machine().disk().volume(Path.of("/data"))).recover()) {
-            Object told = codec.decodeOrNull(record);
-            if (told instanceof ConfigurationUpdate items) {
-                replica.merge(items.items());
-                whole |= items.complete();
-            } else if (told instanceof DecisionNotice decided) {
-                replica.resolvePending(decided.proposalId(), decided.committed(), decided.items());
+            Object message = codec.decodeOrNull(record);
+            if (message instanceof ConfigurationUpdate update) {
+                replica.merge(update.items());
+                complete |= update.complete();
+            } else if (message instanceof DecisionNotice decision) {
+                replica.resolvePending(decision.proposalId(), decision.committed(), decision.items());
             }
         }
-        return new DiskContent(replica.committed().size(), whole);
+        return new DiskContent(replica.committed().size(), complete);
     }
 
     /** The bytes it takes, and the time in ms until it counts itself, by the number of items. */
     public static ScenarioChecks run(Consumer<String> progress) {
-        ScenarioChecks claims = new ScenarioChecks();
+        ScenarioChecks checks = new ScenarioChecks();
         for (int size : SIZES) {
             progress.accept(size + " items");
-            CatchUpExperiment day = new CatchUpExperiment(3);
-            day.changeItems(0, size);
-            day.simulation.runFor(5 * SECOND_MICROS);
-            claims.record(size + " items, started again, nothing missed: kB", day.catchUpKilobytes(false, 0));
+            CatchUpExperiment experiment = new CatchUpExperiment(3);
+            experiment.changeItems(0, size);
+            experiment.simulation.runFor(5 * SECOND_MICROS);
+            checks.record(size + " items, started again, nothing missed: kB", experiment.catchUpKilobytes(false, 0));
             int missed = Math.max(1, size / 100);
-            claims.record(size + " items, " + missed + " of them missed: kB", day.catchUpKilobytes(false, missed));
-            claims.record(size + " items, an empty disk: kB", day.catchUpKilobytes(true, 0));
-            long lost = day.simulation.now();
-            day.laggard.losePower(SECOND_MICROS, true);
-            day.log.clear();
-            while (!day.hasLogged("whole again") && day.simulation.now() < lost + TIMEOUT_MICROS) {
-                day.simulation.runFor(SECOND_MICROS / 200);
+            checks.record(
+                    size + " items, " + missed + " of them missed: kB", experiment.catchUpKilobytes(false, missed));
+            checks.record(size + " items, an empty disk: kB", experiment.catchUpKilobytes(true, 0));
+            long lostAt = experiment.simulation.now();
+            experiment.laggard.losePower(SECOND_MICROS, true);
+            experiment.log.clear();
+            while (!experiment.hasLogged("whole again") && experiment.simulation.now() < lostAt + TIMEOUT_MICROS) {
+                experiment.simulation.runFor(SECOND_MICROS / 200);
             }
-            claims.check(
+            checks.check(
                     size + " items, an empty disk: ms until it counts itself",
-                    (day.simulation.now() - lost - SECOND_MICROS) / 1000,
+                    (experiment.simulation.now() - lostAt - SECOND_MICROS) / 1000,
                     "< " + TIMEOUT_MICROS / 1000,
-                    day.hasLogged("whole again"));
-            day.simulation.runFor(5 * SECOND_MICROS);
-            DiskContent left = day.readDisk();
-            claims.check(
+                    experiment.hasLogged("whole again"));
+            experiment.simulation.runFor(5 * SECOND_MICROS);
+            DiskContent content = experiment.readDisk();
+            checks.check(
                     size + " items, an empty disk: items on it then",
-                    left.items,
+                    content.items,
                     size,
-                    left.items == size && left.complete);
+                    content.items == size && content.complete);
         }
-        return claims;
+        return checks;
     }
 
     private String catchUpKilobytes(boolean wiped, int missed) {
-        long idle = receivedBytes();
+        long idleBytes = receivedBytes();
         simulation.runFor(10 * SECOND_MICROS);
-        idle = receivedBytes() - idle;
+        idleBytes = receivedBytes() - idleBytes;
         long before = receivedBytes();
         laggard.losePower(2 * SECOND_MICROS, wiped);
         if (missed > 0) {
             changeItems(0, missed);
         }
         simulation.runFor(12 * SECOND_MICROS);
-        return String.format(Locale.ROOT, "%.1f", Math.max(0, receivedBytes() - before - idle) / 1e3);
+        return String.format(Locale.ROOT, "%.1f", Math.max(0, receivedBytes() - before - idleBytes) / 1e3);
     }
 }
--- a/src/main/java/reedmux/simulation/cluster/ClusterInvariantChecker.java
+++ b/src/main/java/reedmux/simulation/cluster/ClusterInvariantChecker.java
@@ -140,8 +140,8 @@
 
     /** A change was rejected ({@code clear}), or given up by the operator. */
     void onChangeRejected(
-            List<ConfigurationItem> items, ExpectedDecision expected, boolean clear, long sentAt, long now) {
-        configuration.onChangeRejected(items, expected, clear, sentAt, now);
+            List<ConfigurationItem> items, ExpectedDecision expected, boolean definitive, long sentAt, long now) {
+        configuration.onChangeRejected(items, expected, definitive, sentAt, now);
     }
 
     /** A request has shown what is in force; see {@link ConfigurationInvariants#onEffectObserved}. */
@@ -150,10 +150,10 @@
             String incarnation,
             String key,
             String effect,
-            Predicate<String> fits,
+            Predicate<String> matches,
             long sentAt,
             long now) {
-        configuration.onEffectObserved(proxy, incarnation, key, effect, fits, sentAt, now);
+        configuration.onEffectObserved(proxy, incarnation, key, effect, matches, sentAt, now);
     }
 
     /** What the operator reads at the end; null if nobody responded. A lost change violates {@code rule}. */
@@ -239,8 +239,8 @@
     }
 
     /** A checker's drain was acknowledged by a control machine. */
-    void onDrainAcknowledged(String checker, String by, long now) {
-        requests.onDrainAcknowledged(checker, by, now);
+    void onDrainAcknowledged(String checker, String acknowledger, long now) {
+        requests.onDrainAcknowledged(checker, acknowledger, now);
     }
 
     /** A checker has announced its drain since {@code announcedAt}, and nobody has acknowledged it. */
@@ -254,9 +254,9 @@
     }
 
     /** Of the requests after a closing fault and the time to recover from it, too few were served. */
-    void checkRecovery(long requestsThen, long servedThen) {
-        if (requestsThen > MIN_RECOVERY_REQUESTS && servedThen * RECOVERY_SHARE < requestsThen) {
-            log.report("RECOVER", servedThen + " of " + requestsThen + " are served after the closing fault");
+    void checkRecovery(long requestCount, long servedCount) {
+        if (requestCount > MIN_RECOVERY_REQUESTS && servedCount * RECOVERY_SHARE < requestCount) {
+            log.report("RECOVER", servedCount + " of " + requestCount + " are served after the closing fault");
         }
     }
 }
--- a/src/main/java/reedmux/simulation/cluster/ClusterSimulation.java
+++ b/src/main/java/reedmux/simulation/cluster/ClusterSimulation.java
@@ -45,8 +45,8 @@
         return random;
     }
 
-    void scheduleAt(long when, Runnable task) {
-        scheduled.add(new SimulationEvent(Math.max(now, when), nextSequence++, task));
+    void scheduleAt(long time, Runnable task) {
+        scheduled.add(new SimulationEvent(Math.max(now, time), nextSequence++, task));
     }
 
     void scheduleAfter(long delay, Runnable task) {
@@ -54,8 +54,8 @@
     }
 
     /** Advances time by so many microseconds, running the events that are due. */
-    void runFor(long length) {
-        long until = now + length;
+    void runFor(long durationMicros) {
+        long until = now + durationMicros;
         while (!scheduled.isEmpty() && scheduled.peek().at <= until) {
             SimulationEvent next = scheduled.poll();
             now = next.at;
@@ -66,9 +66,9 @@
     }
 
     /** Adds an observation and its time to the run's digest (FNV-1a); equal runs have equal digests. */
-    void addToDigest(String what) {
-        for (int i = 0; i < what.length(); i++) {
-            digest = (digest ^ what.charAt(i)) * FNV_PRIME;
+    void addToDigest(String observation) {
+        for (int i = 0; i < observation.length(); i++) {
+            digest = (digest ^ observation.charAt(i)) * FNV_PRIME;
         }
         digest = (digest ^ now) * FNV_PRIME;
     }
--- a/src/main/java/reedmux/simulation/cluster/ConfigurationGenerator.java
+++ b/src/main/java/reedmux/simulation/cluster/ConfigurationGenerator.java
@@ -42,9 +42,9 @@
     }
 
     /** An item as operators write it; {@code reference}: its members but for kind, name and revision. */
-    public static String itemJson(String kind, String name, long at, String reference) {
+    public static String itemJson(String kind, String name, long itemRevision, String reference) {
         return "{\"signalKind\":\"" + kind + "\",\"heading\":{" + (name.isEmpty() ? "" : "\"name\":\"" + name + "\",")
-                + "\"revision\":" + at + "},\"reference\":{" + reference + "}}";
+                + "\"revision\":" + itemRevision + "},\"reference\":{" + reference + "}}";
     }
 
     /** A call that applies items and removes others. */
@@ -52,21 +52,21 @@
         return "{\"apply\":{\"signals\":[" + String.join(",", signals) + "]},\"remove\":{" + removed + "}}";
     }
 
-    private static String routeJson(String name, String prefix, String service, boolean repeatable, long at) {
+    private static String routeJson(String name, String prefix, String service, boolean idempotent, long itemRevision) {
         return itemJson(
                 "routes",
                 name,
-                at,
+                itemRevision,
                 "\"host\":\"h.example\",\"prefix\":\"" + prefix + "\",\"kind\":\""
-                        + (repeatable ? "idempotent" : "effectful") + "\",\"cutoffMs\":3000,\"setpointMs\":400,"
+                        + (idempotent ? "idempotent" : "effectful") + "\",\"cutoffMs\":3000,\"setpointMs\":400,"
                         + "\"priority\":1,\"plant\":\"" + service + "\",\"attempts\":2,\"unkeyed\":false");
     }
 
-    private String tenantJson(String name, long at) {
+    private String tenantJson(String name, long itemRevision) {
         return itemJson(
                 "tenants",
                 name,
-                at,
+                itemRevision,
                 "\"keys\":[\"" + String.join("\",\"", keysOf.get(name)) + "\"],\"priority\":1,\"flowPerS\":"
                         + QUOTA_RATE + ",\"burst\":" + QUOTA_BURST);
     }
@@ -88,40 +88,40 @@
 
     /** The first change of a day. */
     public String initialChange() {
-        List<String> all = new ArrayList<>();
-        long at = nextRevision();
+        List<String> items = new ArrayList<>();
+        long itemRevision = nextRevision();
         for (String service : SERVICES) {
-            all.add(itemJson(
+            items.add(itemJson(
                     "plants",
                     service,
-                    at,
+                    itemRevision,
                     "\"probe\":\"/health\",\"connCeiling\":110,\"protocol\":\"h1\",\"tls\":false"));
         }
         for (int i = 0; i < ROUTES; i++) {
             serviceOf.put("r" + i, i % 2);
-            all.add(routeJson("r" + i, "/r" + i + "/", SERVICES.get(i % 2), i % 3 != 0, at));
+            items.add(routeJson("r" + i, "/r" + i + "/", SERVICES.get(i % 2), i % 3 != 0, itemRevision));
         }
         for (int i = 0; i < TENANTS; i++) {
             keysOf.put("t" + i, new ArrayList<>(List.of("key-" + i + "-first.")));
-            all.add(tenantJson("t" + i, at));
+            items.add(tenantJson("t" + i, itemRevision));
         }
-        all.add(itemJson(
+        items.add(itemJson(
                 "saturation",
                 "",
-                at,
+                itemRevision,
                 "\"headerBytes\":16384,\"bodyBytes\":1048576,\"headerMs\":3000,\"idleMs\":15000"));
-        return callJson(all, "");
+        return callJson(items, "");
     }
 
     private String movedRouteJson(String name) {
-        int to = serviceOf.merge(name, 1, (had, one) -> 1 - had);
+        int service = serviceOf.merge(name, 1, (current, initial) -> 1 - current);
         int number = Integer.parseInt(name.substring(1));
-        return routeJson(name, "/" + name + "/", SERVICES.get(to), number % 3 != 0, nextRevision());
+        return routeJson(name, "/" + name + "/", SERVICES.get(service), number % 3 != 0, nextRevision());
     }
 
     /** A valid change. */
     public String validChange() {
-        String any = "r" + random.nextInt(ROUTES);
+        String route = "r" + random.nextInt(ROUTES);
         switch (random.nextInt(6)) {
             case 0 -> {
                 String name = "a" + addedNames++;
@@ -142,29 +142,29 @@
                 if (!extraRoutes.isEmpty()) { // another takes its place, in one call
                     String name = extraRoutes.remove(random.nextInt(extraRoutes.size()));
                     replacedRoutes.add("routes/" + name);
-                    long at = nextRevision();
+                    long itemRevision = nextRevision();
                     return callJson(
-                            List.of(routeJson(name + 'n', "/" + name + "/", SERVICES.get(0), true, at)),
-                            "\"routes\":[{\"name\":\"" + name + "\",\"revision\":" + at + "}]");
+                            List.of(routeJson(name + 'n', "/" + name + "/", SERVICES.get(0), true, itemRevision)),
+                            "\"routes\":[{\"name\":\"" + name + "\",\"revision\":" + itemRevision + "}]");
                 }
             }
             case 3 -> {
                 String name = "t" + random.nextInt(TENANTS);
-                List<String> has = keysOf.get(name);
-                if (has.size() > 1) {
-                    has.remove(1);
+                List<String> keys = keysOf.get(name);
+                if (keys.size() > 1) {
+                    keys.remove(1);
                 } else {
-                    has.add("key-" + name + "-" + addedKeys++ + '.');
+                    keys.add("key-" + name + "-" + addedKeys++ + '.');
                 }
                 return callJson(List.of(tenantJson(name, nextRevision())), "");
             }
             case 4 -> {
-                String other = "r" + (Integer.parseInt(any.substring(1)) + 1) % ROUTES;
-                return callJson(List.of(movedRouteJson(any), movedRouteJson(other)), "");
+                String otherRoute = "r" + (Integer.parseInt(route.substring(1)) + 1) % ROUTES;
+                return callJson(List.of(movedRouteJson(route), movedRouteJson(otherRoute)), "");
             }
             default -> {}
         }
-        return callJson(List.of(movedRouteJson(any)), "");
+        return callJson(List.of(movedRouteJson(route)), "");
     }
 
     /** Two changes, each valid alone; the key is whether they are valid together, too. */
@@ -197,43 +197,43 @@
                                         "")));
             }
             default -> {
-                String any = "r" + random.nextInt(ROUTES);
+                String route = "r" + random.nextInt(ROUTES);
                 return Map.entry(
                         true,
                         List.of(
-                                callJson(List.of(movedRouteJson(any)), ""),
-                                callJson(List.of(movedRouteJson(any)), "")));
+                                callJson(List.of(movedRouteJson(route)), ""),
+                                callJson(List.of(movedRouteJson(route)), "")));
             }
         }
     }
 
     /** Two changes with different contents under one revision, of which at most one may be acknowledged. */
     List<String> conflictingPair() {
-        String any = "r" + random.nextInt(ROUTES);
-        long at = nextRevision();
-        boolean repeats = Integer.parseInt(any.substring(1)) % 3 != 0;
+        String route = "r" + random.nextInt(ROUTES);
+        long itemRevision = nextRevision();
+        boolean idempotent = Integer.parseInt(route.substring(1)) % 3 != 0;
         if (random.nextInt(3) == 0) {
             String name = "t" + random.nextInt(TENANTS);
-            String one = tenantJson(name, at);
+            String firstContent = tenantJson(name, itemRevision);
             keysOf.get(name).add("key-" + name + "-" + addedKeys++ + '.');
-            return List.of(callJson(List.of(one), ""), callJson(List.of(tenantJson(name, at)), ""));
+            return List.of(callJson(List.of(firstContent), ""), callJson(List.of(tenantJson(name, itemRevision)), ""));
         }
         return List.of(
-                callJson(List.of(routeJson(any, "/" + any + "/", SERVICES.get(0), repeats, at)), ""),
-                callJson(List.of(routeJson(any, "/" + any + "/", SERVICES.get(1), repeats, at)), ""));
+                callJson(List.of(routeJson(route, "/" + route + "/", SERVICES.get(0), idempotent, itemRevision)), ""),
+                callJson(List.of(routeJson(route, "/" + route + "/", SERVICES.get(1), idempotent, itemRevision)), ""));
     }
 
     /** Changes of which each is valid only once the one before is in force. */
     List<String> dependentChain() {
         int number = addedNames++;
-        long at = nextRevision();
+        long itemRevision = nextRevision();
         if (random.nextBoolean()) {
             return List.of(
                     callJson(
                             List.of(itemJson(
                                     "plants",
                                     "p" + number,
-                                    at,
+                                    itemRevision,
                                     "\"probe\":\"/health\",\"connCeiling\":110,\"protocol\":\"h1\",\"tls\":false")),
                             ""),
                     callJson(
@@ -242,32 +242,32 @@
         }
         String key = "\"key-handed-" + addedKeys++ + ".\"";
         String body = "\"priority\":1,\"flowPerS\":" + QUOTA_RATE + ",\"burst\":" + QUOTA_BURST + ",\"keys\":[";
-        String giver = "g" + number;
+        String firstTenant = "g" + number;
         return List.of(
-                callJson(List.of(itemJson("tenants", giver, at, body + key + ']')), ""),
+                callJson(List.of(itemJson("tenants", firstTenant, itemRevision, body + key + ']')), ""),
                 callJson(
                         List.of(
-                                itemJson("tenants", giver, nextRevision(), body + ']'),
+                                itemJson("tenants", firstTenant, nextRevision(), body + ']'),
                                 itemJson("tenants", "h" + number, nextRevision(), body + key + ']')),
                         ""),
                 callJson(
                         List.of(
                                 itemJson("tenants", "h" + number, nextRevision(), body + ']'),
-                                itemJson("tenants", giver, nextRevision(), body + key + ']')),
+                                itemJson("tenants", firstTenant, nextRevision(), body + key + ']')),
                         ""));
     }
 
     /** A valid change of many bytes. */
     String largeChange() {
         String name = "big" + random.nextInt(4);
-        long at = nextRevision();
-        StringBuilder many = new StringBuilder();
+        long itemRevision = nextRevision();
+        StringBuilder keys = new StringBuilder();
         for (int i = 0; i < LARGE_KEY_COUNT; i++) {
-            many.append(i == 0 ? "\"" : ",\"")
+            keys.append(i == 0 ? "\"" : ",\"")
                     .append("key-of-")
                     .append(name)
                     .append("-with-a-long-name-")
-                    .append(at)
+                    .append(itemRevision)
                     .append('-')
                     .append(i)
                     .append('"');
@@ -276,8 +276,8 @@
                 List.of(itemJson(
                         "tenants",
                         name,
-                        at,
-                        "\"priority\":1,\"flowPerS\":" + QUOTA_RATE + ",\"burst\":" + QUOTA_BURST + ",\"keys\":[" + many
+                        itemRevision,
+                        "\"priority\":1,\"flowPerS\":" + QUOTA_RATE + ",\"burst\":" + QUOTA_BURST + ",\"keys\":[" + keys
                                 + ']')),
                 "");
     }
@@ -291,8 +291,8 @@
             case 2 -> callJson(List.of(routeJson(name, name + "/", SERVICES.get(0), true, nextRevision())), "");
             case 3 -> callJson(List.of(movedRouteJson("r0")), "").replace("h.example", "");
             case 4 -> {
-                String whole = validChange();
-                yield whole.substring(0, whole.length() / 2);
+                String change = validChange();
+                yield change.substring(0, change.length() / 2);
             }
             default ->
                 callJson(
@@ -329,14 +329,14 @@
     /** A request that shows which version of a route or key is in force that may have changed. */
     SimulatedClients.PlannedRequest planProbe() {
         int tenant = random.nextInt(TENANTS);
-        List<String> has = keysOf.get("t" + tenant);
+        List<String> keys = keysOf.get("t" + tenant);
         String route = addedNames > 0 && random.nextInt(3) == 0
                 ? "a" + random.nextInt(addedNames)
                 : "r" + random.nextInt(ROUTES);
-        boolean known = route.startsWith("r");
-        String key = known && random.nextInt(3) == 0 && addedKeys > 0
+        boolean initialRoute = route.startsWith("r");
+        String key = initialRoute && random.nextInt(3) == 0 && addedKeys > 0
                 ? "key-t" + tenant + '-' + random.nextInt(addedKeys) + '.'
-                : has.get(0);
+                : keys.get(0);
         return new SimulatedClients.PlannedRequest(
                 "/" + route + "/x", true, key, null, null, "routes/" + route, "tenants/t" + tenant);
     }
--- a/src/main/java/reedmux/simulation/cluster/ConfigurationInvariants.java
+++ b/src/main/java/reedmux/simulation/cluster/ConfigurationInvariants.java
@@ -84,7 +84,7 @@
                 checkUniqueContent(version);
             }
         }
-        checkWait(items, expected, sentAt, now);
+        checkAcknowledgementTime(items, expected, sentAt, now);
     }
 
     private void checkUniqueContent(ObservedVersion version) {
@@ -98,8 +98,8 @@
 
     /** A change was rejected ({@code clear}), or given up by the operator. */
     void onChangeRejected(
-            List<ConfigurationItem> items, ExpectedDecision expected, boolean clear, long sentAt, long now) {
-        if (clear) {
+            List<ConfigurationItem> items, ExpectedDecision expected, boolean definitive, long sentAt, long now) {
+        if (definitive) {
             if (!items.isEmpty() && items.stream().allMatch(item -> version(item).acknowledgedAt >= 0)) {
                 log.report("CONFIG", "a change that was acknowledged is sent again and refused: " + items);
             } else if (expected == ExpectedDecision.ACCEPT) {
@@ -107,11 +107,12 @@
             }
             items.forEach(item -> version(item).rejected = true);
         } else {
-            checkWait(items, expected, sentAt, now);
+            checkAcknowledgementTime(items, expected, sentAt, now);
         }
     }
 
-    private void checkWait(List<ConfigurationItem> items, ExpectedDecision expected, long sentAt, long now) {
+    private void checkAcknowledgementTime(
+            List<ConfigurationItem> items, ExpectedDecision expected, long sentAt, long now) {
         if (expected == ExpectedDecision.ACCEPT
                 && faults.longestSettledMicros(sentAt, now) >= ACKNOWLEDGEMENT_LIMIT_MICROS) {
             log.report(
@@ -126,14 +127,14 @@
      *
      * @param incarnation the proxy's, as versions may go back at a restart
      * @param effect      what was seen, for the report
-     * @param fits        the effects that agree with it
+     * @param matches        the effects that agree with it
      */
     void onEffectObserved(
             String proxy,
             String incarnation,
             String key,
             String effect,
-            Predicate<String> fits,
+            Predicate<String> matches,
             long sentAt,
             long now) {
         TreeMap<ConfigurationItem, ObservedVersion> all = versions.get(key);
@@ -143,7 +144,7 @@
         long oldest = -1;
         long newest = -1;
         for (ObservedVersion version : all.values()) {
-            if (fits.test(version.effect)
+            if (matches.test(version.effect)
                     && version.sentAt <= now
                     && !version.rejected
                     && !isSuperseded(version, all)) {
@@ -266,7 +267,7 @@
     }
 
     /** Whether no version of a route leads to a service; false for a route that is not known. */
-    boolean leadsElsewhere(String route, String service) {
+    boolean isNeverRoutedTo(String route, String service) {
         TreeMap<ConfigurationItem, ObservedVersion> all = versions.get(route);
         return all != null && all.values().stream().noneMatch(version -> version.effect.equals(service));
     }
--- a/src/main/java/reedmux/simulation/cluster/DepartureInvariants.java
+++ b/src/main/java/reedmux/simulation/cluster/DepartureInvariants.java
@@ -30,7 +30,7 @@
     private record Departure(String proxy, boolean idempotent, long leftAt) {}
 
     /** Something that happened too late, unless the proxy had a fault meanwhile. */
-    private record LateEvent(Departure departure, long at, String what) {}
+    private record LateEvent(Departure departure, long at, String description) {}
 
     private final FaultSchedule faults;
     private final ViolationLog log;
@@ -40,7 +40,7 @@
     private long limitMicros = DEFAULT_LIMIT_MICROS;
     private int cancelled;
     private int completedEffects;
-    private int cutEffects;
+    private int abortedEffects;
 
     DepartureInvariants(FaultSchedule faults, ViolationLog log) {
         this.faults = faults;
@@ -74,12 +74,12 @@
         Departure departure = departures.get(id);
         if (departure != null && !departure.idempotent) {
             completedEffects += completed ? 1 : 0;
-            cutEffects += completed ? 0 : 1;
+            abortedEffects += completed ? 0 : 1;
         }
         for (Execution execution : executions.getOrDefault(id, List.of())) {
             if (execution.checker.equals(checker) && execution.endedAt == RUNNING) {
                 execution.endedAt = now;
-                judge(id, execution, now);
+                classifyExecution(id, execution, now);
             }
         }
     }
@@ -95,24 +95,24 @@
     }
 
     /** Such executions that were cut, as their connection was closed. */
-    int cutEffectCount() {
-        return cutEffects;
+    int abortedEffectCount() {
+        return abortedEffects;
     }
 
     /** After the last event, when all faults are known: reports what was late without one. */
     void report(long now) {
         executions.forEach((id, all) -> all.stream()
                 .filter(execution -> execution.endedAt == RUNNING)
-                .forEach(execution -> judge(id, execution, now)));
+                .forEach(execution -> classifyExecution(id, execution, now)));
         for (LateEvent event : lateEvents) {
             Departure departure = event.departure;
             if (faults.isInContact(departure.proxy, departure.leftAt, event.at)) {
-                log.report("GONE", event.what + ' ' + describe(departure, event.at));
+                log.report("GONE", event.description + ' ' + describe(departure, event.at));
             }
         }
     }
 
-    private void judge(String id, Execution execution, long now) {
+    private void classifyExecution(String id, Execution execution, long now) {
         Departure departure = departures.get(id);
         if (departure == null || !departure.idempotent) {
             return;
--- a/src/main/java/reedmux/simulation/cluster/Deployment.java
+++ b/src/main/java/reedmux/simulation/cluster/Deployment.java
@@ -32,8 +32,8 @@
     private static final int SEEDS = 3;
     private final ClusterSimulation simulation;
     private final Consumer<String> log;
-    private final List<DeployedNode> edges = new ArrayList<>();
-    private final List<DeployedNode> cores = new ArrayList<>();
+    private final List<DeployedNode> proxyNodes = new ArrayList<>();
+    private final List<DeployedNode> coreNodes = new ArrayList<>();
     private final List<InetSocketAddress> controlAddresses = new ArrayList<>();
     private final List<String> initialSeeds = new ArrayList<>();
     private Consumer<String> unexpectedExitListener = process -> {};
@@ -109,22 +109,22 @@
 
         private void start(String role) {
             try {
-                ProcessSettings boot = settings(this, role);
-                SimulatedProcess host =
+                ProcessSettings settings = settings(this, role);
+                SimulatedProcess process =
                         new SimulatedProcess(simulation, machine, name + '/' + role, EVENT_COST_MICROS, log);
                 Program program =
                         switch (role) {
-                            case "store" -> new StoreServer(boot, host.reactor());
-                            case "registry" -> new Registry(boot, host.reactor());
-                            default -> new Proxy(boot, host.reactor());
+                            case "store" -> new StoreServer(settings, process.reactor());
+                            case "registry" -> new Registry(settings, process.reactor());
+                            default -> new Proxy(settings, process.reactor());
                         };
-                host.reactor()
+                process.reactor()
                         .invariants()
                         .setListener(violation -> violationListener.accept(name + '/' + role + ": " + violation));
-                processes.put(role, host);
+                processes.put(role, process);
                 programs.put(role, program);
-                host.onExit(() -> simulation.scheduleAfter(RESTART_DELAY_MICROS, () -> {
-                    if (processes.get(role) == host && !down) {
+                process.onExit(() -> simulation.scheduleAfter(RESTART_DELAY_MICROS, () -> {
+                    if (processes.get(role) == process && !down) {
                         if (!shuttingDown) {
                             unexpectedExitListener.accept(name + '/' + role);
                         }
@@ -134,7 +134,7 @@
                         start(role);
                     }
                 }));
-                host.submit(() -> {});
+                process.submit(() -> {});
             } catch (ProcessSettingsException e) {
                 throw new IllegalStateException(name + ": " + e.getMessage(), e);
             } catch (IOException e) { // for instance a full disk: the platform tries again
@@ -149,17 +149,17 @@
         }
 
         /** Kills its processes and restarts them after so many microseconds. */
-        void kill(long downFor) {
+        void kill(long downMicros) {
             processes.values().forEach(SimulatedProcess::kill);
-            startAfter(downFor);
+            startAfter(downMicros);
         }
 
         /** Schedules the restart; of several stops the last one decides when that is. */
-        private void startAfter(long downFor) {
+        private void startAfter(long downMicros) {
             down = true;
-            int fall = ++stops;
-            simulation.scheduleAfter(downFor, () -> {
-                if (fall == stops) {
+            int stopNumber = ++stops;
+            simulation.scheduleAfter(downMicros, () -> {
+                if (stopNumber == stops) {
                     machine.restorePower();
                     start();
                 }
@@ -167,12 +167,12 @@
         }
 
         /** Cuts its power for so many microseconds; with {@code wiped} its disk is lost as well. */
-        void losePower(long downFor, boolean wiped) {
+        void losePower(long downMicros, boolean wiped) {
             machine.losePower();
             if (wiped) {
                 machine.disk().wipe();
             }
-            startAfter(downFor);
+            startAfter(downMicros);
         }
 
         /**
@@ -181,41 +181,41 @@
          * @param newName  the new machine's name, which may be that of the old one
          * @param withDisk whether it takes over the disk
          */
-        void replace(String ip, String newName, boolean withDisk, long downFor) {
+        void replace(String ip, String newName, boolean withDisk, long downMicros) {
             name = newName;
             machine.losePower();
             down = true;
-            int fall = ++stops;
-            int place = cores.indexOf(this);
-            simulation.scheduleAfter(downFor, () -> {
+            int stopNumber = ++stops;
+            int index = coreNodes.indexOf(this);
+            simulation.scheduleAfter(downMicros, () -> {
                 machine = new SimulatedMachine(
                         simulation, ip, machine.zone(), withDisk ? machine.disk() : new SimulatedDisk(simulation));
-                if (fall == stops) {
+                if (stopNumber == stops) {
                     start();
                 }
             });
             simulation.scheduleAfter(
-                    downFor + ADDRESS_LIST_LAG_MICROS,
-                    () -> controlAddresses.set(place, SocketAddresses.parse(ip + ':' + CONTROL_PORT)));
+                    downMicros + ADDRESS_LIST_LAG_MICROS,
+                    () -> controlAddresses.set(index, SocketAddresses.parse(ip + ':' + CONTROL_PORT)));
         }
 
         /** Shuts its programs down gracefully and restarts them; who exceeds the grace period is killed. */
-        void terminate(long downFor) {
+        void terminate(long downMicros) {
             shuttingDown = true;
-            int of = (int) incarnations;
+            int incarnation = (int) incarnations;
             processes.forEach((role, host) ->
                     host.reactor().execute(() -> programs.get(role).beginShutdown()));
             simulation.scheduleAfter(SHUTDOWN_GRACE_MICROS, () -> {
-                if (incarnations == of && !down) {
-                    kill(downFor);
+                if (incarnations == incarnation && !down) {
+                    kill(downMicros);
                 }
             });
         }
 
-        void freeze(long length) {
+        void freeze(long durationMicros) {
             processes.values().forEach(SimulatedProcess::freeze);
             List<SimulatedProcess> frozen = new ArrayList<>(processes.values());
-            simulation.scheduleAfter(length, () -> frozen.forEach(SimulatedProcess::thaw));
+            simulation.scheduleAfter(durationMicros, () -> frozen.forEach(SimulatedProcess::thaw));
         }
     }
 
@@ -224,7 +224,7 @@
         this.log = log;
         for (int i = 0; i < coreCount; i++) {
             String zone = ZONES[i % ZONES.length];
-            cores.add(new DeployedNode(
+            coreNodes.add(new DeployedNode(
                     "core-" + zone + '-' + i, new SimulatedMachine(simulation, "10.1." + i + ".10", zone, true), true));
             controlAddresses.add(SocketAddresses.parse("10.1." + i + ".10:" + CONTROL_PORT));
             if (i < SEEDS) {
@@ -233,7 +233,7 @@
         }
         for (int i = 0; i < proxies; i++) {
             String zone = ZONES[i % ZONES.length];
-            edges.add(new DeployedNode(
+            proxyNodes.add(new DeployedNode(
                     "edge-" + zone + '-' + i,
                     new SimulatedMachine(simulation, "10.2." + i / 200 + '.' + (10 + i % 200), zone, false),
                     false));
@@ -241,8 +241,8 @@
     }
 
     /** Sets who receives the names of processes that end, or do not start, without having been shut down. */
-    void onUnexpectedExit(Consumer<String> hears) {
-        unexpectedExitListener = hears;
+    void onUnexpectedExit(Consumer<String> listener) {
+        unexpectedExitListener = listener;
     }
 
     /** Sets who is told of the invariants that the programs themselves find violated. */
@@ -251,16 +251,16 @@
     }
 
     void start() {
-        cores.forEach(DeployedNode::start);
-        edges.forEach(DeployedNode::start);
+        coreNodes.forEach(DeployedNode::start);
+        proxyNodes.forEach(DeployedNode::start);
     }
 
     List<DeployedNode> proxies() {
-        return edges;
+        return proxyNodes;
     }
 
-    List<DeployedNode> cores() {
-        return cores;
+    List<DeployedNode> coreNodes() {
+        return coreNodes;
     }
 
     /** The control addresses that operators and checkers know; changes with time and lags behind replacements. */
@@ -268,12 +268,12 @@
         return controlAddresses;
     }
 
-    InetSocketAddress frontAddress(DeployedNode edge) {
-        return SocketAddresses.parse(edge.machine.ip() + ':' + FRONT_PORT);
+    InetSocketAddress frontAddress(DeployedNode proxy) {
+        return SocketAddresses.parse(proxy.machine.ip() + ':' + FRONT_PORT);
     }
 
-    InetSocketAddress readinessAddress(DeployedNode edge) {
-        return SocketAddresses.parse(edge.machine.ip() + ':' + READINESS_PORT);
+    InetSocketAddress readinessAddress(DeployedNode proxy) {
+        return SocketAddresses.parse(proxy.machine.ip() + ':' + READINESS_PORT);
     }
 
     private ProcessSettings settings(DeployedNode node, String role) throws ProcessSettingsException {
--- a/src/main/java/reedmux/simulation/cluster/FaultStorm.java
+++ b/src/main/java/reedmux/simulation/cluster/FaultStorm.java
@@ -24,8 +24,8 @@
     /** A machine that is back, or new, counts as lost for so long. */
     private static final long CONVERGENCE_MICROS = 4 * SECOND;
 
-    private final SimulatedDay day;
-    private final int point;
+    private final SimulatedRun run;
+    private final int category;
     private final ClusterSimulation simulation;
     private final Deployment deployment;
     private final ClusterInvariantChecker invariants;
@@ -41,8 +41,8 @@
     private int replacements;
 
     FaultStorm(
-            SimulatedDay day,
-            int point,
+            SimulatedRun run,
+            int category,
             boolean replacesAddresses,
             ClusterSimulation simulation,
             Deployment deployment,
@@ -50,8 +50,8 @@
             ConfigurationGenerator configurations,
             List<SimulatedOperator> operators,
             Random random) {
-        this.day = day;
-        this.point = point;
+        this.run = run;
+        this.category = category;
         this.replacesAddresses = replacesAddresses;
         this.simulation = simulation;
         this.deployment = deployment;
@@ -59,27 +59,27 @@
         this.configurations = configurations;
         this.operators = operators;
         this.random = random;
-        traffic = new StormTraffic(day, point, simulation, deployment, configurations, operators, random);
+        traffic = new StormTraffic(run, category, simulation, deployment, configurations, operators, random);
     }
 
     /** Injects faults and sends changes from now on; the last of both some time before {@code end}. */
     void start(long end) {
         until = end - SECOND;
-        deployment.cores().forEach(core -> coreAddresses.add(core.machine().ip()));
+        deployment.coreNodes().forEach(core -> coreAddresses.add(core.machine().ip()));
         traffic.start(until);
         simulation.scheduleAfter(SECOND, this::injectFaults);
     }
 
-    private long randomDelayMicros(int most) {
-        return random.nextInt(most);
+    private long randomDelayMicros(int bound) {
+        return random.nextInt(bound);
     }
 
     private void injectFaults() {
         if (simulation.now() > until - 2 * SECOND) {
             return;
         }
-        if (day.isCoreHealthy() && !traffic.hasPendingAction()) {
-            switch (point) {
+        if (run.isCoreHealthy() && !traffic.hasPendingAction()) {
+            switch (category) {
                 case 1 -> injectContactFault();
                 case 2 -> injectChangeFault();
                 case 3 -> injectRepairFault();
@@ -91,7 +91,7 @@
     }
 
     private Deployment.DeployedNode randomCore() {
-        return deployment.cores().get(random.nextInt(deployment.cores().size()));
+        return deployment.coreNodes().get(random.nextInt(deployment.coreNodes().size()));
     }
 
     private void injectContactFault() {
@@ -101,7 +101,7 @@
         switch (random.nextInt(8)) {
             case 0 -> freeze(randomCore(), length);
             case 1 -> {
-                day.logFault("all of the core is killed");
+                run.logFault("all of the core is killed");
                 killCore(300_000 + randomDelayMicros(600_000));
             }
             case 2, 3 -> partition(lastAcknowledger(), length);
@@ -112,77 +112,81 @@
 
     private Deployment.DeployedNode lastAcknowledger() {
         String ip = operators.get(random.nextInt(operators.size())).lastAcknowledgedBy();
-        return deployment.cores().stream()
+        return deployment.coreNodes().stream()
                 .filter(core -> core.machine().ip().equals(ip))
                 .findFirst()
                 .orElseGet(this::randomCore);
     }
 
-    private void freeze(Deployment.DeployedNode node, long length) {
-        day.logFault(node.name() + " is frozen for " + length / 1000 + " ms");
-        day.noteCoreFault(node, length, false);
-        node.freeze(length);
+    private void freeze(Deployment.DeployedNode node, long durationMicros) {
+        run.logFault(node.name() + " is frozen for " + durationMicros / 1000 + " ms");
+        run.noteCoreFault(node, durationMicros, false);
+        node.freeze(durationMicros);
     }
 
-    private void killCore(long downFor) {
-        day.noteCoreFault(null, downFor + SECOND, true);
-        deployment.cores().forEach(core -> core.kill(downFor));
+    private void killCore(long downMicros) {
+        run.noteCoreFault(null, downMicros + SECOND, true);
+        deployment.coreNodes().forEach(core -> core.kill(downMicros));
     }
 
     /** Partitions a minority of the core with some proxies from the rest; some of these are restarted meanwhile. */
-    private void partition(Deployment.DeployedNode first, long length) {
-        partition(first, length, random.nextInt(4) == 0);
+    private void partition(Deployment.DeployedNode isolatedCore, long durationMicros) {
+        partition(isolatedCore, durationMicros, random.nextInt(4) == 0);
     }
 
-    private void partition(Deployment.DeployedNode first, long length, boolean coreOnly) {
-        List<Deployment.DeployedNode> side = new ArrayList<>(List.of(first));
-        List<Deployment.DeployedNode> rest = new ArrayList<>(deployment.cores());
-        rest.remove(first);
-        if (deployment.cores().size() > 4 && random.nextBoolean()) {
-            side.add(rest.remove(random.nextInt(rest.size())));
+    private void partition(Deployment.DeployedNode isolatedCore, long durationMicros, boolean coreOnly) {
+        List<Deployment.DeployedNode> isolated = new ArrayList<>(List.of(isolatedCore));
+        List<Deployment.DeployedNode> others = new ArrayList<>(deployment.coreNodes());
+        others.remove(isolatedCore);
+        if (deployment.coreNodes().size() > 4 && random.nextBoolean()) {
+            isolated.add(others.remove(random.nextInt(others.size())));
         }
-        int alone = side.size();
-        boolean out = random.nextInt(6) > 0;
-        boolean in = !out || random.nextInt(6) > 0;
-        List<Deployment.DeployedNode> edges = new ArrayList<>();
-        for (Deployment.DeployedNode edge : coreOnly ? List.<Deployment.DeployedNode>of() : deployment.proxies()) {
-            boolean with = edge.machine().zone().equals(first.machine().zone()) || random.nextInt(8) == 0;
-            (with ? edges : rest).add(edge);
+        int isolatedCoreCount = isolated.size();
+        boolean dropsOutbound = random.nextInt(6) > 0;
+        boolean dropsInbound = !dropsOutbound || random.nextInt(6) > 0;
+        List<Deployment.DeployedNode> isolatedProxies = new ArrayList<>();
+        for (Deployment.DeployedNode proxy : coreOnly ? List.<Deployment.DeployedNode>of() : deployment.proxies()) {
+            boolean joinsIsolated =
+                    proxy.machine().zone().equals(isolatedCore.machine().zone()) || random.nextInt(8) == 0;
+            (joinsIsolated ? isolatedProxies : others).add(proxy);
         }
-        side.addAll(edges);
-        day.logFault(side.stream().map(Deployment.DeployedNode::name).toList() + " are cut off for " + length / 1000
-                + " ms" + (out ? "" : ", not out") + (in ? "" : ", not in"));
-        day.noteCoreFault(null, length, false);
-        for (Deployment.DeployedNode one : side) {
-            invariants.addMachineFault(one.name(), simulation.now(), simulation.now() + length);
-            invariants.addMachineFault(one.machine().ip(), simulation.now(), simulation.now() + length);
-            if (out && in) {
-                invariants.addMinoritySpan(one.name(), simulation.now(), simulation.now() + length);
+        isolated.addAll(isolatedProxies);
+        run.logFault(isolated.stream().map(Deployment.DeployedNode::name).toList() + " are cut off for "
+                + durationMicros / 1000 + " ms" + (dropsOutbound ? "" : ", not out")
+                + (dropsInbound ? "" : ", not in"));
+        run.noteCoreFault(null, durationMicros, false);
+        for (Deployment.DeployedNode isolatedNode : isolated) {
+            invariants.addMachineFault(isolatedNode.name(), simulation.now(), simulation.now() + durationMicros);
+            invariants.addMachineFault(
+                    isolatedNode.machine().ip(), simulation.now(), simulation.now() + durationMicros);
+            if (dropsOutbound && dropsInbound) {
+                invariants.addMinoritySpan(isolatedNode.name(), simulation.now(), simulation.now() + durationMicros);
             }
-            for (Deployment.DeployedNode other : rest) {
-                if (out) {
-                    simulation.partition(one.machine(), other.machine());
+            for (Deployment.DeployedNode otherNode : others) {
+                if (dropsOutbound) {
+                    simulation.partition(isolatedNode.machine(), otherNode.machine());
                 }
-                if (in) {
-                    simulation.partition(other.machine(), one.machine());
+                if (dropsInbound) {
+                    simulation.partition(otherNode.machine(), isolatedNode.machine());
                 }
             }
         }
         simulation.scheduleAfter(
-                length,
-                () -> side.forEach(one -> rest.forEach(other -> {
-                    simulation.heal(one.machine(), other.machine());
-                    simulation.heal(other.machine(), one.machine());
+                durationMicros,
+                () -> isolated.forEach(isolatedNode -> others.forEach(otherNode -> {
+                    simulation.heal(isolatedNode.machine(), otherNode.machine());
+                    simulation.heal(otherNode.machine(), isolatedNode.machine());
                 })));
         List<String> seeds = new ArrayList<>();
-        side.subList(0, alone).forEach(core -> seeds.add(core.machine().ip()));
-        seeds.add(rest.get(0).machine().ip());
-        for (Deployment.DeployedNode edge : edges) {
-            if (length > 4 * SECOND && random.nextBoolean()) {
-                simulation.scheduleAfter(SECOND + randomDelayMicros((int) (length - 3 * SECOND)), () -> {
-                    day.logFault(edge.name() + " is killed where it is cut off");
-                    edge.setSeeds(random.nextBoolean() ? seeds : null);
-                    edge.kill(500_000);
+        isolated.subList(0, isolatedCoreCount)
+                .forEach(core -> seeds.add(core.machine().ip()));
+        seeds.add(others.get(0).machine().ip());
+        for (Deployment.DeployedNode proxy : isolatedProxies) {
+            if (durationMicros > 4 * SECOND && random.nextBoolean()) {
+                simulation.scheduleAfter(SECOND + randomDelayMicros((int) (durationMicros - 3 * SECOND)), () -> {
+                    run.logFault(proxy.name() + " is killed where it is cut off");
+                    proxy.setSeeds(random.nextBoolean() ? seeds : null);
+                    proxy.kill(500_000);
                 });
             }
         }
@@ -194,23 +198,23 @@
             case 0, 1 ->
                 traffic.onNextChangeSent(node -> simulation.scheduleAfter(
                         randomDelayMicros(4) == 0 ? randomDelayMicros(2_000) : randomDelayMicros(60_000), () -> {
-                            day.logFault(node.name() + " is killed with an order in its hands");
-                            day.noteCoreFault(node, length + SECOND, false);
+                            run.logFault(node.name() + " is killed with an order in its hands");
+                            run.noteCoreFault(node, length + SECOND, false);
                             node.kill(length);
                         }));
             case 2 ->
                 traffic.onNextChangeSent(node -> simulation.scheduleAfter(randomDelayMicros(30_000), () -> {
                     boolean wiped = random.nextInt(3) == 0;
-                    day.logFault(
+                    run.logFault(
                             node.name() + " loses power with an order in its hands" + (wiped ? ", and its disk" : ""));
-                    day.noteCoreFault(node, length + SECOND, false);
+                    run.noteCoreFault(node, length + SECOND, false);
                     node.losePower(length, wiped);
                 }));
             case 3 -> partition(randomCore(), SECOND + randomDelayMicros(4_000_000));
             case 4 -> freeze(randomCore(), SECOND + randomDelayMicros(19_000_000));
             case 5 ->
                 traffic.onNextAcknowledgement(() -> {
-                    day.logFault("all of the core is killed after a 200");
+                    run.logFault("all of the core is killed after a 200");
                     killCore(300_000 + randomDelayMicros(600_000));
                 });
             default -> partition(lastAcknowledger(), length);
@@ -227,36 +231,36 @@
             return;
         }
         node.setSeeds(drawSeeds(node));
-        Deployment.DeployedNode edge =
+        Deployment.DeployedNode proxy =
                 deployment.proxies().get(random.nextInt(deployment.proxies().size()));
-        edge.setSeeds(drawSeeds(node));
-        invariants.addMachineFault(edge.name(), simulation.now(), simulation.now() + length + SECOND);
-        day.noteCoreFault(node, length + CONVERGENCE_MICROS, false);
-        edge.kill(length);
+        proxy.setSeeds(drawSeeds(node));
+        invariants.addMachineFault(proxy.name(), simulation.now(), simulation.now() + length + SECOND);
+        run.noteCoreFault(node, length + CONVERGENCE_MICROS, false);
+        proxy.kill(length);
         if (kind < 4) {
             boolean wiped = kind > 1;
-            day.logFault(node.name() + " loses power" + (wiped ? " and its disk" : ""));
+            run.logFault(node.name() + " loses power" + (wiped ? " and its disk" : ""));
             node.losePower(length, wiped);
         } else if (kind == 4) {
-            day.logFault(node.name() + " is killed");
+            run.logFault(node.name() + " is killed");
             node.kill(length);
         } else {
-            String ip = "10.1." + deployment.cores().indexOf(node) + '.' + (11 + replacements++);
+            String ip = "10.1." + deployment.coreNodes().indexOf(node) + '.' + (11 + replacements++);
             boolean withDisk = kind == 5;
             String name = withDisk || random.nextBoolean() ? node.name() : "core-" + ip;
-            day.logFault(node.name() + " is replaced by " + name + " at " + ip + (withDisk ? " with its disk" : ""));
+            run.logFault(node.name() + " is replaced by " + name + " at " + ip + (withDisk ? " with its disk" : ""));
             coreAddresses.add(ip);
             node.replace(ip, name, withDisk, length);
         }
-        day.setCoreHealthyAt(simulation.now() + length + CONVERGENCE_MICROS);
+        run.setCoreHealthyAt(simulation.now() + length + CONVERGENCE_MICROS);
     }
 
     /** Three that have been the core's, one of which at least is now and is not the one that ends. */
-    private List<String> drawSeeds(Deployment.DeployedNode ends) {
+    private List<String> drawSeeds(Deployment.DeployedNode endingNode) {
         List<String> all = new ArrayList<>(coreAddresses);
         java.util.Collections.shuffle(all, random);
-        List<Deployment.DeployedNode> others = new ArrayList<>(deployment.cores());
-        others.remove(ends);
+        List<Deployment.DeployedNode> others = new ArrayList<>(deployment.coreNodes());
+        others.remove(endingNode);
         String now = others.get(random.nextInt(others.size())).machine().ip();
         all.remove(now);
         all.add(random.nextInt(Math.min(3, all.size() + 1)), now);
@@ -264,9 +268,9 @@
     }
 
     private void losePowerEverywhere(long downFor) {
-        day.logFault("all machines lose power");
-        day.noteCoreFault(null, downFor + SECOND, true);
-        deployment.cores().forEach(core -> core.losePower(downFor, false));
+        run.logFault("all machines lose power");
+        run.noteCoreFault(null, downFor + SECOND, true);
+        deployment.coreNodes().forEach(core -> core.losePower(downFor, false));
         deployment.proxies().forEach(edge -> {
             invariants.addMachineFault(edge.name(), simulation.now(), simulation.now() + downFor + SECOND);
             edge.losePower(downFor, false);
@@ -279,9 +283,9 @@
         switch (random.nextInt(8)) {
             case 0, 1, 2 -> {
                 int kind = random.nextInt(3);
-                day.logFault(node.name() + (kind == 0 ? " is killed" : kind == 1 ? " loses power" : " loses its disk")
+                run.logFault(node.name() + (kind == 0 ? " is killed" : kind == 1 ? " loses power" : " loses its disk")
                         + " for " + length / 1000 + " ms");
-                day.noteCoreFault(node, length + SECOND, false);
+                run.noteCoreFault(node, length + SECOND, false);
                 if (kind == 0) {
                     node.kill(length);
                 } else {
@@ -289,21 +293,21 @@
                 }
             }
             case 3 -> {
-                day.logFault("all of the core is killed");
+                run.logFault("all of the core is killed");
                 killCore(300_000 + randomDelayMicros(600_000));
             }
             case 4 -> traffic.onNextAcknowledgement(() -> losePowerEverywhere(300_000 + randomDelayMicros(600_000)));
             case 5 -> {
-                day.logFault(node.name() + " is killed, and its disk is full when it starts");
-                day.noteCoreFault(node, 6 * SECOND, false);
+                run.logFault(node.name() + " is killed, and its disk is full when it starts");
+                run.noteCoreFault(node, 6 * SECOND, false);
                 node.machine().disk().setFull(true);
                 node.kill(SECOND);
                 simulation.scheduleAfter(5 * SECOND, () -> node.machine().disk().setFull(false));
             }
             case 6 -> {
                 long slow = 2 * SECOND + randomDelayMicros(4_000_000);
-                day.logFault(node.name() + " has a slow disk for " + slow / 1000 + " ms");
-                day.noteCoreFault(node, slow, false);
+                run.logFault(node.name() + " has a slow disk for " + slow / 1000 + " ms");
+                run.noteCoreFault(node, slow, false);
                 node.machine().disk().setSyncMicros(60_000);
                 simulation.scheduleAfter(slow, () -> node.machine().disk().setSyncMicros(1_000));
             }
@@ -313,40 +317,42 @@
 
     private void injectResponseFault() {
         long length = 2 * SECOND + randomDelayMicros(4_000_000);
-        SimulatedChecker one = day.checkers().isEmpty()
+        SimulatedChecker drainedChecker = run.checkers().isEmpty()
                 ? null
-                : day.checkers().get(random.nextInt(day.checkers().size()));
+                : run.checkers().get(random.nextInt(run.checkers().size()));
         switch (random.nextInt(8)) {
             case 0 -> partition(randomCore(), length);
             case 1 -> freeze(randomCore(), length);
             case 2, 3, 4 -> {
-                if (one == null || one.isDraining() || day.checkers().size() < 5) {
+                if (drainedChecker == null
+                        || drainedChecker.isDraining()
+                        || run.checkers().size() < 5) {
                     return;
                 }
-                boolean cut = random.nextBoolean();
-                day.onNextDrainAcknowledgement(acker -> {
-                    if (cut) {
-                        partition(acker, LONG_PARTITION_MICROS / 2, true);
+                boolean partitions = random.nextBoolean();
+                run.onNextDrainAcknowledgement(acknowledger -> {
+                    if (partitions) {
+                        partition(acknowledger, LONG_PARTITION_MICROS / 2, true);
                     } else {
-                        day.logFault(acker.name() + " loses power after it has acknowledged a drain");
-                        day.noteCoreFault(acker, length + SECOND, false);
-                        acker.losePower(length, false);
+                        run.logFault(acknowledger.name() + " loses power after it has acknowledged a drain");
+                        run.noteCoreFault(acknowledger, length + SECOND, false);
+                        acknowledger.losePower(length, false);
                     }
                 });
-                day.drainAndReplace(one, 2 * SECOND + randomDelayMicros(10_000_000));
-                day.setCoreHealthyAt(simulation.now());
+                run.drainAndReplace(drainedChecker, 2 * SECOND + randomDelayMicros(10_000_000));
+                run.setCoreHealthyAt(simulation.now());
             }
             case 5 -> {
-                day.logFault("one tenant sends many times its usual");
-                day.surge(configurations.planRequest().tenant(), simulation.now() + 5 * SECOND);
-                day.setCoreHealthyAt(simulation.now() + 4 * SECOND);
+                run.logFault("one tenant sends many times its usual");
+                run.surge(configurations.planRequest().tenant(), simulation.now() + 5 * SECOND);
+                run.setCoreHealthyAt(simulation.now() + 4 * SECOND);
             }
             default -> {
-                day.logFault("checkers answer late, twice, in part or not at all");
-                day.checkers().forEach(checker -> checker.sendFaultyResponses(0.05));
-                day.setCoreHealthyAt(simulation.now() + length);
+                run.logFault("checkers answer late, twice, in part or not at all");
+                run.checkers().forEach(checker -> checker.sendFaultyResponses(0.05));
+                run.setCoreHealthyAt(simulation.now() + length);
                 simulation.scheduleAfter(
-                        length, () -> day.checkers().forEach(checker -> checker.sendFaultyResponses(0)));
+                        length, () -> run.checkers().forEach(checker -> checker.sendFaultyResponses(0)));
             }
         }
     }
--- a/src/main/java/reedmux/simulation/cluster/GrowthExperiment.java
+++ b/src/main/java/reedmux/simulation/cluster/GrowthExperiment.java
@@ -53,7 +53,7 @@
     }
 
     private List<GrowthRow> runPhases(ClusterSize size) {
-        ClusterInvariantChecker unheard = new ClusterInvariantChecker();
+        ClusterInvariantChecker uncheckedInvariants = new ClusterInvariantChecker();
         deployment.start();
         for (int i = 0; i < size.checkers(); i++) {
             SimulatedMachine machine = new SimulatedMachine(
@@ -67,11 +67,11 @@
                     "i-" + i,
                     ConfigurationGenerator.SERVICES.get(i % 2),
                     deployment.controlAddresses(),
-                    unheard,
+                    uncheckedInvariants,
                     () -> {},
                     ip -> {});
         }
-        new SimulatedOperator(simulation, "10.8.0.1", deployment.controlAddresses(), unheard)
+        new SimulatedOperator(simulation, "10.8.0.1", deployment.controlAddresses(), uncheckedInvariants)
                 .changeConfiguration(
                         new ConfigurationGenerator(new Random(1)).initialChange(),
                         ClusterInvariantChecker.ExpectedDecision.ACCEPT,
@@ -85,49 +85,49 @@
         if (size.proxies() > MAX_ROLLED_PROXIES) {
             return rows;
         }
-        List<Deployment.DeployedNode> edges = deployment.proxies();
-        for (int i = 0; i < edges.size(); i++) {
-            Deployment.DeployedNode edge = edges.get(i);
-            simulation.scheduleAfter(i * ROLLING_RESTART_MICROS / edges.size(), () -> edge.kill(DOWNTIME_MICROS));
+        List<Deployment.DeployedNode> proxies = deployment.proxies();
+        for (int i = 0; i < proxies.size(); i++) {
+            Deployment.DeployedNode proxy = proxies.get(i);
+            simulation.scheduleAfter(i * ROLLING_RESTART_MICROS / proxies.size(), () -> proxy.kill(DOWNTIME_MICROS));
         }
         measure(rows, size, "roll", ROLLING_RESTART_MICROS + ROLLING_RESTART_TAIL_MICROS);
         return rows;
     }
 
-    private void measure(List<GrowthRow> rows, ClusterSize size, String phase, long length) {
+    private void measure(List<GrowthRow> rows, ClusterSize size, String phase, long durationMicros) {
         List<List<ProcessLoad>> before = new ArrayList<>();
         ROLES.forEach(role -> before.add(loads(role)));
-        simulation.runFor(length);
+        simulation.runFor(durationMicros);
         for (int i = 0; i < ROLES.size(); i++) {
-            List<ProcessLoad> then = loads(ROLES.get(i));
-            ProcessLoad[] gone = new ProcessLoad[then.size()];
-            for (int at = 0; at < gone.length; at++) {
-                gone[at] = then.get(at).since(before.get(i).get(at));
+            List<ProcessLoad> after = loads(ROLES.get(i));
+            ProcessLoad[] differences = new ProcessLoad[after.size()];
+            for (int machine = 0; machine < differences.length; machine++) {
+                differences[machine] = after.get(machine).since(before.get(i).get(machine));
             }
-            double seconds = length / 1e6;
+            double seconds = durationMicros / 1e6;
             rows.add(new GrowthRow(
                     size,
                     phase,
                     ROLES.get(i),
                     seconds,
-                    median(gone, load -> (load.sentBytes + load.receivedBytes) / 1e3) / seconds,
-                    median(gone, load -> load.messages) / seconds,
-                    median(gone, load -> load.events) / seconds,
-                    median(gone, load -> load.cpuNanos / 1e6) / seconds));
+                    median(differences, load -> (load.sentBytes + load.receivedBytes) / 1e3) / seconds,
+                    median(differences, load -> load.messages) / seconds,
+                    median(differences, load -> load.events) / seconds,
+                    median(differences, load -> load.cpuNanos / 1e6) / seconds));
         }
     }
 
     private List<ProcessLoad> loads(String role) {
         List<ProcessLoad> all = new ArrayList<>();
-        for (Deployment.DeployedNode node : role.equals("proxy") ? deployment.proxies() : deployment.cores()) {
+        for (Deployment.DeployedNode node : role.equals("proxy") ? deployment.proxies() : deployment.coreNodes()) {
             all.add(new ProcessLoad()
                     .since(new ProcessLoad().since(node.machine().load(node.name() + '/' + role))));
         }
         return all;
     }
 
-    private static double median(ProcessLoad[] loads, ToDoubleFunction<ProcessLoad> of) {
-        double[] sorted = Arrays.stream(loads).mapToDouble(of).sorted().toArray();
+    private static double median(ProcessLoad[] loads, ToDoubleFunction<ProcessLoad> value) {
+        double[] sorted = Arrays.stream(loads).mapToDouble(value).sorted().toArray();
         return sorted[sorted.length / 2];
     }
 }
--- a/src/main/java/reedmux/simulation/cluster/ProcessLoad.java
+++ b/src/main/java/reedmux/simulation/cluster/ProcessLoad.java
@@ -11,12 +11,12 @@
 
     /** What was added since an earlier look. */
     ProcessLoad since(ProcessLoad before) {
-        ProcessLoad gone = new ProcessLoad();
-        gone.sentBytes = sentBytes - before.sentBytes;
-        gone.receivedBytes = receivedBytes - before.receivedBytes;
-        gone.messages = messages - before.messages;
-        gone.events = events - before.events;
-        gone.cpuNanos = cpuNanos - before.cpuNanos;
-        return gone;
+        ProcessLoad difference = new ProcessLoad();
+        difference.sentBytes = sentBytes - before.sentBytes;
+        difference.receivedBytes = receivedBytes - before.receivedBytes;
+        difference.messages = messages - before.messages;
+        difference.events = events - before.events;
+        difference.cpuNanos = cpuNanos - before.cpuNanos;
+        return difference;
     }
 }
--- a/src/main/java/reedmux/simulation/cluster/RandomFaults.java
+++ b/src/main/java/reedmux/simulation/cluster/RandomFaults.java
@@ -20,8 +20,8 @@
     private static final int MIN_CHECKERS = 5;
     private static final int MICROS_PER_MILLI = 1000;
 
-    private final SimulatedDay day;
-    private final SimulatedDay.DayOptions options;
+    private final SimulatedRun run;
+    private final SimulatedRun.RunOptions options;
     private final ClusterSimulation simulation;
     private final Deployment deployment;
     private final ClusterInvariantChecker invariants;
@@ -30,15 +30,15 @@
     private final Random random;
 
     RandomFaults(
-            SimulatedDay day,
-            SimulatedDay.DayOptions options,
+            SimulatedRun run,
+            SimulatedRun.RunOptions options,
             ClusterSimulation simulation,
             Deployment deployment,
             ClusterInvariantChecker invariants,
             ConfigurationGenerator configurations,
             CheckerFleet checkers,
             Random random) {
-        this.day = day;
+        this.run = run;
         this.options = options;
         this.simulation = simulation;
         this.deployment = deployment;
@@ -55,7 +55,7 @@
         }
         int kind = random.nextInt(options.storm() ? FIRST_PROXY_KIND : KINDS);
         if (kind < FIRST_PROXY_KIND || kind > LAST_CHECKER_KIND) {
-            if (day.isCoreHealthy()) {
+            if (run.isCoreHealthy()) {
                 injectCoreFault(kind);
             }
         } else if (kind < FIRST_CHECKER_KIND) {
@@ -72,40 +72,40 @@
 
     // ---- Core --------------------------------------------------------------------------------------
     private void injectCoreFault(int kind) {
-        Deployment.DeployedNode node = randomNode(deployment.cores());
+        Deployment.DeployedNode node = randomNode(deployment.coreNodes());
         long length = SECOND + random.nextInt(3_500_000);
         switch (kind) {
             case 0 -> {
-                day.logFault(node.name() + " is killed for " + length / MICROS_PER_MILLI + " ms");
-                day.noteCoreFault(node, length + SECOND, false);
+                run.logFault(node.name() + " is killed for " + length / MICROS_PER_MILLI + " ms");
+                run.noteCoreFault(node, length + SECOND, false);
                 node.kill(length);
             }
             case 1 -> {
-                day.logFault("all of the core is killed");
-                day.noteCoreFault(null, 2 * SECOND, true);
-                deployment.cores().forEach(core -> core.kill(300_000 + random.nextInt(600_000)));
+                run.logFault("all of the core is killed");
+                run.noteCoreFault(null, 2 * SECOND, true);
+                deployment.coreNodes().forEach(core -> core.kill(300_000 + random.nextInt(600_000)));
             }
             case 2, 3 -> losePowerAfterAcknowledgement(node, length, kind == 3);
             case 4, 5, 6 -> {
-                day.logFault(node.name() + " is cut off, way " + kind + ", " + length / MICROS_PER_MILLI + " ms");
-                day.noteCoreFault(node, length, false);
+                run.logFault(node.name() + " is cut off, way " + kind + ", " + length / MICROS_PER_MILLI + " ms");
+                run.noteCoreFault(node, length, false);
                 partition(node, length, kind != 6, kind != 5, random.nextBoolean());
             }
             case 7, 8, 9 -> injectDiskFault(kind, node, length);
             case 22 -> stopCoreAfterDrain(length);
             default -> {
-                day.logFault(node.name() + " is frozen for " + length / MICROS_PER_MILLI + " ms");
-                day.noteCoreFault(node, length, false);
+                run.logFault(node.name() + " is frozen for " + length / MICROS_PER_MILLI + " ms");
+                run.noteCoreFault(node, length, false);
                 node.freeze(length);
             }
         }
     }
 
     private void losePowerAfterAcknowledgement(Deployment.DeployedNode node, long length, boolean wiped) {
-        day.setCoreHealthyAt(simulation.now() + 10 * SECOND);
-        day.onNextAcknowledgement(() -> {
-            day.logFault(node.name() + " loses power" + (wiped ? " and its disk" : "") + " after a 200");
-            day.noteCoreFault(node, length + SECOND, false);
+        run.setCoreHealthyAt(simulation.now() + 10 * SECOND);
+        run.onNextAcknowledgement(() -> {
+            run.logFault(node.name() + " loses power" + (wiped ? " and its disk" : "") + " after a 200");
+            run.noteCoreFault(node, length + SECOND, false);
             node.losePower(length, wiped);
         });
     }
@@ -114,20 +114,20 @@
         SimulatedDisk disk = node.machine().disk();
         switch (kind) {
             case 7 -> {
-                day.logFault(node.name() + " has a slow disk");
-                day.noteCoreFault(node, length, false);
+                run.logFault(node.name() + " has a slow disk");
+                run.noteCoreFault(node, length, false);
                 disk.setSyncMicros(60_000);
                 simulation.scheduleAfter(length, () -> node.machine().disk().setSyncMicros(1_000));
             }
             case 8 -> {
-                day.logFault(node.name() + " has a full disk");
-                day.noteCoreFault(node, length, false);
+                run.logFault(node.name() + " has a full disk");
+                run.noteCoreFault(node, length, false);
                 disk.setFull(true);
                 simulation.scheduleAfter(length, () -> node.machine().disk().setFull(false));
             }
             default -> {
-                day.logFault(node.name() + " has a disk that hangs");
-                day.noteCoreFault(node, length, false);
+                run.logFault(node.name() + " has a disk that hangs");
+                run.noteCoreFault(node, length, false);
                 disk.hangUntil(simulation.now() + length);
             }
         }
@@ -136,14 +136,14 @@
     /** Has a checker drain, and stops who acknowledges that, or all of the core. */
     private void stopCoreAfterDrain(long length) {
         boolean all = random.nextBoolean();
-        day.onNextDrainAcknowledgement(acknowledger -> {
+        run.onNextDrainAcknowledgement(acknowledger -> {
             if (all) {
-                day.logFault("all of the core is killed after a drain was acknowledged");
-                day.noteCoreFault(null, 2 * SECOND, true);
-                deployment.cores().forEach(core -> core.kill(500_000));
+                run.logFault("all of the core is killed after a drain was acknowledged");
+                run.noteCoreFault(null, 2 * SECOND, true);
+                deployment.coreNodes().forEach(core -> core.kill(500_000));
             } else {
-                day.logFault(acknowledger.name() + " loses power after it has acknowledged a drain");
-                day.noteCoreFault(acknowledger, length + SECOND, false);
+                run.logFault(acknowledger.name() + " loses power after it has acknowledged a drain");
+                run.noteCoreFault(acknowledger, length + SECOND, false);
                 acknowledger.losePower(length, false);
             }
         });
@@ -153,22 +153,27 @@
     }
 
     /** Drops what a machine sends to the others of the system, what it receives from them, or both. */
-    private void partition(Deployment.DeployedNode node, long length, boolean out, boolean in, boolean coreOnly) {
-        List<Deployment.DeployedNode> others = new ArrayList<>(deployment.cores());
+    private void partition(
+            Deployment.DeployedNode node,
+            long durationMicros,
+            boolean dropsOutbound,
+            boolean dropsInbound,
+            boolean coreOnly) {
+        List<Deployment.DeployedNode> others = new ArrayList<>(deployment.coreNodes());
         if (!coreOnly) {
             others.addAll(deployment.proxies());
         }
         others.remove(node);
         for (Deployment.DeployedNode other : others) {
-            if (out) {
+            if (dropsOutbound) {
                 simulation.partition(node.machine(), other.machine());
             }
-            if (in) {
+            if (dropsInbound) {
                 simulation.partition(other.machine(), node.machine());
             }
         }
         simulation.scheduleAfter(
-                length,
+                durationMicros,
                 () -> others.forEach(other -> {
                     simulation.heal(node.machine(), other.machine());
                     simulation.heal(other.machine(), node.machine());
@@ -181,12 +186,12 @@
         long length = SECOND + random.nextInt(3_500_000);
         switch (kind) {
             case 11 -> {
-                day.logFault(node.name() + " is killed");
+                run.logFault(node.name() + " is killed");
                 invariants.addMachineFault(node.name(), simulation.now(), simulation.now() + length + SECOND);
                 node.kill(length);
             }
             case 12 -> {
-                day.logFault("half of the proxies are killed");
+                run.logFault("half of the proxies are killed");
                 for (Deployment.DeployedNode each : deployment.proxies()) {
                     if (random.nextBoolean()) {
                         invariants.addMachineFault(each.name(), simulation.now(), simulation.now() + 2 * SECOND);
@@ -196,17 +201,17 @@
             }
             case 13 -> rollingRestart(0, Math.max(2, deployment.proxies().size() / 3));
             case 14 -> {
-                day.logFault(node.name() + " is cut off");
+                run.logFault(node.name() + " is cut off");
                 invariants.addMachineFault(node.name(), simulation.now(), simulation.now() + length);
                 partition(node, length, true, true, false);
             }
             case 15 -> {
-                day.logFault(node.name() + " is frozen");
+                run.logFault(node.name() + " is frozen");
                 invariants.addMachineFault(node.name(), simulation.now(), simulation.now() + length);
                 node.freeze(length);
             }
             default -> {
-                day.logFault(node.name() + " loses power");
+                run.logFault(node.name() + " loses power");
                 invariants.addMachineFault(node.name(), simulation.now(), simulation.now() + length + SECOND);
                 node.losePower(length, false);
             }
@@ -217,7 +222,7 @@
     private void rollingRestart(int next, int count) {
         if (next < count) {
             Deployment.DeployedNode node = deployment.proxies().get(next);
-            day.logFault(node.name() + " is told to end");
+            run.logFault(node.name() + " is told to end");
             invariants.addMachineFault(node.name(), simulation.now() + 6 * SECOND, simulation.now() + 8 * SECOND);
             node.terminate(300_000);
             simulation.scheduleAfter(1_300_000, () -> rollingRestart(next + 1, count));
@@ -238,27 +243,27 @@
         }
         switch (kind) {
             case 17 -> {
-                day.logFault(checker.id() + " crashes");
+                run.logFault(checker.id() + " crashes");
                 checker.crash();
                 simulation.scheduleAfter(2 * SECOND, () -> checkers.start(machine, service));
             }
             case 18, 19 -> {
-                day.logFault(checker.id() + " leaves, and its address goes to another");
+                run.logFault(checker.id() + " leaves, and its address goes to another");
                 checker.drain();
                 checkers.replaceOnceEnded(checker, machine, service);
             }
             case 20 -> {
                 if (random.nextBoolean()) {
-                    day.logFault("one tenant sends many times its usual");
-                    day.surge(configurations.planRequest().tenant(), simulation.now() + 5 * SECOND);
+                    run.logFault("one tenant sends many times its usual");
+                    run.surge(configurations.planRequest().tenant(), simulation.now() + 5 * SECOND);
                     return;
                 }
-                day.logFault("answers are lost");
+                run.logFault("answers are lost");
                 all.forEach(each -> each.loseResponses(0.04));
                 simulation.scheduleAfter(4 * SECOND, () -> all.forEach(each -> each.loseResponses(0)));
             }
             default -> {
-                day.logFault(checker.id() + " is killed, and its address goes to another at once");
+                run.logFault(checker.id() + " is killed, and its address goes to another at once");
                 checker.crash();
                 simulation.scheduleAfter(SECOND * 2, () -> checkers.start(machine, 1 - service));
             }
--- a/src/main/java/reedmux/simulation/cluster/RequestInvariants.java
+++ b/src/main/java/reedmux/simulation/cluster/RequestInvariants.java
@@ -138,7 +138,7 @@
         request.executedBy.add(checker);
         departures.onExecutionBegun(id, checker);
         reportIfExecutedAndClosed(id, request);
-        if (configuration.leadsElsewhere(request.route, service)) {
+        if (configuration.isNeverRoutedTo(request.route, service)) {
             log.report("ROUTE", id + " runs at " + service + ", where no version of " + request.route + " leads");
         }
         if (!request.idempotent && request.executedBy.size() > 1) {
@@ -230,8 +230,8 @@
     }
 
     /** A checker's drain was acknowledged by a control machine. */
-    void onDrainAcknowledged(String checker, String by, long now) {
-        if (!faults.isInContact(by, now, now)) {
+    void onDrainAcknowledged(String checker, String acknowledger, long now) {
+        if (!faults.isInContact(acknowledger, now, now)) {
             return;
         }
         drains += drainAcknowledgedAt.putIfAbsent(checker, now) == null ? 1 : 0;
--- a/src/main/java/reedmux/simulation/cluster/SimulatedChecker.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedChecker.java
@@ -55,24 +55,24 @@
             SimulatedMachine machine,
             String id,
             String service,
-            List<InetSocketAddress> control,
-            ClusterInvariantChecker watch,
-            Runnable onEnd,
-            java.util.function.Consumer<String> onDrain) {
+            List<InetSocketAddress> controlAddresses,
+            ClusterInvariantChecker invariants,
+            Runnable exitListener,
+            java.util.function.Consumer<String> drainListener) {
         this.simulation = simulation;
-        this.invariants = watch;
+        this.invariants = invariants;
         this.id = id;
         this.service = service;
-        this.controlAddresses = control;
-        this.exitListener = onEnd;
-        this.drainListener = onDrain;
-        controlIndex = simulation.random().nextInt(control.size());
+        this.controlAddresses = controlAddresses;
+        this.exitListener = exitListener;
+        this.drainListener = drainListener;
+        controlIndex = simulation.random().nextInt(controlAddresses.size());
         process = new SimulatedProcess(simulation, machine, id, 0, line -> {});
         try {
             new TcpListener(
                     process.reactor(),
                     new InetSocketAddress(machine.ip(), PORT),
-                    wire -> new Http1ServerConnection(process.reactor(), wire, this::serve));
+                    connection -> new Http1ServerConnection(process.reactor(), connection, this::serve));
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -108,44 +108,44 @@
     }
 
     // ---- Requests ----------------------------------------------------------------------------------
-    private void serve(Http1ServerConnection.Http1Request call, Http1ServerConnection from) {
-        Http1Head head = call.head();
+    private void serve(Http1ServerConnection.Http1Request request, Http1ServerConnection connection) {
+        Http1Head head = request.head();
         String attempt = head.get("Reedmux-Attempt-Id");
         String target = head.get("Reedmux-Target-Instance");
         if (target != null && !target.equals(id)) {
-            from.respond(Http1Head.response(421).add("Reedmux-Instance-Id", id), new byte[0]);
+            connection.respond(Http1Head.response(421).add("Reedmux-Instance-Id", id), new byte[0]);
             return;
         }
         invariants.onRequestArrived(attempt, service, process.now());
         if (attempt == null) {
-            from.respond(Http1Head.response(400).add("Reedmux-Not-Executed", "1"), new byte[0]);
+            connection.respond(Http1Head.response(400).add("Reedmux-Not-Executed", "1"), new byte[0]);
         } else if (busy < SLOTS) {
-            execute(head, attempt, from);
+            execute(head, attempt, connection);
         } else if (queue.size() < MAX_QUEUED) {
-            Runnable waiting = () -> execute(head, attempt, from);
+            Runnable waiting = () -> execute(head, attempt, connection);
             queue.add(waiting);
-            from.setDisconnectListener(() -> queue.remove(waiting));
+            connection.setDisconnectListener(() -> queue.remove(waiting));
         } else {
-            from.respond(Http1Head.response(503).add("Reedmux-Not-Executed", "1"), new byte[0]);
+            connection.respond(Http1Head.response(503).add("Reedmux-Not-Executed", "1"), new byte[0]);
         }
     }
 
-    private void execute(Http1Head head, String attempt, Http1ServerConnection from) {
+    private void execute(Http1Head head, String attempt, Http1ServerConnection connection) {
         busy++;
         invariants.onRequestExecuted(attempt, id, service, head.get("Reedmux-Tenant"), process.now());
         simulation.addToDigest(id + " runs " + attempt);
         Reactor.ScheduledTask work = process.reactor().scheduleAfter(workMicros(head), () -> {
-            from.setDisconnectListener(null);
+            connection.setDisconnectListener(null);
             if (simulation.random().nextDouble() < lostResponseShare) {
-                from.sendRawAndClose(new byte[0]);
+                connection.sendRawAndClose(new byte[0]);
             } else if (faultyResponseShare > 0 && simulation.random().nextDouble() < faultyResponseShare) {
-                respondFaultily(attempt, from);
+                respondFaultily(attempt, connection);
             } else {
-                respond(attempt, from);
+                respond(attempt, connection);
             }
             endExecution(attempt, true);
         });
-        from.setDisconnectListener(() -> {
+        connection.setDisconnectListener(() -> {
             work.cancel();
             endExecution(attempt, false);
         });
@@ -166,8 +166,8 @@
         }
     }
 
-    private void respond(String attempt, Http1ServerConnection from) {
-        from.respond(
+    private void respond(String attempt, Http1ServerConnection connection) {
+        connection.respond(
                 Http1Head.response(200).add("Reedmux-Attempt-Id", attempt).add("Reedmux-Server-Seal", id),
                 content(attempt));
     }
@@ -176,27 +176,28 @@
         return (id + ' ' + service + ' ' + attempt).getBytes(StandardCharsets.UTF_8);
     }
 
-    private void respondFaultily(String attempt, Http1ServerConnection from) {
-        byte[] whole = encodedResponse(attempt);
+    private void respondFaultily(String attempt, Http1ServerConnection connection) {
+        byte[] response = encodedResponse(attempt);
         switch (simulation.random().nextInt(6)) {
             case 0 ->
                 process.reactor()
-                        .scheduleAfter(500_000 + simulation.random().nextInt(2_500_000), () -> respond(attempt, from));
+                        .scheduleAfter(
+                                500_000 + simulation.random().nextInt(2_500_000), () -> respond(attempt, connection));
             case 1 ->
-                from.sendRawAndClose(
-                        java.util.Arrays.copyOf(whole, 1 + simulation.random().nextInt(whole.length - 1)));
+                connection.sendRawAndClose(java.util.Arrays.copyOf(
+                        response, 1 + simulation.random().nextInt(response.length - 1)));
             case 2, 3 -> { // once more, at once or when the connection may carry another request
-                respond(attempt, from);
+                respond(attempt, connection);
                 process.reactor()
                         .scheduleAfter(
                                 simulation.random().nextInt(3) == 0
                                         ? 0
                                         : simulation.random().nextInt(60_000),
-                                () -> from.sendUnsolicited(whole));
+                                () -> connection.sendUnsolicited(response));
             }
             case 4 -> {
-                from.sendUnsolicited("HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.UTF_8));
-                respond(attempt, from);
+                connection.sendUnsolicited("HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.UTF_8));
+                respond(attempt, connection);
             }
             default -> {}
         }
@@ -209,80 +210,81 @@
                 .add("Reedmux-Server-Seal", id)
                 .add("Content-Length", Integer.toString(content.length))
                 .encode();
-        byte[] all = java.util.Arrays.copyOf(head, head.length + content.length);
-        System.arraycopy(content, 0, all, head.length, content.length);
-        return all;
+        byte[] response = java.util.Arrays.copyOf(head, head.length + content.length);
+        System.arraycopy(content, 0, response, head.length, content.length);
+        return response;
     }
 
     // ---- Heartbeats --------------------------------------------------------------------------------
-    private void sendHeartbeat(int failed) {
+    private void sendHeartbeat(int failures) {
         if (!process.isAlive()) {
             return;
         }
-        boolean said = draining;
+        boolean announcesDrain = draining;
         String body = "{\"plant\":\"" + service + "\",\"address\":\""
                 + process.machine().ip() + ':' + PORT
                 + "\",\"zone\":\"" + process.machine().zone() + "\",\"revision\":\"v1\",\"capacity\":" + SLOTS
-                + ",\"phase\":\"" + (said ? "draining" : "ready") + "\",\"coldLeftMs\":0,\"seq\":" + ++sequence
+                + ",\"phase\":\"" + (announcesDrain ? "draining" : "ready") + "\",\"coldLeftMs\":0,\"seq\":"
+                + ++sequence
                 + '}';
-        callControl("/v1/Instances.Heartbeat/" + id, body, good -> {
-            if (good && said && !drainAcknowledged) {
+        callControl("/v1/Instances.Heartbeat/" + id, body, succeeded -> {
+            if (succeeded && announcesDrain && !drainAcknowledged) {
                 drainAcknowledged = true;
-                String by = controlAddresses
+                String acknowledger = controlAddresses
                         .get(controlIndex % controlAddresses.size())
                         .getAddress()
                         .getHostAddress();
-                invariants.onDrainAcknowledged(id, by, process.now());
-                drainListener.accept(by);
+                invariants.onDrainAcknowledged(id, acknowledger, process.now());
+                drainListener.accept(acknowledger);
                 process.reactor().scheduleAfter(DRAIN_MICROS + lingerMicros, () -> deregister(0));
-            } else if (!good && failed < controlAddresses.size()) {
+            } else if (!succeeded && failures < controlAddresses.size()) {
                 controlIndex++;
-                sendHeartbeat(failed + 1);
+                sendHeartbeat(failures + 1);
                 return;
-            } else if (said && !drainAcknowledged) {
+            } else if (announcesDrain && !drainAcknowledged) {
                 if (process.now() - drainingAt > DRAIN_TIMEOUT_MICROS) {
                     invariants.onDrainUnacknowledged(drainingAt, process.now());
                     deregister(0);
                     return;
                 }
             }
-            if (said == draining) {
+            if (announcesDrain == draining) {
                 process.reactor()
                         .scheduleAfter(
-                                said && !drainAcknowledged ? 200_000 : HEARTBEAT_INTERVAL_MICROS,
+                                announcesDrain && !drainAcknowledged ? 200_000 : HEARTBEAT_INTERVAL_MICROS,
                                 () -> sendHeartbeat(0));
             }
         });
     }
 
-    private void deregister(int failed) {
-        callControl("/v1/Instances.Leave/" + id, "{}", good -> {
-            if (good || failed >= 3) {
+    private void deregister(int failures) {
+        callControl("/v1/Instances.Leave/" + id, "{}", succeeded -> {
+            if (succeeded || failures >= 3) {
                 process.kill();
                 exitListener.run();
             } else {
                 controlIndex++;
-                deregister(failed + 1);
+                deregister(failures + 1);
             }
         });
     }
 
-    private void callControl(String path, String body, java.util.function.Consumer<Boolean> done) {
+    private void callControl(String path, String body, java.util.function.Consumer<Boolean> callback) {
         try {
             new OneShotHttpCall(
                     process.reactor(),
                     controlAddresses.get(controlIndex % controlAddresses.size()),
                     OneShotHttpCall.post(path, body),
                     CALL_TIMEOUT_MICROS,
-                    (status, head, text) -> done.accept(status / 100 == 2));
+                    (status, head, text) -> callback.accept(status / 100 == 2));
         } catch (IOException e) {
-            done.accept(false);
+            callback.accept(false);
         }
     }
 
     /** Begins to drain, and serves on for longer than it has to. */
-    void drain(long longer) {
-        lingerMicros = longer;
+    void drain(long extraMicros) {
+        lingerMicros = extraMicros;
         drain();
     }
 
--- a/src/main/java/reedmux/simulation/cluster/SimulatedClients.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedClients.java
@@ -45,10 +45,10 @@
             String routeItem,
             String keyItem) {}
 
-    SimulatedClients(ClusterSimulation simulation, Deployment deployment, ClusterInvariantChecker watch) {
+    SimulatedClients(ClusterSimulation simulation, Deployment deployment, ClusterInvariantChecker invariants) {
         this.simulation = simulation;
         this.deployment = deployment;
-        this.invariants = watch;
+        this.invariants = invariants;
         process = new SimulatedProcess(
                 simulation,
                 new SimulatedMachine(simulation, "10.9.0.1", Deployment.ZONES[1], false),
@@ -60,16 +60,16 @@
 
     // ---- The platform ------------------------------------------------------------------------------
     private void probeReadiness() {
-        for (Deployment.DeployedNode edge : deployment.proxies()) {
+        for (Deployment.DeployedNode proxy : deployment.proxies()) {
             runOnProcess(() -> new OneShotHttpCall(
                     process.reactor(),
-                    deployment.readinessAddress(edge),
+                    deployment.readinessAddress(proxy),
                     OneShotHttpCall.request("GET", "/v1/readiness", "ready", ""),
                     PROBE_INTERVAL_MICROS,
                     (status, head, text) -> {
-                        missedProbes.merge(edge.name(), 1, (had, one) -> status == 200 ? 0 : had + 1);
+                        missedProbes.merge(proxy.name(), 1, (missed, increment) -> status == 200 ? 0 : missed + 1);
                         if (status == 200) {
-                            invariants.onReady(edge.name(), edge.startedAt(), simulation.now());
+                            invariants.onReady(proxy.name(), proxy.startedAt(), simulation.now());
                         }
                     }));
         }
@@ -90,8 +90,8 @@
         });
     }
 
-    boolean isInRotation(Deployment.DeployedNode edge) {
-        return missedProbes.getOrDefault(edge.name(), MAX_MISSED_PROBES) < MAX_MISSED_PROBES;
+    boolean isInRotation(Deployment.DeployedNode proxy) {
+        return missedProbes.getOrDefault(proxy.name(), MAX_MISSED_PROBES) < MAX_MISSED_PROBES;
     }
 
     private Deployment.DeployedNode pickProxy() {
@@ -130,118 +130,134 @@
     }
 
     /** Sends a client's request, with its retries. */
-    void request(PlannedRequest wish) {
+    void request(PlannedRequest planned) {
         boolean counted = simulation.now() >= countFrom;
         countedRequests += counted ? 1 : 0;
         request(
-                wish,
+                planned,
                 "q" + ++nextRequestNumber,
                 1,
                 simulation.now() + DEADLINE_MICROS,
-                good -> countedServed += counted && good ? 1 : 0);
+                succeeded -> countedServed += counted && succeeded ? 1 : 0);
     }
 
-    private void request(PlannedRequest wish, String name, int number, long deadline, Consumer<Boolean> done) {
-        Deployment.DeployedNode edge = pickProxy();
+    private void request(PlannedRequest planned, String name, int number, long deadline, Consumer<Boolean> callback) {
+        Deployment.DeployedNode proxy = pickProxy();
         String id = name + '.' + number;
         invariants.onRequestSent(
-                id, edge.name(), wish.idempotent, wish.tenant, wish.service, wish.routeItem, simulation.now());
-        long begun = simulation.now();
-        send(edge, wish, id, deadline, (status, head, text) -> {
-            recordResponse(edge, id, status, head, text, begun);
-            boolean again = status == 429
+                id,
+                proxy.name(),
+                planned.idempotent,
+                planned.tenant,
+                planned.service,
+                planned.routeItem,
+                simulation.now());
+        long sentAt = simulation.now();
+        send(proxy, planned, id, deadline, (status, head, text) -> {
+            recordResponse(proxy, id, status, head, text, sentAt);
+            boolean retry = status == 429
                     || status == 503
-                    || wish.idempotent && status != 200 && status != 401 && status != 404;
-            if (!again || number >= MAX_ATTEMPTS || simulation.now() + 50_000 > deadline) {
-                done.accept(status == 200);
+                    || planned.idempotent && status != 200 && status != 401 && status != 404;
+            if (!retry || number >= MAX_ATTEMPTS || simulation.now() + 50_000 > deadline) {
+                callback.accept(status == 200);
                 return;
             }
-            String after = head == null ? null : head.get("Retry-After");
-            long pause = after == null
+            String retryAfter = head == null ? null : head.get("Retry-After");
+            long delayMicros = retryAfter == null
                     ? 50_000
                     : Math.min(
-                            (long) (Double.parseDouble(after) * PROBE_INTERVAL_MICROS),
+                            (long) (Double.parseDouble(retryAfter) * PROBE_INTERVAL_MICROS),
                             (deadline - simulation.now()) / 3);
-            simulation.scheduleAfter(pause, () -> request(wish, name, number + 1, deadline, done));
+            simulation.scheduleAfter(delayMicros, () -> request(planned, name, number + 1, deadline, callback));
         });
     }
 
     private void recordResponse(
-            Deployment.DeployedNode edge, String id, int status, Http1Head head, String text, long begun) {
+            Deployment.DeployedNode proxy, String id, int status, Http1Head head, String text, long sentAt) {
         simulation.addToDigest(id + ' ' + status);
         if (status == 0) {
             invariants.onConnectionLost(
-                    id, text.equals("cut off") || text.contains("reset"), edge.isShuttingDown(), simulation.now());
+                    id, text.equals("cut off") || text.contains("reset"), proxy.isShuttingDown(), simulation.now());
             return;
         }
         String seal = head.get("Reedmux-Server-Seal");
-        String own = seal != null && text.startsWith(seal + ' ') && text.endsWith(' ' + id) ? seal : null;
-        invariants.onResponse(id, status, own, simulation.now());
+        String sealedBy = seal != null && text.startsWith(seal + ' ') && text.endsWith(' ' + id) ? seal : null;
+        invariants.onResponse(id, status, sealedBy, simulation.now());
     }
 
     private void send(
-            Deployment.DeployedNode edge,
-            PlannedRequest wish,
+            Deployment.DeployedNode proxy,
+            PlannedRequest planned,
             String id,
             long deadline,
-            OneShotHttpCall.ResponseCallback done) {
+            OneShotHttpCall.ResponseCallback callback) {
         List<String> headers = new ArrayList<>(List.of(
                 "Reedmux-Attempt-Id: " + id + "\r\n",
                 "Reedmux-Time-Left-Ms: " + Math.max(1, (deadline - simulation.now()) / 1000) + "\r\n"));
-        headers.add("Authorization: Bearer " + wish.key + "\r\n");
+        headers.add("Authorization: Bearer " + planned.key + "\r\n");
         byte[] bytes = OneShotHttpCall.request(
-                wish.idempotent ? "GET" : "POST",
-                wish.path,
+                planned.idempotent ? "GET" : "POST",
+                planned.path,
                 "h.example",
-                wish.idempotent ? "" : "some body",
+                planned.idempotent ? "" : "some body",
                 headers.toArray(new String[0]));
         runOnProcess(() -> new OneShotHttpCall(
-                process.reactor(), deployment.frontAddress(edge), bytes, deadline - simulation.now() + 20_000, done));
+                process.reactor(),
+                deployment.frontAddress(proxy),
+                bytes,
+                deadline - simulation.now() + 20_000,
+                callback));
     }
 
     /** Sends a request to one proxy, if that is in rotation, to see which configuration it uses. */
-    void probeConfiguration(Deployment.DeployedNode edge, PlannedRequest wish, Predicate<String> swapped) {
-        if (!isInRotation(edge)) {
+    void probeConfiguration(Deployment.DeployedNode proxy, PlannedRequest planned, Predicate<String> isReplaced) {
+        if (!isInRotation(proxy)) {
             return;
         }
         String id = "p" + ++nextRequestNumber;
-        String life = edge.incarnation();
-        invariants.onRequestSent(id, edge.name(), true, null, null, null, simulation.now());
-        long begun = simulation.now();
-        send(edge, wish, id, begun + DEADLINE_MICROS, (status, head, text) -> {
-            recordResponse(edge, id, status, head, text, begun);
-            if (!life.equals(edge.incarnation()) || swapped.test(wish.routeItem)) {
+        String incarnation = proxy.incarnation();
+        invariants.onRequestSent(id, proxy.name(), true, null, null, null, simulation.now());
+        long sentAt = simulation.now();
+        send(proxy, planned, id, sentAt + DEADLINE_MICROS, (status, head, text) -> {
+            recordResponse(proxy, id, status, head, text, sentAt);
+            if (!incarnation.equals(proxy.incarnation()) || isReplaced.test(planned.routeItem)) {
                 return;
             }
             if (status == 404) {
                 invariants.onEffectObserved(
-                        edge.name(),
-                        life,
-                        wish.routeItem,
+                        proxy.name(),
+                        incarnation,
+                        planned.routeItem,
                         ClusterInvariantChecker.NO_EFFECT,
                         ClusterInvariantChecker.NO_EFFECT::equals,
-                        begun,
+                        sentAt,
                         simulation.now());
             } else if (status == 401) {
                 invariants.onEffectObserved(
-                        edge.name(),
-                        life,
-                        wish.keyItem,
-                        "no " + wish.key,
-                        keys -> !keys.contains(wish.key),
-                        begun,
+                        proxy.name(),
+                        incarnation,
+                        planned.keyItem,
+                        "no " + planned.key,
+                        keys -> !keys.contains(planned.key),
+                        sentAt,
                         simulation.now());
             } else if (status == 200) {
                 String service = text.split(" ")[1];
                 invariants.onEffectObserved(
-                        edge.name(), life, wish.routeItem, service, service::equals, begun, simulation.now());
+                        proxy.name(),
+                        incarnation,
+                        planned.routeItem,
+                        service,
+                        service::equals,
+                        sentAt,
+                        simulation.now());
                 invariants.onEffectObserved(
-                        edge.name(),
-                        life,
-                        wish.keyItem,
-                        wish.key,
-                        keys -> keys.contains(wish.key),
-                        begun,
+                        proxy.name(),
+                        incarnation,
+                        planned.keyItem,
+                        planned.key,
+                        keys -> keys.contains(planned.key),
+                        sentAt,
                         simulation.now());
             }
         });
--- a/src/main/java/reedmux/simulation/cluster/SimulatedDisk.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedDisk.java
@@ -38,10 +38,10 @@
     private static final class DiskFileContent {
         private byte[] bytes = {};
 
-        private void write(int at, byte[] some) {
-            int end = at + some.length;
+        private void write(int position, byte[] data) {
+            int end = position + data.length;
             bytes = bytes.length >= end ? bytes : Arrays.copyOf(bytes, end);
-            System.arraycopy(some, 0, bytes, at, some.length);
+            System.arraycopy(data, 0, bytes, position, data.length);
         }
     }
 
@@ -86,12 +86,12 @@
     }
 
     private DiskOperation addOperation(
-            DiskOperationKind kind, DiskFileContent file, String name, String other, long at, byte[] bytes) {
+            DiskOperationKind kind, DiskFileContent file, String name, String newName, long position, byte[] bytes) {
         boolean syncs = kind == DiskOperationKind.SYNC || kind == DiskOperationKind.SYNC_DIRECTORY;
         idleAt = Math.max(Math.max(idleAt, simulation.now()), hungUntil) + (syncs ? syncMicros : WRITE_MICROS);
-        DiskOperation step = new DiskOperation(kind, file, name, other, at, bytes, idleAt);
-        operations.add(step);
-        return step;
+        DiskOperation operation = new DiskOperation(kind, file, name, newName, position, bytes, idleAt);
+        operations.add(operation);
+        return operation;
     }
 
     private void checkSpace() throws IOException {
@@ -112,45 +112,47 @@
      * happened. After a loss of power the fate of each operation that was not synced is drawn, and of each name by
      * itself; one loss in three loses all of them.
      */
-    void crash(boolean power) {
-        Map<String, DiskFileContent> seen = copyOfDurable();
-        Map<String, DiskFileContent> last = new TreeMap<>(seen);
+    void crash(boolean powerLost) {
+        Map<String, DiskFileContent> current = copyOfDurable();
+        Map<String, DiskFileContent> lastSynced = new TreeMap<>(current);
         Map<DiskFileContent, DiskFileContent> synced = new LinkedHashMap<>();
         Map<DiskFileContent, List<DiskOperation>> unsynced = new LinkedHashMap<>();
         Map<DiskFileContent, DiskFileContent> live = new LinkedHashMap<>();
-        boolean all = simulation.random().nextInt(3) == 0;
-        for (DiskOperation step : operations) {
-            if (step.completedAt > simulation.now()) {
-                if (step.kind == DiskOperationKind.WRITE) {
-                    unsynced.computeIfAbsent(step.file, file -> new ArrayList<>())
-                            .add(step);
+        boolean losesAllUnsynced = simulation.random().nextInt(3) == 0;
+        for (DiskOperation operation : operations) {
+            if (operation.completedAt > simulation.now()) {
+                if (operation.kind == DiskOperationKind.WRITE) {
+                    unsynced.computeIfAbsent(operation.file, file -> new ArrayList<>())
+                            .add(operation);
                 }
                 break;
             }
             DiskFileContent file =
-                    step.file == null ? null : live.computeIfAbsent(step.file, f -> new DiskFileContent());
-            switch (step.kind) {
-                case CREATE -> seen.put(step.name, file);
+                    operation.file == null ? null : live.computeIfAbsent(operation.file, f -> new DiskFileContent());
+            switch (operation.kind) {
+                case CREATE -> current.put(operation.name, file);
                 case WRITE -> {
-                    file.write((int) step.position, step.bytes);
-                    unsynced.computeIfAbsent(step.file, f -> new ArrayList<>()).add(step);
+                    file.write((int) operation.position, operation.bytes);
+                    unsynced.computeIfAbsent(operation.file, f -> new ArrayList<>())
+                            .add(operation);
                 }
                 case TRUNCATE -> {
-                    file.bytes = Arrays.copyOf(file.bytes, (int) step.position);
-                    unsynced.computeIfAbsent(step.file, f -> new ArrayList<>()).add(step);
+                    file.bytes = Arrays.copyOf(file.bytes, (int) operation.position);
+                    unsynced.computeIfAbsent(operation.file, f -> new ArrayList<>())
+                            .add(operation);
                 }
                 case SYNC -> {
-                    synced.computeIfAbsent(step.file, f -> new DiskFileContent()).bytes = file.bytes.clone();
-                    unsynced.remove(step.file);
+                    synced.computeIfAbsent(operation.file, f -> new DiskFileContent()).bytes = file.bytes.clone();
+                    unsynced.remove(operation.file);
                 }
-                case RENAME -> seen.put(step.newName, seen.remove(step.name));
-                case DELETE -> seen.remove(step.name);
-                default -> last = new TreeMap<>(seen);
+                case RENAME -> current.put(operation.newName, current.remove(operation.name));
+                case DELETE -> current.remove(operation.name);
+                default -> lastSynced = new TreeMap<>(current);
             }
         }
         operations.clear();
         idleAt = 0;
-        if (power && !all) {
+        if (powerLost && !losesAllUnsynced) {
             unsynced.forEach((file, writes) -> {
                 DiskFileContent base = synced.computeIfAbsent(file, f -> new DiskFileContent());
                 for (DiskOperation write : writes) {
@@ -158,40 +160,44 @@
                 }
             });
         }
-        files = power ? drawSurvivingNames(last, seen, all, live, synced) : seen;
+        files = powerLost ? drawSurvivingNames(lastSynced, current, losesAllUnsynced, live, synced) : current;
         durable = new TreeMap<>();
         files.forEach((name, file) -> durable.put(name, file.bytes.clone()));
     }
 
     /** Draws for each name that changed since the directory's last sync whether the change has survived. */
     private Map<String, DiskFileContent> drawSurvivingNames(
-            Map<String, DiskFileContent> last,
-            Map<String, DiskFileContent> seen,
-            boolean noneLasts,
+            Map<String, DiskFileContent> lastSynced,
+            Map<String, DiskFileContent> current,
+            boolean losesAllUnsynced,
             Map<DiskFileContent, DiskFileContent> live,
             Map<DiskFileContent, DiskFileContent> synced) {
         Map<DiskFileContent, DiskFileContent> durable = new HashMap<>();
         live.forEach((file, now) -> durable.put(now, synced.getOrDefault(file, new DiskFileContent())));
-        Map<String, DiskFileContent> lasting = new TreeMap<>();
-        Set<String> either = new TreeSet<>(last.keySet());
-        either.addAll(seen.keySet());
-        for (String name : either) {
-            boolean changed = last.get(name) != seen.get(name);
-            DiskFileContent has = (changed && (noneLasts || simulation.random().nextBoolean()) ? last : seen).get(name);
-            if (has != null) {
-                lasting.put(name, durable.getOrDefault(has, has));
+        Map<String, DiskFileContent> surviving = new TreeMap<>();
+        Set<String> names = new TreeSet<>(lastSynced.keySet());
+        names.addAll(current.keySet());
+        for (String name : names) {
+            boolean changed = lastSynced.get(name) != current.get(name);
+            DiskFileContent file = (changed
+                                    && (losesAllUnsynced || simulation.random().nextBoolean())
+                            ? lastSynced
+                            : current)
+                    .get(name);
+            if (file != null) {
+                surviving.put(name, durable.getOrDefault(file, file));
             }
         }
-        return lasting;
+        return surviving;
     }
 
     private void drawWriteOutcome(DiskFileContent base, DiskOperation write) {
-        int fate = simulation.random().nextInt(3);
+        int outcome = simulation.random().nextInt(3);
         if (write.kind == DiskOperationKind.TRUNCATE) {
-            base.bytes = fate == 0 ? base.bytes : Arrays.copyOf(base.bytes, (int) write.position);
-        } else if (fate == 1) {
+            base.bytes = outcome == 0 ? base.bytes : Arrays.copyOf(base.bytes, (int) write.position);
+        } else if (outcome == 1) {
             base.write((int) write.position, write.bytes);
-        } else if (fate == 2 && write.bytes.length > 0) {
+        } else if (outcome == 2 && write.bytes.length > 0) {
             byte[] torn = Arrays.copyOf(write.bytes, write.bytes.length);
             Arrays.fill(torn, simulation.random().nextInt(torn.length), torn.length, (byte) 0);
             base.write((int) write.position, torn);
@@ -280,13 +286,13 @@
         @Override
         public void write(ByteBuffer bytes) throws IOException {
             checkSpace();
-            ByteArrayOutputStream taken = new ByteArrayOutputStream();
+            ByteArrayOutputStream data = new ByteArrayOutputStream();
             while (bytes.hasRemaining()) {
-                taken.write(bytes.get());
+                data.write(bytes.get());
             }
-            file.write(position, taken.toByteArray());
-            addOperation(DiskOperationKind.WRITE, file, null, null, position, taken.toByteArray());
-            position += taken.size();
+            file.write(position, data.toByteArray());
+            addOperation(DiskOperationKind.WRITE, file, null, null, position, data.toByteArray());
+            position += data.size();
         }
 
         @Override
--- a/src/main/java/reedmux/simulation/cluster/SimulatedMachine.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedMachine.java
@@ -46,31 +46,31 @@
     }
 
     /** What all incarnations of a process of that name have done. */
-    ProcessLoad load(String ofName) {
-        return loads.computeIfAbsent(ofName, name -> new ProcessLoad());
+    ProcessLoad load(String processName) {
+        return loads.computeIfAbsent(processName, name -> new ProcessLoad());
     }
 
-    void processStarted(SimulatedProcess host) {
-        processes.add(host);
+    void processStarted(SimulatedProcess process) {
+        processes.add(process);
     }
 
-    void processEnded(SimulatedProcess host) {
-        processes.remove(host);
+    void processEnded(SimulatedProcess process) {
+        processes.remove(process);
     }
 
     SimulatedProcess tcpListener(int port) {
-        for (SimulatedProcess host : processes) {
-            if (host.serverSocket(port) != null) {
-                return host;
+        for (SimulatedProcess process : processes) {
+            if (process.serverSocket(port) != null) {
+                return process;
             }
         }
         return null;
     }
 
     SimulatedProcess udpReceiver(int port) {
-        for (SimulatedProcess host : processes) {
-            if (host.udpSocket(port) != null) {
-                return host;
+        for (SimulatedProcess process : processes) {
+            if (process.udpSocket(port) != null) {
+                return process;
             }
         }
         return null;
--- a/src/main/java/reedmux/simulation/cluster/SimulatedOperator.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedOperator.java
@@ -41,7 +41,10 @@
     private Consumer<String> sentListener = ip -> {};
 
     SimulatedOperator(
-            ClusterSimulation simulation, String ip, List<InetSocketAddress> control, ClusterInvariantChecker watch) {
+            ClusterSimulation simulation,
+            String ip,
+            List<InetSocketAddress> controlAddresses,
+            ClusterInvariantChecker invariants) {
         this(
                 new SimulatedProcess(
                                 simulation,
@@ -52,8 +55,8 @@
                         .reactor(),
                 simulation::now,
                 simulation.random(),
-                control,
-                watch,
+                controlAddresses,
+                invariants,
                 simulation::addToDigest);
     }
 
@@ -61,32 +64,32 @@
      * An operator on a reactor.
      *
      * @param clock   in microseconds; the reactor's own stands still between its events
-     * @param control the control addresses that it knows; a live list
+     * @param controlAddresses the control addresses that it knows; a live list
      * @param digest  receives a word for each response, by which two runs can be compared
      */
     public SimulatedOperator(
             Reactor reactor,
             LongSupplier clock,
             Random random,
-            List<InetSocketAddress> control,
-            ClusterInvariantChecker watch,
+            List<InetSocketAddress> controlAddresses,
+            ClusterInvariantChecker invariants,
             Consumer<String> digest) {
         this.reactor = reactor;
         this.clock = clock;
         this.random = random;
         this.digest = digest;
-        this.invariants = watch;
-        this.controlAddresses = control;
+        this.invariants = invariants;
+        this.controlAddresses = controlAddresses;
     }
 
     /** Loses a share of the clear responses on their way; such a change is sent again after that time. */
-    public void loseResponses(double share, long sentAgainAfter) {
+    public void loseResponses(double share, long resendDelayMicros) {
         lostResponseShare = share;
-        resendMicros = sentAgainAfter;
+        resendMicros = resendDelayMicros;
     }
 
-    void onSent(Consumer<String> hears) {
-        sentListener = hears;
+    void onSent(Consumer<String> listener) {
+        sentListener = listener;
     }
 
     /** The address of the control machine that has acknowledged the last change. */
@@ -107,7 +110,10 @@
 
     /** Sends a change; {@code done} receives the last status, 0 if it was given up. */
     public void changeConfiguration(
-            String body, ClusterInvariantChecker.ExpectedDecision proper, VisibleEffect shows, Consumer<Integer> done) {
+            String body,
+            ClusterInvariantChecker.ExpectedDecision expected,
+            VisibleEffect visibleEffect,
+            Consumer<Integer> callback) {
         List<ConfigurationItem> items;
         try {
             items = ConfigurationChangeFormat.parse(body);
@@ -115,11 +121,11 @@
             items = List.of(); // it cannot be read in full
         }
         long now = clock.getAsLong();
-        items.forEach(item -> invariants.onVersionSent(item, shows.of(item), now));
+        items.forEach(item -> invariants.onVersionSent(item, visibleEffect.of(item), now));
         pendingChanges++;
-        send(body, items, proper, now, FIRST_BACKOFF_MICROS, null, status -> {
+        send(body, items, expected, now, FIRST_BACKOFF_MICROS, null, status -> {
             pendingChanges--;
-            done.accept(status);
+            callback.accept(status);
         });
     }
 
@@ -128,9 +134,9 @@
     }
 
     /** A random address other than the last one, if there is another. */
-    private InetSocketAddress otherAddress(InetSocketAddress last) {
+    private InetSocketAddress otherAddress(InetSocketAddress previous) {
         InetSocketAddress to = randomAddress();
-        if (to.equals(last) && controlAddresses.size() > 1) {
+        if (to.equals(previous) && controlAddresses.size() > 1) {
             to = controlAddresses.get((controlAddresses.indexOf(to) + 1) % controlAddresses.size());
         }
         return to;
@@ -139,39 +145,46 @@
     private void send(
             String body,
             List<ConfigurationItem> items,
-            ClusterInvariantChecker.ExpectedDecision proper,
-            long since,
-            long pause,
-            InetSocketAddress last,
-            Consumer<Integer> done) {
-        InetSocketAddress to = otherAddress(last);
+            ClusterInvariantChecker.ExpectedDecision expected,
+            long sentAt,
+            long backoffMicros,
+            InetSocketAddress previous,
+            Consumer<Integer> callback) {
+        InetSocketAddress to = otherAddress(previous);
         sentListener.accept(to.getAddress().getHostAddress());
         call(to, OneShotHttpCall.post("/v1/Config.Adjust", body), (status, text) -> {
             digest.accept("adjust " + status);
             lastAcknowledgedBy = status == 200 ? to.getAddress().getHostAddress() : lastAcknowledgedBy;
-            boolean clear = status == 200 || status >= 400 && status < 500 && status != 408 && status != 429;
-            if (clear && lostResponseShare > 0 && random.nextDouble() < lostResponseShare) {
+            boolean definitive = status == 200 || status >= 400 && status < 500 && status != 408 && status != 429;
+            if (definitive && lostResponseShare > 0 && random.nextDouble() < lostResponseShare) {
                 if (status == 200) {
-                    invariants.onChangeAcknowledged(items, proper, since, clock.getAsLong());
+                    invariants.onChangeAcknowledged(items, expected, sentAt, clock.getAsLong());
                 } else {
-                    invariants.onChangeRejected(items, proper, true, since, clock.getAsLong());
+                    invariants.onChangeRejected(items, expected, true, sentAt, clock.getAsLong());
                 }
                 reactor.scheduleAfter(
                         resendMicros,
-                        () -> send(body, items, proper, clock.getAsLong(), FIRST_BACKOFF_MICROS, to, done));
+                        () -> send(body, items, expected, clock.getAsLong(), FIRST_BACKOFF_MICROS, to, callback));
             } else if (status == 200) {
-                invariants.onChangeAcknowledged(items, proper, since, clock.getAsLong());
-                done.accept(status);
-            } else if (clear) {
-                invariants.onChangeRejected(items, proper, true, since, clock.getAsLong());
-                done.accept(status);
-            } else if (clock.getAsLong() - since > GIVE_UP_MICROS) {
-                invariants.onChangeRejected(items, proper, false, since, clock.getAsLong());
-                done.accept(0);
+                invariants.onChangeAcknowledged(items, expected, sentAt, clock.getAsLong());
+                callback.accept(status);
+            } else if (definitive) {
+                invariants.onChangeRejected(items, expected, true, sentAt, clock.getAsLong());
+                callback.accept(status);
+            } else if (clock.getAsLong() - sentAt > GIVE_UP_MICROS) {
+                invariants.onChangeRejected(items, expected, false, sentAt, clock.getAsLong());
+                callback.accept(0);
             } else {
                 reactor.scheduleAfter(
-                        pause,
-                        () -> send(body, items, proper, since, Math.min(MAX_BACKOFF_MICROS, 2 * pause), to, done));
+                        backoffMicros,
+                        () -> send(
+                                body,
+                                items,
+                                expected,
+                                sentAt,
+                                Math.min(MAX_BACKOFF_MICROS, 2 * backoffMicros),
+                                to,
+                                callback));
             }
         });
     }
@@ -180,13 +193,17 @@
         void onResponse(int status, String text);
     }
 
-    private void call(InetSocketAddress to, byte[] call, OperatorCallback told) {
+    private void call(InetSocketAddress to, byte[] request, OperatorCallback callback) {
         reactor.execute(() -> {
             try {
                 new OneShotHttpCall(
-                        reactor, to, call, CALL_TIMEOUT_MICROS, (status, head, text) -> told.onResponse(status, text));
+                        reactor,
+                        to,
+                        request,
+                        CALL_TIMEOUT_MICROS,
+                        (status, head, text) -> callback.onResponse(status, text));
             } catch (IOException e) {
-                told.onResponse(0, e.getMessage());
+                callback.onResponse(0, e.getMessage());
             }
         });
     }
@@ -203,15 +220,15 @@
     }
 
     /** Reads the configuration, with retries until a time; passes on the text, or null, and when the read was sent. */
-    public void readUntil(long until, BiConsumer<String, Long> done) {
+    public void readUntil(long until, BiConsumer<String, Long> callback) {
         long sentAt = clock.getAsLong();
         call(randomAddress(), READ_REQUEST, (status, text) -> {
             if (status == 200) {
-                done.accept(text, sentAt);
+                callback.accept(text, sentAt);
             } else if (clock.getAsLong() > until) {
-                done.accept(null, sentAt);
+                callback.accept(null, sentAt);
             } else {
-                reactor.scheduleAfter(FIRST_BACKOFF_MICROS, () -> readUntil(until, done));
+                reactor.scheduleAfter(FIRST_BACKOFF_MICROS, () -> readUntil(until, callback));
             }
         });
     }
--- a/src/main/java/reedmux/simulation/cluster/SimulatedProcess.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedProcess.java
@@ -52,12 +52,12 @@
             ClusterSimulation simulation,
             SimulatedMachine machine,
             String name,
-            long cost,
+            long eventCostMicros,
             java.util.function.Consumer<String> log) {
         this.simulation = simulation;
         this.machine = machine;
         this.name = name;
-        this.eventCostMicros = cost;
+        this.eventCostMicros = eventCostMicros;
         load = machine.load(name);
         systemProgram = name.indexOf('/') >= 0;
         machine.processStarted(this);
@@ -169,7 +169,7 @@
     }
 
     @Override
-    public Executor newWorker(String ofName, int most) {
+    public Executor newWorker(String workerName, int capacity) {
         return task -> simulation.scheduleAt(machine.disk().idleAt(), () -> runDiskWork(task));
     }
 
@@ -227,20 +227,20 @@
     }
 
     // ---- Sockets -----------------------------------------------------------------------------------
-    SimulatedTcpServerSocket serverSocket(int number) {
-        return serverSockets.get(number);
+    SimulatedTcpServerSocket serverSocket(int port) {
+        return serverSockets.get(port);
     }
 
-    SimulatedUdpSocket udpSocket(int number) {
-        return udpSockets.get(number);
+    SimulatedUdpSocket udpSocket(int port) {
+        return udpSockets.get(port);
     }
 
     /** Counts bytes written to a peer; only those between the system's own programs. */
-    void countWrite(SimulatedProcess to, int many) {
-        if (systemProgram && to.systemProgram) {
-            load.sentBytes += many;
+    void countWrite(SimulatedProcess receiver, int byteCount) {
+        if (systemProgram && receiver.systemProgram) {
+            load.sentBytes += byteCount;
             load.messages++;
-            to.load.receivedBytes += many;
+            receiver.load.receivedBytes += byteCount;
         }
     }
 
@@ -253,29 +253,32 @@
     }
 
     @Override
-    public TcpSocket connect(InetSocketAddress to, InetSocketAddress local) {
-        SimulatedMachine target = simulation.machine(to.getAddress().getHostAddress());
+    public TcpSocket connect(InetSocketAddress address, InetSocketAddress local) {
+        SimulatedMachine target = simulation.machine(address.getAddress().getHostAddress());
         SimulatedTcpSocket socket = new SimulatedTcpSocket(this, true);
-        socket.sendSyn(target, to.getPort(), 0);
+        socket.sendSyn(target, address.getPort(), 0);
         return socket;
     }
 
     @Override
-    public TcpServerSocket listen(InetSocketAddress at, int backlog) throws IOException {
-        int number = at.getPort() == 0 ? nextEphemeralPort++ : at.getPort();
-        if (machine.tcpListener(number) != null) {
+    public TcpServerSocket listen(InetSocketAddress address, int backlog) throws IOException {
+        int portNumber = address.getPort() == 0 ? nextEphemeralPort++ : address.getPort();
+        if (machine.tcpListener(portNumber) != null) {
             throw new BindException("Address already in use");
         }
-        SimulatedTcpServerSocket port = new SimulatedTcpServerSocket(
-                this, new InetSocketAddress(at.getAddress(), number), backlog, () -> serverSockets.remove(number));
-        serverSockets.put(number, port);
-        return port;
+        SimulatedTcpServerSocket serverSocket = new SimulatedTcpServerSocket(
+                this,
+                new InetSocketAddress(address.getAddress(), portNumber),
+                backlog,
+                () -> serverSockets.remove(portNumber));
+        serverSockets.put(portNumber, serverSocket);
+        return serverSocket;
     }
 
     @Override
-    public UdpSocket bindDatagram(InetSocketAddress at) {
-        SimulatedUdpSocket socket = new SimulatedUdpSocket(this, at);
-        udpSockets.put(at.getPort(), socket);
+    public UdpSocket bindDatagram(InetSocketAddress address) {
+        SimulatedUdpSocket socket = new SimulatedUdpSocket(this, address);
+        udpSockets.put(address.getPort(), socket);
         return socket;
     }
 }
--- a/src/main/java/reedmux/simulation/cluster/SimulatedDay.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedRun.java
@@ -10,7 +10,7 @@
  * closing fault that stops everything right after an acknowledgement, and a final read of the configuration. Everything
  * random comes from one generator in the order of events, so a seed always gives the same day. Times are microseconds.
  */
-public final class SimulatedDay {
+public final class SimulatedRun {
     private static final long SECOND = 1_000_000;
     private static final long WARM_UP_MICROS = 6 * SECOND;
     private static final long LENGTH_MICROS = 26 * SECOND;
@@ -31,7 +31,7 @@
     private final List<String> faultLog = new ArrayList<>();
     private final Random random;
     private final Consumer<String> log;
-    private final DayOptions options;
+    private final RunOptions options;
     private long startedAt;
     private long coreHealthyAt;
     /** Run once when a change is acknowledged; or null. */
@@ -51,7 +51,7 @@
      * @param events          that were simulated
      * @param simulatedMicros the day's length
      */
-    public record DayOutcome(
+    public record RunOutcome(
             long seed,
             List<String> violations,
             List<String> faults,
@@ -68,19 +68,24 @@
      * @param cores             core machines, spread over the zones
      * @param requestsPerSecond for each proxy
      * @param storm             changes that conflict with each other, all the time, while the core has faults
-     * @param point             1 to 5: a long day of one kind of faults, see {@link FaultStorm}; 0 for a usual day
+     * @param faultCategory             1 to 5: a long day of one kind of faults, see {@link FaultStorm}; 0 for a usual day
      * @param replacesAddresses whether core machines are replaced at other addresses, too
      */
-    public record DayOptions(
-            int proxies, int cores, double requestsPerSecond, boolean storm, int point, boolean replacesAddresses) {
+    public record RunOptions(
+            int proxies,
+            int cores,
+            double requestsPerSecond,
+            boolean storm,
+            int faultCategory,
+            boolean replacesAddresses) {
 
         /** A usual day. */
-        public DayOptions(int proxies, int cores, double requestsPerSecond, boolean storm) {
+        public RunOptions(int proxies, int cores, double requestsPerSecond, boolean storm) {
             this(proxies, cores, requestsPerSecond, storm, 0, false);
         }
     }
 
-    private SimulatedDay(long seed, DayOptions options, Consumer<String> log) {
+    private SimulatedRun(long seed, RunOptions options, Consumer<String> log) {
         this.log = log;
         this.options = options;
         simulation = new ClusterSimulation(seed);
@@ -99,28 +104,28 @@
     }
 
     /** Runs one day; {@code log} receives what the processes log. */
-    public static DayOutcome play(long seed, DayOptions options, Consumer<String> log) {
-        return new SimulatedDay(seed, options, log).play(seed);
+    public static RunOutcome run(long seed, RunOptions options, Consumer<String> log) {
+        return new SimulatedRun(seed, options, log).run(seed);
     }
 
-    void logFault(String what) {
-        String line = String.format("%.3f %s", (simulation.now() - startedAt) / 1e6, what);
+    void logFault(String description) {
+        String line = String.format("%.3f %s", (simulation.now() - startedAt) / 1e6, description);
         faultLog.add(line);
         log.accept("day: " + line);
     }
 
-    private DayOutcome play(long seed) {
+    private RunOutcome run(long seed) {
         startedAt = simulation.now() + WARM_UP_MICROS;
         startDeployment();
         simulation.runFor(WARM_UP_MICROS);
-        long length = options.point() > 0 ? STORM_LENGTH_MICROS : LENGTH_MICROS;
+        long length = options.faultCategory() > 0 ? STORM_LENGTH_MICROS : LENGTH_MICROS;
         long end = startedAt + length;
         sendTraffic(end + SETTLE_MICROS + SECOND);
         sendProbes(end + SETTLE_MICROS);
-        if (options.point() > 0) {
+        if (options.faultCategory() > 0) {
             new FaultStorm(
                             this,
-                            options.point(),
+                            options.faultCategory(),
                             options.replacesAddresses(),
                             simulation,
                             deployment,
@@ -155,7 +160,7 @@
             invariants.checkRecovery(clients.countedRequests(), clients.countedServed());
         }
         checkFinalConfiguration(rule);
-        return new DayOutcome(
+        return new RunOutcome(
                 seed,
                 invariants.violations(),
                 faultLog,
@@ -169,7 +174,7 @@
     private void startDeployment() {
         deployment.start();
         long syncMicros = new long[] {500, 2_000, 10_000}[random.nextInt(3)];
-        deployment.cores().forEach(core -> core.machine().disk().setSyncMicros(syncMicros));
+        deployment.coreNodes().forEach(core -> core.machine().disk().setSyncMicros(syncMicros));
         int checkerCount = Math.max(MIN_CHECKERS, deployment.proxies().size());
         for (int i = 0; i < checkerCount; i++) {
             checkers.start(
@@ -202,12 +207,12 @@
 
     // ---- Load --------------------------------------------------------------------------------------
     private void onDrainAcknowledged(String ip) {
-        Consumer<Deployment.DeployedNode> then = onNextDrainAcknowledgement;
-        if (then != null && simulation.now() >= coreHealthyAt) {
+        Consumer<Deployment.DeployedNode> action = onNextDrainAcknowledgement;
+        if (action != null && simulation.now() >= coreHealthyAt) {
             onNextDrainAcknowledgement = null;
-            deployment.cores().stream()
+            deployment.coreNodes().stream()
                     .filter(core -> core.machine().ip().equals(ip))
-                    .forEach(then);
+                    .forEach(action);
         }
     }
 
@@ -265,10 +270,10 @@
                                 ClusterInvariantChecker.ExpectedDecision.ACCEPT,
                                 ConfigurationGenerator::visibleEffect,
                                 status -> {
-                                    Runnable then = onNextAcknowledgement;
-                                    if (status == 200 && then != null) {
+                                    Runnable action = onNextAcknowledgement;
+                                    if (status == 200 && action != null) {
                                         onNextAcknowledgement = null;
-                                        then.run();
+                                        action.run();
                                     }
                                 });
         }
@@ -290,13 +295,13 @@
      * @param node         the machine, or null for all
      * @param majorityLost whether no majority of the core is left meanwhile
      */
-    void noteCoreFault(Deployment.DeployedNode node, long length, boolean majorityLost) {
-        invariants.addCoreFault(simulation.now(), simulation.now() + length, majorityLost);
+    void noteCoreFault(Deployment.DeployedNode node, long durationMicros, boolean majorityLost) {
+        invariants.addCoreFault(simulation.now(), simulation.now() + durationMicros, majorityLost);
         if (node != null) {
-            invariants.addMachineFault(node.name(), simulation.now(), simulation.now() + length);
-            invariants.addMachineFault(node.machine().ip(), simulation.now(), simulation.now() + length);
+            invariants.addMachineFault(node.name(), simulation.now(), simulation.now() + durationMicros);
+            invariants.addMachineFault(node.machine().ip(), simulation.now(), simulation.now() + durationMicros);
         }
-        coreHealthyAt = Math.max(coreHealthyAt, simulation.now() + length + 5 * SECOND);
+        coreHealthyAt = Math.max(coreHealthyAt, simulation.now() + durationMicros + 5 * SECOND);
     }
 
     /** Whether the core has recovered from its last fault, so that another may follow. */
@@ -343,24 +348,24 @@
 
     /** The closing fault, right after a change was acknowledged: all processes or machines at once. */
     private void injectClosingFault() {
-        List<Deployment.DeployedNode> all = new ArrayList<>(deployment.cores());
+        List<Deployment.DeployedNode> all = new ArrayList<>(deployment.coreNodes());
         all.addAll(deployment.proxies());
-        long back = 500_000 + random.nextInt(1_500_000);
+        long downMicros = 500_000 + random.nextInt(1_500_000);
         int kind = random.nextInt(3);
-        Deployment.DeployedNode wiped = kind == 2 ? randomNode(deployment.cores()) : null;
+        Deployment.DeployedNode wiped = kind == 2 ? randomNode(deployment.coreNodes()) : null;
         logFault(
                 kind == 0
                         ? "all processes are killed"
                         : "all lose power" + (wiped == null ? "" : ", and " + wiped.name() + " its disk"));
-        invariants.addCoreFault(simulation.now(), simulation.now() + back + SECOND, true);
+        invariants.addCoreFault(simulation.now(), simulation.now() + downMicros + SECOND, true);
         for (Deployment.DeployedNode node : all) {
-            invariants.addMachineFault(node.name(), simulation.now(), simulation.now() + back + SECOND);
+            invariants.addMachineFault(node.name(), simulation.now(), simulation.now() + downMicros + SECOND);
             if (kind == 0) {
-                node.kill(back);
+                node.kill(downMicros);
             } else {
-                node.losePower(back, node == wiped);
+                node.losePower(downMicros, node == wiped);
             }
         }
-        simulation.scheduleAfter(back + RECOVERY_MICROS, clients::countFromNow);
+        simulation.scheduleAfter(downMicros + RECOVERY_MICROS, clients::countFromNow);
     }
 }
--- a/src/main/java/reedmux/simulation/cluster/SimulatedTcpServerSocket.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedTcpServerSocket.java
@@ -16,19 +16,19 @@
     private boolean acceptEnabled = true;
     private boolean notificationPending;
 
-    SimulatedTcpServerSocket(SimulatedProcess host, InetSocketAddress address, int backlog, Runnable closing) {
-        this.process = host;
+    SimulatedTcpServerSocket(SimulatedProcess process, InetSocketAddress address, int backlog, Runnable onClose) {
+        this.process = process;
         this.address = address;
         this.backlog = backlog;
-        this.onClose = closing;
+        this.onClose = onClose;
     }
 
     /** Adds an established connection; returns false if the backlog is full. */
-    boolean enqueue(SimulatedTcpSocket line) {
+    boolean enqueue(SimulatedTcpSocket connection) {
         if (backlogQueue.size() >= backlog) {
             return false;
         }
-        backlogQueue.add(line);
+        backlogQueue.add(connection);
         notifyHandler();
         return true;
     }
@@ -54,8 +54,8 @@
     }
 
     @Override
-    public void setHandler(Environment.ReadinessHandler by) {
-        handler = by;
+    public void setHandler(Environment.ReadinessHandler newHandler) {
+        handler = newHandler;
     }
 
     @Override
@@ -64,8 +64,8 @@
     }
 
     @Override
-    public void setAcceptEnabled(boolean wanted) {
-        acceptEnabled = wanted;
+    public void setAcceptEnabled(boolean enabled) {
+        acceptEnabled = enabled;
         notifyHandler();
     }
 
--- a/src/main/java/reedmux/simulation/cluster/SimulatedTcpSocket.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedTcpSocket.java
@@ -30,7 +30,7 @@
     private IOException failure;
     private boolean connected;
     private boolean closed;
-    private boolean forgotten;
+    private boolean powerLost;
     private boolean readInterest = true;
     private boolean writeInterest;
     private boolean notificationPending;
@@ -38,51 +38,51 @@
     private int unacknowledgedBytes;
     private long lastArrival;
     private final Deque<Runnable> undelivered = new ArrayDeque<>();
-    private long noPathSince = -1;
+    private long unreachableSince = -1;
 
-    SimulatedTcpSocket(SimulatedProcess host, boolean opens) {
-        this.process = host;
-        simulation = host.simulation();
-        host.socketOpened(this);
-        if (opens) {
+    SimulatedTcpSocket(SimulatedProcess process, boolean initiator) {
+        this.process = process;
+        simulation = process.simulation();
+        process.socketOpened(this);
+        if (initiator) {
             scheduleKeepalive();
         }
     }
 
     /** Sends the SYN; one that is dropped is sent again with exponential backoff. */
-    void sendSyn(SimulatedMachine target, int port, int times) {
-        long again = FIRST_SYN_RETRY_MICROS << times;
-        Runnable next = () -> {
+    void sendSyn(SimulatedMachine target, int port, int attempt) {
+        long retryDelayMicros = FIRST_SYN_RETRY_MICROS << attempt;
+        Runnable retry = () -> {
             if (!closed && !connected && failure == null && process.isAlive()) {
-                sendSyn(target, port, times + 1);
+                sendSyn(target, port, attempt + 1);
             }
         };
         if (target == null || !simulation.isReachable(process.machine(), target)) {
-            simulation.scheduleAfter(again, next);
+            simulation.scheduleAfter(retryDelayMicros, retry);
             return;
         }
         simulation.scheduleAfter(simulation.drawDelayMicros(process.machine(), target), () -> {
-            SimulatedProcess other = target.tcpListener(port);
+            SimulatedProcess listener = target.tcpListener(port);
             if (!target.powered() || closed) {
-                simulation.scheduleAfter(again, next);
-            } else if (other == null) {
+                simulation.scheduleAfter(retryDelayMicros, retry);
+            } else if (listener == null) {
                 replyFrom(target, () -> fail(new ConnectException("Connection refused")));
             } else {
-                SimulatedTcpSocket made = new SimulatedTcpSocket(other, false);
-                made.connected = true;
-                made.connectReported = true;
-                made.peer = this;
-                if (!other.serverSocket(port).enqueue(made)) {
-                    other.socketClosed(made);
-                    simulation.scheduleAfter(again, next);
+                SimulatedTcpSocket accepted = new SimulatedTcpSocket(listener, false);
+                accepted.connected = true;
+                accepted.connectReported = true;
+                accepted.peer = this;
+                if (!listener.serverSocket(port).enqueue(accepted)) {
+                    listener.socketClosed(accepted);
+                    simulation.scheduleAfter(retryDelayMicros, retry);
                     return;
                 }
                 replyFrom(target, () -> {
                     if (closed || !process.isAlive()) {
-                        made.fail(new IOException("Connection reset by peer"));
+                        accepted.fail(new IOException("Connection reset by peer"));
                         return;
                     }
-                    peer = made;
+                    peer = accepted;
                     connected = true;
                     notifyHandler();
                 });
@@ -104,17 +104,18 @@
                 return;
             }
             if (connected && peer != null) {
-                SimulatedMachine there = peer.process.machine();
-                boolean path = simulation.isReachable(process.machine(), there)
-                        && simulation.isReachable(there, process.machine())
-                        && there.powered();
-                if (path && peer.forgotten) {
+                SimulatedMachine peerMachine = peer.process.machine();
+                boolean peerReachable = simulation.isReachable(process.machine(), peerMachine)
+                        && simulation.isReachable(peerMachine, process.machine())
+                        && peerMachine.powered();
+                if (peerReachable && peer.powerLost) {
                     fail(new IOException("Connection reset by peer"));
                     return;
                 }
-                noPathSince = path ? -1 : noPathSince < 0 ? simulation.now() : noPathSince;
-                if (noPathSince >= 0
-                        && simulation.now() - noPathSince >= KEEPALIVE_TIMEOUT_MICROS - KEEPALIVE_INTERVAL_MICROS) {
+                unreachableSince = peerReachable ? -1 : unreachableSince < 0 ? simulation.now() : unreachableSince;
+                if (unreachableSince >= 0
+                        && simulation.now() - unreachableSince
+                                >= KEEPALIVE_TIMEOUT_MICROS - KEEPALIVE_INTERVAL_MICROS) {
                     fail(new IOException("Connection timed out"));
                     return;
                 }
@@ -143,7 +144,7 @@
     }
 
     private void retransmit() {
-        if (forgotten || !process.machine().powered()) {
+        if (powerLost || !process.machine().powered()) {
             undelivered.clear();
         } else if (!simulation.isReachable(process.machine(), peer.process.machine())) {
             simulation.scheduleAfter(RETRANSMIT_MICROS, this::retransmit);
@@ -159,7 +160,7 @@
     }
 
     private void deliver(Runnable arrival) {
-        if (peer.forgotten) { // its machine has lost power: restarted, it resets the connection; until then it is
+        if (peer.powerLost) { // its machine has lost power: restarted, it resets the connection; until then it is
             // silent
             if (peer.process.machine().powered()) {
                 replyFrom(peer.process.machine(), () -> fail(new IOException("Connection reset by peer")));
@@ -171,8 +172,8 @@
 
     // ---- Calls of the process ----------------------------------------------------------------------
     @Override
-    public void setHandler(Environment.ReadinessHandler by) {
-        handler = by;
+    public void setHandler(Environment.ReadinessHandler newHandler) {
+        handler = newHandler;
         notifyHandler();
     }
 
@@ -197,56 +198,56 @@
     }
 
     @Override
-    public int read(ByteBuffer into) throws IOException {
+    public int read(ByteBuffer buffer) throws IOException {
         checkOpen();
-        int some = 0;
-        while (!received.isEmpty() && into.hasRemaining()) {
+        int bytesRead = 0;
+        while (!received.isEmpty() && buffer.hasRemaining()) {
             byte[] first = received.peek();
-            int many = Math.min(into.remaining(), first.length - receivedOffset);
-            into.put(first, receivedOffset, many);
-            receivedOffset += many;
-            some += many;
+            int count = Math.min(buffer.remaining(), first.length - receivedOffset);
+            buffer.put(first, receivedOffset, count);
+            receivedOffset += count;
+            bytesRead += count;
             if (receivedOffset == first.length) {
                 received.poll();
                 receivedOffset = 0;
             }
         }
-        if (some > 0) {
-            int taken = some;
+        if (bytesRead > 0) {
+            int acknowledged = bytesRead;
             SimulatedTcpSocket to = peer;
-            transmit(() -> to.acknowledge(taken));
-            return some;
+            transmit(() -> to.acknowledge(acknowledged));
+            return bytesRead;
         }
         return inputEnded && received.isEmpty() ? -1 : 0;
     }
 
-    private void acknowledge(int room) {
-        unacknowledgedBytes -= room;
+    private void acknowledge(int byteCount) {
+        unacknowledgedBytes -= byteCount;
         notifyHandler();
     }
 
     @Override
-    public int write(ByteBuffer from) throws IOException {
+    public int write(ByteBuffer buffer) throws IOException {
         checkOpen();
-        int many = Math.min(from.remaining(), WINDOW_BYTES - unacknowledgedBytes);
-        if (many <= 0) {
+        int count = Math.min(buffer.remaining(), WINDOW_BYTES - unacknowledgedBytes);
+        if (count <= 0) {
             return 0;
         }
-        byte[] some = new byte[many];
-        from.get(some);
-        unacknowledgedBytes += many;
+        byte[] bytes = new byte[count];
+        buffer.get(bytes);
+        unacknowledgedBytes += count;
         SimulatedTcpSocket to = peer;
-        process.countWrite(to.process, many);
-        transmit(() -> to.receive(some));
-        return many;
+        process.countWrite(to.process, count);
+        transmit(() -> to.receive(bytes));
+        return count;
     }
 
-    private void receive(byte[] some) {
+    private void receive(byte[] bytes) {
         if (closed) {
             SimulatedTcpSocket to = peer;
             transmit(() -> to.fail(new IOException("Connection reset by peer")));
         } else {
-            received.add(some);
+            received.add(bytes);
             notifyHandler();
         }
     }
@@ -315,9 +316,9 @@
         }
     }
 
-    private void fail(IOException why) {
+    private void fail(IOException cause) {
         if (failure == null && !closed) {
-            failure = why;
+            failure = cause;
             undelivered.clear();
             notifyHandler();
         }
@@ -325,7 +326,7 @@
 
     /** Its machine has lost power: the peer is told nothing, and nothing is remembered. */
     void losePower() {
-        forgotten = true;
+        powerLost = true;
         closed = true;
         undelivered.clear();
         process.socketClosed(this);
--- a/src/main/java/reedmux/simulation/cluster/SimulatedUdpSocket.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedUdpSocket.java
@@ -16,14 +16,14 @@
 
     private record QueuedDatagram(InetSocketAddress from, byte[] bytes) {}
 
-    SimulatedUdpSocket(SimulatedProcess host, InetSocketAddress address) {
-        this.process = host;
+    SimulatedUdpSocket(SimulatedProcess process, InetSocketAddress address) {
+        this.process = process;
         this.address = address;
     }
 
     @Override
-    public void setHandler(Environment.ReadinessHandler by) {
-        handler = by;
+    public void setHandler(Environment.ReadinessHandler newHandler) {
+        handler = newHandler;
     }
 
     @Override
@@ -36,16 +36,16 @@
             return;
         }
         simulation.scheduleAfter(simulation.drawDelayMicros(process.machine(), target), () -> {
-            SimulatedProcess hears = target.udpReceiver(to.getPort());
-            if (hears != null) {
-                hears.udpSocket(to.getPort()).enqueue(new QueuedDatagram(address, copy));
+            SimulatedProcess receiver = target.udpReceiver(to.getPort());
+            if (receiver != null) {
+                receiver.udpSocket(to.getPort()).enqueue(new QueuedDatagram(address, copy));
             }
         });
     }
 
-    private void enqueue(QueuedDatagram letter) {
+    private void enqueue(QueuedDatagram datagram) {
         if (queue.size() < MAX_QUEUED) {
-            queue.add(letter);
+            queue.add(datagram);
             process.submit(() -> {
                 try {
                     handler.onReady(true, false);
@@ -57,12 +57,12 @@
     }
 
     @Override
-    public InetSocketAddress receive(ByteBuffer into) {
-        QueuedDatagram letter = queue.poll();
-        if (letter == null) {
+    public InetSocketAddress receive(ByteBuffer buffer) {
+        QueuedDatagram datagram = queue.poll();
+        if (datagram == null) {
             return null;
         }
-        into.put(letter.bytes);
-        return letter.from;
+        buffer.put(datagram.bytes);
+        return datagram.from;
     }
 }
--- a/src/main/java/reedmux/simulation/cluster/StormTraffic.java
+++ b/src/main/java/reedmux/simulation/cluster/StormTraffic.java
@@ -13,8 +13,8 @@
     private static final long SECOND = 1_000_000;
     private static final int MAX_PENDING_CHANGES = 8;
 
-    private final SimulatedDay day;
-    private final int point;
+    private final SimulatedRun run;
+    private final int category;
     private final ClusterSimulation simulation;
     private final Deployment deployment;
     private final ConfigurationGenerator configurations;
@@ -28,15 +28,15 @@
 
     /** {@code point}: the storm's kind, see {@link FaultStorm}. */
     StormTraffic(
-            SimulatedDay day,
-            int point,
+            SimulatedRun run,
+            int category,
             ClusterSimulation simulation,
             Deployment deployment,
             ConfigurationGenerator configurations,
             List<SimulatedOperator> operators,
             Random random) {
-        this.day = day;
-        this.point = point;
+        this.run = run;
+        this.category = category;
         this.simulation = simulation;
         this.deployment = deployment;
         this.configurations = configurations;
@@ -49,7 +49,7 @@
         until = end;
         for (SimulatedOperator operator : operators) {
             operator.loseResponses(
-                    point == 2 ? 0.2 : 0.03, SECOND + random.nextInt(point == 2 ? 15_000_000 : 4_000_000));
+                    category == 2 ? 0.2 : 0.03, SECOND + random.nextInt(category == 2 ? 15_000_000 : 4_000_000));
             operator.onSent(this::onSent);
         }
         sendChanges();
@@ -58,9 +58,9 @@
 
     private void onSent(String ip) {
         Consumer<Deployment.DeployedNode> action = onNextChangeSent;
-        if (action != null && day.isCoreHealthy()) {
+        if (action != null && run.isCoreHealthy()) {
             onNextChangeSent = null;
-            deployment.cores().stream()
+            deployment.coreNodes().stream()
                     .filter(core -> core.machine().ip().equals(ip))
                     .findFirst()
                     .ifPresent(action);
@@ -89,36 +89,36 @@
         if (operators.stream().mapToInt(SimulatedOperator::pendingChanges).sum() < MAX_PENDING_CHANGES) {
             sendChange(operators.get(random.nextInt(operators.size())));
         }
-        long mean = point == 4 ? 100_000 : point == 2 ? 150_000 : 400_000;
+        long mean = category == 4 ? 100_000 : category == 2 ? 150_000 : 400_000;
         simulation.scheduleAfter(mean / 2 + random.nextInt((int) mean), this::sendChanges);
     }
 
     /** Sends one change, or two from both operators that contend. */
-    private void sendChange(SimulatedOperator one) {
-        SimulatedOperator other = operators.get(1 - operators.indexOf(one));
-        int kind = random.nextInt(point == 2 ? 10 : 14);
+    private void sendChange(SimulatedOperator first) {
+        SimulatedOperator second = operators.get(1 - operators.indexOf(first));
+        int kind = random.nextInt(category == 2 ? 10 : 14);
         if (kind == 0) {
-            send(one, configurations.invalidChange(), ExpectedDecision.REJECT, 0, () -> {});
+            send(first, configurations.invalidChange(), ExpectedDecision.REJECT, 0, () -> {});
         } else if (kind == 1) {
             var pair = configurations.concurrentPair();
             ExpectedDecision expected = pair.getKey() ? ExpectedDecision.ACCEPT : ExpectedDecision.EITHER;
-            send(one, pair.getValue().get(0), expected, 0, () -> {});
-            send(other, pair.getValue().get(1), expected, randomDelayMicros(20_000), () -> {});
-        } else if (kind < 4 && point == 2) {
+            send(first, pair.getValue().get(0), expected, 0, () -> {});
+            send(second, pair.getValue().get(1), expected, randomDelayMicros(20_000), () -> {});
+        } else if (kind < 4 && category == 2) {
             List<String> pair = configurations.conflictingPair();
-            send(one, pair.get(0), ExpectedDecision.EITHER, 0, () -> {});
+            send(first, pair.get(0), ExpectedDecision.EITHER, 0, () -> {});
             send(
-                    other,
+                    second,
                     pair.get(1),
                     ExpectedDecision.EITHER,
                     random.nextBoolean() ? randomDelayMicros(20_000) : randomDelayMicros(5_000_000),
                     () -> {});
         } else if (kind < 6) {
-            sendChain(one, configurations.dependentChain(), 0);
-        } else if (kind == 6 && point == 4) {
-            send(one, configurations.largeChange(), ExpectedDecision.ACCEPT, 0, () -> {});
+            sendChain(first, configurations.dependentChain(), 0);
+        } else if (kind == 6 && category == 4) {
+            send(first, configurations.largeChange(), ExpectedDecision.ACCEPT, 0, () -> {});
         } else {
-            send(one, configurations.validChange(), ExpectedDecision.ACCEPT, 0, () -> {});
+            send(first, configurations.validChange(), ExpectedDecision.ACCEPT, 0, () -> {});
         }
     }
 
@@ -140,10 +140,10 @@
                 () -> operator.changeConfiguration(body, expected, ConfigurationGenerator::visibleEffect, status -> {
                     if (status == 200) {
                         onAcknowledged.run();
-                        Runnable then = onNextAcknowledgement;
-                        if (then != null && day.isCoreHealthy()) {
+                        Runnable action = onNextAcknowledgement;
+                        if (action != null && run.isCoreHealthy()) {
                             onNextAcknowledgement = null;
-                            then.run();
+                            action.run();
                         }
                     }
                 }));
@@ -156,7 +156,7 @@
         }
     }
 
-    private long randomDelayMicros(int most) {
-        return random.nextInt(most);
+    private long randomDelayMicros(int bound) {
+        return random.nextInt(bound);
     }
 }
--- a/src/main/java/reedmux/simulation/cluster/ViolationLog.java
+++ b/src/main/java/reedmux/simulation/cluster/ViolationLog.java
@@ -9,8 +9,8 @@
     private final List<String> violations = new ArrayList<>();
 
     /** Adds a violation of a rule unless it is known already. */
-    void report(String rule, String what) {
-        String line = rule + ": " + what;
+    void report(String rule, String description) {
+        String line = rule + ": " + description;
         if (violations.size() < MAX_VIOLATIONS && !violations.contains(line)) {
             violations.add(line);
         }
--- a/src/test/java/reedmux/simulation/cluster/ClientDepartureClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ClientDepartureClusterTest.java
@@ -150,7 +150,7 @@
         assertEquals(serving.invariants().violations(), List.of());
         assertEquals(answered, 0);
         if (body.equals(ORDER)) {
-            assertEquals(serving.invariants().departures().cutEffectCount(), 0);
+            assertEquals(serving.invariants().departures().abortedEffectCount(), 0);
             assertTrue(serving.invariants().departures().completedEffectCount() > 20);
         }
         assertTrue(
--- a/src/test/java/reedmux/simulation/cluster/DayRunnerTest.java
+++ b/src/test/java/reedmux/simulation/cluster/DayRunnerTest.java
@@ -14,8 +14,8 @@
     @Test
     public void drawnDaysBreakNoRule() throws InterruptedException {
         List<String> broken = new ArrayList<>();
-        DayRunner.DayTotals sum = new DayRunner(new SimulatedDay.DayOptions(8, 3, 12, false))
-                .play(
+        SimulatedRunBatch.BatchTotals sum = new SimulatedRunBatch(new SimulatedRun.RunOptions(8, 3, 12, false))
+                .run(
                         1,
                         24,
                         4,
@@ -28,8 +28,8 @@
     @Test
     public void aCoreOfFiveBreaksNoRule() throws InterruptedException {
         List<String> broken = new ArrayList<>();
-        new DayRunner(new SimulatedDay.DayOptions(6, 5, 8, false))
-                .play(
+        new SimulatedRunBatch(new SimulatedRun.RunOptions(6, 5, 8, false))
+                .run(
                         101,
                         106,
                         4,
@@ -42,8 +42,8 @@
     @Test
     public void operatorsThatContendLeaveNothingInvalidInForce() throws InterruptedException {
         List<String> broken = new ArrayList<>();
-        new DayRunner(new SimulatedDay.DayOptions(4, 5, 1, true))
-                .play(
+        new SimulatedRunBatch(new SimulatedRun.RunOptions(4, 5, 1, true))
+                .run(
                         86,
                         115,
                         4,
@@ -54,11 +54,11 @@
 
     @Test
     public void aSeedPlayedAgainGivesTheSameDigest() throws InterruptedException {
-        long once = new DayRunner(new SimulatedDay.DayOptions(5, 3, 6, false))
-                .play(7, 9, 1, line -> {}, day -> {})
+        long once = new SimulatedRunBatch(new SimulatedRun.RunOptions(5, 3, 6, false))
+                .run(7, 9, 1, line -> {}, day -> {})
                 .digest();
-        long again = new DayRunner(new SimulatedDay.DayOptions(5, 3, 6, false))
-                .play(7, 9, 3, line -> {}, day -> {})
+        long again = new SimulatedRunBatch(new SimulatedRun.RunOptions(5, 3, 6, false))
+                .run(7, 9, 3, line -> {}, day -> {})
                 .digest();
         assertEquals(again, once);
     }
@@ -72,8 +72,8 @@
     @Test(dataProvider = "points")
     public void aStormBreaksNoRule(int point, int cores) throws InterruptedException {
         List<String> broken = new ArrayList<>();
-        new DayRunner(new SimulatedDay.DayOptions(6, cores, 1, false, point, true))
-                .play(
+        new SimulatedRunBatch(new SimulatedRun.RunOptions(6, cores, 1, false, point, true))
+                .run(
                         1,
                         3,
                         4,
@@ -84,8 +84,10 @@
 
     @Test
     public void aStormPlayedAgainGivesTheSameDigest() throws InterruptedException {
-        SimulatedDay.DayOptions shape = new SimulatedDay.DayOptions(5, 5, 1, false, 2, true);
-        long once = new DayRunner(shape).play(5, 6, 1, line -> {}, day -> {}).digest();
-        assertEquals(new DayRunner(shape).play(5, 6, 2, line -> {}, day -> {}).digest(), once);
+        SimulatedRun.RunOptions shape = new SimulatedRun.RunOptions(5, 5, 1, false, 2, true);
+        long once =
+                new SimulatedRunBatch(shape).run(5, 6, 1, line -> {}, day -> {}).digest();
+        assertEquals(
+                new SimulatedRunBatch(shape).run(5, 6, 2, line -> {}, day -> {}).digest(), once);
     }
 }
--- a/src/test/java/reedmux/simulation/cluster/DiskLossClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/DiskLossClusterTest.java
@@ -35,7 +35,7 @@
     public void theCoreTakesChangesAfterLossesOfAllItsDisks(int first, int second, int replaced) {
         for (int seed = 1; seed <= SEEDS; seed++) {
             ServingDeployment serving = new ServingDeployment(seed, line -> {});
-            List<Deployment.DeployedNode> cores = serving.deployment().cores();
+            List<Deployment.DeployedNode> cores = serving.deployment().coreNodes();
             for (int lost : new int[] {first, second}) {
                 cores.get(lost).losePower(SECOND, true);
                 serving.simulation().runFor(8 * SECOND);
@@ -81,7 +81,7 @@
     public void aStoreThatBecomesCompleteTellsThoseWhoPullFromIt() throws IOException {
         ServingDeployment serving = new ServingDeployment(1, line -> {});
         ClusterSimulation simulation = serving.simulation();
-        List<Deployment.DeployedNode> cores = serving.deployment().cores();
+        List<Deployment.DeployedNode> cores = serving.deployment().coreNodes();
         SimulatedMachine lost = cores.get(0).machine();
         SimulatedMachine cutOff = cores.get(1).machine();
         simulation.partition(lost, cutOff);
--- a/src/test/java/reedmux/simulation/cluster/DrainAcknowledgementClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/DrainAcknowledgementClusterTest.java
@@ -69,8 +69,8 @@
     private void cut(int core) {
         for (int other = 0; other < 3; other++) {
             if (other != core) {
-                SimulatedMachine one = deployment.cores().get(core).machine();
-                SimulatedMachine two = deployment.cores().get(other).machine();
+                SimulatedMachine one = deployment.coreNodes().get(core).machine();
+                SimulatedMachine two = deployment.coreNodes().get(other).machine();
                 simulation.partition(one, two);
                 simulation.partition(two, one);
             }
@@ -107,8 +107,8 @@
     /** One that is left alone of three does not acknowledge either, and does again once it is not alone. */
     @Test
     public void whoIsLeftAloneAcknowledgesAgainOnceAnotherIsBack() {
-        deployment.cores().get(1).losePower(20 * SECOND, false);
-        deployment.cores().get(2).losePower(40 * SECOND, false);
+        deployment.coreNodes().get(1).losePower(20 * SECOND, false);
+        deployment.coreNodes().get(2).losePower(40 * SECOND, false);
         simulation.runFor(5 * SECOND);
         assertEquals(beat(0, "i-1", "draining").status(), 503);
         simulation.runFor(18 * SECOND);
@@ -119,7 +119,7 @@
     @Test
     public void whoWasFrozenAcknowledgesOnlyWhatAnotherKnowsNow() {
         good(beat(0, "i-1", "ready"));
-        deployment.cores().get(0).freeze(20 * SECOND);
+        deployment.coreNodes().get(0).freeze(20 * SECOND);
         assertEquals(beat(0, "i-1", "draining").status(), 0);
         good(beat(1, "i-1", "draining"));
         good(call(1, "/v1/Instances.Leave/i-1", "{}"));
--- a/src/test/java/reedmux/simulation/cluster/ProgramsClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ProgramsClusterTest.java
@@ -69,7 +69,7 @@
         }
         simulation.runFor(5 * SECOND);
         assertEquals(log.stream().filter(line -> line.contains("Exception")).toList(), List.of());
-        assertTrue(deployment.cores().get(0).machine().tcpListener(7360) != null);
+        assertTrue(deployment.coreNodes().get(0).machine().tcpListener(7360) != null);
     }
 
     /** A request that meets the end of a start waits for it; one that meets its beginning is told when. */
@@ -86,14 +86,14 @@
     /** Its checkers call a registry that is cut off from the others, which hear of it through proxies. */
     @Test
     public void theCheckersOfARegistryThatIsCutOffAreNotSilent() {
-        SimulatedMachine cut = deployment.cores().get(0).machine();
-        for (Deployment.DeployedNode core : deployment.cores().subList(1, 3)) {
+        SimulatedMachine cut = deployment.coreNodes().get(0).machine();
+        for (Deployment.DeployedNode core : deployment.coreNodes().subList(1, 3)) {
             simulation.partition(cut, core.machine());
             simulation.partition(core.machine(), cut);
         }
         simulation.runFor(20 * SECOND);
         assertEquals(log.stream().filter(line -> line.contains("silent")).toList(), List.of());
-        deployment.cores().forEach(core -> simulation.partition(simulation.machine("10.3.0.1"), core.machine()));
+        deployment.coreNodes().forEach(core -> simulation.partition(simulation.machine("10.3.0.1"), core.machine()));
         simulation.runFor(10 * SECOND);
         assertTrue(log.stream().anyMatch(line -> line.contains("silent")), "who calls nobody is silent");
     }
@@ -101,7 +101,7 @@
     /** A registry that is gone is followed by others for its checkers, none of which is silent in between. */
     @Test
     public void theCheckersOfARegistryThatIsGoneAreNotSilent() {
-        deployment.cores().get(0).losePower(60 * SECOND, false);
+        deployment.coreNodes().get(0).losePower(60 * SECOND, false);
         simulation.runFor(20 * SECOND);
         assertEquals(log.stream().filter(line -> line.contains("silent")).toList(), List.of());
     }
@@ -109,7 +109,7 @@
     /** Without anybody of the core it is answered in time to come back. */
     @Test
     public void whoKnowsNothingRefusesInTime() throws java.io.IOException {
-        deployment.cores().forEach(core -> core.losePower(60 * SECOND, false));
+        deployment.coreNodes().forEach(core -> core.losePower(60 * SECOND, false));
         deployment.proxies().get(0).kill(SECOND / 2);
         simulation.runFor(SECOND);
         int[] told = ask("/r0/x", 2_000);
--- a/src/test/java/reedmux/simulation/cluster/QuorumContactClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/QuorumContactClusterTest.java
@@ -77,7 +77,7 @@
     }
 
     private void cut(boolean both) {
-        List<Deployment.DeployedNode> cores = deployment.cores();
+        List<Deployment.DeployedNode> cores = deployment.coreNodes();
         List<SimulatedMachine> far =
                 List.of(cores.get(1).machine(), cores.get(2).machine());
         for (SimulatedMachine near :
@@ -141,7 +141,7 @@
     public void aStoreThatWakesDoesNotAnswerFromWhatItHeld() {
         for (long early : new long[] {0, 50_000, SECOND}) {
             start();
-            deployment.cores().get(0).freeze(20 * SECOND);
+            deployment.coreNodes().get(0).freeze(20 * SECOND);
             simulation.runFor(3 * SECOND);
             assertTrue(
                     control(1, OneShotHttpCall.post("/v1/Config.Adjust", NEWER)).startsWith("200"));
@@ -187,7 +187,7 @@
             public void onDisconnected(RpcConnection link) {}
         };
         InetSocketAddress store =
-                SocketAddresses.parse(deployment.cores().get(1).machine().ip() + ':' + Deployment.STORE_PORT);
+                SocketAddresses.parse(deployment.coreNodes().get(1).machine().ip() + ':' + Deployment.STORE_PORT);
         peer.submit(() -> {});
         RpcConnection link = RpcConnection.connect(peer.reactor(), new MessageCodec(), hello, store, owner);
         simulation.runFor(SECOND / 2);
--- a/src/test/java/reedmux/simulation/cluster/ShowClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ShowClusterTest.java
@@ -70,10 +70,10 @@
 
     /** Cuts the first core machine off from the other two. */
     private void cut() {
-        SimulatedMachine near = deployment.cores().get(0).machine();
+        SimulatedMachine near = deployment.coreNodes().get(0).machine();
         for (int i = 1; i < 3; i++) {
-            simulation.partition(near, deployment.cores().get(i).machine());
-            simulation.partition(deployment.cores().get(i).machine(), near);
+            simulation.partition(near, deployment.coreNodes().get(i).machine());
+            simulation.partition(deployment.coreNodes().get(i).machine(), near);
         }
     }
 
