--- a/src/main/java/reedmux/common/eventloop/Connection.java
+++ b/src/main/java/reedmux/common/eventloop/Connection.java
@@ -10,37 +10,45 @@
 
 /**
  * A TCP connection of a {@link Reactor} with an input buffer and an output queue. Input stays in the buffer until the
- * handler consumes it; output that the kernel does not take is queued without a bound, so a handler that forwards data
- * watches {@link #queuedBytes} and pauses its source. For the reactor's thread only.
+ * handler consumes it. Output that the kernel does not accept immediately is queued without a limit, so a handler that
+ * forwards data must apply back-pressure: it watches {@link #queuedBytes} and pauses its source. Not thread-safe; all
+ * methods must be called on the reactor's thread.
  *
- * <p>States: connecting, connected, closed. The input may end earlier than the connection, as the peer may have shut
- * down its output only ({@link #isInputEnded}).
+ * <p>A connection is connecting, connected or closed. The input may end before the connection is closed, because the
+ * peer may shut down only its output ({@link #isInputEnded}).
  */
 public final class Connection implements Environment.ReadinessHandler {
     private static final byte[] EMPTY = {};
     private static final int MIN_BUFFER_BYTES = 1024;
-    /** An empty buffer beyond this is given back, as most connections are idle most of the time. */
+    /** A larger input buffer is released once it is empty, because most connections are idle most of the time. */
     private static final int MAX_IDLE_BUFFER_BYTES = 4 * MIN_BUFFER_BYTES;
-    /** The buffer doubles up to this step, so that a long body does not reserve twice its size. */
+    /**
+     * The largest step by which the input buffer grows, in bytes. Below it the buffer doubles; the limit keeps a long
+     * body from reserving twice its size.
+     */
     private static final int MAX_GROWTH_BYTES = 64 * 1024;
 
-    /** Receives a connection's events, on the reactor's thread. */
+    /** Receives the events of a connection on the reactor's thread. */
     public interface ConnectionHandler {
 
-        /** The connection that was opened here is established. */
+        /** Called when a connection that this process opened is established. */
         default void onConnected() {}
 
         /**
-         * Input has arrived, or the peer has ended it ({@link #isInputEnded}).
+         * Called when input has arrived or the peer has ended the input ({@link #isInputEnded}).
          *
-         * @throws IOException if the connection cannot go on; it is closed and {@link #onClosed} called
+         * @throws IOException if the connection cannot be used any longer; it is then closed and {@link #onClosed} is
+         *                     called
          */
         void onInput() throws IOException;
 
-        /** The kernel has taken all queued output. */
+        /** Called when the kernel has accepted all queued output. */
         default void onFlushed() throws IOException {}
 
-        /** The connection has failed or could not be established; called once, and not after {@link #close()}. */
+        /**
+         * Called when the connection has failed or could not be established: at most once, and never after
+         * {@link #close()}.
+         */
         void onClosed(String reason);
     }
 
@@ -63,7 +71,7 @@
         this.socket = socket;
     }
 
-    /** A connection that was accepted; the caller sets its handler. */
+    /** Wraps an accepted socket; the caller must set the handler of the connection. */
     static Connection ofAccepted(Reactor reactor, Environment.TcpSocket socket) throws IOException {
         Connection connection = new Connection(reactor, socket);
         connection.connected = true;
@@ -72,15 +80,16 @@
     }
 
     /**
-     * Opens a connection. The handler is told in a later turn that it is established or has failed.
+     * Opens a connection. The handler is notified in a later iteration of the event loop, when the connection is
+     * established or has failed.
      *
-     * @param local the address to bind, or null for any
-     * @throws IOException if it fails at once, for instance without a descriptor
+     * @param localAddress the local address to bind, or null for any
+     * @throws IOException if the attempt fails immediately, for example because no file descriptor is left
      */
     public static Connection connect(
-            Reactor reactor, InetSocketAddress to, InetSocketAddress local, ConnectionHandler handler)
+            Reactor reactor, InetSocketAddress remoteAddress, InetSocketAddress localAddress, ConnectionHandler handler)
             throws IOException {
-        Environment.TcpSocket socket = reactor.environment().connect(to, local);
+        Environment.TcpSocket socket = reactor.environment().connect(remoteAddress, localAddress);
         Connection connection = new Connection(reactor, socket);
         connection.handler = handler;
         socket.setHandler(reactor.guard(connection));
@@ -98,22 +107,22 @@
         }
     }
 
-    /** Sets who receives the events from now on. */
+    /** Replaces the handler that receives the events of this connection. */
     public void setHandler(ConnectionHandler newHandler) {
         handler = newHandler;
     }
 
-    /** The peer's address for log lines. */
+    /** Returns the peer's address as text for log lines. */
     public String remoteAddress() {
         return socket.remoteAddress();
     }
 
-    /** Whether it is connecting or connected. */
+    /** Returns whether this connection is connecting or connected. */
     public boolean isOpen() {
         return !closed;
     }
 
-    /** Whether it is established and not closed. */
+    /** Returns whether this connection is established and not closed. */
     public boolean isConnected() {
         return connected && !closed;
     }
@@ -150,7 +159,7 @@
         releaseIfEmpty();
     }
 
-    /** Reads once; returns what the socket's read returned. */
+    /** Reads from the socket once and returns the result of that read: a number of bytes, or -1 at the end. */
     private int fillBuffer() throws IOException {
         ByteBuffer readBuffer = reactor.readBuffer.clear();
         int count = socket.read(readBuffer);
@@ -166,9 +175,9 @@
     }
 
     /**
-     * Whether the peer has ended its input or reset the connection by now. Reads the socket, as the selector may not
-     * have reported it yet; the handler is told of what has arrived in a later turn. While reading is paused, an end
-     * that lies behind unread input is not seen.
+     * Returns whether the peer has ended its output or reset the connection. Reads the socket, because the selector may
+     * not have reported the event yet; the handler is notified of the input that this reads in a later iteration of the
+     * event loop. While reading is paused, the socket is not read, so an end behind unread input is not detected.
      */
     public boolean pollInputEnded() {
         if (closed || inputEnded) {
@@ -178,11 +187,11 @@
         }
         try {
             int count = fillBuffer();
-            boolean arrived = count != 0;
+            boolean inputArrived = count != 0;
             while (count > 0 && available() < MAX_GROWTH_BYTES) {
                 count = fillBuffer();
             }
-            if (arrived) {
+            if (inputArrived) {
                 reactor.execute(this::reportPolledInput);
             }
             return inputEnded;
@@ -203,9 +212,9 @@
     }
 
     /**
-     * Whether the connection may carry another request: it is open and has no unsolicited input. Reads the socket, as
-     * the selector may not have reported what has arrived; whatever arrived makes the connection unusable, so it is not
-     * kept.
+     * Returns whether the connection may carry another request: it is open and has no unsolicited input. Reads the
+     * socket, because the selector may not have reported the latest input yet. Any input makes the connection unusable,
+     * so the bytes are discarded.
      */
     public boolean isQuiescent() {
         if (closed || inputEnded || available() > 0) {
@@ -218,7 +227,10 @@
         }
     }
 
-    /** Makes room for so many bytes behind {@link #inputEnd}, by moving the content to the front or to a new array. */
+    /**
+     * Ensures that {@code count} bytes fit after {@link #inputEnd}, by moving the unread input to the front of the
+     * buffer or to a larger one.
+     */
     private void ensureCapacity(int count) {
         if (inputBuffer.length - inputEnd >= count) {
             return;
@@ -246,48 +258,49 @@
     }
 
     // ---- Input -------------------------------------------------------------------------------------
-    /** Bytes of input that are not consumed yet. */
+    /** Returns the number of input bytes that have arrived and are not consumed yet. */
     public int available() {
         return inputEnd - inputStart;
     }
 
-    /** The byte at an offset into the {@link #available} input; does not consume it. */
+    /** Returns the byte at an offset into the {@link #available} input without consuming it. */
     public byte peek(int offset) {
         return inputBuffer[inputStart + offset];
     }
 
-    /** Consumes so many bytes of the {@link #available} input. */
+    /** Consumes {@code count} bytes of the {@link #available} input. */
     public void skip(int count) {
         inputStart += count;
         releaseIfEmpty();
     }
 
-    /** Consumes and returns so many bytes of the {@link #available} input. */
+    /** Consumes and returns {@code count} bytes of the {@link #available} input. */
     public byte[] readBytes(int count) {
         byte[] bytes = Arrays.copyOfRange(inputBuffer, inputStart, inputStart + count);
         skip(count);
         return bytes;
     }
 
-    /** A part of the {@link #available} input as ISO 8859-1, one character a byte; does not consume it. */
+    /** Decodes a range of the {@link #available} input as ISO 8859-1, one character per byte, without consuming it. */
     public String peekText(int offset, int length) {
         return new String(inputBuffer, inputStart + offset, length, StandardCharsets.ISO_8859_1);
     }
 
-    /** Whether the peer will send no more than what is {@link #available}. */
+    /** Returns whether the peer has ended its output, so that only the {@link #available} bytes remain to be read. */
     public boolean isInputEnded() {
         return inputEnded;
     }
 
     // ---- Output ------------------------------------------------------------------------------------
-    /** Sends an array, which must not be changed afterwards; see {@link #write(ByteBuffer)}. */
+    /** Sends an array, which the caller must not modify afterwards; see {@link #write(ByteBuffer)}. */
     public void write(byte[] bytes) {
         write(ByteBuffer.wrap(bytes));
     }
 
     /**
-     * Sends a buffer, now or once the kernel takes it. The buffer is not copied. A failure reaches the handler's
-     * {@code onClosed} in a later turn; on a closed connection the bytes are dropped.
+     * Sends a buffer immediately, or queues it until the kernel accepts it. The buffer is not copied. A failure is
+     * reported to the handler's {@code onClosed} in a later iteration of the event loop. On a closed connection the
+     * bytes are discarded.
      */
     public void write(ByteBuffer bytes) {
         if (closed) {
@@ -318,17 +331,17 @@
         updateInterest();
     }
 
-    /** Bytes that the kernel has taken since the connection was opened. */
+    /** Returns the number of bytes that the kernel has accepted since the connection was opened. */
     public long sentBytes() {
         return sentBytes;
     }
 
-    /** Bytes that were written and the kernel has not taken yet. */
+    /** Returns the number of bytes that were written but that the kernel has not accepted yet. */
     public long queuedBytes() {
         return queuedBytes;
     }
 
-    /** Pauses or resumes reading; while it is paused, TCP's flow control slows the peer down. */
+    /** Pauses or resumes reading. While reading is paused, TCP flow control slows the peer down. */
     public void setReadPaused(boolean paused) {
         readPaused = paused;
         updateInterest();
@@ -341,7 +354,7 @@
     }
 
     // ---- Closing -----------------------------------------------------------------------------------
-    /** Closes both directions and drops what is queued; the handler is not called any more. */
+    /** Closes both directions and discards queued output and unread input. The handler is not called any more. */
     public void close() {
         if (!closed) {
             closed = true;
@@ -352,12 +365,12 @@
             try {
                 socket.close();
             } catch (IOException e) {
-                // closed either way
+                // the connection counts as closed even if closing the socket failed
             }
         }
     }
 
-    /** Ends the output; the input stays open, and the peer reads the end of the stream. */
+    /** Shuts down the output, so that the peer reads the end of the stream. The input stays open. */
     public void shutdownOutput() {
         try {
             socket.shutdownOutput();
--- a/src/main/java/reedmux/common/eventloop/Environment.java
+++ b/src/main/java/reedmux/common/eventloop/Environment.java
@@ -8,59 +8,64 @@
 import reedmux.common.disk.Volume;
 
 /**
- * Everything outside the process that a {@link Reactor} uses: sockets, disks, the clock and random numbers.
- * {@link NioEnvironment} is the operating system's; the cluster simulation implements the same interface in virtual
- * time, so that the production programs run there unchanged.
+ * The external resources that a {@link Reactor} uses: sockets, disks, the clock and incarnation ids.
+ * {@link NioEnvironment} implements it on the operating system. The cluster simulation implements it in virtual time,
+ * so that the production programs run there unchanged.
  *
- * <p>Only {@link #execute} may be called from any thread; all other methods, those of the sockets included, belong to
- * the reactor's thread. No method blocks except {@link #awaitReadiness}. Times are microseconds of {@link #now()}.
+ * <p>Only {@link #execute} may be called from any thread. All other methods, including those of the sockets, must be
+ * called on the reactor's thread. No method blocks except {@link #awaitReadiness}. Times are microseconds of
+ * {@link #now()}.
  */
 public interface Environment extends Executor {
 
-    /** Receives the readiness events of one socket, on the reactor's thread. */
+    /** Receives the readiness events of one socket on the reactor's thread. */
     interface ReadinessHandler {
 
         /**
-         * The socket can be read, written, or both.
+         * Called when the socket can be read, written, or both.
          *
          * @throws IOException if the socket has failed; the caller then calls {@link #onFailure}
          */
         void onReady(boolean readable, boolean writable) throws IOException;
 
-        /** {@link #onReady} has thrown {@code cause}; the handler closes the socket or gives it up. */
+        /** Called when {@link #onReady} has thrown {@code cause}; the handler closes the socket or stops using it. */
         void onFailure(Exception cause);
     }
 
     /** A non-blocking TCP connection. */
     interface TcpSocket {
 
-        /** Registers the one handler of this socket; to be called once, before anything is read or written. */
+        /** Registers the only handler of this socket; must be called once, before the first read or write. */
         void setHandler(ReadinessHandler handler) throws IOException;
 
-        /** Whether the connection was established within {@code connect}, so that no readiness event will tell. */
+        /** Returns whether {@code connect} established the connection, in which case no readiness event reports it. */
         boolean isConnectedAtOnce();
 
         /**
-         * Completes the connection once the handler has been told that it is ready.
+         * Completes the connection after the handler has received a readiness event.
          *
-         * @return whether it is established
-         * @throws IOException if it cannot be established
+         * @return whether the connection is established
+         * @throws IOException if the connection cannot be established
          */
         boolean finishConnect() throws IOException;
 
-        /** Reads as a channel does: returns the number of bytes, 0 if none is there, -1 at the end of the stream. */
-        int read(ByteBuffer into) throws IOException;
+        /**
+         * Reads into a buffer.
+         *
+         * @return the number of bytes read: 0 if none are available, -1 at the end of the stream
+         */
+        int read(ByteBuffer buffer) throws IOException;
 
-        /** Writes as much as the kernel takes and returns the number of bytes. */
-        int write(ByteBuffer from) throws IOException;
+        /** Writes as many bytes as the kernel accepts and returns their number. */
+        int write(ByteBuffer buffer) throws IOException;
 
-        /** Sets which events the handler receives from now on; to be called once the connection is established. */
+        /** Sets which events the handler receives; may be called only after the connection is established. */
         void setInterest(boolean reads, boolean writes);
 
-        /** Sends the end of the stream; the input stays open. */
+        /** Shuts down the output, so that the peer reads the end of the stream. The input stays open. */
         void shutdownOutput() throws IOException;
 
-        /** The peer's address for log lines. */
+        /** Returns the peer's address as text for log lines. */
         default String remoteAddress() {
             return "an unknown address";
         }
@@ -72,20 +77,21 @@
     /** A listening TCP socket. */
     interface TcpServerSocket {
 
-        /** The address that is bound, with the port that was chosen where port 0 was asked for. */
+        /** Returns the bound address, with the port that the system assigned if port 0 was requested. */
         InetSocketAddress localAddress() throws IOException;
 
-        /** Registers the one handler of this socket; accepting is enabled from then on. */
+        /** Registers the only handler of this socket and enables accepting. */
         void setHandler(ReadinessHandler handler) throws IOException;
 
         /**
-         * The next connection of the backlog, or null if there is none.
+         * Accepts the next connection of the backlog.
          *
-         * @throws IOException if no descriptor is left
+         * @return the connection, or null if the backlog is empty
+         * @throws IOException if no file descriptor is left
          */
         TcpSocket accept() throws IOException;
 
-        /** Whether the handler is told of new connections; while it is not, they wait in the backlog. */
+        /** Enables or disables events for new connections; while disabled, new connections wait in the backlog. */
         void setAcceptEnabled(boolean accepts);
 
         /** Stops listening. */
@@ -95,60 +101,61 @@
     /** A bound UDP socket. */
     interface UdpSocket {
 
-        /** Registers the one handler of this socket. */
+        /** Registers the only handler of this socket. */
         void setHandler(ReadinessHandler handler) throws IOException;
 
-        /** Sends one datagram; it may be lost without an error. */
-        void send(InetSocketAddress to, ByteBuffer bytes) throws IOException;
+        /** Sends one datagram, which may be lost without an error. */
+        void send(InetSocketAddress recipient, ByteBuffer bytes) throws IOException;
 
-        /** Reads the next datagram and returns its sender, or null if there is none. */
-        InetSocketAddress receive(ByteBuffer into) throws IOException;
+        /** Reads the next datagram and returns its sender, or null if no datagram is available. */
+        InetSocketAddress receive(ByteBuffer buffer) throws IOException;
     }
 
-    /** Microseconds of a monotonic clock. */
+    /** Returns the time of a monotonic clock in microseconds. */
     long now();
 
-    /** A number that tells one incarnation of a process from another. */
+    /** Returns a number that distinguishes one incarnation of a process from another. */
     long newIncarnationId();
 
     /**
-     * Begins to open a connection.
+     * Starts to open a connection.
      *
-     * @param local the address to bind, or null for any
+     * @param localAddress the local address to bind, or null for any
      */
-    TcpSocket connect(InetSocketAddress to, InetSocketAddress local) throws IOException;
+    TcpSocket connect(InetSocketAddress remoteAddress, InetSocketAddress localAddress) throws IOException;
 
     /**
-     * Binds an address for incoming connections.
+     * Binds an address and listens for connections.
      *
-     * @param backlog how many established connections may wait for {@link TcpServerSocket#accept}
+     * @param backlog the number of established connections that may wait for {@link TcpServerSocket#accept}
      */
-    TcpServerSocket listen(InetSocketAddress at, int backlog) throws IOException;
+    TcpServerSocket listen(InetSocketAddress address, int backlog) throws IOException;
 
     /** Binds an address for datagrams. */
-    UdpSocket bindDatagram(InetSocketAddress at) throws IOException;
+    UdpSocket bindDatagram(InetSocketAddress address) throws IOException;
 
-    /** The files below a directory. */
+    /** Returns the volume that stores its files below a directory. */
     Volume volume(Path folder);
 
     /**
-     * A thread of its own for tasks that block on a disk. It runs them one after the other, in order.
+     * Creates an executor with a single dedicated thread for tasks that block on a disk. Tasks run one at a time, in the
+     * order of submission.
      *
-     * @param capacity how many tasks may wait; beyond that {@code execute} throws
-     *                 {@link java.util.concurrent.RejectedExecutionException}
+     * @param capacity the number of tasks that may wait; {@code execute} throws
+     *                 {@link java.util.concurrent.RejectedExecutionException} for further ones
      */
     Executor newWorker(String name, int capacity);
 
-    /** The next task given to {@link #execute}, or null. */
+    /** Removes and returns the next task that was submitted to {@link #execute}, or null if there is none. */
     Runnable pollTask();
 
     /**
-     * Waits until a socket is ready, a task has been given to {@link #execute}, or {@code until} has passed, and calls
-     * the handlers of the sockets that are ready.
+     * Waits until a socket is ready, a task is submitted to {@link #execute}, or the deadline has passed, and calls the
+     * handlers of the sockets that are ready.
      *
-     * @param until microseconds of {@link #now()}; {@link Long#MAX_VALUE} for no limit
+     * @param deadline in microseconds of {@link #now()}; {@link Long#MAX_VALUE} for no deadline
      */
-    void awaitReadiness(long until) throws IOException;
+    void awaitReadiness(long deadline) throws IOException;
 
     /** Closes all sockets. */
     void close() throws IOException;
--- a/src/main/java/reedmux/common/eventloop/NioEnvironment.java
+++ b/src/main/java/reedmux/common/eventloop/NioEnvironment.java
@@ -23,11 +23,14 @@
 import reedmux.common.time.MonotonicClock;
 
 /**
- * The operating system's sockets, files and clock, on one {@link Selector}. A worker's tasks run on its own daemon
- * thread; everything else runs on the reactor's.
+ * Implements {@link Environment} on the operating system's sockets, files and clock, with one {@link Selector}. The
+ * tasks of a worker run on that worker's daemon thread; everything else runs on the reactor's thread.
  */
 public final class NioEnvironment implements Environment {
-    /** A peer without power or path is given up after 2 + 3 * 1 seconds of silence. */
+    /**
+     * Idle time before the first TCP keep-alive probe, in seconds. A connection whose peer has lost power or its network
+     * path fails after 2 + 3 * 1 seconds without a packet from the peer.
+     */
     private static final int KEEPALIVE_IDLE_SECONDS = 2;
 
     private static final int KEEPALIVE_INTERVAL_SECONDS = 1;
@@ -63,11 +66,11 @@
     }
 
     @Override
-    public void awaitReadiness(long until) throws IOException {
-        long waitMicros = until - clock.now();
+    public void awaitReadiness(long deadline) throws IOException {
+        long waitMicros = deadline - clock.now();
         if (!tasks.isEmpty() || waitMicros <= 0) {
             selector.selectNow(NioEnvironment::dispatch);
-        } else if (until == Long.MAX_VALUE) {
+        } else if (deadline == Long.MAX_VALUE) {
             selector.select(NioEnvironment::dispatch);
         } else {
             selector.select(NioEnvironment::dispatch, (waitMicros + 999) / 1000);
@@ -114,7 +117,7 @@
     }
 
     @Override
-    public TcpSocket connect(InetSocketAddress to, InetSocketAddress local) throws IOException {
+    public TcpSocket connect(InetSocketAddress remoteAddress, InetSocketAddress localAddress) throws IOException {
         SocketChannel channel = SocketChannel.open();
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
@@ -122,11 +125,11 @@
             channel.setOption(ExtendedSocketOptions.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS);
             channel.setOption(ExtendedSocketOptions.TCP_KEEPINTERVAL, KEEPALIVE_INTERVAL_SECONDS);
             channel.setOption(ExtendedSocketOptions.TCP_KEEPCOUNT, KEEPALIVE_PROBES);
-            if (local != null) {
-                channel.bind(local);
+            if (localAddress != null) {
+                channel.bind(localAddress);
             }
             channel.configureBlocking(false);
-            return new NioTcpSocket(channel, channel.connect(to));
+            return new NioTcpSocket(channel, channel.connect(remoteAddress));
         } catch (IOException | RuntimeException e) {
             channel.close();
             throw e instanceof IOException io ? io : new IOException(e);
@@ -134,17 +137,17 @@
     }
 
     @Override
-    public TcpServerSocket listen(InetSocketAddress at, int backlog) throws IOException {
+    public TcpServerSocket listen(InetSocketAddress address, int backlog) throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        channel.bind(at, backlog);
+        channel.bind(address, backlog);
         return new NioTcpServerSocket(channel);
     }
 
     @Override
-    public UdpSocket bindDatagram(InetSocketAddress at) throws IOException {
+    public UdpSocket bindDatagram(InetSocketAddress address) throws IOException {
         DatagramChannel channel = DatagramChannel.open();
-        channel.bind(at);
+        channel.bind(address);
         return new NioUdpSocket(channel);
     }
 
@@ -175,20 +178,20 @@
         }
 
         @Override
-        public int read(ByteBuffer into) throws IOException {
-            return channel.read(into);
+        public int read(ByteBuffer buffer) throws IOException {
+            return channel.read(buffer);
         }
 
         @Override
-        public int write(ByteBuffer from) throws IOException {
-            return channel.write(from);
+        public int write(ByteBuffer buffer) throws IOException {
+            return channel.write(buffer);
         }
 
         @Override
         public void setInterest(boolean reads, boolean writes) {
-            int wanted = (reads ? SelectionKey.OP_READ : 0) | (writes ? SelectionKey.OP_WRITE : 0);
-            if (key != null && key.isValid() && key.interestOps() != wanted) {
-                key.interestOps(wanted);
+            int interestOps = (reads ? SelectionKey.OP_READ : 0) | (writes ? SelectionKey.OP_WRITE : 0);
+            if (key != null && key.isValid() && key.interestOps() != interestOps) {
+                key.interestOps(interestOps);
             }
         }
 
@@ -235,7 +238,7 @@
             try {
                 accepted.setOption(StandardSocketOptions.TCP_NODELAY, true);
             } catch (IOException e) {
-                // reset by the peer already: the first read fails
+                // the peer has already reset the connection; the first read will report that
             }
             return new NioTcpSocket(accepted, true);
         }
@@ -266,13 +269,13 @@
         }
 
         @Override
-        public void send(InetSocketAddress to, ByteBuffer bytes) throws IOException {
-            channel.send(bytes, to);
+        public void send(InetSocketAddress recipient, ByteBuffer bytes) throws IOException {
+            channel.send(bytes, recipient);
         }
 
         @Override
-        public InetSocketAddress receive(ByteBuffer into) throws IOException {
-            return (InetSocketAddress) channel.receive(into);
+        public InetSocketAddress receive(ByteBuffer buffer) throws IOException {
+            return (InetSocketAddress) channel.receive(buffer);
         }
     }
 }
--- a/src/main/java/reedmux/common/eventloop/Reactor.java
+++ b/src/main/java/reedmux/common/eventloop/Reactor.java
@@ -12,20 +12,27 @@
 import reedmux.common.logging.RingBufferLogger;
 
 /**
- * An event loop: one thread that serves sockets, timers and tasks. Every handler, timer and task runs on the thread of
- * {@link #run()}, so the state behind them needs no locks; of this class only {@link #execute} and {@link #stop} may be
- * called from other threads. An exception that escapes a callback is logged and ends nothing but that callback.
+ * A single-threaded event loop that serves sockets, timers and tasks. Every handler, timer and task runs on the thread
+ * of {@link #run()}, so their state needs no locks. Only {@link #execute} and {@link #stop} may be called from other
+ * threads. A runtime exception that a callback throws is logged and does not stop the event loop.
  *
- * <p>Times are microseconds of the environment's monotonic clock, read once for each turn and socket event.
+ * <p>Times are microseconds of the environment's monotonic clock, which is read once for each iteration and socket
+ * event.
  */
 public final class Reactor implements Executor {
     private static final int READ_BUFFER_BYTES = 64 * 1024;
-    /** Between two warnings of one kind in the log; those in between are kept in the ring buffer only. */
+    /**
+     * Minimum interval between two logged warnings of the same kind, in microseconds. Warnings in between go to the ring
+     * buffer only.
+     */
     private static final long WARNING_INTERVAL_MICROS = 30_000_000;
-    /** Kinds may hold text from peers, so their number is bounded; further ones go to the ring buffer only. */
+    /**
+     * Limits the number of warning kinds that are tracked, because a kind may contain text from peers. Warnings of
+     * further kinds go to the ring buffer only.
+     */
     private static final int MAX_WARNING_KINDS = 200;
 
-    /** A task that runs at a time unless it is cancelled; ordered by time, then by when it was scheduled. */
+    /** A task that runs at a given time unless it is cancelled. Tasks are ordered by due time, then by creation. */
     public static final class ScheduledTask implements Comparable<ScheduledTask> {
         private final long dueAt;
         private final long sequence;
@@ -37,7 +44,7 @@
             this.task = task;
         }
 
-        /** Drops the task; without effect once it has run. */
+        /** Cancels the task; has no effect once the task has run. */
         public void cancel() {
             task = null;
         }
@@ -52,21 +59,21 @@
     private final PriorityQueue<ScheduledTask> timers = new PriorityQueue<>();
     private final RingBufferLogger logger;
     private final InvariantMonitor invariants;
-    /** Shared by all sockets of this thread; its content is copied out before the next read. */
+    /** Read buffer shared by all sockets of this reactor; its content is copied out before the next read. */
     final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
-    /** By kind of warning, in microseconds. */
+    /** Time of the last logged warning in microseconds, by kind. */
     private final Map<String, Long> lastWarningAt = new HashMap<>();
 
     private long now;
     private long nextTaskSequence;
     private volatile boolean stopped;
 
-    /** A reactor on the operating system's sockets, files and clock. */
+    /** Creates a reactor on the operating system's sockets, files and clock. */
     public Reactor(RingBufferLogger logger) throws IOException {
         this(logger, new NioEnvironment());
     }
 
-    /** A reactor in an environment of its own, as tests and the simulation have it. */
+    /** Creates a reactor on the given environment, which tests and the simulation provide. */
     public Reactor(RingBufferLogger logger, Environment environment) {
         this.logger = logger;
         invariants = new InvariantMonitor(logger);
@@ -78,33 +85,36 @@
         return environment;
     }
 
-    /** A number that tells one incarnation of a process from another. */
+    /** Returns a number that distinguishes one incarnation of a process from another. */
     public long newIncarnationId() {
         return environment.newIncarnationId();
     }
 
-    /** The files below a directory; see {@link Environment#volume}. */
+    /** Returns the volume that stores its files below a directory; see {@link Environment#volume}. */
     public Volume volume(Path folder) {
         return environment.volume(folder);
     }
 
-    /** A thread of its own for tasks that block on a disk; see {@link Environment#newWorker}. */
+    /** Creates a single-threaded executor for tasks that block on a disk; see {@link Environment#newWorker}. */
     public Executor newWorker(String name, int capacity) {
         return environment.newWorker(name, capacity);
     }
 
-    /** The time of the current turn or socket event, in microseconds; it does not advance within one. */
+    /** Returns the time at which the current iteration or socket event began, in microseconds. */
     public long now() {
         return now;
     }
 
-    /** Runs a task in a later turn; may be called from any thread. */
+    /** Runs a task in a later iteration of the event loop; may be called from any thread. */
     @Override
     public void execute(Runnable task) {
         environment.execute(task);
     }
 
-    /** Runs a task at a time, in microseconds of {@link #now()}; one in the past runs in the next turn. */
+    /**
+     * Runs a task at a given time, in microseconds of {@link #now()}. If that time has passed, the task runs in the next
+     * iteration of the event loop.
+     */
     public ScheduledTask scheduleAt(long dueAt, Runnable task) {
         ScheduledTask scheduled = new ScheduledTask(dueAt, nextTaskSequence++, task);
         timers.add(scheduled);
@@ -117,8 +127,8 @@
     }
 
     /**
-     * Runs a task again and again until the reactor stops. The interval, in microseconds, counts from the turn of the
-     * run before; a turn that was late is not made up for.
+     * Runs a task periodically until the reactor stops. The interval, in microseconds, is measured from the iteration
+     * that ran the task last; runs that are late are not caught up.
      */
     public void scheduleEvery(long intervalMicros, Runnable task) {
         scheduleAfter(intervalMicros, () -> {
@@ -127,7 +137,10 @@
         });
     }
 
-    /** Wraps a handler so that it sees the current time and its exceptions reach {@code onFailure} only. */
+    /**
+     * Wraps a handler so that {@link #now()} is updated before each event, and so that exceptions of the handler are
+     * passed to its {@code onFailure} instead of leaving the event loop.
+     */
     Environment.ReadinessHandler guard(Environment.ReadinessHandler handler) {
         return new Environment.ReadinessHandler() {
             @Override
@@ -150,30 +163,31 @@
         };
     }
 
-    /** Where this process checks what must always hold. */
+    /** Returns the monitor that checks the invariants of this process. */
     public InvariantMonitor invariants() {
         return invariants;
     }
 
-    /** Logs a line for operators. */
+    /** Writes a line to the log for operators. */
     public void info(String line) {
         logger.info(line);
     }
 
-    /** Keeps a line in the ring buffer; it is written only if an error follows. */
+    /** Stores a line in the ring buffer, which is written to the log only if an error follows. */
     public void debug(String line) {
         logger.debug(line);
     }
 
     /**
-     * Logs a line about a peer's behaviour, at most one of a kind each {@value #WARNING_INTERVAL_MICROS} microseconds,
-     * as a peer may repeat it at will. The others go to the ring buffer.
+     * Logs a warning about a peer's behaviour. At most one warning of each kind is logged per
+     * {@value #WARNING_INTERVAL_MICROS} microseconds, because a peer can cause any number of them. The others go to the
+     * ring buffer.
      */
     public void warnRateLimited(String kind, String line) {
-        Long before = lastWarningAt.get(kind);
-        if (before == null && lastWarningAt.size() >= MAX_WARNING_KINDS) {
+        Long lastLoggedAt = lastWarningAt.get(kind);
+        if (lastLoggedAt == null && lastWarningAt.size() >= MAX_WARNING_KINDS) {
             debug(line);
-        } else if (before == null || now - before > WARNING_INTERVAL_MICROS) {
+        } else if (lastLoggedAt == null || now - lastLoggedAt > WARNING_INTERVAL_MICROS) {
             lastWarningAt.put(kind, now);
             logger.info(line);
         } else {
@@ -181,36 +195,36 @@
         }
     }
 
-    /** Logs an error, preceded by the lines of the ring buffer. */
+    /** Logs an error after the lines of the ring buffer. */
     public void error(String line) {
         logger.error(line);
     }
 
-    /** Ends {@link #run()} after the current turn; may be called from any thread. */
+    /** Makes {@link #run()} return after the current iteration; may be called from any thread. */
     public void stop() {
         stopped = true;
-        environment.execute(() -> {}); // wakes it up
+        environment.execute(() -> {}); // wakes up awaitReadiness
     }
 
-    /** Whether {@link #stop()} was called. */
+    /** Returns whether {@link #stop()} was called. */
     public boolean isStopped() {
         return stopped;
     }
 
-    /** Serves events on the calling thread until {@link #stop()}, then closes all sockets. */
+    /** Serves events on the calling thread until {@link #stop()} is called, then closes all sockets. */
     public void run() throws IOException {
-        long next = runOnce();
+        long nextDueAt = runOnce();
         while (!stopped) {
-            environment.awaitReadiness(next);
-            next = runOnce();
+            environment.awaitReadiness(nextDueAt);
+            nextDueAt = runOnce();
         }
         environment.close();
     }
 
     /**
-     * One turn: runs the tasks of {@link #execute} and the timers that are due.
+     * Runs one iteration of the event loop: the tasks submitted to {@link #execute}, then the timers that are due.
      *
-     * @return when the next timer is due, or {@link Long#MAX_VALUE} if there is none
+     * @return the time at which the next timer is due, in microseconds, or {@link Long#MAX_VALUE} if there is none
      */
     public long runOnce() {
         now = environment.now();
--- a/src/main/java/reedmux/common/eventloop/StackTraces.java
+++ b/src/main/java/reedmux/common/eventloop/StackTraces.java
@@ -7,7 +7,7 @@
 public final class StackTraces {
     private StackTraces() {}
 
-    /** The stack trace as lines, without a line end behind the last. */
+    /** Returns the stack trace of a failure as text, without a line terminator after the last line. */
     public static String format(Throwable failure) {
         StringWriter text = new StringWriter();
         failure.printStackTrace(new PrintWriter(text));
--- a/src/main/java/reedmux/common/eventloop/TcpListener.java
+++ b/src/main/java/reedmux/common/eventloop/TcpListener.java
@@ -5,14 +5,14 @@
 import java.util.function.Consumer;
 
 /**
- * Accepts connections at an address. When the process has no file descriptor left it pauses accepting, so that the
- * connections it has are served on and the new ones wait in the backlog. For the reactor's thread.
+ * Accepts connections on a local address. If the process has no file descriptor left, accepting is paused: established
+ * connections are still served, and new ones wait in the backlog. All methods must be called on the reactor's thread.
  */
 public final class TcpListener implements Environment.ReadinessHandler {
     private static final int BACKLOG = 512;
-    /** Bounds one turn, so that a burst of connections does not delay timers. */
+    /** Limits the connections accepted per readiness event, so that a burst of them does not delay timers. */
     private static final int MAX_ACCEPTS_PER_TURN = 64;
-    /** Before accepting is tried again without a descriptor left. */
+    /** Time in microseconds for which accepting is paused when no file descriptor is left. */
     private static final long ACCEPT_PAUSE_MICROS = 50_000;
 
     private final Reactor reactor;
@@ -20,9 +20,9 @@
     private final Consumer<Connection> acceptedHandler;
 
     /**
-     * Listens at an address.
+     * Starts to listen on an address.
      *
-     * @param acceptedHandler receives each connection and sets its handler before it returns
+     * @param acceptedHandler receives each accepted connection and must set its handler before returning
      * @throws IOException if the address cannot be bound
      */
     public TcpListener(Reactor reactor, InetSocketAddress address, Consumer<Connection> acceptedHandler)
@@ -33,7 +33,7 @@
         socket.setHandler(reactor.guard(this));
     }
 
-    /** The address that is bound, with the port that was chosen for port 0. */
+    /** Returns the bound address, with the port that the system assigned if port 0 was requested. */
     public InetSocketAddress address() throws IOException {
         return socket.localAddress();
     }
@@ -44,7 +44,7 @@
             Environment.TcpSocket accepted;
             try {
                 accepted = socket.accept();
-            } catch (IOException e) { // no descriptor left
+            } catch (IOException e) { // no file descriptor left
                 reactor.info("cannot accept: " + e.getMessage());
                 pauseAccepting();
                 return;
@@ -54,7 +54,7 @@
             }
             try {
                 acceptedHandler.accept(Connection.ofAccepted(reactor, accepted));
-            } catch (IOException e) { // reset by the peer before it was accepted
+            } catch (IOException e) { // the peer reset the connection before it was accepted
                 accepted.close();
             }
         }
@@ -65,17 +65,17 @@
         reactor.scheduleAfter(ACCEPT_PAUSE_MICROS, () -> socket.setAcceptEnabled(true));
     }
 
-    /** Stops listening; accepted connections stay open. */
+    /** Stops listening. Accepted connections stay open. */
     public void close() {
         try {
             socket.close();
         } catch (IOException e) {
-            reactor.info("listener: " + e.getMessage());
+            reactor.info("cannot close the TCP listener: " + e.getMessage());
         }
     }
 
     @Override
     public void onFailure(Exception cause) {
-        reactor.info("listener: " + cause.getMessage());
+        reactor.info("TCP listener failed: " + cause.getMessage());
     }
 }
--- a/src/main/java/reedmux/common/eventloop/UdpEndpoint.java
+++ b/src/main/java/reedmux/common/eventloop/UdpEndpoint.java
@@ -5,32 +5,32 @@
 import java.nio.ByteBuffer;
 import java.util.function.BiConsumer;
 
-/** Sends and receives datagrams at one address. For the reactor's thread. */
+/** Sends and receives datagrams on one local address. All methods must be called on the reactor's thread. */
 public final class UdpEndpoint implements Environment.ReadinessHandler {
     private final Reactor reactor;
     private final Environment.UdpSocket socket;
-    private final BiConsumer<InetSocketAddress, byte[]> receiver;
+    private final BiConsumer<InetSocketAddress, byte[]> datagramHandler;
 
     /**
      * Binds an address.
      *
-     * @param receiver receives each datagram with its sender
+     * @param datagramHandler receives the sender and the content of each datagram
      * @throws IOException if the address cannot be bound
      */
-    public UdpEndpoint(Reactor reactor, InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> receiver)
+    public UdpEndpoint(Reactor reactor, InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> datagramHandler)
             throws IOException {
         this.reactor = reactor;
-        this.receiver = receiver;
+        this.datagramHandler = datagramHandler;
         socket = reactor.environment().bindDatagram(address);
         socket.setHandler(reactor.guard(this));
     }
 
-    /** Sends a datagram; one that the kernel does not take is dropped without an error. */
-    public void send(InetSocketAddress to, byte[] bytes) {
+    /** Sends a datagram; a datagram that the kernel does not accept is dropped without an error. */
+    public void send(InetSocketAddress recipient, byte[] bytes) {
         try {
-            socket.send(to, ByteBuffer.wrap(bytes));
+            socket.send(recipient, ByteBuffer.wrap(bytes));
         } catch (IOException e) {
-            // dropped: senders expect loss and send again
+            // dropped: callers expect datagrams to be lost and send them again
         }
     }
 
@@ -38,18 +38,18 @@
     public void onReady(boolean readable, boolean writable) throws IOException {
         while (true) {
             ByteBuffer buffer = reactor.readBuffer.clear();
-            InetSocketAddress from = socket.receive(buffer);
-            if (from == null) {
+            InetSocketAddress sender = socket.receive(buffer);
+            if (sender == null) {
                 return;
             }
             byte[] bytes = new byte[buffer.flip().remaining()];
             buffer.get(bytes);
-            receiver.accept(from, bytes);
+            datagramHandler.accept(sender, bytes);
         }
     }
 
     @Override
     public void onFailure(Exception cause) {
-        reactor.info("datagrams: " + cause.getMessage());
+        reactor.info("UDP socket failed: " + cause.getMessage());
     }
 }
--- a/src/main/java/reedmux/common/eventloop/package-info.java
+++ b/src/main/java/reedmux/common/eventloop/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The event loop under the system's programs: {@link reedmux.common.eventloop.Reactor} serves one thread's TCP
- * connections, datagrams, timers and tasks on an {@link reedmux.common.eventloop.Environment}, which is the operating
- * system's or the simulation's. Knows no protocol. Times are microseconds of the environment's monotonic clock.
+ * The event loop of all reedmux programs. A {@link reedmux.common.eventloop.Reactor} serves TCP connections, datagrams,
+ * timers and tasks on one thread. It reaches sockets, disks and the clock through an
+ * {@link reedmux.common.eventloop.Environment}, which is implemented on the operating system and by the simulation. The
+ * package is independent of any application protocol. Times are microseconds of the environment's monotonic clock.
  */
 package reedmux.common.eventloop;
