--- a/src/main/java/reedmux/common/http1/Http1Grammar.java
+++ b/src/main/java/reedmux/common/http1/Http1Grammar.java
@@ -7,7 +7,7 @@
  * Lines are passed without their line terminator, decoded as one character per byte.
  */
 public final class Http1Grammar {
-    /** Limit of the hexadecimal digits of a chunk size; sufficient for any body that is accepted. */
+    /** The maximum number of hexadecimal digits of a chunk size; sufficient for any body that is accepted. */
     private static final int MAX_CHUNK_SIZE_DIGITS = 8;
 
     /** Whether a character may be part of a token, by ASCII code; a table for speed, as every field name is checked. */
--- a/src/main/java/reedmux/common/http1/Http1ServerConnection.java
+++ b/src/main/java/reedmux/common/http1/Http1ServerConnection.java
@@ -140,7 +140,8 @@
     }
 
     /**
-     * Sends bytes in place of a response and closes the connection. Simulated servers use it to violate the protocol.
+     * Sends bytes in place of a response and closes the connection. Used by servers of tests and simulations that
+     * violate the protocol deliberately.
      */
     public void sendRawAndClose(byte[] bytes) {
         closeAfterResponse = true;
@@ -148,7 +149,10 @@
         closeWithLinger();
     }
 
-    /** Sends bytes that belong to no response. Simulated servers use it to violate the protocol. */
+    /**
+     * Sends bytes that belong to no response. Used by servers of tests and simulations that violate the protocol
+     * deliberately.
+     */
     public void sendUnsolicited(byte[] bytes) {
         if (connection.isOpen()) {
             connection.write(bytes);
--- a/src/test/java/reedmux/common/http1/Http1GrammarTest.java
+++ b/src/test/java/reedmux/common/http1/Http1GrammarTest.java
@@ -24,9 +24,7 @@
 
     private static void assertSameVerdict(Pattern grammar, String line, String problem) {
         assertEquals(
-                grammar.matcher(line).matches(),
-                problem == null,
-                () -> "line <" + line + ">, reported problem: " + problem);
+                grammar.matcher(line).matches(), problem == null, () -> '<' + line + ">, reported problem: " + problem);
     }
 
     @Property(tries = 20_000, seed = "51")
