--- a/src/main/java/reedmux/gatekeeper/script/Assignments.java
+++ b/src/main/java/reedmux/gatekeeper/script/AssignmentExecutor.java
@@ -9,14 +9,14 @@
 import reedmux.gatekeeper.script.ScriptParser.TargetContext;
 
 /** Assigns values to names, to several names at once, and to elements of lists and dicts. */
-final class Assignments {
+final class AssignmentExecutor {
     private final ScriptMeter meter;
     private final ScriptScope builtins;
     private final ScriptOperators operators;
     private final ScriptCollections collections;
     private final ExpressionEvaluator expressions;
 
-    Assignments(
+    AssignmentExecutor(
             ScriptMeter meter,
             ScriptScope builtins,
             ScriptOperators operators,
@@ -31,12 +31,12 @@
 
     /** Binds a name in {@code scope}; those of declarations cannot be bound anew. */
     void bind(Token name, Object value, ScriptScope scope) {
-        if (builtins.lookUpHere(name.getText()) instanceof Declaration.DeclarationKind) {
-            throw new ScriptFaultException(
-                    ScriptFaultException.positionOf(name),
+        if (builtins.lookUpLocal(name.getText()) instanceof Declaration.DeclarationKind) {
+            throw new UncheckedScriptException(
+                    UncheckedScriptException.positionOf(name),
                     "'" + name.getText() + "' is a function of ours and keeps its meaning");
         }
-        meter.countElements(ScriptFaultException.positionOf(name), 1);
+        meter.countElements(UncheckedScriptException.positionOf(name), 1);
         scope.bind(name.getText(), value);
     }
 
@@ -45,24 +45,24 @@
         Object value = expressions.evaluate(assignment.tests(), scope);
         String operator = assignment.op.getText();
         if (!operator.equals("=")) {
-            Object before = valueBefore(assignment, scope);
+            Object current = currentValue(assignment, scope);
             value = operators.binary(
-                    ScriptFaultException.positionOf(assignment.op),
+                    UncheckedScriptException.positionOf(assignment.op),
                     operator.substring(0, operator.length() - 1),
-                    before,
+                    current,
                     value);
         }
         assign(assignment.target(), value, scope);
     }
 
-    private Object valueBefore(AssignmentContext assignment, ScriptScope scope) {
+    private Object currentValue(AssignmentContext assignment, ScriptScope scope) {
         TargetContext target = assignment.target();
         if (target.place().size() != 1 || target.place(0).target() != null) {
-            throw new ScriptFaultException(
+            throw new UncheckedScriptException(
                     positionOf(target), "'" + assignment.op.getText() + "' takes one name or element");
         }
         PlaceContext place = target.place(0);
-        return place.NAME() != null ? scope.resolveHere(place.NAME().getSymbol()) : element(place, scope);
+        return place.NAME() != null ? scope.resolveLocal(place.NAME().getSymbol()) : element(place, scope);
     }
 
     /** Assigns a value to a target; a target of several places takes a value's elements apart. */
@@ -74,7 +74,7 @@
         }
         List<Object> values = collections.elements(positionOf(target), value);
         if (values.size() != target.place().size()) {
-            throw new ScriptFaultException(
+            throw new UncheckedScriptException(
                     positionOf(target), target.place().size() + " names for " + values.size() + " values");
         }
         for (int i = 0; i < values.size(); i++) {
@@ -88,24 +88,24 @@
         } else if (place.target() != null) {
             assign(place.target(), value, scope);
         } else {
-            Object container = read(place.place(), scope);
+            Object container = evaluatePlace(place.place(), scope);
             Object key = expressions.evaluate(place.test(), scope);
             collections.setElement(positionOf(place), container, key, value);
         }
     }
 
     /** The value that a place has, as the container of an element that is assigned to. */
-    private Object read(PlaceContext place, ScriptScope scope) {
+    private Object evaluatePlace(PlaceContext place, ScriptScope scope) {
         if (place.NAME() != null) {
             return scope.resolve(place.NAME().getSymbol());
         } else if (place.target() != null) {
-            throw new ScriptFaultException(positionOf(place), "names in brackets have no elements");
+            throw new UncheckedScriptException(positionOf(place), "names in brackets have no elements");
         }
         return element(place, scope);
     }
 
     private Object element(PlaceContext place, ScriptScope scope) {
-        Object container = read(place.place(), scope);
+        Object container = evaluatePlace(place.place(), scope);
         Object key = expressions.evaluate(place.test(), scope);
         return collections.element(positionOf(place), container, key);
     }
--- a/src/main/java/reedmux/gatekeeper/script/CallEvaluator.java
+++ b/src/main/java/reedmux/gatekeeper/script/CallEvaluator.java
@@ -28,7 +28,7 @@
     private final ScriptBuiltins builtins;
     private final ScriptMethods methods;
     private final ExpressionEvaluator expressions;
-    private final Assignments assignments;
+    private final AssignmentExecutor assignments;
     private final StatementExecutor statements;
     private final List<Declaration> declarations = new ArrayList<>();
     /** The functions whose bodies are being executed. */
@@ -39,7 +39,7 @@
             ScriptBuiltins builtins,
             ScriptMethods methods,
             ExpressionEvaluator expressions,
-            Assignments assignments,
+            AssignmentExecutor assignments,
             StatementExecutor statements) {
         this.meter = meter;
         this.builtins = builtins;
@@ -63,12 +63,13 @@
             return call(function, arguments);
         } else if (callee instanceof BoundMethod method) {
             rejectNamed(method.name(), arguments);
-            return methods.call(arguments.position, method.value(), method.name(), arguments.positional);
+            return methods.call(arguments.position, method.receiver(), method.name(), arguments.positional);
         } else if (callee instanceof BuiltinFunction builtin) {
             rejectNamed(builtin.name(), arguments);
             return builtins.call(arguments.position, builtin, arguments.positional);
         }
-        throw new ScriptFaultException(arguments.position, "a " + ScriptValues.typeName(callee) + " cannot be called");
+        throw new UncheckedScriptException(
+                arguments.position, "a " + ScriptValues.typeName(callee) + " cannot be called");
     }
 
     private Arguments evaluateArguments(CallContext call, ScriptScope scope) {
@@ -79,14 +80,14 @@
             ScriptPosition position = positionOf(argument);
             if (argument.NAME() == null) {
                 if (!named.isEmpty()) {
-                    throw new ScriptFaultException(position, "a value without a name behind one with a name");
+                    throw new UncheckedScriptException(position, "a value without a name behind one with a name");
                 }
                 positional.add(value);
                 continue;
             }
             String name = argument.NAME().getText();
             if (named.put(name, new DeclaredValue(value, position)) != null) {
-                throw new ScriptFaultException(position, "'" + name + "' is told twice");
+                throw new UncheckedScriptException(position, "'" + name + "' is told twice");
             }
         }
         return new Arguments(positionOf(call), positional, named);
@@ -94,19 +95,19 @@
 
     private static void rejectNamed(String function, Arguments arguments) {
         arguments.named.forEach((name, argument) -> {
-            throw new ScriptFaultException(argument.position(), function + " takes no '" + name + "'");
+            throw new UncheckedScriptException(argument.position(), function + " takes no '" + name + "'");
         });
     }
 
     private Declaration declare(DeclarationKind kind, Arguments arguments) {
         if (!arguments.positional.isEmpty()) {
             String firstKey = kind.keys().get(0);
-            throw new ScriptFaultException(
+            throw new UncheckedScriptException(
                     arguments.position, kind.name() + " takes its values by name, as in " + firstKey + " = ...");
         }
         arguments.named.forEach((name, argument) -> {
             if (!kind.keys().contains(name)) {
-                throw new ScriptFaultException(
+                throw new UncheckedScriptException(
                         argument.position(),
                         kind.name() + " has no key '" + name + "'" + NameSuggestions.suggest(name, kind.keys()));
             }
@@ -120,24 +121,25 @@
     }
 
     private Object call(ScriptFunction function, Arguments arguments) {
-        if (callStack.contains(function.code())) {
-            throw new ScriptFaultException(
+        if (callStack.contains(function.definition())) {
+            throw new UncheckedScriptException(
                     arguments.position, "'" + function.name() + "' calls itself: recursion is not allowed");
         }
         Map<String, Object> values = matchParameters(function, arguments);
-        ScriptScope scope = new ScriptScope(function.scope());
-        for (ParameterContext parameter : function.code().parameter()) {
+        ScriptScope scope = new ScriptScope(function.definingScope());
+        for (ParameterContext parameter : function.definition().parameter()) {
             String name = parameter.NAME().getText();
             Object value = values.get(name);
             if (value == null) {
-                throw new ScriptFaultException(arguments.position, "'" + function.name() + "' needs '" + name + "'");
+                throw new UncheckedScriptException(
+                        arguments.position, "'" + function.name() + "' needs '" + name + "'");
             }
             assignments.bind(parameter.NAME().getSymbol(), value, scope);
         }
         meter.enter(arguments.position);
-        callStack.push(function.code());
+        callStack.push(function.definition());
         try {
-            return statements.executeBody(function.code().suite(), scope);
+            return statements.executeBody(function.definition().suite(), scope);
         } finally {
             callStack.pop();
             meter.leave();
@@ -146,12 +148,12 @@
 
     /** The values by the parameters' names; one that is neither given nor has a default is left out. */
     private static Map<String, Object> matchParameters(ScriptFunction function, Arguments arguments) {
-        List<String> names = function.code().parameter().stream()
+        List<String> names = function.definition().parameter().stream()
                 .map(parameter -> parameter.NAME().getText())
                 .toList();
         int positionalCount = arguments.positional.size();
         if (positionalCount > names.size()) {
-            throw new ScriptFaultException(
+            throw new UncheckedScriptException(
                     arguments.position,
                     "'" + function.name() + "' takes " + names.size() + " values, not " + positionalCount);
         }
@@ -162,12 +164,12 @@
         arguments.named.forEach((name, argument) -> {
             int index = names.indexOf(name);
             if (index < 0) {
-                throw new ScriptFaultException(
+                throw new UncheckedScriptException(
                         argument.position(),
                         "'" + function.name() + "' has no parameter '" + name + "'"
                                 + NameSuggestions.suggest(name, names));
             } else if (index < positionalCount) {
-                throw new ScriptFaultException(
+                throw new UncheckedScriptException(
                         argument.position(), "'" + function.name() + "' is told '" + name + "' twice");
             }
             values.put(name, argument.value());
--- a/src/main/java/reedmux/gatekeeper/script/ExpressionEvaluator.java
+++ b/src/main/java/reedmux/gatekeeper/script/ExpressionEvaluator.java
@@ -13,13 +13,13 @@
 
 /**
  * Evaluates expressions. Calls and the targets of comprehensions are the business of {@link CallEvaluator} and
- * {@link Assignments}, which evaluate expressions themselves and are therefore set after construction.
+ * {@link AssignmentExecutor}, which evaluate expressions themselves and are therefore set after construction.
  */
 final class ExpressionEvaluator {
     private final ScriptMeter meter;
     private final ScriptOperators operators;
     private final ScriptCollections collections;
-    private Assignments assignments;
+    private AssignmentExecutor assignments;
     private CallEvaluator calls;
 
     ExpressionEvaluator(ScriptMeter meter, ScriptOperators operators, ScriptCollections collections) {
@@ -29,7 +29,7 @@
     }
 
     /** To be called once, before anything is evaluated. */
-    void connect(Assignments assignmentExecutor, CallEvaluator callEvaluator) {
+    void setDelegates(AssignmentExecutor assignmentExecutor, CallEvaluator callEvaluator) {
         assignments = assignmentExecutor;
         calls = callEvaluator;
     }
@@ -101,17 +101,17 @@
         }
         ComparisonContext comparison = (ComparisonContext) test;
         boolean negated = comparison.getChild(1).getText().equals("not"); // "not in"
-        boolean holds = operators.compare(
-                ScriptFaultException.positionOf(comparison.op),
+        boolean result = operators.compare(
+                UncheckedScriptException.positionOf(comparison.op),
                 comparison.op.getText(),
                 evaluate(comparison.test(0), scope),
                 evaluate(comparison.test(1), scope));
-        return holds != negated;
+        return result != negated;
     }
 
     private Object binary(Token operator, TestContext left, TestContext right, ScriptScope scope) {
         return operators.binary(
-                ScriptFaultException.positionOf(operator),
+                UncheckedScriptException.positionOf(operator),
                 operator.getText(),
                 evaluate(left, scope),
                 evaluate(right, scope));
@@ -129,16 +129,16 @@
                     slice.low == null ? null : evaluate(slice.low, scope),
                     slice.high == null ? null : evaluate(slice.high, scope));
         }
-        return method((AttributeContext) test, scope);
+        return boundMethod((AttributeContext) test, scope);
     }
 
-    private Object method(AttributeContext attribute, ScriptScope scope) {
+    private Object boundMethod(AttributeContext attribute, ScriptScope scope) {
         Object value = evaluate(attribute.test(), scope);
         String name = attribute.NAME().getText();
         List<String> known = ScriptMethods.namesOf(value);
         if (!known.contains(name)) {
-            throw new ScriptFaultException(
-                    ScriptFaultException.positionOf(attribute.NAME().getSymbol()),
+            throw new UncheckedScriptException(
+                    UncheckedScriptException.positionOf(attribute.NAME().getSymbol()),
                     "a " + ScriptValues.typeName(value) + " has no '" + name + "'"
                             + NameSuggestions.suggest(name, known));
         }
@@ -191,7 +191,7 @@
     private List<Object> listComprehension(ListOfEachContext comprehension, ScriptScope scope) {
         ScriptPosition position = positionOf(comprehension);
         List<Object> list = new ArrayList<>();
-        comprehend(comprehension.clause(), 0, new ScriptScope(scope), inner -> {
+        evaluateClauses(comprehension.clause(), 0, new ScriptScope(scope), inner -> {
             meter.countElements(position, 1);
             list.add(evaluate(comprehension.test(), inner));
         });
@@ -200,7 +200,7 @@
 
     private Map<Object, Object> dictComprehension(DictOfEachContext comprehension, ScriptScope scope) {
         Map<Object, Object> dict = new LinkedHashMap<>();
-        comprehend(
+        evaluateClauses(
                 comprehension.clause(),
                 0,
                 new ScriptScope(scope),
@@ -209,18 +209,19 @@
     }
 
     /** Runs the clauses from {@code next} on, and {@code element} where all of them let it through. */
-    private void comprehend(List<ClauseContext> clauses, int next, ScriptScope scope, Consumer<ScriptScope> element) {
-        if (next == clauses.size()) {
+    private void evaluateClauses(
+            List<ClauseContext> clauses, int clauseIndex, ScriptScope scope, Consumer<ScriptScope> element) {
+        if (clauseIndex == clauses.size()) {
             element.accept(scope);
-        } else if (clauses.get(next) instanceof EachContext each) {
+        } else if (clauses.get(clauseIndex) instanceof EachContext each) {
             Object list = evaluate(each.test(), scope);
             for (Object value : collections.elements(positionOf(each.test()), list)) {
                 meter.countStep(positionOf(each));
                 assignments.assign(each.target(), value, scope);
-                comprehend(clauses, next + 1, scope, element);
+                evaluateClauses(clauses, clauseIndex + 1, scope, element);
             }
-        } else if (ScriptValues.isTruthy(evaluate(((FilterContext) clauses.get(next)).test(), scope))) {
-            comprehend(clauses, next + 1, scope, element);
+        } else if (ScriptValues.isTruthy(evaluate(((FilterContext) clauses.get(clauseIndex)).test(), scope))) {
+            evaluateClauses(clauses, clauseIndex + 1, scope, element);
         }
     }
 }
--- a/src/main/java/reedmux/gatekeeper/script/IndentationTokenSource.java
+++ b/src/main/java/reedmux/gatekeeper/script/IndentationTokenSource.java
@@ -35,19 +35,19 @@
     @Override
     public Token nextToken() {
         while (pendingTokens.isEmpty()) {
-            read(lexer.nextToken());
+            processToken(lexer.nextToken());
         }
         return pendingTokens.poll();
     }
 
-    private void read(Token token) {
+    private void processToken(Token token) {
         switch (token.getType()) {
             case Token.EOF -> endOfFile(token);
             case ScriptParser.NEWLINE -> endOfLine(token);
             case ScriptParser.STRAY -> throw strayCharacter(token);
             case ScriptParser.UNSUPPORTED ->
-                throw new ScriptFaultException(
-                        ScriptFaultException.positionOf(token),
+                throw new UncheckedScriptException(
+                        UncheckedScriptException.positionOf(token),
                         "'" + token.getText() + "' is not part of the settings script");
             default -> {
                 if (atLineStart) {
@@ -84,7 +84,7 @@
         lineHasTokens = false;
     }
 
-    private static ScriptFaultException strayCharacter(Token token) {
+    private static UncheckedScriptException strayCharacter(Token token) {
         String text = token.getText();
         String problem =
                 switch (text) {
@@ -92,15 +92,16 @@
                     case "\"", "'" -> "a string that does not end on its line";
                     default -> "a character that has no place here: '" + text + "'";
                 };
-        return new ScriptFaultException(ScriptFaultException.positionOf(token), problem);
+        return new UncheckedScriptException(UncheckedScriptException.positionOf(token), problem);
     }
 
     private void emitIndentation(Token token) {
         int column = token.getCharPositionInLine();
         if (column > indents.peek()) {
             if (indents.size() > MAX_INDENT_DEPTH) {
-                throw new ScriptFaultException(
-                        ScriptFaultException.positionOf(token), "indented more than " + MAX_INDENT_DEPTH + " times");
+                throw new UncheckedScriptException(
+                        UncheckedScriptException.positionOf(token),
+                        "indented more than " + MAX_INDENT_DEPTH + " times");
             }
             indents.push(column);
             pendingTokens.add(synthesize(token, ScriptParser.INDENT, "an indent"));
@@ -110,7 +111,8 @@
             pendingTokens.add(synthesize(token, ScriptParser.DEDENT, "the end of an indent"));
         }
         if (column != indents.peek()) {
-            throw new ScriptFaultException(ScriptFaultException.positionOf(token), "the indent fits no line above");
+            throw new UncheckedScriptException(
+                    UncheckedScriptException.positionOf(token), "the indent fits no line above");
         }
     }
 
@@ -119,8 +121,8 @@
             case "(", "[", "{" -> {
                 bracketDepth++;
                 if (bracketDepth > MAX_BRACKET_DEPTH) {
-                    throw new ScriptFaultException(
-                            ScriptFaultException.positionOf(token),
+                    throw new UncheckedScriptException(
+                            UncheckedScriptException.positionOf(token),
                             "more than " + MAX_BRACKET_DEPTH + " brackets within each other");
                 }
             }
@@ -134,14 +136,14 @@
             default -> prefixOperators;
         };
         if (prefixOperators > MAX_PREFIX_OPERATORS) {
-            throw new ScriptFaultException(
-                    ScriptFaultException.positionOf(token),
+            throw new UncheckedScriptException(
+                    UncheckedScriptException.positionOf(token),
                     "more than " + MAX_PREFIX_OPERATORS + " operators in one expression");
         }
     }
 
-    private static Token synthesize(Token original, int type, String text) {
-        CommonToken token = new CommonToken(original);
+    private static Token synthesize(Token positionToken, int type, String text) {
+        CommonToken token = new CommonToken(positionToken);
         token.setType(type);
         token.setText(text);
         token.setChannel(Token.DEFAULT_CHANNEL);
--- a/src/main/java/reedmux/gatekeeper/script/NameSuggestions.java
+++ b/src/main/java/reedmux/gatekeeper/script/NameSuggestions.java
@@ -11,10 +11,10 @@
     private NameSuggestions() {}
 
     /** {@code ", did you mean 'NAME'?"} with the nearest known name, to end a message; empty if none is near. */
-    static String suggest(String name, Collection<String> known) {
+    static String suggest(String name, Collection<String> knownNames) {
         int maxDistance = Math.min(MAX_EDITS, Math.max(1, name.length() / 2));
         LevenshteinDistance distance = new LevenshteinDistance(maxDistance);
-        return known.stream()
+        return knownNames.stream()
                 .filter(other -> distance.apply(name, other) >= 0)
                 .min(Comparator.<String>comparingInt(other -> distance.apply(name, other))
                         .thenComparing(Comparator.naturalOrder()))
--- a/src/main/java/reedmux/gatekeeper/script/ScriptArguments.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptArguments.java
@@ -10,7 +10,7 @@
     static void checkCount(ScriptPosition position, String function, List<Object> arguments, int min, int max) {
         if (arguments.size() < min || arguments.size() > max) {
             String expected = min == max ? Integer.toString(min) : min + " to " + max;
-            throw new ScriptFaultException(
+            throw new UncheckedScriptException(
                     position, function + " takes " + expected + " values, not " + arguments.size());
         }
     }
@@ -19,13 +19,13 @@
         if (value instanceof String text) {
             return text;
         }
-        throw new ScriptFaultException(position, "a string is needed, not a " + ScriptValues.typeName(value));
+        throw new UncheckedScriptException(position, "a string is needed, not a " + ScriptValues.typeName(value));
     }
 
     static Number requireNumber(ScriptPosition position, Object value) {
         if (value instanceof Number number) {
             return number;
         }
-        throw new ScriptFaultException(position, "a number is needed, not a " + ScriptValues.typeName(value));
+        throw new UncheckedScriptException(position, "a number is needed, not a " + ScriptValues.typeName(value));
     }
 }
--- a/src/main/java/reedmux/gatekeeper/script/ScriptBuiltins.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptBuiltins.java
@@ -56,7 +56,7 @@
             case "float" -> toFloat(position, first);
             case "bool" -> ScriptValues.isTruthy(first);
             case "list" -> arguments.isEmpty() ? new ArrayList<>() : collections.elements(position, first);
-            case "min", "max" -> extreme(position, name, arguments);
+            case "min", "max" -> minOrMax(position, name, arguments);
             case "abs" -> absolute(position, first);
             case "sorted" -> sorted(position, first);
             case "reversed" -> reversed(position, first);
@@ -65,7 +65,7 @@
             case "any" -> collections.elements(position, first).stream().anyMatch(ScriptValues::isTruthy);
             case "all" -> collections.elements(position, first).stream().allMatch(ScriptValues::isTruthy);
             case "type" -> ScriptValues.typeName(first);
-            default -> throw failure(position, arguments);
+            default -> throw failException(position, arguments);
         };
     }
 
@@ -86,7 +86,7 @@
         try {
             return ScriptLiterals.parseDecimal(position, text);
         } catch (NumberFormatException e) {
-            throw new ScriptFaultException(position, "not a number: " + text, e);
+            throw new UncheckedScriptException(position, "not a number: " + text, e);
         }
     }
 
@@ -96,11 +96,11 @@
     }
 
     /** What {@code fail} throws: its arguments are the message. */
-    private ScriptFaultException failure(ScriptPosition position, List<Object> arguments) {
+    private UncheckedScriptException failException(ScriptPosition position, List<Object> arguments) {
         String message = arguments.stream()
                 .map(value -> ScriptValues.toText(meter, position, value))
                 .collect(Collectors.joining(" "));
-        return new ScriptFaultException(position, message);
+        return new UncheckedScriptException(position, message);
     }
 
     // ---- Collections -------------------------------------------------------------------------------
@@ -113,17 +113,19 @@
         return collections.elements(position, value).size();
     }
 
-    private Object extreme(ScriptPosition position, String name, List<Object> arguments) {
+    private Object minOrMax(ScriptPosition position, String name, List<Object> arguments) {
         List<Object> values = arguments.size() > 1 ? arguments : collections.elements(position, arguments.get(0));
         Comparator<Object> order = name.equals("min")
-                ? (left, right) -> operators.order(position, left, right)
-                : (left, right) -> operators.order(position, right, left);
-        return values.stream().min(order).orElseThrow(() -> new ScriptFaultException(position, name + " of nothing"));
+                ? (left, right) -> operators.compareOrder(position, left, right)
+                : (left, right) -> operators.compareOrder(position, right, left);
+        return values.stream()
+                .min(order)
+                .orElseThrow(() -> new UncheckedScriptException(position, name + " of nothing"));
     }
 
     private List<Object> sorted(ScriptPosition position, Object value) {
         List<Object> elements = collections.elements(position, value);
-        elements.sort((left, right) -> operators.order(position, left, right));
+        elements.sort((left, right) -> operators.compareOrder(position, left, right));
         return elements;
     }
 
@@ -136,7 +138,7 @@
     private List<Object> range(ScriptPosition position, List<?> arguments) {
         for (Object argument : arguments) {
             if (!(argument instanceof Long)) {
-                throw new ScriptFaultException(
+                throw new UncheckedScriptException(
                         position, "range takes whole numbers, not a " + ScriptValues.typeName(argument));
             }
         }
@@ -145,7 +147,7 @@
         long to = (Long) arguments.get(hasStart ? 1 : 0);
         long step = arguments.size() > 2 ? (Long) arguments.get(2) : 1;
         if (step == 0) {
-            throw new ScriptFaultException(position, "range with a step of nought");
+            throw new UncheckedScriptException(position, "range with a step of nought");
         }
         List<Object> numbers = new ArrayList<>();
         for (long number = from; step > 0 ? number < to : number > to; number += step) {
--- a/src/main/java/reedmux/gatekeeper/script/ScriptCollections.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptCollections.java
@@ -22,7 +22,7 @@
             meter.countElements(position, map.size());
             return new ArrayList<>(map.keySet());
         }
-        throw new ScriptFaultException(
+        throw new UncheckedScriptException(
                 position, "a " + ScriptValues.typeName(value) + " has no elements to go through");
     }
 
@@ -37,17 +37,17 @@
         } else if (container instanceof List<?> list && key instanceof Long index) {
             return list.get(checkedIndex(position, index, list.size()));
         } else if (container instanceof String text && key instanceof Long index) {
-            int at = checkedIndex(position, index, text.length());
-            return text.substring(at, at + 1);
+            int offset = checkedIndex(position, index, text.length());
+            return text.substring(offset, offset + 1);
         }
-        throw new ScriptFaultException(
+        throw new UncheckedScriptException(
                 position,
                 "a " + ScriptValues.typeName(container) + " has no element by a " + ScriptValues.typeName(key));
     }
 
-    private ScriptFaultException unknownKey(ScriptPosition position, Map<?, ?> map, Object key) {
+    private UncheckedScriptException unknownKey(ScriptPosition position, Map<?, ?> map, Object key) {
         List<String> known = map.keySet().stream().map(String::valueOf).toList();
-        return new ScriptFaultException(
+        return new UncheckedScriptException(
                 position,
                 "the dict has no key " + ScriptValues.toText(meter, position, List.of(key))
                         + NameSuggestions.suggest(String.valueOf(key), known));
@@ -57,7 +57,8 @@
     private static int checkedIndex(ScriptPosition position, long given, int size) {
         long index = given < 0 ? given + size : given;
         if (index < 0 || index >= size) {
-            throw new ScriptFaultException(position, "the index " + given + " lies outside of " + size + " elements");
+            throw new UncheckedScriptException(
+                    position, "the index " + given + " lies outside of " + size + " elements");
         }
         return (int) index;
     }
@@ -66,7 +67,7 @@
     Object slice(ScriptPosition position, Object container, Object low, Object high) {
         boolean sliceable = container instanceof List<?> || container instanceof String;
         if (!sliceable || !isSliceBound(low) || !isSliceBound(high)) {
-            throw new ScriptFaultException(position, "a part is taken of a list or string, between whole numbers");
+            throw new UncheckedScriptException(position, "a part is taken of a list or string, between whole numbers");
         }
         int size = container instanceof List<?> list ? list.size() : ((String) container).length();
         int from = sliceIndex(low, 0, size);
@@ -81,8 +82,8 @@
         return bound == null || bound instanceof Long;
     }
 
-    private static int sliceIndex(Object given, int otherwise, int size) {
-        long index = given == null ? otherwise : (Long) given;
+    private static int sliceIndex(Object given, int defaultIndex, int size) {
+        long index = given == null ? defaultIndex : (Long) given;
         return (int) Math.max(0, Math.min(size, index < 0 ? index + size : index));
     }
 
@@ -91,7 +92,7 @@
     void setElement(ScriptPosition position, Object container, Object key, Object value) {
         if (container instanceof Map<?, ?> map) {
             if (!(key instanceof String || key instanceof Long || key instanceof Boolean)) {
-                throw new ScriptFaultException(
+                throw new UncheckedScriptException(
                         position, "a " + ScriptValues.typeName(key) + " cannot be the key of a dict");
             }
             meter.countElements(position, 2);
@@ -99,7 +100,8 @@
         } else if (container instanceof List<?> list && key instanceof Long index) {
             ((List<Object>) list).set(checkedIndex(position, index, list.size()), value);
         } else {
-            throw new ScriptFaultException(position, "nothing can be put into a " + ScriptValues.typeName(container));
+            throw new UncheckedScriptException(
+                    position, "nothing can be put into a " + ScriptValues.typeName(container));
         }
     }
 }
--- a/src/main/java/reedmux/gatekeeper/script/ScriptException.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptException.java
@@ -24,7 +24,7 @@
     }
 
     /** An error that the parser or the interpreter found in {@code file}. */
-    public ScriptException(String file, ScriptFaultException fault) {
+    public ScriptException(String file, UncheckedScriptException fault) {
         this(file, fault.position(), fault.getMessage(), fault);
     }
 
--- a/src/main/java/reedmux/gatekeeper/script/ScriptInterpreter.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptInterpreter.java
@@ -30,10 +30,11 @@
         ScriptBuiltins builtins = new ScriptBuiltins(meter, operators, collections);
         ScriptMethods methods = new ScriptMethods(meter, collections);
         ExpressionEvaluator expressions = new ExpressionEvaluator(meter, operators, collections);
-        Assignments assignments = new Assignments(meter, builtinNames, operators, collections, expressions);
+        AssignmentExecutor assignments =
+                new AssignmentExecutor(meter, builtinNames, operators, collections, expressions);
         statements = new StatementExecutor(meter, collections, expressions, assignments);
         calls = new CallEvaluator(meter, builtins, methods, expressions, assignments, statements);
-        expressions.connect(assignments, calls);
+        expressions.setDelegates(assignments, calls);
     }
 
     /**
@@ -54,7 +55,7 @@
         }
         try {
             return new ScriptInterpreter(kinds).execute(script);
-        } catch (ScriptFaultException e) {
+        } catch (UncheckedScriptException e) {
             throw new ScriptException(file, e);
         } catch (StackOverflowError e) {
             throw new ScriptException(file, ScriptPosition.START, "the script is nested too deeply", e);
@@ -67,7 +68,7 @@
             if (completion != Completion.NORMAL) {
                 String keyword = completion.name().toLowerCase(Locale.ROOT);
                 String needed = completion == Completion.RETURN ? "a function" : "a loop";
-                throw new ScriptFaultException(
+                throw new UncheckedScriptException(
                         ScriptSyntax.positionOf(statement), "'" + keyword + "' outside of " + needed);
             }
         }
--- a/src/main/java/reedmux/gatekeeper/script/ScriptLiterals.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptLiterals.java
@@ -17,7 +17,7 @@
                     ? Long.parseLong(text.substring(HEX_PREFIX.length()), 16)
                     : Long.parseLong(text.replace("_", ""));
         } catch (NumberFormatException e) {
-            throw new ScriptFaultException(position, "not a whole number of 64 bits: " + text, e);
+            throw new UncheckedScriptException(position, "not a whole number of 64 bits: " + text, e);
         }
     }
 
@@ -29,7 +29,7 @@
     static Double parseDecimal(ScriptPosition position, String text) {
         double value = Double.parseDouble(text);
         if (Double.isInfinite(value)) {
-            throw new ScriptFaultException(position, "the number is too large: " + text);
+            throw new UncheckedScriptException(position, "the number is too large: " + text);
         }
         return value;
     }
@@ -57,8 +57,8 @@
             case 't' -> '\t';
             case '\\', '"', '\'' -> escaped;
             default ->
-                throw new ScriptFaultException(
-                        ScriptFaultException.positionOf(token), "unknown escape '\\" + escaped + "' in a string");
+                throw new UncheckedScriptException(
+                        UncheckedScriptException.positionOf(token), "unknown escape '\\" + escaped + "' in a string");
         };
     }
 }
--- a/src/main/java/reedmux/gatekeeper/script/ScriptMeter.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptMeter.java
@@ -18,13 +18,13 @@
     private static final int MAX_DEPTH = 400;
 
     private int steps;
-    private long memory;
+    private long memoryUnits;
     private int depth;
 
     void countStep(ScriptPosition position) {
         steps++;
         if (steps > MAX_STEPS) {
-            throw new ScriptFaultException(position, "the script takes more than " + MAX_STEPS + " steps");
+            throw new UncheckedScriptException(position, "the script takes more than " + MAX_STEPS + " steps");
         }
     }
 
@@ -33,9 +33,9 @@
     }
 
     void countCharacters(ScriptPosition position, long count) {
-        memory += count;
-        if (count < 0 || memory > MAX_MEMORY_UNITS) {
-            throw new ScriptFaultException(position, "the script takes more than " + MAX_MEMORY_UNITS + " bytes");
+        memoryUnits += count;
+        if (count < 0 || memoryUnits > MAX_MEMORY_UNITS) {
+            throw new UncheckedScriptException(position, "the script takes more than " + MAX_MEMORY_UNITS + " bytes");
         }
     }
 
@@ -44,7 +44,7 @@
         countStep(position);
         depth++;
         if (depth > MAX_DEPTH) {
-            throw new ScriptFaultException(position, "an expression is nested too deeply");
+            throw new UncheckedScriptException(position, "an expression is nested too deeply");
         }
     }
 
--- a/src/main/java/reedmux/gatekeeper/script/ScriptMethods.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptMethods.java
@@ -66,13 +66,13 @@
         }
     }
 
-    private long indexOf(ScriptPosition position, List<Object> list, Object wanted) {
+    private long indexOf(ScriptPosition position, List<Object> list, Object element) {
         for (int i = 0; i < list.size(); i++) {
-            if (ScriptValues.areEqual(meter, position, list.get(i), wanted)) {
+            if (ScriptValues.areEqual(meter, position, list.get(i), element)) {
                 return i;
             }
         }
-        throw new ScriptFaultException(position, "the list has no such element");
+        throw new UncheckedScriptException(position, "the list has no such element");
     }
 
     // ---- Dicts -------------------------------------------------------------------------------------
@@ -81,8 +81,8 @@
         switch (name) {
             case "get" -> {
                 ScriptArguments.checkCount(position, name, arguments, 1, 2);
-                Object otherwise = arguments.size() > 1 ? arguments.get(1) : ScriptValues.NONE;
-                return dict.getOrDefault(arguments.get(0), otherwise);
+                Object defaultValue = arguments.size() > 1 ? arguments.get(1) : ScriptValues.NONE;
+                return dict.getOrDefault(arguments.get(0), defaultValue);
             }
             case "update" -> {
                 ScriptArguments.checkCount(position, name, arguments, 1, 1);
@@ -100,9 +100,9 @@
         }
     }
 
-    private void update(ScriptPosition position, Map<Object, Object> dict, Object other) {
-        if (!(other instanceof Map<?, ?> entries)) {
-            throw new ScriptFaultException(position, "update takes a dict");
+    private void update(ScriptPosition position, Map<Object, Object> dict, Object source) {
+        if (!(source instanceof Map<?, ?> entries)) {
+            throw new UncheckedScriptException(position, "update takes a dict");
         }
         for (Map.Entry<?, ?> entry : new ArrayList<>(entries.entrySet())) {
             collections.setElement(position, dict, entry.getKey(), entry.getValue());
@@ -154,7 +154,7 @@
 
     private List<Object> split(ScriptPosition position, String text, String separator) {
         if (separator.isEmpty()) {
-            throw new ScriptFaultException(position, "split needs a separator");
+            throw new UncheckedScriptException(position, "split needs a separator");
         }
         meter.countElements(position, text.length());
         return new ArrayList<>(Arrays.asList(text.split(Pattern.quote(separator), -1)));
@@ -171,10 +171,10 @@
 
     private String replace(ScriptPosition position, String text, String replaced, String replacement) {
         if (replaced.isEmpty()) {
-            throw new ScriptFaultException(position, "replace needs something to replace");
+            throw new UncheckedScriptException(position, "replace needs something to replace");
         }
-        long mostReplacements = text.length() / replaced.length() + 1;
-        meter.countCharacters(position, mostReplacements * replacement.length());
+        long maxReplacements = text.length() / replaced.length() + 1;
+        meter.countCharacters(position, maxReplacements * replacement.length());
         return text.replace(replaced, replacement);
     }
 
@@ -187,7 +187,7 @@
                 continue;
             }
             if (next >= values.size()) {
-                throw new ScriptFaultException(position, "too few values for the text");
+                throw new UncheckedScriptException(position, "too few values for the text");
             }
             formatted.append(ScriptValues.toText(meter, position, values.get(next)));
             next++;
--- a/src/main/java/reedmux/gatekeeper/script/ScriptOperators.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptOperators.java
@@ -16,7 +16,7 @@
     /** Unary plus or minus. */
     Object sign(ScriptPosition position, String operator, Object value) {
         if (!ScriptValues.isNumber(value)) {
-            throw new ScriptFaultException(position, "'" + operator + "' of a " + ScriptValues.typeName(value));
+            throw new UncheckedScriptException(position, "'" + operator + "' of a " + ScriptValues.typeName(value));
         }
         return operator.equals("+") ? value : binary(position, "-", 0L, value);
     }
@@ -37,7 +37,7 @@
         } else if (operator.equals("%") && left instanceof String pattern) {
             return formatPercent(position, pattern, right instanceof List<?> values ? values : List.of(right));
         }
-        throw new ScriptFaultException(
+        throw new UncheckedScriptException(
                 position,
                 "'" + operator + "' between a " + ScriptValues.typeName(left) + " and a "
                         + ScriptValues.typeName(right));
@@ -45,9 +45,9 @@
 
     private List<Object> concatenate(ScriptPosition position, List<?> first, List<?> second) {
         meter.countElements(position, (long) first.size() + second.size());
-        List<Object> both = new ArrayList<>(first);
-        both.addAll(second);
-        return both;
+        List<Object> concatenated = new ArrayList<>(first);
+        concatenated.addAll(second);
+        return concatenated;
     }
 
     private List<Object> repeat(ScriptPosition position, List<?> list, long times) {
@@ -70,17 +70,17 @@
 
     /** Integers stay integers but for {@code /}; an integer and a float give a float. */
     private static Object arithmetic(ScriptPosition position, String operator, Number left, Number right) {
-        boolean divides = operator.equals("/") || operator.equals("//") || operator.equals("%");
-        if (divides && right.doubleValue() == 0) {
-            throw new ScriptFaultException(position, "division by nought");
+        boolean isDivision = operator.equals("/") || operator.equals("//") || operator.equals("%");
+        if (isDivision && right.doubleValue() == 0) {
+            throw new UncheckedScriptException(position, "division by nought");
         }
-        boolean integers = left instanceof Long && right instanceof Long;
-        if (integers && !operator.equals("/")) {
+        boolean bothIntegers = left instanceof Long && right instanceof Long;
+        if (bothIntegers && !operator.equals("/")) {
             return integerArithmetic(position, operator, left.longValue(), right.longValue());
         }
         double result = floatArithmetic(operator, left.doubleValue(), right.doubleValue());
         if (!Double.isFinite(result)) {
-            throw new ScriptFaultException(position, "the result of '" + operator + "' is no number");
+            throw new UncheckedScriptException(position, "the result of '" + operator + "' is no number");
         }
         return result;
     }
@@ -95,7 +95,7 @@
                 default -> Math.floorMod(left, right);
             };
         } catch (ArithmeticException e) {
-            throw new ScriptFaultException(position, "the result of '" + operator + "' does not fit 64 bits", e);
+            throw new UncheckedScriptException(position, "the result of '" + operator + "' does not fit 64 bits", e);
         }
     }
 
@@ -128,12 +128,12 @@
                 formatted.append(ScriptValues.toText(meter, position, values.get(next)));
                 next++;
             } else {
-                throw new ScriptFaultException(
+                throw new UncheckedScriptException(
                         position, takesValue ? "too few values for the text" : "only %s, %d and %% are known");
             }
         }
         if (next < values.size()) {
-            throw new ScriptFaultException(position, "too many values for the text");
+            throw new UncheckedScriptException(position, "too many values for the text");
         }
         meter.countCharacters(position, formatted.length());
         return formatted.toString();
@@ -145,10 +145,10 @@
             case "==" -> ScriptValues.areEqual(meter, position, left, right);
             case "!=" -> !ScriptValues.areEqual(meter, position, left, right);
             case "in" -> contains(position, right, left);
-            case "<" -> order(position, left, right) < 0;
-            case ">" -> order(position, left, right) > 0;
-            case "<=" -> order(position, left, right) <= 0;
-            default -> order(position, left, right) >= 0;
+            case "<" -> compareOrder(position, left, right) < 0;
+            case ">" -> compareOrder(position, left, right) > 0;
+            case "<=" -> compareOrder(position, left, right) <= 0;
+            default -> compareOrder(position, left, right) >= 0;
         };
     }
 
@@ -160,11 +160,11 @@
         } else if (container instanceof List<?> list) {
             return list.stream().anyMatch(element -> ScriptValues.areEqual(meter, position, element, value));
         }
-        throw new ScriptFaultException(position, "'in' of a " + ScriptValues.typeName(container));
+        throw new UncheckedScriptException(position, "'in' of a " + ScriptValues.typeName(container));
     }
 
     /** Compares two numbers or two strings, as a {@link java.util.Comparator} does. */
-    int order(ScriptPosition position, Object left, Object right) {
+    int compareOrder(ScriptPosition position, Object left, Object right) {
         meter.countStep(position);
         if (left instanceof Long first && right instanceof Long second) {
             return first.compareTo(second);
@@ -173,7 +173,7 @@
         } else if (left instanceof String first && right instanceof String second) {
             return first.compareTo(second);
         }
-        throw new ScriptFaultException(
+        throw new UncheckedScriptException(
                 position,
                 "a " + ScriptValues.typeName(left) + " and a " + ScriptValues.typeName(right) + " have no order");
     }
--- a/src/main/java/reedmux/gatekeeper/script/ScriptScope.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptScope.java
@@ -21,7 +21,7 @@
     }
 
     /** The value bound in this very scope, or null. */
-    Object lookUpHere(String name) {
+    Object lookUpLocal(String name) {
         return names.get(name);
     }
 
@@ -40,22 +40,22 @@
         return found;
     }
 
-    /** As {@link #lookUpHere}; a name that is not bound here is an error. */
-    Object resolveHere(Token name) {
-        Object found = lookUpHere(name.getText());
+    /** As {@link #lookUpLocal}; a name that is not bound here is an error. */
+    Object resolveLocal(Token name) {
+        Object found = lookUpLocal(name.getText());
         if (found == null) {
             throw unknownName(name);
         }
         return found;
     }
 
-    private ScriptFaultException unknownName(Token name) {
+    private UncheckedScriptException unknownName(Token name) {
         Set<String> known = new TreeSet<>();
         for (ScriptScope scope = this; scope != null; scope = scope.enclosing) {
             known.addAll(scope.names.keySet());
         }
-        return new ScriptFaultException(
-                ScriptFaultException.positionOf(name),
+        return new UncheckedScriptException(
+                UncheckedScriptException.positionOf(name),
                 "unknown name '" + name.getText() + "'" + NameSuggestions.suggest(name.getText(), known));
     }
 }
--- a/src/main/java/reedmux/gatekeeper/script/ScriptSyntax.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptSyntax.java
@@ -24,7 +24,7 @@
                 String message,
                 RecognitionException e) {
             String found = symbol instanceof Token token ? describe(token) : "a character";
-            throw new ScriptFaultException(new ScriptPosition(line, column + 1), found + " makes no sense here", e);
+            throw new UncheckedScriptException(new ScriptPosition(line, column + 1), found + " makes no sense here", e);
         }
 
         private static String describe(Token token) {
@@ -53,6 +53,6 @@
 
     /** Where a piece of the syntax tree begins. */
     static ScriptPosition positionOf(ParserRuleContext context) {
-        return ScriptFaultException.positionOf(context.start);
+        return UncheckedScriptException.positionOf(context.start);
     }
 }
--- a/src/main/java/reedmux/gatekeeper/script/ScriptValues.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptValues.java
@@ -118,12 +118,12 @@
             return text;
         }
         StringBuilder out = new StringBuilder();
-        write(meter, position, value, out);
+        appendText(meter, position, value, out);
         return out.toString();
     }
 
-    private static void write(ScriptMeter meter, ScriptPosition position, Object value, StringBuilder out) {
-        int before = out.length();
+    private static void appendText(ScriptMeter meter, ScriptPosition position, Object value, StringBuilder out) {
+        int lengthBefore = out.length();
         if (value instanceof String text) {
             out.append('"')
                     .append(text.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n"))
@@ -133,15 +133,15 @@
         } else if (value instanceof List<?> list) {
             String separator = "[";
             for (Object element : list) {
-                write(meter, position, element, out.append(separator));
+                appendText(meter, position, element, out.append(separator));
                 separator = ", ";
             }
             out.append(list.isEmpty() ? "[]" : "]");
         } else if (value instanceof Map<?, ?> map) {
             String separator = "{";
             for (Map.Entry<?, ?> entry : map.entrySet()) {
-                write(meter, position, entry.getKey(), out.append(separator));
-                write(meter, position, entry.getValue(), out.append(": "));
+                appendText(meter, position, entry.getKey(), out.append(separator));
+                appendText(meter, position, entry.getValue(), out.append(": "));
                 separator = ", ";
             }
             out.append(map.isEmpty() ? "{}" : "}");
@@ -150,6 +150,6 @@
         } else {
             out.append(value);
         }
-        meter.countCharacters(position, 1 + out.length() - before);
+        meter.countCharacters(position, 1 + out.length() - lengthBefore);
     }
 }
--- a/src/main/java/reedmux/gatekeeper/script/StatementExecutor.java
+++ b/src/main/java/reedmux/gatekeeper/script/StatementExecutor.java
@@ -34,7 +34,7 @@
     private final ScriptMeter meter;
     private final ScriptCollections collections;
     private final ExpressionEvaluator expressions;
-    private final Assignments assignments;
+    private final AssignmentExecutor assignments;
     /** What the last {@code return} gave. */
     private Object returnValue;
 
@@ -42,7 +42,7 @@
             ScriptMeter meter,
             ScriptCollections collections,
             ExpressionEvaluator expressions,
-            Assignments assignments) {
+            AssignmentExecutor assignments) {
         this.meter = meter;
         this.collections = collections;
         this.expressions = expressions;
@@ -130,12 +130,12 @@
         for (ParameterContext parameter : definition.parameter()) {
             String name = parameter.NAME().getText();
             if (!names.add(name)) {
-                throw new ScriptFaultException(positionOf(parameter), "the parameter '" + name + "' is told twice");
+                throw new UncheckedScriptException(positionOf(parameter), "the parameter '" + name + "' is told twice");
             }
             if (parameter.test() != null) {
                 defaults.put(name, expressions.evaluate(parameter.test(), scope));
             } else if (!defaults.isEmpty()) {
-                throw new ScriptFaultException(
+                throw new UncheckedScriptException(
                         positionOf(parameter), "the parameter '" + name + "' needs a default, as one before it");
             }
         }
--- a/src/main/java/reedmux/gatekeeper/script/ScriptFaultException.java
+++ b/src/main/java/reedmux/gatekeeper/script/UncheckedScriptException.java
@@ -8,17 +8,17 @@
  * An error in a script, thrown through the generated parser and the interpreter. Whoever knows the script's file turns
  * it into a {@link ScriptException}; it never leaves the settings.
  */
-public final class ScriptFaultException extends ParseCancellationException {
+public final class UncheckedScriptException extends ParseCancellationException {
     private static final long serialVersionUID = 1;
     private final transient ScriptPosition position;
 
     /** An error at a position of the script. */
-    public ScriptFaultException(ScriptPosition position, String message) {
+    public UncheckedScriptException(ScriptPosition position, String message) {
         super(message);
         this.position = position;
     }
 
-    ScriptFaultException(ScriptPosition position, String message, Throwable cause) {
+    UncheckedScriptException(ScriptPosition position, String message, Throwable cause) {
         super(message, cause);
         this.position = position;
     }
--- a/src/main/java/reedmux/gatekeeper/settings/DeclarationReader.java
+++ b/src/main/java/reedmux/gatekeeper/settings/DeclarationReader.java
@@ -13,9 +13,9 @@
 import reedmux.gatekeeper.script.Declaration;
 import reedmux.gatekeeper.script.Declaration.DeclaredValue;
 import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
-import reedmux.gatekeeper.script.ScriptFaultException;
 import reedmux.gatekeeper.script.ScriptMeter;
 import reedmux.gatekeeper.script.ScriptValues;
+import reedmux.gatekeeper.script.UncheckedScriptException;
 
 /**
  * Reads the keys of one declaration and checks their types and bounds. Errors name the key and its position; a key that
@@ -39,8 +39,8 @@
     }
 
     /** An error about a key, to be thrown by the caller. */
-    ScriptFaultException error(String key, String problem) {
-        return new ScriptFaultException(position(key), declaration.kind() + '.' + key + ' ' + problem);
+    UncheckedScriptException error(String key, String problem) {
+        return new UncheckedScriptException(position(key), declaration.kind() + '.' + key + ' ' + problem);
     }
 
     /** Whether a key has a value. */
--- a/src/main/java/reedmux/gatekeeper/settings/OperatorSettings.java
+++ b/src/main/java/reedmux/gatekeeper/settings/OperatorSettings.java
@@ -12,8 +12,8 @@
 import reedmux.gatekeeper.script.Declaration.DeclarationKind;
 import reedmux.gatekeeper.script.ScriptException;
 import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
-import reedmux.gatekeeper.script.ScriptFaultException;
 import reedmux.gatekeeper.script.ScriptInterpreter;
+import reedmux.gatekeeper.script.UncheckedScriptException;
 
 /**
  * The operators' own settings, from a file beside the platform's configuration. Without such a file everything in them
@@ -75,7 +75,7 @@
         List<Declaration> declarations = ScriptInterpreter.run(file, script, DECLARATION_KINDS);
         try {
             return new OperatorSettings(readRegion(declarations), ServicesSettings.read(file, declarations));
-        } catch (ScriptFaultException e) {
+        } catch (UncheckedScriptException e) {
             throw new ScriptException(file, e);
         }
     }
@@ -100,7 +100,7 @@
             }
             if (found != null) {
                 int firstLine = found.position().line();
-                throw new ScriptFaultException(
+                throw new UncheckedScriptException(
                         declaration.position(), kind.name() + " is declared twice, first in line " + firstLine);
             }
             found = declaration;
--- a/src/main/java/reedmux/gatekeeper/settings/ServicesSettings.java
+++ b/src/main/java/reedmux/gatekeeper/settings/ServicesSettings.java
@@ -14,7 +14,7 @@
 import reedmux.gatekeeper.script.Declaration.DeclarationKind;
 import reedmux.gatekeeper.script.ScriptException;
 import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
-import reedmux.gatekeeper.script.ScriptFaultException;
+import reedmux.gatekeeper.script.UncheckedScriptException;
 
 /**
  * What the operators have set about services beside the platform's own: {@code service(...)}, {@code route(...)} and
@@ -128,7 +128,7 @@
             ServiceSettings service = readService(new DeclarationReader(declaration));
             ServiceSettings previous = services.put(service.name, service);
             if (previous != null && previous.position != null) {
-                throw new ScriptFaultException(
+                throw new UncheckedScriptException(
                         declaration.position(),
                         "service " + service.name + " is declared twice, first in line " + previous.position.line());
             }
@@ -218,7 +218,7 @@
             ServiceSettings service = services.get(index);
             boolean reached = routes.stream().anyMatch(route -> route.service() == index);
             if (!reached && !service.name.equals(DEFAULT_SERVICE)) {
-                throw new ScriptFaultException(
+                throw new UncheckedScriptException(
                         service.position, "service " + service.name + " can never be reached: no route leads to it");
             }
         }
--- a/src/test/java/reedmux/gatekeeper/script/ScriptInterpreterTest.java
+++ b/src/test/java/reedmux/gatekeeper/script/ScriptInterpreterTest.java
@@ -26,14 +26,14 @@
     private static final List<Declaration.DeclarationKind> KINDS =
             List.of(new Declaration.DeclarationKind("told", true, List.of("value", "other")));
 
-    private static String value(String script) throws ScriptException {
+    private static String evaluate(String script) throws ScriptException {
         List<Declaration> declared = ScriptInterpreter.run("x.star", script, KINDS);
         assertEquals(1, declared.size(), script);
         Object value = declared.get(0).keys().get("value").value();
         return ScriptValues.toText(new ScriptMeter(), declared.get(0).position(), List.of(value));
     }
 
-    private static String error(String script) {
+    private static String errorMessage(String script) {
         return assertThrows(ScriptException.class, () -> ScriptInterpreter.run("x.star", script, KINDS))
                 .getMessage();
     }
@@ -72,12 +72,12 @@
                 "1 - 2 - 3|[-4]"
             })
     void evaluatesExpressions(String expression, String expected) throws ScriptException {
-        assertEquals(expected, value("told(value = " + expression + ")"));
+        assertEquals(expected, evaluate("told(value = " + expression + ")"));
     }
 
     @Test
-    void functionsLoopsAndBranches() throws ScriptException {
-        assertEquals("[[\"even\", 1, \"even\", 3]]", value("""
+    void executesFunctionsLoopsAndBranches() throws ScriptException {
+        assertEquals("[[\"even\", 1, \"even\", 3]]", evaluate("""
                 # a comment
                 def name(n, other = "even"):
 
@@ -98,7 +98,8 @@
                 )"""));
         assertEquals(
                 "[6]",
-                value("a, (b, c) = 1, [2, 3]\nd = {}\nd['x'] = [a + b]\nd['x'][0] += " + "c\ntold(value = d['x'][0])"));
+                evaluate("a, (b, c) = 1, [2, 3]\nd = {}\nd['x'] = [a + b]\nd['x'][0] += "
+                        + "c\ntold(value = d['x'][0])"));
     }
 
     @ParameterizedTest
@@ -132,21 +133,21 @@
                 "x = '\\q'|x.star:1:5: unknown escape '\\q' in a string",
                 "x = 1e999|x.star:1:5: the number is too large: 1e999"
             })
-    void errorsNamePositionAndCause(String script, String expected) {
-        assertEquals(expected, error(script));
+    void errorsReportPositionAndCause(String script, String expected) {
+        assertEquals(expected, errorMessage(script));
     }
 
     @Test
-    void errorsNameLaterLines() {
-        assertEquals("x.star:3:3: the indent fits no line above", error("if 1:\n    x = 1\n  y = 2"));
-        assertEquals("x.star:2:1: a tab: indents and gaps are made of spaces", error("if 1:\n\tx = 1"));
-        assertTrue(error("x = 1\n  y = 2").startsWith("x.star:2:3: an indent"), error("x = 1\n  y = 2"));
+    void errorsOnLaterLinesReportTheirPosition() {
+        assertEquals("x.star:3:3: the indent fits no line above", errorMessage("if 1:\n    x = 1\n  y = 2"));
+        assertEquals("x.star:2:1: a tab: indents and gaps are made of spaces", errorMessage("if 1:\n\tx = 1"));
+        assertTrue(errorMessage("x = 1\n  y = 2").startsWith("x.star:2:3: an indent"), errorMessage("x = 1\n  y = 2"));
         assertEquals(
                 "x.star:2:12: 'f' calls itself: recursion is not allowed",
-                error("def f(n):\n    return f(n - 1)\nx = f(3)"));
+                errorMessage("def f(n):\n    return f(n - 1)\nx = f(3)"));
         assertEquals(
                 "x.star:4:12: 'f' calls itself: recursion is not allowed",
-                error("def f(g):\n    return g(f)\ndef h(g):\n    return g(h)\nx = f(h)"));
+                errorMessage("def f(g):\n    return g(f)\ndef h(g):\n    return g(h)\nx = f(h)"));
     }
 
     /** Each of these would never end, or take all memory, without a bound. */
@@ -166,13 +167,14 @@
                 "x = 0\nfor a in range(9999):\n    for b in range(9999):\n        x += 1"
             })
     void everyScriptTerminates(String script) {
-        String told = error(script);
-        assertTrue(told.matches("x.star:\\d+:\\d+: (the script takes more than .*|the script is nested .*)"), told);
+        String message = errorMessage(script);
+        assertTrue(
+                message.matches("x.star:\\d+:\\d+: (the script takes more than .*|the script is nested .*)"), message);
     }
 
     @Test
     void deepNestingIsRejected() {
-        for (String deep : List.of(
+        for (String nestedExpression : List.of(
                 "(".repeat(9_000) + "1" + ")".repeat(9_000),
                 "[".repeat(60) + "]".repeat(60),
                 "not ".repeat(9_000) + "1",
@@ -181,23 +183,26 @@
                 "x".repeat(1) + ".y".repeat(9_000),
                 "1 if 1 else ".repeat(9_000) + "1",
                 "1" + " * 1".repeat(9_000))) {
-            assertTrue(error("x = 1\ny = " + deep).startsWith("x.star:"), deep.substring(0, 9));
+            assertTrue(
+                    errorMessage("x = 1\ny = " + nestedExpression).startsWith("x.star:"),
+                    nestedExpression.substring(0, 9));
         }
-        StringBuilder blocks = new StringBuilder();
+        StringBuilder nestedBlocks = new StringBuilder();
         for (int i = 0; i < 500; i++) {
-            blocks.append(" ".repeat(i)).append("if 1:\n");
+            nestedBlocks.append(" ".repeat(i)).append("if 1:\n");
         }
-        assertEquals("x.star:22:22: indented more than 20 times", error(blocks + " ".repeat(500) + "x = 1\n"));
+        assertEquals(
+                "x.star:22:22: indented more than 20 times", errorMessage(nestedBlocks + " ".repeat(500) + "x = 1\n"));
     }
 
     @Test
-    void oversizedFileIsRejectedUnread(@TempDir Path folder) throws Exception {
+    void oversizedScriptIsRejectedBeforeParsing(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("huge.star");
         Files.writeString(file, "x = 1\n".repeat(10_000_000 / 6));
         assertTrue(assertThrows(ScriptException.class, () -> OperatorSettings.read(file))
                 .getMessage()
                 .endsWith("huge.star:1:1: the file is longer than 1048576 bytes: 9999996"));
-        assertTrue(error(" ".repeat(300_000)).startsWith("x.star:1:1: the script is longer than 262144"));
+        assertTrue(errorMessage(" ".repeat(300_000)).startsWith("x.star:1:1: the script is longer than 262144"));
     }
 
     /** Arbitrary text is either a script or an error with its position; nothing else is thrown. */
@@ -236,6 +241,6 @@
     @Example
     void evaluationIsDeterministic() throws ScriptException {
         String script = "told(value = [str({'b': i, 'a': [i]}) for i in range(50)])";
-        assertEquals(value(script), value(script));
+        assertEquals(evaluate(script), evaluate(script));
     }
 }
