--- a/src/main/java/reedmux/gatekeeper/admin/AdminCommands.java
+++ b/src/main/java/reedmux/gatekeeper/admin/AdminCommands.java
@@ -5,7 +5,9 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** The commands of operators: {@code check}, {@code vars}, {@code drain-on} and {@code drain-off}. For all threads. */
+/**
+ * Executes the operators' commands {@code check}, {@code vars}, {@code drain-on} and {@code drain-off}. Thread-safe.
+ */
 public final class AdminCommands {
     private final LifeCycle lifeCycle;
     private final Metrics metrics;
@@ -14,10 +16,10 @@
     private final Consumer<String> log;
 
     /**
-     * The commands of one gatekeeper.
+     * Creates the commands of one gatekeeper.
      *
-     * @param acceptsClients whether clients may be sent here now
-     * @param clock        microseconds of the program's clock
+     * @param acceptsClients returns whether clients may currently be routed to this gatekeeper
+     * @param clock          returns the time of the process's clock in microseconds
      */
     public AdminCommands(
             LifeCycle lifeCycle,
@@ -32,7 +34,11 @@
         this.log = log;
     }
 
-    /** The reply to a line, which is given without its end; the reply's last line is terminated. */
+    /**
+     * Executes a command and returns the reply, whose last line ends with a line feed.
+     *
+     * @param line the received line without its terminator
+     */
     public String execute(String line) {
         return switch (line) {
             case "check" -> check();
@@ -58,17 +64,17 @@
         return errorReply(lifeCycle.acceptsClients() ? "no provider is known" : phase);
     }
 
-    private String phaseReply(String call) {
+    private String phaseReply(String command) {
         LifeCycle.LifeCyclePhase phase = lifeCycle.phase();
-        log.accept("operator: " + call + "; now " + phase.name().toLowerCase(Locale.ROOT));
+        log.accept("operator: " + command + "; now " + phase.name().toLowerCase(Locale.ROOT));
         if (phase == LifeCycle.LifeCyclePhase.LEAVING) {
             return errorReply("leaving");
         }
         return "+OK " + phase.name().toLowerCase(Locale.ROOT) + '\n';
     }
 
-    /** The reply to what is no command. */
-    public static String errorReply(String why) {
-        return "-ERR " + why + '\n';
+    /** Formats the reply to a command that failed or is not known. */
+    public static String errorReply(String reason) {
+        return "-ERR " + reason + '\n';
     }
 }
--- a/src/main/java/reedmux/gatekeeper/admin/AdminServer.java
+++ b/src/main/java/reedmux/gatekeeper/admin/AdminServer.java
@@ -16,14 +16,14 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The operators' listener: each connection sends one line and gets one reply. It has a thread of its own, so that
- * nothing that the gatekeeper does can delay a reply. Descriptors and memory are bounded: beyond {@link
- * #MAX_CONNECTIONS} the oldest connection is closed.
+ * Serves the operators' line protocol: each connection sends one line and receives one reply. The server runs on a
+ * thread of its own, so that the gatekeeper's other work cannot delay a reply. File descriptors and memory are bounded:
+ * when {@link #MAX_CONNECTIONS} connections are open, the oldest one is closed to admit a new one.
  */
 public final class AdminServer implements AutoCloseable {
-    /** Connections open at once. */
+    /** The maximum number of open connections. */
     public static final int MAX_CONNECTIONS = 24;
-    /** The longest line, its end included; no command is nearly as long. */
+    /** The maximum length of a line including its terminator; all commands are much shorter. */
     static final int MAX_LINE_BYTES = 128;
 
     private static final long CONNECTION_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
@@ -34,13 +34,17 @@
     private final Selector selector;
     private final UnaryOperator<String> commandHandler;
     private final Consumer<String> log;
-    /** The open connections, the oldest first; for the server's thread alone. */
+    /** The open connections, oldest first. Accessed only by the server's thread. */
     private final Deque<AdminConnection> connections = new ArrayDeque<>();
 
-    /** Listens at once; {@code commands} gives the reply to a line. */
-    public AdminServer(InetSocketAddress address, UnaryOperator<String> commands, Consumer<String> log)
+    /**
+     * Binds the address and starts serving.
+     *
+     * @param commandHandler returns the reply to a line
+     */
+    public AdminServer(InetSocketAddress address, UnaryOperator<String> commandHandler, Consumer<String> log)
             throws IOException {
-        this.commandHandler = commands;
+        this.commandHandler = commandHandler;
         this.log = log;
         selector = Selector.open();
         serverChannel = ServerSocketChannel.open();
@@ -58,7 +62,7 @@
         thread.start();
     }
 
-    /** The address that it listens on. */
+    /** Returns the address that the server listens on. */
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) serverChannel.getLocalAddress();
     }
@@ -79,15 +83,15 @@
                 }
                 selector.selectedKeys().clear();
                 long now = System.nanoTime();
-                for (AdminConnection caller : new ArrayList<>(connections)) {
-                    if (now - caller.openedAtNanos > CONNECTION_TIMEOUT_NANOS) {
-                        caller.close();
+                for (AdminConnection connection : new ArrayList<>(connections)) {
+                    if (now - connection.openedAtNanos > CONNECTION_TIMEOUT_NANOS) {
+                        connection.close();
                     }
                 }
             }
         } catch (IOException | RuntimeException e) {
             if (serverChannel.isOpen()) {
-                log.accept("operator: the door has ended: " + e);
+                log.accept("operator: the admin server failed and has stopped: " + e);
             }
         } finally {
             new ArrayList<>(connections).forEach(AdminConnection::close);
@@ -98,7 +102,7 @@
         SocketChannel channel;
         try {
             channel = serverChannel.accept();
-        } catch (IOException e) { // no descriptor is left, or the client has gone
+        } catch (IOException e) { // out of file descriptors, or the client has already disconnected
             log.accept("operator: cannot accept: " + e.getMessage());
             if (!connections.isEmpty()) {
                 connections.peek().close();
@@ -121,7 +125,7 @@
         }
     }
 
-    /** One connection: reads a line, writes the reply, and waits until the other side closes. */
+    /** Reads a line from one connection, writes the reply and waits until the client closes the connection. */
     private final class AdminConnection {
         private final SocketChannel channel;
         private final ByteBuffer input = ByteBuffer.allocate(MAX_LINE_BYTES);
@@ -134,7 +138,7 @@
             this.channel = channel;
         }
 
-        /** Something can be read or written; an error closes this connection alone. */
+        /** Called when the channel is readable or writable. An error closes only this connection. */
         void onReady() {
             try {
                 if (reply == null) {
@@ -182,7 +186,7 @@
             }
             replied = true;
             channel.shutdownOutput();
-            key.interestOps(SelectionKey.OP_READ); // closing with unread bytes would reset the connection
+            key.interestOps(SelectionKey.OP_READ); // closing it with unread input would reset the connection
         }
 
         void close() {
@@ -190,7 +194,7 @@
             try {
                 channel.close();
             } catch (IOException e) {
-                log.accept("operator: a connection could not be closed: " + e.getMessage());
+                log.accept("operator: failed to close a connection: " + e.getMessage());
             }
         }
     }
--- a/src/main/java/reedmux/gatekeeper/admin/LifeCycle.java
+++ b/src/main/java/reedmux/gatekeeper/admin/LifeCycle.java
@@ -3,13 +3,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The life cycle of one gatekeeper: starting, serving, draining, leaving. Events go in with their times, in
- * microseconds of the program's clock; what follows for clients and connections is queried. Does nothing itself; for
- * all threads.
+ * The life cycle of one gatekeeper: starting, serving, draining, leaving. Callers report events with the time in
+ * microseconds of the process's clock, and query how clients and connections are to be handled in the current phase.
+ * This class performs no I/O and starts no actions. Thread-safe, except that {@link #mayTerminate} is called only by the
+ * event loop.
  */
 public final class LifeCycle {
 
-    /** The phases; LEAVING is final. Operators read the names. */
+    /** The phases; {@link #LEAVING} is final. The admin server prints the names in lower case. */
     public enum LifeCyclePhase {
         STARTING,
         SERVING,
@@ -18,40 +19,55 @@
     }
 
     /**
-     * How long idle connections stay open while draining: clients need a moment to notice it, and would otherwise send
-     * their next request on a connection that is being closed.
+     * How long idle connections stay open after draining starts, in microseconds. Clients need some time to notice the
+     * draining; without it they would send their next request on a connection that is being closed.
      */
     static final long DRAIN_IDLE_GRACE_MICROS = TimeUnit.MILLISECONDS.toMicros(1_000);
-    /** How long connections are accepted after a SIGTERM. */
+    /**
+     * How long new connections are accepted after a SIGTERM, and idle connections stay open, in microseconds. Applies
+     * if there is no successor.
+     */
     static final long ACCEPT_GRACE_MICROS = TimeUnit.MILLISECONDS.toMicros(600);
-    /** The same if a successor listens on the address: only connections on their way are left. */
+    /**
+     * How long new connections are accepted after a SIGTERM if a successor listens on the same address, in
+     * microseconds. Only connections that are already being established have to be accepted then.
+     */
     static final long ACCEPT_GRACE_WITH_SUCCESSOR_MICROS = TimeUnit.MILLISECONDS.toMicros(20);
-    /** How long idle connections stay open after a SIGTERM with a successor. */
+    /** How long idle connections stay open after a SIGTERM if there is a successor, in microseconds. */
     static final long IDLE_GRACE_WITH_SUCCESSOR_MICROS = TimeUnit.MILLISECONDS.toMicros(1_000);
-    /** Time to write the last responses. */
+    /** How long the process keeps running after the last request, to write the last responses, in microseconds. */
     static final long FINAL_WRITE_GRACE_MICROS = TimeUnit.MILLISECONDS.toMicros(50);
 
-    /** The state, replaced as a whole; {@code since} is the begin of the phase. */
+    /**
+     * An immutable snapshot of the state, replaced on each change.
+     *
+     * @param phaseStart   when the phase began
+     * @param ready        whether the process listens and has warmed up
+     * @param hasSuccessor whether another process has taken over the address and the state
+     */
     private record LifeCycleState(LifeCyclePhase phase, long phaseStart, boolean ready, boolean hasSuccessor) {}
 
     private volatile LifeCycleState state = new LifeCycleState(LifeCyclePhase.STARTING, 0, false, false);
     private long quiescentSince = Long.MAX_VALUE;
 
-    /** It listens and has warmed up; if it drains it goes on draining. */
+    /**
+     * Reports that the process listens and has warmed up. A gatekeeper that is starting begins to serve; one that is
+     * draining keeps draining.
+     */
     public synchronized void onReady(long now) {
         LifeCycleState current = state;
         LifeCyclePhase next = current.phase == LifeCyclePhase.STARTING ? LifeCyclePhase.SERVING : current.phase;
         state = new LifeCycleState(next, next == current.phase ? current.phaseStart : now, true, current.hasSuccessor);
     }
 
-    /** Starts draining; no effect if it drains or leaves already. */
+    /** Starts draining. Has no effect if the gatekeeper is already draining or leaving. */
     public synchronized void startDraining(long now) {
         if (state.phase == LifeCyclePhase.STARTING || state.phase == LifeCyclePhase.SERVING) {
             state = new LifeCycleState(LifeCyclePhase.DRAINING, now, state.ready, state.hasSuccessor);
         }
     }
 
-    /** Stops draining. */
+    /** Stops draining and returns to serving, or to starting if the process is not ready yet. */
     public synchronized void stopDraining(long now) {
         if (state.phase == LifeCyclePhase.DRAINING) {
             state = new LifeCycleState(
@@ -62,34 +78,34 @@
         }
     }
 
-    /** Sets whether another process has taken over our address and state. */
-    public synchronized void setSuccessor(boolean present) {
-        state = new LifeCycleState(state.phase, state.phaseStart, state.ready, present);
+    /** Sets whether another process has taken over the address and the state of this one. */
+    public synchronized void setSuccessor(boolean hasSuccessor) {
+        state = new LifeCycleState(state.phase, state.phaseStart, state.ready, hasSuccessor);
     }
 
-    /** Starts the graceful shutdown; only the first call counts. */
+    /** Starts the graceful shutdown. Later calls have no effect. */
     public synchronized void startShutdown(long now) {
         if (state.phase != LifeCyclePhase.LEAVING) {
             state = new LifeCycleState(LifeCyclePhase.LEAVING, now, state.ready, state.hasSuccessor);
         }
     }
 
-    /** The phase now. */
+    /** Returns the current phase. */
     public LifeCyclePhase phase() {
         return state.phase;
     }
 
-    /** Whether clients may be sent here. */
+    /** Returns whether clients may be routed to this gatekeeper. */
     public boolean acceptsClients() {
         return state.phase == LifeCyclePhase.SERVING;
     }
 
-    /** Whether connections are closed after each response, so that clients go elsewhere. */
+    /** Returns whether connections are closed after each response, so that clients reconnect elsewhere. */
     public boolean closesAfterResponse() {
         return state.phase == LifeCyclePhase.DRAINING || state.phase == LifeCyclePhase.LEAVING;
     }
 
-    /** Whether idle connections are closed now. */
+    /** Returns whether idle connections are to be closed at {@code now}. */
     public boolean closesIdleConnections(long now) {
         LifeCycleState current = state;
         return switch (current.phase) {
@@ -101,7 +117,7 @@
         };
     }
 
-    /** Whether new connections are accepted. */
+    /** Returns whether new connections are accepted at {@code now}. */
     public boolean acceptsConnections(long now) {
         LifeCycleState current = state;
         return current.phase != LifeCyclePhase.LEAVING
@@ -110,22 +126,23 @@
     }
 
     /**
-     * Whether the program may end; for the event loop, after each turn. Responses may still have to be written after
-     * the last request was answered, so it waits a moment without requests first.
+     * Returns whether the process may terminate. The event loop calls this after each iteration. The last responses may
+     * still have to be written after the last request has been answered, so the process first waits for {@link
+     * #FINAL_WRITE_GRACE_MICROS} without requests.
      *
-     * @param unanswered requests without an answer
-     * @param connected  whether clients have connections open
+     * @param unansweredRequests the number of requests without a response
+     * @param clientsConnected   whether any client connection is open
      */
-    public boolean mayTerminate(long now, int unanswered, boolean connected) {
-        boolean quiet = state.phase == LifeCyclePhase.LEAVING
+    public boolean mayTerminate(long now, int unansweredRequests, boolean clientsConnected) {
+        boolean quiescent = state.phase == LifeCyclePhase.LEAVING
                 && !acceptsConnections(now)
-                && unanswered == 0
-                && (closesIdleConnections(now) || !connected);
-        quiescentSince = quiet ? Math.min(quiescentSince, now) : Long.MAX_VALUE;
-        return quiet && now - quiescentSince >= FINAL_WRITE_GRACE_MICROS;
+                && unansweredRequests == 0
+                && (closesIdleConnections(now) || !clientsConnected);
+        quiescentSince = quiescent ? Math.min(quiescentSince, now) : Long.MAX_VALUE;
+        return quiescent && now - quiescentSince >= FINAL_WRITE_GRACE_MICROS;
     }
 
-    /** When to call {@link #mayTerminate} again at the latest. */
+    /** Returns the latest time at which {@link #mayTerminate} has to be called again. */
     public long nextTerminationCheck(long now) {
         LifeCycleState current = state;
         return current.phase != LifeCyclePhase.LEAVING
--- a/src/main/java/reedmux/gatekeeper/admin/Metrics.java
+++ b/src/main/java/reedmux/gatekeeper/admin/Metrics.java
@@ -7,15 +7,15 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * The metrics that operators read, since the start of this process. They are counted where things happen and read
- * without a lock. A service that has ended keeps its counts, since a counter never decreases.
+ * The metrics that operators read, counted since the start of this process. Updates and reads take no lock. The
+ * counters of a service are kept after it has been removed, because a counter must never decrease.
  */
 public final class Metrics {
     private static final String METRIC_PREFIX = "svc.";
 
     private final Map<String, ServiceMetrics> services = new ConcurrentSkipListMap<>();
 
-    /** The counters of one request class; for all threads. */
+    /** The counters of one request class. Thread-safe. */
     public static final class ClassMetrics {
         private static final int STATUS_OK = 200;
         private static final int STATUS_TOO_MANY_REQUESTS = 429;
@@ -26,17 +26,20 @@
         private final LongAdder started = new LongAdder();
         private final LongAdder ended = new LongAdder();
 
-        /** A request is in flight from now on, until {@link #onEnded}. */
+        /** Counts a request as in flight until {@link #onEnded}. */
         public void onStarted() {
             started.increment();
         }
 
-        /** A request that was in flight has ended. */
+        /** Reports that a request is no longer in flight. */
         public void onEnded() {
             ended.increment();
         }
 
-        /** A request has got its response. */
+        /**
+         * Counts a response. Status 200 counts as a success, 429 and 503 count as busy, and any other status counts as a
+         * failure.
+         */
         public void onAnswered(int status) {
             (status == STATUS_OK
                             ? success
@@ -44,13 +47,13 @@
                     .increment();
         }
 
-        /** A response was truncated after its head had been written. */
+        /** Counts a failure: a response was truncated after its head had been written. */
         public void onResponseTruncated() {
             failure.increment();
         }
 
         private long inFlight() {
-            long alreadyEnded = ended.sum(); // read first, so that the difference is not negative
+            long alreadyEnded = ended.sum(); // read before `started`, so that the difference is not negative
             return Math.max(0, started.sum() - alreadyEnded);
         }
     }
@@ -62,35 +65,35 @@
         private volatile int listedHosts;
         private volatile int ejectedHosts;
 
-        /** The counters of a class, which are listed from now on even if they are 0. */
+        /** Returns the counters of a class. From the first call on they are rendered, even while they are 0. */
         public ClassMetrics forClass(String name) {
-            return classes.computeIfAbsent(name, made -> new ClassMetrics());
+            return classes.computeIfAbsent(name, key -> new ClassMetrics());
         }
 
-        /** A call has been written to a provider; for all threads. */
+        /** Counts a call that was written to a provider. Thread-safe. */
         public void onProviderCall() {
             providerCalls.increment();
         }
 
-        /** Sets how many providers are listed, and how many of them are ejected; for one thread. */
+        /** Sets how many providers are listed and how many of them are ejected. Called by a single thread. */
         public void setHosts(int listed, int ejected) {
             listedHosts = listed;
             ejectedHosts = ejected;
         }
     }
 
-    /** The metrics of a service; the platform's own has the empty name. */
+    /** Returns the metrics of a service; the name of the platform's own service is empty. */
     public ServiceMetrics forService(String name) {
-        return services.computeIfAbsent(name, made -> new ServiceMetrics());
+        return services.computeIfAbsent(name, key -> new ServiceMetrics());
     }
 
-    /** All metrics, a terminated line each. */
+    /** Renders all metrics as one line each, every line ending with a line feed. */
     public String render() {
         StringBuilder text = new StringBuilder(512);
-        long open = 0;
-        long calls = 0;
-        int listed = 0;
-        int down = 0;
+        long inFlight = 0;
+        long providerCalls = 0;
+        int listedHosts = 0;
+        int ejectedHosts = 0;
         for (Map.Entry<String, ServiceMetrics> service : services.entrySet()) {
             String prefix = service.getKey().isEmpty() ? "" : service.getKey() + '.';
             ServiceMetrics metrics = service.getValue();
@@ -99,16 +102,16 @@
                 appendLine(text, "success." + prefix + entry.getKey(), counts.success.sum(), 'c');
                 appendLine(text, "busy." + prefix + entry.getKey(), counts.busy.sum(), 'c');
                 appendLine(text, "failure." + prefix + entry.getKey(), counts.failure.sum(), 'c');
-                open += counts.inFlight();
+                inFlight += counts.inFlight();
             }
-            calls += metrics.providerCalls.sum();
-            listed += metrics.listedHosts;
-            down += metrics.ejectedHosts;
+            providerCalls += metrics.providerCalls.sum();
+            listedHosts += metrics.listedHosts;
+            ejectedHosts += metrics.ejectedHosts;
         }
-        appendLine(text, "backend_calls", calls, 'c');
-        appendLine(text, "inflight", open, 'g');
-        appendLine(text, "hosts_listed", listed, 'g');
-        appendLine(text, "hosts_down", down, 'g');
+        appendLine(text, "backend_calls", providerCalls, 'c');
+        appendLine(text, "inflight", inFlight, 'g');
+        appendLine(text, "hosts_listed", listedHosts, 'g');
+        appendLine(text, "hosts_down", ejectedHosts, 'g');
         return text.toString();
     }
 
--- a/src/main/java/reedmux/gatekeeper/discovery/DiscoveryWatch.java
+++ b/src/main/java/reedmux/gatekeeper/discovery/DiscoveryWatch.java
@@ -15,32 +15,35 @@
 import reedmux.gatekeeper.reducer.ReducerEvent;
 
 /**
- * Keeps the list of providers up to date by long polling: the full list first, then changes. Each call is sent as soon
- * as the one before it was answered, since discovery forgets a watcher after 200 ms. If the configuration has a list,
- * the changes since its revision come first. While discovery does not answer or sends what cannot be read, the last
- * list stays in use.
+ * Keeps the list of providers up to date by long polling discovery: the first call requests the full list, the following
+ * calls request changes. Each call is sent as soon as the previous one has been answered, because discovery forgets a
+ * watcher after 200 ms. If the configuration contains a list, the first call requests the changes since its revision
+ * instead. While discovery does not respond or its responses cannot be parsed, the last list stays in use.
  *
- * <p>Calls end on the I/O thread and time out on the timers' thread; the monitor guards the state.
+ * <p>Calls complete on the I/O thread and time out on the timers' thread; the monitor guards the state.
  */
 public final class DiscoveryWatch implements AutoCloseable {
     /**
-     * How long discovery holds a call while nothing changes. Until then a dead connection cannot be told from one
-     * without changes, so this bounds how old the list may become; shorter waits cost more calls.
+     * How long discovery holds a call while nothing changes, in milliseconds. Until this time has passed, a dead
+     * connection cannot be distinguished from one without changes, so the value bounds how stale the list can become.
+     * Smaller values cost more calls.
      */
     private static final long WATCH_WAIT_MILLIS = 2_000;
     /**
-     * The same for the first call. After a restart of many gatekeepers calls were seen to take over 2 s; with a wait
-     * of 400 ms a provider that was draining was still in use. This is as long as the full list may take.
+     * How long discovery holds the first call, in milliseconds. After a restart of many gatekeepers, calls took more than
+     * 2 s; with a wait of 400 ms, a provider that was draining was still used. The value equals {@link
+     * #FULL_LIST_TIMEOUT_MILLIS}.
      */
     private static final long FIRST_WATCH_WAIT_MILLIS = 4_000;
     /**
-     * Time-out of a call for the full list. One discovery serves all gatekeepers and queues their calls, for seconds
-     * after many have started at once: whoever retries early goes to the end of the queue.
+     * Timeout of a call for the full list, in milliseconds. A single discovery server serves all gatekeepers and queues
+     * their calls; when many gatekeepers start at the same time, calls wait in the queue for seconds. With a smaller
+     * value, a gatekeeper would retry early and go to the end of the queue again.
      */
     private static final long FULL_LIST_TIMEOUT_MILLIS = 4_000;
-    /** How much longer than its wait a call for changes may take. */
+    /** How much longer than its wait a call for changes may take before it times out, in milliseconds. */
     private static final long WATCH_GRACE_MILLIS = 2_000;
-    /** Backoff after a failed call. */
+    /** Delay before the retry of a failed call, in milliseconds. */
     private static final long RETRY_DELAY_MILLIS = 100;
 
     private static final long NO_REVISION = -1;
@@ -53,7 +56,7 @@
     private final ScheduledExecutorService timers;
     private InetSocketAddress discovery;
     private Runnable abortCall = () -> {};
-    /** Of the last list; {@link #NO_REVISION} has the full list sent. */
+    /** The revision of the last list. With {@link #NO_REVISION}, the next call requests the full list. */
     private long revision;
 
     private boolean listReceived;
@@ -61,11 +64,11 @@
     private boolean closed;
 
     /**
-     * A watch that has sent no call yet.
+     * Creates a watch, which sends its first call in {@link #sendRequest}.
      *
-     * @param known the list whose changes come first, or null for the full list first. Full lists are expensive:
-     *              fourteen gatekeepers that asked for one at once kept discovery so busy that nearly all later calls
-     *              timed out
+     * @param known the list whose changes the first call requests, or null to request the full list first. Full lists
+     *              are expensive: fourteen gatekeepers that requested one at the same time kept discovery so busy that
+     *              nearly all later calls timed out
      */
     public DiscoveryWatch(
             ProviderClient client,
@@ -88,19 +91,19 @@
         this.log = log;
     }
 
-    /** The timers for any number of watches, with one thread. */
+    /** Creates the timers, which run on a single thread and can be shared by any number of watches. */
     public static ScheduledExecutorService createTimers() {
         ScheduledThreadPoolExecutor timers = new ScheduledThreadPoolExecutor(1, task -> {
             Thread thread = new Thread(task, "reedmux-watch");
             thread.setDaemon(true);
             return thread;
         });
-        // Otherwise the time-outs of completed calls would keep these, and what they read, in memory.
+        // Otherwise the timeouts of completed calls would keep the calls and their responses in memory.
         timers.setRemoveOnCancelPolicy(true);
         return timers;
     }
 
-    /** Sends the next call. */
+    /** Sends the next call to discovery. */
     public synchronized void sendRequest() {
         if (closed) {
             return;
@@ -110,16 +113,16 @@
         String target = "/v1/servers" + (fullList ? "" : "?since=" + revision + "&timeout_ms=" + wait);
         long timeoutMillis = fullList ? FULL_LIST_TIMEOUT_MILLIS : wait + WATCH_GRACE_MILLIS;
         WatchTimeout timeout = new WatchTimeout();
-        InetSocketAddress asked = discovery;
-        Runnable abort = client.fetch(asked, target, result -> {
+        InetSocketAddress requestedAddress = discovery;
+        Runnable abort = client.fetch(requestedAddress, target, result -> {
             timeout.clear();
-            onResponse(asked, result);
+            onResponse(requestedAddress, result);
         });
         abortCall = abort;
         timeout.set(timers.schedule(abort, timeoutMillis, TimeUnit.MILLISECONDS));
     }
 
-    /** The time-out of one call, which may end before its time-out is set. */
+    /** The timeout of one call. The call may complete before its timeout is set; it is cancelled then as well. */
     private static final class WatchTimeout {
         private ScheduledFuture<?> timer;
         private boolean cleared;
@@ -140,44 +143,44 @@
     }
 
     /**
-     * Continues at another address, with the full list first, since the revisions of two discoveries are unrelated. If
-     * the address is the same nothing changes.
+     * Switches to another discovery server and requests its full list first, because the revisions of two discovery
+     * servers are unrelated. Has no effect if the address is unchanged.
      */
     public synchronized void setDiscovery(InetSocketAddress address) {
         if (closed || address.equals(discovery)) {
             return;
         }
-        InetSocketAddress before = discovery;
+        InetSocketAddress previous = discovery;
         discovery = address;
         revision = NO_REVISION;
         failing = false;
         log.accept("discovery: now at " + address);
         abortCall.run();
-        client.closeIdle(before);
+        client.closeIdle(previous);
         sendRequest();
     }
 
-    private synchronized void onResponse(InetSocketAddress asked, CallResult result) {
-        // A call that ended with the program says nothing about discovery. A response of the former discovery must
-        // neither change the list of the new one nor start a second sequence of calls.
-        if (closed || !asked.equals(discovery)) {
+    private synchronized void onResponse(InetSocketAddress requestedAddress, CallResult result) {
+        // A call that close() aborted says nothing about discovery. A response of the previous discovery server must
+        // neither replace the list of the current one nor start a second sequence of calls.
+        if (closed || !requestedAddress.equals(discovery)) {
             return;
         }
-        String problem = applyResponse(result);
-        if (problem == null) {
+        String failure = applyResponse(result);
+        if (failure == null) {
             failing = false;
             listReceived = true;
             sendRequest();
             return;
         }
         if (!failing) {
-            log.accept("discovery: " + problem + "; the known list goes on serving");
+            log.accept("discovery: " + failure + "; the known list goes on serving");
         }
         failing = true;
-        timers.schedule(() -> retry(asked), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+        timers.schedule(() -> retry(requestedAddress), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Applies the list of a response; returns why there is none, or null. */
+    /** Applies the list of a response. Returns the reason if there is none, or null on success. */
     private String applyResponse(CallResult result) {
         if (result instanceof CallResult.ResponseReceived response) {
             return response.status() == STATUS_OK ? applyList(response.body()) : "status " + response.status();
@@ -185,13 +188,13 @@
         return result instanceof CallResult.ConnectionBroken broken ? broken.reason() : null;
     }
 
-    private synchronized void retry(InetSocketAddress asked) {
-        if (asked.equals(discovery)) {
+    private synchronized void retry(InetSocketAddress requestedAddress) {
+        if (requestedAddress.equals(discovery)) {
             sendRequest();
         }
     }
 
-    /** Applies a list; returns what is wrong with it, or null. */
+    /** Parses and applies a list. Returns the reason if it is malformed, or null on success. */
     private String applyList(byte[] body) {
         try {
             ProviderList list = listReader.read(body);
@@ -199,7 +202,7 @@
             eventSink.accept(new ReducerEvent.ProvidersUpdated(list));
             return null;
         } catch (ConfigException e) {
-            revision = NO_REVISION; // the full list contains whatever these changes were
+            revision = NO_REVISION; // the full list includes the changes that could not be parsed
             return e.getMessage();
         }
     }
--- a/src/main/java/reedmux/gatekeeper/discovery/package-info.java
+++ b/src/main/java/reedmux/gatekeeper/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Keeps each service's list of providers up to date: {@link reedmux.gatekeeper.discovery.DiscoveryWatch} polls
- * discovery and passes the lists on as events.
+ * Keeps the list of providers of each service up to date: {@link reedmux.gatekeeper.discovery.DiscoveryWatch} polls
+ * discovery and publishes the lists as events.
  */
 package reedmux.gatekeeper.discovery;
--- a/src/test/java/reedmux/gatekeeper/admin/AdminServerTest.java
+++ b/src/test/java/reedmux/gatekeeper/admin/AdminServerTest.java
@@ -14,9 +14,9 @@
 import org.junit.Before;
 import org.junit.Test;
 
-/** The admin server over a real socket: its answers, and callers that are slow or talk nonsense. */
+/** Tests the admin server over real sockets: its replies, slow clients and malformed commands. */
 public final class AdminServerTest {
-    /** No verdict hangs on it: it only ends a test that would otherwise wait for ever. */
+    /** Ends a test that would otherwise block forever. No assertion depends on its value. */
     private static final int READ_TIMEOUT_MILLIS = 10_000;
 
     private final List<String> log = new ArrayList<>();
@@ -28,9 +28,9 @@
     public void startServer() throws IOException {
         lifeCycle.onReady(1);
         metrics.forService("").forClass("check");
-        AdminCommands calls = new AdminCommands(lifeCycle, metrics, lifeCycle::acceptsClients, () -> 2, log::add);
-        InetAddress here = InetAddress.getByName("127.0.0.1");
-        server = new AdminServer(new InetSocketAddress(here, 0), calls::execute, log::add);
+        AdminCommands commands = new AdminCommands(lifeCycle, metrics, lifeCycle::acceptsClients, () -> 2, log::add);
+        InetAddress loopback = InetAddress.getByName("127.0.0.1");
+        server = new AdminServer(new InetSocketAddress(loopback, 0), commands::execute, log::add);
     }
 
     @After
@@ -80,19 +80,19 @@
         assertTrue(send("check now\n").startsWith("-ERR unknown call"));
         assertTrue(send("\0\u00ff\u0080\n").startsWith("-ERR unknown call"));
         assertEquals("-ERR the line is over 128 bytes\n", send("x".repeat(128)));
-        assertEquals("+OK serving\n", send("check\ndrain-on\n")); // one line a connection
+        assertEquals("+OK serving\n", send("check\ndrain-on\n")); // only the first line of a connection is executed
         assertEquals(LifeCycle.LifeCyclePhase.SERVING, lifeCycle.phase());
     }
 
     @Test
     public void unterminatedLineGetsAnErrorAndEmptyConnectionIsClosed() throws IOException {
-        try (Socket half = connect();
-                Socket nothing = connect()) {
-            half.getOutputStream().write("drain-on".getBytes(StandardCharsets.US_ASCII));
-            half.shutdownOutput();
-            assertEquals("-ERR the line has no end\n", readToEnd(half));
-            nothing.shutdownOutput();
-            assertEquals("", readToEnd(nothing));
+        try (Socket unterminated = connect();
+                Socket empty = connect()) {
+            unterminated.getOutputStream().write("drain-on".getBytes(StandardCharsets.US_ASCII));
+            unterminated.shutdownOutput();
+            assertEquals("-ERR the line has no end\n", readToEnd(unterminated));
+            empty.shutdownOutput();
+            assertEquals("", readToEnd(empty));
         }
         assertEquals(LifeCycle.LifeCyclePhase.SERVING, lifeCycle.phase());
     }
@@ -102,7 +102,7 @@
         try (Socket slow = connect()) {
             for (String piece : List.of("c", "h", "e", "c", "k", "\n")) {
                 slow.getOutputStream().write(piece.getBytes(StandardCharsets.US_ASCII));
-                assertEquals("+OK serving\n", send("check\n")); // meanwhile others are answered
+                assertEquals("+OK serving\n", send("check\n")); // other clients are served meanwhile
             }
             assertEquals("+OK serving\n", readToEnd(slow));
         }
@@ -115,7 +115,7 @@
             silent.add(connect());
         }
         assertEquals("+OK serving\n", send("check\n"));
-        assertEquals("", readToEnd(silent.get(0))); // closed with nothing said
+        assertEquals("", readToEnd(silent.get(0))); // closed without a reply
         Socket last = silent.get(silent.size() - 1);
         last.getOutputStream().write("check\n".getBytes(StandardCharsets.US_ASCII));
         assertEquals("+OK serving\n", readToEnd(last));
--- a/src/test/java/reedmux/gatekeeper/admin/LifeCycleTest.java
+++ b/src/test/java/reedmux/gatekeeper/admin/LifeCycleTest.java
@@ -10,12 +10,15 @@
 import org.junit.Test;
 import reedmux.gatekeeper.admin.LifeCycle.LifeCyclePhase;
 
-/** The phases of a process, from each order of events. */
+/** Tests the phases of the lifeCycle cycle for many orders of events. */
 public final class LifeCycleTest {
     private static final long START_MICROS = 5_000_000;
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** Each row: events in their order, the phase that comes of them, clients taken, last answers. */
+    /**
+     * Each row: the events in order, the resulting phase, whether clients are accepted, and whether connections are
+     * closed after each response.
+     */
     private static final String[][] TRANSITIONS = {
         {"", "STARTING", "no", "no"},
         {"ready", "SERVING", "yes", "no"},
@@ -41,110 +44,116 @@
         {"ready succeeded leave", "LEAVING", "no", "yes"},
     };
 
-    private static void apply(LifeCycle life, String event, long now) {
+    private static void apply(LifeCycle lifeCycle, String event, long now) {
         switch (event) {
-            case "ready" -> life.onReady(now);
-            case "on" -> life.startDraining(now);
-            case "off" -> life.stopDraining(now);
-            case "leave" -> life.startShutdown(now);
-            case "succeeded" -> life.setSuccessor(true);
-            case "alone" -> life.setSuccessor(false);
+            case "ready" -> lifeCycle.onReady(now);
+            case "on" -> lifeCycle.startDraining(now);
+            case "off" -> lifeCycle.stopDraining(now);
+            case "leave" -> lifeCycle.startShutdown(now);
+            case "succeeded" -> lifeCycle.setSuccessor(true);
+            case "alone" -> lifeCycle.setSuccessor(false);
             default -> throw new IllegalArgumentException(event);
         }
     }
 
     private static LifeCycle lifeCycleAfter(String events) {
-        LifeCycle life = new LifeCycle();
+        LifeCycle lifeCycle = new LifeCycle();
         for (String event : events.isEmpty() ? new String[0] : events.split(" ")) {
-            apply(life, event, START_MICROS);
+            apply(lifeCycle, event, START_MICROS);
         }
-        return life;
+        return lifeCycle;
     }
 
     @Test
     public void followsTheTransitionTable() {
         for (String[] row : TRANSITIONS) {
-            LifeCycle life = lifeCycleAfter(row[0]);
-            assertEquals(row[0], LifeCyclePhase.valueOf(row[1]), life.phase());
-            assertEquals(row[0], row[2].equals("yes"), life.acceptsClients());
-            assertEquals(row[0], row[3].equals("yes"), life.closesAfterResponse());
+            LifeCycle lifeCycle = lifeCycleAfter(row[0]);
+            assertEquals(row[0], LifeCyclePhase.valueOf(row[1]), lifeCycle.phase());
+            assertEquals(row[0], row[2].equals("yes"), lifeCycle.acceptsClients());
+            assertEquals(row[0], row[3].equals("yes"), lifeCycle.closesAfterResponse());
         }
     }
 
     @Test
     public void drainingAcceptsAndClosesIdleConnectionsAfterTheGrace() {
-        LifeCycle life = lifeCycleAfter("ready on");
-        assertFalse(life.closesIdleConnections(START_MICROS + 999 * MICROS_PER_MILLI));
-        assertTrue(life.closesIdleConnections(START_MICROS + 1_000 * MICROS_PER_MILLI));
-        assertTrue(life.acceptsConnections(START_MICROS + 3_600_000 * MICROS_PER_MILLI));
-        assertFalse(life.mayTerminate(START_MICROS + 3_600_000 * MICROS_PER_MILLI, 0, false));
-        life.startDraining(START_MICROS + 2_000 * MICROS_PER_MILLI); // a repeat does not begin it anew
-        assertTrue(life.closesIdleConnections(START_MICROS + 2_000 * MICROS_PER_MILLI));
-        life.stopDraining(START_MICROS + 2_000 * MICROS_PER_MILLI);
-        assertFalse(life.closesIdleConnections(START_MICROS + 9_000 * MICROS_PER_MILLI));
+        LifeCycle lifeCycle = lifeCycleAfter("ready on");
+        assertFalse(lifeCycle.closesIdleConnections(START_MICROS + 999 * MICROS_PER_MILLI));
+        assertTrue(lifeCycle.closesIdleConnections(START_MICROS + 1_000 * MICROS_PER_MILLI));
+        assertTrue(lifeCycle.acceptsConnections(START_MICROS + 3_600_000 * MICROS_PER_MILLI));
+        assertFalse(lifeCycle.mayTerminate(START_MICROS + 3_600_000 * MICROS_PER_MILLI, 0, false));
+        lifeCycle.startDraining(
+                START_MICROS + 2_000 * MICROS_PER_MILLI); // a repeated command does not restart the grace period
+        assertTrue(lifeCycle.closesIdleConnections(START_MICROS + 2_000 * MICROS_PER_MILLI));
+        lifeCycle.stopDraining(START_MICROS + 2_000 * MICROS_PER_MILLI);
+        assertFalse(lifeCycle.closesIdleConnections(START_MICROS + 9_000 * MICROS_PER_MILLI));
     }
 
     @Test
     public void shutdownWhileDrainingHasItsOwnGrace() {
-        LifeCycle life = lifeCycleAfter("ready on");
-        long term = START_MICROS + 5_000 * MICROS_PER_MILLI;
-        life.startShutdown(term);
-        assertTrue(life.acceptsConnections(term + 599 * MICROS_PER_MILLI));
-        assertFalse(life.closesIdleConnections(term + 599 * MICROS_PER_MILLI));
-        assertFalse(life.acceptsConnections(term + 600 * MICROS_PER_MILLI));
-        life.startShutdown(term + 500 * MICROS_PER_MILLI); // only the first counts
-        assertFalse(life.acceptsConnections(term + 600 * MICROS_PER_MILLI));
+        LifeCycle lifeCycle = lifeCycleAfter("ready on");
+        long shutdownStart = START_MICROS + 5_000 * MICROS_PER_MILLI;
+        lifeCycle.startShutdown(shutdownStart);
+        assertTrue(lifeCycle.acceptsConnections(shutdownStart + 599 * MICROS_PER_MILLI));
+        assertFalse(lifeCycle.closesIdleConnections(shutdownStart + 599 * MICROS_PER_MILLI));
+        assertFalse(lifeCycle.acceptsConnections(shutdownStart + 600 * MICROS_PER_MILLI));
+        lifeCycle.startShutdown(shutdownStart + 500 * MICROS_PER_MILLI); // only the first call has an effect
+        assertFalse(lifeCycle.acceptsConnections(shutdownStart + 600 * MICROS_PER_MILLI));
     }
 
     @Test
     public void terminatesOnlyAfterTheFinalWriteGrace() {
-        LifeCycle life = lifeCycleAfter("ready leave");
-        long late = START_MICROS + 700 * MICROS_PER_MILLI;
-        assertFalse(life.mayTerminate(late, 1, true));
-        assertFalse(life.mayTerminate(late, 0, true));
-        assertFalse(life.mayTerminate(late + 49 * MICROS_PER_MILLI, 0, true));
-        assertFalse(life.mayTerminate(late + 50 * MICROS_PER_MILLI, 1, true)); // one more came in just then
-        assertFalse(life.mayTerminate(late + 60 * MICROS_PER_MILLI, 0, true));
-        assertTrue(life.mayTerminate(late + 110 * MICROS_PER_MILLI, 0, true));
+        LifeCycle lifeCycle = lifeCycleAfter("ready leave");
+        long graceEnd = START_MICROS + 700 * MICROS_PER_MILLI;
+        assertFalse(lifeCycle.mayTerminate(graceEnd, 1, true));
+        assertFalse(lifeCycle.mayTerminate(graceEnd, 0, true));
+        assertFalse(lifeCycle.mayTerminate(graceEnd + 49 * MICROS_PER_MILLI, 0, true));
+        assertFalse(lifeCycle.mayTerminate(
+                graceEnd + 50 * MICROS_PER_MILLI, 1, true)); // another request has arrived in the meantime
+        assertFalse(lifeCycle.mayTerminate(graceEnd + 60 * MICROS_PER_MILLI, 0, true));
+        assertTrue(lifeCycle.mayTerminate(graceEnd + 110 * MICROS_PER_MILLI, 0, true));
     }
 
     @Test
     public void withASuccessorStopsAcceptingAtOnce() {
-        LifeCycle life = lifeCycleAfter("ready succeeded leave");
-        assertFalse(life.acceptsConnections(START_MICROS + 20 * MICROS_PER_MILLI));
-        assertFalse(life.closesIdleConnections(START_MICROS + 999 * MICROS_PER_MILLI));
+        LifeCycle lifeCycle = lifeCycleAfter("ready succeeded leave");
+        assertFalse(lifeCycle.acceptsConnections(START_MICROS + 20 * MICROS_PER_MILLI));
+        assertFalse(lifeCycle.closesIdleConnections(START_MICROS + 999 * MICROS_PER_MILLI));
         assertFalse(
-                "clients still hold connections", life.mayTerminate(START_MICROS + 500 * MICROS_PER_MILLI, 0, true));
-        assertFalse(life.mayTerminate(START_MICROS + 600 * MICROS_PER_MILLI, 0, false));
-        assertTrue(life.mayTerminate(START_MICROS + 650 * MICROS_PER_MILLI, 0, false));
+                "clients still have open connections",
+                lifeCycle.mayTerminate(START_MICROS + 500 * MICROS_PER_MILLI, 0, true));
+        assertFalse(lifeCycle.mayTerminate(START_MICROS + 600 * MICROS_PER_MILLI, 0, false));
+        assertTrue(lifeCycle.mayTerminate(START_MICROS + 650 * MICROS_PER_MILLI, 0, false));
     }
 
     @Test
     public void endedSuccessorIsIgnored() {
-        LifeCycle life = lifeCycleAfter("ready succeeded alone leave");
-        assertTrue(life.acceptsConnections(START_MICROS + 599 * MICROS_PER_MILLI));
+        LifeCycle lifeCycle = lifeCycleAfter("ready succeeded alone leave");
+        assertTrue(lifeCycle.acceptsConnections(START_MICROS + 599 * MICROS_PER_MILLI));
     }
 
-    /** Whatever comes in whatever order: leaving is final, and clients are never taken with last answers. */
+    /**
+     * For random sequences of events, leaving must be final, and clients must never be accepted while connections are
+     * closed after each response.
+     */
     @Test
     public void invariantsHoldForRandomEventOrders() {
         List<String> events = List.of("ready", "on", "off", "leave", "succeeded", "alone");
         SplittableRandom random = new SplittableRandom(11);
         for (int run = 0; run < 2_000; run++) {
-            LifeCycle life = new LifeCycle();
-            List<String> told = new ArrayList<>();
-            boolean left = false;
+            LifeCycle lifeCycle = new LifeCycle();
+            List<String> applied = new ArrayList<>();
+            boolean leaving = false;
             long now = START_MICROS;
             for (int i = 0; i < 8; i++) {
                 now += random.nextLong(2_000 * MICROS_PER_MILLI);
                 String event = events.get(random.nextInt(events.size()));
-                told.add(event);
-                apply(life, event, now);
-                left |= event.equals("leave");
-                assertEquals(told.toString(), left, life.phase() == LifeCyclePhase.LEAVING);
-                assertFalse(told.toString(), life.acceptsClients() && life.closesAfterResponse());
-                assertTrue(told.toString(), left || life.acceptsConnections(now));
-                assertFalse(told.toString(), !left && life.mayTerminate(now, 0, false));
+                applied.add(event);
+                apply(lifeCycle, event, now);
+                leaving |= event.equals("leave");
+                assertEquals(applied.toString(), leaving, lifeCycle.phase() == LifeCyclePhase.LEAVING);
+                assertFalse(applied.toString(), lifeCycle.acceptsClients() && lifeCycle.closesAfterResponse());
+                assertTrue(applied.toString(), leaving || lifeCycle.acceptsConnections(now));
+                assertFalse(applied.toString(), !leaving && lifeCycle.mayTerminate(now, 0, false));
             }
         }
     }
--- a/src/test/java/reedmux/gatekeeper/admin/MetricsTest.java
+++ b/src/test/java/reedmux/gatekeeper/admin/MetricsTest.java
@@ -4,15 +4,15 @@
 
 import org.junit.Test;
 
-/** The counts that the admin server tells. */
+/** Tests the metrics that the admin server prints. */
 public final class MetricsTest {
     private final Metrics metrics = new Metrics();
 
     @Test
     public void countsByStatusAndListsEveryClassFromTheStart() {
-        Metrics.ServiceMetrics own = metrics.forService("");
-        Metrics.ClassMetrics check = own.forClass("check");
-        own.forClass("reject");
+        Metrics.ServiceMetrics service = metrics.forService("");
+        Metrics.ClassMetrics check = service.forClass("check");
+        service.forClass("reject");
         for (int status : new int[] {200, 200, 429, 503, 400, 404, 405, 502, 504}) {
             check.onStarted();
             check.onAnswered(status);
@@ -20,10 +20,10 @@
         }
         check.onStarted();
         check.onStarted();
-        check.onEnded(); // its client went away
+        check.onEnded(); // its client disconnected
         check.onResponseTruncated();
-        own.onProviderCall();
-        own.setHosts(7, 2);
+        service.onProviderCall();
+        service.setHosts(7, 2);
         assertEquals(
                 "svc.success.check:2|c\nsvc.busy.check:2|c\nsvc.failure.check:6|c\n"
                         + "svc.success.reject:0|c\nsvc.busy.reject:0|c\nsvc.failure.reject:0|c\n"
@@ -45,7 +45,7 @@
                         + "svc.hosts_listed:7|g\nsvc.hosts_down:1|g\n",
                 metrics.render());
         invoices.setHosts(0, 0);
-        metrics.forService("invoices").forClass("check").onAnswered(200); // it has come back
+        metrics.forService("invoices").forClass("check").onAnswered(200); // the service has been added again
         assertEquals(
                 "svc.success.invoices.check:2|c\nsvc.busy.invoices.check:0|c\n"
                         + "svc.failure.invoices.check:0|c\nsvc.backend_calls:2|c\nsvc.inflight:0|g\n"
--- a/src/test/java/reedmux/gatekeeper/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/reedmux/gatekeeper/discovery/DiscoveryWatchTest.java
@@ -18,11 +18,11 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerListScope;
 import reedmux.gatekeeper.reducer.ProviderList;
 
-/** How long a call to discovery is waited for; no time passes here. */
+/** Tests the timeouts of calls to discovery, with timers that never expire. */
 final class DiscoveryWatchTest {
     private final List<Long> timeoutsMillis = new ArrayList<>();
 
-    /** Notes the limits that are set and lets none of them end a call. */
+    /** Records the delays of scheduled tasks and never runs the tasks, so that no call times out. */
     private final class RecordingTimers extends ScheduledThreadPoolExecutor {
         RecordingTimers() {
             super(1);
@@ -36,21 +36,22 @@
     }
 
     /**
-     * After a mass restart discovery took over a second, and calls given up after one stood last in turn
-     * again: three of six that started with a list of long before had it still seconds later.
+     * After many gatekeepers had restarted at the same time, discovery took more than a second to respond. Calls that
+     * timed out after one second went to the end of its queue again: three of six gatekeepers that had started with an
+     * outdated list still used it seconds later.
      */
     @Test
     void firstWatchWaitsAsLongAsTheFullList() {
         MonotonicClock clock = new MonotonicClock();
         RecordingTimers timers = new RecordingTimers();
-        UpstreamConnectionPool calls = new UpstreamConnectionPool(
+        UpstreamConnectionPool connectionPool = new UpstreamConnectionPool(
                 (host, remote, local, timeout, attachment, callback) -> new CompletableFuture<>(),
                 clock,
                 UpstreamConnectionPool.ConnectionPermits.fixed(4),
                 1_000_000);
         List<String> log = new ArrayList<>();
         try (DiscoveryWatch watch = new DiscoveryWatch(
-                new ProviderClient(calls, event -> {}, () -> {}),
+                new ProviderClient(connectionPool, event -> {}, () -> {}),
                 new InetSocketAddress("127.0.0.1", 9),
                 new ProviderListReader(List.of(), List.of(), clock),
                 new ProviderList(ServerListScope.CACHED, 0, List.of()),
@@ -63,7 +64,7 @@
         }
         assertEquals(1, timeoutsMillis.size());
         assertTrue(timeoutsMillis.get(0) >= 4_000, timeoutsMillis + "");
-        assertTrue(timeoutsMillis.get(0) <= 6_000, "by then all counts as told: " + timeoutsMillis);
+        assertTrue(timeoutsMillis.get(0) <= 6_000, "the first call takes too long to time out: " + timeoutsMillis);
         assertEquals(List.of(), log);
     }
 }
