--- a/src/main/java/reedmux/gatekeeper/admin/AdminCommands.java
+++ b/src/main/java/reedmux/gatekeeper/admin/AdminCommands.java
@@ -73,7 +73,7 @@
         return "+OK " + phase.name().toLowerCase(Locale.ROOT) + '\n';
     }
 
-    /** Formats the reply to a command that failed or is not known. */
+    /** Formats the reply to a command that cannot be executed. */
     public static String errorReply(String reason) {
         return "-ERR " + reason + '\n';
     }
--- a/src/main/java/reedmux/gatekeeper/admin/LifeCycle.java
+++ b/src/main/java/reedmux/gatekeeper/admin/LifeCycle.java
@@ -5,8 +5,8 @@
 /**
  * The life cycle of one gatekeeper: starting, serving, draining, leaving. Callers report events with the time in
  * microseconds of the process's clock, and query how clients and connections are to be handled in the current phase.
- * This class performs no I/O and starts no actions. Thread-safe, except that {@link #mayTerminate} is called only by the
- * event loop.
+ * This class performs no I/O and starts no actions. Thread-safe, except that {@link #mayTerminate} is called only by
+ * the event loop.
  */
 public final class LifeCycle {
 
--- a/src/main/java/reedmux/gatekeeper/admin/Metrics.java
+++ b/src/main/java/reedmux/gatekeeper/admin/Metrics.java
@@ -37,8 +37,8 @@
         }
 
         /**
-         * Counts a response. Status 200 counts as a success, 429 and 503 count as busy, and any other status counts as a
-         * failure.
+         * Counts a response. Status 200 counts as a success, 429 and 503 count as busy, and any other status counts as
+         * a failure.
          */
         public void onAnswered(int status) {
             (status == STATUS_OK
@@ -53,7 +53,7 @@
         }
 
         private long inFlight() {
-            long alreadyEnded = ended.sum(); // read before `started`, so that the difference is not negative
+            long alreadyEnded = ended.sum(); // read before the started requests, so that the difference is not negative
             return Math.max(0, started.sum() - alreadyEnded);
         }
     }
--- a/src/main/java/reedmux/gatekeeper/discovery/DiscoveryWatch.java
+++ b/src/main/java/reedmux/gatekeeper/discovery/DiscoveryWatch.java
@@ -15,10 +15,10 @@
 import reedmux.gatekeeper.reducer.ReducerEvent;
 
 /**
- * Keeps the list of providers up to date by long polling discovery: the first call requests the full list, the following
- * calls request changes. Each call is sent as soon as the previous one has been answered, because discovery forgets a
- * watcher after 200 ms. If the configuration contains a list, the first call requests the changes since its revision
- * instead. While discovery does not respond or its responses cannot be parsed, the last list stays in use.
+ * Keeps the list of providers up to date by long polling discovery: the first call requests the full list, the
+ * following calls request changes. Each call is sent as soon as the previous one has been answered, because discovery
+ * forgets a watcher after 200 ms. If the configuration contains a list, the first call requests the changes since its
+ * revision instead. While discovery does not respond or its responses cannot be parsed, the last list stays in use.
  *
  * <p>Calls complete on the I/O thread and time out on the timers' thread; the monitor guards the state.
  */
@@ -30,8 +30,8 @@
      */
     private static final long WATCH_WAIT_MILLIS = 2_000;
     /**
-     * How long discovery holds the first call, in milliseconds. After a restart of many gatekeepers, calls took more than
-     * 2 s; with a wait of 400 ms, a provider that was draining was still used. The value equals {@link
+     * How long discovery holds the first call, in milliseconds. After a restart of many gatekeepers, calls took more
+     * than 2 s; with a wait of 400 ms, a provider that was draining was still used. The value equals {@link
      * #FULL_LIST_TIMEOUT_MILLIS}.
      */
     private static final long FIRST_WATCH_WAIT_MILLIS = 4_000;
--- a/src/main/java/reedmux/gatekeeper/peer/PeerSocket.java
+++ b/src/main/java/reedmux/gatekeeper/peer/PeerSocket.java
@@ -77,7 +77,10 @@
         channel = opened;
     }
 
-    /** Closes the socket so that another process can bind the address. Nothing is sent or received until {@link #open}. */
+    /**
+     * Closes the socket so that another process can bind the address. Nothing is sent or received until the next {@link
+     * #open}.
+     */
     public void release() throws IOException {
         if (channel != null) {
             DatagramChannel closing = channel;
@@ -105,8 +108,8 @@
     }
 
     /**
-     * Passes the received datagrams to the handler. Datagrams from unknown addresses and datagrams that are too long are
-     * dropped and counted.
+     * Passes the received datagrams to the handler. Datagrams from unknown addresses and datagrams that are too long
+     * are dropped and counted.
      */
     @Override
     public void receive(GatekeeperLoop.PeerDatagramHandler handler) {
@@ -135,8 +138,8 @@
     }
 
     /**
-     * Sends a datagram to the peer with the given number, or to all peers if the number is -1. A datagram that cannot be
-     * sent is counted and discarded, since UDP may lose any datagram anyway.
+     * Sends a datagram to the peer with the given number, or to all peers if the number is -1. A datagram that cannot
+     * be sent is counted and discarded, since UDP may lose any datagram anyway.
      */
     public void send(int peer, byte[] bytes) {
         InetSocketAddress recipient = addressOf(peer);
--- a/src/main/java/reedmux/gatekeeper/routing/RouteTable.java
+++ b/src/main/java/reedmux/gatekeeper/routing/RouteTable.java
@@ -10,9 +10,9 @@
 
 /**
  * Maps a host and a path to a service. An exact host takes precedence over {@code *.} patterns, a longer pattern over a
- * shorter one, and {@code *} has the lowest precedence. Among the routes of the selected host, the longest matching path
- * prefix wins. If none of them matches, no service is found, even if a route for {@code *} would match: only the routes
- * of the selected host are considered.
+ * shorter one, and {@code *} has the lowest precedence. Among the routes of the selected host, the longest matching
+ * path prefix wins. If none of them matches, no service is found, even if a route for {@code *} would match: only the
+ * routes of the selected host are considered.
  *
  * <p>Immutable and thread-safe. A lookup reads the host from its end and the path from its beginning, each character
  * once. It looks up the FNV-1a hashes of host suffixes and path prefixes in two hash tables with open addressing, and
@@ -88,12 +88,12 @@
             validate(route);
             String pattern = hostPattern(route.host());
             idsByHost.putIfAbsent(pattern, idsByHost.size());
-            ServiceRoute duplicate = routesByKey.putIfAbsent(pattern + ' ' + withoutTrailingSlash(route.path()), route);
-            if (duplicate != null) {
+            ServiceRoute earlier = routesByKey.putIfAbsent(pattern + ' ' + withoutTrailingSlash(route.path()), route);
+            if (earlier != null) {
                 throw new InvalidRouteException(
                         route.line(),
                         "the route in line " + route.line()
-                                + " can never be reached: line " + duplicate.line() + " says the same of "
+                                + " can never be reached: line " + earlier.line() + " says the same of "
                                 + route.host() + route.path());
             }
             validRoutes.add(route);
@@ -137,8 +137,8 @@
     /**
      * Returns the service of a request, or {@link #NONE} or {@link #AMBIGUOUS}.
      *
-     * @param authority the value of the {@code Host} header, or null if there is none; such a request matches only routes
-     *                  for {@code *}
+     * @param authority the value of the {@code Host} header, or null if there is none; such a request matches only
+     *                  routes for {@code *}
      * @param target    the request target in origin form
      */
     public int find(String authority, String target) {
--- a/src/main/java/reedmux/gatekeeper/routing/UnambiguousPath.java
+++ b/src/main/java/reedmux/gatekeeper/routing/UnambiguousPath.java
@@ -1,9 +1,9 @@
 package reedmux.gatekeeper.routing;
 
 /**
- * Checks that a path has only one interpretation. If routes depend on paths, a path that the provider might normalize to
- * a different path must be rejected. Rejected are dot segments, plain or encoded, empty segments, encoded slashes and
- * backslashes, path parameters, backslashes, fragments, incomplete escapes, and escapes of characters that need no
+ * Checks that a path has only one interpretation. If routes depend on paths, a path that the provider might normalize
+ * to a different path must be rejected. Rejected are dot segments, plain or encoded, empty segments, encoded slashes
+ * and backslashes, path parameters, backslashes, fragments, incomplete escapes, and escapes of characters that need no
  * escaping.
  */
 public final class UnambiguousPath {
@@ -13,8 +13,8 @@
     private UnambiguousPath() {}
 
     /**
-     * Returns the end of the path in an origin-form target, which is the start of the query or the end of the target, or
-     * {@link #AMBIGUOUS}.
+     * Returns the end of the path in an origin-form target, which is the start of the query or the end of the target,
+     * or {@link #AMBIGUOUS}.
      */
     public static int pathEnd(String target) {
         if (target.isEmpty() || target.charAt(0) != '/') {
@@ -46,7 +46,10 @@
                 || to - from == 2 && target.charAt(from) == '.' && target.charAt(from + 1) == '.';
     }
 
-    /** Returns whether an escape represents a character that must be escaped and is not a separator or control character. */
+    /**
+     * Returns whether an escape represents a character that must be escaped and is not a separator or control
+     * character.
+     */
     private static boolean isNecessaryEscape(String target, int index) {
         if (index + 2 >= target.length()) {
             return false;
--- a/src/main/java/reedmux/gatekeeper/simulator/SimulatorMain.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/SimulatorMain.java
@@ -15,7 +15,9 @@
 
     private SimulatorMain() {}
 
-    /** Processes batches from standard input until it ends, writing replies to standard output. Returns the exit code. */
+    /**
+     * Processes batches from standard input until it ends, writing replies to standard output. Returns the exit code.
+     */
     public static int serveStandardStreams() {
         InputStreamReader in = new InputStreamReader(System.in, StandardCharsets.UTF_8);
         FileOutputStream out = new FileOutputStream(FileDescriptor.out);
--- a/src/main/java/reedmux/gatekeeper/simulator/SimulatorOptions.java
+++ b/src/main/java/reedmux/gatekeeper/simulator/SimulatorOptions.java
@@ -27,8 +27,8 @@
     /**
      * Parses the settings.
      *
-     * @throws SimulatorProtocolException if a setting is invalid or settings contradict each other; the message contains
-     *     the key
+     * @throws SimulatorProtocolException if a setting is invalid or settings contradict each other; the message
+     *     contains the key
      */
     PolicySettings readSettings() throws SimulatorProtocolException {
         try {
--- a/src/test/java/reedmux/gatekeeper/admin/LifeCycleTest.java
+++ b/src/test/java/reedmux/gatekeeper/admin/LifeCycleTest.java
@@ -10,7 +10,7 @@
 import org.junit.Test;
 import reedmux.gatekeeper.admin.LifeCycle.LifeCyclePhase;
 
-/** Tests the phases of the lifeCycle cycle for many orders of events. */
+/** Tests the phases of the life cycle for many orders of events. */
 public final class LifeCycleTest {
     private static final long START_MICROS = 5_000_000;
     private static final long MICROS_PER_MILLI = 1_000;
@@ -103,14 +103,14 @@
     @Test
     public void terminatesOnlyAfterTheFinalWriteGrace() {
         LifeCycle lifeCycle = lifeCycleAfter("ready leave");
-        long graceEnd = START_MICROS + 700 * MICROS_PER_MILLI;
-        assertFalse(lifeCycle.mayTerminate(graceEnd, 1, true));
-        assertFalse(lifeCycle.mayTerminate(graceEnd, 0, true));
-        assertFalse(lifeCycle.mayTerminate(graceEnd + 49 * MICROS_PER_MILLI, 0, true));
+        long afterGrace = START_MICROS + 700 * MICROS_PER_MILLI;
+        assertFalse(lifeCycle.mayTerminate(afterGrace, 1, true));
+        assertFalse(lifeCycle.mayTerminate(afterGrace, 0, true));
+        assertFalse(lifeCycle.mayTerminate(afterGrace + 49 * MICROS_PER_MILLI, 0, true));
         assertFalse(lifeCycle.mayTerminate(
-                graceEnd + 50 * MICROS_PER_MILLI, 1, true)); // another request has arrived in the meantime
-        assertFalse(lifeCycle.mayTerminate(graceEnd + 60 * MICROS_PER_MILLI, 0, true));
-        assertTrue(lifeCycle.mayTerminate(graceEnd + 110 * MICROS_PER_MILLI, 0, true));
+                afterGrace + 50 * MICROS_PER_MILLI, 1, true)); // another request has arrived in the meantime
+        assertFalse(lifeCycle.mayTerminate(afterGrace + 60 * MICROS_PER_MILLI, 0, true));
+        assertTrue(lifeCycle.mayTerminate(afterGrace + 110 * MICROS_PER_MILLI, 0, true));
     }
 
     @Test
--- a/src/test/java/reedmux/gatekeeper/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/reedmux/gatekeeper/discovery/DiscoveryWatchTest.java
@@ -36,9 +36,10 @@
     }
 
     /**
-     * After many gatekeepers had restarted at the same time, discovery took more than a second to respond. Calls that
-     * timed out after one second went to the end of its queue again: three of six gatekeepers that had started with an
-     * outdated list still used it seconds later.
+     * The first call for changes must wait as long as a call for the full list. After many gatekeepers had restarted at
+     * the same time, discovery took more than a second to respond. Calls that timed out after one second went to the
+     * end of its queue again: three of six gatekeepers that had started with an outdated list still used it seconds
+     * later.
      */
     @Test
     void firstWatchWaitsAsLongAsTheFullList() {
