--- a/src/main/java/reedmux/cli/CheckCommand.java
+++ b/src/main/java/reedmux/cli/CheckCommand.java
@@ -14,7 +14,7 @@
 /** Reads a settings file and says whether it can be used. */
 @Command(name = "check", description = "says whether a settings file can be used, or what is wrong")
 public final class CheckCommand implements Callable<Integer> {
-    private static final List<String> SOCKETS =
+    private static final List<String> SOCKET_KEYS =
             List.of(SettingKeys.FRONT_SOCKET, SettingKeys.READY_SOCKET, SettingKeys.CONTROL_SOCKET);
 
     @AirlineModule
@@ -30,9 +30,9 @@
         }
         ProcessSettings settings =
                 file == null ? ProcessSettings.fromEnvironment() : ProcessSettings.load(Path.of(file));
-        for (String socket : SOCKETS) {
-            if (settings.contains(socket)) {
-                settings.socketAddress(socket);
+        for (String socketKey : SOCKET_KEYS) {
+            if (settings.contains(socketKey)) {
+                settings.socketAddress(socketKey);
             }
         }
         System.out.println("ok: " + settings.node() + " in " + settings.zone());
--- a/src/main/java/reedmux/cli/ControlClient.java
+++ b/src/main/java/reedmux/cli/ControlClient.java
@@ -91,8 +91,8 @@
     ControlResponse call(String method, String target) throws IOException, InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         long backoff = FIRST_BACKOFF_MILLIS;
-        for (int i = 0; ; i++) {
-            String address = addresses.get(i % addresses.size());
+        for (int attempt = 0; ; attempt++) {
+            String address = addresses.get(attempt % addresses.size());
             String failure;
             try {
                 HttpResponse<String> received = send(method, URI.create("http://" + address + target), MAX_REDIRECTS);
@@ -109,15 +109,15 @@
             if (System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(backoff) > deadline) {
                 throw new IOException("no answer within " + timeoutMillis + " ms; the last: " + failure);
             }
-            if (i % addresses.size() == addresses.size() - 1) {
+            if (attempt % addresses.size() == addresses.size() - 1) {
                 TimeUnit.MILLISECONDS.sleep(backoff);
                 backoff = Math.min(MAX_BACKOFF_MILLIS, 2 * backoff);
             }
         }
     }
 
-    private HttpResponse<String> send(String method, URI to, int redirects) throws IOException, InterruptedException {
-        HttpRequest request = HttpRequest.newBuilder(to)
+    private HttpResponse<String> send(String method, URI uri, int redirects) throws IOException, InterruptedException {
+        HttpRequest request = HttpRequest.newBuilder(uri)
                 .version(HttpClient.Version.HTTP_1_1)
                 .timeout(Duration.ofSeconds(2))
                 .method(method, HttpRequest.BodyPublishers.noBody())
@@ -126,14 +126,14 @@
         if (response.statusCode() != 307 || redirects == 0) {
             return response;
         }
-        URI next;
+        URI redirectTarget;
         try {
-            next = to.resolve(response.headers()
+            redirectTarget = uri.resolve(response.headers()
                     .firstValue("Location")
                     .orElseThrow(() -> new IOException("307 without Location")));
         } catch (IllegalArgumentException e) {
             throw new IOException("307 with a Location that cannot be read: " + e.getMessage(), e);
         }
-        return send(method, next, redirects - 1);
+        return send(method, redirectTarget, redirects - 1);
     }
 }
--- a/src/main/java/reedmux/cli/GatekeeperProcess.java
+++ b/src/main/java/reedmux/cli/GatekeeperProcess.java
@@ -74,14 +74,14 @@
     /** Whether another process of this gatekeeper was running when this one started. */
     private final boolean replacesRunningProcess;
 
-    private volatile boolean failed;
+    private volatile boolean takeoverFailed;
     private volatile boolean warmedUp = true;
     private volatile ConnectionAcceptor acceptor;
     private volatile SocketAddress listenAddress;
     private boolean accepting = true;
     private long firstEndpointListMillis;
-    private long exchangedAt;
-    private long sweptAt;
+    private long lastUsageExchangeAt;
+    private long lastSweepAt;
 
     /** A gatekeeper without settings of the operators and without a hand-over. */
     public GatekeeperProcess(GatekeeperConfig config, MonotonicClock clock, Consumer<String> log) throws IOException {
@@ -131,7 +131,7 @@
     private ServiceManager newServices(LoadedConfiguration loaded, int consumerConnections) {
         int providerDescriptors = (int) (config.maxDescriptors() * PROVIDERS_SHARE);
         return new ServiceManager(
-                loaded.services().sharing(consumerConnections, MAX_BUFFERED_BYTES, providerDescriptors),
+                loaded.services().sharedCapacity(consumerConnections, MAX_BUFFERED_BYTES, providerDescriptors),
                 clock,
                 peers,
                 peers,
@@ -179,9 +179,9 @@
                 awaitFirstEndpointList();
                 startServing();
             } else if (warmedUp) { // else the warm-up's thread takes over once it is done
-                Thread takeOver = new Thread(this::takeOver, "reedmux-take-over");
-                takeOver.setDaemon(true);
-                takeOver.start();
+                Thread takeoverThread = new Thread(this::takeOverFromPredecessor, "reedmux-take-over");
+                takeoverThread.setDaemon(true);
+                takeoverThread.start();
             }
             services.eventLoop().run(services.loopTasks(), this::afterTurn);
             log.accept("ended; datagrams dropped " + peers.droppedCount() + ", not sent " + peers.unsentCount());
@@ -275,22 +275,22 @@
      * Starts a thread that warms up the process after {@code first}. Until it is done the gatekeeper serves, but does
      * not call itself ready. To be called before {@link #run}.
      */
-    Thread warmUpAfter(InterruptibleTask first) {
+    Thread warmUpAfter(InterruptibleTask precedingTask) {
         warmedUp = false;
-        Thread thread = new Thread(() -> warmUp(first), "reedmux-warm-up");
+        Thread thread = new Thread(() -> warmUp(precedingTask), "reedmux-warm-up");
         thread.setDaemon(true);
         thread.start();
         return thread;
     }
 
-    private void warmUp(InterruptibleTask first) {
+    private void warmUp(InterruptibleTask precedingTask) {
         WarmUp warmUp = new WarmUp(
                 config,
                 clock,
                 log,
                 () -> replacesRunningProcess || services.defaultService().restartDetected());
         try {
-            first.run();
+            precedingTask.run();
             discoveryQueried.await(); // CPU that the warm-up takes earlier would delay the first endpoint list
             if (replacesRunningProcess) {
                 warmUpOnPrivatePort(warmUp);
@@ -304,7 +304,7 @@
         } finally {
             warmedUp = true;
             if (replacesRunningProcess) {
-                takeOver();
+                takeOverFromPredecessor();
             } else if (serving) {
                 markReady();
             }
@@ -319,13 +319,13 @@
                 reactor,
                 consumers.connectionPermits(),
                 log)) {
-            InetSocketAddress own = (InetSocketAddress) privateAcceptor.address();
-            warmUp.run(services.defaultService().client(), millis -> own);
+            InetSocketAddress privateAddress = (InetSocketAddress) privateAcceptor.address();
+            warmUp.run(services.defaultService().client(), millis -> privateAddress);
         }
     }
 
     /** Takes over the other process's counts, or starts beside it without them where that fails. */
-    private void takeOver() {
+    private void takeOverFromPredecessor() {
         try {
             awaitFirstEndpointList(); // the other process serves meanwhile
             if (!handover.takeOverCounts()) {
@@ -334,7 +334,7 @@
             startServing();
         } catch (IOException e) {
             log.accept(e.getMessage());
-            failed = true;
+            takeoverFailed = true;
             services.eventLoop().wake();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -343,15 +343,15 @@
 
     /** What the event loop calls after each turn; returns when it is to be called again, in microseconds. */
     private long afterTurn(long now) {
-        if (failed) {
+        if (takeoverFailed) {
             throw new IllegalStateException("cannot take the place of the process that runs");
         }
-        if (handover != null && handover.isExchangingUsage() && now - exchangedAt >= EXCHANGE_INTERVAL_MICROS) {
-            exchangedAt = now;
+        if (handover != null && handover.isExchangingUsage() && now - lastUsageExchangeAt >= EXCHANGE_INTERVAL_MICROS) {
+            lastUsageExchangeAt = now;
             handover.sendUsage();
         }
-        if (now - sweptAt >= SWEEP_INTERVAL_MICROS) {
-            sweptAt = now;
+        if (now - lastSweepAt >= SWEEP_INTERVAL_MICROS) {
+            lastSweepAt = now;
             sweep(now);
         }
         if (lifeCycle.phase() != LifeCycle.LifeCyclePhase.LEAVING) {
@@ -386,8 +386,8 @@
 
     private long nextSweepAt() {
         return handover != null && handover.isExchangingUsage()
-                ? exchangedAt + EXCHANGE_INTERVAL_MICROS
-                : sweptAt + SWEEP_INTERVAL_MICROS;
+                ? lastUsageExchangeAt + EXCHANGE_INTERVAL_MICROS
+                : lastSweepAt + SWEEP_INTERVAL_MICROS;
     }
 
     private void stopListening() {
--- a/src/main/java/reedmux/cli/HandoverCallbacks.java
+++ b/src/main/java/reedmux/cli/HandoverCallbacks.java
@@ -52,8 +52,8 @@
         }
         List<HandoverFrame.ServiceSnapshot> snapshots = new ArrayList<>();
         Map<String, HandoverCounts> counts = services.handoverCounts();
-        counts.forEach((name, each) -> snapshots.add(new HandoverFrame.ServiceSnapshot(
-                name, each.snapshot(clock.now()), snapshots.size() == counts.size() - 1)));
+        counts.forEach((name, serviceCounts) -> snapshots.add(new HandoverFrame.ServiceSnapshot(
+                name, serviceCounts.snapshot(clock.now()), snapshots.size() == counts.size() - 1)));
         return snapshots;
     }
 
@@ -61,9 +61,9 @@
     public void restoreAndOpen(List<HandoverFrame.ServiceSnapshot> snapshots) {
         Map<String, HandoverCounts> counts = services.handoverCounts();
         for (HandoverFrame.ServiceSnapshot snapshot : snapshots) {
-            HandoverCounts restored = counts.get(snapshot.service());
-            if (restored != null) {
-                restored.restore(clock.now(), snapshot.accounts());
+            HandoverCounts serviceCounts = counts.get(snapshot.service());
+            if (serviceCounts != null) {
+                serviceCounts.restore(clock.now(), snapshot.accounts());
             }
         }
         openPeerSocket();
@@ -90,27 +90,27 @@
     }
 
     @Override
-    public void onOtherProcessDisconnected(boolean elder) {
+    public void onOtherProcessDisconnected(boolean wasSuccessor) {
         services.handoverCounts().values().forEach(HandoverCounts::endSharing);
-        if (elder) {
+        if (wasSuccessor) {
             openPeerSocket();
         }
     }
 
     @Override
-    public void setSuccessorServing(boolean succeeded) {
-        lifeCycle.setSuccessor(succeeded);
+    public void setSuccessorServing(boolean serving) {
+        lifeCycle.setSuccessor(serving);
     }
 
     /** Opens the peers' socket, or leaves it to {@link #retryPeerSocket} while the other process has it. */
     void openPeerSocket() {
-        boolean retried = peerSocketPending;
+        boolean isRetry = peerSocketPending;
         peerSocketPending = false;
         try {
             peers.open();
         } catch (IOException e) {
             peerSocketPending = true;
-            if (!retried) {
+            if (!isRetry) {
                 log.accept("hand-over: the peers' socket is not free yet: " + e.getMessage());
             }
         }
--- a/src/main/java/reedmux/cli/LabCommand.java
+++ b/src/main/java/reedmux/cli/LabCommand.java
@@ -18,10 +18,10 @@
     private String seeds = "1..20";
 
     @Option(name = "--out", metaVar = "FOLDER", usage = "also keep the table there, as Markdown and CSV")
-    private Path out;
+    private Path outputFolder;
 
     @Option(name = "--jar", metaVar = "JAR", usage = "for cost: the build to measure, else this one")
-    private Path jar;
+    private Path measuredJar;
 
     @Option(name = "--vs", metaVar = "JAR", usage = "for cost: the build to compare with, else this one")
     private Path comparedJar;
@@ -33,7 +33,7 @@
     int run() throws IOException, InterruptedException {
         SeedRange range = SeedRange.parse(seeds);
         if (action.equals("list")) {
-            Scenarios.descriptions().forEach((name, shows) -> System.out.printf("%-16s %s%n", name, shows));
+            Scenarios.descriptions().forEach((name, description) -> System.out.printf("%-16s %s%n", name, description));
             return ExitCode.OK;
         } else if (!action.equals("run")) {
             return usageError("lab does not know '" + action + "': run or list");
@@ -48,8 +48,9 @@
         }
         return Scenarios.run(
                         scene,
-                        new Scenarios.ScenarioOptions(range.first(), range.last(), jar, comparedJar, largestSize, out),
-                        out,
+                        new Scenarios.ScenarioOptions(
+                                range.first(), range.last(), measuredJar, comparedJar, largestSize, outputFolder),
+                        outputFolder,
                         System.out,
                         line -> System.err.println("lab: " + line))
                 ? ExitCode.OK
--- a/src/main/java/reedmux/cli/Main.java
+++ b/src/main/java/reedmux/cli/Main.java
@@ -101,7 +101,7 @@
 
     private static String usage() {
         StringBuilder text = new StringBuilder("usage: reedmux COMMAND [OPTION ...]\n");
-        COMMANDS.forEach((name, what) -> text.append(String.format("  %-13s %s%n", name, what)));
+        COMMANDS.forEach((name, description) -> text.append(String.format("  %-13s %s%n", name, description)));
         text.append("  proxy, registry, store, check\n                the programs of the whole system\n");
         return text.append("reedmux COMMAND --help tells a command's options").toString();
     }
@@ -132,9 +132,9 @@
          * Discovery's first list came within 0.28 to 0.43 s on a third of a core (171 starts of one mass
          * restart); a silent discovery must not keep us away for longer than the warm-up does at a restart.
          */
-        private static final long FIRST_ENDPOINT_LIST_MILLIS = 2_000;
+        private static final long FIRST_ENDPOINT_LIST_TIMEOUT_MILLIS = 2_000;
         /** Where discovery is asked nothing counts as told before its answer: an old list is only worse. */
-        private static final long FIRST_ANSWER_MILLIS = 1_000;
+        private static final long FIRST_DISCOVERY_RESPONSE_TIMEOUT_MILLIS = 1_000;
 
         @Option(
                 name = "--settings",
@@ -146,29 +146,31 @@
         int run() throws IOException, InterruptedException {
             MonotonicClock clock = new MonotonicClock();
             LoadedConfiguration loaded = loadOrExit(System.getenv(), settings, clock);
-            GatekeeperProcess node = new GatekeeperProcess(
+            GatekeeperProcess gatekeeper = new GatekeeperProcess(
                     loaded,
                     clock,
                     line -> System.err.println("reedmux: " + line),
                     handoverSocket(System.getenv(), loaded.config()));
             // Set before anything is ready: without a handler SIGHUP ends the program.
-            onHangUp(() -> node.reload(() -> LoadedConfiguration.reload(System.getenv(), settings, clock)));
+            onHangupSignal(() -> gatekeeper.reload(() -> LoadedConfiguration.reload(System.getenv(), settings, clock)));
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(
                             () -> {
-                                node.beginShutdown();
+                                gatekeeper.beginShutdown();
                                 try {
-                                    node.awaitEnd(MAX_SHUTDOWN_MILLIS);
+                                    gatekeeper.awaitEnd(MAX_SHUTDOWN_MILLIS);
                                 } catch (InterruptedException e) {
                                     Thread.currentThread().interrupt();
                                 }
                             },
                             "reedmux-leave"));
-            node.setFirstEndpointListTimeout(
-                    loaded.config().settings().pollsDiscovery() ? FIRST_ANSWER_MILLIS : FIRST_ENDPOINT_LIST_MILLIS);
-            node.warmUpAfter(() -> {});
+            gatekeeper.setFirstEndpointListTimeout(
+                    loaded.config().settings().pollsDiscovery()
+                            ? FIRST_DISCOVERY_RESPONSE_TIMEOUT_MILLIS
+                            : FIRST_ENDPOINT_LIST_TIMEOUT_MILLIS);
+            gatekeeper.warmUpAfter(() -> {});
             try {
-                node.run();
+                gatekeeper.run();
             } catch (IOException | IllegalStateException e) {
                 System.err.println("reedmux: " + e.getMessage());
                 return 1;
@@ -179,11 +181,11 @@
 
     /** Where processes of this gatekeeper meet; null without a door, at which an upgrade says its yes. */
     private static Path handoverSocket(Map<String, String> environment, GatekeeperConfig config) {
-        String folder = environment.get("TMPDIR");
-        return folder == null || folder.isBlank() || config.adminListen() == null
+        String temporaryFolder = environment.get("TMPDIR");
+        return temporaryFolder == null || temporaryFolder.isBlank() || config.adminListen() == null
                 ? null
                 : HandoverConnection.socketPath(
-                        Path.of(folder),
+                        Path.of(temporaryFolder),
                         config.name(),
                         config.listen().getAddress().getHostAddress()
                                 + '-'
@@ -191,7 +193,7 @@
     }
 
     /** Runs this at each SIGHUP, on a thread of its own. */
-    static void onHangUp(Runnable task) {
+    static void onHangupSignal(Runnable task) {
         Signals.handle("HUP", task, line -> System.err.println("reedmux: " + line));
     }
 
--- a/src/main/java/reedmux/cli/ProgramCommand.java
+++ b/src/main/java/reedmux/cli/ProgramCommand.java
@@ -41,10 +41,10 @@
     }
 
     /** Runs a start and some service, so that the class archive holds what both load. */
-    void rehearse(ProcessSettings settings, long lengthMicros) throws ProcessSettingsException, IOException {
+    void rehearse(ProcessSettings settings, long durationMicros) throws ProcessSettingsException, IOException {
         System.getenv(ProcessSettings.ENVIRONMENT_VARIABLE);
         Reactor reactor = newReactor(settings);
-        reactor.scheduleAfter(lengthMicros, reactor::stop);
+        reactor.scheduleAfter(durationMicros, reactor::stop);
         serve(settings, reactor);
     }
 
@@ -54,18 +54,18 @@
     }
 
     private void serve(ProcessSettings settings, Reactor reactor) throws ProcessSettingsException, IOException {
-        RunningProgram running = new RunningProgram(reactor, Path.of(settings.file()));
-        running.handleSignals();
+        RunningProgram runningProgram = new RunningProgram(reactor, Path.of(settings.file()));
+        runningProgram.handleSignals();
         reactor.info("begins");
-        running.program = start(settings, reactor);
+        runningProgram.program = start(settings, reactor);
         reactor.info("listens");
-        Path file = running.file;
-        FileTime[] lastSeen = {lastModified(file)};
+        Path file = runningProgram.file;
+        FileTime[] lastKnownModified = {lastModified(file)};
         reactor.scheduleEvery(SETTINGS_CHECK_INTERVAL_MICROS, () -> {
             FileTime now = lastModified(file);
-            if (now != null && !now.equals(lastSeen[0])) {
-                lastSeen[0] = now;
-                running.reload();
+            if (now != null && !now.equals(lastKnownModified[0])) {
+                lastKnownModified[0] = now;
+                runningProgram.reload();
             }
         });
         reactor.run();
--- a/src/main/java/reedmux/cli/RegionConnector.java
+++ b/src/main/java/reedmux/cli/RegionConnector.java
@@ -40,7 +40,7 @@
     private final Consumer<String> log;
     private final ConsumerServer server;
     private final RegionCoordinator coordinator;
-    private UpstreamConnectionPool httpClient;
+    private UpstreamConnectionPool connectionPool;
     private RegionClient regionClient;
     private ConnectionAcceptor acceptor;
     private volatile int port = -1;
@@ -53,12 +53,15 @@
             MonotonicClock clock,
             Consumer<ReducerEvent> events,
             BooleanSupplier ready,
-            LifeCycle life,
+            LifeCycle lifeCycle,
             Consumer<String> log) {
         this.settings = settings;
         this.log = log;
         server = new ConsumerServer(
-                new RegionFrontend(config.settings(), clock, events), ready, life, settings.maxInboundConnections());
+                new RegionFrontend(config.settings(), clock, events),
+                ready,
+                lifeCycle,
+                settings.maxInboundConnections());
         coordinator = new RegionCoordinator(
                 new FailoverPolicy(settings.rules(), config.settings().groupSize(), clock.now(), config.seed()),
                 settings.gateways(),
@@ -73,13 +76,13 @@
             GatekeeperConfig config,
             MonotonicClock clock,
             Consumer<ReducerEvent> events) {
-        httpClient = new UpstreamConnectionPool(
+        connectionPool = new UpstreamConnectionPool(
                 reactor,
                 clock,
                 UpstreamConnectionPool.ConnectionPermits.fixed(settings.maxOutboundConnections()),
                 MAX_IDLE_MICROS);
         regionClient = new RegionClient(
-                httpClient, events, config.settings(), settings.rules().name());
+                connectionPool, events, config.settings(), settings.rules().name());
     }
 
     /**
@@ -122,28 +125,29 @@
     /**
      * The event by which the reducer takes up changed settings. What takes a restart is logged.
      *
-     * @param now the new settings, or null if the operators have removed the region
+     * @param newSettings the new settings, or null if the operators have removed the region
      */
-    ReducerEvent reload(RegionSettings now) {
-        if (now == null) {
+    ReducerEvent reload(RegionSettings newSettings) {
+        if (newSettings == null) {
             // Forwarded requests still come back; nothing more is forwarded or accepted. The acceptor stays open.
             return new ReducerEvent.RegionRulesUpdated(
                     new FailoverRules(
                             settings.rules().name(), Set.of(), settings.rules().remoteLimits(), null),
                     Map.of());
         }
-        if (!settings.keysRequiringRestart(now).isEmpty()) {
-            log.accept("settings: a change takes a restart: " + String.join(", ", settings.keysRequiringRestart(now)));
+        if (!settings.keysRequiringRestart(newSettings).isEmpty()) {
+            log.accept("settings: a change takes a restart: "
+                    + String.join(", ", settings.keysRequiringRestart(newSettings)));
         }
-        FailoverRules rules = now.rules();
+        FailoverRules rules = newSettings.rules();
         return new ReducerEvent.RegionRulesUpdated(
                 new FailoverRules(settings.rules().name(), rules.acceptsFrom(), rules.remoteLimits(), rules.target()),
-                now.gateways());
+                newSettings.gateways());
     }
 
     /** Closes idle connections and reports the counts; on the reducer's thread. */
     void sweep(long now) {
-        httpClient.sweep();
+        connectionPool.sweep();
         server.sweep();
         if (now - lastReportAt >= REPORT_INTERVAL_MICROS) {
             lastReportAt = now;
--- a/src/main/java/reedmux/cli/RehearseCommand.java
+++ b/src/main/java/reedmux/cli/RehearseCommand.java
@@ -27,17 +27,19 @@
             return ExitCode.OK;
         }
         try (LoopbackGateway gateway = new LoopbackGateway(LOOPBACK_NETWORK, PROXIES, CHECKERS)) {
-            int applied = gateway.changeConfiguration(LoopbackGateway.INITIAL_CONFIGURATION)
+            int applyStatus = gateway.changeConfiguration(LoopbackGateway.INITIAL_CONFIGURATION)
                     .status();
             boolean ready = gateway.awaitReady(READY_TIMEOUT_MILLIS);
             int served = sendRequests(gateway);
-            int read = gateway.readConfiguration().status();
+            int readStatus = gateway.readConfiguration().status();
             new StoreCommand().rehearse(gateway.spareSettings("store"), PROGRAM_RUN_MICROS);
             new RegistryCommand().rehearse(gateway.spareSettings("registry"), PROGRAM_RUN_MICROS);
             new ProxyCommand().rehearse(gateway.spareSettings("proxy"), PROGRAM_RUN_MICROS);
-            System.out.println("first items " + applied + ", proxies " + (ready ? "" : "not ") + "ready, " + served
-                    + " of " + REQUESTS + " requests served, items read " + read);
-            return applied == 200 && ready && served == REQUESTS && read == 200 ? ExitCode.OK : ExitCode.FAILED;
+            System.out.println("first items " + applyStatus + ", proxies " + (ready ? "" : "not ") + "ready, " + served
+                    + " of " + REQUESTS + " requests served, items read " + readStatus);
+            return applyStatus == 200 && ready && served == REQUESTS && readStatus == 200
+                    ? ExitCode.OK
+                    : ExitCode.FAILED;
         }
     }
 
--- a/src/main/java/reedmux/cli/SelfCheckCommand.java
+++ b/src/main/java/reedmux/cli/SelfCheckCommand.java
@@ -32,13 +32,13 @@
             throw new IllegalStateException("the sample configuration is at fault: " + e.getMessage(), e);
         }
         Path folder = Files.createTempDirectory("reedmux");
-        try (GatekeeperProcess node = new GatekeeperProcess(
+        try (GatekeeperProcess gatekeeper = new GatekeeperProcess(
                 LoadedConfiguration.platformOnly(config), clock, line -> {}, folder.resolve("s"))) {
-            node.warmUpAfter(() -> {});
-            Thread asking = new Thread(() -> sendRequest(node), "reedmux-self-check");
-            asking.start();
-            node.run();
-            asking.join();
+            gatekeeper.warmUpAfter(() -> {});
+            Thread requestThread = new Thread(() -> sendRequest(gatekeeper), "reedmux-self-check");
+            requestThread.start();
+            gatekeeper.run();
+            requestThread.join();
         }
         Files.deleteIfExists(folder);
         return (responseStatus == 429 || responseStatus == 503) && adminResponseBytes > 0 ? 0 : 1;
@@ -47,9 +47,9 @@
     private volatile int responseStatus;
     private volatile int adminResponseBytes;
 
-    private void sendRequest(GatekeeperProcess node) {
+    private void sendRequest(GatekeeperProcess gatekeeper) {
         try {
-            InetSocketAddress address = (InetSocketAddress) node.awaitListening();
+            InetSocketAddress address = (InetSocketAddress) gatekeeper.awaitListening();
             HttpURLConnection request = (HttpURLConnection)
                     new URL("http", address.getHostString(), address.getPort(), "/check").openConnection();
             request.setRequestProperty("X-Trace-Id", "0000000000000001");
@@ -58,11 +58,12 @@
             request.setRequestProperty("X-Expires-In-Ms", "1000");
             request.setRequestProperty("X-Quota", "units=1,spread=1,first=0");
             responseStatus = request.getResponseCode();
-            for (String call : List.of("check", "vars")) {
-                try (Socket door = new Socket(
-                        node.adminAddress().getAddress(), node.adminAddress().getPort())) {
-                    door.getOutputStream().write((call + '\n').getBytes(StandardCharsets.US_ASCII));
-                    adminResponseBytes += door.getInputStream().readAllBytes().length;
+            for (String adminCommand : List.of("check", "vars")) {
+                try (Socket socket = new Socket(
+                        gatekeeper.adminAddress().getAddress(),
+                        gatekeeper.adminAddress().getPort())) {
+                    socket.getOutputStream().write((adminCommand + '\n').getBytes(StandardCharsets.US_ASCII));
+                    adminResponseBytes += socket.getInputStream().readAllBytes().length;
                 }
             }
             System.out.println(
@@ -70,7 +71,7 @@
         } catch (IOException | InterruptedException e) {
             System.out.println("not answered: " + e.getMessage());
         } finally {
-            node.beginShutdown();
+            gatekeeper.beginShutdown();
         }
     }
 }
--- a/src/main/java/reedmux/cli/ServiceCatalog.java
+++ b/src/main/java/reedmux/cli/ServiceCatalog.java
@@ -49,7 +49,7 @@
         for (ServicesSettings.ServiceSettings settings : services.services()) {
             setups.add(new ServiceSetup(
                     settings.name(),
-                    service(config, settings, folder, clock),
+                    serviceConfig(config, settings, folder, clock),
                     settings.weight(),
                     settings.maxQueued(),
                     new AdmissionLimits(
@@ -60,7 +60,7 @@
         return new ServiceCatalog(setups, services.routes(), services.sharing());
     }
 
-    private static ServiceConfig service(
+    private static ServiceConfig serviceConfig(
             GatekeeperConfig config, ServicesSettings.ServiceSettings settings, Path folder, MonotonicClock clock)
             throws ConfigException {
         if (settings.name().equals(ServicesSettings.DEFAULT_SERVICE)) {
@@ -69,19 +69,19 @@
             return config.service(settings.discovery());
         }
         Path file = folder.resolve(settings.config());
-        String position =
+        String errorPrefix =
                 "service." + settings.name() + " in line " + settings.position().line() + ": " + file + ": ";
         try {
             return config.service(Files.readAllBytes(file), settings.discovery(), clock);
         } catch (IOException e) {
-            throw new ConfigException(position + "cannot be read: " + e);
+            throw new ConfigException(errorPrefix + "cannot be read: " + e);
         } catch (ConfigException e) {
-            throw new ConfigException(position + e.getMessage());
+            throw new ConfigException(errorPrefix + e.getMessage());
         }
     }
 
     /** The limits that all services share; the arguments apply where none is set. */
-    ServiceManager.SharedCapacity sharing(int inFlight, long bytes, int descriptors) {
+    ServiceManager.SharedCapacity sharedCapacity(int inFlight, long bytes, int descriptors) {
         return new ServiceManager.SharedCapacity(
                 configuredSharing.maxInFlight() == 0 ? inFlight : configuredSharing.maxInFlight(),
                 configuredSharing.maxBufferedBytes() == 0 ? bytes : configuredSharing.maxBufferedBytes(),
--- a/src/main/java/reedmux/cli/SoakCommand.java
+++ b/src/main/java/reedmux/cli/SoakCommand.java
@@ -32,7 +32,7 @@
     private String seeds = "1..5";
 
     @Option(name = "--seconds", title = "N", description = "for which faults are injected in each run")
-    private int seconds = 20;
+    private int durationSeconds = 20;
 
     @Option(name = "--proxies", title = "N", description = "proxies, spread over three zones")
     private int proxies = 5;
@@ -56,7 +56,7 @@
     private int rate = 60;
 
     @Option(name = "--throttle", title = "MS", description = "how long a proxy stands still in each 100 ms, at most")
-    private int throttle;
+    private int throttleMillis;
 
     @Option(name = "--keep", title = "DIR", description = "keeps settings, disks and logs of runs that fail there")
     private String keep;
@@ -75,7 +75,16 @@
         int failed = 0;
         for (long seed = range.first(); seed <= range.last(); seed++) {
             failed += run(new SoakOptions(
-                            seed, seconds, proxies, cores, checkers, clients, leaving, tenants, rate, throttle))
+                            seed,
+                            durationSeconds,
+                            proxies,
+                            cores,
+                            checkers,
+                            clients,
+                            leaving,
+                            tenants,
+                            rate,
+                            throttleMillis))
                     ? 0
                     : 1;
         }
@@ -84,8 +93,13 @@
     }
 
     private boolean isValid() {
-        boolean anyOfAll = seconds > 0 && proxies > 0 && checkers > 0 && clients > 0 && tenants > 0 && rate > 0;
-        return anyOfAll && cores >= MIN_CORES && leaving >= 0 && throttle >= 0 && throttle < MAX_THROTTLE_MILLIS;
+        boolean allPositive =
+                durationSeconds > 0 && proxies > 0 && checkers > 0 && clients > 0 && tenants > 0 && rate > 0;
+        return allPositive
+                && cores >= MIN_CORES
+                && leaving >= 0
+                && throttleMillis >= 0
+                && throttleMillis < MAX_THROTTLE_MILLIS;
     }
 
     private boolean run(SoakOptions options) throws IOException, InterruptedException {
--- a/src/main/java/reedmux/cli/WarmUp.java
+++ b/src/main/java/reedmux/cli/WarmUp.java
@@ -43,7 +43,7 @@
 public final class WarmUp {
     private static final int ROUNDS = 600;
     /** How many rounds of one kind are run before it is the other kind's turn. */
-    private static final int ROUNDS_PER_TURN = 50;
+    private static final int ROUNDS_PER_BATCH = 50;
 
     private static final int MAX_CONCURRENT_REQUESTS = 4;
     /**
@@ -97,52 +97,52 @@
      * Runs all rounds, or as many as the time limit allows. Decisions need no socket, so they go first while
      * discovery's first list is awaited, before which nobody can connect.
      */
-    void run(ProviderClient client, OwnAddress self) throws InterruptedException {
+    void run(ProviderClient client, OwnAddress ownAddress) throws InterruptedException {
         startNanos = System.nanoTime();
-        PracticePair practice = new PracticePair();
+        WarmUpGatekeeperPair gatekeepers = new WarmUpGatekeeperPair();
         int decided = 0;
         int requested = 0;
-        while ((decided < ROUNDS || requested < ROUNDS) && !isTimeUp()) {
-            InetSocketAddress here = self.awaitMillis(decided < ROUNDS ? 0 : POLL_INTERVAL_MILLIS);
-            if (here != null && requested < ROUNDS && (requested < decided || decided == ROUNDS)) {
-                requested += requestOwnHealth(client, here);
+        while ((decided < ROUNDS || requested < ROUNDS) && !isTimeLimitReached()) {
+            InetSocketAddress address = ownAddress.awaitMillis(decided < ROUNDS ? 0 : POLL_INTERVAL_MILLIS);
+            if (address != null && requested < ROUNDS && (requested < decided || decided == ROUNDS)) {
+                requested += sendHealthRequests(client, address);
             } else if (decided < ROUNDS) {
-                decided += practice.decisions(decided);
+                decided += gatekeepers.runDecisions(decided);
             }
         }
         log.accept("warmed up with " + decided + " decisions and " + requested + " requests to itself");
     }
 
-    private boolean isTimeUp() {
+    private boolean isTimeLimitReached() {
         return System.nanoTime() - startNanos
                 > (restarted.getAsBoolean() ? TIME_LIMIT_AT_RESTART_NANOS : TIME_LIMIT_NANOS);
     }
 
     /** Requests the own health with no, short and long bodies, the first ones over new connections. */
-    private int requestOwnHealth(ProviderClient client, InetSocketAddress self) throws InterruptedException {
-        Semaphore free = new Semaphore(MAX_CONCURRENT_REQUESTS);
-        client.closeIdle(self);
+    private int sendHealthRequests(ProviderClient client, InetSocketAddress address) throws InterruptedException {
+        Semaphore permits = new Semaphore(MAX_CONCURRENT_REQUESTS);
+        client.closeIdle(address);
         int i = 0;
-        for (; i < ROUNDS_PER_TURN && !isTimeUp(); i++) {
-            if (!free.tryAcquire(REQUEST_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
+        for (; i < ROUNDS_PER_BATCH && !isTimeLimitReached(); i++) {
+            if (!permits.tryAcquire(REQUEST_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
                 return i; // it hangs; consumers must not wait for it
             }
             if (i % LONG_BODY_INTERVAL == 0) {
-                client.sendStreamed(self, "/healthz", LONG_BODY, result -> free.release());
+                client.sendStreamed(address, "/healthz", LONG_BODY, result -> permits.release());
             } else {
-                client.send(self, "/healthz", i % 2 == 0 ? BODY : new byte[0], result -> free.release());
+                client.send(address, "/healthz", i % 2 == 0 ? BODY : new byte[0], result -> permits.release());
             }
         }
         return i;
     }
 
     /** A reducer whose calls and datagrams are collected instead of sent. */
-    private final class PracticeGatekeeper implements ReducerEffects {
+    private final class WarmUpGatekeeper implements ReducerEffects {
         private final Reducer reducer;
         private final Deque<UpstreamCall> pendingCalls = new ArrayDeque<>();
         private final List<byte[]> datagrams = new ArrayList<>();
 
-        PracticeGatekeeper(long seed) {
+        WarmUpGatekeeper(long seed) {
             reducer =
                     new Reducer(new GatekeeperPolicy(config.settings(), seed), 1, config.connectTimeoutMicros(), this);
         }
@@ -156,7 +156,7 @@
         }
 
         @Override
-        public void startForwardedCall(UpstreamCall call, ForwardedRequest departure) {}
+        public void startForwardedCall(UpstreamCall call, ForwardedRequest request) {}
 
         @Override
         public void abortConnecting(UpstreamCall call) {}
@@ -168,7 +168,7 @@
         public void abortCall(UpstreamCall call) {}
 
         @Override
-        public void checkHealth(String provider, InetSocketAddress address, long askedAt) {}
+        public void checkHealth(String provider, InetSocketAddress address, long sentAt) {}
 
         @Override
         public void closeIdleConnections(String provider, InetSocketAddress address) {}
@@ -185,73 +185,74 @@
     }
 
     /** Two reducers that process requests, responses and each other's datagrams, on a clock of their own. */
-    private final class PracticePair {
-        private final PracticeGatekeeper here = new PracticeGatekeeper(1);
-        private final PracticeGatekeeper there = new PracticeGatekeeper(2);
-        private final ServiceFrontend reader =
+    private final class WarmUpGatekeeperPair {
+        private final WarmUpGatekeeper localGatekeeper = new WarmUpGatekeeper(1);
+        private final WarmUpGatekeeper peerGatekeeper = new WarmUpGatekeeper(2);
+        private final ServiceFrontend frontend =
                 new ServiceFrontend(config.settings(), clock, event -> {}, new Metrics().forService(""));
-        private final int self = config.settings().self();
-        private final int other = config.settings().groupSize() - 1 - self;
+        private final int selfIndex = config.settings().self();
+        private final int peerIndex = config.settings().groupSize() - 1 - selfIndex;
         private long now = 1;
 
-        PracticePair() {
-            InetSocketAddress nowhere = InetSocketAddress.createUnresolved("nowhere", 1);
-            ReducerEvent list = new ReducerEvent.ProvidersUpdated(new ProviderList(
+        WarmUpGatekeeperPair() {
+            InetSocketAddress unreachable = InetSocketAddress.createUnresolved("nowhere", 1);
+            ReducerEvent providersUpdated = new ReducerEvent.ProvidersUpdated(new ProviderList(
                     ServerListScope.FULL,
                     1,
                     IntStream.range(0, PROVIDERS)
                             .mapToObj(i -> new ProviderList.ListedProvider(
                                     new ListedServer("warm-up-" + i, i % 2, i % 2, 0, ServerStatus.READY, 1, 0),
-                                    nowhere))
+                                    unreachable))
                             .toList()));
-            here.reducer.reduce(now, list);
-            there.reducer.reduce(now, list);
+            localGatekeeper.reducer.reduce(now, providersUpdated);
+            peerGatekeeper.reducer.reduce(now, providersUpdated);
         }
 
-        int decisions(int from) {
+        int runDecisions(int firstRound) {
             int i = 0;
-            for (; i < ROUNDS_PER_TURN && !isTimeUp(); i++, now += ROUND_MICROS) {
+            for (; i < ROUNDS_PER_BATCH && !isTimeLimitReached(); i++, now += ROUND_MICROS) {
                 if (i % DECISIONS_BETWEEN_PAUSES == 0) {
                     LockSupport.parkNanos(PAUSE_NANOS);
                 }
-                ReducerEvent.InvocationAccepted taken = request(reader, from + i, now);
-                if (taken != null) {
-                    here.reducer.reduce(now, taken);
+                ReducerEvent.InvocationAccepted accepted = createInvocation(frontend, firstRound + i, now);
+                if (accepted != null) {
+                    localGatekeeper.reducer.reduce(now, accepted);
                 }
-                here.reducer.reduceDue(now);
-                there.reducer.reduceDue(now);
-                while (here.pendingCalls.size() > PROVIDERS) {
-                    here.reducer.reduce(
+                localGatekeeper.reducer.reduceDue(now);
+                peerGatekeeper.reducer.reduceDue(now);
+                while (localGatekeeper.pendingCalls.size() > PROVIDERS) {
+                    localGatekeeper.reducer.reduce(
                             now,
                             new ReducerEvent.CallEnded(
-                                    here.pendingCalls.poll(), new CallResult.ResponseReceived(200, false, null, BODY)));
+                                    localGatekeeper.pendingCalls.poll(),
+                                    new CallResult.ResponseReceived(200, false, null, BODY)));
                 }
-                deliver(here, there, now, self);
-                deliver(there, here, now, other);
+                deliver(localGatekeeper, peerGatekeeper, now, selfIndex);
+                deliver(peerGatekeeper, localGatekeeper, now, peerIndex);
             }
             return i;
         }
     }
 
-    private static void deliver(PracticeGatekeeper from, PracticeGatekeeper to, long now, int number) {
-        for (byte[] bytes : List.copyOf(from.datagrams)) {
-            to.reducer.reduce(now, new ReducerEvent.PeerDatagramReceived(number, bytes));
+    private static void deliver(WarmUpGatekeeper sender, WarmUpGatekeeper receiver, long now, int senderIndex) {
+        for (byte[] bytes : List.copyOf(sender.datagrams)) {
+            receiver.reducer.reduce(now, new ReducerEvent.PeerDatagramReceived(senderIndex, bytes));
         }
-        from.datagrams.clear();
+        sender.datagrams.clear();
     }
 
-    private ReducerEvent.InvocationAccepted request(ServiceFrontend reader, int i, long now) {
-        List<RequestClass> kinds = config.settings().classes();
+    private ReducerEvent.InvocationAccepted createInvocation(ServiceFrontend frontend, int i, long now) {
+        List<RequestClass> requestClasses = config.settings().classes();
         List<CustomerPlan> plans = config.settings().plans();
-        RequestClass kind = kinds.get(i % kinds.size());
-        BasicHttpRequest head =
-                new BasicHttpRequest(kind.idempotency() == Idempotency.SAFE ? "GET" : "POST", '/' + kind.name());
-        head.addHeader("X-Trace-Id", String.format("%016x", i));
-        head.addHeader("X-Plan", plans.get(i / 2 % plans.size()).name());
-        head.addHeader("X-Customer", String.format("%016x", i % 100));
-        head.addHeader("X-Expires-In-Ms", "1000");
-        head.addHeader("X-Quota", "units=1,spread=" + config.settings().groupSize() + ",first=0");
-        Invocation invocation = reader.parseWarmUp(head, BODY, now);
+        RequestClass requestClass = requestClasses.get(i % requestClasses.size());
+        BasicHttpRequest request = new BasicHttpRequest(
+                requestClass.idempotency() == Idempotency.SAFE ? "GET" : "POST", '/' + requestClass.name());
+        request.addHeader("X-Trace-Id", String.format("%016x", i));
+        request.addHeader("X-Plan", plans.get(i / 2 % plans.size()).name());
+        request.addHeader("X-Customer", String.format("%016x", i % 100));
+        request.addHeader("X-Expires-In-Ms", "1000");
+        request.addHeader("X-Quota", "units=1,spread=" + config.settings().groupSize() + ",first=0");
+        Invocation invocation = frontend.parseWarmUp(request, BODY, now);
         return invocation == null ? null : new ReducerEvent.InvocationAccepted(invocation);
     }
 }
--- a/src/main/java/reedmux/cli/WorldCommand.java
+++ b/src/main/java/reedmux/cli/WorldCommand.java
@@ -14,7 +14,7 @@
  */
 @Command(name = "world", description = "plays drawn days of a whole deployment in virtual time, against the rules")
 public final class WorldCommand implements Callable<Integer> {
-    private static final int LAST_POINT = 5;
+    private static final int MAX_POINT = 5;
     /** Of a day that violates invariants, how many of the violations are printed. */
     private static final int MAX_PRINTED_VIOLATIONS = 6;
 
@@ -31,7 +31,7 @@
     private int cores = 3;
 
     @Option(name = "--pace", title = "N", description = "requests a second for each proxy")
-    private double pace = 12;
+    private double requestsPerSecond = 12;
 
     @Option(name = "--storm", description = "changes that cannot stand together, while the core is in trouble")
     private boolean storm;
@@ -57,13 +57,19 @@
             return ExitCode.OK;
         }
         SeedRange range = SeedRange.parse(seeds);
-        if (range == null || proxies < 1 || cores < 1 || jobs < 1 || !(pace > 0) || point < 0 || point > LAST_POINT) {
+        if (range == null
+                || proxies < 1
+                || cores < 1
+                || jobs < 1
+                || !(requestsPerSecond > 0)
+                || point < 0
+                || point > MAX_POINT) {
             System.err.println("reedmux: world: --seeds is A..B, --point 1 to 5, the others are numbers above 0");
             return ExitCode.BAD_USAGE;
         }
         long startNanos = System.nanoTime();
-        SimulatedRunBatch runner =
-                new SimulatedRunBatch(new SimulatedRun.RunOptions(proxies, cores, pace, storm, point, !sameAddresses));
+        SimulatedRunBatch runner = new SimulatedRunBatch(
+                new SimulatedRun.RunOptions(proxies, cores, requestsPerSecond, storm, point, !sameAddresses));
         SimulatedRunBatch.BatchTotals totals = runner.run(
                 range.first(),
                 range.last(),
--- a/src/test/java/reedmux/cli/CommandLineTest.java
+++ b/src/test/java/reedmux/cli/CommandLineTest.java
@@ -17,7 +17,7 @@
     @TempDir
     private Path folder;
 
-    private String expect(int code, String... arguments) throws IOException, InterruptedException {
+    private String runExpectingExitCode(int code, String... arguments) throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
@@ -35,39 +35,41 @@
 
     @Test
     void everyCommandPrintsItsHelp() throws Exception {
-        assertTrue(expect(0, "--help").contains("self-check"));
-        assertTrue(expect(0, "serve", "--help").contains("--settings FILE"));
-        assertTrue(expect(0, "check-config", "-h").contains("--settings FILE"));
-        assertTrue(expect(0, "lab", "--help").contains("--seeds A..B"));
+        assertTrue(runExpectingExitCode(0, "--help").contains("self-check"));
+        assertTrue(runExpectingExitCode(0, "serve", "--help").contains("--settings FILE"));
+        assertTrue(runExpectingExitCode(0, "check-config", "-h").contains("--settings FILE"));
+        assertTrue(runExpectingExitCode(0, "lab", "--help").contains("--seeds A..B"));
         for (String command : List.of("wirehost", "self-check", "version")) {
-            assertTrue(expect(0, command, "--help").startsWith("usage: reedmux " + command), command);
+            assertTrue(runExpectingExitCode(0, command, "--help").startsWith("usage: reedmux " + command), command);
         }
-        assertTrue(expect(0, "lab", "list").contains("region-storms"));
+        assertTrue(runExpectingExitCode(0, "lab", "list").contains("region-storms"));
     }
 
     @Test
     void badUsageListsTheKnownCommands() throws Exception {
-        assertTrue(expect(2, "serv").contains("known commands: serve, wirehost"));
-        assertTrue(expect(2, "serve", "--setting").contains("try: reedmux serve --help"));
-        assertTrue(expect(2).startsWith("usage: reedmux COMMAND"));
-        assertTrue(expect(2, "lab", "run", "regions").contains("no scene 'regions'; there are region, "));
-        assertTrue(expect(2, "lab", "run", "region", "--seeds", "3..1").contains("ends before it begins"));
+        assertTrue(runExpectingExitCode(2, "serv").contains("known commands: serve, wirehost"));
+        assertTrue(runExpectingExitCode(2, "serve", "--setting").contains("try: reedmux serve --help"));
+        assertTrue(runExpectingExitCode(2).startsWith("usage: reedmux COMMAND"));
+        assertTrue(runExpectingExitCode(2, "lab", "run", "regions").contains("no scene 'regions'; there are region, "));
+        assertTrue(runExpectingExitCode(2, "lab", "run", "region", "--seeds", "3..1")
+                .contains("ends before it begins"));
     }
 
     @Test
-    void aBadSettingsFileEndsTheStartWithCode3() throws Exception {
+    void invalidSettingsFileExitsWithCode3() throws Exception {
         Path bad = folder.resolve("bad.star");
         Files.writeString(bad, "region(name = \"east\",\n       listn = \"127.0.0.1:1\")\n");
         assertEquals(
                 "reedmux: configuration: " + bad + ":2:8: region has no key 'listn', did you mean " + "'listen'?\n",
-                expect(3, "check-config", "--settings", bad.toString()));
-        assertTrue(expect(
+                runExpectingExitCode(3, "check-config", "--settings", bad.toString()));
+        assertTrue(runExpectingExitCode(
                         3,
                         "check-config",
                         "--settings",
                         folder.resolve("none.star").toString())
                 .contains("the file cannot be read"));
-        assertTrue(expect(0, "check-config", "--settings", "deploy/east.star").contains("last resort west"));
+        assertTrue(runExpectingExitCode(0, "check-config", "--settings", "deploy/east.star")
+                .contains("last resort west"));
     }
 
     @Test
--- a/src/test/java/reedmux/cli/HandoverTest.java
+++ b/src/test/java/reedmux/cli/HandoverTest.java
@@ -41,57 +41,57 @@
 /** One gatekeeper takes another's place on real sockets, and all that can go wrong with it. */
 public final class HandoverTest {
     /** No verdict hangs on it: it only ends a test that would otherwise wait for ever. */
-    private static final int HANGS = 10_000;
+    private static final int TIMEOUT_MILLIS = 10_000;
 
-    private static final InetAddress HERE = InetAddress.getLoopbackAddress();
+    private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
-    private final List<Process> processes = new ArrayList<>();
+    private final List<RunningGatekeeper> gatekeepers = new ArrayList<>();
     private ServerSocket provider;
     private ServerSocket discovery;
-    private Path place;
+    private Path handoverSocketPath;
     private int port;
 
     /** A gatekeeper with its thread and its log. */
-    private final class Process {
+    private final class RunningGatekeeper {
         final BlockingQueue<String> log = new LinkedBlockingQueue<>();
-        final GatekeeperProcess node;
+        final GatekeeperProcess gatekeeper;
         final Thread thread;
 
-        Process() throws Exception {
-            node = new GatekeeperProcess(
-                    LoadedConfiguration.platformOnly(config()), new MonotonicClock(), log::add, place);
+        RunningGatekeeper() throws Exception {
+            gatekeeper = new GatekeeperProcess(
+                    LoadedConfiguration.platformOnly(config()), new MonotonicClock(), log::add, handoverSocketPath);
             thread = new Thread(() -> {
                 try {
-                    node.run();
+                    gatekeeper.run();
                 } catch (IOException | InterruptedException | RuntimeException e) {
                     log.add("crashed: " + e);
                 }
             });
-            processes.add(this);
+            gatekeepers.add(this);
             thread.start();
-            port = ((InetSocketAddress) node.awaitListening()).getPort();
-            long hangs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HANGS);
-            while (!ask("check").equals("+OK serving\n")) { // from then on others can meet it
-                assertTrue("never served", System.nanoTime() < hangs);
+            port = ((InetSocketAddress) gatekeeper.awaitListening()).getPort();
+            long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
+            while (!sendAdminCommand("check").equals("+OK serving\n")) { // from then on others can meet it
+                assertTrue("never served", System.nanoTime() < deadline);
             }
         }
 
         /** Waits for a line of the log; those in front of it are gone then. */
-        void says(String part) throws InterruptedException {
+        void awaitLogLine(String part) throws InterruptedException {
             String line;
             do {
-                line = log.poll(HANGS, TimeUnit.MILLISECONDS);
+                line = log.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
                 assertNotNull("never said: " + part, line);
             } while (!line.contains(part));
         }
 
-        String ask(String call) throws IOException {
+        String sendAdminCommand(String call) throws IOException {
             try (Socket socket = new Socket()) {
-                socket.connect(node.adminAddress(), HANGS);
-                socket.setSoTimeout(HANGS);
+                socket.connect(gatekeeper.adminAddress(), TIMEOUT_MILLIS);
+                socket.setSoTimeout(TIMEOUT_MILLIS);
                 socket.getOutputStream().write((call + '\n').getBytes(StandardCharsets.US_ASCII));
                 return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
             }
@@ -110,26 +110,26 @@
 
     @Before
     public void open() throws IOException {
-        place = folder.getRoot().toPath().resolve("s");
-        provider = new ServerSocket(0, 50, HERE);
-        discovery = new ServerSocket(0, 50, HERE); // which never says a word
-        Thread answering = new Thread(() -> {
+        handoverSocketPath = folder.getRoot().toPath().resolve("s");
+        provider = new ServerSocket(0, 50, LOOPBACK);
+        discovery = new ServerSocket(0, 50, LOOPBACK); // which never says a word
+        Thread acceptThread = new Thread(() -> {
             try {
                 while (true) {
                     Socket socket = provider.accept();
-                    Thread one = new Thread(() -> answer(socket));
-                    one.setDaemon(true);
-                    one.start();
+                    Thread connectionThread = new Thread(() -> serveProviderConnection(socket));
+                    connectionThread.setDaemon(true);
+                    connectionThread.start();
                 }
             } catch (IOException e) {
                 // the test is over
             }
         });
-        answering.setDaemon(true);
-        answering.start();
+        acceptThread.setDaemon(true);
+        acceptThread.start();
     }
 
-    private static void answer(Socket socket) {
+    private static void serveProviderConnection(Socket socket) {
         try (socket) {
             BufferedReader in =
                     new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
@@ -147,17 +147,17 @@
 
     @After
     public void close() throws Exception {
-        for (Process process : processes) {
-            process.node.beginShutdown();
-            process.thread.join(HANGS);
-            process.node.close();
+        for (RunningGatekeeper process : gatekeepers) {
+            process.gatekeeper.beginShutdown();
+            process.thread.join(TIMEOUT_MILLIS);
+            process.gatekeeper.close();
         }
         provider.close();
         discovery.close();
     }
 
     private static void send(Socket socket, int number, int units) throws IOException {
-        socket.setSoTimeout(HANGS);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         socket.getOutputStream()
                 .write(("GET /check HTTP/1.1\r\nX-Trace-Id: " + String.format("%016x", number)
                                 + "\r\nX-Plan: single-line\r\nX-Customer: 0000000000000007\r\nX-Expires-In-Ms: 3000\r\n"
@@ -165,107 +165,108 @@
                         .getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static String status(Socket socket) throws IOException {
+    private static String readStatus(Socket socket) throws IOException {
         byte[] head = socket.getInputStream().readNBytes("HTTP/1.1 200".length());
         return new String(head, StandardCharsets.US_ASCII).substring("HTTP/1.1 ".length());
     }
 
     private String request(int number, int units) throws IOException {
-        try (Socket socket = new Socket(HERE, port)) {
+        try (Socket socket = new Socket(LOOPBACK, port)) {
             send(socket, number, units);
-            return status(socket);
+            return readStatus(socket);
         }
     }
 
-    private static String rest(Socket socket) throws IOException {
+    private static String readUntilClosed(Socket socket) throws IOException {
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
     }
 
     @Test
-    public void countsGoAlongAndKeptConnectionsEndWithAnAnswer() throws Exception {
-        Process old = new Process();
-        assertEquals("+OK serving\n", old.ask("check"));
+    public void handoverTransfersCountsAndClosesKeptConnectionsAfterAResponse() throws Exception {
+        RunningGatekeeper old = new RunningGatekeeper();
+        assertEquals("+OK serving\n", old.sendAdminCommand("check"));
         assertEquals("200", request(1, 3)); // of the four units that the plan has
-        try (Socket kept = new Socket(HERE, port)) {
+        try (Socket kept = new Socket(LOOPBACK, port)) {
             send(kept, 2, 1);
-            assertEquals("200", status(kept));
-            Process next = new Process();
-            assertEquals("+OK serving\n", next.ask("check"));
-            old.says("another process serves in our place");
-            old.node.beginShutdown();
+            assertEquals("200", readStatus(kept));
+            RunningGatekeeper next = new RunningGatekeeper();
+            assertEquals("+OK serving\n", next.sendAdminCommand("check"));
+            old.awaitLogLine("another process serves in our place");
+            old.gatekeeper.beginShutdown();
             send(kept, 3, 1); // one more on a connection that the old one still has
-            String answer = rest(kept);
+            String answer = readUntilClosed(kept);
             assertTrue(answer, answer.contains("HTTP/1.1 429"));
             assertTrue(answer, answer.contains("Connection: close"));
-            old.thread.join(HANGS);
-            next.says("the former process has gone");
+            old.thread.join(TIMEOUT_MILLIS);
+            next.awaitLogLine("the former process has gone");
             assertEquals("429", request(4, 1));
-            Process third = new Process(); // another upgrade right behind
-            next.says("another process serves in our place");
-            next.node.beginShutdown();
-            third.says("the former process has gone");
+            RunningGatekeeper third = new RunningGatekeeper(); // another upgrade right behind
+            next.awaitLogLine("another process serves in our place");
+            next.gatekeeper.beginShutdown();
+            third.awaitLogLine("the former process has gone");
             assertEquals("429", request(5, 1));
         }
     }
 
     @Test
-    public void aNewOneThatEndsBeforeOrAfterItsTakingChangesNothing() throws Exception {
-        Process old = new Process();
-        Heard first = new Heard();
-        HandoverConnection early = HandoverConnection.connect(place, first);
+    public void processKeepsServingWhenItsSuccessorDisconnects() throws Exception {
+        RunningGatekeeper old = new RunningGatekeeper();
+        RecordingFrameHandler first = new RecordingFrameHandler();
+        HandoverConnection early = HandoverConnection.connect(handoverSocketPath, first);
         early.send(new HandoverFrame.HandoverHello(HandoverFrameCodec.PROTOCOL_VERSION, config().countingRules()));
-        assertTrue(first.frames.poll(HANGS, TimeUnit.MILLISECONDS) instanceof HandoverFrame.HandoverHello);
+        assertTrue(first.frames.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS) instanceof HandoverFrame.HandoverHello);
         early.close();
-        Heard second = new Heard();
-        HandoverConnection taker = meet(second);
+        RecordingFrameHandler second = new RecordingFrameHandler();
+        HandoverConnection taker = connectAndExchangeHello(second);
         taker.send(new HandoverFrame.SnapshotRequest());
-        assertTrue(second.frames.poll(HANGS, TimeUnit.MILLISECONDS) instanceof HandoverFrame.ServiceSnapshot);
+        assertTrue(second.frames.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS) instanceof HandoverFrame.ServiceSnapshot);
         taker.send(new HandoverFrame.SuccessorServing());
-        old.says("another process serves in our place");
+        old.awaitLogLine("another process serves in our place");
         taker.close();
-        old.says("serving on");
+        old.awaitLogLine("serving on");
         assertEquals("200", request(1, 4));
-        Process next = new Process();
-        old.says("told what was counted of 1 customers");
-        old.node.beginShutdown();
-        next.says("the former process has gone");
+        RunningGatekeeper next = new RunningGatekeeper();
+        old.awaitLogLine("told what was counted of 1 customers");
+        old.gatekeeper.beginShutdown();
+        next.awaitLogLine("the former process has gone");
         assertEquals("429", request(2, 1));
     }
 
     /** Connects until the old one has seen that its former partner is gone, and takes this one. */
-    private HandoverConnection meet(Heard ear) throws Exception {
+    private HandoverConnection connectAndExchangeHello(RecordingFrameHandler handler) throws Exception {
         while (true) {
-            HandoverConnection link = HandoverConnection.connect(place, ear);
-            link.send(new HandoverFrame.HandoverHello(HandoverFrameCodec.PROTOCOL_VERSION, config().countingRules()));
-            if (ear.frames.poll(HANGS, TimeUnit.MILLISECONDS) instanceof HandoverFrame.HandoverHello) {
-                return link;
+            HandoverConnection connection = HandoverConnection.connect(handoverSocketPath, handler);
+            connection.send(
+                    new HandoverFrame.HandoverHello(HandoverFrameCodec.PROTOCOL_VERSION, config().countingRules()));
+            if (handler.frames.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS) instanceof HandoverFrame.HandoverHello) {
+                return connection;
             }
         }
     }
 
     @Test
-    public void noiseAndOtherVersionsEndTheTalkAndNothingElse() throws Exception {
-        Process old = new Process();
-        talk(new byte[] {0, 0, 0, 3, 1, 2, 3});
-        talk(new byte[] {-1, -1, -1, -1});
-        long hangs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HANGS);
+    public void malformedFramesAndOtherVersionsOnlyCloseTheConnection() throws Exception {
+        RunningGatekeeper old = new RunningGatekeeper();
+        sendAndExpectClose(new byte[] {0, 0, 0, 3, 1, 2, 3});
+        sendAndExpectClose(new byte[] {-1, -1, -1, -1});
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
         for (HandoverFrame other : List.of(
                 new HandoverFrame.HandoverHello(HandoverFrameCodec.PROTOCOL_VERSION + 1, config().countingRules()),
                 new HandoverFrame.HandoverHello(HandoverFrameCodec.PROTOCOL_VERSION, "other plans"))) {
             old.log.clear();
             do { // it may still be seeing the one before off
-                talk(HandoverFrameCodec.encode(other));
-                assertTrue("never told: " + other, System.nanoTime() < hangs);
+                sendAndExpectClose(HandoverFrameCodec.encode(other));
+                assertTrue("never told: " + other, System.nanoTime() < deadline);
             } while (old.log.stream().noneMatch(line -> line.contains("of another version")));
         }
         assertEquals("200", request(1, 1));
-        assertEquals("+OK serving\n", old.ask("check"));
+        assertEquals("+OK serving\n", old.sendAdminCommand("check"));
     }
 
-    private void talk(byte[] noise) throws IOException {
+    private void sendAndExpectClose(byte[] bytes) throws IOException {
         try (SocketChannel channel = SocketChannel.open(StandardProtocolFamily.UNIX)) {
-            channel.connect(UnixDomainSocketAddress.of(place));
-            channel.write(ByteBuffer.wrap(noise));
+            channel.connect(UnixDomainSocketAddress.of(handoverSocketPath));
+            channel.write(ByteBuffer.wrap(bytes));
             assertTrue("closed with nothing said", isClosed(channel));
         }
     }
@@ -280,33 +281,33 @@
     }
 
     @Test
-    public void besideAProcessThatMakesNoSenseItStartsFromNothing() throws Exception {
+    public void startsWithoutCountsBesideAnUnresponsiveProcess() throws Exception {
         try (ServerSocketChannel silent = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
-            silent.bind(UnixDomainSocketAddress.of(place));
-            Process beside = new Process();
-            beside.says("the other process does not answer; starting from nothing");
-            assertEquals("+OK serving\n", beside.ask("check"));
+            silent.bind(UnixDomainSocketAddress.of(handoverSocketPath));
+            RunningGatekeeper beside = new RunningGatekeeper();
+            beside.awaitLogLine("the other process does not answer; starting from nothing");
+            assertEquals("+OK serving\n", beside.sendAdminCommand("check"));
             assertEquals("200", request(1, 4));
         }
     }
 
     @Test
-    public void whatAnotherLifeHasLeftBehindIsNobody() throws Exception {
-        Files.writeString(place, "not a socket");
-        Process first = new Process();
+    public void staleSocketFilesAreIgnored() throws Exception {
+        Files.writeString(handoverSocketPath, "not a socket");
+        RunningGatekeeper first = new RunningGatekeeper();
         assertEquals("200", request(1, 4));
-        first.node.beginShutdown();
-        first.thread.join(HANGS);
-        assertFalse("its file goes with it", Files.exists(place));
+        first.gatekeeper.beginShutdown();
+        first.thread.join(TIMEOUT_MILLIS);
+        assertFalse("its file goes with it", Files.exists(handoverSocketPath));
         try (ServerSocketChannel dead = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
-            dead.bind(UnixDomainSocketAddress.of(place));
+            dead.bind(UnixDomainSocketAddress.of(handoverSocketPath));
         }
-        new Process();
+        new RunningGatekeeper();
         assertEquals("200", request(2, 4)); // nothing was counted before this life
     }
 
     /** What the other side says. */
-    private static final class Heard implements HandoverConnection.HandoverFrameHandler {
+    private static final class RecordingFrameHandler implements HandoverConnection.HandoverFrameHandler {
         final BlockingQueue<Object> frames = new LinkedBlockingQueue<>();
 
         @Override
--- a/src/test/java/reedmux/cli/RecordedExchangesTest.java
+++ b/src/test/java/reedmux/cli/RecordedExchangesTest.java
@@ -54,7 +54,7 @@
 public final class RecordedExchangesTest {
     private static final Path FOLDER = Path.of("src/test/resources/exchanges");
     /** No verdict hangs on it: it only ends a test that would otherwise wait for ever. */
-    private static final int HANGS = 10_000;
+    private static final int TIMEOUT_MILLIS = 10_000;
 
     @Parameterized.Parameters(name = "{0}")
     public static List<String> scripts() throws IOException {
@@ -72,12 +72,12 @@
     private final Map<String, DatagramSocket> datagrams = new HashMap<>();
     private final List<Exception> crashes = new ArrayList<>();
     private final CountDownLatch mayWarmUp = new CountDownLatch(1);
-    private Thread warmingUp;
+    private Thread warmUpThread;
     private String config;
     private final StringBuilder settings = new StringBuilder();
     private final List<String> log = Collections.synchronizedList(new ArrayList<>());
-    private GatekeeperProcess node;
-    private Thread running;
+    private GatekeeperProcess gatekeeper;
+    private Thread gatekeeperThread;
     private InetSocketAddress peerListen;
 
     public RecordedExchangesTest(String script) {
@@ -89,29 +89,29 @@
         InetAddress here = InetAddress.getByName("127.0.0.1");
         for (String name : List.of("p1", "p2", "d", "d2", "r1", "r2")) {
             listeners.put(name, new ServerSocket(0, 50, here));
-            listeners.get(name).setSoTimeout(HANGS);
+            listeners.get(name).setSoTimeout(TIMEOUT_MILLIS);
         }
         for (String name : List.of("u1", "u2", "node")) {
             datagrams.put(name, new DatagramSocket(new InetSocketAddress(here, 0)));
-            datagrams.get(name).setSoTimeout(HANGS);
+            datagrams.get(name).setSoTimeout(TIMEOUT_MILLIS);
         }
         try (DatagramSocket free = datagrams.remove("node")) {
             peerListen = (InetSocketAddress) free.getLocalSocketAddress();
         }
-        config = named(Files.readString(FOLDER.resolve("config.json")));
+        config = withAddresses(Files.readString(FOLDER.resolve("config.json")));
         int number = 0;
         try {
             for (String line : Files.readAllLines(FOLDER.resolve(script))) {
                 number++;
                 if (line.startsWith("with ")) {
-                    config = replaced(config, named(line.substring(5)));
+                    config = withReplacement(config, withAddresses(line.substring(5)));
                 } else if (line.startsWith("settings ")) {
-                    settings.append(named(line.substring(9))).append('\n');
+                    settings.append(withAddresses(line.substring(9))).append('\n');
                 } else if (line.startsWith("fails ")) {
-                    expectFailure(config, named(line.substring(6)));
+                    expectFailure(config, withAddresses(line.substring(6)));
                 } else if (!line.startsWith("#")) {
                     start(config);
-                    play(line);
+                    playStep(line);
                 }
             }
         } catch (IOException | AssertionError e) {
@@ -123,29 +123,29 @@
     }
 
     /** Puts in the addresses of the parties that a text names. */
-    private String named(String text) {
-        String all = text.replace("$node", "127.0.0.1:" + peerListen.getPort())
+    private String withAddresses(String text) {
+        String result = text.replace("$node", "127.0.0.1:" + peerListen.getPort())
                 .replace("$u1", "127.0.0.1:" + datagrams.get("u1").getLocalPort());
         for (Map.Entry<String, ServerSocket> party : listeners.entrySet()) {
-            all = all.replace(
+            result = result.replace(
                     "${" + party.getKey() + '}', "127.0.0.1:" + party.getValue().getLocalPort());
         }
-        return all;
+        return result;
     }
 
-    private static String replaced(String text, String change) {
+    private static String withReplacement(String text, String change) {
         String[] pair = change.split(" => ", 2);
         assertTrue(change, text.contains(pair[0]));
         return text.replaceFirst(Pattern.quote(pair[0]), pair[1].replace("$", "\\$"));
     }
 
     private static void expectFailure(String config, String line) {
-        int at = line.lastIndexOf(" : ");
+        int separator = line.lastIndexOf(" : ");
         try {
-            read(replaced(config, line.substring(0, at)));
+            read(withReplacement(config, line.substring(0, separator)));
             fail("was taken: " + line);
         } catch (ConfigException e) {
-            expect(line.substring(at + 3), e.getMessage());
+            assertMatches(line.substring(separator + 3), e.getMessage());
         }
     }
 
@@ -153,7 +153,8 @@
         return GatekeeperConfig.read(config.getBytes(StandardCharsets.UTF_8), Map.of(), new MonotonicClock());
     }
 
-    private static LoadedConfiguration loaded(GatekeeperConfig config, String script) throws ConfigException {
+    private static LoadedConfiguration loadConfiguration(GatekeeperConfig config, String script)
+            throws ConfigException {
         try {
             return LoadedConfiguration.of(
                     config,
@@ -166,27 +167,28 @@
     }
 
     private void start(String config) throws Exception {
-        if (node != null) {
+        if (gatekeeper != null) {
             return;
         }
-        node = new GatekeeperProcess(loaded(read(config), settings.toString()), new MonotonicClock(), log::add);
+        gatekeeper = new GatekeeperProcess(
+                loadConfiguration(read(config), settings.toString()), new MonotonicClock(), log::add);
         if (script.equals("warm-up.txt")) {
-            warmingUp = node.warmUpAfter(mayWarmUp::await);
+            warmUpThread = gatekeeper.warmUpAfter(mayWarmUp::await);
         }
         boolean waits = script.startsWith("first-list");
         if (waits) {
-            node.setFirstEndpointListTimeout(script.contains("silent") ? 1 : HANGS);
+            gatekeeper.setFirstEndpointListTimeout(script.contains("silent") ? 1 : TIMEOUT_MILLIS);
         }
-        running = new Thread(() -> {
+        gatekeeperThread = new Thread(() -> {
             try {
-                node.run();
+                gatekeeper.run();
             } catch (IOException | InterruptedException | RuntimeException e) {
                 crashes.add(e);
             }
         });
-        running.start();
+        gatekeeperThread.start();
         if (!waits) {
-            node.awaitListening();
+            gatekeeper.awaitListening();
         }
     }
 
@@ -196,21 +198,21 @@
                 .toList()) {
             socket.close();
         }
-        if (node != null) {
-            node.beginShutdown();
-            running.join();
-            node.close();
+        if (gatekeeper != null) {
+            gatekeeper.beginShutdown();
+            gatekeeperThread.join();
+            gatekeeper.close();
         }
     }
 
-    private void play(String line) throws Exception {
+    private void playStep(String line) throws Exception {
         String[] parts = line.split(" ", 3);
         String party = parts[0];
         String rest = parts.length > 2 ? parts[2] : "";
         if (parts[1].equals("crowd")) {
             for (int i = 0; i < Integer.parseInt(rest); i++) {
                 for (String step : List.of("> GET /healthz HTTP/1.1", "> ", "< HTTP/1.1 200 *", "skip", "<< ready")) {
-                    play(party + i + ' ' + step);
+                    playStep(party + i + ' ' + step);
                 }
             }
         } else if (parts[1].equals("silent")) {
@@ -219,24 +221,25 @@
             }
         } else if (party.equals("node")) {
             if (parts[1].equals("leave")) {
-                node.beginShutdown();
+                gatekeeper.beginShutdown();
             } else if (parts[1].equals("warm")) {
                 mayWarmUp.countDown();
-                warmingUp.join();
+                warmUpThread.join();
             } else if (parts[1].equals("reload")) {
-                node.reload(() -> loaded(read(replaced(config, named(rest))), settings.toString()));
+                gatekeeper.reload(() ->
+                        loadConfiguration(read(withReplacement(config, withAddresses(rest))), settings.toString()));
             } else if (parts[1].equals("settle")) {
-                node.reload(() -> loaded(read(config), named(rest)));
+                gatekeeper.reload(() -> loadConfiguration(read(config), withAddresses(rest)));
             } else if (parts[1].equals("deaf")) { // the time only lets a mistake show itself
-                assertTrue("listens already", !node.isListeningWithin(200));
+                assertTrue("listens already", !gatekeeper.isListeningWithin(200));
             } else if (parts[1].equals("log")) {
-                expect(rest, String.join("|", log));
+                assertMatches(rest, String.join("|", log));
             } else {
-                running.join(HANGS);
-                assertTrue("still running", !running.isAlive());
+                gatekeeperThread.join(TIMEOUT_MILLIS);
+                assertTrue("still running", !gatekeeperThread.isAlive());
             }
         } else if (datagrams.containsKey(party)) {
-            datagram(datagrams.get(party), parts[1], rest);
+            playDatagramStep(datagrams.get(party), parts[1], rest);
         } else {
             switch (parts[1]) {
                 case ">" -> send(party, rest + "\r\n");
@@ -247,9 +250,9 @@
                     }
                 }
                 case "fill" -> send(party, "x".repeat(Integer.parseInt(rest)));
-                case "<" -> expect(rest, readLine(socket(party)));
+                case "<" -> assertMatches(rest, readLine(socket(party)));
                 case "<<" ->
-                    expect(
+                    assertMatches(
                             rest,
                             new String(
                                     socket(party).getInputStream().readNBytes(rest.length()), StandardCharsets.UTF_8));
@@ -258,10 +261,10 @@
                             Integer.parseInt(rest),
                             socket(party).getInputStream().readNBytes(Integer.parseInt(rest)).length);
                 case "cut" -> {
-                    int most = Integer.parseInt(rest);
-                    assertTrue("all of it came", untilCut(socket(party), most) < most);
+                    int limit = Integer.parseInt(rest);
+                    assertTrue("all of it came", countBytesUntilClosed(socket(party), limit) < limit);
                 }
-                case "counts" -> untilCounted(rest);
+                case "counts" -> awaitMetric(rest);
                 case "skip" -> {
                     while (!readLine(socket(party)).isEmpty()) {
                         // up to the end of the header
@@ -269,12 +272,12 @@
                 }
                 case "accept" -> sockets.put(party, listeners.get(party).accept());
                 case "answers" -> {
-                    String body = named(rest);
+                    String body = withAddresses(rest);
                     send(party, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
                 }
                 case "connect" -> socket(party);
                 case "refuse" -> listeners.get(party).close();
-                case "refused" -> untilRefused();
+                case "refused" -> awaitConnectionRefused();
                 case "end" -> socket(party).shutdownOutput();
                 case "reset" -> {
                     socket(party).setSoLinger(true, 0);
@@ -292,37 +295,37 @@
             if (!socket.isConnected()) {
                 socket.connect(
                         party.startsWith("x")
-                                ? node.awaitRegionAddress()
-                                : party.startsWith("o") ? node.adminAddress() : node.awaitListening());
+                                ? gatekeeper.awaitRegionAddress()
+                                : party.startsWith("o") ? gatekeeper.adminAddress() : gatekeeper.awaitListening());
             }
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout(HANGS);
+            socket.setSoTimeout(TIMEOUT_MILLIS);
             sockets.put(party, socket);
         }
         return socket;
     }
 
     /** Reads until the connection ends in any way, or so many bytes; returns how many came. */
-    private static int untilCut(Socket socket, int most) throws IOException {
-        int came = 0;
+    private static int countBytesUntilClosed(Socket socket, int limit) throws IOException {
+        int count = 0;
         try {
-            while (came < most && socket.getInputStream().read() >= 0) {
-                came++;
+            while (count < limit && socket.getInputStream().read() >= 0) {
+                count++;
             }
         } catch (SocketException e) {
-            return came;
+            return count;
         }
-        return came;
+        return count;
     }
 
     /** Asks the operators' door again and again until this line is among its figures. */
-    private void untilCounted(String line) throws Exception {
-        long end = System.nanoTime() + HANGS * 1_000_000L;
+    private void awaitMetric(String line) throws Exception {
+        long end = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
         String text = "";
         while (System.nanoTime() < end) {
             try (Socket socket = new Socket()) {
-                socket.connect(node.adminAddress(), HANGS);
-                socket.setSoTimeout(HANGS);
+                socket.connect(gatekeeper.adminAddress(), TIMEOUT_MILLIS);
+                socket.setSoTimeout(TIMEOUT_MILLIS);
                 socket.getOutputStream().write("vars\r\n".getBytes(StandardCharsets.UTF_8));
                 text = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             }
@@ -334,10 +337,10 @@
     }
 
     /** Connects again and again until nobody listens any more. */
-    private void untilRefused() throws Exception {
+    private void awaitConnectionRefused() throws Exception {
         while (true) {
             try (Socket socket = new Socket()) {
-                socket.connect(node.awaitListening(), HANGS);
+                socket.connect(gatekeeper.awaitListening(), TIMEOUT_MILLIS);
             } catch (SocketException e) {
                 return; // refused, or reset while the listener was just being closed
             }
@@ -348,7 +351,7 @@
         socket(party).getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private void datagram(DatagramSocket socket, String step, String rest) throws IOException {
+    private void playDatagramStep(DatagramSocket socket, String step, String rest) throws IOException {
         if (step.equals("<")) {
             socket.receive(new DatagramPacket(new byte[512], 512));
         } else {
@@ -374,10 +377,10 @@
         return line.toString().stripTrailing();
     }
 
-    private static void expect(String pattern, String line) {
+    private static void assertMatches(String pattern, String line) {
         String regex = Stream.of(pattern.split("\\*", -1))
                 .map(Pattern::quote)
-                .reduce((one, other) -> one + ".*" + other)
+                .reduce((left, right) -> left + ".*" + right)
                 .orElse("");
         assertTrue("expected '" + pattern + "' but was '" + line + "'", line.matches(regex));
     }
--- a/src/test/java/reedmux/cli/ShowCommandTest.java
+++ b/src/test/java/reedmux/cli/ShowCommandTest.java
@@ -18,24 +18,24 @@
 
 /** The operator's side of {@code show} and {@code core}, against stand-ins for control machines. */
 public class ShowCommandTest {
-    private static final String CUT_OFF = "{\"show\":\"Core\",\"node\":\"core-1\",\"majority\":false,"
+    private static final String PARTITIONED_RESPONSE = "{\"show\":\"Core\",\"node\":\"core-1\",\"majority\":false,"
             + "\"epoch\":3,\"ageMs\":20417,"
             + "\"entries\":[{\"node\":\"core-1\",\"ip\":\"10.0.0.1\",\"heardMs\":0},"
             + "{\"node\":\"core-2\",\"ip\":\"10.0.0.2\",\"heardMs\":null}]}";
-    private final List<String> asked = new ArrayList<>();
-    private final List<String> answers = new ArrayList<>();
+    private final List<String> requests = new ArrayList<>();
+    private final List<String> responses = new ArrayList<>();
     private HttpServer server;
     private String address;
 
     @BeforeMethod
-    public void begin() throws IOException {
-        asked.clear();
-        answers.clear();
+    public void startServer() throws IOException {
+        requests.clear();
+        responses.clear();
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         address = "127.0.0.1:" + server.getAddress().getPort();
         server.createContext("/", exchange -> {
-            asked.add(exchange.getRequestMethod() + ' ' + exchange.getRequestURI());
-            String[] next = (answers.size() > 1 ? answers.remove(0) : answers.get(0)).split(" ", 2);
+            requests.add(exchange.getRequestMethod() + ' ' + exchange.getRequestURI());
+            String[] next = (responses.size() > 1 ? responses.remove(0) : responses.get(0)).split(" ", 2);
             int status = Integer.parseInt(next[0]);
             byte[] text = next[1].getBytes(StandardCharsets.UTF_8);
             if (status == 307) {
@@ -49,49 +49,49 @@
     }
 
     @AfterMethod
-    public void end() {
+    public void stopServer() {
         server.stop(0);
     }
 
-    private ControlClient.ControlResponse call(long patience, String... addresses) throws Exception {
-        return new ControlClient(List.of(addresses), patience).call("GET", "/v1/Show.Core");
+    private ControlClient.ControlResponse call(long timeoutMillis, String... addresses) throws Exception {
+        return new ControlClient(List.of(addresses), timeoutMillis).call("GET", "/v1/Show.Core");
     }
 
     @Test
     public void aFailureOr5xxIsRetriedAtTheNextAddress() throws Exception {
-        answers.addAll(List.of("503 later", "429 later", "200 {}"));
+        responses.addAll(List.of("503 later", "429 later", "200 {}"));
         assertEquals(call(5_000, "127.0.0.1:1", address).status(), 200);
-        assertEquals(asked.size(), 3);
+        assertEquals(requests.size(), 3);
     }
 
     @Test
     public void redirectsAreFollowedTwice() throws Exception {
-        answers.addAll(List.of("307 /a", "307 /b", "200 {}"));
+        responses.addAll(List.of("307 /a", "307 /b", "200 {}"));
         assertEquals(call(1_000, address).status(), 200);
-        assertEquals(asked, List.of("GET /v1/Show.Core", "GET /a", "GET /b"));
-        answers.addAll(0, List.of("307 /a", "307 /b", "307 /c"));
+        assertEquals(requests, List.of("GET /v1/Show.Core", "GET /a", "GET /b"));
+        responses.addAll(0, List.of("307 /a", "307 /b", "307 /c"));
         assertEquals(call(1_000, address).status(), 307);
     }
 
     @Test
     public void aRejectionIsNotRetried() throws Exception {
-        answers.add("409 too few");
+        responses.add("409 too few");
         assertEquals(call(5_000, address).body(), "too few");
-        assertEquals(asked.size(), 1);
+        assertEquals(requests.size(), 1);
     }
 
     @Test
     public void theLastFailureIsReportedAfterTheTimeout() {
-        answers.add("503 too few of the core can be reached");
-        IOException told = org.testng.Assert.expectThrows(IOException.class, () -> call(300, address));
+        responses.add("503 too few of the core can be reached");
+        IOException failure = org.testng.Assert.expectThrows(IOException.class, () -> call(300, address));
         assertEquals(
-                told.getMessage(),
+                failure.getMessage(),
                 "no answer within 300 ms; the last: " + address + " answers 503: too few of the core can be reached");
     }
 
     @Test
     public void aMissingMajorityIsPrintedFirst() throws Exception {
-        assertEquals(ShowTable.format("10.0.0.1:9", CUT_OFF), """
+        assertEquals(ShowTable.format("10.0.0.1:9", PARTITIONED_RESPONSE), """
                 NO CONTACT WITH A MAJORITY: may be out of date; told by core-1 (10.0.0.1:9), age 20417 ms, \
                 epoch 3
                 node    ip        heardMs
@@ -117,11 +117,11 @@
 
     @Test
     public void commandsEndWithTheirExitCodesAndLines() throws Exception {
-        answers.add("200 " + CUT_OFF);
-        assertEquals(run(0, "show", "core", "--json", "--control", address), CUT_OFF + '\n');
+        responses.add("200 " + PARTITIONED_RESPONSE);
+        assertEquals(run(0, "show", "core", "--json", "--control", address), PARTITIONED_RESPONSE + '\n');
         assertTrue(run(0, "show", "checkers", "--service", "a b", "--limit", "5", "--control", address)
                 .startsWith("NO CONTACT"));
-        assertEquals(asked.get(1), "GET /v1/Show.Checkers?service=a+b&limit=5");
+        assertEquals(requests.get(1), "GET /v1/Show.Checkers?service=a+b&limit=5");
         assertTrue(run(2, "show", "lives", "--control", address)
                 .contains("say one of members, core, checkers, items, duties"));
         assertTrue(run(2, "show", "core", "--control", "here").contains("--control is not an address:port: here"));
@@ -130,6 +130,6 @@
         assertTrue(run(0, "show", "--help").contains("told, also by a machine without a majority"));
         assertTrue(run(2, "core", "join", "core-2", "--control", address).contains("say: core leave NODE"));
         assertEquals(run(0, "core", "leave", "core-2", "--control", address), "core-2 is no member of the core\n");
-        assertEquals(asked.get(2), "POST /v1/Core.Leave/core-2");
+        assertEquals(requests.get(2), "POST /v1/Core.Leave/core-2");
     }
 }
--- a/src/test/java/reedmux/cli/WarmUpTest.java
+++ b/src/test/java/reedmux/cli/WarmUpTest.java
@@ -19,7 +19,7 @@
      * took 4.1 s. All decisions are practised before our own address is waited for.
      */
     @Test
-    void decisionsArePractisedBeforeDiscoveryAnswers() throws Exception {
+    void decisionsRunBeforeDiscoveryResponds() throws Exception {
         MonotonicClock clock = new MonotonicClock();
         byte[] sample;
         try (InputStream in = WarmUpTest.class.getResourceAsStream("/sample-config.json")) {
