--- a/src/main/java/reedmux/cli/CheckCommand.java
+++ b/src/main/java/reedmux/cli/CheckCommand.java
@@ -11,8 +11,8 @@
 import reedmux.common.settings.ProcessSettingsException;
 import reedmux.common.settings.SettingKeys;
 
-/** Reads a settings file and says whether it can be used. */
-@Command(name = "check", description = "says whether a settings file can be used, or what is wrong")
+/** Validates a settings file: prints the node and zone that it sets, or fails with the first error. */
+@Command(name = "check", description = "validates a settings file and reports the first error")
 public final class CheckCommand implements Callable<Integer> {
     private static final List<String> SOCKET_KEYS =
             List.of(SettingKeys.FRONT_SOCKET, SettingKeys.READY_SOCKET, SettingKeys.CONTROL_SOCKET);
@@ -20,7 +20,7 @@
     @AirlineModule
     private HelpOption<CheckCommand> help;
 
-    @Arguments(title = "FILE", description = "the settings file; without it REEDMUX_BOOT names it")
+    @Arguments(title = "FILE", description = "the settings file; defaults to the one that REEDMUX_BOOT names")
     private String file;
 
     @Override
--- a/src/main/java/reedmux/cli/CommandUsageException.java
+++ b/src/main/java/reedmux/cli/CommandUsageException.java
@@ -1,6 +1,6 @@
 package reedmux.cli;
 
-/** Options or arguments that cannot be used; the message says what is wrong or missing. */
+/** Thrown for invalid or missing options or arguments; the message names the error. */
 final class CommandUsageException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/reedmux/cli/ConfigurationReloader.java
+++ b/src/main/java/reedmux/cli/ConfigurationReloader.java
@@ -7,21 +7,24 @@
 import reedmux.gatekeeper.service.ServiceManager;
 import reedmux.gatekeeper.settings.RegionSettings;
 
-/** Has a running gatekeeper take up a changed configuration. What takes a restart is logged and keeps its old value. */
+/**
+ * Applies a changed configuration to a running gatekeeper. Changes that require a restart are logged, and those keys
+ * keep their old values.
+ */
 final class ConfigurationReloader {
     private final GatekeeperConfig configAtStart;
     private final ServiceManager services;
-    /** Null where the process has started without a region. */
+    /** Null if the process was started without a region. */
     private final RegionConnector regionConnector;
 
     private final Consumer<String> log;
 
-    /** Reads a configuration. */
+    /** A source from which the configuration is read at each reload. */
     interface ConfigurationSource {
         /**
-         * Reads it anew.
+         * Reads the current configuration.
          *
-         * @throws ConfigException if it cannot be used, with the key at fault
+         * @throws ConfigException if the configuration is invalid; the message names the invalid key
          */
         LoadedConfiguration read() throws ConfigException;
     }
@@ -37,7 +40,7 @@
         this.log = log;
     }
 
-    /** Takes up what {@code source} reads; what cannot be read is logged and changes nothing. */
+    /** Applies the configuration read from {@code source}; an invalid one is logged and changes nothing. */
     void reload(ConfigurationSource source) {
         try {
             LoadedConfiguration loaded = source.read();
--- a/src/main/java/reedmux/cli/ControlClient.java
+++ b/src/main/java/reedmux/cli/ControlClient.java
@@ -19,8 +19,8 @@
 import reedmux.common.settings.SettingKeys;
 
 /**
- * An operator's client of the control machines: calls one address after the other, with exponential backoff after each
- * round, until one gives a clear answer.
+ * The operator tools' client for the control machines. It tries the addresses in turn, with exponential backoff after
+ * each round, until one returns a response that is not retriable.
  */
 final class ControlClient {
     private static final long FIRST_BACKOFF_MILLIS = 50;
@@ -35,30 +35,31 @@
             .build();
 
     /**
-     * A client of these addresses.
+     * Creates a client for these addresses.
      *
-     * @param addresses     at least one, as {@code address:port}
-     * @param timeoutMillis after which a call fails with the last failure
+     * @param addresses     at least one address, as {@code address:port}
+     * @param timeoutMillis the time in milliseconds after which a call fails with its last failure
      */
     ControlClient(List<String> addresses, long timeoutMillis) {
         this.addresses = addresses;
         this.timeoutMillis = timeoutMillis;
     }
 
-    /** A response, with the address of the machine that gave it. */
+    /** A response and the address of the machine that sent it. */
     record ControlResponse(String address, int status, String body) {
-        /** Whether another machine, or the same one later, may answer otherwise. */
+        /** Whether another machine, or a later attempt at the same one, may return a different response. */
         private boolean isRetriable() {
             return status >= 500 || status == 408 || status == 429;
         }
     }
 
     /**
-     * The addresses to call: those that were given, then the control address and seeds of a settings file.
+     * Returns the addresses to call: the given ones, followed by the control address and the seeds of a settings file.
      *
-     * @param file the settings file, or null
-     * @throws CommandUsageException    if a given address is none
-     * @throws ProcessSettingsException if the file cannot be used
+     * @param given the addresses from the command line
+     * @param file  the settings file, or null
+     * @throws CommandUsageException    if a given address is not an {@code address:port}
+     * @throws ProcessSettingsException if the file is invalid
      */
     static List<String> addresses(List<String> given, String file)
             throws CommandUsageException, ProcessSettingsException {
@@ -84,9 +85,9 @@
     }
 
     /**
-     * Calls until a machine answers with something other than 5xx, 408 or 429.
+     * Sends the request until a machine responds with a status other than 5xx, 408 or 429.
      *
-     * @throws IOException if none did within the time-out; the message has the last failure
+     * @throws IOException if no machine does so within the timeout; the message contains the last failure
      */
     ControlResponse call(String method, String target) throws IOException, InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
--- a/src/main/java/reedmux/cli/CoreCommand.java
+++ b/src/main/java/reedmux/cli/CoreCommand.java
@@ -14,28 +14,32 @@
 import java.util.concurrent.Callable;
 import reedmux.common.settings.ProcessSettingsException;
 
-/** Removes a machine from the core's membership. */
+/** The {@code core leave} command, which removes a machine from the core's membership. */
 @Command(
         name = "core",
-        description = "core leave NODE: orders a machine out of the core; sent"
-                + " again until the core has agreed, which is harmless")
+        description = "core leave NODE: removes a machine from the core; the request is"
+                + " idempotent and is retried until the core has agreed")
 @ExitCodes(
         codes = {0, 1, 2},
-        descriptions = {"it is no member of the core", "refused, or not agreed on in time: send it again", "bad usage"})
+        descriptions = {
+            "the machine is not a member of the core",
+            "rejected, or not agreed on in time: retry",
+            "bad usage"
+        })
 public final class CoreCommand implements Callable<Integer> {
     @AirlineModule
     private HelpOption<CoreCommand> help;
 
-    @Arguments(title = "leave NODE", description = "the machine, by its node's name or its ip")
+    @Arguments(title = "leave NODE", description = "the machine, by node name or IP address")
     private List<String> arguments = new ArrayList<>();
 
-    @Option(name = "--control", title = "ADDRESS", description = "a control address; may be repeated")
+    @Option(name = "--control", title = "ADDRESS", description = "a control address to call; may be repeated")
     private List<String> control = new ArrayList<>();
 
     @Option(name = "--boot", title = "FILE", description = "a settings file whose control address and seeds are called")
     private String boot;
 
-    @Option(name = "--wait", title = "MS", description = "how long to try; 30000 where none is given")
+    @Option(name = "--wait", title = "MS", description = "timeout of the command in milliseconds; 30000 by default")
     private long timeoutMillis = 30_000;
 
     @Override
--- a/src/main/java/reedmux/cli/ExitCode.java
+++ b/src/main/java/reedmux/cli/ExitCode.java
@@ -1,17 +1,17 @@
 package reedmux.cli;
 
-/** The exit codes that all sub-commands share. */
+/** The exit codes of all sub-commands. */
 final class ExitCode {
-    /** It did what it was asked for. */
+    /** The command succeeded. */
     static final int OK = 0;
 
-    /** It failed, or what it checks does not hold. */
+    /** The command failed, or a condition that it checks does not hold. */
     static final int FAILED = 1;
 
-    /** Arguments or options are wrong. */
+    /** The arguments or options are invalid. */
     static final int BAD_USAGE = 2;
 
-    /** A settings or configuration file is wrong. */
+    /** A settings or configuration file is invalid. */
     static final int BAD_SETTINGS = 3;
 
     private ExitCode() {}
--- a/src/main/java/reedmux/cli/GatekeeperProcess.java
+++ b/src/main/java/reedmux/cli/GatekeeperProcess.java
@@ -28,24 +28,32 @@
 import reedmux.gatekeeper.settings.RegionSettings;
 
 /**
- * One gatekeeper: the services' reducers on the event loop's thread, and around them what does their I/O. The process
- * may take over from a running one of the same gatekeeper ({@link HandoverCoordinator}); then it warms up first, takes
- * the counts, and listens beside it until that one ends.
+ * A gatekeeper process: runs the reducers of its services on the event loop's thread and assembles the components that
+ * do their I/O. It may take over from a running process of the same gatekeeper ({@link HandoverCoordinator}). In that
+ * case it first warms up, then receives the other process's counts, and listens at the same port until that process
+ * ends.
  */
 public final class GatekeeperProcess implements AutoCloseable {
     /**
-     * Shares of the file descriptors. Well-behaved consumers hold up to a third of all and must not be closed for want
-     * of room. What neither share takes is for the JVM's files, discovery and peers, about 20, and for connections that
-     * are accepted before others could be closed for them.
+     * Shares of the file descriptors for connections of consumers and to providers. Well-behaved consumers hold up to a
+     * third of all descriptors, and their connections must not be closed to free descriptors. The remainder covers the
+     * JVM's files, discovery and peers, about 20 descriptors, and connections that are accepted before others can be
+     * closed in their favour.
      */
     private static final double CONSUMERS_SHARE = 0.42;
 
     private static final double PROVIDERS_SHARE = 0.25;
-    /** Bytes of requests in flight over all services; twice that while every service uses what it may borrow. */
+    /**
+     * The limit of bytes buffered for in-flight requests of all services. The total reaches twice this value while
+     * every service uses all the capacity that it may borrow.
+     */
     private static final long MAX_BUFFERED_BYTES = 12L * 1024 * 1024;
-    /** Between checks for connections whose time is up; a consumer that stalls is to be closed within 3 s. */
+    /**
+     * The interval between checks for connections that have timed out. A stalled consumer connection must be closed
+     * within 3 s.
+     */
     private static final long SWEEP_INTERVAL_MICROS = TimeUnit.MILLISECONDS.toMicros(250);
-    /** Between exchanges of usage with another process of this gatekeeper, during a hand-over. */
+    /** The interval at which usage is sent to the other process of this gatekeeper during a handover. */
     private static final long EXCHANGE_INTERVAL_MICROS = TimeUnit.MILLISECONDS.toMicros(50);
 
     private final GatekeeperConfig config;
@@ -60,14 +68,14 @@
     private final RegionConnector regionConnector;
     private final CountDownLatch ended = new CountDownLatch(1);
     private final CountDownLatch listening = new CountDownLatch(1);
-    /** Open once discovery has been queried for the first time. */
+    /** Released once discovery has been queried for the first time. */
     private final CountDownLatch discoveryQueried = new CountDownLatch(1);
 
     private volatile boolean serving;
     private final LifeCycle lifeCycle = new LifeCycle();
     private final Metrics metrics = new Metrics();
     private final AdminServer adminServer;
-    /** Null where no other process may take over. */
+    /** Null if handover between processes is disabled. */
     private final HandoverCoordinator handover;
 
     private final HandoverCallbacks handoverCallbacks;
@@ -83,7 +91,7 @@
     private long lastUsageExchangeAt;
     private long lastSweepAt;
 
-    /** A gatekeeper without settings of the operators and without a hand-over. */
+    /** Creates a gatekeeper without operator settings and without handover. */
     public GatekeeperProcess(GatekeeperConfig config, MonotonicClock clock, Consumer<String> log) throws IOException {
         this(LoadedConfiguration.platformOnly(config), clock, log);
     }
@@ -93,9 +101,10 @@
     }
 
     /**
-     * A gatekeeper that may take over from another process of its own.
+     * Creates a gatekeeper that can take over from another process of the same gatekeeper.
      *
-     * @param handoverSocket the socket at which processes of this gatekeeper meet, or null for no hand-over
+     * @param handoverSocket the path of the Unix domain socket through which processes of this gatekeeper connect, or
+     *     null to disable handover
      * @throws IOException if a socket cannot be opened
      */
     GatekeeperProcess(LoadedConfiguration loaded, MonotonicClock clock, Consumer<String> log, Path handoverSocket)
@@ -140,7 +149,7 @@
                 metrics);
     }
 
-    /** Null where the operators have set no region. */
+    /** Returns null if the operators have not set a region. */
     private RegionConnector newRegionConnector(RegionSettings region) {
         return region == null
                 ? null
@@ -165,10 +174,10 @@
     }
 
     /**
-     * Listens, and serves until the shutdown is over. The calling thread runs the event loop and owns the reducer.
+     * Listens, and serves until the shutdown is complete. The calling thread runs the event loop and owns the reducers.
      *
      * @throws IOException           if the consumers' or the regions' address cannot be bound
-     * @throws IllegalStateException if the process cannot go on and has to be restarted
+     * @throws IllegalStateException if the process cannot continue and has to be restarted
      */
     public void run() throws IOException, InterruptedException {
         reactor.start();
@@ -178,7 +187,7 @@
             if (!replacesRunningProcess) {
                 awaitFirstEndpointList();
                 startServing();
-            } else if (warmedUp) { // else the warm-up's thread takes over once it is done
+            } else if (warmedUp) { // otherwise the warm-up thread takes over when the warm-up is complete
                 Thread takeoverThread = new Thread(this::takeOverFromPredecessor, "reedmux-take-over");
                 takeoverThread.setDaemon(true);
                 takeoverThread.start();
@@ -258,22 +267,22 @@
     }
 
     /**
-     * Sets for how long to wait for discovery's first endpoint list before listening; 0 for not at all. A process that
-     * listens with a list from before its restart would send requests to providers that are draining, while consumers
-     * find other gatekeepers meanwhile. To be called before {@link #run}.
+     * Sets how long to wait for discovery's first endpoint list before listening, in milliseconds; 0 disables the wait.
+     * A process that listens with a list from before its restart would send requests to providers that are draining.
+     * While it waits, consumers connect to other gatekeepers. Must be called before {@link #run}.
      */
     void setFirstEndpointListTimeout(long millis) {
         firstEndpointListMillis = millis;
     }
 
-    /** A task that may wait. */
+    /** A task that may block and be interrupted. */
     interface InterruptibleTask {
         void run() throws InterruptedException;
     }
 
     /**
-     * Starts a thread that warms up the process after {@code first}. Until it is done the gatekeeper serves, but does
-     * not call itself ready. To be called before {@link #run}.
+     * Starts a thread that runs {@code precedingTask} and then warms up the process. Until the warm-up is complete the
+     * gatekeeper serves requests but does not report itself as ready. Must be called before {@link #run}.
      */
     Thread warmUpAfter(InterruptibleTask precedingTask) {
         warmedUp = false;
@@ -291,7 +300,7 @@
                 () -> replacesRunningProcess || services.defaultService().restartDetected());
         try {
             precedingTask.run();
-            discoveryQueried.await(); // CPU that the warm-up takes earlier would delay the first endpoint list
+            discoveryQueried.await(); // an earlier warm-up would use CPU time and delay the first endpoint list
             if (replacesRunningProcess) {
                 warmUpOnPrivatePort(warmUp);
             } else {
@@ -300,7 +309,7 @@
                         millis -> isListeningWithin(millis) ? (InetSocketAddress) listenAddress : null);
             }
         } catch (InterruptedException | IOException | RuntimeException e) {
-            log.accept("warm-up: " + e); // it serves without, only slower at first
+            log.accept("warm-up: " + e); // the process serves without a warm-up, only more slowly at first
         } finally {
             warmedUp = true;
             if (replacesRunningProcess) {
@@ -311,7 +320,10 @@
         }
     }
 
-    /** At the consumers' port the process that is still running would answer half of the requests. */
+    /**
+     * Warms up over a private port. On the consumers' port, the other process, which is still running, would answer
+     * half of the requests.
+     */
     private void warmUpOnPrivatePort(WarmUp warmUp) throws IOException, InterruptedException {
         try (ConnectionAcceptor privateAcceptor = new ConnectionAcceptor(
                 new InetSocketAddress(config.listen().getAddress(), 0),
@@ -324,10 +336,10 @@
         }
     }
 
-    /** Takes over the other process's counts, or starts beside it without them where that fails. */
+    /** Receives the counts of the running process and starts serving; if the transfer fails, starts without them. */
     private void takeOverFromPredecessor() {
         try {
-            awaitFirstEndpointList(); // the other process serves meanwhile
+            awaitFirstEndpointList(); // the other process still serves
             if (!handover.takeOverCounts()) {
                 services.runInEventLoop(handoverCallbacks::openPeerSocket);
             }
@@ -341,10 +353,10 @@
         }
     }
 
-    /** What the event loop calls after each turn; returns when it is to be called again, in microseconds. */
+    /** Called by the event loop after each turn; returns the time in microseconds at which to call it next. */
     private long afterTurn(long now) {
         if (takeoverFailed) {
-            throw new IllegalStateException("cannot take the place of the process that runs");
+            throw new IllegalStateException("cannot take over from the running process");
         }
         if (handover != null && handover.isExchangingUsage() && now - lastUsageExchangeAt >= EXCHANGE_INTERVAL_MICROS) {
             lastUsageExchangeAt = now;
@@ -356,7 +368,7 @@
         }
         if (lifeCycle.phase() != LifeCycle.LifeCyclePhase.LEAVING) {
             // A reactor whose thread has died closes its sockets without an error. A process without sockets would
-            // look alive and serve nobody, so it ends and the platform restarts it.
+            // appear alive but serve no requests, so it exits and the platform restarts it.
             if (!reactorThreads.stream().allMatch(Thread::isAlive)) {
                 throw new IllegalStateException("the reactor has ended");
             }
@@ -400,8 +412,8 @@
     }
 
     /**
-     * Begins a graceful shutdown: accepts for a little longer, answers what was accepted, and ends {@link #run}. May be
-     * called from any thread.
+     * Begins a graceful shutdown: accepts connections for a short grace period, completes the accepted requests, and
+     * then lets {@link #run} return. May be called from any thread.
      */
     public void beginShutdown() {
         lifeCycle.startShutdown(clock.now());
@@ -409,35 +421,35 @@
     }
 
     /**
-     * Takes up a changed configuration as far as that is possible without a restart; one that cannot be read is logged
-     * and changes nothing. Not for an I/O thread, as it reads files.
+     * Applies the changes of the configuration that do not require a restart; an invalid configuration is logged and
+     * changes nothing. Must not be called on an I/O thread, as it reads files.
      */
     void reload(ConfigurationReloader.ConfigurationSource source) {
         reloader.reload(source);
     }
 
-    /** Waits for the end of {@link #run}; returns whether it came within so many milliseconds. */
+    /** Waits up to {@code millis} milliseconds for {@link #run} to complete; returns whether it has. */
     public boolean awaitEnd(long millis) throws InterruptedException {
         return ended.await(millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Waits until consumers can connect; returns whether they can within so many milliseconds. */
+    /** Waits up to {@code millis} milliseconds until consumers can connect; returns whether they can. */
     boolean isListeningWithin(long millis) throws InterruptedException {
         return listening.await(millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Waits until consumers can connect; returns the address that is bound, with the port that was chosen for 0. */
+    /** Waits until consumers can connect; returns the bound address, with the assigned port if port 0 is configured. */
     public SocketAddress awaitListening() throws InterruptedException {
         listening.await();
         return listenAddress;
     }
 
-    /** Where operators connect, or null if no address is configured for them. */
+    /** Returns the address of the admin server, or null if none is configured. */
     public InetSocketAddress adminAddress() throws IOException {
         return adminServer == null ? null : adminServer.address();
     }
 
-    /** Waits until consumers can connect; returns where other regions connect, or null if they may not. */
+    /** Waits until consumers can connect; returns the address for other regions, or null if there is none. */
     public InetSocketAddress awaitRegionAddress() throws InterruptedException, IOException {
         listening.await();
         return regionConnector == null ? null : regionConnector.address();
--- a/src/main/java/reedmux/cli/HandoverCallbacks.java
+++ b/src/main/java/reedmux/cli/HandoverCallbacks.java
@@ -14,8 +14,9 @@
 import reedmux.gatekeeper.service.ServiceManager;
 
 /**
- * What a hand-over needs of a gatekeeper's process: the counts of its services, its life cycle, and the peers' socket,
- * which only one of two processes can have. Except {@link #runOnLoop}, for the event loop's thread.
+ * Gives the handover access to a gatekeeper process: to the counts of its services, its life cycle, and the peer
+ * socket, which only one of the two processes can have open. All methods except {@link #runOnLoop} must be called on
+ * the event loop's thread.
  */
 final class HandoverCallbacks implements HandoverCoordinator.HandoverHost {
     private final PeerSocket peers;
@@ -23,7 +24,7 @@
     private final MonotonicClock clock;
     private final Consumer<String> log;
     private volatile ServiceManager services;
-    /** Whether the peers' socket is to be opened as soon as the other process has released it. */
+    /** Whether opening the peer socket has to be retried until the other process has released it. */
     private boolean peerSocketPending;
 
     HandoverCallbacks(PeerSocket peers, LifeCycle lifeCycle, MonotonicClock clock, Consumer<String> log) {
@@ -33,7 +34,7 @@
         this.log = log;
     }
 
-    /** Sets the services, which are created later; to be called before the event loop runs. */
+    /** Sets the services, which are created after this object; must be called before the event loop runs. */
     void attach(ServiceManager newServices) {
         services = newServices;
     }
@@ -48,7 +49,7 @@
         try {
             peers.release();
         } catch (IOException e) {
-            log.accept("hand-over: the peers' socket: " + e.getMessage());
+            log.accept("hand-over: cannot release the peers' socket: " + e.getMessage());
         }
         List<HandoverFrame.ServiceSnapshot> snapshots = new ArrayList<>();
         Map<String, HandoverCounts> counts = services.handoverCounts();
@@ -102,7 +103,7 @@
         lifeCycle.setSuccessor(serving);
     }
 
-    /** Opens the peers' socket, or leaves it to {@link #retryPeerSocket} while the other process has it. */
+    /** Opens the peer socket; {@link #retryPeerSocket} retries this while the other process has it open. */
     void openPeerSocket() {
         boolean isRetry = peerSocketPending;
         peerSocketPending = false;
@@ -116,7 +117,7 @@
         }
     }
 
-    /** Tries again to open the peers' socket if that has failed. */
+    /** Retries opening the peer socket if the last attempt failed. */
     void retryPeerSocket() {
         if (peerSocketPending) {
             openPeerSocket();
--- a/src/main/java/reedmux/cli/LabCommand.java
+++ b/src/main/java/reedmux/cli/LabCommand.java
@@ -8,25 +8,25 @@
 
 /** Runs a scenario against gatekeepers on loopback or in virtual time, or lists the scenarios. */
 public final class LabCommand extends Main.GatekeeperCommand {
-    @Argument(index = 0, metaVar = "run|list", usage = "run a scene, or list what there is", required = true)
+    @Argument(index = 0, metaVar = "run|list", usage = "run a scenario, or list the scenarios", required = true)
     private String action;
 
-    @Argument(index = 1, metaVar = "SCENE", usage = "the scene to run")
+    @Argument(index = 1, metaVar = "SCENE", usage = "the scenario to run")
     private String scene;
 
-    @Option(name = "--seeds", metaVar = "A..B", usage = "the seeds to play; a scene in real time plays the first")
+    @Option(name = "--seeds", metaVar = "A..B", usage = "the seeds to run; a real-time scenario runs only the first")
     private String seeds = "1..20";
 
-    @Option(name = "--out", metaVar = "FOLDER", usage = "also keep the table there, as Markdown and CSV")
+    @Option(name = "--out", metaVar = "FOLDER", usage = "also write the table to this folder, as Markdown and CSV")
     private Path outputFolder;
 
-    @Option(name = "--jar", metaVar = "JAR", usage = "for cost: the build to measure, else this one")
+    @Option(name = "--jar", metaVar = "JAR", usage = "for cost: the build to measure; this build by default")
     private Path measuredJar;
 
-    @Option(name = "--vs", metaVar = "JAR", usage = "for cost: the build to compare with, else this one")
+    @Option(name = "--vs", metaVar = "JAR", usage = "for cost: the build to compare with; this build by default")
     private Path comparedJar;
 
-    @Option(name = "--most", metaVar = "N", usage = "for capacity: the largest size to play")
+    @Option(name = "--most", metaVar = "N", usage = "for capacity: the largest size to run")
     private int largestSize = 300;
 
     @Override
--- a/src/main/java/reedmux/cli/LoadedConfiguration.java
+++ b/src/main/java/reedmux/cli/LoadedConfiguration.java
@@ -10,15 +10,16 @@
 import reedmux.gatekeeper.settings.OperatorSettings;
 
 /**
- * A gatekeeper's complete configuration: the platform's and the operators', loaded together or not at all.
+ * A gatekeeper's complete configuration. The platform's configuration and the operators' settings are loaded together;
+ * an error in either rejects both.
  *
  * @param config   the platform's configuration
- * @param settings the operators' settings; {@link OperatorSettings#NONE} if they have none
- * @param services the services that follow from both
+ * @param settings the operators' settings; {@link OperatorSettings#NONE} if there are none
+ * @param services the services defined by both
  */
 public record LoadedConfiguration(GatekeeperConfig config, OperatorSettings settings, ServiceCatalog services) {
 
-    /** The platform's configuration alone. */
+    /** Returns the platform's configuration without operator settings. */
     static LoadedConfiguration platformOnly(GatekeeperConfig config) {
         return new LoadedConfiguration(config, OperatorSettings.NONE, ServiceCatalog.platformOnly(config));
     }
@@ -29,7 +30,7 @@
         return withOperatorSettings(GatekeeperConfig.load(environment, clock), file, clock);
     }
 
-    /** Loads both again, as far as a running process can change them. */
+    /** Loads both again for a running process, whose configuration can be changed only in part. */
     static LoadedConfiguration reload(Map<String, String> environment, Path file, MonotonicClock clock)
             throws ConfigException {
         return withOperatorSettings(GatekeeperConfig.reload(environment, clock), file, clock);
@@ -48,10 +49,10 @@
     }
 
     /**
-     * Combines both.
+     * Combines the platform's configuration with operator settings.
      *
-     * @param file the operators' file; documents that it names are resolved beside it
-     * @throws ConfigException if the settings do not fit the platform, or a document cannot be used
+     * @param file the operators' file; the paths of documents that it names are relative to its folder
+     * @throws ConfigException if the settings conflict with the platform's configuration, or a document is invalid
      */
     static LoadedConfiguration of(GatekeeperConfig config, OperatorSettings settings, Path file, MonotonicClock clock)
             throws ConfigException {
--- a/src/main/java/reedmux/cli/Main.java
+++ b/src/main/java/reedmux/cli/Main.java
@@ -21,33 +21,33 @@
 import reedmux.gatekeeper.script.ScriptException;
 import reedmux.gatekeeper.settings.OperatorSettings;
 
-/** The command line. */
+/** The entry point of the command line. */
 public final class Main {
     private static final int BAD_USAGE = 2;
     private static final int BAD_CONFIG = 3;
 
-    /** What one sub-command does; its own options are read by args4j. */
+    /** A sub-command; args4j parses its options. */
     abstract static class GatekeeperCommand {
         @Option(name = "--help", aliases = "-h", help = true, usage = "print this")
         private boolean help;
 
-        /** Returns the exit code, or one below nought to leave the end to others. */
+        /** Runs the command; returns its exit code, or a negative value if {@code main} must not exit the JVM. */
         abstract int run() throws IOException, InterruptedException;
     }
 
-    /** The commands, with what {@code --help} says of each. */
+    /** The commands and their descriptions in the output of {@code --help}. */
     private static final Map<String, String> COMMANDS = new LinkedHashMap<>();
 
     static {
-        COMMANDS.put("serve", "run a gatekeeper until SIGTERM; RELAY_CONFIG names its configuration");
-        COMMANDS.put("wirehost", "speak the simulator's wire on standard input and output");
-        COMMANDS.put("check-config", "say whether the configuration can be used, or which key is at fault");
-        COMMANDS.put("self-check", "start a gatekeeper from a sample configuration, ask it once, end it");
-        COMMANDS.put("lab", "run a scene against real gatekeepers on loopback, or in virtual time");
+        COMMANDS.put("serve", "run a gatekeeper until SIGTERM; RELAY_CONFIG names its configuration file");
+        COMMANDS.put("wirehost", "serve the simulator's protocol on standard input and output");
+        COMMANDS.put("check-config", "validate the configuration and report the first invalid key");
+        COMMANDS.put("self-check", "start a gatekeeper from a sample configuration, send it one request, stop it");
+        COMMANDS.put("lab", "run a scenario against real gatekeepers on loopback, or in virtual time");
         COMMANDS.put("version", "print the version");
     }
 
-    @Argument(index = 0, metaVar = "COMMAND", handler = SubCommandHandler.class, usage = "what to do")
+    @Argument(index = 0, metaVar = "COMMAND", handler = SubCommandHandler.class, usage = "the command to run")
     @SubCommands({
         @SubCommand(name = "serve", impl = ServeCommand.class),
         @SubCommand(name = "wirehost", impl = WireHostCommand.class),
@@ -74,7 +74,7 @@
             parser.parseArgument(args);
         } catch (CmdLineException e) {
             System.err.println("reedmux: " + e.getMessage());
-            // A mistake within a sub-command is told by that command's own options.
+            // For an error in a sub-command's arguments, the help of that sub-command lists the valid options.
             if (args.length > 0 && COMMANDS.containsKey(args[0])) {
                 System.err.println("try: reedmux " + args[0] + " --help");
             } else {
@@ -102,8 +102,9 @@
     private static String usage() {
         StringBuilder text = new StringBuilder("usage: reedmux COMMAND [OPTION ...]\n");
         COMMANDS.forEach((name, description) -> text.append(String.format("  %-13s %s%n", name, description)));
-        text.append("  proxy, registry, store, check\n                the programs of the whole system\n");
-        return text.append("reedmux COMMAND --help tells a command's options").toString();
+        text.append("  proxy, registry, store, check\n                the programs of the gateway\n");
+        return text.append("reedmux COMMAND --help prints the options of a command")
+                .toString();
     }
 
     private static String usage(String name, GatekeeperCommand command) {
@@ -114,7 +115,7 @@
                 + COMMANDS.get(name) + '\n' + options.toString().stripTrailing();
     }
 
-    /** Reads all settings, or ends with one line that names the key at fault. */
+    /** Loads the configuration, or prints one line that names the invalid key and exits the process. */
     static LoadedConfiguration loadOrExit(Map<String, String> environment, Path settings, MonotonicClock clock) {
         try {
             return LoadedConfiguration.load(environment, settings, clock);
@@ -125,21 +126,25 @@
         }
     }
 
-    /** Runs a real gatekeeper until it is told to leave. */
+    /** Runs a gatekeeper until SIGTERM. */
     public static final class ServeCommand extends GatekeeperCommand {
         private static final long MAX_SHUTDOWN_MILLIS = 8_000;
         /**
-         * Discovery's first list came within 0.28 to 0.43 s on a third of a core (171 starts of one mass
-         * restart); a silent discovery must not keep us away for longer than the warm-up does at a restart.
+         * How long to wait for discovery's first list before listening. On a third of a core the list arrived within
+         * 0.28 to 0.43 s (171 starts of one mass restart). If discovery does not respond, the process must not be
+         * unavailable for longer than the warm-up takes at a restart.
          */
         private static final long FIRST_ENDPOINT_LIST_TIMEOUT_MILLIS = 2_000;
-        /** Where discovery is asked nothing counts as told before its answer: an old list is only worse. */
+        /**
+         * The same timeout where the gatekeeper polls discovery. Only a response of discovery ends the wait early; the
+         * known list does not, as it may be outdated.
+         */
         private static final long FIRST_DISCOVERY_RESPONSE_TIMEOUT_MILLIS = 1_000;
 
         @Option(
                 name = "--settings",
                 metaVar = "FILE",
-                usage = "the operators' own settings, a .star script;" + " SIGHUP reads them anew")
+                usage = "the operators' settings, a .star script;" + " SIGHUP reloads them")
         private Path settings;
 
         @Override
@@ -151,7 +156,7 @@
                     clock,
                     line -> System.err.println("reedmux: " + line),
                     handoverSocket(System.getenv(), loaded.config()));
-            // Set before anything is ready: without a handler SIGHUP ends the program.
+            // Installed before the process is ready, because without a handler SIGHUP terminates it.
             onHangupSignal(() -> gatekeeper.reload(() -> LoadedConfiguration.reload(System.getenv(), settings, clock)));
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(
@@ -175,11 +180,14 @@
                 System.err.println("reedmux: " + e.getMessage());
                 return 1;
             }
-            return -1; // the program ends when its hook, which waits for us, returns
+            return -1; // the JVM exits when the shutdown hook, which waits for run() to complete, returns
         }
     }
 
-    /** Where processes of this gatekeeper meet; null without a door, at which an upgrade says its yes. */
+    /**
+     * Returns the path of the socket through which processes of this gatekeeper connect. Null, which disables handover,
+     * if there is no folder for temporary files or no admin server; an upgrade is confirmed through the admin server.
+     */
     private static Path handoverSocket(Map<String, String> environment, GatekeeperConfig config) {
         String temporaryFolder = environment.get("TMPDIR");
         return temporaryFolder == null || temporaryFolder.isBlank() || config.adminListen() == null
@@ -192,12 +200,12 @@
                                 + config.listen().getPort());
     }
 
-    /** Runs this at each SIGHUP, on a thread of its own. */
+    /** Runs the task at each SIGHUP, on a thread of its own. */
     static void onHangupSignal(Runnable task) {
         Signals.handle("HUP", task, line -> System.err.println("reedmux: " + line));
     }
 
-    /** Speaks the simulator's wire on standard input and output. */
+    /** Serves the simulator's protocol on standard input and output. */
     public static final class WireHostCommand extends GatekeeperCommand {
         @Override
         int run() {
@@ -205,12 +213,12 @@
         }
     }
 
-    /** Reads the settings and says whether they can be used. */
+    /** Validates the configuration and the operators' settings. */
     public static final class CheckConfigCommand extends GatekeeperCommand {
         @Option(
                 name = "--settings",
                 metaVar = "FILE",
-                usage = "also the operators' own settings; without" + " RELAY_CONFIG these alone")
+                usage = "also validate the operators' settings; without" + " RELAY_CONFIG, only these")
         private Path settings;
 
         @Override
@@ -236,7 +244,7 @@
         }
     }
 
-    /** Prints the version. */
+    /** Prints the version of this build. */
     public static final class VersionCommand extends GatekeeperCommand {
         @Override
         int run() {
--- a/src/main/java/reedmux/cli/ProgramCommand.java
+++ b/src/main/java/reedmux/cli/ProgramCommand.java
@@ -16,18 +16,18 @@
 import reedmux.common.settings.Signals;
 
 /**
- * Runs one of the system's programs on the calling thread until it has shut down: reads its settings, starts it, and
- * passes on signals and changes of the settings file.
+ * Runs one of the gateway's programs on the calling thread until it has shut down: loads its settings, starts it, and
+ * notifies it of signals and of changes to the settings file.
  */
 abstract class ProgramCommand implements Callable<Integer> {
     private static final int LOG_CAPACITY_LINES = 500;
-    /** The file may change without a SIGHUP, so its time of modification is looked at as well. */
+    /** The interval at which the settings file's modification time is polled, as the file may change without SIGHUP. */
     private static final long SETTINGS_CHECK_INTERVAL_MICROS = 2_000_000;
 
     @AirlineModule
     private HelpOption<ProgramCommand> help;
 
-    /** Creates the program on a reactor; it listens when this returns. */
+    /** Creates the program on a reactor; the program is listening when this method returns. */
     abstract Program start(ProcessSettings settings, Reactor reactor) throws ProcessSettingsException, IOException;
 
     @Override
@@ -40,7 +40,7 @@
         return ExitCode.OK;
     }
 
-    /** Runs a start and some service, so that the class archive holds what both load. */
+    /** Starts the program and runs it for a while, so that the class archive contains the classes that this loads. */
     void rehearse(ProcessSettings settings, long durationMicros) throws ProcessSettingsException, IOException {
         System.getenv(ProcessSettings.ENVIRONMENT_VARIABLE);
         Reactor reactor = newReactor(settings);
@@ -71,7 +71,7 @@
         reactor.run();
     }
 
-    /** Null if the file cannot be read at present. */
+    /** Returns null if the file cannot currently be read. */
     private static FileTime lastModified(Path file) {
         try {
             return Files.getLastModifiedTime(file);
@@ -81,13 +81,14 @@
     }
 
     /**
-     * A program that starts or runs, and what it does at signals. They are handled before it listens: by default the
-     * JVM would end at once, with what has come in meanwhile. Until the reactor runs they wait in its queue.
+     * A starting or running program and its signal handlers. The handlers are installed before the program listens:
+     * the JVM's default is to exit immediately, which would drop the requests received until then. Signals that arrive
+     * before the reactor runs are queued.
      */
     private static final class RunningProgram {
         private final Reactor reactor;
         private final Path file;
-        /** Set before the reactor runs. */
+        /** Assigned before the reactor runs. */
         private Program program;
 
         private RunningProgram(Reactor reactor, Path file) {
@@ -95,7 +96,10 @@
             this.file = file;
         }
 
-        /** In classes and not in lambdas, which would take longer before the program listens. */
+        /**
+         * Installs the handlers as anonymous classes: linking lambdas would delay the time at which the program
+         * listens.
+         */
         private void handleSignals() {
             Runnable shutdown = new Runnable() {
                 @Override
@@ -119,18 +123,18 @@
             Signals.handle("HUP", new ReactorTask(reactor, reload), log);
         }
 
-        /** Has the program take up the file; one that cannot be used is logged and changes nothing. */
+        /** Reloads the settings file; an invalid file is logged and changes nothing. */
         private void reload() {
             try {
                 program.reload(ProcessSettings.load(file));
                 reactor.info("settings read again");
             } catch (ProcessSettingsException e) {
-                reactor.info("settings: " + e.getMessage() + "; the old ones stay");
+                reactor.info("settings: " + e.getMessage() + "; the old settings stay in effect");
             }
         }
     }
 
-    /** Runs a task on the reactor's thread. */
+    /** A task that runs another task on the reactor's thread. */
     private static final class ReactorTask implements Runnable {
         private final Reactor reactor;
         private final Runnable task;
--- a/src/main/java/reedmux/cli/ProxyCommand.java
+++ b/src/main/java/reedmux/cli/ProxyCommand.java
@@ -9,7 +9,7 @@
 import reedmux.proxy.Proxy;
 
 /** Runs a proxy, which forwards clients' requests to checkers. */
-@Command(name = "proxy", description = "carries clients' requests to checkers; REEDMUX_BOOT names its settings")
+@Command(name = "proxy", description = "forwards clients' requests to checkers; REEDMUX_BOOT names its settings file")
 public final class ProxyCommand extends ProgramCommand {
     @Override
     Program start(ProcessSettings settings, Reactor reactor) throws ProcessSettingsException, IOException {
--- a/src/main/java/reedmux/cli/RegionConnector.java
+++ b/src/main/java/reedmux/cli/RegionConnector.java
@@ -27,13 +27,14 @@
 import reedmux.gatekeeper.settings.RegionSettings;
 
 /**
- * A gatekeeper's connections with other regions: an acceptor for what they forward, and connections for what is
- * forwarded there. Both have descriptors of their own, so that failover takes none from consumers or providers.
+ * A gatekeeper's connections with other regions: an acceptor for the requests that they forward, and a connection pool
+ * for the requests that are forwarded to them. Both have their own limits of file descriptors, so that failover uses
+ * none that are reserved for consumers or providers.
  */
 final class RegionConnector {
-    /** Half of the time after which the other side closes idle connections. */
+    /** Half of the idle timeout after which the other region closes a connection. */
     private static final long MAX_IDLE_MICROS = TimeUnit.MILLISECONDS.toMicros(7_500);
-    /** Between two reports in the log while the counts change. */
+    /** The minimum interval between two reports in the log; a report is written only if the counts have changed. */
     private static final long REPORT_INTERVAL_MICROS = TimeUnit.SECONDS.toMicros(10);
 
     private final RegionSettings settings;
@@ -70,7 +71,7 @@
                         .toArray());
     }
 
-    /** Creates the outbound side; to be called once, when there is a reactor. */
+    /** Creates the outbound connection pool; must be called once, after the reactor has been created. */
     void connect(
             DefaultListeningIOReactor reactor,
             GatekeeperConfig config,
@@ -86,9 +87,9 @@
     }
 
     /**
-     * Accepts other regions' connections where an address is set for them.
+     * Accepts connections from other regions if an address is configured for them.
      *
-     * @param shared whether another process of this gatekeeper may listen at the same address
+     * @param shared whether another process of this gatekeeper may listen on the same address
      */
     void listen(DefaultListeningIOReactor reactor, boolean shared) throws IOException {
         if (settings.listen() == null) {
@@ -102,17 +103,17 @@
         port = ((InetSocketAddress) acceptor.address()).getPort();
     }
 
-    /** Where other regions connect, or null if they may not. */
+    /** Returns the address to which other regions connect, or null if none is bound. */
     InetSocketAddress address() throws IOException {
         return acceptor == null ? null : (InetSocketAddress) acceptor.address();
     }
 
-    /** The server of a connection that was accepted at a local address: that of other regions or of consumers. */
+    /** Returns the server for connections accepted at a local address: the one for regions or the one for consumers. */
     ConsumerServer serverOf(SocketAddress local, ConsumerServer consumers) {
         return local instanceof InetSocketAddress address && address.getPort() == port ? server : consumers;
     }
 
-    /** Decides what is forwarded and accepted. */
+    /** Returns the coordinator, which decides which requests are forwarded to and accepted from other regions. */
     RegionCoordinator coordinator() {
         return coordinator;
     }
@@ -123,13 +124,14 @@
     }
 
     /**
-     * The event by which the reducer takes up changed settings. What takes a restart is logged.
+     * Returns the event that applies changed settings in the reducer. Changes that require a restart are logged.
      *
      * @param newSettings the new settings, or null if the operators have removed the region
      */
     ReducerEvent reload(RegionSettings newSettings) {
         if (newSettings == null) {
-            // Forwarded requests still come back; nothing more is forwarded or accepted. The acceptor stays open.
+            // Requests in flight to other regions still complete, but no further ones are forwarded or accepted. The
+            // acceptor stays open.
             return new ReducerEvent.RegionRulesUpdated(
                     new FailoverRules(
                             settings.rules().name(), Set.of(), settings.rules().remoteLimits(), null),
@@ -145,7 +147,7 @@
                 newSettings.gateways());
     }
 
-    /** Closes idle connections and reports the counts; on the reducer's thread. */
+    /** Closes idle connections and reports the counts; must be called on the reducer's thread. */
     void sweep(long now) {
         connectionPool.sweep();
         server.sweep();
@@ -167,7 +169,7 @@
         }
     }
 
-    /** Stops accepting; established connections go on. */
+    /** Stops accepting connections; established connections stay open. */
     void close() {
         if (acceptor != null) {
             acceptor.close();
--- a/src/main/java/reedmux/cli/RegistryCommand.java
+++ b/src/main/java/reedmux/cli/RegistryCommand.java
@@ -8,8 +8,8 @@
 import reedmux.common.settings.Program;
 import reedmux.control.registry.Registry;
 
-/** Runs a registry, which takes the calls of checkers and operators. */
-@Command(name = "registry", description = "knows checkers and proxies, and takes the calls from outside")
+/** Runs a registry, which serves the RPCs of checkers and operators. */
+@Command(name = "registry", description = "tracks checkers and proxies, and serves the RPCs of checkers and operators")
 public final class RegistryCommand extends ProgramCommand {
     @Override
     Program start(ProcessSettings settings, Reactor reactor) throws ProcessSettingsException, IOException {
--- a/src/main/java/reedmux/cli/RehearseCommand.java
+++ b/src/main/java/reedmux/cli/RehearseCommand.java
@@ -8,8 +8,8 @@
 import reedmux.common.settings.ProcessSettingsException;
 import reedmux.simulation.harness.LoopbackGateway;
 
-/** Runs a complete gateway on loopback for a few seconds; the build records its class archive from that. */
-@Command(name = "rehearse", description = "plays a whole gateway on loopback for some seconds, and ends")
+/** Runs a complete gateway on loopback for a few seconds; the build creates the class archive from this run. */
+@Command(name = "rehearse", description = "runs a complete gateway on loopback for a few seconds, then exits")
 public final class RehearseCommand implements Callable<Integer> {
     private static final int REQUESTS = 60;
     private static final int PROXIES = 2;
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Sends GET and POST requests in turns to both proxies; returns how many were served. */
+    /** Sends alternating GET and POST requests to both proxies; returns the number of requests served. */
     private static int sendRequests(LoopbackGateway gateway) throws IOException {
         int served = 0;
         for (int i = 0; i < REQUESTS; i++) {
--- a/src/main/java/reedmux/cli/SeedRange.java
+++ b/src/main/java/reedmux/cli/SeedRange.java
@@ -3,11 +3,13 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The seeds of an option {@code --seeds A..B} or {@code --seeds A}, both ends included. */
+/** The inclusive range of seeds of an option {@code --seeds A..B} or {@code --seeds A}. */
 record SeedRange(long first, long last) {
     private static final Pattern FORMAT = Pattern.compile("([0-9]{1,9})(?:\\.\\.([0-9]{1,9}))?");
 
-    /** The range in a text, or null if the text has none; the last may be below the first. */
+    /**
+     * Parses a range; returns null if the text is not one. Does not check that the last seed is not below the first.
+     */
     static SeedRange parse(String text) {
         Matcher matcher = FORMAT.matcher(text);
         if (!matcher.matches()) {
--- a/src/main/java/reedmux/cli/SelfCheckCommand.java
+++ b/src/main/java/reedmux/cli/SelfCheckCommand.java
@@ -16,9 +16,9 @@
 import reedmux.gatekeeper.config.GatekeeperConfig;
 
 /**
- * Starts a gatekeeper from the sample configuration on a free loopback port, sends it one request for which there is no
- * provider, and shuts it down: shows that the program works on this machine. The build records the class archive of the
- * gatekeeper from it.
+ * Verifies that the program works on this machine: starts a gatekeeper from the sample configuration on a free loopback
+ * port, sends it one request for which there is no provider, and shuts it down. The build creates the gatekeeper's
+ * class archive from this run.
  */
 public final class SelfCheckCommand extends Main.GatekeeperCommand {
 
@@ -29,7 +29,7 @@
         try (InputStream sample = SelfCheckCommand.class.getResourceAsStream("/sample-config.json")) {
             config = GatekeeperConfig.read(sample.readAllBytes(), Map.of("RELAY_OPERATOR", "127.0.0.1:0"), clock);
         } catch (ConfigException e) {
-            throw new IllegalStateException("the sample configuration is at fault: " + e.getMessage(), e);
+            throw new IllegalStateException("the sample configuration is invalid: " + e.getMessage(), e);
         }
         Path folder = Files.createTempDirectory("reedmux");
         try (GatekeeperProcess gatekeeper = new GatekeeperProcess(
--- a/src/main/java/reedmux/cli/ServiceCatalog.java
+++ b/src/main/java/reedmux/cli/ServiceCatalog.java
@@ -16,17 +16,17 @@
 import reedmux.gatekeeper.settings.ServicesSettings;
 
 /**
- * The services that a gatekeeper serves: the platform's, and those that the operators have set, with the documents that
- * these name.
+ * The services of a gatekeeper: the platform's service and those defined in the operators' settings, including the
+ * configuration documents that the settings name.
  *
- * @param pools             the services' setups, the platform's first
- * @param routes            which request goes to which service; null if there is only the platform's
- * @param configuredSharing the limits that all services share, 0 where none is set
+ * @param pools             the setups of the services, the platform's first
+ * @param routes            the table that maps requests to services; null if there is only the platform's service
+ * @param configuredSharing the limits shared by all services; 0 for a limit that is not set
  */
 public record ServiceCatalog(
         List<ServiceSetup> pools, RouteTable routes, ServicesSettings.SharingSettings configuredSharing) {
 
-    /** The platform's service alone. */
+    /** Returns a catalog with only the platform's service. */
     static ServiceCatalog platformOnly(GatekeeperConfig config) {
         return new ServiceCatalog(
                 List.of(ServiceSetup.onlyService(config.service())),
@@ -35,10 +35,10 @@
     }
 
     /**
-     * The services of the operators' settings, or the platform's alone if they set none.
+     * Returns the services of the operators' settings, or only the platform's service if the settings define none.
      *
-     * @param folder where relative paths of documents begin
-     * @throws ConfigException if a document cannot be read or used
+     * @param folder the folder against which relative paths of documents are resolved
+     * @throws ConfigException if a document cannot be read or is invalid
      */
     static ServiceCatalog of(GatekeeperConfig config, ServicesSettings services, Path folder, MonotonicClock clock)
             throws ConfigException {
@@ -80,7 +80,7 @@
         }
     }
 
-    /** The limits that all services share; the arguments apply where none is set. */
+    /** Returns the limits shared by all services; the arguments are the defaults for limits that are not set. */
     ServiceManager.SharedCapacity sharedCapacity(int inFlight, long bytes, int descriptors) {
         return new ServiceManager.SharedCapacity(
                 configuredSharing.maxInFlight() == 0 ? inFlight : configuredSharing.maxInFlight(),
--- a/src/main/java/reedmux/cli/ShowCommand.java
+++ b/src/main/java/reedmux/cli/ShowCommand.java
@@ -19,22 +19,22 @@
 import reedmux.control.configuration.InvalidConfigurationException;
 
 /**
- * Shows what one control machine knows, with its age and whether that machine is in contact with a majority; one that
- * is partitioned shows what it has.
+ * The {@code show} command, which prints the state known to one control machine, the age of that state, and whether the
+ * machine is in contact with a majority. A partitioned machine responds with the state that it has.
  */
 @Command(
         name = "show",
-        description = "shows members, core, checkers, items or duties as one control"
-                + " machine knows them, with age and epoch, and whether that machine has contact with a majority")
+        description = "prints the members, core, checkers, items or duties known to one control"
+                + " machine, with age and epoch, and whether the machine is in contact with a majority")
 @ExitCodes(
         codes = {0, 1, 2},
         descriptions = {
             "told, also by a machine without a majority, which is said",
-            "nobody answered, or the answer was a refusal",
+            "no machine responded, or the request was rejected",
             "bad usage"
         })
 public final class ShowCommand implements Callable<Integer> {
-    /** By the argument, the name of the call. */
+    /** The names of the RPCs by the argument of the command. */
     private static final Map<String, String> SUBJECTS = new LinkedHashMap<>();
 
     static {
@@ -49,25 +49,28 @@
     @Arguments(title = "WHAT", description = "members, core, checkers, items or duties")
     private List<String> subjects = new ArrayList<>();
 
-    @Option(name = "--json", description = "print the answer as it came")
+    @Option(name = "--json", description = "print the response as received")
     private boolean json;
 
-    @Option(name = "--control", title = "ADDRESS", description = "a control address to ask; may be repeated")
+    @Option(name = "--control", title = "ADDRESS", description = "a control address to call; may be repeated")
     private List<String> control = new ArrayList<>();
 
-    @Option(name = "--boot", title = "FILE", description = "a settings file whose control address and seeds are asked")
+    @Option(name = "--boot", title = "FILE", description = "a settings file whose control address and seeds are called")
     private String boot;
 
-    @Option(name = "--service", title = "NAME", description = "only the checkers of that service")
+    @Option(name = "--service", title = "NAME", description = "print only the checkers of this service")
     private String service;
 
-    @Option(name = "--limit", title = "N", description = "so many entries, 1 to 1000; 200 where none is given")
+    @Option(name = "--limit", title = "N", description = "the maximum number of entries, 1 to 1000; 200 by default")
     private String limit;
 
-    @Option(name = "--after", title = "KEY", description = "only entries behind that one, as 'next' told it")
+    @Option(
+            name = "--after",
+            title = "KEY",
+            description = "print only entries after this key, the 'next' of a previous response")
     private String after;
 
-    @Option(name = "--wait", title = "MS", description = "how long to try; 10000 where none is given")
+    @Option(name = "--wait", title = "MS", description = "timeout of the command in milliseconds; 10000 by default")
     private long timeoutMillis = 10_000;
 
     @Override
--- a/src/main/java/reedmux/cli/ShowTable.java
+++ b/src/main/java/reedmux/cli/ShowTable.java
@@ -6,23 +6,23 @@
 import reedmux.control.configuration.InvalidConfigurationException;
 import reedmux.control.configuration.ItemJson;
 
-/** Formats the response to a {@code Show} call as lines for a person. */
+/** Formats the response to a {@code Show} RPC as a human-readable table. */
 final class ShowTable {
-    /** Longer cells do not widen their column. */
+    /** The maximum width of a column in characters; longer cells extend beyond it. */
     private static final int MAX_CELL_WIDTH = 48;
 
     private static final int COLUMN_GAP = 2;
-    /** A field of items that may be long; it is for tools. */
+    /** A field of items that may be long and is intended for tools; the table omits it. */
     private static final String HIDDEN_COLUMN = "body";
 
     private ShowTable() {}
 
     /**
-     * The response as a table: first who gave it, how old it is and how far it can be relied on, then its entries.
+     * Formats a response: first its sender, its age and whether it may be out of date, then its entries as a table.
      *
-     * @param address who gave the response
-     * @param json    the response
-     * @throws InvalidConfigurationException if it is not such a response
+     * @param address the address of the machine that sent the response
+     * @param json    the body of the response
+     * @throws InvalidConfigurationException if the body is not a response to a {@code Show} RPC
      */
     static String format(String address, String json) throws InvalidConfigurationException {
         Map<String, Object> response = ItemJson.requireObject(ItemJson.parse(json), "the answer");
--- a/src/main/java/reedmux/cli/SoakCommand.java
+++ b/src/main/java/reedmux/cli/SoakCommand.java
@@ -14,51 +14,68 @@
 import reedmux.simulation.soak.SoakOutcome;
 import reedmux.simulation.soak.SoakRun;
 
-/** Runs the programs as processes on loopback under faults that overlap. */
-@Command(name = "soak", description = "runs real processes on loopback under signals, kills and losses that overlap")
+/** Runs the programs as processes on loopback and injects overlapping faults. */
+@Command(
+        name = "soak",
+        description = "runs real processes on loopback under overlapping signals, kills and machine losses")
 public final class SoakCommand implements Callable<Integer> {
-    /** The second part of a soak's loopback addresses: seeds that run beside each other get different ones. */
+    /** The lowest second octet of a soak's loopback addresses; concurrent runs with other seeds use other octets. */
     private static final int FIRST_NETWORK = 20;
 
     private static final int NETWORKS = 100;
     private static final int MIN_CORES = 3;
-    /** Beyond that a proxy would never go on. */
+    /** The exclusive upper limit of the pause in each 100 ms; at 100 ms a proxy would never resume. */
     private static final int MAX_THROTTLE_MILLIS = 100;
 
     @AirlineModule
     private HelpOption<SoakCommand> help;
 
-    @Option(name = "--seeds", title = "A..B", description = "the runs, one after the other, each drawn from its seed")
+    @Option(
+            name = "--seeds",
+            title = "A..B",
+            description = "the seeds, each of which determines one run; runs are sequential")
     private String seeds = "1..5";
 
-    @Option(name = "--seconds", title = "N", description = "for which faults are injected in each run")
+    @Option(name = "--seconds", title = "N", description = "how long faults are injected in each run, in seconds")
     private int durationSeconds = 20;
 
-    @Option(name = "--proxies", title = "N", description = "proxies, spread over three zones")
+    @Option(name = "--proxies", title = "N", description = "number of proxies, distributed over three zones")
     private int proxies = 5;
 
-    @Option(name = "--cores", title = "N", description = "core machines, each with a store and a registry")
+    @Option(name = "--cores", title = "N", description = "number of core machines, each with a store and a registry")
     private int cores = 3;
 
-    @Option(name = "--checkers", title = "N", description = "stand-ins for checkers")
+    @Option(name = "--checkers", title = "N", description = "number of simulated checkers")
     private int checkers = 6;
 
-    @Option(name = "--clients", title = "N", description = "clients that send one request after another")
+    @Option(name = "--clients", title = "N", description = "number of clients that send sequential requests")
     private int clients = 16;
 
-    @Option(name = "--leaving", title = "N", description = "clients that leave without waiting for their responses")
+    @Option(
+            name = "--leaving",
+            title = "N",
+            description = "number of clients that disconnect without waiting for their responses")
     private int leaving = 8;
 
-    @Option(name = "--tenants", title = "N", description = "tenants with quotas, of which some go beyond them")
+    @Option(name = "--tenants", title = "N", description = "number of tenants with quotas, some of which exceed them")
     private int tenants = 6;
 
-    @Option(name = "--rate", title = "N", description = "what these tenants usually ask for, in requests a second")
+    @Option(
+            name = "--rate",
+            title = "N",
+            description = "the usual total request rate of these tenants, in requests per second")
     private int rate = 60;
 
-    @Option(name = "--throttle", title = "MS", description = "how long a proxy stands still in each 100 ms, at most")
+    @Option(
+            name = "--throttle",
+            title = "MS",
+            description = "the maximum time for which a proxy is paused in each 100 ms")
     private int throttleMillis;
 
-    @Option(name = "--keep", title = "DIR", description = "keeps settings, disks and logs of runs that fail there")
+    @Option(
+            name = "--keep",
+            title = "DIR",
+            description = "the folder to which settings, disks and logs of failed runs are moved")
     private String keep;
 
     @Override
--- a/src/main/java/reedmux/cli/StoreCommand.java
+++ b/src/main/java/reedmux/cli/StoreCommand.java
@@ -8,8 +8,8 @@
 import reedmux.common.settings.Program;
 import reedmux.control.store.StoreServer;
 
-/** Runs a store, which replicates the configuration and keeps it on disk. */
-@Command(name = "store", description = "keeps the configuration on disk and tells it to the proxies")
+/** Runs a store, which replicates the configuration and persists it to disk. */
+@Command(name = "store", description = "persists the configuration to disk and distributes it to the proxies")
 public final class StoreCommand extends ProgramCommand {
     @Override
     Program start(ProcessSettings settings, Reactor reactor) throws ProcessSettingsException, IOException {
--- a/src/main/java/reedmux/cli/SystemCommands.java
+++ b/src/main/java/reedmux/cli/SystemCommands.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.Callable;
 import reedmux.common.settings.ProcessSettingsException;
 
-/** The sub-commands of the system: its three programs and the operators' tools. Parsed by Airline. */
+/** The sub-commands of the gateway: its three programs and the operators' tools. Airline parses their options. */
 final class SystemCommands {
     private static final Set<String> COMMAND_NAMES =
             Set.of("proxy", "registry", "store", "check", "rehearse", "world", "soak", "show", "core");
@@ -23,7 +23,7 @@
         try {
             if (args.length == 1
                     && !Set.of("check", "world", "soak", "show", "core").contains(args[0])) {
-                // As the platform starts it: without the option parser a start takes 0.1 s of CPU less.
+                // The platform starts the programs in this form. Bypassing the option parser saves 0.1 s of CPU time.
                 return withoutOptions(args[0]).call();
             }
             return parse(args).call();
--- a/src/main/java/reedmux/cli/WarmUp.java
+++ b/src/main/java/reedmux/cli/WarmUp.java
@@ -35,36 +35,40 @@
 import reedmux.gatekeeper.reducer.UpstreamCall;
 
 /**
- * Executes the gatekeeper's hot paths some hundred times before it calls itself ready, so that they are compiled by
- * then. On a third of a core a fresh JVM needs all of it for its first five seconds, and answered one request in five
- * in time without this. Decisions run on reducers of their own with made-up calls, sockets on health checks of the
- * process's own address; providers, peers and consumers notice nothing.
+ * Executes the gatekeeper's hot paths several hundred times before the process reports itself as ready, so that they
+ * are compiled by then. A new JVM that is limited to a third of a core uses all of it for its first five seconds;
+ * without the warm-up it answered one request in five in time. Decisions are exercised on separate reducers with
+ * synthetic calls, and sockets with health checks of the process's own address, so that providers, peers and consumers
+ * receive no traffic.
  */
 public final class WarmUp {
     private static final int ROUNDS = 600;
-    /** How many rounds of one kind are run before it is the other kind's turn. */
+    /** The number of rounds of one kind, decisions or requests, that run before the other kind is considered. */
     private static final int ROUNDS_PER_BATCH = 50;
 
     private static final int MAX_CONCURRENT_REQUESTS = 4;
     /**
-     * Decisions in a row, and the pause after them. Without pauses the sockets' thread waits for all of them on a part
-     * of a core: discovery's first list was read up to 1.0 s late, and the process accepts no requests before it.
+     * The number of consecutive decisions before a pause of {@link #PAUSE_NANOS}. Without pauses on a fraction of a
+     * core, the I/O thread waits until all decisions are done: discovery's first list was read up to 1.0 s late, and
+     * the process accepts no requests before that.
      */
     private static final int DECISIONS_BETWEEN_PAUSES = 5;
 
     private static final long PAUSE_NANOS = TimeUnit.MICROSECONDS.toNanos(50);
     private static final int PROVIDERS = 8;
     private static final long ROUND_MICROS = TimeUnit.MILLISECONDS.toMicros(5);
-    /** At a restart the other gatekeepers carry this one's load meanwhile, so the limit is lower. */
+    /** The maximum duration of the warm-up. */
     private static final long TIME_LIMIT_NANOS = TimeUnit.MILLISECONDS.toNanos(4_000);
 
+    /** The maximum duration at a restart; it is lower because the other gatekeepers then carry this one's load. */
     private static final long TIME_LIMIT_AT_RESTART_NANOS = TimeUnit.MILLISECONDS.toNanos(2_000);
+
     private static final long REQUEST_TIMEOUT_MILLIS = 500;
-    /** How long to wait at once for the own address, so that the time limit is checked in between. */
+    /** The longest single wait for the process's own address; the time limit is checked between waits. */
     private static final long POLL_INTERVAL_MILLIS = 50;
 
     private static final byte[] BODY = new byte[200];
-    /** Long enough to be streamed; one request in {@link #LONG_BODY_INTERVAL} has it. */
+    /** A body that is long enough to be streamed; one request in {@link #LONG_BODY_INTERVAL} has it. */
     private static final byte[] LONG_BODY = new byte[100_000];
 
     private static final int LONG_BODY_INTERVAL = 25;
@@ -76,9 +80,9 @@
     private long startNanos;
 
     /**
-     * A warm-up that has not begun.
+     * Creates a warm-up; {@link #run} starts it.
      *
-     * @param restarted whether other gatekeepers carry this one's load meanwhile
+     * @param restarted returns whether other gatekeepers carry this one's load during the warm-up
      */
     WarmUp(GatekeeperConfig config, MonotonicClock clock, Consumer<String> log, BooleanSupplier restarted) {
         this.restarted = restarted;
@@ -89,13 +93,16 @@
 
     /** The address at which this process accepts connections. */
     interface OwnAddress {
-        /** Waits for the address; returns null if nobody can connect within so many milliseconds. */
+        /**
+         * Waits up to {@code millis} milliseconds until the process listens; returns its address, or null if it does
+         * not.
+         */
         InetSocketAddress awaitMillis(long millis) throws InterruptedException;
     }
 
     /**
-     * Runs all rounds, or as many as the time limit allows. Decisions need no socket, so they go first while
-     * discovery's first list is awaited, before which nobody can connect.
+     * Runs all rounds, or as many as the time limit allows. Decisions need no socket, so they run first while the
+     * process still waits for discovery's first list, before which it does not listen.
      */
     void run(ProviderClient client, OwnAddress ownAddress) throws InterruptedException {
         startNanos = System.nanoTime();
@@ -118,14 +125,17 @@
                 > (restarted.getAsBoolean() ? TIME_LIMIT_AT_RESTART_NANOS : TIME_LIMIT_NANOS);
     }
 
-    /** Requests the own health with no, short and long bodies, the first ones over new connections. */
+    /**
+     * Sends health requests with empty, short and long bodies to this process, the first ones over new connections.
+     * Returns the number of requests sent.
+     */
     private int sendHealthRequests(ProviderClient client, InetSocketAddress address) throws InterruptedException {
         Semaphore permits = new Semaphore(MAX_CONCURRENT_REQUESTS);
         client.closeIdle(address);
         int i = 0;
         for (; i < ROUNDS_PER_BATCH && !isTimeLimitReached(); i++) {
             if (!permits.tryAcquire(REQUEST_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
-                return i; // it hangs; consumers must not wait for it
+                return i; // the process does not respond; consumers must not wait for the warm-up
             }
             if (i % LONG_BODY_INTERVAL == 0) {
                 client.sendStreamed(address, "/healthz", LONG_BODY, result -> permits.release());
@@ -184,7 +194,7 @@
         }
     }
 
-    /** Two reducers that process requests, responses and each other's datagrams, on a clock of their own. */
+    /** Two reducers that process requests, responses and each other's datagrams in virtual time. */
     private final class WarmUpGatekeeperPair {
         private final WarmUpGatekeeper localGatekeeper = new WarmUpGatekeeper(1);
         private final WarmUpGatekeeper peerGatekeeper = new WarmUpGatekeeper(2);
--- a/src/main/java/reedmux/cli/WorldCommand.java
+++ b/src/main/java/reedmux/cli/WorldCommand.java
@@ -9,46 +9,50 @@
 import reedmux.simulation.cluster.SimulatedRunBatch;
 
 /**
- * Simulates days of a whole deployment in virtual time, each with traffic and faults drawn from its seed, and checks
- * the invariants from outside.
+ * Simulates days of a complete deployment in virtual time, each with traffic and faults generated from its seed, and
+ * checks the invariants from the outside.
  */
-@Command(name = "world", description = "plays drawn days of a whole deployment in virtual time, against the rules")
+@Command(
+        name = "world",
+        description = "simulates random days of a complete deployment in virtual time and checks the invariants")
 public final class WorldCommand implements Callable<Integer> {
     private static final int MAX_POINT = 5;
-    /** Of a day that violates invariants, how many of the violations are printed. */
+    /** The maximum number of violations that are printed for one day. */
     private static final int MAX_PRINTED_VIOLATIONS = 6;
 
     @AirlineModule
     private HelpOption<WorldCommand> help;
 
-    @Option(name = "--seeds", title = "A..B", description = "the days to play, each drawn from its seed")
+    @Option(name = "--seeds", title = "A..B", description = "the seeds, each of which determines one simulated day")
     private String seeds = "1..20";
 
-    @Option(name = "--proxies", title = "N", description = "proxies, spread over three zones")
+    @Option(name = "--proxies", title = "N", description = "number of proxies, distributed over three zones")
     private int proxies = 8;
 
-    @Option(name = "--cores", title = "N", description = "core machines, spread over three zones")
+    @Option(name = "--cores", title = "N", description = "number of core machines, distributed over three zones")
     private int cores = 3;
 
-    @Option(name = "--pace", title = "N", description = "requests a second for each proxy")
+    @Option(name = "--pace", title = "N", description = "requests per second for each proxy")
     private double requestsPerSecond = 12;
 
-    @Option(name = "--storm", description = "changes that cannot stand together, while the core is in trouble")
+    @Option(
+            name = "--storm",
+            description = "send conflicting configuration changes continuously while the core has faults")
     private boolean storm;
 
     @Option(
             name = "--point",
             title = "1..5",
-            description = "days full of what the operators' point of that number tells of")
+            description = "simulate long days with one kind of fault, selected by this number")
     private int point;
 
-    @Option(name = "--same-addresses", description = "no core machine is replaced at another address")
+    @Option(name = "--same-addresses", description = "never replace a core machine at a different address")
     private boolean sameAddresses;
 
-    @Option(name = "--jobs", title = "N", description = "days that are played side by side")
+    @Option(name = "--jobs", title = "N", description = "number of days that are simulated in parallel")
     private int jobs = Runtime.getRuntime().availableProcessors();
 
-    @Option(name = "--log", description = "also print what the processes write; for one seed")
+    @Option(name = "--log", description = "also print the log lines of the processes; intended for a single seed")
     private boolean log;
 
     @Override
--- a/src/test/java/reedmux/cli/CommandLineTest.java
+++ b/src/test/java/reedmux/cli/CommandLineTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the command line answers, and the code with which it ends. */
+/** Tests the output and the exit codes of the command line. */
 final class CommandLineTest {
     @TempDir
     private Path folder;
--- a/src/test/java/reedmux/cli/HandoverTest.java
+++ b/src/test/java/reedmux/cli/HandoverTest.java
@@ -38,9 +38,9 @@
 import reedmux.gatekeeper.handover.HandoverFrame;
 import reedmux.gatekeeper.handover.HandoverFrameCodec;
 
-/** One gatekeeper takes another's place on real sockets, and all that can go wrong with it. */
+/** Tests the handover between two processes of a gatekeeper on real sockets, including its failure cases. */
 public final class HandoverTest {
-    /** No verdict hangs on it: it only ends a test that would otherwise wait for ever. */
+    /** Only keeps a failing test from blocking forever; no assertion depends on its value. */
     private static final int TIMEOUT_MILLIS = 10_000;
 
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -54,7 +54,7 @@
     private Path handoverSocketPath;
     private int port;
 
-    /** A gatekeeper with its thread and its log. */
+    /** A gatekeeper process that runs on its own thread, with its log lines. */
     private final class RunningGatekeeper {
         final BlockingQueue<String> log = new LinkedBlockingQueue<>();
         final GatekeeperProcess gatekeeper;
@@ -74,25 +74,26 @@
             thread.start();
             port = ((InetSocketAddress) gatekeeper.awaitListening()).getPort();
             long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
-            while (!sendAdminCommand("check").equals("+OK serving\n")) { // from then on others can meet it
-                assertTrue("never served", System.nanoTime() < deadline);
+            while (!sendAdminCommand("check")
+                    .equals("+OK serving\n")) { // from then on another process can connect to it
+                assertTrue("the gatekeeper did not begin to serve", System.nanoTime() < deadline);
             }
         }
 
-        /** Waits for a line of the log; those in front of it are gone then. */
+        /** Waits for a log line that contains {@code part}; discards it and the lines before it. */
         void awaitLogLine(String part) throws InterruptedException {
             String line;
             do {
                 line = log.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-                assertNotNull("never said: " + part, line);
+                assertNotNull("not logged: " + part, line);
             } while (!line.contains(part));
         }
 
-        String sendAdminCommand(String call) throws IOException {
+        String sendAdminCommand(String command) throws IOException {
             try (Socket socket = new Socket()) {
                 socket.connect(gatekeeper.adminAddress(), TIMEOUT_MILLIS);
                 socket.setSoTimeout(TIMEOUT_MILLIS);
-                socket.getOutputStream().write((call + '\n').getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream().write((command + '\n').getBytes(StandardCharsets.US_ASCII));
                 return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
             }
         }
@@ -112,7 +113,7 @@
     public void open() throws IOException {
         handoverSocketPath = folder.getRoot().toPath().resolve("s");
         provider = new ServerSocket(0, 50, LOOPBACK);
-        discovery = new ServerSocket(0, 50, LOOPBACK); // which never says a word
+        discovery = new ServerSocket(0, 50, LOOPBACK); // never responds
         Thread acceptThread = new Thread(() -> {
             try {
                 while (true) {
@@ -122,7 +123,7 @@
                     connectionThread.start();
                 }
             } catch (IOException e) {
-                // the test is over
+                // the test has closed the server socket
             }
         });
         acceptThread.setDaemon(true);
@@ -141,16 +142,16 @@
                 }
             }
         } catch (IOException e) {
-            // it was closed
+            // the gatekeeper has closed the connection
         }
     }
 
     @After
     public void close() throws Exception {
-        for (RunningGatekeeper process : gatekeepers) {
-            process.gatekeeper.beginShutdown();
-            process.thread.join(TIMEOUT_MILLIS);
-            process.gatekeeper.close();
+        for (RunningGatekeeper running : gatekeepers) {
+            running.gatekeeper.beginShutdown();
+            running.thread.join(TIMEOUT_MILLIS);
+            running.gatekeeper.close();
         }
         provider.close();
         discovery.close();
@@ -166,8 +167,8 @@
     }
 
     private static String readStatus(Socket socket) throws IOException {
-        byte[] head = socket.getInputStream().readNBytes("HTTP/1.1 200".length());
-        return new String(head, StandardCharsets.US_ASCII).substring("HTTP/1.1 ".length());
+        byte[] statusLine = socket.getInputStream().readNBytes("HTTP/1.1 200".length());
+        return new String(statusLine, StandardCharsets.US_ASCII).substring("HTTP/1.1 ".length());
     }
 
     private String request(int number, int units) throws IOException {
@@ -185,7 +186,7 @@
     public void handoverTransfersCountsAndClosesKeptConnectionsAfterAResponse() throws Exception {
         RunningGatekeeper old = new RunningGatekeeper();
         assertEquals("+OK serving\n", old.sendAdminCommand("check"));
-        assertEquals("200", request(1, 3)); // of the four units that the plan has
+        assertEquals("200", request(1, 3)); // the plan's quota is 4 units
         try (Socket kept = new Socket(LOOPBACK, port)) {
             send(kept, 2, 1);
             assertEquals("200", readStatus(kept));
@@ -193,14 +194,14 @@
             assertEquals("+OK serving\n", next.sendAdminCommand("check"));
             old.awaitLogLine("another process serves in our place");
             old.gatekeeper.beginShutdown();
-            send(kept, 3, 1); // one more on a connection that the old one still has
-            String answer = readUntilClosed(kept);
-            assertTrue(answer, answer.contains("HTTP/1.1 429"));
-            assertTrue(answer, answer.contains("Connection: close"));
+            send(kept, 3, 1); // another request on a connection that the old process still has open
+            String response = readUntilClosed(kept);
+            assertTrue(response, response.contains("HTTP/1.1 429"));
+            assertTrue(response, response.contains("Connection: close"));
             old.thread.join(TIMEOUT_MILLIS);
             next.awaitLogLine("the former process has gone");
             assertEquals("429", request(4, 1));
-            RunningGatekeeper third = new RunningGatekeeper(); // another upgrade right behind
+            RunningGatekeeper third = new RunningGatekeeper(); // a second upgrade immediately after the first
             next.awaitLogLine("another process serves in our place");
             next.gatekeeper.beginShutdown();
             third.awaitLogLine("the former process has gone");
@@ -211,18 +212,22 @@
     @Test
     public void processKeepsServingWhenItsSuccessorDisconnects() throws Exception {
         RunningGatekeeper old = new RunningGatekeeper();
-        RecordingFrameHandler first = new RecordingFrameHandler();
-        HandoverConnection early = HandoverConnection.connect(handoverSocketPath, first);
-        early.send(new HandoverFrame.HandoverHello(HandoverFrameCodec.PROTOCOL_VERSION, config().countingRules()));
-        assertTrue(first.frames.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS) instanceof HandoverFrame.HandoverHello);
-        early.close();
-        RecordingFrameHandler second = new RecordingFrameHandler();
-        HandoverConnection taker = connectAndExchangeHello(second);
-        taker.send(new HandoverFrame.SnapshotRequest());
-        assertTrue(second.frames.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS) instanceof HandoverFrame.ServiceSnapshot);
-        taker.send(new HandoverFrame.SuccessorServing());
+        RecordingFrameHandler firstHandler = new RecordingFrameHandler();
+        HandoverConnection firstConnection = HandoverConnection.connect(handoverSocketPath, firstHandler);
+        firstConnection.send(
+                new HandoverFrame.HandoverHello(HandoverFrameCodec.PROTOCOL_VERSION, config().countingRules()));
+        assertTrue(
+                firstHandler.frames.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS) instanceof HandoverFrame.HandoverHello);
+        firstConnection.close();
+        RecordingFrameHandler secondHandler = new RecordingFrameHandler();
+        HandoverConnection successor = connectAndExchangeHello(secondHandler);
+        successor.send(new HandoverFrame.SnapshotRequest());
+        assertTrue(
+                secondHandler.frames.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                        instanceof HandoverFrame.ServiceSnapshot);
+        successor.send(new HandoverFrame.SuccessorServing());
         old.awaitLogLine("another process serves in our place");
-        taker.close();
+        successor.close();
         old.awaitLogLine("serving on");
         assertEquals("200", request(1, 4));
         RunningGatekeeper next = new RunningGatekeeper();
@@ -232,7 +237,7 @@
         assertEquals("429", request(2, 1));
     }
 
-    /** Connects until the old one has seen that its former partner is gone, and takes this one. */
+    /** Connects repeatedly until the old process has noticed the end of the last connection and accepts this one. */
     private HandoverConnection connectAndExchangeHello(RecordingFrameHandler handler) throws Exception {
         while (true) {
             HandoverConnection connection = HandoverConnection.connect(handoverSocketPath, handler);
@@ -250,13 +255,13 @@
         sendAndExpectClose(new byte[] {0, 0, 0, 3, 1, 2, 3});
         sendAndExpectClose(new byte[] {-1, -1, -1, -1});
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
-        for (HandoverFrame other : List.of(
+        for (HandoverFrame hello : List.of(
                 new HandoverFrame.HandoverHello(HandoverFrameCodec.PROTOCOL_VERSION + 1, config().countingRules()),
                 new HandoverFrame.HandoverHello(HandoverFrameCodec.PROTOCOL_VERSION, "other plans"))) {
             old.log.clear();
-            do { // it may still be seeing the one before off
-                sendAndExpectClose(HandoverFrameCodec.encode(other));
-                assertTrue("never told: " + other, System.nanoTime() < deadline);
+            do { // the old process may still be closing the previous connection
+                sendAndExpectClose(HandoverFrameCodec.encode(hello));
+                assertTrue("no version mismatch was logged for " + hello, System.nanoTime() < deadline);
             } while (old.log.stream().noneMatch(line -> line.contains("of another version")));
         }
         assertEquals("200", request(1, 1));
@@ -267,11 +272,11 @@
         try (SocketChannel channel = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             channel.connect(UnixDomainSocketAddress.of(handoverSocketPath));
             channel.write(ByteBuffer.wrap(bytes));
-            assertTrue("closed with nothing said", isClosed(channel));
+            assertTrue("expected the connection to be closed without a response", isClosed(channel));
         }
     }
 
-    /** Whether the other side closes it without a word; with ours unread that is a reset. */
+    /** Returns whether the other side closes the connection without sending anything; unread data makes it a reset. */
     private static boolean isClosed(SocketChannel channel) throws IOException {
         try {
             return channel.read(ByteBuffer.allocate(1)) < 0;
@@ -282,11 +287,11 @@
 
     @Test
     public void startsWithoutCountsBesideAnUnresponsiveProcess() throws Exception {
-        try (ServerSocketChannel silent = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
-            silent.bind(UnixDomainSocketAddress.of(handoverSocketPath));
-            RunningGatekeeper beside = new RunningGatekeeper();
-            beside.awaitLogLine("the other process does not answer; starting from nothing");
-            assertEquals("+OK serving\n", beside.sendAdminCommand("check"));
+        try (ServerSocketChannel unresponsive = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
+            unresponsive.bind(UnixDomainSocketAddress.of(handoverSocketPath));
+            RunningGatekeeper gatekeeper = new RunningGatekeeper();
+            gatekeeper.awaitLogLine("the other process does not answer; starting from nothing");
+            assertEquals("+OK serving\n", gatekeeper.sendAdminCommand("check"));
             assertEquals("200", request(1, 4));
         }
     }
@@ -298,26 +303,26 @@
         assertEquals("200", request(1, 4));
         first.gatekeeper.beginShutdown();
         first.thread.join(TIMEOUT_MILLIS);
-        assertFalse("its file goes with it", Files.exists(handoverSocketPath));
-        try (ServerSocketChannel dead = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
-            dead.bind(UnixDomainSocketAddress.of(handoverSocketPath));
+        assertFalse("the socket file was not deleted at the shutdown", Files.exists(handoverSocketPath));
+        try (ServerSocketChannel stale = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
+            stale.bind(UnixDomainSocketAddress.of(handoverSocketPath));
         }
         new RunningGatekeeper();
-        assertEquals("200", request(2, 4)); // nothing was counted before this life
+        assertEquals("200", request(2, 4)); // no counts from the earlier process
     }
 
-    /** What the other side says. */
+    /** Records the frames that the other process sends and the reason why the connection ended. */
     private static final class RecordingFrameHandler implements HandoverConnection.HandoverFrameHandler {
         final BlockingQueue<Object> frames = new LinkedBlockingQueue<>();
 
         @Override
-        public void onFrame(HandoverConnection from, HandoverFrame frame) {
+        public void onFrame(HandoverConnection connection, HandoverFrame frame) {
             frames.add(frame);
         }
 
         @Override
-        public void onClosed(HandoverConnection link, String why) {
-            frames.add(why);
+        public void onClosed(HandoverConnection connection, String reason) {
+            frames.add(reason);
         }
     }
 }
--- a/src/test/java/reedmux/cli/RecordedExchangesTest.java
+++ b/src/test/java/reedmux/cli/RecordedExchangesTest.java
@@ -34,26 +34,33 @@
 import reedmux.gatekeeper.settings.OperatorSettings;
 
 /**
- * Plays the recorded exchanges in {@code src/test/resources/exchanges} against the program, line by line.
- * A line names a party and what it does: {@code >} sends a line, {@code >>} sends all at one go and without
- * a line's end, {@code answers} sends a whole answer with this body,
- * {@code bytes} sends each byte by itself,
- * {@code <} expects a line, in which {@code *} stands for anything, {@code <<} expects just these bytes,
- * {@code crowd} has so many consumers ask for health and stay, {@code silent} so many say nothing,
- * {@code take} reads so many bytes, {@code cut} fewer than so many and then the end,
- * {@code skip} reads on to the end of a head, {@code node log} compares what was logged,
- * {@code node deaf} finds that consumers cannot connect yet,
- * {@code counts} waits for a figure at the operators' door, as a call is counted by another thread than the
- * one whose bytes a provider sees.
- * c1, c2 are consumers, p1, p2 providers, d, d2 are discovery, u1 a peer, r1, r2 gateways of another region,
- * o1 an operator at the door, x1 a gateway that calls our listener for regions. {@code settings} adds a line
- * to the operators' own
- * settings, {@code node settle} reads such a line anew.
+ * Replays the recorded exchanges in {@code src/test/resources/exchanges} against a gatekeeper, line by line. Each line
+ * names a party, a step and the step's argument. Steps of a connection:
+ *
+ * <ul>
+ *   <li>{@code >} sends a line, {@code >>} sends all text at once and without a line end, {@code bytes} sends each byte
+ *       separately, {@code answers} sends a complete response with the given body;
+ *   <li>{@code <} expects a line, in which {@code *} matches any text, and {@code <<} expects exactly the given bytes;
+ *   <li>{@code take} reads the given number of bytes, {@code cut} expects the connection to end after fewer bytes,
+ *       {@code skip} reads to the end of a header;
+ *   <li>{@code crowd} opens the given number of consumer connections, which request the health and stay open;
+ *       {@code silent} opens connections that send nothing;
+ *   <li>{@code counts} polls the admin server until it reports the given metric line: the thread that counts a call is
+ *       not the one that sends the bytes which the provider receives.
+ * </ul>
+ *
+ * <p>{@code node log} compares the log lines, {@code node deaf} expects that consumers cannot connect yet,
+ * {@code settings} adds a line to the operators' settings, and {@code node settle} reloads the settings from such a
+ * line.
+ *
+ * <p>The parties: c1 and c2 are consumers, p1 and p2 are providers, d and d2 are discovery, u1 is a peer, r1 and r2 are
+ * gateways of another region, o1 is an operator connected to the admin server, and x1 is a gateway of another region
+ * that connects to this gatekeeper's region listener.
  */
 @RunWith(Parameterized.class)
 public final class RecordedExchangesTest {
     private static final Path FOLDER = Path.of("src/test/resources/exchanges");
-    /** No verdict hangs on it: it only ends a test that would otherwise wait for ever. */
+    /** Only keeps a failing test from blocking forever; no assertion depends on its value. */
     private static final int TIMEOUT_MILLIS = 10_000;
 
     @Parameterized.Parameters(name = "{0}")
@@ -86,23 +93,23 @@
 
     @Test
     public void exchangeMatchesTheRecording() throws Exception {
-        InetAddress here = InetAddress.getByName("127.0.0.1");
+        InetAddress loopback = InetAddress.getByName("127.0.0.1");
         for (String name : List.of("p1", "p2", "d", "d2", "r1", "r2")) {
-            listeners.put(name, new ServerSocket(0, 50, here));
+            listeners.put(name, new ServerSocket(0, 50, loopback));
             listeners.get(name).setSoTimeout(TIMEOUT_MILLIS);
         }
         for (String name : List.of("u1", "u2", "node")) {
-            datagrams.put(name, new DatagramSocket(new InetSocketAddress(here, 0)));
+            datagrams.put(name, new DatagramSocket(new InetSocketAddress(loopback, 0)));
             datagrams.get(name).setSoTimeout(TIMEOUT_MILLIS);
         }
         try (DatagramSocket free = datagrams.remove("node")) {
             peerListen = (InetSocketAddress) free.getLocalSocketAddress();
         }
         config = withAddresses(Files.readString(FOLDER.resolve("config.json")));
-        int number = 0;
+        int lineNumber = 0;
         try {
             for (String line : Files.readAllLines(FOLDER.resolve(script))) {
-                number++;
+                lineNumber++;
                 if (line.startsWith("with ")) {
                     config = withReplacement(config, withAddresses(line.substring(5)));
                 } else if (line.startsWith("settings ")) {
@@ -115,14 +122,14 @@
                 }
             }
         } catch (IOException | AssertionError e) {
-            throw new AssertionError(script + ':' + number + ": " + e.getMessage(), e);
+            throw new AssertionError(script + ':' + lineNumber + ": " + e.getMessage(), e);
         } finally {
             end();
         }
         assertEquals(List.of(), crashes);
     }
 
-    /** Puts in the addresses of the parties that a text names. */
+    /** Replaces the placeholders of parties by their addresses. */
     private String withAddresses(String text) {
         String result = text.replace("$node", "127.0.0.1:" + peerListen.getPort())
                 .replace("$u1", "127.0.0.1:" + datagrams.get("u1").getLocalPort());
@@ -143,7 +150,7 @@
         int separator = line.lastIndexOf(" : ");
         try {
             read(withReplacement(config, line.substring(0, separator)));
-            fail("was taken: " + line);
+            fail("the configuration was accepted: " + line);
         } catch (ConfigException e) {
             assertMatches(line.substring(separator + 3), e.getMessage());
         }
@@ -175,8 +182,8 @@
         if (script.equals("warm-up.txt")) {
             warmUpThread = gatekeeper.warmUpAfter(mayWarmUp::await);
         }
-        boolean waits = script.startsWith("first-list");
-        if (waits) {
+        boolean waitsForFirstList = script.startsWith("first-list");
+        if (waitsForFirstList) {
             gatekeeper.setFirstEndpointListTimeout(script.contains("silent") ? 1 : TIMEOUT_MILLIS);
         }
         gatekeeperThread = new Thread(() -> {
@@ -187,7 +194,7 @@
             }
         });
         gatekeeperThread.start();
-        if (!waits) {
+        if (!waitsForFirstList) {
             gatekeeper.awaitListening();
         }
     }
@@ -230,13 +237,13 @@
                         loadConfiguration(read(withReplacement(config, withAddresses(rest))), settings.toString()));
             } else if (parts[1].equals("settle")) {
                 gatekeeper.reload(() -> loadConfiguration(read(config), withAddresses(rest)));
-            } else if (parts[1].equals("deaf")) { // the time only lets a mistake show itself
-                assertTrue("listens already", !gatekeeper.isListeningWithin(200));
+            } else if (parts[1].equals("deaf")) { // the wait only gives a faulty gatekeeper time to start listening
+                assertTrue("the gatekeeper already listens", !gatekeeper.isListeningWithin(200));
             } else if (parts[1].equals("log")) {
                 assertMatches(rest, String.join("|", log));
             } else {
                 gatekeeperThread.join(TIMEOUT_MILLIS);
-                assertTrue("still running", !gatekeeperThread.isAlive());
+                assertTrue("the gatekeeper is still running", !gatekeeperThread.isAlive());
             }
         } else if (datagrams.containsKey(party)) {
             playDatagramStep(datagrams.get(party), parts[1], rest);
@@ -262,12 +269,12 @@
                             socket(party).getInputStream().readNBytes(Integer.parseInt(rest)).length);
                 case "cut" -> {
                     int limit = Integer.parseInt(rest);
-                    assertTrue("all of it came", countBytesUntilClosed(socket(party), limit) < limit);
+                    assertTrue("the connection did not end early", countBytesUntilClosed(socket(party), limit) < limit);
                 }
                 case "counts" -> awaitMetric(rest);
                 case "skip" -> {
                     while (!readLine(socket(party)).isEmpty()) {
-                        // up to the end of the header
+                        // reads to the end of the header
                     }
                 }
                 case "accept" -> sockets.put(party, listeners.get(party).accept());
@@ -283,7 +290,7 @@
                     socket(party).setSoLinger(true, 0);
                     socket(party).close();
                 }
-                default -> fail("no such step: " + line);
+                default -> fail("unknown step: " + line);
             }
         }
     }
@@ -305,7 +312,7 @@
         return socket;
     }
 
-    /** Reads until the connection ends in any way, or so many bytes; returns how many came. */
+    /** Reads up to {@code limit} bytes or until the connection is closed or reset; returns the number of bytes read. */
     private static int countBytesUntilClosed(Socket socket, int limit) throws IOException {
         int count = 0;
         try {
@@ -318,7 +325,7 @@
         return count;
     }
 
-    /** Asks the operators' door again and again until this line is among its figures. */
+    /** Polls the admin server until its metrics contain this line. */
     private void awaitMetric(String line) throws Exception {
         long end = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
         String text = "";
@@ -333,16 +340,16 @@
                 return;
             }
         }
-        fail("never counted " + line + " but " + text);
+        fail("expected the metric line " + line + " but received " + text);
     }
 
-    /** Connects again and again until nobody listens any more. */
+    /** Connects repeatedly until the gatekeeper no longer accepts connections. */
     private void awaitConnectionRefused() throws Exception {
         while (true) {
             try (Socket socket = new Socket()) {
                 socket.connect(gatekeeper.awaitListening(), TIMEOUT_MILLIS);
             } catch (SocketException e) {
-                return; // refused, or reset while the listener was just being closed
+                return; // refused, or reset while the listener was being closed
             }
         }
     }
@@ -372,7 +379,7 @@
                 line.append((char) next);
             }
         } catch (SocketException e) {
-            return "EOF"; // a reset is an end too
+            return "EOF"; // a reset also counts as the end of the connection
         }
         return line.toString().stripTrailing();
     }
--- a/src/test/java/reedmux/cli/ShowCommandTest.java
+++ b/src/test/java/reedmux/cli/ShowCommandTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The operator's side of {@code show} and {@code core}, against stand-ins for control machines. */
+/** Tests the commands {@code show} and {@code core} and their client against a fake control machine. */
 public class ShowCommandTest {
     private static final String PARTITIONED_RESPONSE = "{\"show\":\"Core\",\"node\":\"core-1\",\"majority\":false,"
             + "\"epoch\":3,\"ageMs\":20417,"
--- a/src/test/java/reedmux/cli/WarmUpTest.java
+++ b/src/test/java/reedmux/cli/WarmUpTest.java
@@ -11,12 +11,13 @@
 import reedmux.common.time.MonotonicClock;
 import reedmux.gatekeeper.config.GatekeeperConfig;
 
-/** What the warm-up does while nobody can connect yet. */
+/** Tests the warm-up while the process does not listen yet. */
 final class WarmUpTest {
 
     /**
-     * After a mass restart discovery told nothing for 2 s, and the warm-up of 1.6 s came after that: restarts
-     * took 4.1 s. All decisions are practised before our own address is waited for.
+     * Guards against a warm-up that starts only after discovery's first list. After a mass restart discovery did not
+     * respond for 2 s, the warm-up of 1.6 s followed, and restarts took 4.1 s. All decisions must run before the
+     * warm-up waits for the process's own address.
      */
     @Test
     void decisionsRunBeforeDiscoveryResponds() throws Exception {
@@ -32,11 +33,11 @@
                 () -> warmUp.run(null, millis -> {
                     waits.add(millis);
                     if (millis > 0) {
-                        throw new InterruptedException("all that needs no socket is done");
+                        throw new InterruptedException("all rounds without sockets are complete");
                     }
                     return null;
                 }));
-        assertEquals(13, waits.size(), "twelve turns of decisions, then a wait: " + waits);
+        assertEquals(13, waits.size(), "expected twelve batches of decisions, then a wait for the address: " + waits);
         assertEquals(0, waits.get(11));
     }
 }
