--- a/src/main/java/reedmux/cli/ProgramCommand.java
+++ b/src/main/java/reedmux/cli/ProgramCommand.java
@@ -129,7 +129,7 @@
                 program.reload(ProcessSettings.load(file));
                 reactor.info("settings read again");
             } catch (ProcessSettingsException e) {
-                reactor.info("settings: " + e.getMessage() + "; the old settings stay in effect");
+                reactor.info("settings: " + e.getMessage() + "; the old settings stay");
             }
         }
     }
