--- a/src/main/java/reedmux/cli/WorldCommand.java
+++ b/src/main/java/reedmux/cli/WorldCommand.java
@@ -9,21 +9,21 @@
 import reedmux.simulation.cluster.SimulatedRunBatch;
 
 /**
- * Simulates days of a complete deployment in virtual time, each with traffic and faults generated from its seed, and
+ * Simulates runs of a complete deployment in virtual time, each with traffic and faults generated from its seed, and
  * checks the invariants from the outside.
  */
 @Command(
         name = "world",
-        description = "simulates random days of a complete deployment in virtual time and checks the invariants")
+        description = "simulates random runs of a complete deployment in virtual time and checks the invariants")
 public final class WorldCommand implements Callable<Integer> {
     private static final int MAX_POINT = 5;
-    /** The maximum number of violations that are printed for one day. */
+    /** The maximum number of violations that are printed for one run. */
     private static final int MAX_PRINTED_VIOLATIONS = 6;
 
     @AirlineModule
     private HelpOption<WorldCommand> help;
 
-    @Option(name = "--seeds", title = "A..B", description = "the seeds, each of which determines one simulated day")
+    @Option(name = "--seeds", title = "A..B", description = "the seeds, each of which determines one simulated run")
     private String seeds = "1..20";
 
     @Option(name = "--proxies", title = "N", description = "number of proxies, distributed over three zones")
@@ -43,13 +43,13 @@
     @Option(
             name = "--point",
             title = "1..5",
-            description = "simulate long days with one kind of fault, selected by this number")
+            description = "simulate long runs with one kind of fault, selected by this number")
     private int point;
 
     @Option(name = "--same-addresses", description = "never replace a core machine at a different address")
     private boolean sameAddresses;
 
-    @Option(name = "--jobs", title = "N", description = "number of days that are simulated in parallel")
+    @Option(name = "--jobs", title = "N", description = "number of runs that are simulated in parallel")
     private int jobs = Runtime.getRuntime().availableProcessors();
 
     @Option(name = "--log", description = "also print the log lines of the processes; intended for a single seed")
@@ -96,11 +96,13 @@
         return totals.violatedRuns() == 0 ? ExitCode.OK : ExitCode.FAILED;
     }
 
-    private static void printViolations(SimulatedRun.RunOutcome day) {
-        if (!day.violations().isEmpty()) {
-            System.out.printf("seed %d breaks rules (digest %016x)%n", day.seed(), day.digest());
-            day.violations().stream().limit(MAX_PRINTED_VIOLATIONS).forEach(line -> System.out.println("    " + line));
-            day.faults().forEach(line -> System.out.println("        " + line));
+    private static void printViolations(SimulatedRun.RunOutcome outcome) {
+        if (!outcome.violations().isEmpty()) {
+            System.out.printf("seed %d breaks rules (digest %016x)%n", outcome.seed(), outcome.digest());
+            outcome.violations().stream()
+                    .limit(MAX_PRINTED_VIOLATIONS)
+                    .forEach(line -> System.out.println("    " + line));
+            outcome.faults().forEach(line -> System.out.println("        " + line));
         }
     }
 }
