--- a/src/main/java/reedmux/common/disk/FileSystemVolume.java
+++ b/src/main/java/reedmux/common/disk/FileSystemVolume.java
@@ -11,11 +11,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A folder of the machine's own file system. */
+/** A {@link Volume} backed by a directory of the local file system. */
 public final class FileSystemVolume implements Volume {
     private final Path directory;
 
-    /** A folder, which {@link #create} makes where it is not there yet. */
+    /** Creates a volume over a directory; {@link #create} creates the directory if it does not exist yet. */
     public FileSystemVolume(Path directory) {
         this.directory = directory;
     }
@@ -27,7 +27,7 @@
             return names;
         }
         try (DirectoryStream<Path> paths = Files.newDirectoryStream(directory)) {
-            for (Path path : paths) { // no lambda: the class archive is made with a new folder and would not have it
+            for (Path path : paths) { // no lambda: the class archive is recorded with an empty directory and would lack it
                 names.add(path.getFileName().toString());
             }
         }
@@ -66,7 +66,7 @@
         Files.deleteIfExists(directory.resolve(name));
     }
 
-    /** A file that is open at its end. */
+    /** A file whose channel is positioned at the end of the written data. */
     private record ChannelFile(FileChannel channel) implements WritableFile {
         @Override
         public void write(ByteBuffer bytes) throws IOException {
--- a/src/main/java/reedmux/common/disk/GenerationReader.java
+++ b/src/main/java/reedmux/common/disk/GenerationReader.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * Reads one file of a {@link Journal}. Unsynced writes survive a crash one by one, so that a valid record may stand
- * behind a damaged one: a record with a wrong checksum is skipped, and reading goes on as long as the lengths make
- * sense.
+ * Reads one generation file of a {@link Journal}. Unsynced writes survive a crash independently of each other, so a
+ * valid record may follow a damaged one. A record with a wrong checksum is therefore skipped, and reading continues as
+ * long as the record lengths are plausible.
  */
 final class GenerationReader {
     private final String file;
@@ -16,7 +16,7 @@
     private final List<String> locations = new ArrayList<>();
     private final List<String> problems = new ArrayList<>();
     private boolean stateComplete;
-    /** Whether no record had a wrong checksum so far. */
+    /** Whether all records read so far had a correct checksum. */
     private boolean intact = true;
 
     private String unsupportedVersion;
@@ -27,27 +27,30 @@
         readAll();
     }
 
-    /** The records of the state and those behind it, without the version and the end of the state. */
+    /** The records of the initial state and the appended records, without the version and end-of-state records. */
     List<byte[]> records() {
         return records;
     }
 
-    /** The file and offset of each record. */
+    /** The file name and offset of each record, in the order of {@link #records()}. */
     List<String> locations() {
         return locations;
     }
 
-    /** What could not be read, each with the file and offset. */
+    /** Descriptions of the unreadable parts, each with the file name and, where known, the offset. */
     List<String> problems() {
         return problems;
     }
 
-    /** Whether the whole state that the file begins with could be read. */
+    /** Whether the initial state of the file was read completely. */
     boolean isStateComplete() {
         return stateComplete;
     }
 
-    /** Why nothing may be written beside this file, which a later version has written; null for one that is known. */
+    /**
+     * Why no further generation may be written to this directory: a later version of the program wrote this file. Null
+     * if the version is supported.
+     */
     String unsupportedVersion() {
         return unsupportedVersion;
     }
@@ -61,9 +64,9 @@
             }
         }
         if (!stateComplete) {
-            addProblem(0, "the state it begins with is not whole");
+            addProblem(0, "the initial state is incomplete");
         } else if (input.hasRemaining()) {
-            addProblem(input.position(), "a record is cut");
+            addProblem(input.position(), "the last record is truncated");
         }
     }
 
@@ -72,17 +75,17 @@
         int length = input.getInt();
         int checksum = input.getInt();
         if (length < 0 || length > input.remaining()) {
-            addProblem(offset, "a record of " + length + " bytes where " + input.remaining() + " are left");
+            addProblem(offset, "a record of " + length + " bytes, but only " + input.remaining() + " bytes remain");
             skipRest();
             return;
         }
         byte[] record = new byte[length];
         input.get(record);
         if (JournalFormat.checksum(record) != checksum) {
-            addProblem(offset, "the checksum of a record of " + length + " bytes is wrong");
+            addProblem(offset, "the checksum of a record of " + length + " bytes does not match");
             intact = false;
             if (length == 0) {
-                skipRest(); // most likely zeros to the end, of which each eight bytes look like a record
+                skipRest(); // probably zeros up to the end, where every eight bytes look like a record
             }
         } else if (length == 0) {
             stateComplete |= intact;
@@ -96,8 +99,8 @@
 
     private void checkVersion(int version) {
         if (version > JournalFormat.VERSION) {
-            unsupportedVersion = file + " is of form " + version + ", and this program knows forms up to "
-                    + JournalFormat.VERSION + ": nothing is written here";
+            unsupportedVersion = file + " is of form " + version + ", but this program supports forms up to "
+                    + JournalFormat.VERSION + "; nothing is written to this directory";
         }
     }
 
--- a/src/main/java/reedmux/common/disk/Journal.java
+++ b/src/main/java/reedmux/common/disk/Journal.java
@@ -7,52 +7,52 @@
 import java.util.TreeMap;
 
 /**
- * A write-ahead log in the files of one folder. Each file is a generation: it begins with a complete state, behind
- * which records are appended. The owner starts a new generation from time to time, so that the files stay small
- * (compaction).
+ * A write-ahead log stored in the files of one directory. Each file is a generation: it begins with a complete
+ * snapshot of the state, followed by appended records. The owner starts a new generation from time to time to keep the
+ * files small (compaction).
  *
  * <table>
- *   <caption>A file {@code items-<generation>}, in the order of its bytes; numbers are big-endian</caption>
+ *   <caption>A file {@code items-<generation>}, in byte order of the file; numbers are big-endian</caption>
  *   <tr><th>part</th><th>bytes</th><th>content</th></tr>
  *   <tr><td>version</td><td>one record</td><td>{@code reedmux} in ASCII and one byte, the version of the layout; a
- *       file without it is read all the same</td></tr>
- *   <tr><td>state</td><td>any number of records</td><td>what the owner needs to start from</td></tr>
- *   <tr><td>end of the state</td><td>one record</td><td>empty; a file without it is not a generation</td></tr>
- *   <tr><td>appended</td><td>any number of records</td><td>what has changed since</td></tr>
+ *       file without this record is read as well</td></tr>
+ *   <tr><td>state</td><td>any number of records</td><td>the snapshot from which the owner starts</td></tr>
+ *   <tr><td>end of the state</td><td>one record</td><td>empty; a file without it is not a complete generation</td></tr>
+ *   <tr><td>appended</td><td>any number of records</td><td>the changes since the snapshot</td></tr>
  * </table>
  *
  * <table>
  *   <caption>A record</caption>
  *   <tr><th>part</th><th>bytes</th><th>content</th></tr>
- *   <tr><td>length</td><td>4</td><td>of the payload; 0 for the end of the state alone</td></tr>
+ *   <tr><td>length</td><td>4</td><td>of the payload; 0 only for the end of the state</td></tr>
  *   <tr><td>checksum</td><td>4</td><td>the complement of the CRC32C of the length's low byte and the payload</td></tr>
- *   <tr><td>payload</td><td>length</td><td>the owner's</td></tr>
+ *   <tr><td>payload</td><td>length</td><td>defined by the owner</td></tr>
  * </table>
  *
- * <p><b>A new generation</b> is written to {@code fresh}, which is synced, renamed to {@code items-<generation>}, and
- * read back after the folder was synced, too. Only then does it count, and all generations but it and the one before it
- * are deleted: that one is read where the newest turns out to be damaged.
+ * <p><b>A new generation</b> is written to {@code fresh}, synced, and renamed to {@code items-<generation>}. The
+ * directory is synced and the file is read back. Only then does the generation become the current one, and all older
+ * generations except its predecessor are deleted. The predecessor is read if the newest generation is damaged.
  *
- * <p><b>Durability.</b> When {@link #startGeneration} returns, its state survives a loss of power; an appended record
- * does once {@link #sync} has returned. Unsynced records may be missing, torn or complete, each by itself. After a
- * failed sync, or a generation that has failed from its rename on, nothing is appended any more ({@link #isBroken}), as
- * it could stand where a start does not read it, until a new generation was started.
+ * <p><b>Durability.</b> When {@link #startGeneration} returns, its state survives a power loss; an appended record
+ * survives one once {@link #sync} has returned. Each unsynced record may independently be missing, torn or complete.
+ * After a failed sync, or a failure of {@link #startGeneration} from the rename on, appends are rejected
+ * ({@link #isBroken}) until a new generation has been started, because recovery might not read them.
  *
- * <p><b>Recovery</b> reads generations from the newest on until one has its whole state, and returns their records the
- * oldest first. Whatever can't be read is told by {@link #problems()} and otherwise skipped.
+ * <p><b>Recovery</b> reads the generations from the newest backwards until it finds one with a complete state, and
+ * returns their records, oldest first. Unreadable parts are reported by {@link #problems()} and skipped.
  *
- * <p>Not thread-safe; all methods may wait for the disk.
+ * <p>Not thread-safe; all methods may block on disk I/O.
  */
 public final class Journal implements AutoCloseable {
     private static final String FILE_PREFIX = "items-";
     private static final String TEMPORARY_FILE = "fresh";
-    /** A longer number is no generation's: it may not fit a {@code long}. */
+    /** File names with more digits are ignored: the number may not fit into a {@code long}. */
     private static final int MAX_GENERATION_DIGITS = 18;
 
     private final Volume volume;
-    /** The current generation, open for appending; null before the first was started. */
+    /** The current generation, open for appending; null until the first one has been started. */
     private Volume.WritableFile file;
-    /** Null until the folder could be listed. */
+    /** Null until the directory has been listed successfully. */
     private TreeMap<Long, String> filesByGeneration;
 
     private long generation;
@@ -60,13 +60,13 @@
     private boolean broken = true;
     private boolean foundFiles;
     private boolean mayHaveLostRecords;
-    /** Why nothing may be written, where a file of a later version was found; else null. */
+    /** Why writing is refused, if a file of a later version was found; otherwise null. */
     private String unsupportedVersion;
 
     private final List<String> problems = new ArrayList<>();
     private final List<String> recordLocations = new ArrayList<>();
 
-    /** A journal in a folder, which is touched only by the methods below. */
+    /** Creates a journal on a volume without accessing the volume. */
     public Journal(Volume volume) {
         this.volume = volume;
     }
@@ -74,15 +74,15 @@
     // ---- Recovery ----------------------------------------------------------------------------------
 
     /**
-     * Reads all records that can be read, the oldest first; none where there is no file. To be called once, before
-     * anything is written. Doesn't fail: {@link #problems()} tells what could not be read.
+     * Returns all readable records, oldest first; an empty list if there are no files. Must be called once, before
+     * anything is written. I/O errors are not thrown but reported by {@link #problems()}.
      */
     public List<byte[]> recover() {
         List<byte[]> records = new ArrayList<>();
         try {
             listGenerations();
         } catch (IOException e) {
-            problems.add("the folder cannot be read: " + e.getMessage());
+            problems.add("the directory cannot be read: " + e.getMessage());
             foundFiles = true;
             mayHaveLostRecords = true;
             return records;
@@ -92,12 +92,12 @@
             if (recoverGeneration(name, records)) {
                 break;
             }
-            mayHaveLostRecords = true; // what was appended to this one may be in none before it
+            mayHaveLostRecords = true; // records appended to this generation may be in no earlier one
         }
         return records;
     }
 
-    /** Puts the records of a file in front of those of newer ones; returns whether its state is complete. */
+    /** Inserts the records of a file before those of newer files; returns whether its state is complete. */
     private boolean recoverGeneration(String name, List<byte[]> records) {
         GenerationReader reader;
         try {
@@ -142,22 +142,22 @@
         return true;
     }
 
-    /** Whether {@link #recover()} has found any generation, or could not tell. */
+    /** Whether {@link #recover()} found any generation file, or could not list the directory. */
     public boolean foundFiles() {
         return foundFiles;
     }
 
-    /** Whether something that was durable may be missing from what {@link #recover()} has returned. */
+    /** Whether durable records may be missing from the result of {@link #recover()}. */
     public boolean mayHaveLostRecords() {
         return mayHaveLostRecords;
     }
 
-    /** What {@link #recover()} could not read, each with its file and offset. */
+    /** Descriptions of what {@link #recover()} could not read, each with the file name and offset where known. */
     public List<String> problems() {
         return problems;
     }
 
-    /** The file and offset of a record that {@link #recover()} has returned, by its index. */
+    /** The file name and offset of a recovered record, by its index in the result of {@link #recover()}. */
     public String recordLocation(int record) {
         return recordLocations.get(record);
     }
@@ -165,11 +165,12 @@
     // ---- Writing -----------------------------------------------------------------------------------
 
     /**
-     * Starts a new generation. When this returns its state is durable, and everything before it is no longer needed.
+     * Starts a new generation. When this method returns, the state is durable and replaces all earlier records.
      *
-     * @param state its records, in their order
-     * @throws IOException if that can't be written, or if a later version has written here; the generation before it is
-     *     still there, and takes further records unless the journal {@link #isBroken}
+     * @param state the records of the state, in order
+     * @throws IOException if the generation cannot be written, or if a later version of the program has written to this
+     *     directory; the previous generation still exists and accepts further records unless the journal
+     *     {@link #isBroken}
      */
     public void startGeneration(Iterable<byte[]> state) throws IOException {
         listGenerations();
@@ -180,20 +181,20 @@
         recordLocations.clear();
         long next = generation + 1;
         String name = FILE_PREFIX + next;
-        volume.delete(TEMPORARY_FILE); // a crash may have left the name, perhaps of a file that has another one, too
+        volume.delete(TEMPORARY_FILE); // a crash may have left it, possibly as a second name of a generation
         Volume.WritableFile created = volume.create(TEMPORARY_FILE);
         long bytes;
         try {
             bytes = writeState(created, state);
             created.sync();
-            // From here on a start may find this generation, so that nothing may be appended to the one before it.
+            // From here on recovery may find this generation, so nothing may be appended to the previous one.
             broken = true;
             generation = next;
             filesByGeneration.put(next, name);
             volume.rename(TEMPORARY_FILE, name);
             volume.syncDirectory();
             if (!new GenerationReader(name, volume.read(name)).isStateComplete()) {
-                throw new IOException("what was written to " + name + " does not read back");
+                throw new IOException(name + " could not be verified: its state is incomplete when read back");
             }
         } catch (IOException e) {
             created.close();
@@ -208,16 +209,16 @@
         deleteBefore(next - 1);
     }
 
-    private static long writeState(Volume.WritableFile to, Iterable<byte[]> state) throws IOException {
-        long bytes = write(to, JournalFormat.versionRecord());
+    private static long writeState(Volume.WritableFile target, Iterable<byte[]> state) throws IOException {
+        long bytes = write(target, JournalFormat.versionRecord());
         for (byte[] record : state) {
-            bytes += write(to, record);
+            bytes += write(target, record);
         }
-        return bytes + write(to, JournalFormat.endOfState());
+        return bytes + write(target, JournalFormat.endOfState());
     }
 
-    private static int write(Volume.WritableFile to, byte[] record) throws IOException {
-        to.write(JournalFormat.encode(record));
+    private static int write(Volume.WritableFile target, byte[] record) throws IOException {
+        target.write(JournalFormat.encode(record));
         return JournalFormat.RECORD_HEADER_BYTES + record.length;
     }
 
@@ -229,16 +230,16 @@
     }
 
     /**
-     * Appends a record to the current generation; it is durable once {@link #sync()} has returned.
+     * Appends a record to the current generation. The record is durable once {@link #sync()} has returned.
      *
-     * @throws IOException if the disk refuses it, the journal {@link #isBroken}, or the record is empty or too large;
-     *     what it has left is never read in front of a later record
+     * @throws IOException if the write fails, the journal {@link #isBroken}, or the record is empty or too large; a
+     *     partially written record never precedes a later record
      */
     public void append(byte[] record) throws IOException {
         if (broken) {
-            throw new IOException("the file is spoilt by an earlier failure");
+            throw new IOException("the journal is broken by an earlier failure");
         } else if (record.length == 0 || record.length > JournalFormat.MAX_RECORD_BYTES) {
-            throw new IOException("a record of " + record.length + " bytes cannot be kept");
+            throw new IOException("a record of " + record.length + " bytes cannot be appended: 1 to " + JournalFormat.MAX_RECORD_BYTES + " bytes are allowed");
         }
         try {
             lengthBytes += write(file, record);
@@ -248,7 +249,7 @@
         }
     }
 
-    /** What a failed write has left may not stand before later records. */
+    /** Removes what a failed write has left, so that it does not precede later records. */
     private void truncateFailedWrite() {
         try {
             file.truncate(lengthBytes);
@@ -258,25 +259,25 @@
     }
 
     /**
-     * Makes everything durable that was appended.
+     * Makes all appended records durable.
      *
-     * @throws IOException if the disk fails; what was appended since the last sync may be lost
+     * @throws IOException if the sync fails; records appended since the last successful sync may be lost
      */
     public void sync() throws IOException {
         try {
             file.sync();
         } catch (IOException e) {
-            broken = true; // the kernel may have dropped what it could not write
+            broken = true; // the kernel may have discarded dirty pages that it could not write
             throw e;
         }
     }
 
-    /** Whether nothing can be appended until a new generation was started. */
+    /** Whether appends are rejected until a new generation has been started. */
     public boolean isBroken() {
         return broken;
     }
 
-    /** Bytes of the current generation; 0 before the first was started. */
+    /** The size of the current generation in bytes; 0 until the first one has been started. */
     public long lengthBytes() {
         return lengthBytes;
     }
--- a/src/main/java/reedmux/common/disk/JournalFormat.java
+++ b/src/main/java/reedmux/common/disk/JournalFormat.java
@@ -4,15 +4,15 @@
 import java.util.Arrays;
 import java.util.zip.CRC32C;
 
-/** The bytes of a {@link Journal}'s files; the class comment there has the layout. */
+/** Encodes records of a {@link Journal}'s files; the layout is documented there. */
 final class JournalFormat {
-    /** The version of the layout that is written here. Files of a higher one are left as they are. */
+    /** The layout version that this program writes. Files with a higher version are not modified. */
     static final int VERSION = 1;
 
-    /** Length and checksum, in front of each record. */
+    /** The size of the header of each record: length and checksum, 4 bytes each. */
     static final int RECORD_HEADER_BYTES = 8;
 
-    /** The largest record that may be appended. */
+    /** The largest payload of an appended record, in bytes. */
     static final int MAX_RECORD_BYTES = 64 * 1024 * 1024;
 
     private static final byte[] MAGIC = {'r', 'e', 'e', 'd', 'm', 'u', 'x'};
@@ -20,7 +20,7 @@
 
     private JournalFormat() {}
 
-    /** The first record of a file. */
+    /** The first record of a file, which holds the layout version. */
     static byte[] versionRecord() {
         byte[] record = Arrays.copyOf(MAGIC, MAGIC.length + 1);
         record[MAGIC.length] = VERSION;
@@ -35,12 +35,12 @@
         return versionRecord[MAGIC.length];
     }
 
-    /** The record behind the state that a file begins with. */
+    /** The empty record that ends the initial state of a file. */
     static byte[] endOfState() {
         return END_OF_STATE;
     }
 
-    /** A record with its header, ready to be written. */
+    /** Returns a record with its header, ready to be written. */
     static ByteBuffer encode(byte[] record) {
         return ByteBuffer.allocate(RECORD_HEADER_BYTES + record.length)
                 .putInt(record.length)
@@ -50,8 +50,8 @@
     }
 
     /**
-     * The checksum of a record. It covers the low byte of the length, too, and is complemented: zeros, which a file may
-     * have where a write was lost in a crash, are no valid record.
+     * Computes the checksum of a record. It also covers the low byte of the length and is complemented, so that zeros,
+     * which a file may contain where a write was lost in a crash, are not a valid record.
      */
     static int checksum(byte[] record) {
         CRC32C checksum = new CRC32C();
--- a/src/main/java/reedmux/common/disk/Volume.java
+++ b/src/main/java/reedmux/common/disk/Volume.java
@@ -5,42 +5,45 @@
 import java.util.List;
 
 /**
- * A folder of files, with just the operations that a {@link Journal} needs and what each of them promises after a loss
- * of power: what no sync has covered may be lost or kept, each write and each name by itself. All methods may wait for
- * the disk.
+ * A directory of files, with the operations that a {@link Journal} needs and their guarantees after a power loss: each
+ * write and each change of a name that no sync has covered may independently be lost or kept. All methods may block on
+ * disk I/O.
  */
 public interface Volume {
 
     /** A file that is open for writing. */
     interface WritableFile extends AutoCloseable {
-        /** Writes all remaining bytes behind those that were written before. */
+        /** Writes all remaining bytes of the buffer after the previously written ones. */
         void write(ByteBuffer bytes) throws IOException;
 
-        /** When it returns, all that was written survives a loss of power. The file's name needs a sync of its own. */
+        /**
+         * Makes all written bytes durable: they survive a power loss once this method has returned. The file's name
+         * needs a {@link Volume#syncDirectory} of its own.
+         */
         void sync() throws IOException;
 
-        /** Cuts the file; what is written next comes behind the rest. */
+        /** Truncates the file to a length in bytes; the next write appends at that position. */
         void truncate(long length) throws IOException;
 
         @Override
         void close() throws IOException;
     }
 
-    /** The names of all files; none where there is no folder yet. */
+    /** The names of all files; empty if the directory does not exist yet. */
     List<String> fileNames() throws IOException;
 
-    /** All bytes of a file, whether they were synced or not. */
+    /** Reads the whole content of a file, synced or not. */
     byte[] read(String name) throws IOException;
 
-    /** Opens a file that is empty then, making it and the folder where they are not there. */
+    /** Opens a file for writing and empties it; creates the file and the directory if they do not exist. */
     WritableFile create(String name) throws IOException;
 
-    /** Gives a file another name, in place of a file that has it already, and as a whole or not at all. */
+    /** Renames a file atomically, replacing an existing file of the new name. */
     void rename(String from, String to) throws IOException;
 
-    /** When it returns, all names that were given and removed survive a loss of power. */
+    /** Makes all created, renamed and removed names durable: they survive a power loss once this method returns. */
     void syncDirectory() throws IOException;
 
-    /** Removes a file, if it is there. */
+    /** Deletes a file if it exists. */
     void delete(String name) throws IOException;
 }
--- a/src/main/java/reedmux/common/disk/package-info.java
+++ b/src/main/java/reedmux/common/disk/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Durable storage: {@link reedmux.common.disk.Journal}, a write-ahead log with checksums that is recovered after any
- * loss of power, on a {@link reedmux.common.disk.Volume}, a folder of the machine's file system or of a simulated disk.
- * Nothing here is thread-safe, and everything may wait for the disk.
+ * Durable storage: {@link reedmux.common.disk.Journal} is a write-ahead log with checksums that can be recovered after
+ * a power loss. It is stored on a {@link reedmux.common.disk.Volume}, which is a directory of the local file system or
+ * of a simulated disk. The classes are not thread-safe, and all operations may block on disk I/O.
  */
 package reedmux.common.disk;
--- a/src/test/java/reedmux/common/disk/CrashSimulatingVolume.java
+++ b/src/test/java/reedmux/common/disk/CrashSimulatingVolume.java
@@ -15,22 +15,22 @@
 import java.util.function.Consumer;
 
 /**
- * A folder in memory that enumerates what a crash may leave. After each of its steps a listener may ask for the image
- * after a kill of the process, which has everything, and for all images after a loss of power: each unsynced write is
- * kept, lost or torn, and each unsynced name is kept or lost, each by itself.
+ * An in-memory directory that enumerates the contents that a crash may leave behind. After each operation a listener
+ * may request the image after the process is killed, which contains everything, and all images after a power loss: each
+ * unsynced write is independently kept, lost or torn, and each unsynced name is independently kept or lost.
  */
 public final class CrashSimulatingVolume implements Volume {
-    /** Of a file's unsynced writes so many last ones are varied, and all before them are kept. */
+    /** Only this many of the last unsynced writes of a file are varied; all earlier ones are kept. */
     private static final int MAX_VARIED_WRITES = 4;
 
-    /** What a loss of power may do to an unsynced write. */
+    /** The outcomes of a power loss for an unsynced write. */
     private static final int KEPT = 0;
 
     private static final int LOST = 1;
     private static final int TORN = 2;
-    private static final int FATES = 3;
+    private static final int OUTCOMES = 3;
 
-    /** A file, whatever its names; {@code unsynced}: the writes that no sync has covered. */
+    /** A file, independent of its names. {@code unsynced} holds the writes that no sync has covered. */
     private static final class SimulatedFile {
         private byte[] bytes = {};
         private byte[] synced = {};
@@ -44,19 +44,19 @@
         }
     }
 
-    /** A write at an offset; {@code bytes} is null where the file was cut there. */
+    /** A write at an offset, or a truncation at that offset if {@code bytes} is null. */
     private record UnsyncedWrite(int offset, byte[] bytes) {}
 
     private final Map<String, SimulatedFile> names = new TreeMap<>();
     private final Map<String, SimulatedFile> syncedNames = new TreeMap<>();
-    /** The files that a name was given to since the last sync of the folder; null for none. */
+    /** The files that each name was bound to since the last sync of the directory; null stands for a deletion. */
     private final Map<String, Set<SimulatedFile>> unsyncedBindings = new LinkedHashMap<>();
 
     private boolean full;
     private boolean unreadable;
     private Runnable stepListener = () -> {};
 
-    /** An empty folder. */
+    /** Creates an empty directory. */
     public CrashSimulatingVolume() {}
 
     private CrashSimulatingVolume(Map<String, SimulatedFile> names) {
@@ -64,17 +64,17 @@
         syncedNames.putAll(names);
     }
 
-    /** From now on {@code listener} runs after each step, and may ask what a crash would leave. */
+    /** Sets the listener that runs after each modification and may request crash images. */
     public void onStep(Runnable listener) {
         stepListener = listener;
     }
 
-    /** Whether everything that takes space fails from now on. */
+    /** Sets whether operations that need disk space fail. */
     public void setFull(boolean isFull) {
         full = isFull;
     }
 
-    /** Whether reading fails from now on. */
+    /** Sets whether reads fail. */
     public void setUnreadable(boolean isUnreadable) {
         unreadable = isUnreadable;
     }
@@ -85,9 +85,9 @@
         }
     }
 
-    // ---- What a crash may leave --------------------------------------------------------------------
+    // ---- Crash images ------------------------------------------------------------------------------
 
-    /** What is there after the process was killed. */
+    /** Returns the contents after the process was killed: every write and name, synced or not. */
     public CrashSimulatingVolume imageAfterKill() {
         Map<SimulatedFile, SimulatedFile> copies = new HashMap<>();
         Map<String, SimulatedFile> image = new TreeMap<>();
@@ -96,81 +96,87 @@
         return new CrashSimulatingVolume(image);
     }
 
-    /** Hands on every image that may be there after a loss of power; returns how many these were. */
+    /** Passes every possible image after a power loss to {@code consumer}; returns the number of images. */
     public int forEachImageAfterPowerLoss(Consumer<CrashSimulatingVolume> consumer) {
-        List<String> open = new ArrayList<>(unsyncedBindings.keySet());
-        return enumerateNames(new TreeMap<>(syncedNames), open, 0, consumer);
+        List<String> unsyncedNames = new ArrayList<>(unsyncedBindings.keySet());
+        return enumerateNames(new TreeMap<>(syncedNames), unsyncedNames, 0, consumer);
     }
 
-    /** Binds the names of {@code open} from {@code index} on in all ways, beside those that {@code bound} has. */
+    /**
+     * Enumerates all bindings of the names of {@code unsyncedNames} from {@code index} on, in addition to the bindings
+     * in {@code boundNames}.
+     */
     private int enumerateNames(
-            Map<String, SimulatedFile> bound, List<String> open, int index, Consumer<CrashSimulatingVolume> consumer) {
-        if (index == open.size()) {
-            List<SimulatedFile> files = new ArrayList<>(new HashSet<>(bound.values()));
-            return enumerateContents(bound, files, 0, new HashMap<>(), consumer);
+            Map<String, SimulatedFile> boundNames, List<String> unsyncedNames, int index, Consumer<CrashSimulatingVolume> consumer) {
+        if (index == unsyncedNames.size()) {
+            List<SimulatedFile> files = new ArrayList<>(new HashSet<>(boundNames.values()));
+            return enumerateContents(boundNames, files, 0, new HashMap<>(), consumer);
         }
         int images = 0;
-        String name = open.get(index);
+        String name = unsyncedNames.get(index);
         Set<SimulatedFile> candidates = new HashSet<>(unsyncedBindings.get(name));
         candidates.add(syncedNames.get(name));
         for (SimulatedFile candidate : candidates) {
-            Map<String, SimulatedFile> next = new TreeMap<>(bound);
+            Map<String, SimulatedFile> next = new TreeMap<>(boundNames);
             next.remove(name);
             if (candidate != null) {
                 next.put(name, candidate);
             }
-            images += enumerateNames(next, open, index + 1, consumer);
+            images += enumerateNames(next, unsyncedNames, index + 1, consumer);
         }
         return images;
     }
 
-    /** Varies the contents of {@code files} from {@code index} on, beside those that {@code contents} has. */
+    /** Enumerates the contents of {@code files} from {@code index} on, in addition to those in {@code contents}. */
     private int enumerateContents(
-            Map<String, SimulatedFile> bound,
+            Map<String, SimulatedFile> boundNames,
             List<SimulatedFile> files,
             int index,
             Map<SimulatedFile, SimulatedFile> contents,
             Consumer<CrashSimulatingVolume> consumer) {
         if (index == files.size()) {
             Map<String, SimulatedFile> image = new TreeMap<>();
-            bound.forEach((name, file) -> image.put(name, contents.get(file)));
+            boundNames.forEach((name, file) -> image.put(name, contents.get(file)));
             consumer.accept(new CrashSimulatingVolume(image));
             return 1;
         }
         SimulatedFile file = files.get(index);
-        int varied = Math.min(MAX_VARIED_WRITES, file.unsynced.size());
+        int variedWrites = Math.min(MAX_VARIED_WRITES, file.unsynced.size());
         int images = 0;
-        for (int fates = 0; fates < Math.pow(FATES, varied); fates++) {
-            contents.put(file, new SimulatedFile(bytesAfter(file, varied, fates)));
-            images += enumerateContents(bound, files, index + 1, contents, consumer);
+        for (int outcomes = 0; outcomes < Math.pow(OUTCOMES, variedWrites); outcomes++) {
+            contents.put(file, new SimulatedFile(bytesAfterPowerLoss(file, variedWrites, outcomes)));
+            images += enumerateContents(boundNames, files, index + 1, contents, consumer);
         }
         return images;
     }
 
-    /** A file's bytes after a loss of power; {@code fates} has a digit to the base of {@link #FATES} a varied write. */
-    private static byte[] bytesAfter(SimulatedFile file, int varied, int fates) {
+    /**
+     * The content of a file after a power loss; {@code outcomes} has one digit in base {@link #OUTCOMES} for each varied
+     * write.
+     */
+    private static byte[] bytesAfterPowerLoss(SimulatedFile file, int variedWrites, int outcomes) {
         byte[] bytes = file.synced;
-        int rest = fates;
-        int firstVaried = file.unsynced.size() - varied;
+        int rest = outcomes;
+        int firstVariedWrite = file.unsynced.size() - variedWrites;
         for (int i = 0; i < file.unsynced.size(); i++) {
-            int fate = KEPT;
-            if (i >= firstVaried) {
-                fate = rest % FATES;
-                rest /= FATES;
+            int outcome = KEPT;
+            if (i >= firstVariedWrite) {
+                outcome = rest % OUTCOMES;
+                rest /= OUTCOMES;
             }
-            bytes = applyFate(bytes, file.unsynced.get(i), fate);
+            bytes = applyOutcome(bytes, file.unsynced.get(i), outcome);
         }
         return bytes;
     }
 
-    private static byte[] applyFate(byte[] before, UnsyncedWrite write, int fate) {
-        if (fate == LOST) {
+    private static byte[] applyOutcome(byte[] before, UnsyncedWrite write, int outcome) {
+        if (outcome == LOST) {
             return before;
         } else if (write.bytes == null) {
             return Arrays.copyOf(before, write.offset);
         }
         byte[] written = write.bytes.clone();
-        if (fate == TORN) {
+        if (outcome == TORN) {
             Arrays.fill(written, written.length / 2, written.length, (byte) 0);
         }
         return overwrite(before, write.offset, written);
@@ -182,7 +188,7 @@
         return after;
     }
 
-    // ---- The folder --------------------------------------------------------------------------------
+    // ---- Directory operations ----------------------------------------------------------------------
 
     private void bindName(String name, SimulatedFile file) {
         unsyncedBindings.computeIfAbsent(name, n -> new HashSet<>()).add(file);
@@ -208,7 +214,7 @@
         return names.get(name).bytes.clone();
     }
 
-    /** Puts a file there as it is, synced. */
+    /** Adds a file whose name and content are synced. */
     public void putSyncedFile(String name, byte[] bytes) {
         SimulatedFile file = new SimulatedFile(bytes);
         names.put(name, file);
@@ -222,7 +228,7 @@
         if (file == null) {
             file = new SimulatedFile();
             bindName(name, file);
-        } else { // the same file, which another name may have, too
+        } else { // the same file, which may have another name as well
             file.bytes = new byte[0];
             file.unsynced.add(new UnsyncedWrite(0, null));
         }
@@ -293,7 +299,7 @@
 
         @Override
         public void close() {
-            // nothing is held
+            // no resources to release
         }
     }
 }
--- a/src/test/java/reedmux/common/disk/JournalTest.java
+++ b/src/test/java/reedmux/common/disk/JournalTest.java
@@ -16,19 +16,19 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a journal recovers after its last writes were lost, cut or torn. */
+/** Recovery of a {@link Journal} after its last writes were lost, truncated or corrupted. */
 public class JournalTest {
-    private Path dir;
+    private Path directory;
 
     @BeforeMethod
     public void createDirectory() throws IOException {
-        dir = Files.createTempDirectory("reedmux-journal");
+        directory = Files.createTempDirectory("reedmux-journal");
     }
 
     @AfterMethod
     public void deleteDirectory() throws IOException {
-        try (Stream<Path> all = Files.walk(dir)) {
-            all.sorted(Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
+        try (Stream<Path> paths = Files.walk(directory)) {
+            paths.sorted(Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
         }
     }
 
@@ -40,135 +40,135 @@
 
     @Test
     public void emptyDirectoryHasNoFiles() throws IOException {
-        Journal journal = new Journal(new FileSystemVolume(dir));
+        Journal journal = new Journal(new FileSystemVolume(directory));
         assertTrue(journal.recover().isEmpty());
         assertFalse(journal.foundFiles());
     }
 
     /**
-     * The file ends at every byte behind the last sync, or has a wrong one there: all records before that are
-     * recovered, and intact ones behind it, but nothing that was never written; and the problems say where something is
-     * wrong.
+     * Truncates the file at, or corrupts, each byte after the last sync. Recovery returns all records before that
+     * position and the intact ones after it, but never a record that was not written, and reports the position of the
+     * damage.
      */
     @Test
     public void syncedRecordsSurviveTruncationOrCorruptionBehindThem() throws IOException {
-        try (Journal journal = new Journal(new FileSystemVolume(dir))) {
+        try (Journal journal = new Journal(new FileSystemVolume(directory))) {
             journal.recover();
             journal.startGeneration(List.of(record(0), record(1)));
             long synced = journal.lengthBytes();
             journal.append(record(2));
             journal.append(record(3));
             journal.sync();
-            Path file = dir.resolve("items-1");
-            byte[] whole = Files.readAllBytes(file);
-            for (int end = (int) synced; end < whole.length; end++) {
-                for (boolean cut : new boolean[] {true, false}) {
-                    byte[] image = cut ? Arrays.copyOf(whole, end) : whole.clone();
-                    if (!cut) {
+            Path file = directory.resolve("items-1");
+            byte[] fullImage = Files.readAllBytes(file);
+            for (int end = (int) synced; end < fullImage.length; end++) {
+                for (boolean truncate : new boolean[] {true, false}) {
+                    byte[] image = truncate ? Arrays.copyOf(fullImage, end) : fullImage.clone();
+                    if (!truncate) {
                         image[end] ^= 0x55;
                     }
                     Files.write(file, image);
-                    Journal next = new Journal(new FileSystemVolume(dir));
-                    List<byte[]> found = next.recover();
-                    boolean third = end >= synced + 8 + record(2).length;
-                    assertTrue(found.size() >= (third ? 3 : 2) && found.size() < 4, "at " + end);
+                    Journal reopened = new Journal(new FileSystemVolume(directory));
+                    List<byte[]> recovered = reopened.recover();
+                    boolean thirdRecordIntact = end >= synced + 8 + record(2).length;
+                    assertTrue(recovered.size() >= (thirdRecordIntact ? 3 : 2) && recovered.size() < 4, "at " + end);
                     for (int i = 0; i < 2; i++) {
-                        assertEquals(found.get(i), record(i));
+                        assertEquals(recovered.get(i), record(i));
                     }
-                    if (found.size() == 3) {
-                        boolean skipped = !cut && !third;
-                        assertEquals(found.get(2), record(skipped ? 3 : 2), "at " + end);
+                    if (recovered.size() == 3) {
+                        boolean thirdRecordSkipped = !truncate && !thirdRecordIntact;
+                        assertEquals(recovered.get(2), record(thirdRecordSkipped ? 3 : 2), "at " + end);
                     }
-                    assertFalse(next.mayHaveLostRecords());
-                    boolean between = cut && (end == synced || third && end == synced + 8 + record(2).length);
-                    assertEquals(next.problems().size(), between ? 0 : 1, "at " + end + next.problems());
-                    assertTrue(between || next.problems().get(0).startsWith("items-1 at "));
+                    assertFalse(reopened.mayHaveLostRecords());
+                    boolean atRecordBoundary = truncate && (end == synced || thirdRecordIntact && end == synced + 8 + record(2).length);
+                    assertEquals(reopened.problems().size(), atRecordBoundary ? 0 : 1, "at " + end + reopened.problems());
+                    assertTrue(atRecordBoundary || reopened.problems().get(0).startsWith("items-1 at "));
                 }
             }
         }
     }
 
-    /** A generation whose state is not complete gives way to the one before it. */
+    /** If the state of the newest generation is incomplete, recovery uses the previous generation. */
     @Test
     public void previousGenerationIsReadUntilTheNextIsComplete() throws IOException {
-        try (Journal journal = new Journal(new FileSystemVolume(dir))) {
+        try (Journal journal = new Journal(new FileSystemVolume(directory))) {
             journal.recover();
             journal.startGeneration(List.of(record(0)));
             journal.startGeneration(List.of(record(0), record(1)));
-            Files.write(dir.resolve("items-3"), Arrays.copyOf(Files.readAllBytes(dir.resolve("items-2")), 9));
-            Files.write(dir.resolve("fresh"), new byte[] {1, 2, 3});
-            Journal next = new Journal(new FileSystemVolume(dir));
-            assertEquals(next.recover().size(), 2);
-            next.startGeneration(List.of(record(2)));
-            next.close();
-            assertEquals(new Journal(new FileSystemVolume(dir)).recover().get(0), record(2));
+            Files.write(directory.resolve("items-3"), Arrays.copyOf(Files.readAllBytes(directory.resolve("items-2")), 9));
+            Files.write(directory.resolve("fresh"), new byte[] {1, 2, 3});
+            Journal reopened = new Journal(new FileSystemVolume(directory));
+            assertEquals(reopened.recover().size(), 2);
+            reopened.startGeneration(List.of(record(2)));
+            reopened.close();
+            assertEquals(new Journal(new FileSystemVolume(directory)).recover().get(0), record(2));
         }
     }
 
     /**
-     * A start may find a generation that was renamed although the sync of its folder has failed: nothing may be
-     * appended to the one before it, where that start would not read it.
+     * If the directory sync fails after the rename, a restart may find the new generation. Records that were then
+     * appended to the previous generation would not be read, so appends must fail.
      */
     @Test
     public void nothingIsAppendedAfterAFailedGeneration() throws IOException {
-        boolean[] fails = {false};
+        boolean[] syncFails = {false};
         Volume volume = new Volume() {
-            private final Volume folder = new FileSystemVolume(dir);
+            private final Volume delegate = new FileSystemVolume(directory);
 
             @Override
             public List<String> fileNames() throws IOException {
-                return folder.fileNames();
+                return delegate.fileNames();
             }
 
             @Override
             public byte[] read(String name) throws IOException {
-                return folder.read(name);
+                return delegate.read(name);
             }
 
             @Override
             public WritableFile create(String name) throws IOException {
-                return folder.create(name);
+                return delegate.create(name);
             }
 
             @Override
             public void rename(String from, String to) throws IOException {
-                folder.rename(from, to);
+                delegate.rename(from, to);
             }
 
             @Override
             public void syncDirectory() throws IOException {
-                if (fails[0]) {
-                    throw new IOException("no room");
+                if (syncFails[0]) {
+                    throw new IOException("No space left on device");
                 }
-                folder.syncDirectory();
+                delegate.syncDirectory();
             }
 
             @Override
             public void delete(String name) throws IOException {
-                folder.delete(name);
+                delegate.delete(name);
             }
         };
         Journal journal = new Journal(volume);
         journal.recover();
         journal.startGeneration(List.of(record(0)));
-        fails[0] = true;
+        syncFails[0] = true;
         try {
             journal.startGeneration(List.of(record(0)));
-            fail("the folder cannot be synced");
+            fail("startGeneration succeeded although the directory sync failed");
         } catch (IOException e) {
             assertTrue(journal.isBroken());
         }
         try {
             journal.append(record(1));
-            fail("a start would not read it");
+            fail("append succeeded on a broken journal");
         } catch (IOException e) {
             assertTrue(journal.isBroken());
         }
-        fails[0] = false;
+        syncFails[0] = false;
         journal.startGeneration(List.of(record(0), record(1)));
         journal.append(record(2));
         journal.sync();
         journal.close();
-        assertEquals(new Journal(new FileSystemVolume(dir)).recover().size(), 3);
+        assertEquals(new Journal(new FileSystemVolume(directory)).recover().size(), 3);
     }
 }
