--- a/src/main/java/reedmux/common/settings/ProcessSettings.java
+++ b/src/main/java/reedmux/common/settings/ProcessSettings.java
@@ -10,15 +10,15 @@
 import reedmux.common.net.SocketAddresses;
 
 /**
- * The settings of one process, parsed from its file; {@link SettingKeys} documents the keys. What every program needs
- * is checked when the file is parsed, the rest when a program asks for it. Immutable.
+ * The settings of one process, parsed from its settings file; {@link SettingKeys} documents the keys. Settings that
+ * every program requires are validated when the file is parsed, all others when a program reads them. Immutable.
  */
 public final class ProcessSettings {
-    /** The environment variable that names the file. */
+    /** The environment variable that holds the path of the settings file. */
     public static final String ENVIRONMENT_VARIABLE = "REEDMUX_BOOT";
 
     private static final int MAX_PORT = 65_535;
-    /** The store, the registry and the proxies' datagrams have a port each. */
+    /** One port each for the store, the registry and the proxies' datagrams. */
     private static final int MIN_PORTS = 3;
 
     private static final long MICROS_PER_MILLI = 1000;
@@ -44,19 +44,19 @@
         zone = document.requiredText(SettingKeys.ZONE);
     }
 
-    /** Reads the file that {@link #ENVIRONMENT_VARIABLE} names. */
+    /** Loads the file whose path {@link #ENVIRONMENT_VARIABLE} holds. */
     public static ProcessSettings fromEnvironment() throws ProcessSettingsException {
         String file = System.getenv(ENVIRONMENT_VARIABLE);
         if (file == null || file.isEmpty()) {
-            throw new ProcessSettingsException(ENVIRONMENT_VARIABLE + " is not set: it names the settings file");
+            throw new ProcessSettingsException(ENVIRONMENT_VARIABLE + " is not set; it must hold the path of the settings file");
         }
         return load(Path.of(file));
     }
 
     /**
-     * Reads a file.
+     * Loads a settings file.
      *
-     * @throws ProcessSettingsException if it cannot be read or used
+     * @throws ProcessSettingsException if the file cannot be read or is invalid
      */
     public static ProcessSettings load(Path file) throws ProcessSettingsException {
         String text;
@@ -69,10 +69,10 @@
     }
 
     /**
-     * Parses a file's text.
+     * Parses the text of a settings file.
      *
-     * @param file how errors name the file
-     * @throws ProcessSettingsException if the text cannot be used
+     * @param file the file name for error messages
+     * @throws ProcessSettingsException if the text is invalid
      */
     public static ProcessSettings parse(String file, String text) throws ProcessSettingsException {
         return new ProcessSettings(TomlParser.parse(file, text));
@@ -86,7 +86,7 @@
                 || first < 1
                 || last > MAX_PORT
                 || first + MIN_PORTS - 1 > last) {
-            throw document.invalid(SettingKeys.PORT_RANGE, "is not two ports, the first at least two below the second");
+            throw document.invalid(SettingKeys.PORT_RANGE, "is not a list of two ports from 1 to 65535, the first at least 2 below the second");
         }
         return first.intValue();
     }
@@ -103,7 +103,7 @@
         return List.copyOf(seeds);
     }
 
-    /** The file as the caller named it. */
+    /** The file name that was passed to {@link #load} or {@link #parse}. */
     public String file() {
         return document.file();
     }
@@ -153,40 +153,40 @@
         return firstPort + 2;
     }
 
-    /** Whether the file has a key. */
+    /** Whether the file contains a key. */
     public boolean contains(String key) {
         return document.contains(key);
     }
 
     /**
-     * An address that this process serves on.
+     * Returns an address on which this process listens.
      *
      * @param key one of the {@code sockets} keys
-     * @throws ProcessSettingsException if it is missing or not an address with a port
+     * @throws ProcessSettingsException if the key is missing or its value is not an address with a port
      */
     public InetSocketAddress socketAddress(String key) throws ProcessSettingsException {
         return document.requiredAddress(key);
     }
 
     /**
-     * A number in the unit of its key.
+     * Returns a number in the unit that {@link SettingKeys} documents for its key.
      *
-     * @throws ProcessSettingsException if it is not a number of 0 or more
+     * @throws ProcessSettingsException if the value is not a number of 0 or more
      */
     public double number(String key, double defaultValue) throws ProcessSettingsException {
         return document.number(key, defaultValue);
     }
 
     /**
-     * A duration that the file has in milliseconds, in microseconds.
+     * Returns a duration in microseconds whose value in the file is in milliseconds.
      *
-     * @throws ProcessSettingsException if it is not a number of 0 or more
+     * @throws ProcessSettingsException if the value is not a number of 0 or more
      */
     public long durationMicros(String key, long defaultMillis) throws ProcessSettingsException {
         return (long) (number(key, defaultMillis) * MICROS_PER_MILLI);
     }
 
-    /** An error at one of this file's keys, as {@code sockets.front}. */
+    /** Creates an exception about the value of a key such as {@code sockets.front}. */
     public ProcessSettingsException invalid(String key, String problem) {
         return document.invalid(key, problem);
     }
--- a/src/main/java/reedmux/common/settings/ProcessSettingsException.java
+++ b/src/main/java/reedmux/common/settings/ProcessSettingsException.java
@@ -1,6 +1,6 @@
 package reedmux.common.settings;
 
-/** A settings file that cannot be used. The message names the file, the line where it is known, and the key. */
+/** Thrown for an invalid settings file. The message names the file, the line if it is known, and the key. */
 public final class ProcessSettingsException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -9,12 +9,12 @@
     private final int line;
 
     /**
-     * A fault in a file's content.
+     * Creates an exception about the content of a file.
      *
-     * @param file    the file as the caller named it
-     * @param line    the line, from 1, or 0 if the fault is that something is missing
-     * @param key     the key with its table, or null if the fault concerns none
-     * @param problem what is wrong; names the key
+     * @param file    the file name that the caller passed
+     * @param line    the line number, starting at 1, or 0 if a required key is missing
+     * @param key     the key with its table, or null if the error concerns no key
+     * @param problem a description of the error that names the key
      */
     public ProcessSettingsException(String file, int line, String key, String problem) {
         super(file + (line > 0 ? ":" + line : "") + ": " + problem);
@@ -23,7 +23,7 @@
         this.line = line;
     }
 
-    /** A file that cannot be read at all. */
+    /** Creates an exception about a file that cannot be read. */
     public ProcessSettingsException(String file, Throwable cause) {
         super(file + ": cannot be read: " + cause.getMessage(), cause);
         this.file = file;
@@ -31,7 +31,7 @@
         this.line = 0;
     }
 
-    /** No file was named. */
+    /** Creates an exception for the case that no file was given. */
     public ProcessSettingsException(String problem) {
         super(problem);
         this.file = null;
@@ -39,17 +39,17 @@
         this.line = 0;
     }
 
-    /** The file at fault, or null if none was named. */
+    /** The invalid file, or null if no file was given. */
     public String file() {
         return file;
     }
 
-    /** The key at fault with its table, as {@code sockets.front}, or null if the fault concerns none. */
+    /** The invalid key with its table, such as {@code sockets.front}, or null if the error concerns no key. */
     public String key() {
         return key;
     }
 
-    /** The line of the fault, from 1, or 0 if it is not known. */
+    /** The line number of the error, starting at 1, or 0 if it is not known. */
     public int line() {
         return line;
     }
--- a/src/main/java/reedmux/common/settings/Program.java
+++ b/src/main/java/reedmux/common/settings/Program.java
@@ -1,15 +1,15 @@
 package reedmux.common.settings;
 
-/** One of the system's programs as its process runs it. Both methods are called on its reactor's thread. */
+/** A program that a process runs, such as the proxy or the store. Both methods run on its reactor's thread. */
 public interface Program {
 
-    /** Begins a graceful shutdown, as after SIGTERM; the program stops its reactor once that is over. */
+    /** Begins a graceful shutdown, as on SIGTERM; the program stops its reactor when the shutdown is complete. */
     void beginShutdown();
 
     /**
-     * Takes up changed settings.
+     * Applies changed settings.
      *
-     * @throws ProcessSettingsException if they cannot be used; the program keeps the former ones
+     * @throws ProcessSettingsException if the settings are invalid; the program then keeps the current ones
      */
     void reload(ProcessSettings next) throws ProcessSettingsException;
 }
--- a/src/main/java/reedmux/common/settings/SettingsDocument.java
+++ b/src/main/java/reedmux/common/settings/SettingsDocument.java
@@ -6,17 +6,17 @@
 import reedmux.common.net.SocketAddresses;
 
 /**
- * The values of one settings file by key, with typed access. A value of another type than asked for is an error that
- * names file, line and key. Immutable.
+ * The values of one settings file by key, with typed accessors. An accessor throws an exception that names the file,
+ * line and key if the value has another type. Immutable.
  */
 final class SettingsDocument {
     private final String file;
-    /** Each a String, Double, Boolean or List of these; a key has its table in front, as {@code sockets.front}. */
+    /** Values of type String, Double, Boolean or List of these; keys include the table, as in {@code sockets.front}. */
     private final Map<String, Object> values;
 
     private final Map<String, Integer> lines;
 
-    /** {@code lines}: where each key stands in the file, from 1. */
+    /** Creates a document; {@code lines} holds the line number of each key, starting at 1. */
     SettingsDocument(String file, Map<String, Object> values, Map<String, Integer> lines) {
         this.file = file;
         this.values = values;
@@ -31,7 +31,7 @@
         return values.containsKey(key);
     }
 
-    /** A text that is not empty. */
+    /** Returns a non-empty text. */
     String requiredText(String key) throws ProcessSettingsException {
         if (!(values.get(key) instanceof String text) || text.isEmpty()) {
             throw invalidOrMissing(key, "is not a text");
@@ -54,7 +54,7 @@
         return address;
     }
 
-    /** A text, or null if the key is missing. */
+    /** Returns a text, or null if the key is missing. */
     String optionalText(String key) throws ProcessSettingsException {
         Object value = values.get(key);
         if (value != null && !(value instanceof String)) {
@@ -71,16 +71,16 @@
         return flag;
     }
 
-    /** A number of 0 or more. */
+    /** Returns a number of 0 or more. */
     double number(String key, double defaultValue) throws ProcessSettingsException {
         Object value = values.getOrDefault(key, defaultValue);
         if (!(value instanceof Double number) || number < 0) {
-            throw invalid(key, "is not a number of nought or more");
+            throw invalid(key, "is not a number of 0 or more");
         }
         return number;
     }
 
-    /** An error at a key's line. */
+    /** Creates an exception about a key, with the line of the key. */
     ProcessSettingsException invalid(String key, String problem) {
         return new ProcessSettingsException(file, lines.getOrDefault(key, 0), key, key + ' ' + problem);
     }
--- a/src/main/java/reedmux/common/settings/Signals.java
+++ b/src/main/java/reedmux/common/settings/Signals.java
@@ -4,7 +4,7 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** Handlers for the signals that the platform sends. */
+/** Installs handlers for the signals that the platform sends to the process. */
 public final class Signals {
 
     private Signals() {}
@@ -23,21 +23,21 @@
     }
 
     /**
-     * Runs a task at each signal of a name, on a thread of the JVM; without it the JVM ends at SIGTERM and SIGHUP. The
-     * JDK's class for signals is not part of its documented interface, and may refuse a signal, or leave one ignored
-     * that the parent process ignores: the program runs all the same then, and the log says so.
+     * Runs a task on a JVM thread whenever a signal arrives. Without a handler the JVM exits on SIGTERM and SIGHUP. The
+     * signal class of the JDK is not part of its documented API. It may reject a signal, and it leaves a signal ignored
+     * that the parent process ignores. In both cases the program keeps running and the log reports it.
      *
-     * @param name the signal without {@code SIG}
+     * @param name the name of the signal without {@code SIG}
      */
     public static void handle(String name, Runnable task, Consumer<String> log) {
         try {
             SignalHandler previous = Signal.handle(new Signal(name), new TaskHandler(task));
             if (previous == SignalHandler.SIG_IGN) {
-                // the JVM leaves a signal ignored that its parent ignores, and calls no handler
+                // the JVM keeps ignoring a signal that its parent process ignores, and calls no handler
                 log.accept("SIG" + name + " is ignored, as by the process that started this one");
             }
         } catch (IllegalArgumentException e) {
-            log.accept("SIG" + name + " is not handled here: " + e.getMessage());
+            log.accept("SIG" + name + " cannot be handled: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/reedmux/common/settings/TomlParser.java
+++ b/src/main/java/reedmux/common/settings/TomlParser.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Parses the part of TOML that a settings file uses: tables, and keys with strings, numbers, booleans and arrays of
- * these. The result is flat: each key has its table in front, as {@code table.key}.
+ * Parses the subset of TOML that a settings file uses: tables, and keys with strings, numbers, booleans and arrays of
+ * these. The result is flat: each key is prefixed with its table, as in {@code table.key}.
  */
 final class TomlParser {
     private final String file;
@@ -24,10 +24,10 @@
     }
 
     /**
-     * Parses a file's text.
+     * Parses the text of a settings file.
      *
-     * @param file how errors name the file
-     * @throws ProcessSettingsException if the text cannot be read, with its line
+     * @param file the file name for error messages
+     * @throws ProcessSettingsException with the line number, if the text cannot be parsed
      */
     static SettingsDocument parse(String file, String text) throws ProcessSettingsException {
         return new TomlParser(file, text).parseDocument();
@@ -43,7 +43,7 @@
             }
             skipBlanks(false);
             if (position < text.length() && text.charAt(position) != '\n' && text.charAt(position) != '\r') {
-                throw error(null, "more follows on the line than can be read");
+                throw error(null, "unexpected text at the end of the line");
             }
         }
         return new SettingsDocument(file, values, lines);
@@ -52,7 +52,7 @@
     private String parseTableName() throws ProcessSettingsException {
         int end = text.indexOf(']', position);
         if (end < 0) {
-            throw error(null, "a table's name does not end");
+            throw error(null, "the name of a table has no closing bracket");
         }
         String name = text.substring(position + 1, end).trim();
         position = end + 1;
@@ -69,7 +69,7 @@
         position++;
         skipBlanks(false);
         if (values.put(key, parseValue(key)) != null) {
-            throw error(key, key + " is told twice");
+            throw error(key, key + " is set twice");
         }
     }
 
@@ -83,7 +83,7 @@
             position++;
         }
         if (start == position) {
-            throw error(null, "a key cannot be read");
+            throw error(null, "expected a key");
         }
         return text.substring(start, position);
     }
@@ -106,7 +106,7 @@
         try {
             return Double.valueOf(token.replace("_", ""));
         } catch (NumberFormatException e) {
-            throw error(key, key + " is neither a text, a number, a flag nor a list");
+            throw error(key, key + " is not a text, number, flag or list");
         }
     }
 
@@ -121,7 +121,7 @@
             out.append(text.charAt(position));
         }
         if (position >= text.length() || text.charAt(position) != '"') {
-            throw error(key, key + " is a text that does not end");
+            throw error(key, key + ": the text has no closing quote on its line");
         }
         position++;
         return out.toString();
@@ -136,17 +136,17 @@
             if (position < text.length() && text.charAt(position) == ',') {
                 position++;
             } else if (position >= text.length() || text.charAt(position) != ']') {
-                throw error(key, key + " is a list that does not end");
+                throw error(key, key + ": the list has no closing bracket");
             }
         }
         if (position >= text.length()) {
-            throw error(key, key + " is a list that does not end");
+            throw error(key, key + ": the list has no closing bracket");
         }
         position++;
         return list;
     }
 
-    /** Skips blanks and comments, and line ends too where they separate nothing. */
+    /** Skips blanks and comments, and line ends as well if {@code acrossLines} is set. */
     private void skipBlanks(boolean acrossLines) {
         for (; position < text.length(); position++) {
             char c = text.charAt(position);
--- a/src/main/java/reedmux/common/settings/package-info.java
+++ b/src/main/java/reedmux/common/settings/package-info.java
@@ -1,6 +1,8 @@
 /**
- * The settings file of one process ({@link reedmux.common.settings.ProcessSettings}, keys in
- * {@link reedmux.common.settings.SettingKeys}), parsed by hand as that is fastest at a start, and the signals that the
- * platform sends. Errors name file, line and key ({@link reedmux.common.settings.ProcessSettingsException}).
+ * The settings file of one process and the handling of signals from the platform.
+ *
+ * <p>{@link reedmux.common.settings.ProcessSettings} holds the settings; {@link reedmux.common.settings.SettingKeys}
+ * documents the keys. The file is parsed by a hand-written parser because that keeps process startup fastest. Errors
+ * name the file, line and key ({@link reedmux.common.settings.ProcessSettingsException}).
  */
 package reedmux.common.settings;
--- a/src/test/java/reedmux/common/settings/ProcessSettingsTest.java
+++ b/src/test/java/reedmux/common/settings/ProcessSettingsTest.java
@@ -7,11 +7,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Settings files, good and bad. */
+/** Parsing of valid and invalid settings files. */
 public class ProcessSettingsTest {
-    private static final String GOOD = """
+    private static final String VALID_SETTINGS = """
             node = "edge-1"
-            ip = "10.1.0.21"   # ours
+            ip = "10.1.0.21"   # a comment
             zone = "hall-a"
             portRange = [7360,7375]
             seeds = ["10.1.0.24:8683",
@@ -26,16 +26,16 @@
 
     @Test
     public void unknownKeysAreIgnored() throws ProcessSettingsException {
-        ProcessSettings settings = ProcessSettings.parse("f", GOOD);
+        ProcessSettings settings = ProcessSettings.parse("f", VALID_SETTINGS);
         assertEquals(settings.seeds().size(), 2);
         assertEquals(settings.durationMicros("envelope.settleMs", 1), 2_000_000);
         assertEquals(settings.socketAddress(SettingKeys.FRONT_SOCKET).getPort(), 8689);
         assertTrue(settings.coldStart());
     }
 
-    /** What is changed, to what, and what the message has to name. */
+    /** Each row: the part of the valid file to replace, its replacement, and the key that the message must name. */
     @DataProvider
-    public Object[][] faults() {
+    public Object[][] invalidSettings() {
         return new Object[][] {
             {"node = \"edge-1\"", "", "node"},
             {"portRange = [7360,7375]", "portRange = [7375,7360]", "portRange"},
@@ -51,24 +51,24 @@
     }
 
     @Test
-    public void anErrorCarriesFileLineAndKey() {
+    public void exceptionCarriesFileLineAndKey() {
         ProcessSettingsException error = expectThrows(
                 ProcessSettingsException.class,
-                () -> ProcessSettings.parse("settings.toml", GOOD.replace("coldStart = true", "coldStart = 3")));
+                () -> ProcessSettings.parse("settings.toml", VALID_SETTINGS.replace("coldStart = true", "coldStart = 3")));
         assertEquals(error.file(), "settings.toml");
         assertEquals(error.line(), 7);
         assertEquals(error.key(), SettingKeys.COLD_START);
         assertEquals(error.getMessage(), "settings.toml:7: coldStart is neither true nor false");
     }
 
-    @Test(dataProvider = "faults")
-    public void anInvalidValueIsReportedWithFileAndKey(String from, String to, String key) {
-        ProcessSettingsException bad = expectThrows(ProcessSettingsException.class, () -> {
-            ProcessSettings settings = ProcessSettings.parse("settings.toml", GOOD.replace(from, to));
+    @Test(dataProvider = "invalidSettings")
+    public void invalidValueIsReportedWithFileAndKey(String original, String replacement, String key) {
+        ProcessSettingsException error = expectThrows(ProcessSettingsException.class, () -> {
+            ProcessSettings settings = ProcessSettings.parse("settings.toml", VALID_SETTINGS.replace(original, replacement));
             settings.socketAddress(SettingKeys.FRONT_SOCKET);
             settings.durationMicros("envelope.settleMs", 1);
         });
         assertTrue(
-                bad.getMessage().startsWith("settings.toml") && bad.getMessage().contains(key), bad.getMessage());
+                error.getMessage().startsWith("settings.toml") && error.getMessage().contains(key), error.getMessage());
     }
 }
