--- a/src/main/java/reedmux/gatekeeper/config/ConfigDocument.java
+++ b/src/main/java/reedmux/gatekeeper/config/ConfigDocument.java
@@ -13,11 +13,11 @@
 import java.util.Map;
 
 /**
- * A JSON document in the platform's form, as one pass over it finds it: only the types of the values are checked. What
- * is missing, and what contradicts each other, is for {@link GatekeeperConfig} to find.
+ * A JSON document in the platform's format, read in a single pass. Only the types of the values are checked here;
+ * {@link GatekeeperConfig} detects missing and contradictory values.
  */
 final class ConfigDocument {
-    /** A key that is set twice is an error, since one of its values would be ignored. */
+    /** Rejects duplicate keys, because one of the two values would be ignored. */
     private static final JsonFactory JSON = JsonFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
@@ -36,7 +36,7 @@
     final List<InetSocketAddress> peers = new ArrayList<>();
     InetSocketAddress peerBroadcast;
     ProviderListReader.ProviderListing knownProviders;
-    /** The settings by flat keys such as {@code lanes.0.name}, as {@link SettingsReader} reads them. */
+    /** The settings under flat keys such as {@code lanes.0.name}, which {@link SettingsReader} expects. */
     final Map<String, String> settings = new HashMap<>();
 
     private ConfigDocument() {}
@@ -44,7 +44,7 @@
     /**
      * Parses a document.
      *
-     * @param title what errors call the document; whoever knows its file puts that in front
+     * @param title the name of the document in error messages; a caller that knows the file prepends its name
      */
     static ConfigDocument parse(byte[] bytes, String title) throws ConfigException {
         ConfigDocument document = new ConfigDocument();
@@ -109,7 +109,7 @@
         maxDescriptors = (int) Math.min(Integer.MAX_VALUE, descriptors);
     }
 
-    /** Puts the values below {@code path} into the settings, under the keys that the simulator's protocol uses. */
+    /** Adds the values below {@code path} to the settings, under the keys that the simulator protocol uses. */
     private void flatten(JsonParser json, String path) throws IOException {
         switch (json.currentToken()) {
             case START_OBJECT -> flattenObject(json, path);
@@ -127,7 +127,10 @@
         }
     }
 
-    /** An array is the number of its elements, its scalars in one text, and the values below the others. */
+    /**
+     * Stores the number of elements of an array under {@code path.count}, its scalar elements as a comma-separated text
+     * under {@code path}, and the values of all other elements under {@code path.<index>}.
+     */
     private void flattenArray(JsonParser json, String path) throws IOException {
         int count = 0;
         List<String> scalars = new ArrayList<>();
--- a/src/main/java/reedmux/gatekeeper/config/ConfigException.java
+++ b/src/main/java/reedmux/gatekeeper/config/ConfigException.java
@@ -1,15 +1,15 @@
 package reedmux.gatekeeper.config;
 
-/** A configuration that cannot be used; the message is one line and names the key at fault. */
+/** Thrown for an invalid configuration. The message is a single line that names the invalid key. */
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** An error in a value that was read. */
+    /** Creates an exception about an invalid value. */
     public ConfigException(String message) {
         super(message);
     }
 
-    /** An error that follows from {@code cause}. */
+    /** Creates an exception with a cause. */
     public ConfigException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/src/main/java/reedmux/gatekeeper/config/ConfigJson.java
+++ b/src/main/java/reedmux/gatekeeper/config/ConfigJson.java
@@ -6,25 +6,27 @@
 import java.net.InetSocketAddress;
 import reedmux.common.net.SocketAddresses;
 
-/** Reads typed values with the streaming parser; errors name the path in the document, such as {@code peers.1}. */
+/** Reads typed values from the streaming parser. Errors name the path in the document, such as {@code peers.1}. */
 final class ConfigJson {
 
-    /** Reads the value of the field with the given name; the parser is at the value. */
+    /** Reads the value of a field. */
     interface JsonFieldReader {
+        /** Reads the value of the field {@code name}; the parser is positioned at the value. */
         void read(String name) throws IOException, ConfigException;
     }
 
-    /** Reads the element of an array that the parser is at. */
+    /** Reads one element of an array. */
     interface JsonElementReader {
+        /** Reads the element at which the parser is positioned. */
         void read() throws IOException, ConfigException;
     }
 
-    /** The largest integer up to which a double represents all of them. */
+    /** 2^53: a double represents every integer up to this value exactly. */
     private static final long MAX_EXACT_INTEGER = 1L << 53;
 
     private ConfigJson() {}
 
-    /** An error about the value that the parser is at. */
+    /** Creates an exception about the value at which the parser is positioned. */
     static ConfigException error(JsonParser json, String problem) {
         String path = json.getParsingContext().pathAsPointer().toString();
         return new ConfigException(
@@ -47,10 +49,10 @@
         }
     }
 
-    /** Fails with {@code problem} if the parser is at another token. */
-    static void expect(JsonParser json, JsonToken token, String message) throws ConfigException {
+    /** Throws an exception with {@code problem} if the parser is not positioned at {@code token}. */
+    static void expect(JsonParser json, JsonToken token, String problem) throws ConfigException {
         if (json.currentToken() != token) {
-            throw error(json, message);
+            throw error(json, problem);
         }
     }
 
@@ -59,11 +61,11 @@
         return json.getText();
     }
 
-    /** An integer of 0 or more. */
+    /** Reads an integer from 0 to {@link #MAX_EXACT_INTEGER}. */
     static long integer(JsonParser json) throws IOException, ConfigException {
         double value = number(json);
         if (value < 0 || value != Math.rint(value) || value > MAX_EXACT_INTEGER) {
-            throw error(json, "is not a whole number of nought or more");
+            throw error(json, "is not a whole number of 0 or more");
         }
         return (long) value;
     }
--- a/src/main/java/reedmux/gatekeeper/config/GatekeeperConfig.java
+++ b/src/main/java/reedmux/gatekeeper/config/GatekeeperConfig.java
@@ -19,17 +19,17 @@
 import reedmux.gatekeeper.reducer.ProviderList;
 
 /**
- * The configuration of a gatekeeper: read once at its start, checked, and completed with defaults. A
- * {@link ConfigException} names the key at fault.
+ * The configuration of a gatekeeper, read at its start and on a reload, validated and completed with defaults. A
+ * {@link ConfigException} names the invalid key.
  *
- * @param maxDescriptors       descriptors that the process may use
- * @param peerListen           where datagrams of peers arrive, or null without peers
- * @param peers                the addresses of all gatekeepers of the group, by their numbers
+ * @param maxDescriptors       the maximum number of file descriptors of the process
+ * @param peerListen           the address on which datagrams of peers are received, or null without peers
+ * @param peers                the addresses of all gatekeepers of the group, indexed by their position in the group
  * @param peerBroadcast        an address that reaches all peers at once, or null
- * @param connectTimeoutMicros for connections to providers
- * @param connectionIdleMicros how long providers keep idle connections
- * @param knownProviders       those of the last list before the start
- * @param adminListen          where operators connect, or null where nobody may
+ * @param connectTimeoutMicros the timeout for connecting to a provider, in microseconds
+ * @param connectionIdleMicros how long providers keep idle connections open, in microseconds
+ * @param knownProviders       the providers of the last list before the start
+ * @param adminListen          the address on which operators connect, or null if the admin server is disabled
  */
 public record GatekeeperConfig(
         String name,
@@ -50,7 +50,7 @@
     private static final long DEFAULT_CONNECT_TIMEOUT_MICROS = 250_000;
     private static final long DEFAULT_CONNECTION_IDLE_MICROS = 30_000_000;
 
-    /** Reads the file that the environment names; values of the environment take precedence over the file's. */
+    /** Loads the file named by {@code RELAY_CONFIG}. Environment variables take precedence over values in the file. */
     public static GatekeeperConfig load(Map<String, String> environment, MonotonicClock clock) throws ConfigException {
         String file = environment.get("RELAY_CONFIG");
         if (file == null || file.isBlank()) {
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Reads the file again; this time its address of discovery takes precedence over the environment's. */
+    /** Loads the file again, but ignores {@code RELAY_DISCOVERY} so that a changed discovery address takes effect. */
     public static GatekeeperConfig reload(Map<String, String> environment, MonotonicClock clock)
             throws ConfigException {
         Map<String, String> rest = new HashMap<>(environment);
@@ -73,7 +73,7 @@
         return load(rest, clock);
     }
 
-    /** The service that the platform's configuration describes. */
+    /** Returns the configuration of the default service, which the platform's configuration describes. */
     public ServiceConfig service() {
         return new ServiceConfig(
                 settings,
@@ -86,11 +86,12 @@
     }
 
     /**
-     * Reads the configuration of a further service from a document in the platform's form: {@code discovery},
-     * {@code known} and {@code settings}. Without settings the platform's hold. Our number among the gatekeepers, and
-     * the limits on the messages between them, are always the platform's.
+     * Reads the configuration of an additional service from a document in the platform's format, with
+     * {@code discovery}, {@code known} and {@code settings}. Without settings, the platform's settings apply. The
+     * position of this gatekeeper in the group, the group size, the zone, and the limits on peer messages are always
+     * taken from the platform's settings.
      *
-     * @param discoveryOverride takes precedence over the document's {@code discovery}; may be null
+     * @param discoveryOverride an address that takes precedence over the document's {@code discovery}, or null
      */
     public ServiceConfig service(byte[] bytes, InetSocketAddress discoveryOverride, MonotonicClock clock)
             throws ConfigException {
@@ -129,7 +130,7 @@
                 reader.names("dcs") + " " + reader.names("kinds"));
     }
 
-    /** A further service without a document: the platform's settings, with its own discovery. */
+    /** Returns the configuration of an additional service with the platform's settings and its own discovery. */
     public ServiceConfig service(InetSocketAddress serviceDiscovery) {
         return new ServiceConfig(
                 settings,
@@ -147,9 +148,12 @@
                 : listReader.resolve(document.knownProviders, ServerListScope.CACHED);
     }
 
-    /** What two processes of this gatekeeper must agree on, so that one can take over the other's counts. */
+    /**
+     * Describes the settings that two processes of this gatekeeper must share for one to take over the counters of the
+     * other: the position in the group, the group size, and the quota and rate limit of each plan.
+     */
     public String countingRules() {
-        // Not the records' toString: linking that at run time costs a start 20 ms of CPU.
+        // The toString of the records is not used because linking it at run time adds 20 ms of CPU time to a start.
         StringBuilder rules =
                 new StringBuilder().append(settings.self()).append(" of ").append(settings.groupSize());
         for (CustomerPlan plan : settings.plans()) {
@@ -169,7 +173,7 @@
         return rules.toString();
     }
 
-    /** The keys whose values differ from another configuration but take effect only with a restart. */
+    /** Returns the keys whose values differ from another configuration and take effect only after a restart. */
     public List<String> keysRequiringRestart(GatekeeperConfig other) {
         List<String> keys = new ArrayList<>();
         if (!listen.equals(other.listen)) {
@@ -194,7 +198,7 @@
         return keys;
     }
 
-    /** Reads a configuration from the bytes of a file. */
+    /** Reads a configuration from the content of a file. */
     public static GatekeeperConfig read(byte[] bytes, Map<String, String> environment, MonotonicClock clock)
             throws ConfigException {
         ConfigDocument document = ConfigDocument.parse(bytes, "RELAY_CONFIG");
@@ -226,7 +230,10 @@
                 optionalAddress("operator", environment, document.adminListen));
     }
 
-    /** Counts are exchanged by the gatekeepers' numbers: a peer too few, too many or twice would mix them up. */
+    /**
+     * Checks the list of peers. Gatekeepers exchange counters by their positions in the group, so a missing, surplus or
+     * duplicate peer would cause counters to be attributed to the wrong gatekeeper.
+     */
     private static void checkPeers(ConfigDocument document, int groupSize) throws ConfigException {
         if (groupSize > 1 && document.peerListen == null) {
             throw new ConfigException("peer_listen is missing, and settings.limits.peerMessages is true");
@@ -243,7 +250,7 @@
         }
     }
 
-    /** On sockets consumers always get {@code Retry-After}, and units are charged later than in the simulator. */
+    /** With real sockets, clients always get {@code Retry-After}, and units are charged later than in the simulator. */
     private static void applySocketDefaults(Map<String, String> settings) {
         settings.put("limits.retryAfter", "true");
         settings.put(SettingsReader.UNITS_AFTER_BODY, "true");
--- a/src/main/java/reedmux/gatekeeper/config/ProviderListReader.java
+++ b/src/main/java/reedmux/gatekeeper/config/ProviderListReader.java
@@ -13,7 +13,7 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.ServerStatus;
 import reedmux.gatekeeper.reducer.ProviderList;
 
-/** Reads lists of providers in the form that discovery and the configuration have in common. */
+/** Reads lists of providers in the format that discovery and the configuration share. */
 public final class ProviderListReader {
     private static final long NO_REVISION = -1;
 
@@ -21,14 +21,14 @@
     private final List<String> kinds;
     private final MonotonicClock clock;
 
-    /** A reader that knows zones and kinds by the indices in these lists. */
+    /** Creates a reader that maps the names of zones and kinds to their indices in the given lists. */
     public ProviderListReader(List<String> zones, List<String> kinds, MonotonicClock clock) {
         this.zones = zones;
         this.kinds = kinds;
         this.clock = clock;
     }
 
-    /** An entry as it is written: zone and kind by name, times of the wall clock. */
+    /** An entry of a list in its written form: zone and kind are names, and times are wall-clock times. */
     public record ProviderListEntry(
             String id,
             InetSocketAddress address,
@@ -39,23 +39,23 @@
             double weight,
             long upSinceMillis) {}
 
-    /** A list as it is written; if it is not {@code complete} it holds the changes since an earlier revision. */
+    /** A list in its written form; unless it is {@code complete}, it holds the changes since an earlier revision. */
     public record ProviderListing(long revision, boolean complete, List<ProviderListEntry> entries) {}
 
-    /** Reads a response of discovery. */
+    /** Reads the body of a discovery response. */
     public ProviderList read(byte[] body) throws ConfigException {
         try (JsonParser json = new JsonFactory().createParser(body)) {
             json.nextToken();
             return resolve(read(json), ServerListScope.FULL);
         } catch (IOException e) {
-            throw new ConfigException("the list is not JSON", e);
+            throw new ConfigException("the provider list is not JSON", e);
         }
     }
 
     /**
-     * Replaces zones and kinds by their indices, and times of the wall clock by our clock's.
+     * Replaces the names of zones and kinds by their indices, and wall-clock times by times of the monotonic clock.
      *
-     * @param completeScope the scope of a complete list
+     * @param completeScope the scope to assign to a complete list
      */
     ProviderList resolve(ProviderListing listing, ServerListScope completeScope) {
         return new ProviderList(
@@ -77,7 +77,7 @@
                 entry.address());
     }
 
-    /** Reads the list that the parser is at. */
+    /** Reads the list at which the parser is positioned. */
     static ProviderListing read(JsonParser json) throws IOException, ConfigException {
         long revision = NO_REVISION;
         boolean complete = false;
--- a/src/main/java/reedmux/gatekeeper/config/ServiceConfig.java
+++ b/src/main/java/reedmux/gatekeeper/config/ServiceConfig.java
@@ -9,11 +9,11 @@
  * The configuration of one service.
  *
  * @param settings             its request classes, plans and rules
- * @param discovery            where its providers are listed
- * @param knownProviders       those of the last list before the start
- * @param connectTimeoutMicros for connections to its providers
- * @param connectionIdleMicros how long its providers keep idle connections
- * @param listFormat           the zones and kinds of its provider lists, empty for the platform's
+ * @param discovery            the address from which the list of its providers is requested
+ * @param knownProviders       the providers of the last list before the start
+ * @param connectTimeoutMicros the timeout for connecting to a provider, in microseconds
+ * @param connectionIdleMicros how long its providers keep idle connections open, in microseconds
+ * @param listFormat           the zones and kinds of its provider lists; empty if they are the platform's
  */
 public record ServiceConfig(
         PolicySettings settings,
@@ -24,7 +24,7 @@
         long connectionIdleMicros,
         String listFormat) {
 
-    /** The same with messages to peers that are shorter by so many bytes, to leave space for a tag. */
+    /** Returns a copy whose peer messages are smaller by {@code bytes}, which reserves space for a tag. */
     public ServiceConfig withSmallerPeerMessages(int bytes) {
         DeploymentLimits old = settings.limits();
         DeploymentLimits limits = new DeploymentLimits(
@@ -59,7 +59,7 @@
                 listFormat);
     }
 
-    /** Whether a policy that was created for the other one, with its counts, can go on with this one. */
+    /** Whether a policy created for the other configuration can keep running, with its counters, under this one. */
     public boolean hasSameRules(ServiceConfig other) {
         return settings.equals(other.settings)
                 && connectTimeoutMicros == other.connectTimeoutMicros
--- a/src/main/java/reedmux/gatekeeper/config/SettingsReader.java
+++ b/src/main/java/reedmux/gatekeeper/config/SettingsReader.java
@@ -13,17 +13,17 @@
 import reedmux.gatekeeper.policy.TrafficPolicy.RequestClass;
 
 /**
- * Reads the policy's settings from flat keys such as {@code lanes.0.name}; unknown keys are ignored. Both the
- * simulator's adapter and the real gatekeeper read their settings here.
+ * Reads the settings of the policy from flat keys such as {@code lanes.0.name}. Unknown keys are ignored. Both the
+ * simulator adapter and the real gatekeeper use this class.
  */
 public final class SettingsReader {
-    /** The limit on the units of one request where none is set. */
+    /** The default limit on the units of one request, in effect no limit. */
     private static final double UNBOUNDED_UNITS = 1e9;
-    /** Set by {@link GatekeeperConfig} alone: only on sockets units are charged when the request is complete. */
+    /** Set only by {@link GatekeeperConfig}: with real sockets, units are charged when the request is complete. */
     static final String UNITS_AFTER_BODY = "reedmux.unitsWhenWhole";
-    /** The longest {@code Retry-After} where no limit is set. */
+    /** The default limit on {@code Retry-After}, in microseconds. */
     private static final long DEFAULT_MAX_RETRY_AFTER_MICROS = 1_000_000;
-    /** The longest message between gatekeepers, by the platform's protocol. */
+    /** The maximum size of a message between gatekeepers that the platform's protocol allows. */
     private static final int MAX_PEER_MESSAGE_BYTES = 256;
 
     private static final int MAX_COUNT = 1_000_000;
@@ -31,7 +31,7 @@
     private final Map<String, String> values;
     private final String keyPrefix;
 
-    /** A reader of {@code values}; {@code keyPrefix} precedes the key in the text of errors. */
+    /** Creates a reader of {@code values}; {@code keyPrefix} is prepended to keys in error messages. */
     public SettingsReader(String keyPrefix, Map<String, String> values) {
         this.keyPrefix = keyPrefix;
         this.values = values;
@@ -41,7 +41,7 @@
         return new ConfigException(keyPrefix + message);
     }
 
-    /** All settings, checked. */
+    /** Reads and validates all settings. */
     public PolicySettings settings() throws ConfigException {
         int groupSize = count("groupSize");
         int self = count("position");
@@ -77,7 +77,7 @@
                 limits());
     }
 
-    /** A list of names, in its order. */
+    /** Returns a comma-separated list of names, in order. */
     public List<String> names(String key) {
         return List.of(text(key, "").split(","));
     }
@@ -114,14 +114,14 @@
                 flag(prefix + "streaming"));
     }
 
-    /** Requests give their class and plan by name, so names have to be unique. */
+    /** Checks that names are unique, because requests refer to their class and plan by name. */
     private void checkUniqueNames(String list) throws ConfigException {
         Map<String, Integer> seen = new HashMap<>();
         for (int i = 0; i < count(list + ".count"); i++) {
             String name = values.get(list + "." + i + ".name");
-            Integer before = name == null ? null : seen.putIfAbsent(name, i);
-            if (before != null) {
-                throw error(list + "." + i + ".name is that of " + list + "." + before + ": '" + name + "'");
+            Integer firstIndex = name == null ? null : seen.putIfAbsent(name, i);
+            if (firstIndex != null) {
+                throw error(list + "." + i + ".name is that of " + list + "." + firstIndex + ": '" + name + "'");
             }
         }
     }
@@ -183,8 +183,8 @@
                 micros("extra.countLimitUs", 0));
     }
 
-    private String text(String key, String otherwise) {
-        return values.getOrDefault(key, otherwise);
+    private String text(String key, String defaultValue) {
+        return values.getOrDefault(key, defaultValue);
     }
 
     private boolean flag(String key) throws ConfigException {
@@ -195,10 +195,10 @@
         return value.equals("true");
     }
 
-    private double number(String key, double otherwise) throws ConfigException {
+    private double number(String key, double defaultValue) throws ConfigException {
         String value = values.get(key);
         if (value == null || value.equals("-")) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             double number = Double.parseDouble(value);
@@ -206,14 +206,14 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // reported below, like a number out of range
+            // reported below, together with numbers out of range
         }
         throw error(key + " is not a number of nought or more: '" + value + "'");
     }
 
-    /** A duration in microseconds. */
-    public long micros(String key, long otherwise) throws ConfigException {
-        return (long) number(key, otherwise);
+    /** Returns a duration in microseconds. */
+    public long micros(String key, long defaultValue) throws ConfigException {
+        return (long) number(key, defaultValue);
     }
 
     private long requiredMicros(String key) throws ConfigException {
@@ -231,8 +231,8 @@
         return Math.min(MAX_COUNT, integer(key, 0));
     }
 
-    private int integer(String key, int otherwise) throws ConfigException {
-        double value = number(key, otherwise);
+    private int integer(String key, int defaultValue) throws ConfigException {
+        double value = number(key, defaultValue);
         if (value != Math.rint(value)) {
             throw error(key + " is not a whole number: '" + values.get(key) + "'");
         }
--- a/src/test/java/reedmux/gatekeeper/config/GatekeeperConfigTest.java
+++ b/src/test/java/reedmux/gatekeeper/config/GatekeeperConfigTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 import reedmux.common.time.MonotonicClock;
 
-/** A configuration that was written in part, or more than once, is never taken for a whole one. */
+/** A truncated configuration, or one with trailing data, is rejected. */
 final class GatekeeperConfigTest {
 
-    private static byte[] sample() throws IOException {
+    private static byte[] sampleConfig() throws IOException {
         try (InputStream in = GatekeeperConfig.class.getResourceAsStream("/sample-config.json")) {
             return new String(in.readAllBytes()).strip().getBytes();
         }
@@ -27,41 +27,41 @@
 
     @Test
     void truncatedDocumentIsRejectedWithAReason() throws Exception {
-        byte[] whole = sample();
-        assertEquals(2, read(whole).settings().groupSize());
-        for (int length = 0; length < whole.length; length++) {
-            byte[] part = Arrays.copyOf(whole, length);
-            ConfigException e = assertThrows(ConfigException.class, () -> read(part), "cut at " + length);
+        byte[] complete = sampleConfig();
+        assertEquals(2, read(complete).settings().groupSize());
+        for (int length = 0; length < complete.length; length++) {
+            byte[] truncated = Arrays.copyOf(complete, length);
+            ConfigException e = assertThrows(ConfigException.class, () -> read(truncated), "cut at " + length);
             assertFalse(e.getMessage().isBlank());
         }
     }
 
-    /** Without a bound every refusal said to come back at once. */
+    /** Without a limit, every rejection told the client to retry immediately. */
     @Test
     void retryAfterHasADefaultLimit() throws Exception {
-        String text = new String(sample()).replace("\"maxRetryAfterUs\":1000000,", "");
-        assertTrue(text.length() < sample().length);
+        String text = new String(sampleConfig()).replace("\"maxRetryAfterUs\":1000000,", "");
+        assertTrue(text.length() < sampleConfig().length);
         assertEquals(1_000_000, read(text.getBytes()).settings().limits().maxRetryAfter());
     }
 
-    /** A further service's document was called RELAY_CONFIG, which names another file. */
+    /** Errors in the document of an additional service used to name RELAY_CONFIG, which is another file. */
     @Test
     void serviceDocumentErrorsDoNotNameTheMainFile() throws Exception {
-        GatekeeperConfig config = read(sample());
-        for (String bad : new String[] {"{", "{} {}", "{\"seed\":\"1\",\"seed\":\"1\"}"}) {
+        GatekeeperConfig config = read(sampleConfig());
+        for (String invalid : new String[] {"{", "{} {}", "{\"seed\":\"1\",\"seed\":\"1\"}"}) {
             ConfigException e = assertThrows(
-                    ConfigException.class, () -> config.service(bad.getBytes(), null, new MonotonicClock()));
+                    ConfigException.class, () -> config.service(invalid.getBytes(), null, new MonotonicClock()));
             assertTrue(e.getMessage().startsWith("the document "), e.getMessage());
         }
     }
 
     @Test
     void trailingDataIsRejected() throws Exception {
-        byte[] whole = sample();
-        for (int from = 0; from < whole.length; from += 7) {
-            byte[] more = Arrays.copyOf(whole, 2 * whole.length - from);
-            System.arraycopy(whole, from, more, whole.length, whole.length - from);
-            assertThrows(ConfigException.class, () -> read(more), "tail from " + from);
+        byte[] complete = sampleConfig();
+        for (int from = 0; from < complete.length; from += 7) {
+            byte[] extended = Arrays.copyOf(complete, 2 * complete.length - from);
+            System.arraycopy(complete, from, extended, complete.length, complete.length - from);
+            assertThrows(ConfigException.class, () -> read(extended), "tail from " + from);
         }
     }
 }
