--- a/src/main/java/reedmux/gatekeeper/settings/DeclarationReader.java
+++ b/src/main/java/reedmux/gatekeeper/settings/DeclarationReader.java
@@ -18,12 +18,12 @@
 import reedmux.gatekeeper.script.UncheckedScriptException;
 
 /**
- * Reads the keys of one declaration and checks their types and bounds. Errors name the key and its position; a key that
- * is {@code None} counts as not set. Times are microseconds.
+ * Reads the keys of one declaration and checks their types and bounds. Errors name the key and its position. A key
+ * whose value is {@code None} is treated as not set. Durations are returned in microseconds.
  */
 final class DeclarationReader {
-    private static final Pattern TIME = Pattern.compile("([0-9]{1,9}(?:\\.[0-9]{1,6})?) ?(us|ms|s|m|h)");
-    /** Characters of a value that an error shows. */
+    private static final Pattern DURATION = Pattern.compile("([0-9]{1,9}(?:\\.[0-9]{1,6})?) ?(us|ms|s|m|h)");
+    /** The maximum number of characters of a value in an error message. */
     private static final int MAX_SHOWN_CHARS = 60;
 
     private final Declaration declaration;
@@ -32,18 +32,18 @@
         this.declaration = declaration;
     }
 
-    /** Where a key is set, or the declaration where it is not. */
+    /** Returns the position at which a key is set, or the position of the declaration if the key is not set. */
     ScriptPosition position(String key) {
         DeclaredValue declared = declaration.keys().get(key);
         return declared == null ? declaration.position() : declared.position();
     }
 
-    /** An error about a key, to be thrown by the caller. */
+    /** Creates an exception about a key, to be thrown by the caller. */
     UncheckedScriptException error(String key, String problem) {
         return new UncheckedScriptException(position(key), declaration.kind() + '.' + key + ' ' + problem);
     }
 
-    /** Whether a key has a value. */
+    /** Whether a key is set to a value other than {@code None}. */
     boolean has(String key) {
         return declaration.keys().containsKey(key)
                 && declaration.keys().get(key).value() != ScriptValues.NONE;
@@ -56,7 +56,7 @@
         return declaration.keys().get(key).value();
     }
 
-    /** A region's name. */
+    /** Reads a name of lower-case letters, digits and {@code -}. */
     String name(String key) {
         return name(key, value(key));
     }
@@ -100,20 +100,20 @@
     }
 
     List<InetSocketAddress> addresses(String key) {
-        List<InetSocketAddress> all = list(key, this::address);
-        if (all.isEmpty()) {
+        List<InetSocketAddress> addresses = list(key, this::address);
+        if (addresses.isEmpty()) {
             throw error(key, "is empty");
         }
-        return all;
+        return addresses;
     }
 
-    /** Whether a key is set, even if to {@code None}. */
+    /** Whether a key is set, possibly to {@code None}. */
     boolean isDeclared(String key) {
         return declaration.keys().containsKey(key);
     }
 
-    String text(String key, String otherwise) {
-        return has(key) ? text(key, value(key)) : otherwise;
+    String text(String key, String defaultValue) {
+        return has(key) ? text(key, value(key)) : defaultValue;
     }
 
     private String text(String key, Object value) {
@@ -127,16 +127,16 @@
         return has(key) ? new LinkedHashSet<>(list(key, this::text)) : Set.of();
     }
 
-    boolean flag(String key, boolean otherwise) {
+    boolean flag(String key, boolean defaultValue) {
         if (!has(key)) {
-            return otherwise;
+            return defaultValue;
         } else if (value(key) instanceof Boolean flag) {
             return flag;
         }
         throw error(key, "is neither True nor False: " + abbreviated(value(key)));
     }
 
-    /** A number from {@code min} to {@code max}. */
+    /** Reads a number from {@code min} to {@code max}. */
     double number(String key, double min, double max) {
         Object value = value(key);
         if (!(value instanceof Number number)) {
@@ -149,26 +149,26 @@
         return number.doubleValue();
     }
 
-    double number(String key, double min, double max, double otherwise) {
-        return has(key) ? number(key, min, max) : otherwise;
+    double number(String key, double min, double max, double defaultValue) {
+        return has(key) ? number(key, min, max) : defaultValue;
     }
 
-    int integer(String key, int min, int max, int otherwise) {
+    int integer(String key, int min, int max, int defaultValue) {
         if (!has(key)) {
-            return otherwise;
+            return defaultValue;
         } else if (!(value(key) instanceof Long)) {
             throw error(key, "is not a whole number: " + abbreviated(value(key)));
         }
         return (int) number(key, min, max);
     }
 
-    /** A duration in microseconds, given as a text with a unit such as {@code "250ms"}. */
-    long micros(String key, long min, long max, long otherwise) {
+    /** Reads a duration in microseconds from a text with a unit such as {@code "250ms"}. */
+    long micros(String key, long min, long max, long defaultValue) {
         if (!has(key)) {
-            return otherwise;
+            return defaultValue;
         }
         Object value = value(key);
-        Matcher matcher = value instanceof String text ? TIME.matcher(text) : null;
+        Matcher matcher = value instanceof String text ? DURATION.matcher(text) : null;
         if (matcher == null || !matcher.matches()) {
             throw error(key, "is not a time with a unit, as in \"250ms\" or \"2s\": " + abbreviated(value));
         }
@@ -189,7 +189,7 @@
         };
     }
 
-    /** The declaration of the given kind that is the value of a key. */
+    /** Reads a key whose value is a declaration of the given kind. */
     DeclarationReader nested(String key, String kind) {
         Object value = value(key);
         if (value instanceof Declaration inner && inner.kind().equals(kind)) {
@@ -198,7 +198,7 @@
         throw error(key, "is not " + kind + "(...): " + abbreviated(value));
     }
 
-    /** A value on one line, shortened for a message. */
+    /** Formats a value on a single line, truncated for an error message. */
     private String abbreviated(Object value) {
         String text = ScriptValues.toText(new ScriptMeter(), declaration.position(), value)
                 .replace('\n', ' ');
--- a/src/main/java/reedmux/gatekeeper/settings/OperatorSettings.java
+++ b/src/main/java/reedmux/gatekeeper/settings/OperatorSettings.java
@@ -16,17 +16,17 @@
 import reedmux.gatekeeper.script.UncheckedScriptException;
 
 /**
- * The operators' own settings, from a file beside the platform's configuration. Without such a file everything in them
- * is off.
+ * The operators' own settings, from a file separate from the platform's configuration. Without such a file, all
+ * features that it configures are disabled.
  *
- * @param region   what is set about other regions, or null
- * @param services what is set about services beside the platform's
+ * @param region   the settings for other regions, or null if there are none
+ * @param services the settings for services in addition to the platform's
  */
 public record OperatorSettings(RegionSettings region, ServicesSettings services) {
     /** The settings of an empty file. */
     public static final OperatorSettings NONE = new OperatorSettings(null, ServicesSettings.NONE);
 
-    /** A longer file is rejected before it is read; a character has four bytes at most. */
+    /** Larger files are rejected before they are read. A character takes at most four bytes in UTF-8. */
     private static final long MAX_FILE_BYTES = 4L * ScriptInterpreter.MAX_SCRIPT_CHARS;
 
     private static final List<DeclarationKind> DECLARATION_KINDS = List.of(
@@ -39,9 +39,9 @@
             ServicesSettings.SHARING_KIND);
 
     /**
-     * Reads a file. Whether the settings fit the platform's is checked by {@link #platformConflicts}.
+     * Reads a file. Conflicts with the platform's settings are detected by {@link #platformConflicts}.
      *
-     * @throws ScriptException if the file cannot be read, is no script or declares what makes no sense
+     * @throws ScriptException if the file cannot be read, is not a valid script or contains invalid declarations
      */
     public static OperatorSettings read(Path file) throws ScriptException {
         String name = file.toString();
@@ -67,9 +67,9 @@
     }
 
     /**
-     * Reads a script.
+     * Reads the settings from a script.
      *
-     * @param file the name that errors give the script
+     * @param file the file name for error messages
      */
     public static OperatorSettings parse(String file, String script) throws ScriptException {
         List<Declaration> declarations = ScriptInterpreter.run(file, script, DECLARATION_KINDS);
@@ -91,7 +91,7 @@
         return null;
     }
 
-    /** The one declaration of a kind, or null; a second one is an error. */
+    /** Returns the only declaration of a kind, or null if there is none; a second one is an error. */
     static DeclarationReader singleDeclaration(List<Declaration> declarations, DeclarationKind kind) {
         Declaration found = null;
         for (Declaration declaration : declarations) {
@@ -109,19 +109,19 @@
     }
 
     /**
-     * Settings that can never have the effect they state on this platform: budgets of which a gatekeeper's equal share
-     * is less than one request, and more connections between regions than a tenth of the descriptors.
+     * Returns settings that cannot take effect on this platform: budgets of which the equal share of each gatekeeper is
+     * less than one request may take, and more connections between regions than a tenth of the file descriptors.
      *
-     * @param gatekeepers gatekeepers of this region
-     * @param maxUnits    units that one request may take
-     * @param descriptors descriptors of this gatekeeper
-     * @return a line for each, empty if there is none
+     * @param gatekeepers the number of gatekeepers in this region
+     * @param maxUnits    the maximum units that one request may take
+     * @param descriptors the maximum number of file descriptors of this gatekeeper
+     * @return a line for each conflict; empty if there are none
      */
     public List<String> platformConflicts(int gatekeepers, double maxUnits, int descriptors) {
         return region == null ? List.of() : region.platformConflicts(gatekeepers, maxUnits, descriptors);
     }
 
-    /** The settings in words, a line each. */
+    /** Describes the settings in text, one line for each. */
     public List<String> describe() {
         List<String> lines = new ArrayList<>(services.describe());
         if (region != null) {
--- a/src/main/java/reedmux/gatekeeper/settings/RegionSettings.java
+++ b/src/main/java/reedmux/gatekeeper/settings/RegionSettings.java
@@ -14,13 +14,13 @@
 import reedmux.gatekeeper.script.Declaration.DeclarationKind;
 
 /**
- * What the operators have set about other regions: {@code region(...)} and {@code last_resort(...)}.
+ * The operators' settings for other regions, declared with {@code region(...)} and {@code last_resort(...)}.
  *
- * @param rules                  the rules of the failover decisions
- * @param listen                 where other regions connect, or null where none may
- * @param gateways               the other region's gateways by the names that the rules use
- * @param maxInboundConnections  connections that other regions may open to us
- * @param maxOutboundConnections connections that we open to another region
+ * @param rules                  the rules for failover decisions
+ * @param listen                 the address on which other regions connect, or null if none may connect
+ * @param gateways               the addresses of the other region's gateways by the names that the rules use
+ * @param maxInboundConnections  the maximum number of connections that other regions may open to this gatekeeper
+ * @param maxOutboundConnections the maximum number of connections that this gatekeeper opens to another region
  */
 public record RegionSettings(
         FailoverRules rules,
@@ -55,16 +55,16 @@
     private static final long MAX_REMOTE_BACKOFF_MICROS = 60 * MICROS_PER_SECOND;
     private static final long MAX_MIN_REMAINING_MICROS = 60 * MICROS_PER_SECOND;
     private static final long MAX_LINK_LATENCY_MICROS = 10 * MICROS_PER_SECOND;
-    /** A burst that is not set lasts this long at the rate. */
+    /** The default burst is the rate multiplied by this number of seconds. */
     private static final double DEFAULT_BURST_SECONDS = 2;
-    /** At most one descriptor in so many is for connections between regions. */
+    /** Connections between regions may use at most one in this many file descriptors. */
     private static final int DESCRIPTORS_PER_REGION_CONNECTION = 10;
 
     /**
-     * Reads the declarations.
+     * Reads the settings from their declarations.
      *
-     * @param region     {@code region(...)}
-     * @param lastResort {@code last_resort(...)}, or null
+     * @param region     the {@code region(...)} declaration
+     * @param lastResort the {@code last_resort(...)} declaration, or null if there is none
      */
     static RegionSettings read(DeclarationReader region, DeclarationReader lastResort) {
         String name = region.name("name");
@@ -133,7 +133,7 @@
         return address.getHostString() + ':' + address.getPort();
     }
 
-    /** The keys whose values differ from other settings but take effect only with a restart. */
+    /** Returns the keys whose values differ from other settings and take effect only after a restart. */
     public List<String> keysRequiringRestart(RegionSettings other) {
         if (!rules.name().equals(other.rules.name())) {
             return List.of("region.name");
@@ -179,7 +179,7 @@
         }
     }
 
-    /** The settings in words, a line each. */
+    /** Describes the settings in text, one line for each. */
     List<String> describe() {
         List<String> lines = new ArrayList<>();
         if (listen == null) {
--- a/src/main/java/reedmux/gatekeeper/settings/ServicesSettings.java
+++ b/src/main/java/reedmux/gatekeeper/settings/ServicesSettings.java
@@ -17,15 +17,15 @@
 import reedmux.gatekeeper.script.UncheckedScriptException;
 
 /**
- * What the operators have set about services beside the platform's own: {@code service(...)}, {@code route(...)} and
- * {@code sharing(...)}.
+ * The operators' settings for services in addition to the platform's own, declared with {@code service(...)},
+ * {@code route(...)} and {@code sharing(...)}.
  *
- * @param services the platform's own one first; empty where nothing is set
- * @param routes   which service a request goes to, by the services' indices; null where nothing is set
- * @param sharing  what the services share
+ * @param services all services, the platform's own first; empty if the operators declared neither services nor routes
+ * @param routes   the table that maps requests to the indices of services; null if {@code services} is empty
+ * @param sharing  the resources that the services share
  */
 public record ServicesSettings(List<ServiceSettings> services, RouteTable routes, SharingSettings sharing) {
-    /** The name of the platform's own service. */
+    /** The name of the service that the platform's configuration describes. */
     public static final String DEFAULT_SERVICE = "default";
 
     static final ServicesSettings NONE = new ServicesSettings(List.of(), null, new SharingSettings(true, 0, 0));
@@ -59,16 +59,16 @@
     private static final double MAX_WEIGHT = 100;
 
     /**
-     * One service.
+     * The settings of one service.
      *
-     * @param config            a document in the platform's form, or null where the platform's settings hold
-     * @param discovery         where its providers are listed; null where {@code config} says so
-     * @param weight            its share of what the services share, relative to the others' weights
-     * @param maxInFlight       its own limit on requests in flight, besides its share; 0 for none
-     * @param maxQueued         its limit on events that wait for the event loop
-     * @param maxBufferedBytes  its own limit on the bytes that its requests buffer; 0 for none
-     * @param servesWithoutHost whether it serves requests without {@code Host}
-     * @param position          where it is declared; null for the platform's own if nothing is set of it
+     * @param config            a document in the platform's format, or null if the platform's settings apply
+     * @param discovery         the address from which its providers are requested; null if {@code config} sets it
+     * @param weight            its share of the shared resources, relative to the weights of the other services
+     * @param maxInFlight       its own limit on in-flight requests, in addition to its share; 0 for no limit
+     * @param maxQueued         its limit on events that are queued for the event loop
+     * @param maxBufferedBytes  its own limit on the bytes that its requests buffer; 0 for no limit
+     * @param servesWithoutHost whether it serves requests without a {@code Host} header
+     * @param position          the position of its declaration; null if the platform's own service is not declared
      */
     public record ServiceSettings(
             String name,
@@ -82,15 +82,15 @@
             ScriptPosition position) {}
 
     /**
-     * What all services share.
+     * The limits on the resources that all services share.
      *
      * @param fair             whether services take turns on the event loop
-     * @param maxInFlight      requests in flight over all services; 0 for as many as there may be connections
-     * @param maxBufferedBytes bytes that these buffer; 0 for what the program has memory for
+     * @param maxInFlight      the maximum number of in-flight requests over all services; 0 for the connection limit
+     * @param maxBufferedBytes the maximum number of bytes that these requests buffer; 0 for as many as memory allows
      */
     public record SharingSettings(boolean fair, int maxInFlight, int maxBufferedBytes) {}
 
-    /** Reads the declarations about services; {@code file} is the name that errors give the script. */
+    /** Reads the declarations about services; {@code file} is the file name for error messages. */
     static ServicesSettings read(String file, List<Declaration> declarations) throws ScriptException {
         DeclarationReader sharing = OperatorSettings.singleDeclaration(declarations, SHARING_KIND);
         List<ServiceSettings> services = readServices(declarations);
@@ -178,7 +178,10 @@
         return routes;
     }
 
-    /** One declaration is several routes if it lists classes; the index after the last service stands for none. */
+    /**
+     * Reads one declaration, which defines a route for each class if it lists classes. A route without a service gets
+     * the index after the last service.
+     */
     private static List<ServiceRoute> readRoute(DeclarationReader reader, int line, List<String> services) {
         int service = readRouteService(reader, services);
         String host = reader.text("host", ANY_HOST);
@@ -229,7 +232,7 @@
     }
 
     // ---- Description -------------------------------------------------------------------------------
-    /** The settings in words, a line each; none where nothing is set. */
+    /** Describes the settings in text, one line for each service; empty if there are no services. */
     List<String> describe() {
         return services.stream().map(ServicesSettings::describe).toList();
     }
@@ -242,8 +245,8 @@
             source = "settings of " + service.config;
         }
         InetSocketAddress discovery = service.discovery;
-        String where =
+        String discoveryText =
                 discovery == null ? "" : ", discovery at " + discovery.getHostString() + ':' + discovery.getPort();
-        return String.format(Locale.ROOT, "service %s: weight %s, %s%s", service.name, service.weight, source, where);
+        return String.format(Locale.ROOT, "service %s: weight %s, %s%s", service.name, service.weight, source, discoveryText);
     }
 }
--- a/src/main/java/reedmux/gatekeeper/settings/package-info.java
+++ b/src/main/java/reedmux/gatekeeper/settings/package-info.java
@@ -1,9 +1,10 @@
 /**
- * The operators' own settings: one script, which takes effect as a whole or not at all.
+ * The operators' own settings: a single script that is applied atomically.
  *
- * <p>{@link reedmux.gatekeeper.settings.OperatorSettings} reads the file; what it can declare about other regions and
- * about services is read by {@link reedmux.gatekeeper.settings.RegionSettings} and
- * {@link reedmux.gatekeeper.settings.ServicesSettings}. Errors are {@link reedmux.gatekeeper.script.ScriptException}s
- * that name file, line, column and the key at fault. Reads one file and does no other I/O.
+ * <p>{@link reedmux.gatekeeper.settings.OperatorSettings} reads the file,
+ * {@link reedmux.gatekeeper.settings.RegionSettings} the declarations about other regions, and
+ * {@link reedmux.gatekeeper.settings.ServicesSettings} those about services. Errors are reported as a
+ * {@link reedmux.gatekeeper.script.ScriptException} that names the file, line, column and invalid key. Apart from
+ * reading this file, the package performs no I/O.
  */
 package reedmux.gatekeeper.settings;
--- a/src/test/java/reedmux/gatekeeper/settings/OperatorSettingsTest.java
+++ b/src/test/java/reedmux/gatekeeper/settings/OperatorSettingsTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import reedmux.gatekeeper.script.ScriptException;
 
-/** What the operators' file may say of regions, and how it says what is wrong. */
+/** Reading of region declarations in the operators' file, and the messages for invalid ones. */
 final class OperatorSettingsTest {
-    private static final String GOOD = """
+    private static final String VALID_SCRIPT = """
             region(name = "east", listen = "127.0.0.1:7001", takes_from = ["west"])
             last_resort(region = "west", gateways = ["127.0.0.1:7002"],
                         budget = budget(share = 0.1, rate = 5, burst = 30), margin = "1.5ms")
@@ -28,19 +28,19 @@
 
     @Test
     void readsTheExampleFile() throws ScriptException {
-        OperatorSettings read = OperatorSettings.read(Path.of("deploy/east.star"));
-        assertEquals("east", read.region().rules().name());
-        assertEquals(Set.of("west"), read.region().rules().acceptsFrom());
+        OperatorSettings settings = OperatorSettings.read(Path.of("deploy/east.star"));
+        assertEquals("east", settings.region().rules().name());
+        assertEquals(Set.of("west"), settings.region().rules().acceptsFrom());
         assertEquals(
                 List.of("127.0.2.1:7100", "127.0.2.2:7100"),
-                read.region().rules().target().gateways());
-        assertEquals(1_000_000, read.region().rules().remoteLimits().minBackoffMicros());
-        assertEquals(20_000, read.region().rules().target().marginMicros());
-        assertEquals(List.of(), read.platformConflicts(3, 8, 1024));
+                settings.region().rules().target().gateways());
+        assertEquals(1_000_000, settings.region().rules().remoteLimits().minBackoffMicros());
+        assertEquals(20_000, settings.region().rules().target().marginMicros());
+        assertEquals(List.of(), settings.platformConflicts(3, 8, 1024));
     }
 
     @Test
-    void anEmptyFileSetsNothing() throws ScriptException {
+    void emptyFileSetsNothing() throws ScriptException {
         assertNull(OperatorSettings.parse("x.star", "# nothing\n").region());
         assertEquals(List.of("nothing is set"), OperatorSettings.NONE.describe());
     }
@@ -74,14 +74,14 @@
                 "1.5ms|11s|x.star:3:65: last_resort.margin lies outside of 0.0 to 10000.0 ms: 11s",
                 "last_resort|last_resrot|x.star:2:1: unknown name 'last_resrot', did you mean 'last_resort'?"
             })
-    void errorsNameTheKey(String part, String by, String expected) {
-        assertTrue(GOOD.contains(part), part);
-        assertEquals(expected, error(GOOD.replace(part, by)));
+    void errorsNameTheKey(String original, String replacement, String expected) {
+        assertTrue(VALID_SCRIPT.contains(original), original);
+        assertEquals(expected, error(VALID_SCRIPT.replace(original, replacement)));
     }
 
     @Test
     void duplicateDeclarationsAreRejected() {
-        assertEquals("x.star:4:1: region is declared twice, first in line 1", error(GOOD + "region(name = \"a\")"));
+        assertEquals("x.star:4:1: region is declared twice, first in line 1", error(VALID_SCRIPT + "region(name = \"a\")"));
         assertEquals(
                 "x.star:1:13: last_resort.region needs a region(...) that tells our own name",
                 error("last_resort(region = \"west\")"));
@@ -89,7 +89,7 @@
 
     @Test
     void reportsConflictsWithThePlatform() throws ScriptException {
-        List<String> misfits = OperatorSettings.parse("x.star", GOOD).platformConflicts(10, 8, 512);
+        List<String> conflicts = OperatorSettings.parse("x.star", VALID_SCRIPT).platformConflicts(10, 8, 512);
         assertEquals(
                 List.of(
                         "budget.burst of 30.0 is 3.0 for each of 10 gatekeepers, less than one request "
@@ -101,6 +101,6 @@
                         "region.connections_in and connections_out are 96 together, more than a tenth of "
                                 + "512"
                                 + " descriptors"),
-                misfits);
+                conflicts);
     }
 }
--- a/src/test/java/reedmux/gatekeeper/settings/ServicesSettingsTest.java
+++ b/src/test/java/reedmux/gatekeeper/settings/ServicesSettingsTest.java
@@ -13,9 +13,9 @@
 import reedmux.gatekeeper.routing.RouteTable;
 import reedmux.gatekeeper.script.ScriptException;
 
-/** What the operators' file may say of services and routes, and how it says what is wrong. */
+/** Reading of services and routes in the operators' file, and the messages for invalid declarations. */
 final class ServicesSettingsTest {
-    private static final String GOOD = """
+    private static final String VALID_SCRIPT = """
             service(name = "print", discovery = "127.0.0.1:7001", weight = 0.5)
             service(name = "archive", config = "archive.json", most_in_flight = 10)
             route(host = "print.example.org", service = "print")
@@ -23,41 +23,41 @@
             route(host = "*.old.example.org", service = None)
             """;
 
-    private static ServicesSettings of(String script) throws ScriptException {
+    private static ServicesSettings parse(String script) throws ScriptException {
         return OperatorSettings.parse("x.star", script).services();
     }
 
     @Test
     void readsServicesAndRoutes() throws ScriptException {
-        ServicesSettings read = of(GOOD);
+        ServicesSettings settings = parse(VALID_SCRIPT);
         assertEquals(
                 List.of("default", "print", "archive"),
-                read.services().stream()
+                settings.services().stream()
                         .map(ServicesSettings.ServiceSettings::name)
                         .toList());
-        assertEquals(0.5, read.services().get(1).weight());
-        assertEquals("archive.json", read.services().get(2).config());
-        assertEquals(10, read.services().get(2).maxInFlight());
-        assertEquals(1, read.routes().find("PRINT.example.org:80", "/check"));
-        assertEquals(2, read.routes().find("x.example.org", "/store/1"));
-        assertEquals(0, read.routes().find("x.example.org", "/storehouse"));
-        assertEquals(0, read.routes().find(null, "/check"));
-        assertEquals(3, read.routes().find("a.old.example.org", "/check"), "the last number is nobody's");
-        assertEquals(RouteTable.AMBIGUOUS, read.routes().find("x.example.org", "/store/../check"));
-        assertTrue(read.services().get(0).servesWithoutHost());
-        assertTrue(!read.services().get(1).servesWithoutHost());
+        assertEquals(0.5, settings.services().get(1).weight());
+        assertEquals("archive.json", settings.services().get(2).config());
+        assertEquals(10, settings.services().get(2).maxInFlight());
+        assertEquals(1, settings.routes().find("PRINT.example.org:80", "/check"));
+        assertEquals(2, settings.routes().find("x.example.org", "/store/1"));
+        assertEquals(0, settings.routes().find("x.example.org", "/storehouse"));
+        assertEquals(0, settings.routes().find(null, "/check"));
+        assertEquals(3, settings.routes().find("a.old.example.org", "/check"), "the index after the last service stands for no service");
+        assertEquals(RouteTable.AMBIGUOUS, settings.routes().find("x.example.org", "/store/../check"));
+        assertTrue(settings.services().get(0).servesWithoutHost());
+        assertTrue(!settings.services().get(1).servesWithoutHost());
     }
 
     @Test
     void readsTheExampleFile() throws ScriptException {
-        ServicesSettings read =
+        ServicesSettings settings =
                 OperatorSettings.read(Path.of("deploy/services.star")).services();
         assertEquals(
                 List.of("default", "print", "archive"),
-                read.services().stream()
+                settings.services().stream()
                         .map(ServicesSettings.ServiceSettings::name)
                         .toList());
-        assertEquals(2, read.routes().find("archive.example.org", "/check"));
+        assertEquals(2, settings.routes().find("archive.example.org", "/check"));
         assertEquals(
                 3,
                 OperatorSettings.read(Path.of("deploy/services.star"))
@@ -66,12 +66,12 @@
     }
 
     @Test
-    void withoutServicesThereIsNoTable() throws ScriptException {
-        assertNull(of("# nothing\n").routes());
-        assertEquals(List.of(), of("# nothing\n").services());
+    void scriptWithoutServicesHasNoRouteTable() throws ScriptException {
+        assertNull(parse("# nothing\n").routes());
+        assertEquals(List.of(), parse("# nothing\n").services());
         assertEquals(
                 2,
-                of("service(name = \"default\", weight = 2)\n")
+                parse("service(name = \"default\", weight = 2)\n")
                         .services()
                         .get(0)
                         .weight());
@@ -79,7 +79,7 @@
                 "x.star:1:28: service default is declared twice, first in line 1",
                 assertThrows(
                                 ScriptException.class,
-                                () -> of("service(name = \"default\"); " + "service(name = \"default\")\n"))
+                                () -> parse("service(name = \"default\"); " + "service(name = \"default\")\n"))
                         .getMessage());
     }
 
@@ -118,10 +118,10 @@
                 "most_in_flight = 10|most_in_flight = 0|x.star:2:52: service.most_in_flight is under 1: 0",
                 "most_in_flight = 10|hostless = 1|x.star:2:52: service.hostless is neither True nor False: 1"
             })
-    void errorsNamePositionAndCause(String from, String to, String message) {
-        assertTrue(GOOD.contains(from), from);
-        String script = GOOD.replace(from, to == null ? "" : to);
+    void errorsNamePositionAndCause(String original, String replacement, String message) {
+        assertTrue(VALID_SCRIPT.contains(original), original);
+        String script = VALID_SCRIPT.replace(original, replacement == null ? "" : replacement);
         assertEquals(
-                message, assertThrows(ScriptException.class, () -> of(script)).getMessage());
+                message, assertThrows(ScriptException.class, () -> parse(script)).getMessage());
     }
 }
