--- a/src/main/java/reedmux/common/disk/FileSystemVolume.java
+++ b/src/main/java/reedmux/common/disk/FileSystemVolume.java
@@ -27,7 +27,8 @@
             return names;
         }
         try (DirectoryStream<Path> paths = Files.newDirectoryStream(directory)) {
-            for (Path path : paths) { // no lambda: the class archive is recorded with an empty directory and would lack it
+            // No lambda here: the class archive is recorded with an empty directory and would not contain its class.
+            for (Path path : paths) {
                 names.add(path.getFileName().toString());
             }
         }
--- a/src/main/java/reedmux/common/disk/Journal.java
+++ b/src/main/java/reedmux/common/disk/Journal.java
@@ -12,7 +12,7 @@
  * files small (compaction).
  *
  * <table>
- *   <caption>A file {@code items-<generation>}, in byte order of the file; numbers are big-endian</caption>
+ *   <caption>A file {@code items-<generation>}, from its start to its end; numbers are big-endian</caption>
  *   <tr><th>part</th><th>bytes</th><th>content</th></tr>
  *   <tr><td>version</td><td>one record</td><td>{@code reedmux} in ASCII and one byte, the version of the layout; a
  *       file without this record is read as well</td></tr>
@@ -194,7 +194,7 @@
             volume.rename(TEMPORARY_FILE, name);
             volume.syncDirectory();
             if (!new GenerationReader(name, volume.read(name)).isStateComplete()) {
-                throw new IOException(name + " could not be verified: its state is incomplete when read back");
+                throw new IOException("the state in " + name + " is incomplete when read back");
             }
         } catch (IOException e) {
             created.close();
@@ -239,7 +239,7 @@
         if (broken) {
             throw new IOException("the journal is broken by an earlier failure");
         } else if (record.length == 0 || record.length > JournalFormat.MAX_RECORD_BYTES) {
-            throw new IOException("a record of " + record.length + " bytes cannot be appended: 1 to " + JournalFormat.MAX_RECORD_BYTES + " bytes are allowed");
+            throw new IOException("a record of " + record.length + " bytes cannot be appended");
         }
         try {
             lengthBytes += write(file, record);
--- a/src/main/java/reedmux/common/settings/ProcessSettings.java
+++ b/src/main/java/reedmux/common/settings/ProcessSettings.java
@@ -48,7 +48,8 @@
     public static ProcessSettings fromEnvironment() throws ProcessSettingsException {
         String file = System.getenv(ENVIRONMENT_VARIABLE);
         if (file == null || file.isEmpty()) {
-            throw new ProcessSettingsException(ENVIRONMENT_VARIABLE + " is not set; it must hold the path of the settings file");
+            throw new ProcessSettingsException(
+                    ENVIRONMENT_VARIABLE + " is not set; it must hold the path of the settings file");
         }
         return load(Path.of(file));
     }
@@ -86,7 +87,9 @@
                 || first < 1
                 || last > MAX_PORT
                 || first + MIN_PORTS - 1 > last) {
-            throw document.invalid(SettingKeys.PORT_RANGE, "is not a list of two ports from 1 to 65535, the first at least 2 below the second");
+            throw document.invalid(
+                    SettingKeys.PORT_RANGE,
+                    "is not a list of two ports from 1 to 65535, the first at least 2 below the second");
         }
         return first.intValue();
     }
--- a/src/main/java/reedmux/gatekeeper/config/GatekeeperConfig.java
+++ b/src/main/java/reedmux/gatekeeper/config/GatekeeperConfig.java
@@ -29,7 +29,7 @@
  * @param connectTimeoutMicros the timeout for connecting to a provider, in microseconds
  * @param connectionIdleMicros how long providers keep idle connections open, in microseconds
  * @param knownProviders       the providers of the last list before the start
- * @param adminListen          the address on which operators connect, or null if the admin server is disabled
+ * @param adminListen          the address on which operators connect, or null if they cannot connect
  */
 public record GatekeeperConfig(
         String name,
--- a/src/main/java/reedmux/gatekeeper/settings/ServicesSettings.java
+++ b/src/main/java/reedmux/gatekeeper/settings/ServicesSettings.java
@@ -247,6 +247,7 @@
         InetSocketAddress discovery = service.discovery;
         String discoveryText =
                 discovery == null ? "" : ", discovery at " + discovery.getHostString() + ':' + discovery.getPort();
-        return String.format(Locale.ROOT, "service %s: weight %s, %s%s", service.name, service.weight, source, discoveryText);
+        return String.format(
+                Locale.ROOT, "service %s: weight %s, %s%s", service.name, service.weight, source, discoveryText);
     }
 }
--- a/src/test/java/reedmux/common/disk/CrashSimulatingVolume.java
+++ b/src/test/java/reedmux/common/disk/CrashSimulatingVolume.java
@@ -107,7 +107,10 @@
      * in {@code boundNames}.
      */
     private int enumerateNames(
-            Map<String, SimulatedFile> boundNames, List<String> unsyncedNames, int index, Consumer<CrashSimulatingVolume> consumer) {
+            Map<String, SimulatedFile> boundNames,
+            List<String> unsyncedNames,
+            int index,
+            Consumer<CrashSimulatingVolume> consumer) {
         if (index == unsyncedNames.size()) {
             List<SimulatedFile> files = new ArrayList<>(new HashSet<>(boundNames.values()));
             return enumerateContents(boundNames, files, 0, new HashMap<>(), consumer);
@@ -151,8 +154,8 @@
     }
 
     /**
-     * The content of a file after a power loss; {@code outcomes} has one digit in base {@link #OUTCOMES} for each varied
-     * write.
+     * Returns the content of a file after a power loss; {@code outcomes} has one digit in base {@link #OUTCOMES} for
+     * each varied write.
      */
     private static byte[] bytesAfterPowerLoss(SimulatedFile file, int variedWrites, int outcomes) {
         byte[] bytes = file.synced;
--- a/src/test/java/reedmux/common/disk/JournalTest.java
+++ b/src/test/java/reedmux/common/disk/JournalTest.java
@@ -28,7 +28,8 @@
     @AfterMethod
     public void deleteDirectory() throws IOException {
         try (Stream<Path> paths = Files.walk(directory)) {
-            paths.sorted(Comparator.reverseOrder()).forEach(path -> path.toFile().delete());
+            paths.sorted(Comparator.reverseOrder())
+                    .forEach(path -> path.toFile().delete());
         }
     }
 
@@ -80,8 +81,10 @@
                         assertEquals(recovered.get(2), record(thirdRecordSkipped ? 3 : 2), "at " + end);
                     }
                     assertFalse(reopened.mayHaveLostRecords());
-                    boolean atRecordBoundary = truncate && (end == synced || thirdRecordIntact && end == synced + 8 + record(2).length);
-                    assertEquals(reopened.problems().size(), atRecordBoundary ? 0 : 1, "at " + end + reopened.problems());
+                    boolean atRecordBoundary =
+                            truncate && (end == synced || thirdRecordIntact && end == synced + 8 + record(2).length);
+                    assertEquals(
+                            reopened.problems().size(), atRecordBoundary ? 0 : 1, "at " + end + reopened.problems());
                     assertTrue(atRecordBoundary || reopened.problems().get(0).startsWith("items-1 at "));
                 }
             }
@@ -95,7 +98,8 @@
             journal.recover();
             journal.startGeneration(List.of(record(0)));
             journal.startGeneration(List.of(record(0), record(1)));
-            Files.write(directory.resolve("items-3"), Arrays.copyOf(Files.readAllBytes(directory.resolve("items-2")), 9));
+            Files.write(
+                    directory.resolve("items-3"), Arrays.copyOf(Files.readAllBytes(directory.resolve("items-2")), 9));
             Files.write(directory.resolve("fresh"), new byte[] {1, 2, 3});
             Journal reopened = new Journal(new FileSystemVolume(directory));
             assertEquals(reopened.recover().size(), 2);
--- a/src/test/java/reedmux/common/settings/ProcessSettingsTest.java
+++ b/src/test/java/reedmux/common/settings/ProcessSettingsTest.java
@@ -54,7 +54,8 @@
     public void exceptionCarriesFileLineAndKey() {
         ProcessSettingsException error = expectThrows(
                 ProcessSettingsException.class,
-                () -> ProcessSettings.parse("settings.toml", VALID_SETTINGS.replace("coldStart = true", "coldStart = 3")));
+                () -> ProcessSettings.parse(
+                        "settings.toml", VALID_SETTINGS.replace("coldStart = true", "coldStart = 3")));
         assertEquals(error.file(), "settings.toml");
         assertEquals(error.line(), 7);
         assertEquals(error.key(), SettingKeys.COLD_START);
@@ -64,11 +65,14 @@
     @Test(dataProvider = "invalidSettings")
     public void invalidValueIsReportedWithFileAndKey(String original, String replacement, String key) {
         ProcessSettingsException error = expectThrows(ProcessSettingsException.class, () -> {
-            ProcessSettings settings = ProcessSettings.parse("settings.toml", VALID_SETTINGS.replace(original, replacement));
+            ProcessSettings settings =
+                    ProcessSettings.parse("settings.toml", VALID_SETTINGS.replace(original, replacement));
             settings.socketAddress(SettingKeys.FRONT_SOCKET);
             settings.durationMicros("envelope.settleMs", 1);
         });
         assertTrue(
-                error.getMessage().startsWith("settings.toml") && error.getMessage().contains(key), error.getMessage());
+                error.getMessage().startsWith("settings.toml")
+                        && error.getMessage().contains(key),
+                error.getMessage());
     }
 }
--- a/src/test/java/reedmux/gatekeeper/settings/OperatorSettingsTest.java
+++ b/src/test/java/reedmux/gatekeeper/settings/OperatorSettingsTest.java
@@ -81,7 +81,8 @@
 
     @Test
     void duplicateDeclarationsAreRejected() {
-        assertEquals("x.star:4:1: region is declared twice, first in line 1", error(VALID_SCRIPT + "region(name = \"a\")"));
+        assertEquals(
+                "x.star:4:1: region is declared twice, first in line 1", error(VALID_SCRIPT + "region(name = \"a\")"));
         assertEquals(
                 "x.star:1:13: last_resort.region needs a region(...) that tells our own name",
                 error("last_resort(region = \"west\")"));
--- a/src/test/java/reedmux/gatekeeper/settings/ServicesSettingsTest.java
+++ b/src/test/java/reedmux/gatekeeper/settings/ServicesSettingsTest.java
@@ -42,7 +42,10 @@
         assertEquals(2, settings.routes().find("x.example.org", "/store/1"));
         assertEquals(0, settings.routes().find("x.example.org", "/storehouse"));
         assertEquals(0, settings.routes().find(null, "/check"));
-        assertEquals(3, settings.routes().find("a.old.example.org", "/check"), "the index after the last service stands for no service");
+        assertEquals(
+                3,
+                settings.routes().find("a.old.example.org", "/check"),
+                "the index after the last service stands for no service");
         assertEquals(RouteTable.AMBIGUOUS, settings.routes().find("x.example.org", "/store/../check"));
         assertTrue(settings.services().get(0).servesWithoutHost());
         assertTrue(!settings.services().get(1).servesWithoutHost());
@@ -122,6 +125,7 @@
         assertTrue(VALID_SCRIPT.contains(original), original);
         String script = VALID_SCRIPT.replace(original, replacement == null ? "" : replacement);
         assertEquals(
-                message, assertThrows(ScriptException.class, () -> parse(script)).getMessage());
+                message,
+                assertThrows(ScriptException.class, () -> parse(script)).getMessage());
     }
 }
