--- a/src/main/java/reedmux/simulation/cluster/CheckerFleet.java
+++ b/src/main/java/reedmux/simulation/cluster/CheckerFleet.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The checkers of a simulated day, started one after the other with ids of their own. */
+/** The checkers of a simulated run. Each started checker gets a unique id. */
 final class CheckerFleet {
     private static final long REPLACEMENT_DELAY_MICROS = 2_000_000;
 
     private final ClusterSimulation simulation;
     private final Deployment deployment;
     private final ClusterInvariantChecker invariants;
-    /** Receives the address of the control machine that has acknowledged a drain. */
+    /** Receives the address of the control machine that acknowledged a drain. */
     private final Consumer<String> drainListener;
 
     private final List<SimulatedChecker> checkers = new ArrayList<>();
@@ -28,12 +28,12 @@
         this.drainListener = drainListener;
     }
 
-    /** Those that have not ended; changes with time. */
+    /** Returns a live view of the checkers that have not ended. */
     List<SimulatedChecker> all() {
         return checkers;
     }
 
-    /** Starts a checker of a service, an index into {@link ConfigurationGenerator#SERVICES}. */
+    /** Starts a checker; {@code service} is an index into {@link ConfigurationGenerator#SERVICES}. */
     void start(SimulatedMachine machine, int service) {
         String id = "i-" + nextNumber++;
         SimulatedChecker[] started = {null};
@@ -49,7 +49,7 @@
         checkers.add(started[0]);
     }
 
-    /** Starts a checker on a machine once the one that runs there has ended. */
+    /** Starts a checker on a machine after the checker {@code former} has ended, polling every two seconds. */
     void replaceOnceEnded(SimulatedChecker former, SimulatedMachine machine, int service) {
         simulation.scheduleAfter(REPLACEMENT_DELAY_MICROS, () -> {
             if (former.isAlive()) {
--- a/src/main/java/reedmux/simulation/cluster/ClusterInvariantChecker.java
+++ b/src/main/java/reedmux/simulation/cluster/ClusterInvariantChecker.java
@@ -6,30 +6,30 @@
 import reedmux.control.configuration.ConfigurationItem;
 
 /**
- * Checks the deployment's invariants by what clients, checkers and operators observe from outside; it knows nothing of
- * the inside of a process. {@link ConfigurationInvariants} has those of the configuration, {@link RequestInvariants}
- * those of requests, and {@link FaultSchedule} the faults for which they make allowance. Times are microseconds of
- * simulated time; no I/O.
+ * Checks the invariants of a deployment against what clients, checkers and operators observe from outside, without
+ * access to the state of the processes. {@link ConfigurationInvariants} checks the configuration,
+ * {@link RequestInvariants} checks requests, and {@link FaultSchedule} records the faults that both allow for. Times
+ * are microseconds of simulated time. This class does no I/O.
  */
 public final class ClusterInvariantChecker {
-    /** Fewer requests after a closing fault say nothing about the recovery. */
+    /** With this many requests or fewer after a closing fault, the recovery is not checked. */
     private static final int MIN_RECOVERY_REQUESTS = 20;
 
-    /** One request in so many has to be served after the recovery. */
+    /** One in this many requests must be served after the recovery. */
     private static final int RECOVERY_SHARE = 4;
 
     private static final int MICROS_PER_MILLI = 1000;
 
-    /** The effect of a version under which requests are not served: {@link #onVersionSent} describes effects. */
+    /** The effect of a version under which requests are not served; see {@link #onVersionSent} for effects. */
     static final String NO_EFFECT = "none";
 
-    /** How a change of the operator is to be decided. */
+    /** The decision that is expected for a change of an operator. */
     public enum ExpectedDecision {
-        /** It is valid whatever else is sent meanwhile. */
+        /** The change is valid, regardless of concurrent changes. */
         ACCEPT,
-        /** It is invalid. */
+        /** The change is invalid. */
         REJECT,
-        /** Of two concurrent changes that are invalid together, either may be rejected. */
+        /** The change conflicts with a concurrent one, and either of the two may be rejected. */
         EITHER
     }
 
@@ -38,113 +38,113 @@
     private final ConfigurationInvariants configuration = new ConfigurationInvariants(faults, log);
     private final RequestInvariants requests = new RequestInvariants(faults, log, configuration);
 
-    /** What was violated so far. */
+    /** Returns the violations recorded so far. */
     public List<String> violations() {
         return log.violations();
     }
 
-    /** Requests of clients that were served, probes not counted. */
+    /** Returns the number of client requests that were served, excluding probes. */
     public long servedCount() {
         return requests.servedCount();
     }
 
-    /** Requests of clients, probes not counted. */
+    /** Returns the number of client requests, excluding probes. */
     public long requestCount() {
         return requests.requestCount();
     }
 
-    /** Sets the quota of every tenant: requests a second, and requests at once. */
+    /** Sets the default quota of all tenants: a rate in requests per second and a burst in requests. */
     public void setQuota(double rate, double burst) {
         requests.quotas().setDefaultLimits(rate, burst);
     }
 
-    /** A change of one tenant's quota is sent. */
+    /** Records that a change of a tenant's quota is sent now. */
     public void onQuotaSent(String tenant, double rate, double burst) {
         requests.quotas().onLimitsSent(tenant, rate, burst);
     }
 
-    /** The last change of a tenant's quota is acknowledged. */
+    /** Records that the last change of a tenant's quota is acknowledged. */
     public void onQuotaAcknowledged(String tenant, long now) {
         requests.quotas().onLimitsAcknowledged(tenant, now);
     }
 
-    /** Looks whether lower quotas bind by now, which they do only after all these proxies had contact. */
+    /** Puts lowered quotas into force if the core is settled and all the given proxies are in contact. */
     public void settleQuotas(Collection<String> proxies, long now) {
         if (faults.isCoreSettled(now, now) && proxies.stream().allMatch(proxy -> faults.isInContact(proxy, now, now))) {
             requests.quotas().onAllInContact(now);
         }
     }
 
-    /** Reports the tenants that were beyond their quota in some window. */
+    /** Reports the tenants that exceeded their quota in any window. */
     public void checkQuotas() {
         requests.checkQuotas();
     }
 
-    /** The largest share of what its quota allows that any tenant had executed in a window. */
+    /** Returns the highest ratio of executed to allowed requests that any tenant reached in a window. */
     public double worstQuotaShare() {
         return requests.quotas().worstShare();
     }
 
     // ---- Faults ------------------------------------------------------------------------------------
-    /** A machine, by node or address, had a fault from one time to another. */
+    /** Adds a fault of a machine, identified by node name or address. */
     public void addMachineFault(String machine, long from, long to) {
         faults.addMachineFault(machine, from, to);
     }
 
-    /** The core had a fault that was undone by {@code to}; {@code majorityLost}: no majority ran in contact. */
+    /** Adds a fault of the core that is repaired by {@code to}; see {@link FaultSchedule#addCoreFault}. */
     public void addCoreFault(long from, long to, boolean majorityLost) {
         faults.addCoreFault(from, to, majorityLost);
     }
 
-    /** A machine could reach less than a majority of the core from one time to another. */
+    /** Adds an interval in which a machine could reach less than a majority of the core. */
     void addMinoritySpan(String machine, long from, long to) {
         faults.addMinority(machine, from, to);
     }
 
     // ---- Processes ---------------------------------------------------------------------------------
-    /** A proxy that was started at {@code startedAt} has said that it is ready. */
+    /** Handles the report of a proxy that it is ready; its processes were started at {@code startedAt}. */
     void onReady(String machine, long startedAt, long now) {
         if (faults.wasInMinority(machine, startedAt, now)) {
             log.report(
                     "CONTACT",
                     machine + " is ready " + (now - startedAt) / MICROS_PER_MILLI
-                            + " ms after a start on the word of a minority");
+                            + " ms after its start, but could reach only a minority of the core");
         }
     }
 
-    /** A process has ended, or does not start, without having been asked to shut down. */
+    /** Reports a process that exited without a requested shutdown, or failed to start. */
     public void onUnexpectedExit(String process) {
-        log.report("FAULT", process + " ends by itself");
+        log.report("FAULT", process + " exited unexpectedly");
     }
 
-    /** A program has found one of its own invariants violated. */
+    /** Reports a violation that a program detected in its own invariants. */
     public void onInvariantViolation(String violation) {
         log.report("INVARIANT", violation);
     }
 
     // ---- Configuration -----------------------------------------------------------------------------
     /**
-     * A version was sent for the first time.
+     * Records that a version of an item is sent for the first time.
      *
-     * @param effect how requests show that it is in force: the service of a route, the keys of a tenant, or
+     * @param effect how requests reveal that the version is in force: the service of a route, the keys of a tenant, or
      *               {@link #NO_EFFECT}
      */
     void onVersionSent(ConfigurationItem item, String effect, long now) {
         configuration.onVersionSent(item, effect, now);
     }
 
-    /** A change was acknowledged, even if the response was lost; the operator had waited since {@code sentAt}. */
+    /** Handles the acknowledgement of a change that was sent at {@code sentAt}, even if the response is then lost. */
     void onChangeAcknowledged(List<ConfigurationItem> items, ExpectedDecision expected, long sentAt, long now) {
         configuration.onChangeAcknowledged(items, expected, sentAt, now);
     }
 
-    /** A change was rejected ({@code clear}), or given up by the operator. */
+    /** Handles a change that was rejected, if {@code definitive}, or that the operator abandoned after a timeout. */
     void onChangeRejected(
             List<ConfigurationItem> items, ExpectedDecision expected, boolean definitive, long sentAt, long now) {
         configuration.onChangeRejected(items, expected, definitive, sentAt, now);
     }
 
-    /** A request has shown what is in force; see {@link ConfigurationInvariants#onEffectObserved}. */
+    /** Handles an observed effect of an item; see {@link ConfigurationInvariants#onEffectObserved}. */
     void onEffectObserved(
             String proxy,
             String incarnation,
@@ -156,107 +156,116 @@
         configuration.onEffectObserved(proxy, incarnation, key, effect, matches, sentAt, now);
     }
 
-    /** What the operator reads at the end; null if nobody responded. A lost change violates {@code rule}. */
+    /**
+     * Checks the configuration that the operator reads at the end of the run.
+     *
+     * @param text the response, or null if no machine responded
+     * @param rule the rule that a lost change violates
+     */
     public void checkFinalRead(String text, String rule, long sentAt) {
         configuration.checkFinalRead(text, rule, sentAt);
     }
 
-    /** What a machine has responded to a read that was sent at {@code sentAt}. */
+    /** Checks the response of a machine to a read that was sent at {@code sentAt}. */
     public void checkRead(String text, long sentAt) {
         configuration.checkRead(text, sentAt);
     }
 
     // ---- Requests and checkers ---------------------------------------------------------------------
-    /** A client has sent a request; {@code service} is null for a probe. */
+    /** Records that a client sends a request; {@code service} is null for a probe. */
     public void onRequestSent(
             String id, String proxy, boolean idempotent, String tenant, String service, String route, long now) {
         requests.onRequestSent(id, proxy, idempotent, tenant, service, route, now);
     }
 
-    /** A request has reached the checker that it was meant for. */
+    /** Records that a request arrives at the checker it is addressed to. */
     public void onRequestArrived(String id, String service, long now) {
         requests.onRequestArrived(id, service, now);
     }
 
-    /** A checker begins to execute a request. */
+    /** Handles the start of an execution of a request by a checker. */
     public void onRequestExecuted(String id, String checker, String service, String tenant, long now) {
         requests.onRequestExecuted(id, checker, service, tenant, now);
     }
 
-    /** A checker has executed a request ({@code completed}), or has dropped it since its connection was closed. */
+    /** Handles an execution that completed, or that the checker aborted because its connection was closed. */
     public void onExecutionEnded(String id, String checker, boolean completed, long now) {
         requests.departures().onExecutionEnded(id, checker, completed, now);
     }
 
-    /** What became of requests whose client has left. */
+    /** Returns the invariants of requests whose client disconnected before the response. */
     DepartureInvariants departures() {
         return requests.departures();
     }
 
-    /** A client has left without waiting for the response to its request. */
+    /** Records that a client disconnects before it receives the response to its request. */
     public void onClientLeft(String id, long now) {
         requests.onClientLeft(id, now);
     }
 
-    /** Sets how long a request may go on after its client has left; half a second unless it is set. */
+    /** Sets how long a request may continue after its client has disconnected; the default is half a second. */
     public void setDepartureLimit(long micros) {
         requests.departures().setLimit(micros);
     }
 
-    /** Executions of idempotent requests that ended in time after the departure of their client. */
+    /** Returns how many executions of idempotent requests ended in time after their client disconnected. */
     public int executionsEndedByDeparture() {
         return requests.departures().cancelledCount();
     }
 
-    /** After the last event: what went on for requests although their client had left. */
+    /** Reports requests that continued too long after their client disconnected; call after the last event. */
     public void checkDepartures(long now) {
         requests.departures().report(now);
     }
 
-    /** Whether a checker has begun to execute a request. */
+    /** Returns whether a checker has begun to execute a request. */
     boolean hasExecuted(String id) {
         return requests.hasExecuted(id);
     }
 
-    /** A client has received a response; {@code sealedBy}: the checker that sent it completely, or null. */
+    /**
+     * Handles a response that a client receives.
+     *
+     * @param sealedBy the checker whose complete response this is, or null
+     */
     public void onResponse(String id, int status, String sealedBy, long now) {
         requests.onResponse(id, status, sealedBy, now);
     }
 
-    /** A request has no response: its connection was {@code cutOff}, or its time is up. */
+    /** Handles a request without a response; see {@link RequestInvariants#onConnectionLost}. */
     void onConnectionLost(String id, boolean cutOff, boolean planned, long now) {
         requests.onConnectionLost(id, cutOff, planned, now);
     }
 
     /**
-     * A proxy has closed the connection of a request without a response, or given none in time.
+     * Handles a proxy that closes the connection of a request without a response, or doesn't respond in time.
      *
-     * @param excused whether the proxy was killed or held up meanwhile, or the checker has broken off
-     * @param reason  how the client has noticed it
+     * @param excused whether the proxy was killed or suspended meanwhile, or the checker aborted the response
+     * @param reason  how the client noticed the missing response
      */
     public void onServerClosed(String id, boolean excused, String reason) {
         requests.onServerClosed(id, excused, reason);
     }
 
-    /** A checker's drain was acknowledged by a control machine. */
+    /** Records that a control machine acknowledges the drain of a checker. */
     void onDrainAcknowledged(String checker, String acknowledger, long now) {
         requests.onDrainAcknowledged(checker, acknowledger, now);
     }
 
-    /** A checker has announced its drain since {@code announcedAt}, and nobody has acknowledged it. */
+    /** Records that a drain announced since {@code announcedAt} remains unacknowledged. */
     void onDrainUnacknowledged(long announcedAt, long now) {
         requests.onDrainUnacknowledged(announcedAt, now);
     }
 
-    /** After the last event: what is judged by windows, and by all drains together. */
+    /** Checks the rules that apply to time windows and to all drains together; call after the last event. */
     void checkWindows() {
         requests.checkWindows();
     }
 
-    /** Of the requests after a closing fault and the time to recover from it, too few were served. */
+    /** Reports a failed recovery if too few requests are served once the closing fault should be repaired. */
     void checkRecovery(long requestCount, long servedCount) {
         if (requestCount > MIN_RECOVERY_REQUESTS && servedCount * RECOVERY_SHARE < requestCount) {
-            log.report("RECOVER", servedCount + " of " + requestCount + " are served after the closing fault");
+            log.report("RECOVER", servedCount + " of " + requestCount + " requests are served after the closing fault");
         }
     }
 }
--- a/src/main/java/reedmux/simulation/cluster/ClusterSimulation.java
+++ b/src/main/java/reedmux/simulation/cluster/ClusterSimulation.java
@@ -9,8 +9,8 @@
 
 /**
  * A discrete-event simulation of machines and the network between them. Time is virtual, in microseconds, and advances
- * from event to event; everything random comes from one generator, so a seed always gives the same run.
- * Single-threaded.
+ * from event to event. All random values come from one generator, so a seed always reproduces the same run.
+ * Not thread-safe.
  */
 public final class ClusterSimulation {
     private static final long START_MICROS = 3_600_000_000L;
@@ -53,7 +53,7 @@
         scheduleAt(now + delay, task);
     }
 
-    /** Advances time by so many microseconds, running the events that are due. */
+    /** Advances the virtual time by {@code durationMicros} and runs all events that are due by then. */
     void runFor(long durationMicros) {
         long until = now + durationMicros;
         while (!scheduled.isEmpty() && scheduled.peek().at <= until) {
@@ -65,7 +65,7 @@
         now = until;
     }
 
-    /** Adds an observation and its time to the run's digest (FNV-1a); equal runs have equal digests. */
+    /** Adds an observation and the current time to the FNV-1a digest of the run; equal runs have equal digests. */
     void addToDigest(String observation) {
         for (int i = 0; i < observation.length(); i++) {
             digest = (digest ^ observation.charAt(i)) * FNV_PRIME;
@@ -77,7 +77,7 @@
         return digest;
     }
 
-    /** Whether the programs' real CPU time is measured; that does not change the run. */
+    /** Returns whether the real CPU time of the programs is measured; measuring does not affect the simulated run. */
     boolean measuresCpu() {
         return measuresCpu;
     }
@@ -103,7 +103,7 @@
         return from.ip() + '>' + to.ip();
     }
 
-    /** Drops everything from one machine to another until {@link #heal}. */
+    /** Blocks all packets from one machine to another, in this direction only, until {@link #heal}. */
     void partition(SimulatedMachine from, SimulatedMachine to) {
         partitionedPaths.add(path(from, to));
     }
@@ -116,7 +116,10 @@
         return from == to || !partitionedPaths.contains(path(from, to));
     }
 
-    /** Draws the delay of one packet in microseconds, by whether machine and zone are the same. */
+    /**
+     * Draws the delay of one packet in microseconds. The base delay is 20 within a machine, 100 within a zone and 500
+     * between zones, plus up to half of it as jitter; one packet in 400 takes 3 ms longer.
+     */
     long drawDelayMicros(SimulatedMachine from, SimulatedMachine to) {
         long base = from == to ? 20 : from.zone().equals(to.zone()) ? 100 : 500;
         return base + (long) (random.nextDouble() * base * 0.5) + (random.nextInt(400) == 0 ? 3_000 : 0);
--- a/src/main/java/reedmux/simulation/cluster/ConfigurationInvariants.java
+++ b/src/main/java/reedmux/simulation/cluster/ConfigurationInvariants.java
@@ -13,17 +13,17 @@
 import reedmux.simulation.cluster.ClusterInvariantChecker.ExpectedDecision;
 
 /**
- * What holds for the configuration: changes are decided as they are valid and in time (rules CONFIG, DUTY, ACKS), an
- * acknowledged version is never lost and reaches every proxy, and no proxy goes back to an older one. Times are
- * microseconds.
+ * The invariants of the configuration (rules CONFIG, DUTY, ACKS): valid changes are acknowledged in time and invalid
+ * ones rejected, an acknowledged version is never lost and reaches every proxy, and no proxy reverts to an older
+ * version. Times are microseconds.
  */
 final class ConfigurationInvariants {
     private static final long SECOND = 1_000_000;
-    /** After an acknowledgement, until each proxy in contact uses the version. */
+    /** How long after its acknowledgement a version may take until each proxy in contact uses it. */
     private static final long PROPAGATION_LIMIT_MICROS = 2 * SECOND;
-    /** Added to the limit where the core had a fault. */
+    /** Added to the propagation limit if the core had a fault. */
     private static final long FAULT_ALLOWANCE_MICROS = 5 * SECOND;
-    /** Requests in flight may show an older version for so long after a newer one. */
+    /** How long after a newer version was observed in-flight requests may still show an older one. */
     private static final long REVERT_TOLERANCE_MICROS = SECOND / 4;
 
     private static final long ACKNOWLEDGEMENT_LIMIT_MICROS = 4 * SECOND;
@@ -43,12 +43,12 @@
         }
     }
 
-    /** The newest revision that one incarnation of a proxy has certainly used of an item, and when that was seen. */
+    /** The newest revision of an item that a proxy incarnation is known to have used, and when it was observed. */
     private record ObservedFloor(long revision, long seenAt) {}
 
     private final FaultSchedule faults;
     private final ViolationLog log;
-    /** By item, in the order of their precedence. */
+    /** Versions by item key, each map sorted by precedence. */
     private final Map<String, TreeMap<ConfigurationItem, ObservedVersion>> versions = new LinkedHashMap<>();
 
     private final Map<String, ObservedFloor> floors = new HashMap<>();
@@ -58,7 +58,7 @@
         this.log = log;
     }
 
-    /** A version was sent for the first time; {@code effect}: how requests show that it is in force. */
+    /** Records that a version is sent for the first time; see {@link ClusterInvariantChecker#onVersionSent}. */
     void onVersionSent(ConfigurationItem item, String effect, long now) {
         versions.computeIfAbsent(item.key(), key -> {
                     TreeMap<ConfigurationItem, ObservedVersion> all = new TreeMap<>();
@@ -73,12 +73,12 @@
         return versions.get(item.key()).get(item);
     }
 
-    /** A change was acknowledged, even if the response was lost; the operator had waited since {@code sentAt}. */
+    /** Handles the acknowledgement of a change that was sent at {@code sentAt}, even if the response is then lost. */
     void onChangeAcknowledged(List<ConfigurationItem> items, ExpectedDecision expected, long sentAt, long now) {
         for (ConfigurationItem item : items) {
             ObservedVersion version = version(item);
             if (expected == ExpectedDecision.REJECT) {
-                log.report("CONFIG", "an invalid call is acknowledged: " + item);
+                log.report("CONFIG", "an invalid change was acknowledged: " + item);
             } else if (version.acknowledgedAt < 0) {
                 version.acknowledgedAt = now;
                 checkUniqueContent(version);
@@ -91,19 +91,20 @@
         ConfigurationItem item = version.item;
         for (ObservedVersion other : versions.get(item.key()).values()) {
             if (other != version && other.acknowledgedAt >= 0 && other.item.revision() == item.revision()) {
-                log.report("CONFIG", "two contents are acknowledged under one number: " + item + " and " + other.item);
+                log.report(
+                        "CONFIG", "two contents were acknowledged under one revision: " + item + " and " + other.item);
             }
         }
     }
 
-    /** A change was rejected ({@code clear}), or given up by the operator. */
+    /** Handles a change that was rejected, if {@code definitive}, or that the operator abandoned after a timeout. */
     void onChangeRejected(
             List<ConfigurationItem> items, ExpectedDecision expected, boolean definitive, long sentAt, long now) {
         if (definitive) {
             if (!items.isEmpty() && items.stream().allMatch(item -> version(item).acknowledgedAt >= 0)) {
-                log.report("CONFIG", "a change that was acknowledged is sent again and refused: " + items);
+                log.report("CONFIG", "an acknowledged change was rejected when it was resent: " + items);
             } else if (expected == ExpectedDecision.ACCEPT) {
-                log.report("DUTY", "a valid change is refused: " + items);
+                log.report("DUTY", "a valid change was rejected: " + items);
             }
             items.forEach(item -> version(item).rejected = true);
         } else {
@@ -117,7 +118,7 @@
                 && faults.longestSettledMicros(sentAt, now) >= ACKNOWLEDGEMENT_LIMIT_MICROS) {
             log.report(
                     "ACKS",
-                    "a valid change has no acknowledgement after " + (now - sentAt) / MICROS_PER_MILLI + " ms: "
+                    "a valid change was not acknowledged within " + (now - sentAt) / MICROS_PER_MILLI + " ms: "
                             + items);
         }
     }
@@ -155,17 +156,17 @@
         long required = requiredRevision(all, sentAt, now);
         boolean majorityLost = faults.lostMajority(sentAt - PROPAGATION_LIMIT_MICROS - FAULT_ALLOWANCE_MICROS, now);
         if (newest < 0) {
-            log.report("CONFIG", proxy + " handles " + key + " as no version allows: " + effect);
+            log.report("CONFIG", proxy + " shows " + effect + " of " + key + ", which no version allows");
         } else if (newest < required && !majorityLost) {
             log.report(
                     "CONFIG",
-                    proxy + " shows " + effect + " of " + key + ", which only " + newest + " allows; " + required
-                            + " was acknowledged long before");
+                    proxy + " shows " + effect + " of " + key + ", last allowed by revision " + newest + "; " + required
+                            + " was acknowledged before the propagation limit");
         }
         checkMonotonic(incarnation, key, oldest, newest, sentAt, now);
     }
 
-    /** The newest revision that was acknowledged so long ago that each proxy must use it or a newer one. */
+    /** Returns the newest revision acknowledged long enough ago that each proxy must use it or a newer one. */
     private long requiredRevision(TreeMap<ConfigurationItem, ObservedVersion> all, long sentAt, long now) {
         long limit = PROPAGATION_LIMIT_MICROS
                 + (faults.isCoreSettled(sentAt - PROPAGATION_LIMIT_MICROS, now) ? 0 : FAULT_ALLOWANCE_MICROS);
@@ -178,19 +179,19 @@
         return required;
     }
 
-    /** One incarnation never goes back; {@code oldest} and {@code newest} bound the revision that was seen. */
+    /** Checks that an incarnation never reverts; {@code oldest} and {@code newest} bound the observed revision. */
     private void checkMonotonic(String incarnation, String key, long oldest, long newest, long sentAt, long now) {
         String floorKey = incarnation + ' ' + key;
         ObservedFloor floor = floors.getOrDefault(floorKey, new ObservedFloor(-1, 0));
         if (newest >= 0 && newest < floor.revision && sentAt > floor.seenAt + REVERT_TOLERANCE_MICROS) {
-            log.report("CONFIG", incarnation + " goes back from " + floor.revision + " to " + newest + " of " + key);
+            log.report("CONFIG", incarnation + " reverts from " + floor.revision + " to " + newest + " of " + key);
         }
         if (oldest > floor.revision) {
             floors.put(floorKey, new ObservedFloor(oldest, now));
         }
     }
 
-    /** Whether another content was acknowledged under the same revision. */
+    /** Returns whether this version is not acknowledged, but another content is under the same revision. */
     private static boolean isSuperseded(ObservedVersion version, Map<ConfigurationItem, ObservedVersion> all) {
         return version.acknowledgedAt < 0
                 && all.values().stream()
@@ -198,16 +199,16 @@
                                 other -> other.acknowledgedAt >= 0 && other.item.revision() == version.item.revision());
     }
 
-    /** What the operator reads at the end; null if nobody responded. */
+    /** Checks the configuration read at the end of a run; {@code text} is null if no machine responded. */
     void checkFinalRead(String text, String rule, long sentAt) {
         if (text == null) {
-            log.report(rule, "no answer to the operator who reads back");
+            log.report(rule, "no machine responded to the final read of the operator");
         } else {
             checkRead(text, rule, sentAt);
         }
     }
 
-    /** What a machine has responded to a read that was sent at {@code sentAt}. */
+    /** Checks the response of a machine to a read that was sent at {@code sentAt}. */
     void checkRead(String text, long sentAt) {
         checkRead(text, "CONFIG", sentAt);
     }
@@ -219,13 +220,13 @@
             items.forEach(item -> found.put(item.key(), item));
             ConfigurationTable.of(items);
         } catch (InvalidConfigurationException e) {
-            log.report("CONFIG", "what is in force is invalid: " + e.getMessage());
+            log.report("CONFIG", "the configuration that was read is invalid: " + e.getMessage());
         }
         versions.forEach((key, all) -> checkItemRead(key, all, found.remove(key), rule, sentAt));
         found.forEach((key, item) -> log.report("CONFIG", key + " was never sent"));
     }
 
-    /** {@code read}: the item as it was read, or null if it is missing. */
+    /** Checks one item of a read; {@code read} is the item that was returned, or null if it is missing. */
     private void checkItemRead(
             String key,
             TreeMap<ConfigurationItem, ObservedVersion> all,
@@ -247,11 +248,11 @@
         }
         ObservedVersion sent = read == null ? null : all.get(read);
         if (read != null && (sent == null || sent.rejected || !sent.item.equals(read))) {
-            log.report("CONFIG", key + " reads as nobody sent it, or as it was refused: " + read);
+            log.report("CONFIG", key + " was read with a content that was never sent or was rejected: " + read);
         }
     }
 
-    /** Whether what was read is neither the acknowledged item nor one that may have replaced it. */
+    /** Returns whether the read item is neither the acknowledged one nor one that may have replaced it. */
     private static boolean isLost(
             ConfigurationItem acknowledged, TreeMap<ConfigurationItem, ObservedVersion> all, ConfigurationItem read) {
         if (read != null) {
@@ -266,7 +267,7 @@
         return true;
     }
 
-    /** Whether no version of a route leads to a service; false for a route that is not known. */
+    /** Returns whether no version of a known route targets the service; false if the route is unknown. */
     boolean isNeverRoutedTo(String route, String service) {
         TreeMap<ConfigurationItem, ObservedVersion> all = versions.get(route);
         return all != null && all.values().stream().noneMatch(version -> version.effect.equals(service));
--- a/src/main/java/reedmux/simulation/cluster/Deployment.java
+++ b/src/main/java/reedmux/simulation/cluster/Deployment.java
@@ -16,8 +16,8 @@
 import reedmux.proxy.Proxy;
 
 /**
- * The machines of a simulated deployment with their programs, which it starts, stops and restarts as a platform
- * does.
+ * The machines of a simulated deployment and their programs, which it starts, stops and restarts as an orchestration
+ * platform does.
  */
 final class Deployment {
     static final String[] ZONES = {"hall-a", "hall-b", "hall-c"};
@@ -39,7 +39,7 @@
     private Consumer<String> unexpectedExitListener = process -> {};
     private Consumer<String> violationListener = violation -> {};
 
-    /** A machine with its programs. */
+    /** A machine together with the programs that run on it: a proxy, or a store and a registry. */
     final class DeployedNode {
         private String name;
         private SimulatedMachine machine;
@@ -68,25 +68,26 @@
             return machine;
         }
 
-        /** Tells one incarnation of its proxy from another. */
+        /** Returns an identifier that differs between the incarnations of this node. */
         String incarnation() {
             return name + '#' + incarnations;
         }
 
-        /** When its processes were last started. */
+        /** Returns the simulated time in microseconds at which a process of this node was last started. */
         long startedAt() {
             return startedAt;
         }
 
         /**
-         * Sets the seeds of its settings file from the next start on; addresses without ports, or null for the
-         * first ones.
+         * Sets the seeds in the settings file, effective from the next start.
+         *
+         * @param ips the addresses without ports, or null for the initial seeds
          */
         void setSeeds(List<String> ips) {
             seeds = ips;
         }
 
-        /** The process that runs one of its programs. */
+        /** Returns the process of a role: {@code store}, {@code registry} or {@code proxy}. */
         SimulatedProcess process(String role) {
             return processes.get(role);
         }
@@ -95,7 +96,7 @@
             return shuttingDown;
         }
 
-        /** Starts its programs. */
+        /** Starts all programs of this node. */
         void start() {
             down = false;
             shuttingDown = false;
@@ -137,8 +138,8 @@
                 process.submit(() -> {});
             } catch (ProcessSettingsException e) {
                 throw new IllegalStateException(name + ": " + e.getMessage(), e);
-            } catch (IOException e) { // for instance a full disk: the platform tries again
-                log.accept(name + '/' + role + " does not start: " + e.getMessage());
+            } catch (IOException e) { // for instance because the disk is full; the platform retries the start
+                log.accept(name + '/' + role + " failed to start: " + e.getMessage());
                 unexpectedExitListener.accept(name + '/' + role);
                 simulation.scheduleAfter(RESTART_DELAY_MICROS, () -> {
                     if (!down) {
@@ -148,13 +149,13 @@
             }
         }
 
-        /** Kills its processes and restarts them after so many microseconds. */
+        /** Kills all processes of this node and restarts them after {@code downMicros}. */
         void kill(long downMicros) {
             processes.values().forEach(SimulatedProcess::kill);
             startAfter(downMicros);
         }
 
-        /** Schedules the restart; of several stops the last one decides when that is. */
+        /** Schedules the restart; if the node is stopped again before it, only the last stop restarts the node. */
         private void startAfter(long downMicros) {
             down = true;
             int stopNumber = ++stops;
@@ -166,7 +167,7 @@
             });
         }
 
-        /** Cuts its power for so many microseconds; with {@code wiped} its disk is lost as well. */
+        /** Cuts the power of the machine for {@code downMicros}; if {@code wiped}, the disk is erased as well. */
         void losePower(long downMicros, boolean wiped) {
             machine.losePower();
             if (wiped) {
@@ -176,10 +177,11 @@
         }
 
         /**
-         * Replaces the machine by another at another address.
+         * Replaces the machine by a new one at another address. Operators and checkers learn the address three seconds
+         * after the new machine starts.
          *
-         * @param newName  the new machine's name, which may be that of the old one
-         * @param withDisk whether it takes over the disk
+         * @param newName  the node name of the new machine, which may equal the old one
+         * @param withDisk whether the new machine takes over the disk of the old one
          */
         void replace(String ip, String newName, boolean withDisk, long downMicros) {
             name = newName;
@@ -199,7 +201,10 @@
                     () -> controlAddresses.set(index, SocketAddresses.parse(ip + ':' + CONTROL_PORT)));
         }
 
-        /** Shuts its programs down gracefully and restarts them; who exceeds the grace period is killed. */
+        /**
+         * Shuts the programs down gracefully; each is restarted after it has exited. If they exceed the grace period,
+         * the node is killed and restarted after {@code downMicros}.
+         */
         void terminate(long downMicros) {
             shuttingDown = true;
             int incarnation = (int) incarnations;
@@ -240,12 +245,12 @@
         }
     }
 
-    /** Sets who receives the names of processes that end, or do not start, without having been shut down. */
+    /** Sets the listener for the names of processes that exit without a requested shutdown or fail to start. */
     void onUnexpectedExit(Consumer<String> listener) {
         unexpectedExitListener = listener;
     }
 
-    /** Sets who is told of the invariants that the programs themselves find violated. */
+    /** Sets the listener for violations that the programs detect in their own invariants. */
     void onInvariantViolation(Consumer<String> listener) {
         violationListener = listener;
     }
@@ -263,7 +268,7 @@
         return coreNodes;
     }
 
-    /** The control addresses that operators and checkers know; changes with time and lags behind replacements. */
+    /** Returns the live list of control addresses known to operators and checkers; it lags behind replacements. */
     List<InetSocketAddress> controlAddresses() {
         return controlAddresses;
     }
--- a/src/main/java/reedmux/simulation/cluster/FaultSchedule.java
+++ b/src/main/java/reedmux/simulation/cluster/FaultSchedule.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * Which machines had a fault when, as far as the invariants make allowance for it. Machines are named by node or by
- * address. Times are microseconds.
+ * Records when machines and the core had faults, so that the invariants can allow for them. A machine is identified by
+ * its node name or its address. Times are microseconds.
  */
 final class FaultSchedule {
     private static final long SECOND = 1_000_000;
-    /** How long machines take to be in contact again after a fault. */
+    /** How long machines may take to regain contact after a fault. */
     private static final long CONTACT_MICROS = 3 * SECOND;
 
     private final Map<String, List<TimeSpan>> machineFaults = new HashMap<>();
@@ -25,8 +25,8 @@
     }
 
     /**
-     * A fault of the core that was undone by {@code to}. With a majority left the core settles in between, once it has
-     * noticed the fault's beginning; without one it does not.
+     * Adds a fault of the core that is repaired by {@code to}. If a majority remains, the core settles during the fault
+     * once it has detected its beginning, and is disturbed again by the repair; without a majority it doesn't settle.
      */
     void addCoreFault(long from, long to, boolean majorityLost) {
         if (majorityLost) {
@@ -38,27 +38,27 @@
         }
     }
 
-    /** A machine could reach less than a majority of the core. */
+    /** Adds an interval in which a machine could reach less than a majority of the core. */
     void addMinority(String machine, long from, long to) {
         minorities.computeIfAbsent(machine, name -> new ArrayList<>()).add(new TimeSpan(from, to));
     }
 
-    /** Whether a machine had no fault in a span and the time before it in which it regained contact. */
+    /** Returns whether a machine had no fault in an interval, nor in the time before it needed to regain contact. */
     boolean isInContact(String machine, long from, long to) {
         return !TimeSpan.overlapsAny(machineFaults.getOrDefault(machine, List.of()), from - CONTACT_MICROS, to);
     }
 
-    /** Whether the core had no fault in a span and the time before it in which it regained contact. */
+    /** Returns whether the core had no fault in an interval, nor in the time before it needed to regain contact. */
     boolean isCoreSettled(long from, long to) {
         return !TimeSpan.overlapsAny(coreFaults, from - CONTACT_MICROS, to);
     }
 
-    /** Whether the core was without a majority at some time of a span. */
+    /** Returns whether the core had no majority at any time of an interval. */
     boolean lostMajority(long from, long to) {
         return TimeSpan.overlapsAny(majorityFaults, from, to);
     }
 
-    /** Whether a process that was started at one time could reach a minority only, then and until another time. */
+    /** Returns whether a process could reach only a minority of the core from its start until {@code now}. */
     boolean wasInMinority(String machine, long startedAt, long now) {
         for (TimeSpan span : minorities.getOrDefault(machine, List.of())) {
             if (span.from() <= startedAt && now <= span.to()) {
@@ -68,7 +68,7 @@
         return false;
     }
 
-    /** The longest time within a span in which the core was settled. */
+    /** Returns the longest time within an interval during which the core was settled, in microseconds. */
     long longestSettledMicros(long from, long to) {
         long longest = 0;
         long begin = from;
--- a/src/main/java/reedmux/simulation/cluster/FaultStorm.java
+++ b/src/main/java/reedmux/simulation/cluster/FaultStorm.java
@@ -7,21 +7,21 @@
 import java.util.Set;
 
 /**
- * A day full of one kind of faults, while two operators change the configuration all the time ({@link StormTraffic}).
- * The kinds, by the number of the operators' requirement:
+ * Injects faults of one category throughout a run, while two operators continuously change the configuration
+ * ({@link StormTraffic}). The categories have these numbers:
  *
  * <ol>
- *   <li>partitions that leave a minority of the core with some proxies;
- *   <li>stops of who has just been sent or has just acknowledged a change;
- *   <li>losses of machines as soon as the one before is repaired;
- *   <li>a machine that is away while hundreds of changes are made;
- *   <li>responses of checkers that come late, twice or incomplete, and drains that are cut off.
+ *   <li>partitions that isolate a minority of the core together with some proxies;
+ *   <li>stops of a control machine that has just been sent or has just acknowledged a change;
+ *   <li>losses of machines, each as soon as the previous one is repaired;
+ *   <li>a core machine that is down while hundreds of changes are made;
+ *   <li>late, duplicate or incomplete responses of checkers, and drains that a partition or power loss interrupts.
  * </ol>
  */
 final class FaultStorm {
     private static final long SECOND = 1_000_000;
     private static final long LONG_PARTITION_MICROS = 20 * SECOND;
-    /** A machine that is back, or new, counts as lost for so long. */
+    /** How long a restarted or new machine still counts as failed, because it has to catch up first. */
     private static final long CONVERGENCE_MICROS = 4 * SECOND;
 
     private final SimulatedRun run;
@@ -34,7 +34,7 @@
     private final Random random;
     private final StormTraffic traffic;
     private final boolean replacesAddresses;
-    /** All addresses that core machines have had, the newest last. */
+    /** All addresses that core machines have or had, the newest last. */
     private final Set<String> coreAddresses = new LinkedHashSet<>();
 
     private long until;
@@ -62,7 +62,7 @@
         traffic = new StormTraffic(run, category, simulation, deployment, configurations, operators, random);
     }
 
-    /** Injects faults and sends changes from now on; the last of both some time before {@code end}. */
+    /** Injects faults and sends changes from now on; none are scheduled in the last second before {@code end}. */
     void start(long end) {
         until = end - SECOND;
         deployment.coreNodes().forEach(core -> coreAddresses.add(core.machine().ip()));
@@ -83,7 +83,7 @@
                 case 1 -> injectContactFault();
                 case 2 -> injectChangeFault();
                 case 3 -> injectRepairFault();
-                case 4 -> injectAbsence();
+                case 4 -> injectLongOutage();
                 default -> injectResponseFault();
             }
         }
@@ -129,7 +129,10 @@
         deployment.coreNodes().forEach(core -> core.kill(downMicros));
     }
 
-    /** Partitions a minority of the core with some proxies from the rest; some of these are restarted meanwhile. */
+    /**
+     * Partitions a minority of the core with some proxies from the other nodes, and kills some of these proxies during
+     * the partition.
+     */
     private void partition(Deployment.DeployedNode isolatedCore, long durationMicros) {
         partition(isolatedCore, durationMicros, random.nextInt(4) == 0);
     }
@@ -151,9 +154,9 @@
             (joinsIsolated ? isolatedProxies : others).add(proxy);
         }
         isolated.addAll(isolatedProxies);
-        run.logFault(isolated.stream().map(Deployment.DeployedNode::name).toList() + " are cut off for "
-                + durationMicros / 1000 + " ms" + (dropsOutbound ? "" : ", not out")
-                + (dropsInbound ? "" : ", not in"));
+        run.logFault(isolated.stream().map(Deployment.DeployedNode::name).toList() + " are partitioned for "
+                + durationMicros / 1000 + " ms" + (dropsOutbound ? "" : ", inbound only")
+                + (dropsInbound ? "" : ", outbound only"));
         run.noteCoreFault(null, durationMicros, false);
         for (Deployment.DeployedNode isolatedNode : isolated) {
             invariants.addMachineFault(isolatedNode.name(), simulation.now(), simulation.now() + durationMicros);
@@ -184,7 +187,7 @@
         for (Deployment.DeployedNode proxy : isolatedProxies) {
             if (durationMicros > 4 * SECOND && random.nextBoolean()) {
                 simulation.scheduleAfter(SECOND + randomDelayMicros((int) (durationMicros - 3 * SECOND)), () -> {
-                    run.logFault(proxy.name() + " is killed where it is cut off");
+                    run.logFault(proxy.name() + " is killed during its partition");
                     proxy.setSeeds(random.nextBoolean() ? seeds : null);
                     proxy.kill(500_000);
                 });
@@ -198,7 +201,7 @@
             case 0, 1 ->
                 traffic.onNextChangeSent(node -> simulation.scheduleAfter(
                         randomDelayMicros(4) == 0 ? randomDelayMicros(2_000) : randomDelayMicros(60_000), () -> {
-                            run.logFault(node.name() + " is killed with an order in its hands");
+                            run.logFault(node.name() + " is killed after it was sent a change");
                             run.noteCoreFault(node, length + SECOND, false);
                             node.kill(length);
                         }));
@@ -206,7 +209,7 @@
                 traffic.onNextChangeSent(node -> simulation.scheduleAfter(randomDelayMicros(30_000), () -> {
                     boolean wiped = random.nextInt(3) == 0;
                     run.logFault(
-                            node.name() + " loses power with an order in its hands" + (wiped ? ", and its disk" : ""));
+                            node.name() + " loses power after it was sent a change" + (wiped ? ", and its disk" : ""));
                     run.noteCoreFault(node, length + SECOND, false);
                     node.losePower(length, wiped);
                 }));
@@ -214,14 +217,14 @@
             case 4 -> freeze(randomCore(), SECOND + randomDelayMicros(19_000_000));
             case 5 ->
                 traffic.onNextAcknowledgement(() -> {
-                    run.logFault("all of the core is killed after a 200");
+                    run.logFault("all of the core is killed after a change was acknowledged");
                     killCore(300_000 + randomDelayMicros(600_000));
                 });
             default -> partition(lastAcknowledger(), length);
         }
     }
 
-    /** The next loss follows as soon as the machine before counts as repaired. */
+    /** Stops a core machine and a proxy; the next fault may follow as soon as the core machine counts as repaired. */
     private void injectRepairFault() {
         Deployment.DeployedNode node = randomCore();
         long length = 500_000 + randomDelayMicros(2_500_000);
@@ -255,29 +258,33 @@
         run.setCoreHealthyAt(simulation.now() + length + CONVERGENCE_MICROS);
     }
 
-    /** Three that have been the core's, one of which at least is now and is not the one that ends. */
+    /**
+     * Draws three current or former core addresses as seeds. At least one of them belongs to a current core machine
+     * other than {@code endingNode}.
+     */
     private List<String> drawSeeds(Deployment.DeployedNode endingNode) {
         List<String> all = new ArrayList<>(coreAddresses);
         java.util.Collections.shuffle(all, random);
         List<Deployment.DeployedNode> others = new ArrayList<>(deployment.coreNodes());
         others.remove(endingNode);
-        String now = others.get(random.nextInt(others.size())).machine().ip();
-        all.remove(now);
-        all.add(random.nextInt(Math.min(3, all.size() + 1)), now);
+        String currentAddress =
+                others.get(random.nextInt(others.size())).machine().ip();
+        all.remove(currentAddress);
+        all.add(random.nextInt(Math.min(3, all.size() + 1)), currentAddress);
         return all.subList(0, Math.min(3, all.size()));
     }
 
-    private void losePowerEverywhere(long downFor) {
+    private void losePowerEverywhere(long downMicros) {
         run.logFault("all machines lose power");
-        run.noteCoreFault(null, downFor + SECOND, true);
-        deployment.coreNodes().forEach(core -> core.losePower(downFor, false));
-        deployment.proxies().forEach(edge -> {
-            invariants.addMachineFault(edge.name(), simulation.now(), simulation.now() + downFor + SECOND);
-            edge.losePower(downFor, false);
+        run.noteCoreFault(null, downMicros + SECOND, true);
+        deployment.coreNodes().forEach(core -> core.losePower(downMicros, false));
+        deployment.proxies().forEach(proxy -> {
+            invariants.addMachineFault(proxy.name(), simulation.now(), simulation.now() + downMicros + SECOND);
+            proxy.losePower(downMicros, false);
         });
     }
 
-    private void injectAbsence() {
+    private void injectLongOutage() {
         Deployment.DeployedNode node = randomCore();
         long length = 12 * SECOND + randomDelayMicros(8_000_000);
         switch (random.nextInt(8)) {
@@ -298,7 +305,7 @@
             }
             case 4 -> traffic.onNextAcknowledgement(() -> losePowerEverywhere(300_000 + randomDelayMicros(600_000)));
             case 5 -> {
-                run.logFault(node.name() + " is killed, and its disk is full when it starts");
+                run.logFault(node.name() + " is killed, and its disk is full when it restarts");
                 run.noteCoreFault(node, 6 * SECOND, false);
                 node.machine().disk().setFull(true);
                 node.kill(SECOND);
@@ -334,7 +341,7 @@
                     if (partitions) {
                         partition(acknowledger, LONG_PARTITION_MICROS / 2, true);
                     } else {
-                        run.logFault(acknowledger.name() + " loses power after it has acknowledged a drain");
+                        run.logFault(acknowledger.name() + " loses power after it acknowledged a drain");
                         run.noteCoreFault(acknowledger, length + SECOND, false);
                         acknowledger.losePower(length, false);
                     }
@@ -343,12 +350,12 @@
                 run.setCoreHealthyAt(simulation.now());
             }
             case 5 -> {
-                run.logFault("one tenant sends many times its usual");
+                run.logFault("one tenant sends many times its usual request rate");
                 run.surge(configurations.planRequest().tenant(), simulation.now() + 5 * SECOND);
                 run.setCoreHealthyAt(simulation.now() + 4 * SECOND);
             }
             default -> {
-                run.logFault("checkers answer late, twice, in part or not at all");
+                run.logFault("checkers send late, duplicate, incomplete or no responses");
                 run.checkers().forEach(checker -> checker.sendFaultyResponses(0.05));
                 run.setCoreHealthyAt(simulation.now() + length);
                 simulation.scheduleAfter(
--- a/src/main/java/reedmux/simulation/cluster/ProcessLoad.java
+++ b/src/main/java/reedmux/simulation/cluster/ProcessLoad.java
@@ -1,15 +1,15 @@
 package reedmux.simulation.cluster;
 
-/** What the processes of one role on one machine have done, whichever life of them it was. */
+/** Load counters of the processes with one role on one machine, summed over all their incarnations. */
 final class ProcessLoad {
     long sentBytes;
     long receivedBytes;
     long messages;
     long events;
-    /** Time on the processor of this program, nanoseconds; sockets cost nothing here. */
+    /** CPU time of the program's own code in nanoseconds; simulated sockets use no CPU time of a kernel. */
     long cpuNanos;
 
-    /** What was added since an earlier look. */
+    /** Returns the increase of each counter since an earlier snapshot. */
     ProcessLoad since(ProcessLoad before) {
         ProcessLoad difference = new ProcessLoad();
         difference.sentBytes = sentBytes - before.sentBytes;
--- a/src/main/java/reedmux/simulation/cluster/RandomFaults.java
+++ b/src/main/java/reedmux/simulation/cluster/RandomFaults.java
@@ -5,12 +5,12 @@
 import java.util.Random;
 
 /**
- * Injects faults of all kinds at random times into a simulated day: into core machines one at a time, and only while
- * the core is healthy, into proxies and checkers at any time. Times are microseconds.
+ * Injects faults of all kinds at random times into a simulated run. Core machines fail one at a time and only while the
+ * core is healthy; proxies and checkers fail at any time. Times are microseconds.
  */
 final class RandomFaults {
     private static final long SECOND = 1_000_000;
-    /** Kinds of faults by their number: those of the core, then of proxies, then of checkers, and a late one again. */
+    /** Number of fault kinds, numbered in this order: core, proxies, checkers, then core faults again. */
     private static final int KINDS = 24;
 
     private static final int FIRST_PROXY_KIND = 11;
@@ -48,7 +48,7 @@
         this.random = random;
     }
 
-    /** Injects faults from now on until a time. */
+    /** Injects faults from now on until the simulated time {@code until}. */
     void start(long until) {
         if (simulation.now() > until) {
             return;
@@ -87,7 +87,9 @@
             }
             case 2, 3 -> losePowerAfterAcknowledgement(node, length, kind == 3);
             case 4, 5, 6 -> {
-                run.logFault(node.name() + " is cut off, way " + kind + ", " + length / MICROS_PER_MILLI + " ms");
+                // kind 4 drops both directions, 5 only outbound and 6 only inbound traffic
+                run.logFault(node.name() + " is partitioned (fault kind " + kind + ") for " + length / MICROS_PER_MILLI
+                        + " ms");
                 run.noteCoreFault(node, length, false);
                 partition(node, length, kind != 6, kind != 5, random.nextBoolean());
             }
@@ -104,7 +106,8 @@
     private void losePowerAfterAcknowledgement(Deployment.DeployedNode node, long length, boolean wiped) {
         run.setCoreHealthyAt(simulation.now() + 10 * SECOND);
         run.onNextAcknowledgement(() -> {
-            run.logFault(node.name() + " loses power" + (wiped ? " and its disk" : "") + " after a 200");
+            run.logFault(
+                    node.name() + " loses power" + (wiped ? " and its disk" : "") + " after a change was acknowledged");
             run.noteCoreFault(node, length + SECOND, false);
             node.losePower(length, wiped);
         });
@@ -126,14 +129,14 @@
                 simulation.scheduleAfter(length, () -> node.machine().disk().setFull(false));
             }
             default -> {
-                run.logFault(node.name() + " has a disk that hangs");
+                run.logFault(node.name() + " has a hanging disk");
                 run.noteCoreFault(node, length, false);
                 disk.hangUntil(simulation.now() + length);
             }
         }
     }
 
-    /** Has a checker drain, and stops who acknowledges that, or all of the core. */
+    /** Drains a checker, and stops the control machine that acknowledges the drain, or the whole core. */
     private void stopCoreAfterDrain(long length) {
         boolean all = random.nextBoolean();
         run.onNextDrainAcknowledgement(acknowledger -> {
@@ -152,7 +155,7 @@
         }
     }
 
-    /** Drops what a machine sends to the others of the system, what it receives from them, or both. */
+    /** Partitions a machine from the other nodes for outbound traffic, inbound traffic or both. */
     private void partition(
             Deployment.DeployedNode node,
             long durationMicros,
@@ -201,7 +204,7 @@
             }
             case 13 -> rollingRestart(0, Math.max(2, deployment.proxies().size() / 3));
             case 14 -> {
-                run.logFault(node.name() + " is cut off");
+                run.logFault(node.name() + " is partitioned");
                 invariants.addMachineFault(node.name(), simulation.now(), simulation.now() + length);
                 partition(node, length, true, true, false);
             }
@@ -218,11 +221,11 @@
         }
     }
 
-    /** Restarts proxies from one on gracefully, one after the other. */
+    /** Gracefully restarts the proxies from index {@code next} up to {@code count}, one after the other. */
     private void rollingRestart(int next, int count) {
         if (next < count) {
             Deployment.DeployedNode node = deployment.proxies().get(next);
-            run.logFault(node.name() + " is told to end");
+            run.logFault(node.name() + " is shut down gracefully");
             invariants.addMachineFault(node.name(), simulation.now() + 6 * SECOND, simulation.now() + 8 * SECOND);
             node.terminate(300_000);
             simulation.scheduleAfter(1_300_000, () -> rollingRestart(next + 1, count));
@@ -248,22 +251,22 @@
                 simulation.scheduleAfter(2 * SECOND, () -> checkers.start(machine, service));
             }
             case 18, 19 -> {
-                run.logFault(checker.id() + " leaves, and its address goes to another");
+                run.logFault(checker.id() + " drains, and another checker reuses its address");
                 checker.drain();
                 checkers.replaceOnceEnded(checker, machine, service);
             }
             case 20 -> {
                 if (random.nextBoolean()) {
-                    run.logFault("one tenant sends many times its usual");
+                    run.logFault("one tenant sends many times its usual request rate");
                     run.surge(configurations.planRequest().tenant(), simulation.now() + 5 * SECOND);
                     return;
                 }
-                run.logFault("answers are lost");
+                run.logFault("checkers lose responses");
                 all.forEach(each -> each.loseResponses(0.04));
                 simulation.scheduleAfter(4 * SECOND, () -> all.forEach(each -> each.loseResponses(0)));
             }
             default -> {
-                run.logFault(checker.id() + " is killed, and its address goes to another at once");
+                run.logFault(checker.id() + " is killed, and another checker soon reuses its address");
                 checker.crash();
                 simulation.scheduleAfter(SECOND * 2, () -> checkers.start(machine, 1 - service));
             }
--- a/src/main/java/reedmux/simulation/cluster/SimulatedDisk.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedDisk.java
@@ -17,14 +17,15 @@
 import reedmux.common.disk.Volume;
 
 /**
- * A simulated disk. What a sync has covered is durable. After a loss of power each later write has survived, is
- * missing or is torn, and names are durable once their directory was synced. The disk records the operations since the
- * last loss with the time at which each completes, so that a process or the power may end between any two.
+ * A simulated disk. Data is durable once a sync covers it. When the machine loses power, each write since the last sync
+ * survives, is lost or is torn. File names are durable once their directory is synced. The disk records all operations
+ * since the last crash with their completion times, so that a process crash or a power loss can happen between any two
+ * of them.
  */
 final class SimulatedDisk {
     private static final long WRITE_MICROS = 60;
     private final ClusterSimulation simulation;
-    /** Files by name, as processes see them. */
+    /** Current files by name, as processes see them, including data that is not synced. */
     private Map<String, DiskFileContent> files = new TreeMap<>();
 
     private Map<String, byte[]> durable = new TreeMap<>();
@@ -34,7 +35,7 @@
     private boolean full;
     private long hungUntil;
 
-    /** A file's bytes; renames and deletions change names only. */
+    /** The content of a file; renaming or deleting a file changes names only. */
     private static final class DiskFileContent {
         private byte[] bytes = {};
 
@@ -68,7 +69,7 @@
         this.simulation = simulation;
     }
 
-    /** When all operations so far are completed. */
+    /** Returns the time in microseconds at which all operations submitted so far are completed, at least now. */
     long idleAt() {
         return Math.max(idleAt, simulation.now());
     }
@@ -100,7 +101,7 @@
         }
     }
 
-    /** Loses everything. */
+    /** Erases all files, including durable ones, as when the disk is lost. */
     void wipe() {
         files = new TreeMap<>();
         durable = new TreeMap<>();
@@ -108,9 +109,10 @@
     }
 
     /**
-     * Applies the end of a process, or with {@code power} a loss of power. Operations that were not completed have not
-     * happened. After a loss of power the fate of each operation that was not synced is drawn, and of each name by
-     * itself; one loss in three loses all of them.
+     * Applies a process crash, or a power loss if {@code powerLost}. Operations that were not completed by now have no
+     * effect, except that a power loss may persist the first of these if it is a write. At a power loss the outcome of
+     * each unsynced operation, and of each changed name, is drawn independently; one power loss in three discards all
+     * of them.
      */
     void crash(boolean powerLost) {
         Map<String, DiskFileContent> current = copyOfDurable();
@@ -165,7 +167,7 @@
         files.forEach((name, file) -> durable.put(name, file.bytes.clone()));
     }
 
-    /** Draws for each name that changed since the directory's last sync whether the change has survived. */
+    /** Draws for each name that changed since the last sync of the directory whether the change survives. */
     private Map<String, DiskFileContent> drawSurvivingNames(
             Map<String, DiskFileContent> lastSynced,
             Map<String, DiskFileContent> current,
@@ -310,7 +312,7 @@
 
         @Override
         public void close() {
-            // no resource
+            // the simulated file holds no resource
         }
     }
 }
--- a/src/main/java/reedmux/simulation/cluster/SimulatedMachine.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedMachine.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A simulated machine: an address, processes, and a disk if it has one. */
+/** A simulated machine with an IP address, a zone, running processes and an optional disk. */
 public final class SimulatedMachine {
     private final ClusterSimulation simulation;
     private final String ip;
@@ -20,7 +20,7 @@
         this(simulation, ip, zone, withDisk ? new SimulatedDisk(simulation) : null);
     }
 
-    /** A machine with a given disk, which may have been another's, or null for none. */
+    /** Creates a machine with the given disk, which may come from another machine, or null for no disk. */
     SimulatedMachine(ClusterSimulation simulation, String ip, String zone, SimulatedDisk disk) {
         this.simulation = simulation;
         this.ip = ip;
@@ -45,7 +45,7 @@
         return powered;
     }
 
-    /** What all incarnations of a process of that name have done. */
+    /** Returns the load counters of a process name, summed over all incarnations of the process. */
     ProcessLoad load(String processName) {
         return loads.computeIfAbsent(processName, name -> new ProcessLoad());
     }
@@ -76,7 +76,7 @@
         return null;
     }
 
-    /** Ends all processes without notice to their peers and loses what the disk had not synced. */
+    /** Ends all processes without notifying their peers; the disk may lose or tear writes that were not synced. */
     void losePower() {
         powered = false;
         List.copyOf(processes).forEach(SimulatedProcess::losePower);
--- a/src/main/java/reedmux/simulation/cluster/SimulatedProcess.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedProcess.java
@@ -18,20 +18,20 @@
 import reedmux.common.logging.RingBufferLogger;
 
 /**
- * One process of the simulation and the environment of its reactor: a thread that runs one event at a time, sockets on
- * its machine, and the machine's disk. Each event takes {@code eventCostMicros} of simulated time.
+ * A simulated process and the environment of its reactor: one thread that runs one event at a time, sockets on its
+ * machine, and the disk of the machine. Each event takes {@code eventCostMicros} of simulated time.
  */
 public final class SimulatedProcess implements Environment {
     private static final int FIRST_EPHEMERAL_PORT = 40_000;
     private final ClusterSimulation simulation;
     private final SimulatedMachine machine;
     private final String name;
-    /** The simulated time that each event occupies the thread. */
+    /** Simulated time in microseconds for which each event occupies the thread. */
     private final long eventCostMicros;
 
     private final Reactor reactor;
     private final ProcessLoad load;
-    /** Whether it is one of the system's programs rather than a stand-in. */
+    /** Whether this process runs a production program, rather than a simulated client, operator or checker. */
     private final boolean systemProgram;
 
     private final Deque<Runnable> tasks = new ArrayDeque<>();
@@ -80,7 +80,7 @@
         return alive;
     }
 
-    /** Sets what is run when the process ends by itself. */
+    /** Sets the task that runs when the program stops its reactor and the process exits. */
     void onExit(Runnable task) {
         exitListener = task;
     }
@@ -91,7 +91,7 @@
     }
 
     // ---- Thread ------------------------------------------------------------------------------------
-    /** Runs an event on the process's thread as soon as that is free. */
+    /** Runs an event on the thread of the process as soon as the thread is idle. */
     void submit(Runnable event) {
         simulation.scheduleAt(Math.max(simulation.now(), busyUntil), () -> runEvent(event));
     }
@@ -141,7 +141,7 @@
 
     @Override
     public void execute(Runnable task) {
-        if (inDiskWork) { // results of disk work arrive once the disk is done with it
+        if (inDiskWork) { // results of disk work are delivered when the disk has completed it
             simulation.scheduleAt(machine.disk().idleAt(), () -> addTask(task));
         } else {
             addTask(task);
@@ -160,7 +160,7 @@
 
     @Override
     public void awaitReadiness(long until) {
-        throw new IllegalStateException("time passes in the simulation");
+        throw new IllegalStateException("a simulated process cannot block: the simulation advances the time");
     }
 
     @Override
@@ -202,7 +202,7 @@
     }
 
     // ---- Exit --------------------------------------------------------------------------------------
-    /** Ends the process; the kernel closes its sockets, so peers see the end. */
+    /** Kills the process; the kernel closes its sockets, so its peers see the connections end. */
     void kill() {
         if (alive) {
             alive = false;
@@ -214,7 +214,7 @@
         }
     }
 
-    /** Ends the process as its machine loses power: peers see nothing. */
+    /** Ends the process because its machine loses power; its peers receive no notification. */
     void losePower() {
         alive = false;
         machine.processEnded(this);
@@ -235,7 +235,7 @@
         return udpSockets.get(port);
     }
 
-    /** Counts bytes written to a peer; only those between the system's own programs. */
+    /** Counts bytes written to a peer; traffic with simulated clients, operators and checkers is not counted. */
     void countWrite(SimulatedProcess receiver, int byteCount) {
         if (systemProgram && receiver.systemProgram) {
             load.sentBytes += byteCount;
--- a/src/main/java/reedmux/simulation/cluster/SimulatedRun.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedRun.java
@@ -6,9 +6,10 @@
 import java.util.function.Consumer;
 
 /**
- * One simulated day of a deployment, drawn from a seed: traffic, changes of the configuration and faults, perhaps a
- * closing fault that stops everything right after an acknowledgement, and a final read of the configuration. Everything
- * random comes from one generator in the order of events, so a seed always gives the same day. Times are microseconds.
+ * One simulated run of a deployment, derived from a seed: client traffic, configuration changes and faults, in some runs
+ * a closing fault that stops all machines right after an acknowledgement, and a final read of the configuration. Random
+ * values are drawn from seeded generators in the order of events, so a seed always reproduces the same run. Times are
+ * microseconds.
  */
 public final class SimulatedRun {
     private static final long SECOND = 1_000_000;
@@ -34,22 +35,22 @@
     private final RunOptions options;
     private long startedAt;
     private long coreHealthyAt;
-    /** Run once when a change is acknowledged; or null. */
+    /** Runs once when the next change of the first operator is acknowledged; null if there is no such action. */
     private Runnable onNextAcknowledgement;
-    /** Applied once to the control machine that acknowledges a drain; or null. */
+    /** Runs once for the next control machine that acknowledges a drain; null if there is no such action. */
     private Consumer<Deployment.DeployedNode> onNextDrainAcknowledgement;
 
     /**
-     * How a day went.
+     * The result of a run.
      *
-     * @param seed            the day's seed
-     * @param violations      of invariants; empty for a good day
-     * @param faults          what was injected, with seconds from the start of traffic
-     * @param digest          of what was observed; a seed that is run again has the same
-     * @param requests        of clients
-     * @param served          of these requests
-     * @param events          that were simulated
-     * @param simulatedMicros the day's length
+     * @param seed            the seed of the run
+     * @param violations      the violated invariants; empty if the run passed
+     * @param faults          the injected faults, each with the seconds since the start of traffic
+     * @param digest          the digest of all observations; a rerun of the seed yields the same one
+     * @param requests        the number of client requests
+     * @param served          the number of client requests that were served
+     * @param events          the number of simulated events
+     * @param simulatedMicros the simulated duration of the run
      */
     public record RunOutcome(
             long seed,
@@ -62,14 +63,15 @@
             long simulatedMicros) {}
 
     /**
-     * What all days of a run have in common.
+     * The options that all runs of a batch share.
      *
-     * @param proxies           proxies, spread over the zones
-     * @param cores             core machines, spread over the zones
-     * @param requestsPerSecond for each proxy
-     * @param storm             changes that conflict with each other, all the time, while the core has faults
-     * @param faultCategory             1 to 5: a long day of one kind of faults, see {@link FaultStorm}; 0 for a usual day
-     * @param replacesAddresses whether core machines are replaced at other addresses, too
+     * @param proxies           number of proxies, spread over the zones
+     * @param cores             number of core machines, spread over the zones
+     * @param requestsPerSecond client requests per second for each proxy
+     * @param storm             whether operators continuously send conflicting changes while the core has faults
+     * @param faultCategory     1 to 5 for a long run with one category of faults, see {@link FaultStorm}; 0 for a run
+     *                          of the usual length with faults of all kinds
+     * @param replacesAddresses whether core machines are also replaced by machines at other addresses
      */
     public record RunOptions(
             int proxies,
@@ -79,7 +81,7 @@
             int faultCategory,
             boolean replacesAddresses) {
 
-        /** A usual day. */
+        /** Creates the options of a run with faults of all kinds, of the usual length. */
         public RunOptions(int proxies, int cores, double requestsPerSecond, boolean storm) {
             this(proxies, cores, requestsPerSecond, storm, 0, false);
         }
@@ -103,7 +105,7 @@
         }
     }
 
-    /** Runs one day; {@code log} receives what the processes log. */
+    /** Executes one run; {@code log} receives the log lines of the processes and the injected faults. */
     public static RunOutcome run(long seed, RunOptions options, Consumer<String> log) {
         return new SimulatedRun(seed, options, log).run(seed);
     }
@@ -111,7 +113,7 @@
     void logFault(String description) {
         String line = String.format("%.3f %s", (simulation.now() - startedAt) / 1e6, description);
         faultLog.add(line);
-        log.accept("day: " + line);
+        log.accept("fault: " + line);
     }
 
     private RunOutcome run(long seed) {
@@ -191,7 +193,7 @@
                         status -> {});
     }
 
-    /** Reads the configuration as an operator does; a lost change violates {@code rule}. */
+    /** Reads the configuration as an operator does; a lost change is reported as a violation of {@code rule}. */
     private void checkFinalConfiguration(String rule) {
         String[] read = {null};
         long[] sentAt = {0};
@@ -290,10 +292,11 @@
     }
 
     /**
-     * Notes a fault of the core for so many microseconds, so that no other begins before the core is healthy again.
+     * Records a fault of the core that lasts {@code durationMicros}. No other core fault is injected until the core has
+     * had five more seconds to recover.
      *
-     * @param node         the machine, or null for all
-     * @param majorityLost whether no majority of the core is left meanwhile
+     * @param node         the failed machine, or null if the fault is not of one machine only
+     * @param majorityLost whether the core has no majority during the fault
      */
     void noteCoreFault(Deployment.DeployedNode node, long durationMicros, boolean majorityLost) {
         invariants.addCoreFault(simulation.now(), simulation.now() + durationMicros, majorityLost);
@@ -304,39 +307,39 @@
         coreHealthyAt = Math.max(coreHealthyAt, simulation.now() + durationMicros + 5 * SECOND);
     }
 
-    /** Whether the core has recovered from its last fault, so that another may follow. */
+    /** Returns whether the core has recovered from its last fault, so that another one may be injected. */
     boolean isCoreHealthy() {
         return simulation.now() >= coreHealthyAt;
     }
 
-    /** Sets when the core counts as recovered. */
+    /** Sets the time from which the core counts as recovered. */
     void setCoreHealthyAt(long time) {
         coreHealthyAt = time;
     }
 
-    /** Sets what happens once the next change of the first operator is acknowledged. */
+    /** Sets the action that runs when the next change of the first operator is acknowledged. */
     void onNextAcknowledgement(Runnable action) {
         onNextAcknowledgement = action;
     }
 
-    /** Sets what happens to the next control machine that acknowledges a drain while the core is healthy. */
+    /** Sets the action applied to the next control machine that acknowledges a drain while the core is healthy. */
     void onNextDrainAcknowledgement(Consumer<Deployment.DeployedNode> action) {
         onNextDrainAcknowledgement = action;
     }
 
-    /** Drains a checker that serves on for longer than it has to, and replaces it. */
+    /** Drains a checker, which keeps serving {@code lingerMicros} longer than required, and replaces it. */
     void drainAndReplace(SimulatedChecker checker, long lingerMicros) {
-        logFault(checker.id() + " leaves and serves on for " + lingerMicros / 1000 + " ms more");
+        logFault(checker.id() + " drains and keeps serving for " + lingerMicros / 1000 + " ms longer than required");
         checker.drain(lingerMicros);
         checkers.replaceOnceEnded(checker, checker.machine(), random.nextInt(2));
     }
 
-    /** The checkers that have not ended; changes with time. */
+    /** Returns a live view of the checkers that have not ended. */
     List<SimulatedChecker> checkers() {
         return checkers.all();
     }
 
-    /** Has one tenant send many times its usual rate until a time. */
+    /** Sends many times the usual request rate of one tenant until a time. */
     void surge(String tenant, long until) {
         for (int i = 0; i < SURGE_REQUESTS; i++) {
             clients.request(configurations.planRequest(tenant));
@@ -346,7 +349,7 @@
         }
     }
 
-    /** The closing fault, right after a change was acknowledged: all processes or machines at once. */
+    /** Injects the closing fault right after an acknowledgement: kills all processes or cuts the power everywhere. */
     private void injectClosingFault() {
         List<Deployment.DeployedNode> all = new ArrayList<>(deployment.coreNodes());
         all.addAll(deployment.proxies());
@@ -356,7 +359,8 @@
         logFault(
                 kind == 0
                         ? "all processes are killed"
-                        : "all lose power" + (wiped == null ? "" : ", and " + wiped.name() + " its disk"));
+                        : "all machines lose power"
+                                + (wiped == null ? "" : ", and the disk of " + wiped.name() + " is lost"));
         invariants.addCoreFault(simulation.now(), simulation.now() + downMicros + SECOND, true);
         for (Deployment.DeployedNode node : all) {
             invariants.addMachineFault(node.name(), simulation.now(), simulation.now() + downMicros + SECOND);
--- a/src/main/java/reedmux/simulation/cluster/SimulatedRunBatch.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedRunBatch.java
@@ -8,20 +8,26 @@
 import java.util.concurrent.Future;
 import java.util.function.Consumer;
 
-/** Many days, played side by side and told in their order. */
+/** Executes many simulated runs in parallel and reports their outcomes in the order of their seeds. */
 public final class SimulatedRunBatch {
     private final SimulatedRun.RunOptions options;
 
-    /** What many days come to. */
+    /** The totals of a batch of runs; the digest combines the digests of all runs. */
     public record BatchTotals(
             int runs, int violatedRuns, long requests, long served, long simulatedMicros, long digest) {}
 
-    /** A runner of days of one shape. */
+    /** Creates a batch whose runs all have the same options. */
     public SimulatedRunBatch(SimulatedRun.RunOptions options) {
         this.options = options;
     }
 
-    /** Plays the days of these seeds; {@code log} hears processes, {@code told} each day once it is over. */
+    /**
+     * Executes one run for each seed from {@code firstSeed} to {@code lastSeed}, both included.
+     *
+     * @param jobs            how many runs execute concurrently
+     * @param log             receives the log lines of the simulated processes
+     * @param outcomeListener receives each outcome, in the order of the seeds
+     */
     public BatchTotals run(
             long firstSeed,
             long lastSeed,
--- a/src/main/java/reedmux/simulation/cluster/SimulatedTcpServerSocket.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedTcpServerSocket.java
@@ -5,7 +5,7 @@
 import java.util.Deque;
 import reedmux.common.eventloop.Environment;
 
-/** A simulated listening socket; connections beyond its backlog are dropped. */
+/** A simulated listening TCP socket; it drops connection attempts while its backlog is full. */
 public final class SimulatedTcpServerSocket implements Environment.TcpServerSocket {
     private final SimulatedProcess process;
     private final InetSocketAddress address;
@@ -23,7 +23,7 @@
         this.onClose = onClose;
     }
 
-    /** Adds an established connection; returns false if the backlog is full. */
+    /** Queues an established connection for {@link #accept}; returns false if the backlog is full. */
     boolean enqueue(SimulatedTcpSocket connection) {
         if (backlogQueue.size() >= backlog) {
             return false;
--- a/src/main/java/reedmux/simulation/cluster/SimulatedTcpSocket.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedTcpSocket.java
@@ -8,16 +8,16 @@
 import reedmux.common.eventloop.Environment;
 
 /**
- * One end of a simulated TCP connection. Data arrives in order after a drawn delay; what a partition holds up is
- * transmitted again once it is healed, until the side that opened the connection gives up by keepalive. The window of
- * {@value #WINDOW_BYTES} bytes blocks a writer whose peer does not read.
+ * One end of a simulated TCP connection. Data arrives in order after a random delay. Data that a partition blocks is
+ * retransmitted after the partition has healed, unless the keepalive of the side that opened the connection times out
+ * first. The window of {@value #WINDOW_BYTES} bytes blocks a writer whose peer does not read.
  */
 public final class SimulatedTcpSocket implements Environment.TcpSocket {
     private static final int WINDOW_BYTES = 64 * 1024;
     private static final long FIRST_SYN_RETRY_MICROS = 1_000_000;
     private static final long RETRANSMIT_MICROS = 200_000;
     private static final long KEEPALIVE_INTERVAL_MICROS = 1_000_000;
-    /** The side that opened the connection gives it up after so long without a path to the peer. */
+    /** The side that opened the connection fails it when the peer has been unreachable for this long. */
     private static final long KEEPALIVE_TIMEOUT_MICROS = 5 * KEEPALIVE_INTERVAL_MICROS;
 
     private final SimulatedProcess process;
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Sends the SYN; one that is dropped is sent again with exponential backoff. */
+    /** Sends the SYN, and retransmits a dropped one with exponential backoff that starts at one second. */
     void sendSyn(SimulatedMachine target, int port, int attempt) {
         long retryDelayMicros = FIRST_SYN_RETRY_MICROS << attempt;
         Runnable retry = () -> {
@@ -125,7 +125,7 @@
     }
 
     // ---- Transmission ------------------------------------------------------------------------------
-    /** Has something arrive at the peer, in order; what a partition holds up goes on when it is healed. */
+    /** Runs {@code arrival} at the peer in order; a partition delays it until the path is healed. */
     private void transmit(Runnable arrival) {
         if (peer == null) {
             return;
@@ -160,8 +160,8 @@
     }
 
     private void deliver(Runnable arrival) {
-        if (peer.powerLost) { // its machine has lost power: restarted, it resets the connection; until then it is
-            // silent
+        if (peer.powerLost) {
+            // a machine that lost power doesn't respond; once it is restarted it resets the connection
             if (peer.process.machine().powered()) {
                 replyFrom(peer.process.machine(), () -> fail(new IOException("Connection reset by peer")));
             }
@@ -324,7 +324,7 @@
         }
     }
 
-    /** Its machine has lost power: the peer is told nothing, and nothing is remembered. */
+    /** Discards the connection state without notifying the peer, as a machine does that loses power. */
     void losePower() {
         powerLost = true;
         closed = true;
--- a/src/main/java/reedmux/simulation/cluster/SimulatedUdpSocket.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedUdpSocket.java
@@ -6,7 +6,7 @@
 import java.util.Deque;
 import reedmux.common.eventloop.Environment;
 
-/** A simulated UDP socket: datagrams are delayed, lost at random, and dropped when the queue is full. */
+/** A simulated UDP socket: datagrams are delayed, lost at random, and dropped when the receive queue is full. */
 public final class SimulatedUdpSocket implements Environment.UdpSocket {
     private static final int MAX_QUEUED = 256;
     private final SimulatedProcess process;
--- a/src/main/java/reedmux/simulation/cluster/StormTraffic.java
+++ b/src/main/java/reedmux/simulation/cluster/StormTraffic.java
@@ -6,8 +6,8 @@
 import reedmux.simulation.cluster.ClusterInvariantChecker.ExpectedDecision;
 
 /**
- * What the two operators of a {@link FaultStorm} send: changes that contend with each other or depend on each other,
- * and reads in between. Faults can be tied to the next change that is sent or acknowledged. Times are microseconds.
+ * The traffic of the two operators during a {@link FaultStorm}: changes that conflict with or depend on each other, and
+ * reads in between. A fault can be triggered by the next change that is sent or acknowledged. Times are microseconds.
  */
 final class StormTraffic {
     private static final long SECOND = 1_000_000;
@@ -21,12 +21,12 @@
     private final List<SimulatedOperator> operators;
     private final Random random;
     private long until;
-    /** Run once when a change is acknowledged while the core is healthy; or null. */
+    /** Runs once when a change is acknowledged while the core is healthy; null if there is no such action. */
     private Runnable onNextAcknowledgement;
-    /** Applied once to the control machine that is sent a change while the core is healthy; or null. */
+    /** Runs once for the control machine that is sent a change while the core is healthy; null if there is no action. */
     private Consumer<Deployment.DeployedNode> onNextChangeSent;
 
-    /** {@code point}: the storm's kind, see {@link FaultStorm}. */
+    /** Creates the traffic of a storm; {@code category} is one of the categories of {@link FaultStorm}. */
     StormTraffic(
             SimulatedRun run,
             int category,
@@ -44,7 +44,7 @@
         this.random = random;
     }
 
-    /** Sends changes and reads from now on until a time. */
+    /** Sends changes and reads from now on until the simulated time {@code end}. */
     void start(long end) {
         until = end;
         for (SimulatedOperator operator : operators) {
@@ -67,17 +67,17 @@
         }
     }
 
-    /** Sets what happens once the next change is acknowledged while the core is healthy. */
+    /** Sets the action that runs when the next change is acknowledged while the core is healthy. */
     void onNextAcknowledgement(Runnable action) {
         onNextAcknowledgement = action;
     }
 
-    /** Sets what happens to the next control machine that is sent a change while the core is healthy. */
+    /** Sets the action applied to the next control machine that is sent a change while the core is healthy. */
     void onNextChangeSent(Consumer<Deployment.DeployedNode> action) {
         onNextChangeSent = action;
     }
 
-    /** Whether an action that was set has not happened yet. */
+    /** Returns whether an action is set that has not run yet. */
     boolean hasPendingAction() {
         return onNextAcknowledgement != null || onNextChangeSent != null;
     }
@@ -93,7 +93,7 @@
         simulation.scheduleAfter(mean / 2 + random.nextInt((int) mean), this::sendChanges);
     }
 
-    /** Sends one change, or two from both operators that contend. */
+    /** Sends one change, a chain of dependent changes, or two concurrent changes, one from each operator. */
     private void sendChange(SimulatedOperator first) {
         SimulatedOperator second = operators.get(1 - operators.indexOf(first));
         int kind = random.nextInt(category == 2 ? 10 : 14);
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Sends changes, each once the one before was acknowledged, to any control machine. */
+    /** Sends a chain of changes, each after the acknowledgement of the one before, to random control machines. */
     private void sendChain(SimulatedOperator operator, List<String> calls, int next) {
         if (next < calls.size()) {
             send(operator, calls.get(next), ExpectedDecision.ACCEPT, 0, () -> sendChain(operator, calls, next + 1));
--- a/src/main/java/reedmux/simulation/cluster/ViolationLog.java
+++ b/src/main/java/reedmux/simulation/cluster/ViolationLog.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The violations of one run, each once, up to a limit. */
+/** Collects the distinct violations of one run, up to {@value #MAX_VIOLATIONS} of them. */
 final class ViolationLog {
     private static final int MAX_VIOLATIONS = 40;
     private final List<String> violations = new ArrayList<>();
 
-    /** Adds a violation of a rule unless it is known already. */
+    /** Records a violation of a rule, unless the same violation is already recorded or the limit is reached. */
     void report(String rule, String description) {
         String line = rule + ": " + description;
         if (violations.size() < MAX_VIOLATIONS && !violations.contains(line)) {
