--- a/src/main/java/reedmux/simulation/cluster/CatchUpExperiment.java
+++ b/src/main/java/reedmux/simulation/cluster/CatchUpExperiment.java
@@ -12,7 +12,9 @@
 import reedmux.control.rpc.Messages.DecisionNotice;
 import reedmux.simulation.scenario.ScenarioChecks;
 
-/** A core of three of which one machine misses changes, is started again or loses its disk. */
+/**
+ * Measures how a core machine catches up with the other two after it misses changes, is restarted or loses its disk.
+ */
 public final class CatchUpExperiment {
     static final long SECOND_MICROS = 1_000_000;
     private static final int ITEMS_PER_CALL = 500;
@@ -25,7 +27,7 @@
     private final Deployment.DeployedNode laggard;
     private long revision;
 
-    /** What a disk has. */
+    /** The configuration on a disk: the number of items, and whether a complete copy was written. */
     public record DiskContent(int items, boolean complete) {}
 
     CatchUpExperiment(long seed) {
@@ -46,7 +48,7 @@
         return laggard;
     }
 
-    /** Changes items from one on, so many, in calls of some hundred. */
+    /** Changes {@code count} items from index {@code first} on, in calls of {@value #ITEMS_PER_CALL} items. */
     void changeItems(int first, int count) {
         revision++;
         for (int from = first; from < first + count; from += ITEMS_PER_CALL) {
@@ -60,13 +62,13 @@
             for (long end = simulation.now() + TIMEOUT_MICROS; !done[0]; ) {
                 simulation.runFor(SECOND_MICROS / 20);
                 if (simulation.now() > end) {
-                    throw new IllegalStateException("no answer to a change: " + log);
+                    throw new IllegalStateException("a change was not acknowledged: " + log);
                 }
             }
         }
     }
 
-    /** A call that changes so many tenants. */
+    /** Returns the body of a call that changes {@code count} tenants from index {@code first} on. */
     static String tenantsChange(int first, int count, long revision) {
         StringBuilder body = new StringBuilder("{\"apply\":{\"signals\":[");
         for (int i = first; i < first + count; i++) {
@@ -82,7 +84,7 @@
         return body.append("]}}").toString();
     }
 
-    /** Bytes that the late one's store has got. */
+    /** Returns the bytes that the store of the lagging machine has received. */
     long receivedBytes() {
         return laggard.machine().load(laggard.name() + "/store").receivedBytes;
     }
@@ -107,7 +109,10 @@
         return new DiskContent(replica.committed().size(), complete);
     }
 
-    /** The bytes it takes, and the time in ms until it counts itself, by the number of items. */
+    /**
+     * Measures, for several numbers of items, the kilobytes the lagging machine receives and the milliseconds until it
+     * counts itself as a member of the quorum again.
+     */
     public static ScenarioChecks run(Consumer<String> progress) {
         ScenarioChecks checks = new ScenarioChecks();
         for (int size : SIZES) {
--- a/src/main/java/reedmux/simulation/cluster/ConfigurationGenerator.java
+++ b/src/main/java/reedmux/simulation/cluster/ConfigurationGenerator.java
@@ -10,17 +10,20 @@
 import reedmux.control.configuration.ConfigurationItem;
 import reedmux.control.configuration.ItemJson;
 
-/** Generates the changes that operators send, valid and invalid, and the requests that use or probe their items. */
+/** Generates valid and invalid changes for operators, and the requests that use or probe the changed items. */
 public final class ConfigurationGenerator {
-    /** The services to which routes lead. */
+    /** The services that routes target. */
     public static final List<String> SERVICES = List.of("desk", "intake");
 
     private static final int ROUTES = 6;
     private static final int TENANTS = 3;
     private static final int LARGE_KEY_COUNT = 400;
+    /** The quota of each tenant in requests per second. */
     public static final double QUOTA_RATE = 60;
 
+    /** The burst of each tenant in requests. */
     public static final double QUOTA_BURST = 60;
+
     private final Random random;
     private long revision = 7;
     private int addedNames;
@@ -30,24 +33,29 @@
     private final Map<String, List<String>> keysOf = new LinkedHashMap<>();
     private final Map<String, Integer> serviceOf = new LinkedHashMap<>();
 
-    /** A generator that draws from {@code random}. */
+    /** Creates a generator that draws all random values from {@code random}. */
     public ConfigurationGenerator(Random random) {
         this.random = random;
     }
 
-    /** A revision above all before it. */
+    /** Returns a revision above all earlier ones. */
     public long nextRevision() {
         revision += 1 + random.nextInt(3);
         return revision;
     }
 
-    /** An item as operators write it; {@code reference}: its members but for kind, name and revision. */
+    /**
+     * Returns the JSON of an item in a change.
+     *
+     * @param name      the name, or an empty string for an item without a name
+     * @param reference the JSON members other than kind, name and revision
+     */
     public static String itemJson(String kind, String name, long itemRevision, String reference) {
         return "{\"signalKind\":\"" + kind + "\",\"heading\":{" + (name.isEmpty() ? "" : "\"name\":\"" + name + "\",")
                 + "\"revision\":" + itemRevision + "},\"reference\":{" + reference + "}}";
     }
 
-    /** A call that applies items and removes others. */
+    /** Returns the JSON body of a call that applies some items and removes others. */
     public static String callJson(List<String> signals, String removed) {
         return "{\"apply\":{\"signals\":[" + String.join(",", signals) + "]},\"remove\":{" + removed + "}}";
     }
@@ -71,7 +79,7 @@
                         + QUOTA_RATE + ",\"burst\":" + QUOTA_BURST);
     }
 
-    /** How requests show that an item is in force; see {@link ClusterInvariantChecker#onVersionSent}. */
+    /** Returns how requests reveal that an item is in force; see {@link ClusterInvariantChecker#onVersionSent}. */
     public static String visibleEffect(ConfigurationItem item) {
         try {
             if (item.isDeleted()) {
@@ -86,7 +94,7 @@
         }
     }
 
-    /** The first change of a day. */
+    /** Returns the first change of a run, which creates all services, routes, tenants and limits. */
     public String initialChange() {
         List<String> items = new ArrayList<>();
         long itemRevision = nextRevision();
@@ -119,7 +127,7 @@
         return routeJson(name, "/" + name + "/", SERVICES.get(service), number % 3 != 0, nextRevision());
     }
 
-    /** A valid change. */
+    /** Returns a valid change. */
     public String validChange() {
         String route = "r" + random.nextInt(ROUTES);
         switch (random.nextInt(6)) {
@@ -139,7 +147,7 @@
                 }
             }
             case 2 -> {
-                if (!extraRoutes.isEmpty()) { // another takes its place, in one call
+                if (!extraRoutes.isEmpty()) { // one call replaces the route by another one with the same prefix
                     String name = extraRoutes.remove(random.nextInt(extraRoutes.size()));
                     replacedRoutes.add("routes/" + name);
                     long itemRevision = nextRevision();
@@ -167,7 +175,7 @@
         return callJson(List.of(movedRouteJson(route)), "");
     }
 
-    /** Two changes, each valid alone; the key is whether they are valid together, too. */
+    /** Returns two changes that are each valid alone; the key of the entry is whether they are also valid together. */
     public Map.Entry<Boolean, List<String>> concurrentPair() {
         switch (random.nextInt(3)) {
             case 0 -> {
@@ -207,7 +215,7 @@
         }
     }
 
-    /** Two changes with different contents under one revision, of which at most one may be acknowledged. */
+    /** Returns two changes with different contents under one revision; at most one of them may be acknowledged. */
     List<String> conflictingPair() {
         String route = "r" + random.nextInt(ROUTES);
         long itemRevision = nextRevision();
@@ -223,7 +231,7 @@
                 callJson(List.of(routeJson(route, "/" + route + "/", SERVICES.get(1), idempotent, itemRevision)), ""));
     }
 
-    /** Changes of which each is valid only once the one before is in force. */
+    /** Returns changes that each are valid only after the one before is in force. */
     List<String> dependentChain() {
         int number = addedNames++;
         long itemRevision = nextRevision();
@@ -257,7 +265,7 @@
                         ""));
     }
 
-    /** A valid change of many bytes. */
+    /** Returns a valid change with a tenant of {@value #LARGE_KEY_COUNT} keys. */
     String largeChange() {
         String name = "big" + random.nextInt(4);
         long itemRevision = nextRevision();
@@ -282,7 +290,7 @@
                 "");
     }
 
-    /** An invalid change. */
+    /** Returns an invalid change. */
     public String invalidChange() {
         String name = "bad" + addedNames++;
         return switch (random.nextInt(6)) {
@@ -302,17 +310,17 @@
         };
     }
 
-    /** Whether another route has replaced this one at its prefix, so that requests say nothing of it. */
+    /** Returns whether another route has taken over the prefix of this one, so that requests no longer reveal it. */
     boolean isReplaced(String routeItem) {
         return replacedRoutes.contains(routeItem);
     }
 
-    /** A request on a route that stays. */
+    /** Returns a request of a random tenant to a route that is never removed. */
     public SimulatedClients.PlannedRequest planRequest() {
         return planRequest("t" + random.nextInt(TENANTS));
     }
 
-    /** A request of one tenant on a route that stays. */
+    /** Returns a request of the given tenant to a route that is never removed. */
     SimulatedClients.PlannedRequest planRequest(String name) {
         int number = random.nextInt(ROUTES);
         int tenant = Integer.parseInt(name.substring(1));
@@ -326,7 +334,7 @@
                 "tenants/t" + tenant);
     }
 
-    /** A request that shows which version of a route or key is in force that may have changed. */
+    /** Returns a request that reveals which version of a possibly changed route or key is in force. */
     SimulatedClients.PlannedRequest planProbe() {
         int tenant = random.nextInt(TENANTS);
         List<String> keys = keysOf.get("t" + tenant);
--- a/src/main/java/reedmux/simulation/cluster/ConfigurationInvariants.java
+++ b/src/main/java/reedmux/simulation/cluster/ConfigurationInvariants.java
@@ -124,11 +124,11 @@
     }
 
     /**
-     * A request to one proxy has shown which version of an item is in force there.
+     * Checks the version of an item that a response reveals to be in force at a proxy.
      *
-     * @param incarnation the proxy's, as versions may go back at a restart
-     * @param effect      what was seen, for the report
-     * @param matches        the effects that agree with it
+     * @param incarnation the incarnation of the proxy, because a restart may revert it to older versions
+     * @param effect      the observed effect, for the violation report
+     * @param matches     accepts the effects of versions that are consistent with the observation
      */
     void onEffectObserved(
             String proxy,
@@ -156,7 +156,7 @@
         long required = requiredRevision(all, sentAt, now);
         boolean majorityLost = faults.lostMajority(sentAt - PROPAGATION_LIMIT_MICROS - FAULT_ALLOWANCE_MICROS, now);
         if (newest < 0) {
-            log.report("CONFIG", proxy + " shows " + effect + " of " + key + ", which no version allows");
+            log.report("CONFIG", proxy + " handles " + key + " as no version of it allows: " + effect);
         } else if (newest < required && !majorityLost) {
             log.report(
                     "CONFIG",
--- a/src/main/java/reedmux/simulation/cluster/DepartureInvariants.java
+++ b/src/main/java/reedmux/simulation/cluster/DepartureInvariants.java
@@ -6,18 +6,18 @@
 import java.util.Map;
 
 /**
- * What holds for requests whose client has left without a response: rule GONE. Nothing of them reaches a checker any
- * more, and the idempotent ones are no longer executed. Others are executed to their end once they have begun, as a
- * part of an effect is worse than a whole one. Times are microseconds.
+ * The invariants of requests whose client disconnected before the response (rule GONE). Such requests no longer reach a
+ * checker, and executions of idempotent ones are cancelled. Executions of other requests that have begun run to their
+ * end, because a partial effect is worse than a complete one. Times are microseconds.
  */
 final class DepartureInvariants {
     private static final int MICROS_PER_MILLI = 1000;
-    /** From a client's departure until its requests are cancelled everywhere. */
+    /** How long after a client disconnects its requests may take to be cancelled everywhere. */
     private static final long DEFAULT_LIMIT_MICROS = 500 * MICROS_PER_MILLI;
 
     private static final long RUNNING = Long.MAX_VALUE;
 
-    /** The execution of a request by one checker. */
+    /** An execution of a request by a checker. */
     private static final class Execution {
         private final String checker;
         private long endedAt = RUNNING;
@@ -29,7 +29,7 @@
 
     private record Departure(String proxy, boolean idempotent, long leftAt) {}
 
-    /** Something that happened too late, unless the proxy had a fault meanwhile. */
+    /** An event too long after the client disconnected; it is a violation unless the proxy had a fault meanwhile. */
     private record LateEvent(Departure departure, long at, String description) {}
 
     private final FaultSchedule faults;
@@ -47,21 +47,21 @@
         this.log = log;
     }
 
-    /** Sets how long a request may go on after its client has left. */
+    /** Sets how long a request may continue after its client has disconnected. */
     void setLimit(long micros) {
         limitMicros = micros;
     }
 
-    /** A client has closed its connection, or one direction of it, while its request had no response. */
+    /** Records that a client closes its connection, or one direction of it, before it has received a response. */
     void onClientLeft(String id, String proxy, boolean idempotent, long now) {
         departures.putIfAbsent(id, new Departure(proxy, idempotent, now));
     }
 
-    /** A request has reached a checker. */
+    /** Records a late event if a request arrives at a checker too long after its client disconnected. */
     void onArrived(String id, String checker, long now) {
         Departure departure = departures.get(id);
         if (departure != null && isLate(departure, now)) {
-            lateEvents.add(new LateEvent(departure, now, id + " reaches " + checker));
+            lateEvents.add(new LateEvent(departure, now, id + " arrives at " + checker));
         }
     }
 
@@ -69,7 +69,7 @@
         executions.computeIfAbsent(id, key -> new ArrayList<>()).add(new Execution(checker));
     }
 
-    /** An execution has come to its end, or the checker has dropped it. */
+    /** Handles an execution that completed, or that the checker aborted. */
     void onExecutionEnded(String id, String checker, boolean completed, long now) {
         Departure departure = departures.get(id);
         if (departure != null && !departure.idempotent) {
@@ -84,22 +84,22 @@
         }
     }
 
-    /** Executions that ended in time after the departure of their client. */
+    /** Returns how many executions of idempotent requests ended in time after their client disconnected. */
     int cancelledCount() {
         return cancelled;
     }
 
-    /** Executions of requests that are not idempotent which came to their end after the departure of their client. */
+    /** Returns how many executions of non-idempotent requests completed after their client disconnected. */
     int completedEffectCount() {
         return completedEffects;
     }
 
-    /** Such executions that were cut, as their connection was closed. */
+    /** Returns how many executions of non-idempotent requests were aborted after their client disconnected. */
     int abortedEffectCount() {
         return abortedEffects;
     }
 
-    /** After the last event, when all faults are known: reports what was late without one. */
+    /** Reports the late events that no fault explains; call after the last event, when all faults are known. */
     void report(long now) {
         executions.forEach((id, all) -> all.stream()
                 .filter(execution -> execution.endedAt == RUNNING)
@@ -120,7 +120,7 @@
         if (!isLate(departure, now)) {
             cancelled++;
         } else {
-            lateEvents.add(new LateEvent(departure, now, execution.checker + " works on " + id));
+            lateEvents.add(new LateEvent(departure, now, execution.checker + " executes " + id));
         }
     }
 
@@ -129,7 +129,7 @@
     }
 
     private static String describe(Departure departure, long now) {
-        return (now - departure.leftAt) / MICROS_PER_MILLI + " ms after its client left " + departure.proxy
+        return (now - departure.leftAt) / MICROS_PER_MILLI + " ms after its client disconnected from " + departure.proxy
                 + (departure.idempotent ? "" : "; it is not idempotent");
     }
 }
--- a/src/main/java/reedmux/simulation/cluster/GrowthExperiment.java
+++ b/src/main/java/reedmux/simulation/cluster/GrowthExperiment.java
@@ -7,9 +7,9 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * What the control side costs at a size, in virtual time: the production programs without traffic, at rest,
- * while one proxy is restarted, and while each proxy is. Bytes and messages are those between the system's
- * own programs; time on the processor is that of the programs' code, without the kernel's sockets.
+ * Measures the cost of the control plane by cluster size, in virtual time. The production programs run without client
+ * traffic: idle, while one proxy restarts, and during a rolling restart of all proxies. Bytes and messages are those
+ * between the production programs. CPU time is that of the code of the programs, without the kernel's sockets.
  */
 public final class GrowthExperiment {
     public static final List<String> PHASES = List.of("rest", "one", "roll");
@@ -21,16 +21,24 @@
     private static final long ROLLING_RESTART_MICROS = 20 * SECOND;
     private static final long ROLLING_RESTART_TAIL_MICROS = 6 * SECOND;
     private static final long DOWNTIME_MICROS = 300_000;
-    /** Beyond so many proxies they are not all restarted: it would take minutes. */
+    /** With more proxies than this the rolling restart is skipped, because it would take minutes. */
     private static final int MAX_ROLLED_PROXIES = 300;
 
     private final ClusterSimulation simulation;
     private final Deployment deployment;
 
-    /** How many of each there are. */
+    /** The number of nodes of each role. */
     public record ClusterSize(int proxies, int cores, int checkers) {}
 
-    /** One role's median machine in one phase; bytes both ways, all by the second. */
+    /**
+     * The load of the median machine of a role in a phase.
+     *
+     * @param seconds   the simulated duration of the phase
+     * @param kilobytes sent and received kilobytes per second
+     * @param messages  sent messages per second
+     * @param events    handled events per second
+     * @param cpuMillis CPU milliseconds per second
+     */
     public record GrowthRow(
             ClusterSize size,
             String phase,
@@ -47,7 +55,7 @@
         deployment = new Deployment(simulation, size.proxies(), size.cores(), line -> {});
     }
 
-    /** Plays one size. */
+    /** Runs all phases for one cluster size. */
     public static List<GrowthRow> run(ClusterSize size) {
         return new GrowthExperiment(size).runPhases(size);
     }
--- a/src/main/java/reedmux/simulation/cluster/QuotaInvariants.java
+++ b/src/main/java/reedmux/simulation/cluster/QuotaInvariants.java
@@ -9,10 +9,10 @@
 import java.util.TreeMap;
 
 /**
- * Checks what checkers execute of each tenant against its quota: in any five seconds no more than the rate and the
- * burst allow, with a tenth and twenty requests on top, over all proxies together. A higher limit holds once it is
- * sent; a lower one binds a window after all proxies have been in contact for two seconds past its acknowledgement.
- * Times are microseconds.
+ * Checks the executions of each tenant against its quota. In any window of five seconds, all proxies together may admit
+ * what the rate and the burst allow, plus a tenth, plus twenty requests. A raised limit applies as soon as it is sent. A
+ * lowered one applies one window after all proxies are in contact at least two seconds after its acknowledgement. Times
+ * are microseconds.
  */
 final class QuotaInvariants {
     private static final long SECOND = 1_000_000;
@@ -22,7 +22,7 @@
     private static final double SLACK = 20;
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** Limits that may be in force, until all proxies are known to have later ones. */
+    /** Limits that may still be in force; they expire once all proxies are known to use newer ones. */
     private static final class Limits {
         private final double maxExecutions;
         private long replacedAt = NEVER;
@@ -34,33 +34,33 @@
     }
 
     private final Map<String, List<Limits>> limits = new HashMap<>();
-    /** One execution of a request; a request may be executed more than once if it may be repeated. */
+    /** One execution of a request; idempotent requests may be executed more than once. */
     private record Execution(String request, long at) {}
 
     private final Map<String, Deque<Execution>> executions = new HashMap<>();
-    /** Of tenants beyond their quota, the worst window. */
+    /** Descriptions of the worst window of each tenant that exceeded its quota. */
     private final Map<String, String> worstWindows = new TreeMap<>();
 
     private final Map<String, Double> worstShares = new HashMap<>();
     private double defaultMaxExecutions;
 
-    /** Sets the quota of every tenant without one of its own: requests a second, and requests at once. */
+    /** Sets the quota of tenants without their own limits: a rate in requests per second and a burst in requests. */
     void setDefaultLimits(double rate, double burst) {
         defaultMaxExecutions = maxExecutions(rate, burst);
     }
 
-    /** A change of a tenant's limits is sent now. */
+    /** Records that a change of a tenant's limits is sent now. */
     void onLimitsSent(String tenant, double rate, double burst) {
         limits.computeIfAbsent(tenant, name -> new ArrayList<>()).add(new Limits(maxExecutions(rate, burst)));
     }
 
-    /** The last limits of a tenant are acknowledged. */
+    /** Records that the last limits sent for a tenant are acknowledged. */
     void onLimitsAcknowledged(String tenant, long now) {
         List<Limits> all = limits.get(tenant);
         all.subList(0, all.size() - 1).forEach(former -> former.replacedAt = Math.min(former.replacedAt, now));
     }
 
-    /** All proxies are in contact now. */
+    /** Expires replaced limits; to be called when all proxies are in contact. */
     void onAllInContact(long now) {
         for (List<Limits> all : limits.values()) {
             for (Limits former : all) {
@@ -72,7 +72,7 @@
         }
     }
 
-    /** A checker begins to execute a request of a tenant. */
+    /** Records that a checker begins to execute a request of a tenant, and updates the worst window. */
     void onExecuted(String tenant, String request, long now) {
         double allowed = maxExecutions(tenant);
         if (allowed <= 0) {
@@ -94,8 +94,9 @@
 
     private static String describe(String tenant, Deque<Execution> window, double allowed) {
         long requests = window.stream().map(Execution::request).distinct().count();
-        return window.size() + " of " + tenant + " in 5 s, " + (long) allowed + " allowed, until "
-                + window.peekLast().at() / 1000 + " ms; " + requests + " requests";
+        return window.size() + " executions of " + tenant + " in 5 s, " + (long) allowed
+                + " allowed, in the window until " + window.peekLast().at() / 1000 + " ms; " + requests
+                + " distinct requests";
     }
 
     private double maxExecutions(String tenant) {
@@ -109,12 +110,12 @@
         return (rate * WINDOW_MICROS / SECOND + burst) * OVERSHOOT + SLACK;
     }
 
-    /** The largest share of what is allowed that any tenant had executed in a window. */
+    /** Returns the highest ratio of executed to allowed requests that any tenant reached in a window. */
     double worstShare() {
         return worstShares.values().stream().mapToDouble(share -> share).max().orElse(0);
     }
 
-    /** The worst windows of tenants beyond their quota. */
+    /** Returns descriptions of the worst windows of the tenants that exceeded their quota. */
     List<String> violations() {
         return List.copyOf(worstWindows.values());
     }
--- a/src/main/java/reedmux/simulation/cluster/RequestInvariants.java
+++ b/src/main/java/reedmux/simulation/cluster/RequestInvariants.java
@@ -9,19 +9,19 @@
 import java.util.Set;
 
 /**
- * What holds for requests and for the checkers that execute them: rules UNASKED, ROUTE, TWICE, REFUSED, MIXED, LOST,
+ * The invariants of requests and of the checkers that execute them: rules UNASKED, ROUTE, TWICE, REFUSED, MIXED, LOST,
  * DRAIN, QUOTA, BUDGET and, for drains, ACKS. Times are microseconds.
  */
 final class RequestInvariants {
     private static final long SECOND = 1_000_000;
-    /** After a drain was acknowledged, until no request reaches the checker any more. */
+    /** How long after the acknowledgement of a drain requests may still reach the checker. */
     private static final long DRAIN_LIMIT_MICROS = 2 * SECOND;
 
     private static final long ACKNOWLEDGEMENT_LIMIT_MICROS = 4 * SECOND;
     private static final long RETRY_WINDOW_SECONDS = 10;
     private static final double RETRY_RATIO = 0.2;
     private static final double RETRY_SLACK = 56;
-    /** Fewer unacknowledged drains are no violation, nor is a smaller share than one in five. */
+    /** Fewer unacknowledged drains than this, or no more than one in five of all drains, are no violation. */
     private static final int MIN_UNACKNOWLEDGED_DRAINS = 3;
 
     private static final int UNACKNOWLEDGED_DRAIN_SHARE = 5;
@@ -37,7 +37,7 @@
         private final List<String> executedBy = new ArrayList<>();
         private int arrivals;
         private int status = -1;
-        /** Why its connection has ended without a response and without an excuse, or null. */
+        /** Why the connection ended without a response, if no fault excuses that; otherwise null. */
         private String lostBy;
 
         private ObservedRequest(
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Of one service in one second. */
+    /** First attempts and retries of a service within one second. */
     private static final class AttemptCounts {
         private static final AttemptCounts NONE = new AttemptCounts();
         private int first;
@@ -65,7 +65,7 @@
     private final Map<String, ObservedRequest> requests = new LinkedHashMap<>();
     private final Map<String, Long> drainAcknowledgedAt = new HashMap<>();
     private final QuotaInvariants quotas = new QuotaInvariants();
-    /** By service and second. */
+    /** Attempt counts by service and second. */
     private final Map<String, Map<Long, AttemptCounts>> attempts = new HashMap<>();
 
     private int drains;
@@ -80,12 +80,12 @@
         departures = new DepartureInvariants(faults, log);
     }
 
-    /** What holds for requests whose client has left. */
+    /** Returns the invariants of requests whose client disconnected. */
     DepartureInvariants departures() {
         return departures;
     }
 
-    /** A client has left while its request had no response. */
+    /** Records that a client disconnects before it has received a response. */
     void onClientLeft(String id, long now) {
         ObservedRequest request = requests.get(id);
         departures.onClientLeft(id, request.proxy, request.idempotent, now);
@@ -99,12 +99,12 @@
         return requestCount;
     }
 
-    /** What holds for the quotas of tenants. */
+    /** Returns the invariants of the quotas of tenants. */
     QuotaInvariants quotas() {
         return quotas;
     }
 
-    /** A client has sent a request; {@code service} is null for a probe. */
+    /** Records that a client sends a request; {@code service} is null for a probe. */
     void onRequestSent(
             String id, String proxy, boolean idempotent, String tenant, String service, String route, long now) {
         requests.put(id, new ObservedRequest(now, proxy, idempotent, tenant, service, route));
@@ -119,7 +119,7 @@
                 .computeIfAbsent(now / SECOND, second -> new AttemptCounts());
     }
 
-    /** A request has reached the checker that it was meant for. */
+    /** Records that a request arrives at the checker it is addressed to. */
     void onRequestArrived(String id, String service, long now) {
         departures.onArrived(id, service, now);
         ObservedRequest request = requests.get(id);
@@ -128,27 +128,28 @@
         }
     }
 
-    /** A checker begins to execute a request. */
+    /** Checks the start of an execution of a request by a checker. */
     void onRequestExecuted(String id, String checker, String service, String tenant, long now) {
         ObservedRequest request = requests.get(id);
         if (request == null) {
-            log.report("UNASKED", checker + " runs " + id + ", which nobody sent");
+            log.report("UNASKED", checker + " executes " + id + ", which no client sent");
             return;
         }
         request.executedBy.add(checker);
         departures.onExecutionBegun(id, checker);
         reportIfExecutedAndClosed(id, request);
         if (configuration.isNeverRoutedTo(request.route, service)) {
-            log.report("ROUTE", id + " runs at " + service + ", where no version of " + request.route + " leads");
+            log.report(
+                    "ROUTE", id + " is executed by " + service + ", which no version of " + request.route + " targets");
         }
         if (!request.idempotent && request.executedBy.size() > 1) {
-            log.report("TWICE", id + " is run by " + request.executedBy);
+            log.report("TWICE", id + " is not idempotent and was executed by " + request.executedBy);
         }
         if (!request.idempotent && guaranteesNotExecuted(request.status)) {
-            log.report("REFUSED", id + " is run after " + request.status);
+            log.report("REFUSED", id + " is executed after the response " + request.status);
         }
         if (request.tenant != null && !request.tenant.equals(tenant)) {
-            log.report("UNASKED", id + " is of " + request.tenant + " and runs for " + tenant);
+            log.report("UNASKED", id + " belongs to " + request.tenant + " and is executed for " + tenant);
         }
         checkDrain(id, checker, request.proxy, now);
         if (tenant != null) {
@@ -169,7 +170,7 @@
                 && faults.isCoreSettled(now, now)) {
             log.report(
                     "DRAIN",
-                    id + " reaches " + checker + " " + (now - drainedAt) / MICROS_PER_MILLI
+                    id + " arrives at " + checker + " " + (now - drainedAt) / MICROS_PER_MILLI
                             + " ms after its drain was acknowledged");
         }
     }
@@ -178,25 +179,28 @@
         return status == 429 || status == 503 || status == 408 || status == 421;
     }
 
-    /** A client has received a response; {@code sealedBy}: the checker that sent it completely, or null. */
+    /** Checks a response; {@code sealedBy} is the checker whose complete response this is, or null. */
     void onResponse(String id, int status, String sealedBy, long now) {
         ObservedRequest request = requests.get(id);
         request.status = status;
         if (!request.idempotent && guaranteesNotExecuted(status) && !request.executedBy.isEmpty()) {
-            log.report("REFUSED", id + " gets " + status + " and has run at " + request.executedBy);
+            log.report("REFUSED", id + " receives " + status + " but was executed by " + request.executedBy);
         }
         if (status >= 200 && status < 300) {
             if (!request.executedBy.contains(sealedBy)) {
                 log.report(
-                        "MIXED", id + " is answered with what " + sealedBy + " said, and ran at " + request.executedBy);
+                        "MIXED",
+                        id + " receives the response of " + sealedBy + " but was executed by " + request.executedBy);
             }
             servedCount += request.service == null ? 0 : 1;
         }
     }
 
     /**
-     * A request has no response: its connection was {@code cutOff}, or its time is up; {@code planned}: the proxy
-     * was shutting down.
+     * Checks a request without a response.
+     *
+     * @param cutOff  whether the connection was closed; otherwise the request timed out
+     * @param planned whether the proxy was shutting down
      */
     void onConnectionLost(String id, boolean cutOff, boolean planned, long now) {
         ObservedRequest request = requests.get(id);
@@ -204,13 +208,13 @@
                 && planned
                 && faults.isInContact(request.proxy, request.sentAt, now)
                 && faults.isCoreSettled(request.sentAt, now)) {
-            log.report("LOST", id + " ends without an answer while " + request.proxy + " leaves in order");
+            log.report("LOST", id + " ends without a response while " + request.proxy + " shuts down gracefully");
         }
     }
 
     /**
-     * The proxy has closed the connection without a response. Unless it has an excuse, the request must not have been
-     * passed on, neither before that nor after it.
+     * Handles a proxy that closes a connection without a response. Unless a fault excuses that, the request must not
+     * be executed by a checker, neither before the close nor after it.
      */
     void onServerClosed(String id, boolean excused, String reason) {
         ObservedRequest request = requests.get(id);
@@ -224,12 +228,12 @@
         if (request.lostBy != null && !request.executedBy.isEmpty()) {
             log.report(
                     "LOST",
-                    id + " ran at " + request.executedBy + ", and " + request.proxy + " ends without an answer: "
+                    id + " was executed by " + request.executedBy + ", and " + request.proxy + " sent no response: "
                             + request.lostBy);
         }
     }
 
-    /** A checker's drain was acknowledged by a control machine. */
+    /** Records that a control machine acknowledges the drain of a checker; ignored if that machine had a fault. */
     void onDrainAcknowledged(String checker, String acknowledger, long now) {
         if (!faults.isInContact(acknowledger, now, now)) {
             return;
@@ -237,7 +241,7 @@
         drains += drainAcknowledgedAt.putIfAbsent(checker, now) == null ? 1 : 0;
     }
 
-    /** A checker has announced its drain since {@code announcedAt}, and nobody has acknowledged it. */
+    /** Records that a drain announced since {@code announcedAt} remains unacknowledged. */
     void onDrainUnacknowledged(long announcedAt, long now) {
         if (faults.longestSettledMicros(announcedAt, now) >= ACKNOWLEDGEMENT_LIMIT_MICROS) {
             drains++;
@@ -245,25 +249,25 @@
         }
     }
 
-    /** After the last event: what is judged by windows, and by all drains together. */
+    /** Checks the rules that apply to time windows and to all drains together; call after the last event. */
     void checkWindows() {
         if (unacknowledgedDrains >= MIN_UNACKNOWLEDGED_DRAINS
                 && unacknowledgedDrains * UNACKNOWLEDGED_DRAIN_SHARE > drains) {
-            log.report("ACKS", unacknowledgedDrains + " of " + drains + " checkers that leave were not acknowledged");
+            log.report("ACKS", unacknowledgedDrains + " of " + drains + " drains were not acknowledged");
         }
         checkQuotas();
         attempts.forEach(this::checkRetryBudget);
     }
 
-    /** After the last event: tenants beyond their quota. */
+    /** Reports the tenants that exceeded their quota; call after the last event. */
     void checkQuotas() {
         quotas.violations().forEach(violation -> log.report("QUOTA", violation));
     }
 
     /**
-     * In each window the retries are bounded by a share of the first attempts. Those are counted in the same window,
-     * the one before it or one in between, whichever has most, as a retry may follow its first attempt into the next
-     * one.
+     * Checks that the retries in each window stay within the retry ratio of the first attempts. The first attempts are
+     * counted in the same window, the one before it or one halfway between them, whichever has most, because a retry may
+     * fall into the window after its first attempt.
      */
     private void checkRetryBudget(String service, Map<Long, AttemptCounts> seconds) {
         Set<Long> ends = new HashSet<>(seconds.keySet());
@@ -281,13 +285,13 @@
                             firstAttempts(seconds, start - middle, end - middle)));
             double allowed = RETRY_RATIO * first + RETRY_SLACK;
             if (retries > allowed) {
-                log.report("BUDGET", retries + " further tries at " + service + ", " + (long) allowed + " allowed");
+                log.report("BUDGET", retries + " retries at " + service + ", " + (long) allowed + " allowed");
                 return;
             }
         }
     }
 
-    /** First attempts after one second up to another, the latter included. */
+    /** Counts the first attempts in the seconds {@code after} (exclusive) to {@code upTo} (inclusive). */
     private static int firstAttempts(Map<Long, AttemptCounts> seconds, long after, long upTo) {
         int count = 0;
         for (long second = after + 1; second <= upTo; second++) {
--- a/src/main/java/reedmux/simulation/cluster/SimulatedChecker.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedChecker.java
@@ -12,7 +12,7 @@
 import reedmux.common.http1.Http1ServerConnection;
 import reedmux.simulation.harness.OneShotHttpCall;
 
-/** One incarnation of a checker, on a machine whose address may have been another's before. */
+/** One incarnation of a checker; its machine and address may have belonged to another checker before. */
 final class SimulatedChecker {
     private static final long HEARTBEAT_INTERVAL_MICROS = 1_500_000;
     private static final long CALL_TIMEOUT_MICROS = 1_000_000;
@@ -23,7 +23,7 @@
     private static final int PORT = 8080;
     private static final int MIN_WORK_MICROS = 40_000;
     private static final int WORK_RANGE_MICROS = 80_000;
-    /** How long a request is to be worked on, in milliseconds; drawn for requests without it. */
+    /** Request header with the execution time in milliseconds; requests without it get a random execution time. */
     static final String WORK_MILLIS = "Work-Millis";
 
     private final SimulatedProcess process;
@@ -33,7 +33,7 @@
     private final String service;
     private final List<InetSocketAddress> controlAddresses;
     private final Runnable exitListener;
-    /** Receives the address of the control machine that has acknowledged the drain. */
+    /** Receives the address of the control machine that acknowledged the drain. */
     private final java.util.function.Consumer<String> drainListener;
 
     private final Deque<Runnable> queue = new ArrayDeque<>();
@@ -43,11 +43,12 @@
     private boolean drainAcknowledged;
     private long sequence;
     private int controlIndex;
-    /** The share of responses that are lost after execution. */
+    /** The fraction of responses that are dropped after execution by closing the connection. */
     private double lostResponseShare;
 
+    /** The fraction of responses that are late, duplicate, incomplete or missing. */
     private double faultyResponseShare;
-    /** How much longer it serves after its drain was acknowledged. */
+    /** How much longer than required this checker serves after its drain is acknowledged. */
     private long lingerMicros;
 
     SimulatedChecker(
@@ -102,7 +103,7 @@
         lostResponseShare = share;
     }
 
-    /** Sends a share of its responses late, twice, incompletely or not at all. */
+    /** Makes a fraction of the responses late, duplicate, incomplete or missing. */
     void sendFaultyResponses(double share) {
         faultyResponseShare = share;
     }
@@ -157,7 +158,7 @@
         return millis == null ? drawn : 1000 * Long.parseLong(millis);
     }
 
-    /** A request is answered, or its connection was closed. */
+    /** Frees the slot of an execution that completed, or that was aborted because its connection was closed. */
     private void endExecution(String attempt, boolean completed) {
         invariants.onExecutionEnded(attempt, id, completed, process.now());
         busy--;
@@ -186,7 +187,7 @@
             case 1 ->
                 connection.sendRawAndClose(java.util.Arrays.copyOf(
                         response, 1 + simulation.random().nextInt(response.length - 1)));
-            case 2, 3 -> { // once more, at once or when the connection may carry another request
+            case 2, 3 -> { // duplicate response, immediately or when the connection may already carry another request
                 respond(attempt, connection);
                 process.reactor()
                         .scheduleAfter(
@@ -282,13 +283,13 @@
         }
     }
 
-    /** Begins to drain, and serves on for longer than it has to. */
+    /** Begins to drain, and keeps serving {@code extraMicros} longer than required. */
     void drain(long extraMicros) {
         lingerMicros = extraMicros;
         drain();
     }
 
-    /** Begins to drain. */
+    /** Begins to drain: announces it by heartbeat, and deregisters some time after the acknowledgement. */
     void drain() {
         if (!draining) {
             draining = true;
@@ -297,7 +298,7 @@
         }
     }
 
-    /** Ends without notice. */
+    /** Kills the process of the checker without deregistering it. */
     void crash() {
         process.kill();
         exitListener.run();
--- a/src/main/java/reedmux/simulation/cluster/SimulatedClients.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedClients.java
@@ -11,8 +11,8 @@
 import reedmux.simulation.harness.OneShotHttpCall;
 
 /**
- * Clients in all zones, the platform that balances them over the proxies that are ready, and probes that show which
- * configuration a proxy uses.
+ * Simulates clients in all zones, the platform's load balancer that routes them to ready proxies, and probes that reveal
+ * which configuration a proxy uses.
  */
 public final class SimulatedClients {
     private static final long PROBE_INTERVAL_MICROS = 1_000_000;
@@ -30,11 +30,11 @@
     private long countFrom = Long.MAX_VALUE;
 
     /**
-     * A request that may be made.
+     * A request that a client may send.
      *
-     * @param tenant    whose key it has
-     * @param routeItem the item by which it is judged what a probe of its route shows
-     * @param keyItem   the item by which it is judged what a probe of its key shows
+     * @param tenant    the tenant that owns the key
+     * @param routeItem the key of the configuration item whose version a probe of the route reveals
+     * @param keyItem   the key of the configuration item whose version a probe of the API key reveals
      */
     public record PlannedRequest(
             String path,
@@ -58,7 +58,7 @@
         probeReadiness();
     }
 
-    // ---- The platform ------------------------------------------------------------------------------
+    // ---- Load balancer -----------------------------------------------------------------------------
     private void probeReadiness() {
         for (Deployment.DeployedNode proxy : deployment.proxies()) {
             runOnProcess(() -> new OneShotHttpCall(
@@ -94,29 +94,33 @@
         return missedProbes.getOrDefault(proxy.name(), MAX_MISSED_PROBES) < MAX_MISSED_PROBES;
     }
 
+    /**
+     * Picks a random ready proxy of a random zone. If none of the zone is ready, all zones are used; if fewer than half
+     * of the zone's proxies are ready, all proxies of the zone are used.
+     */
     private Deployment.DeployedNode pickProxy() {
         String zone = Deployment.ZONES[simulation.random().nextInt(Deployment.ZONES.length)];
-        List<Deployment.DeployedNode> here = new ArrayList<>();
-        List<Deployment.DeployedNode> up = new ArrayList<>();
-        for (Deployment.DeployedNode edge : deployment.proxies()) {
-            if (edge.machine().zone().equals(zone)) {
-                here.add(edge);
-                if (isInRotation(edge)) {
-                    up.add(edge);
+        List<Deployment.DeployedNode> inZone = new ArrayList<>();
+        List<Deployment.DeployedNode> ready = new ArrayList<>();
+        for (Deployment.DeployedNode proxy : deployment.proxies()) {
+            if (proxy.machine().zone().equals(zone)) {
+                inZone.add(proxy);
+                if (isInRotation(proxy)) {
+                    ready.add(proxy);
                 }
             }
         }
-        if (up.isEmpty()) {
-            deployment.proxies().stream().filter(this::isInRotation).forEach(up::add);
-        } else if (up.size() * 2 < here.size()) {
-            up = here;
+        if (ready.isEmpty()) {
+            deployment.proxies().stream().filter(this::isInRotation).forEach(ready::add);
+        } else if (ready.size() * 2 < inZone.size()) {
+            ready = inZone;
         }
-        List<Deployment.DeployedNode> all = up.isEmpty() ? deployment.proxies() : up;
-        return all.get(simulation.random().nextInt(all.size()));
+        List<Deployment.DeployedNode> candidates = ready.isEmpty() ? deployment.proxies() : ready;
+        return candidates.get(simulation.random().nextInt(candidates.size()));
     }
 
     // ---- Requests ----------------------------------------------------------------------------------
-    /** Counts the requests from now on. */
+    /** Counts the requests that are sent from now on; see {@link #countedRequests}. */
     void countFromNow() {
         countFrom = simulation.now();
     }
@@ -129,7 +133,7 @@
         return countedServed;
     }
 
-    /** Sends a client's request, with its retries. */
+    /** Sends a client request, including its retries. */
     void request(PlannedRequest planned) {
         boolean counted = simulation.now() >= countFrom;
         countedRequests += counted ? 1 : 0;
@@ -209,7 +213,11 @@
                 callback));
     }
 
-    /** Sends a request to one proxy, if that is in rotation, to see which configuration it uses. */
+    /**
+     * Sends a request to a proxy that is in rotation, to observe which configuration it uses.
+     *
+     * @param isReplaced whether another route has taken over the prefix of a route item
+     */
     void probeConfiguration(Deployment.DeployedNode proxy, PlannedRequest planned, Predicate<String> isReplaced) {
         if (!isInRotation(proxy)) {
             return;
--- a/src/main/java/reedmux/simulation/cluster/SimulatedOperator.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedOperator.java
@@ -14,8 +14,8 @@
 import reedmux.simulation.harness.OneShotHttpCall;
 
 /**
- * One operator: sends a change unchanged to one control machine after the other until the response is clear. For the
- * reactor's thread, in virtual time or on real sockets.
+ * An operator, who resends a change unmodified to one control machine after another until the response is definitive. To
+ * be used on the thread of the reactor, in virtual time or with real sockets.
  */
 public final class SimulatedOperator {
     private static final long CALL_TIMEOUT_MICROS = 1_000_000;
@@ -26,18 +26,18 @@
     private final Reactor reactor;
     private final LongSupplier clock;
     private final Random random;
-    /** Receives a word for each response, by which two runs can be compared. */
+    /** Receives a text for each response, so that two runs can be compared. */
     private final Consumer<String> digest;
 
     private final ClusterInvariantChecker invariants;
     private final List<InetSocketAddress> controlAddresses;
-    /** The share of clear responses that are lost on their way; such a change is sent again later. */
+    /** The fraction of definitive responses that are lost in transit; such a change is resent later. */
     private double lostResponseShare;
 
     private long resendMicros;
     private int pendingChanges;
     private String lastAcknowledgedBy = "";
-    /** Receives the address to which each change is sent. */
+    /** Receives the target address each time a change is sent. */
     private Consumer<String> sentListener = ip -> {};
 
     SimulatedOperator(
@@ -82,7 +82,7 @@
         this.controlAddresses = controlAddresses;
     }
 
-    /** Loses a share of the clear responses on their way; such a change is sent again after that time. */
+    /** Loses a fraction of the definitive responses; such a change is resent after {@code resendDelayMicros}. */
     public void loseResponses(double share, long resendDelayMicros) {
         lostResponseShare = share;
         resendMicros = resendDelayMicros;
@@ -92,23 +92,23 @@
         sentListener = listener;
     }
 
-    /** The address of the control machine that has acknowledged the last change. */
+    /** Returns the address of the control machine that acknowledged the last change, or an empty string. */
     String lastAcknowledgedBy() {
         return lastAcknowledgedBy;
     }
 
-    /** Changes without a clear response so far. */
+    /** Returns the number of changes that have no definitive response yet. */
     int pendingChanges() {
         return pendingChanges;
     }
 
-    /** How requests show that a version is in force. */
+    /** Determines how requests reveal that a version is in force. */
     public interface VisibleEffect {
-        /** The effect of an item; see {@link ClusterInvariantChecker#onVersionSent}. */
+        /** Returns the effect of an item; see {@link ClusterInvariantChecker#onVersionSent}. */
         String of(ConfigurationItem item);
     }
 
-    /** Sends a change; {@code done} receives the last status, 0 if it was given up. */
+    /** Sends a change; {@code callback} receives the final HTTP status, or 0 if the operator abandons the change. */
     public void changeConfiguration(
             String body,
             ClusterInvariantChecker.ExpectedDecision expected,
@@ -118,7 +118,7 @@
         try {
             items = ConfigurationChangeFormat.parse(body);
         } catch (InvalidConfigurationException e) {
-            items = List.of(); // it cannot be read in full
+            items = List.of(); // an invalid change may not be parseable
         }
         long now = clock.getAsLong();
         items.forEach(item -> invariants.onVersionSent(item, visibleEffect.of(item), now));
@@ -133,7 +133,7 @@
         return controlAddresses.get(random.nextInt(controlAddresses.size()));
     }
 
-    /** A random address other than the last one, if there is another. */
+    /** Returns a random address that differs from the previous one, if there is more than one. */
     private InetSocketAddress otherAddress(InetSocketAddress previous) {
         InetSocketAddress to = randomAddress();
         if (to.equals(previous) && controlAddresses.size() > 1) {
@@ -219,7 +219,10 @@
         });
     }
 
-    /** Reads the configuration, with retries until a time; passes on the text, or null, and when the read was sent. */
+    /**
+     * Reads the configuration and retries until the time {@code until}. The callback receives the text, or null if all
+     * attempts failed, and the time at which the last attempt was sent.
+     */
     public void readUntil(long until, BiConsumer<String, Long> callback) {
         long sentAt = clock.getAsLong();
         call(randomAddress(), READ_REQUEST, (status, text) -> {
