--- a/src/main/java/reedmux/simulation/cluster/CatchUpExperiment.java
+++ b/src/main/java/reedmux/simulation/cluster/CatchUpExperiment.java
@@ -18,7 +18,9 @@
 public final class CatchUpExperiment {
     static final long SECOND_MICROS = 1_000_000;
     private static final int ITEMS_PER_CALL = 500;
+    /** Numbers of configuration items that are measured. */
     private static final int[] SIZES = {10, 100, 1_000, 10_000, 100_000};
+
     private static final long TIMEOUT_MICROS = 300 * SECOND_MICROS;
     private final ClusterSimulation simulation;
     private final Deployment deployment;
--- a/src/main/java/reedmux/simulation/cluster/CheckerFleet.java
+++ b/src/main/java/reedmux/simulation/cluster/CheckerFleet.java
@@ -6,6 +6,7 @@
 
 /** The checkers of a simulated run. Each started checker gets a unique id. */
 final class CheckerFleet {
+    /** Interval in which {@link #replaceOnceEnded} polls whether the former checker has ended. */
     private static final long REPLACEMENT_DELAY_MICROS = 2_000_000;
 
     private final ClusterSimulation simulation;
--- a/src/main/java/reedmux/simulation/cluster/ClusterSimulation.java
+++ b/src/main/java/reedmux/simulation/cluster/ClusterSimulation.java
@@ -13,7 +13,9 @@
  * Not thread-safe.
  */
 public final class ClusterSimulation {
+    /** The virtual time at which each simulation starts. */
     private static final long START_MICROS = 3_600_000_000L;
+
     private static final long FNV_PRIME = 0x100000001B3L;
     private static final double DATAGRAM_LOSS_RATE = 0.003;
     private final PriorityQueue<SimulationEvent> scheduled = new PriorityQueue<>();
--- a/src/main/java/reedmux/simulation/cluster/ConfigurationInvariants.java
+++ b/src/main/java/reedmux/simulation/cluster/ConfigurationInvariants.java
@@ -26,7 +26,9 @@
     /** How long after a newer version was observed in-flight requests may still show an older one. */
     private static final long REVERT_TOLERANCE_MICROS = SECOND / 4;
 
+    /** A valid change must be acknowledged before the core has been settled for this long. */
     private static final long ACKNOWLEDGEMENT_LIMIT_MICROS = 4 * SECOND;
+
     private static final int MICROS_PER_MILLI = 1000;
 
     private static final class ObservedVersion {
--- a/src/main/java/reedmux/simulation/cluster/Deployment.java
+++ b/src/main/java/reedmux/simulation/cluster/Deployment.java
@@ -25,11 +25,17 @@
     private static final int CONTROL_PORT = 8683;
     private static final int FRONT_PORT = 8689;
     private static final int READINESS_PORT = 8687;
+    /** Simulated time for which each event occupies the thread of a process. */
     private static final long EVENT_COST_MICROS = 25;
+    /** Time until the platform restarts a process that exited or failed to start. */
     private static final long RESTART_DELAY_MICROS = 500_000;
+    /** Time until the platform kills processes that were asked to shut down. */
     private static final long SHUTDOWN_GRACE_MICROS = 6_000_000;
+    /** Time until operators and checkers learn the address of a machine that replaces another one. */
     private static final long ADDRESS_LIST_LAG_MICROS = 3_000_000;
+    /** Number of core machines that the settings list as seeds. */
     private static final int SEEDS = 3;
+
     private final ClusterSimulation simulation;
     private final Consumer<String> log;
     private final List<DeployedNode> proxyNodes = new ArrayList<>();
--- a/src/main/java/reedmux/simulation/cluster/FaultStorm.java
+++ b/src/main/java/reedmux/simulation/cluster/FaultStorm.java
@@ -21,7 +21,7 @@
 final class FaultStorm {
     private static final long SECOND = 1_000_000;
     private static final long LONG_PARTITION_MICROS = 20 * SECOND;
-    /** How long a restarted or new machine still counts as failed, because it has to catch up first. */
+    /** How long a restarted or new machine still counts as failed. */
     private static final long CONVERGENCE_MICROS = 4 * SECOND;
 
     private final SimulatedRun run;
--- a/src/main/java/reedmux/simulation/cluster/QuotaInvariants.java
+++ b/src/main/java/reedmux/simulation/cluster/QuotaInvariants.java
@@ -10,16 +10,21 @@
 
 /**
  * Checks the executions of each tenant against its quota. In any window of five seconds, all proxies together may admit
- * what the rate and the burst allow, plus a tenth, plus twenty requests. A raised limit applies as soon as it is sent. A
- * lowered one applies one window after all proxies are in contact at least two seconds after its acknowledgement. Times
- * are microseconds.
+ * what the rate and the burst allow, plus a tenth, plus twenty requests. A raised limit applies as soon as it is sent.
+ * A lowered one applies one window after all proxies are in contact at least two seconds after its acknowledgement.
+ * Times are microseconds.
  */
 final class QuotaInvariants {
     private static final long SECOND = 1_000_000;
+    /** Length of the sliding window in which executions are counted. */
     private static final long WINDOW_MICROS = 5 * SECOND;
+    /** How long after the acknowledgement of a lowered limit proxies in contact are expected to use it. */
     private static final long SETTLE_MICROS = 2 * SECOND;
+    /** The permitted factor over what the rate and the burst allow in a window. */
     private static final double OVERSHOOT = 1.1;
+    /** Number of executions permitted in each window on top of {@link #OVERSHOOT}. */
     private static final double SLACK = 20;
+
     private static final long NEVER = Long.MAX_VALUE;
 
     /** Limits that may still be in force; they expire once all proxies are known to use newer ones. */
--- a/src/main/java/reedmux/simulation/cluster/RandomFaults.java
+++ b/src/main/java/reedmux/simulation/cluster/RandomFaults.java
@@ -10,14 +10,19 @@
  */
 final class RandomFaults {
     private static final long SECOND = 1_000_000;
-    /** Number of fault kinds, numbered in this order: core, proxies, checkers, then core faults again. */
+    /**
+     * Number of fault kinds: core faults up to {@link #FIRST_PROXY_KIND}, then faults of proxies, of checkers, and after
+     * {@link #LAST_CHECKER_KIND} core faults again.
+     */
     private static final int KINDS = 24;
 
     private static final int FIRST_PROXY_KIND = 11;
     private static final int FIRST_CHECKER_KIND = 17;
     private static final int LAST_CHECKER_KIND = 21;
     private static final int DRAIN_KIND = 18;
+    /** No fault of a checker is injected while fewer checkers than this are running. */
     private static final int MIN_CHECKERS = 5;
+
     private static final int MICROS_PER_MILLI = 1000;
 
     private final SimulatedRun run;
--- a/src/main/java/reedmux/simulation/cluster/RequestInvariants.java
+++ b/src/main/java/reedmux/simulation/cluster/RequestInvariants.java
@@ -17,14 +17,19 @@
     /** How long after the acknowledgement of a drain requests may still reach the checker. */
     private static final long DRAIN_LIMIT_MICROS = 2 * SECOND;
 
+    /** A drain that stays unacknowledged while the core is settled for this long counts as unacknowledged. */
     private static final long ACKNOWLEDGEMENT_LIMIT_MICROS = 4 * SECOND;
+
     private static final long RETRY_WINDOW_SECONDS = 10;
+    /** Permitted retries per first attempt, as in the envelope settings of {@link Deployment}. */
     private static final double RETRY_RATIO = 0.2;
+    /** Retries permitted in a window on top of the ratio, as in the envelope settings of {@link Deployment}. */
     private static final double RETRY_SLACK = 56;
-    /** Fewer unacknowledged drains than this, or no more than one in five of all drains, are no violation. */
+    /** Fewer unacknowledged drains than this are no violation. */
     private static final int MIN_UNACKNOWLEDGED_DRAINS = 3;
-
+    /** No more than one unacknowledged drain in this many drains is no violation. */
     private static final int UNACKNOWLEDGED_DRAIN_SHARE = 5;
+
     private static final int MICROS_PER_MILLI = 1000;
 
     private static final class ObservedRequest {
@@ -266,8 +271,8 @@
 
     /**
      * Checks that the retries in each window stay within the retry ratio of the first attempts. The first attempts are
-     * counted in the same window, the one before it or one halfway between them, whichever has most, because a retry may
-     * fall into the window after its first attempt.
+     * counted in the same window, the one before it or one halfway between them, whichever has most, because a retry
+     * may fall into the window after its first attempt.
      */
     private void checkRetryBudget(String service, Map<Long, AttemptCounts> seconds) {
         Set<Long> ends = new HashSet<>(seconds.keySet());
--- a/src/main/java/reedmux/simulation/cluster/SimulatedChecker.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedChecker.java
@@ -16,9 +16,13 @@
 final class SimulatedChecker {
     private static final long HEARTBEAT_INTERVAL_MICROS = 1_500_000;
     private static final long CALL_TIMEOUT_MICROS = 1_000_000;
+    /** How long a checker keeps serving after its drain is acknowledged. */
     private static final long DRAIN_MICROS = 2_300_000;
+    /** How long a checker waits for the acknowledgement of its drain before it deregisters without one. */
     private static final long DRAIN_TIMEOUT_MICROS = 5_000_000;
+    /** Number of requests that a checker executes concurrently. */
     private static final int SLOTS = 3;
+
     private static final int MAX_QUEUED = 12;
     private static final int PORT = 8080;
     private static final int MIN_WORK_MICROS = 40_000;
--- a/src/main/java/reedmux/simulation/cluster/SimulatedClients.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedClients.java
@@ -11,13 +11,15 @@
 import reedmux.simulation.harness.OneShotHttpCall;
 
 /**
- * Simulates clients in all zones, the platform's load balancer that routes them to ready proxies, and probes that reveal
- * which configuration a proxy uses.
+ * Simulates clients in all zones, the load balancer of the platform that routes them to ready proxies, and probes that
+ * reveal which configuration a proxy uses.
  */
 public final class SimulatedClients {
     private static final long PROBE_INTERVAL_MICROS = 1_000_000;
     private static final long DEADLINE_MICROS = 1_500_000;
+    /** A proxy is out of rotation after this many consecutive readiness probes without a 200. */
     private static final int MAX_MISSED_PROBES = 2;
+
     private static final int MAX_ATTEMPTS = 3;
     private final ClusterSimulation simulation;
     private final Deployment deployment;
@@ -27,6 +29,7 @@
     private long nextRequestNumber;
     private long countedRequests;
     private long countedServed;
+    /** The time from which {@link #request} counts requests for the recovery check. */
     private long countFrom = Long.MAX_VALUE;
 
     /**
--- a/src/main/java/reedmux/simulation/cluster/SimulatedOperator.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedOperator.java
@@ -14,12 +14,14 @@
 import reedmux.simulation.harness.OneShotHttpCall;
 
 /**
- * An operator, who resends a change unmodified to one control machine after another until the response is definitive. To
- * be used on the thread of the reactor, in virtual time or with real sockets.
+ * An operator that resends a change unmodified to one control machine after another until the response is definitive.
+ * To be used on the thread of the reactor, in virtual time or with real sockets.
  */
 public final class SimulatedOperator {
     private static final long CALL_TIMEOUT_MICROS = 1_000_000;
+    /** How long an operator resends a change without a definitive response before it abandons the change. */
     private static final long GIVE_UP_MICROS = 12_000_000;
+
     private static final long FIRST_BACKOFF_MICROS = 100_000;
     private static final long MAX_BACKOFF_MICROS = 800_000;
     private static final byte[] READ_REQUEST = OneShotHttpCall.request("GET", "/v1/Config.Read", "control", "");
@@ -34,7 +36,9 @@
     /** The fraction of definitive responses that are lost in transit; such a change is resent later. */
     private double lostResponseShare;
 
+    /** How long after a lost response the change is resent. */
     private long resendMicros;
+
     private int pendingChanges;
     private String lastAcknowledgedBy = "";
     /** Receives the target address each time a change is sent. */
@@ -61,11 +65,11 @@
     }
 
     /**
-     * An operator on a reactor.
+     * Creates an operator on a reactor.
      *
-     * @param clock   in microseconds; the reactor's own stands still between its events
-     * @param controlAddresses the control addresses that it knows; a live list
-     * @param digest  receives a word for each response, by which two runs can be compared
+     * @param clock            the time in microseconds; the clock of the reactor itself only advances at its events
+     * @param controlAddresses the known control addresses, a live list
+     * @param digest           receives a text for each response, so that two runs can be compared
      */
     public SimulatedOperator(
             Reactor reactor,
--- a/src/main/java/reedmux/simulation/cluster/SimulatedRun.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedRun.java
@@ -6,20 +6,28 @@
 import java.util.function.Consumer;
 
 /**
- * One simulated run of a deployment, derived from a seed: client traffic, configuration changes and faults, in some runs
- * a closing fault that stops all machines right after an acknowledgement, and a final read of the configuration. Random
- * values are drawn from seeded generators in the order of events, so a seed always reproduces the same run. Times are
- * microseconds.
+ * One simulated run of a deployment, derived from a seed: client traffic, configuration changes and faults, in some
+ * runs a closing fault that stops all machines right after an acknowledgement, and a final read of the configuration.
+ * Random values are drawn from seeded generators in the order of events, so a seed always reproduces the same run.
+ * Times are microseconds.
  */
 public final class SimulatedRun {
     private static final long SECOND = 1_000_000;
+    /** Time from the start of the deployment to the start of traffic. */
     private static final long WARM_UP_MICROS = 6 * SECOND;
+    /** Duration of the traffic with faults in a usual run. */
     private static final long LENGTH_MICROS = 26 * SECOND;
+    /** Duration of the traffic with faults in a run with one category of faults. */
     private static final long STORM_LENGTH_MICROS = 60 * SECOND;
+    /** Time after the faults before the final read of the configuration. */
     private static final long SETTLE_MICROS = 19 * SECOND;
+    /** Time after the restart from the closing fault until requests are counted for the recovery check. */
     private static final long RECOVERY_MICROS = 15 * SECOND;
+
     private static final int MIN_CHECKERS = 12;
+    /** Requests that a surging tenant sends per {@link #SURGE_INTERVAL_MICROS}. */
     private static final int SURGE_REQUESTS = 8;
+
     private static final long SURGE_INTERVAL_MICROS = 25_000;
     private static final int ZONES = 3;
     private final ClusterSimulation simulation;
@@ -34,6 +42,7 @@
     private final Consumer<String> log;
     private final RunOptions options;
     private long startedAt;
+    /** The time from which the core counts as recovered from its last fault. */
     private long coreHealthyAt;
     /** Runs once when the next change of the first operator is acknowledged; null if there is no such action. */
     private Runnable onNextAcknowledgement;
@@ -339,7 +348,7 @@
         return checkers.all();
     }
 
-    /** Sends many times the usual request rate of one tenant until a time. */
+    /** Sends many times the usual request rate of one tenant until the simulated time {@code until}. */
     void surge(String tenant, long until) {
         for (int i = 0; i < SURGE_REQUESTS; i++) {
             clients.request(configurations.planRequest(tenant));
--- a/src/main/java/reedmux/simulation/cluster/SimulatedTcpSocket.java
+++ b/src/main/java/reedmux/simulation/cluster/SimulatedTcpSocket.java
@@ -15,7 +15,9 @@
 public final class SimulatedTcpSocket implements Environment.TcpSocket {
     private static final int WINDOW_BYTES = 64 * 1024;
     private static final long FIRST_SYN_RETRY_MICROS = 1_000_000;
+    /** Interval in which data blocked by a partition is retransmitted. */
     private static final long RETRANSMIT_MICROS = 200_000;
+
     private static final long KEEPALIVE_INTERVAL_MICROS = 1_000_000;
     /** The side that opened the connection fails it when the peer has been unreachable for this long. */
     private static final long KEEPALIVE_TIMEOUT_MICROS = 5 * KEEPALIVE_INTERVAL_MICROS;
@@ -30,7 +32,9 @@
     private IOException failure;
     private boolean connected;
     private boolean closed;
+    /** Whether the machine lost power, so that this end no longer has any state of the connection. */
     private boolean powerLost;
+
     private boolean readInterest = true;
     private boolean writeInterest;
     private boolean notificationPending;
--- a/src/main/java/reedmux/simulation/cluster/StormTraffic.java
+++ b/src/main/java/reedmux/simulation/cluster/StormTraffic.java
@@ -11,6 +11,7 @@
  */
 final class StormTraffic {
     private static final long SECOND = 1_000_000;
+    /** No further change is sent while the operators together have this many without a definitive response. */
     private static final int MAX_PENDING_CHANGES = 8;
 
     private final SimulatedRun run;
@@ -23,7 +24,7 @@
     private long until;
     /** Runs once when a change is acknowledged while the core is healthy; null if there is no such action. */
     private Runnable onNextAcknowledgement;
-    /** Runs once for the control machine that is sent a change while the core is healthy; null if there is no action. */
+    /** Runs once for the control machine that is sent a change while the core is healthy; null if there is none. */
     private Consumer<Deployment.DeployedNode> onNextChangeSent;
 
     /** Creates the traffic of a storm; {@code category} is one of the categories of {@link FaultStorm}. */
