--- a/src/main/java/reedmux/simulation/cluster/RandomFaults.java
+++ b/src/main/java/reedmux/simulation/cluster/RandomFaults.java
@@ -11,8 +11,8 @@
 final class RandomFaults {
     private static final long SECOND = 1_000_000;
     /**
-     * Number of fault kinds: core faults up to {@link #FIRST_PROXY_KIND}, then faults of proxies, of checkers, and after
-     * {@link #LAST_CHECKER_KIND} core faults again.
+     * Number of fault kinds. Core faults are numbered below {@link #FIRST_PROXY_KIND} and above
+     * {@link #LAST_CHECKER_KIND}; between them are the faults of proxies and then those of checkers.
      */
     private static final int KINDS = 24;
 
