--- a/src/main/java/reedmux/simulation/cluster/CatchUpExperiment.java
+++ b/src/main/java/reedmux/simulation/cluster/CatchUpExperiment.java
@@ -112,8 +112,8 @@
     }
 
     /**
-     * Measures, for several numbers of items, the kilobytes the lagging machine receives and the milliseconds until it
-     * counts itself as a member of the quorum again.
+     * Measures, for several numbers of items, the kilobytes that the lagging machine receives, and the milliseconds
+     * until its store is complete again after the loss of its disk.
      */
     public static ScenarioChecks run(Consumer<String> progress) {
         ScenarioChecks checks = new ScenarioChecks();
--- a/src/main/java/reedmux/simulation/cluster/ClusterInvariantChecker.java
+++ b/src/main/java/reedmux/simulation/cluster/ClusterInvariantChecker.java
@@ -68,7 +68,7 @@
         requests.quotas().onLimitsAcknowledged(tenant, now);
     }
 
-    /** Puts lowered quotas into force if the core is settled and all the given proxies are in contact. */
+    /** Lets replaced quotas expire if the core is settled and all the given proxies are in contact now. */
     public void settleQuotas(Collection<String> proxies, long now) {
         if (faults.isCoreSettled(now, now) && proxies.stream().allMatch(proxy -> faults.isInContact(proxy, now, now))) {
             requests.quotas().onAllInContact(now);
--- a/src/main/java/reedmux/simulation/cluster/ConfigurationInvariants.java
+++ b/src/main/java/reedmux/simulation/cluster/ConfigurationInvariants.java
@@ -193,7 +193,7 @@
         }
     }
 
-    /** Returns whether this version is not acknowledged, but another content is under the same revision. */
+    /** Returns whether a version lost against another content that was acknowledged under the same revision. */
     private static boolean isSuperseded(ObservedVersion version, Map<ConfigurationItem, ObservedVersion> all) {
         return version.acknowledgedAt < 0
                 && all.values().stream()
