--- a/src/main/java/reedmux/gatekeeper/script/AssignmentExecutor.java
+++ b/src/main/java/reedmux/gatekeeper/script/AssignmentExecutor.java
@@ -8,7 +8,7 @@
 import reedmux.gatekeeper.script.ScriptParser.PlaceContext;
 import reedmux.gatekeeper.script.ScriptParser.TargetContext;
 
-/** Assigns values to names, to several names at once, and to elements of lists and dicts. */
+/** Executes assignments to names, to several targets at once (unpacking), and to elements of lists and dicts. */
 final class AssignmentExecutor {
     private final ScriptMeter meter;
     private final ScriptScope builtins;
@@ -29,7 +29,7 @@
         this.expressions = expressions;
     }
 
-    /** Binds a name in {@code scope}; those of declarations cannot be bound anew. */
+    /** Binds a name in {@code scope}. The names of declarations are reserved and cannot be rebound. */
     void bind(Token name, Object value, ScriptScope scope) {
         if (builtins.lookUpLocal(name.getText()) instanceof Declaration.DeclarationKind) {
             throw new UncheckedScriptException(
@@ -59,13 +59,14 @@
         TargetContext target = assignment.target();
         if (target.place().size() != 1 || target.place(0).target() != null) {
             throw new UncheckedScriptException(
-                    positionOf(target), "'" + assignment.op.getText() + "' takes one name or element");
+                    positionOf(target),
+                    "'" + assignment.op.getText() + "' needs a single name or element as its target");
         }
         PlaceContext place = target.place(0);
         return place.NAME() != null ? scope.resolveLocal(place.NAME().getSymbol()) : element(place, scope);
     }
 
-    /** Assigns a value to a target; a target of several places takes a value's elements apart. */
+    /** Assigns a value to a target. A target with several places unpacks the elements of the value. */
     void assign(TargetContext target, Object value, ScriptScope scope) {
         boolean several = target.place().size() > 1 || target.getText().endsWith(",");
         if (!several) {
@@ -94,12 +95,12 @@
         }
     }
 
-    /** The value that a place has, as the container of an element that is assigned to. */
+    /** Evaluates a place whose value is the container of an element that is read or assigned. */
     private Object evaluatePlace(PlaceContext place, ScriptScope scope) {
         if (place.NAME() != null) {
             return scope.resolve(place.NAME().getSymbol());
         } else if (place.target() != null) {
-            throw new UncheckedScriptException(positionOf(place), "names in brackets have no elements");
+            throw new UncheckedScriptException(positionOf(place), "a target in parentheses cannot be indexed");
         }
         return element(place, scope);
     }
--- a/src/main/java/reedmux/gatekeeper/script/CallEvaluator.java
+++ b/src/main/java/reedmux/gatekeeper/script/CallEvaluator.java
@@ -18,10 +18,10 @@
 import reedmux.gatekeeper.script.ScriptParser.DefinitionContext;
 import reedmux.gatekeeper.script.ScriptParser.ParameterContext;
 
-/** Evaluates calls: of declarations, of the script's own functions, of builtins and of methods. */
+/** Evaluates calls of declarations, of functions that the script defines, of builtin functions and of methods. */
 final class CallEvaluator {
 
-    /** A call's arguments, evaluated in the order in which they are written. */
+    /** The arguments of a call, evaluated in source order. */
     private record Arguments(ScriptPosition position, List<Object> positional, Map<String, DeclaredValue> named) {}
 
     private final ScriptMeter meter;
@@ -31,7 +31,7 @@
     private final AssignmentExecutor assignments;
     private final StatementExecutor statements;
     private final List<Declaration> declarations = new ArrayList<>();
-    /** The functions whose bodies are being executed. */
+    /** The functions whose bodies are being executed, the innermost first; used to detect recursion. */
     private final Deque<DefinitionContext> callStack = new ArrayDeque<>();
 
     CallEvaluator(
@@ -49,7 +49,7 @@
         this.statements = statements;
     }
 
-    /** What has been declared so far, in order. */
+    /** Returns the top-level declarations made so far, in execution order. */
     List<Declaration> declarations() {
         return declarations;
     }
@@ -80,7 +80,7 @@
             ScriptPosition position = positionOf(argument);
             if (argument.NAME() == null) {
                 if (!named.isEmpty()) {
-                    throw new UncheckedScriptException(position, "a value without a name behind one with a name");
+                    throw new UncheckedScriptException(position, "a positional argument follows a named argument");
                 }
                 positional.add(value);
                 continue;
@@ -146,7 +146,10 @@
         }
     }
 
-    /** The values by the parameters' names; one that is neither given nor has a default is left out. */
+    /**
+     * Maps parameter names to their values. A parameter that has neither an argument nor a default is missing from the
+     * map.
+     */
     private static Map<String, Object> matchParameters(ScriptFunction function, Arguments arguments) {
         List<String> names = function.definition().parameter().stream()
                 .map(parameter -> parameter.NAME().getText())
@@ -170,7 +173,8 @@
                                 + NameSuggestions.suggest(name, names));
             } else if (index < positionalCount) {
                 throw new UncheckedScriptException(
-                        argument.position(), "'" + function.name() + "' is told '" + name + "' twice");
+                        argument.position(),
+                        "'" + function.name() + "' receives more than one value for '" + name + "'");
             }
             values.put(name, argument.value());
         });
--- a/src/main/java/reedmux/gatekeeper/script/Declaration.java
+++ b/src/main/java/reedmux/gatekeeper/script/Declaration.java
@@ -4,17 +4,25 @@
 import java.util.Map;
 import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
 
-/** What a call such as {@code budget(share = 0.1)} declares, with the position of the call and of each key. */
+/**
+ * A declaration made by a call such as {@code budget(share = 0.1)}.
+ *
+ * @param kind     the name of the function that was called
+ * @param position the position of the call
+ * @param keys     the named arguments of the call, each with its own position
+ */
 public record Declaration(String kind, ScriptPosition position, Map<String, DeclaredValue> keys) {
 
-    /** The value of one key and its position. */
+    /** The value of a key and the position of that argument in the script. */
     public record DeclaredValue(Object value, ScriptPosition position) {}
 
     /**
      * A function whose calls are declarations.
      *
-     * @param topLevel whether a call counts by itself; otherwise it only serves as the value of another one's key
-     * @param keys     the named arguments that it takes
+     * @param name     the name of the function in scripts
+     * @param topLevel whether a call is a declaration of its own; otherwise its result is only used as the value of
+     *                 a key of another declaration
+     * @param keys     the names of the arguments that the function accepts
      */
     public record DeclarationKind(String name, boolean topLevel, List<String> keys)
             implements ScriptValues.ScriptCallable {}
--- a/src/main/java/reedmux/gatekeeper/script/ExpressionEvaluator.java
+++ b/src/main/java/reedmux/gatekeeper/script/ExpressionEvaluator.java
@@ -12,8 +12,9 @@
 import reedmux.gatekeeper.script.ScriptParser.*;
 
 /**
- * Evaluates expressions. Calls and the targets of comprehensions are the business of {@link CallEvaluator} and
- * {@link AssignmentExecutor}, which evaluate expressions themselves and are therefore set after construction.
+ * Evaluates expressions. It delegates calls to {@link CallEvaluator} and the targets of comprehensions to
+ * {@link AssignmentExecutor}. Both evaluate expressions themselves, so this circular dependency is resolved by setting
+ * them after construction.
  */
 final class ExpressionEvaluator {
     private final ScriptMeter meter;
@@ -28,13 +29,13 @@
         this.collections = collections;
     }
 
-    /** To be called once, before anything is evaluated. */
+    /** Sets the delegates. Must be called once, before any expression is evaluated. */
     void setDelegates(AssignmentExecutor assignmentExecutor, CallEvaluator callEvaluator) {
         assignments = assignmentExecutor;
         calls = callEvaluator;
     }
 
-    /** One expression, or a list where several are separated by commas. */
+    /** Evaluates a single expression, or several expressions separated by commas to a list. */
     Object evaluate(TestsContext tests, ScriptScope scope) {
         if (tests.test().size() == 1 && tests.comma == null) {
             return evaluate(tests.test(0), scope);
@@ -75,7 +76,7 @@
     }
 
     // ---- Operators ---------------------------------------------------------------------------------
-    /** {@code not}, {@code and}, {@code or} and {@code if else}, which evaluate only what they need. */
+    /** Evaluates {@code not}, {@code and}, {@code or} and {@code if else}, the last three with short-circuiting. */
     private Object evaluateLogic(TestContext test, ScriptScope scope) {
         if (test instanceof NegationContext negation) {
             return !ScriptValues.isTruthy(evaluate(negation.test(), scope));
@@ -174,7 +175,7 @@
         return dictComprehension((DictOfEachContext) atom, scope);
     }
 
-    /** String literals that follow each other are one string. */
+    /** Concatenates adjacent string literals, as Python does. */
     private String string(StringContext literals) {
         StringBuilder text = new StringBuilder();
         literals.STRING().forEach(literal -> text.append(ScriptLiterals.unquote(literal.getSymbol())));
@@ -208,7 +209,10 @@
         return dict;
     }
 
-    /** Runs the clauses from {@code next} on, and {@code element} where all of them let it through. */
+    /**
+     * Evaluates the clauses of a comprehension, starting at {@code clauseIndex}, and calls {@code element} for each
+     * combination of loop values that passes all filters.
+     */
     private void evaluateClauses(
             List<ClauseContext> clauses, int clauseIndex, ScriptScope scope, Consumer<ScriptScope> element) {
         if (clauseIndex == clauses.size()) {
--- a/src/main/java/reedmux/gatekeeper/script/IndentationTokenSource.java
+++ b/src/main/java/reedmux/gatekeeper/script/IndentationTokenSource.java
@@ -10,9 +10,10 @@
 import org.antlr.v4.runtime.TokenSource;
 
 /**
- * The tokens between lexer and parser, with {@code INDENT} and {@code DEDENT} where the indentation of lines changes,
- * as in Python. Line breaks between brackets, blank lines and comments are left out. Bounds how deep brackets,
- * indents and prefix operators nest, since the generated parser recurses with each of them.
+ * A token source between lexer and parser that inserts {@code INDENT} and {@code DEDENT} tokens where the indentation
+ * of lines changes, as in Python. It omits the line breaks inside brackets, of blank lines and of lines with only a
+ * comment. It limits the nesting depth of brackets and indents and the number of prefix operators, since the generated
+ * parser recurses for each of them.
  */
 final class IndentationTokenSource implements TokenSource {
     private static final int MAX_BRACKET_DEPTH = 50;
@@ -123,13 +124,13 @@
                 if (bracketDepth > MAX_BRACKET_DEPTH) {
                     throw new UncheckedScriptException(
                             UncheckedScriptException.positionOf(token),
-                            "more than " + MAX_BRACKET_DEPTH + " brackets within each other");
+                            "more than " + MAX_BRACKET_DEPTH + " nested brackets");
                 }
             }
             case ")", "]", "}" -> bracketDepth = Math.max(0, bracketDepth - 1);
             default -> {}
         }
-        // The parser also recurses without a bracket: at signs, 'not' and the last part of a conditional expression.
+        // The parser also recurses without brackets: for signs, 'not' and the 'else' part of a conditional expression.
         prefixOperators = switch (token.getText()) {
             case "-", "+", "not", "else" -> prefixOperators + 1;
             case "=", ":", "," -> 0;
--- a/src/main/java/reedmux/gatekeeper/script/ScriptArguments.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptArguments.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
 
-/** Checks the arguments of builtin functions and methods. */
+/** Checks the number and types of the arguments of builtin functions and methods. */
 final class ScriptArguments {
     private ScriptArguments() {}
 
--- a/src/main/java/reedmux/gatekeeper/script/ScriptBuiltins.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptBuiltins.java
@@ -8,10 +8,10 @@
 import java.util.stream.Collectors;
 import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
 
-/** The functions that every script can call, such as {@code len} and {@code range}. */
+/** The builtin functions, such as {@code len} and {@code range}, which are available in every script. */
 final class ScriptBuiltins {
 
-    /** A builtin function and how many arguments it takes. */
+    /** A builtin function with the minimum and maximum number of its arguments. */
     record BuiltinFunction(String name, int minArguments, int maxArguments) implements ScriptValues.ScriptCallable {}
 
     static final List<BuiltinFunction> ALL = List.of(
@@ -95,7 +95,7 @@
         return negative ? operators.sign(position, "-", value) : value;
     }
 
-    /** What {@code fail} throws: its arguments are the message. */
+    /** Creates the exception thrown by {@code fail}, whose message consists of the arguments, separated by spaces. */
     private UncheckedScriptException failException(ScriptPosition position, List<Object> arguments) {
         String message = arguments.stream()
                 .map(value -> ScriptValues.toText(meter, position, value))
@@ -120,7 +120,7 @@
                 : (left, right) -> operators.compareOrder(position, right, left);
         return values.stream()
                 .min(order)
-                .orElseThrow(() -> new UncheckedScriptException(position, name + " of nothing"));
+                .orElseThrow(() -> new UncheckedScriptException(position, name + " of an empty list or dict"));
     }
 
     private List<Object> sorted(ScriptPosition position, Object value) {
@@ -147,7 +147,7 @@
         long to = (Long) arguments.get(hasStart ? 1 : 0);
         long step = arguments.size() > 2 ? (Long) arguments.get(2) : 1;
         if (step == 0) {
-            throw new UncheckedScriptException(position, "range with a step of nought");
+            throw new UncheckedScriptException(position, "range with a step of zero");
         }
         List<Object> numbers = new ArrayList<>();
         for (long number = from; step > 0 ? number < to : number > to; number += step) {
@@ -163,7 +163,7 @@
         return zip(position, List.of(indices, value));
     }
 
-    /** Rows of the lists' elements, as many as the shortest list has. */
+    /** Combines the elements at the same index into rows and stops at the end of the shortest list. */
     private List<Object> zip(ScriptPosition position, List<?> lists) {
         List<List<Object>> columns = new ArrayList<>();
         lists.forEach(list -> columns.add(collections.elements(position, list)));
--- a/src/main/java/reedmux/gatekeeper/script/ScriptCollections.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptCollections.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
 
-/** Reads and changes the elements of lists, dicts and strings. */
+/** Reads elements and slices of lists, dicts and strings, and sets elements of lists and dicts. */
 final class ScriptCollections {
     private final ScriptMeter meter;
 
@@ -13,7 +13,7 @@
         this.meter = meter;
     }
 
-    /** A copy of a list's elements or of a dict's keys, so that a loop may change what it goes through. */
+    /** Returns a copy of a list's elements or of a dict's keys, so that a loop may modify what it iterates over. */
     List<Object> elements(ScriptPosition position, Object value) {
         if (value instanceof List<?> list) {
             meter.countElements(position, list.size());
@@ -22,11 +22,10 @@
             meter.countElements(position, map.size());
             return new ArrayList<>(map.keySet());
         }
-        throw new UncheckedScriptException(
-                position, "a " + ScriptValues.typeName(value) + " has no elements to go through");
+        throw new UncheckedScriptException(position, "a " + ScriptValues.typeName(value) + " cannot be iterated over");
     }
 
-    /** The value of {@code container[key]}. */
+    /** Evaluates {@code container[key]}. */
     Object element(ScriptPosition position, Object container, Object key) {
         if (container instanceof Map<?, ?> map) {
             Object found = map.get(key);
@@ -42,7 +41,7 @@
         }
         throw new UncheckedScriptException(
                 position,
-                "a " + ScriptValues.typeName(container) + " has no element by a " + ScriptValues.typeName(key));
+                "a " + ScriptValues.typeName(container) + " cannot be indexed by a " + ScriptValues.typeName(key));
     }
 
     private UncheckedScriptException unknownKey(ScriptPosition position, Map<?, ?> map, Object key) {
@@ -53,7 +52,7 @@
                         + NameSuggestions.suggest(String.valueOf(key), known));
     }
 
-    /** An index counts from the end where it is negative. */
+    /** Returns a valid index for the given one; a negative index counts from the end. */
     private static int checkedIndex(ScriptPosition position, long given, int size) {
         long index = given < 0 ? given + size : given;
         if (index < 0 || index >= size) {
@@ -63,11 +62,12 @@
         return (int) index;
     }
 
-    /** The value of {@code container[low:high]}; a bound that is left out is null. */
+    /** Evaluates {@code container[low:high]}; an omitted bound is null. */
     Object slice(ScriptPosition position, Object container, Object low, Object high) {
         boolean sliceable = container instanceof List<?> || container instanceof String;
         if (!sliceable || !isSliceBound(low) || !isSliceBound(high)) {
-            throw new UncheckedScriptException(position, "a part is taken of a list or string, between whole numbers");
+            throw new UncheckedScriptException(
+                    position, "a slice requires a list or a string, and whole numbers as bounds");
         }
         int size = container instanceof List<?> list ? list.size() : ((String) container).length();
         int from = sliceIndex(low, 0, size);
@@ -101,7 +101,7 @@
             ((List<Object>) list).set(checkedIndex(position, index, list.size()), value);
         } else {
             throw new UncheckedScriptException(
-                    position, "nothing can be put into a " + ScriptValues.typeName(container));
+                    position, "cannot assign an element of a " + ScriptValues.typeName(container));
         }
     }
 }
--- a/src/main/java/reedmux/gatekeeper/script/ScriptFunction.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptFunction.java
@@ -4,10 +4,11 @@
 import reedmux.gatekeeper.script.ScriptParser.DefinitionContext;
 
 /**
- * A function that a script defines.
+ * A function defined by a script.
  *
- * @param definingScope    the scope of its definition, in which its body's free names are looked up
- * @param defaults the values of the parameters that have one, evaluated when it was defined
+ * @param definition    the syntax tree of the function
+ * @param definingScope the scope that contains the definition; it resolves the names that are not local to the body
+ * @param defaults      the default values of parameters, evaluated when the definition was executed
  */
 record ScriptFunction(DefinitionContext definition, ScriptScope definingScope, Map<String, Object> defaults)
         implements ScriptValues.ScriptCallable {
--- a/src/main/java/reedmux/gatekeeper/script/ScriptInterpreter.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptInterpreter.java
@@ -8,11 +8,11 @@
 import reedmux.gatekeeper.script.StatementExecutor.Completion;
 
 /**
- * Executes a settings script from top to bottom and collects what it declares. It always terminates: loops go through
- * lists, recursion is an error, and a {@link ScriptMeter} bounds steps, memory and depth.
+ * Executes a settings script from top to bottom and collects its declarations. Execution always terminates: loops
+ * iterate over finite lists, recursion is an error, and a {@link ScriptMeter} limits steps, memory and nesting depth.
  */
 public final class ScriptInterpreter {
-    /** The longest script, in characters; a longer one is rejected before it is parsed. */
+    /** The maximum length of a script, in characters. A longer script is rejected before it is parsed. */
     public static final int MAX_SCRIPT_CHARS = 256 * 1024;
 
     private final ScriptScope globals;
@@ -40,10 +40,12 @@
     /**
      * Executes a script.
      *
-     * @param file  the name that errors give the script
-     * @param kinds the declarations that a script can make
-     * @return the top-level declarations, in the order in which they were made
-     * @throws ScriptException with the position and the name at fault
+     * @param file   the name of the script in error messages
+     * @param script the text of the script
+     * @param kinds  the declarations that a script can make
+     * @return the top-level declarations, in execution order
+     * @throws ScriptException if the script has an error; the message includes the position and, where one is involved,
+     *                         the invalid name
      */
     public static List<Declaration> run(String file, String script, List<DeclarationKind> kinds)
             throws ScriptException {
--- a/src/main/java/reedmux/gatekeeper/script/ScriptLiterals.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptLiterals.java
@@ -3,14 +3,14 @@
 import org.antlr.v4.runtime.Token;
 import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
 
-/** Converts the literals of a script into values. */
+/** Converts number and string literals of scripts to values. */
 final class ScriptLiterals {
     private static final String HEX_PREFIX = "0x";
     private static final String TRIPLE_QUOTE = "\"\"\"";
 
     private ScriptLiterals() {}
 
-    /** Reads a decimal number, with {@code _} between digits if wanted, or a hexadecimal one. */
+    /** Parses a decimal integer, in which {@code _} may separate digits, or a hexadecimal one after {@code 0x}. */
     static Long parseInteger(ScriptPosition position, String text) {
         try {
             return text.startsWith(HEX_PREFIX)
@@ -22,9 +22,9 @@
     }
 
     /**
-     * Reads a floating-point number.
+     * Parses a floating-point number.
      *
-     * @throws NumberFormatException if the text is no number; cannot happen for a token of the lexer
+     * @throws NumberFormatException if the text is not a number, which cannot happen for a token of the lexer
      */
     static Double parseDecimal(ScriptPosition position, String text) {
         double value = Double.parseDouble(text);
@@ -34,7 +34,7 @@
         return value;
     }
 
-    /** The content of a string literal, with its escapes replaced. */
+    /** Returns the content of a string literal without its quotes and with escape sequences replaced. */
     static String unquote(Token token) {
         String text = token.getText();
         int quotes = text.startsWith(TRIPLE_QUOTE) ? TRIPLE_QUOTE.length() : 1;
--- a/src/main/java/reedmux/gatekeeper/script/ScriptMeter.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptMeter.java
@@ -3,18 +3,24 @@
 import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
 
 /**
- * Bounds what executing a script may cost: steps, memory and depth. Memory is the sum of all allocations, since what
- * the script has dropped is not known. Both are counted rather than measured, so that a script that is accepted on one
- * machine is accepted on all. For one execution on one thread.
+ * Limits the steps, memory and nesting depth of one execution of a script. Memory is the sum of all allocations, since
+ * the meter does not know which values have become unreachable. Steps and memory are counted rather than measured as
+ * time and heap usage, so that a script that is accepted on one machine is accepted on all. Not thread-safe.
  */
 public final class ScriptMeter {
-    /** Statements, expressions, iterations of loops and comparisons. */
+    /**
+     * Maximum number of steps. Simple statements, expressions, iterations of comprehensions and comparisons count as
+     * one step each.
+     */
     static final int MAX_STEPS = 1_000_000;
-    /** One unit a character of a string; elements of lists and entries of dicts count as several. */
+    /**
+     * Maximum memory, in units. A character of a string takes one unit; an element of a list or an entry of a dict
+     * takes several.
+     */
     static final long MAX_MEMORY_UNITS = 8_000_000;
 
     private static final int UNITS_PER_ELEMENT = 16;
-    /** Nested expressions and function calls, together. */
+    /** Maximum depth of nested expressions and function calls, which are counted together. */
     private static final int MAX_DEPTH = 400;
 
     private int steps;
@@ -39,7 +45,7 @@
         }
     }
 
-    /** An expression or a function's body begins; {@link #leave} follows when it ends. */
+    /** Enters an expression or the body of a function; the caller must call {@link #leave} at its end. */
     void enter(ScriptPosition position) {
         countStep(position);
         depth++;
--- a/src/main/java/reedmux/gatekeeper/script/ScriptMethods.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptMethods.java
@@ -9,7 +9,7 @@
 import java.util.stream.Collectors;
 import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
 
-/** The methods of strings, lists and dicts. */
+/** Implements the methods of strings, lists and dicts. */
 final class ScriptMethods {
     private static final List<String> STRING_METHODS =
             List.of("upper", "lower", "strip", "split", "join", "format", "replace", "startswith", "endswith");
@@ -25,7 +25,7 @@
         this.collections = collections;
     }
 
-    /** The names of the methods that a value has. */
+    /** Returns the names of the methods of a value; empty if values of its type have no methods. */
     static List<String> namesOf(Object value) {
         if (value instanceof String) {
             return STRING_METHODS;
@@ -35,7 +35,7 @@
         return value instanceof Map ? DICT_METHODS : List.of();
     }
 
-    /** Calls one of the methods named by {@link #namesOf}. */
+    /** Calls a method of a value; {@code name} must be one that {@link #namesOf} returns for it. */
     @SuppressWarnings("unchecked")
     Object call(ScriptPosition position, Object value, String name, List<Object> arguments) {
         if (value instanceof String text) {
@@ -171,7 +171,7 @@
 
     private String replace(ScriptPosition position, String text, String replaced, String replacement) {
         if (replaced.isEmpty()) {
-            throw new UncheckedScriptException(position, "replace needs something to replace");
+            throw new UncheckedScriptException(position, "replace needs a non-empty string to replace");
         }
         long maxReplacements = text.length() / replaced.length() + 1;
         meter.countCharacters(position, maxReplacements * replacement.length());
@@ -187,7 +187,7 @@
                 continue;
             }
             if (next >= values.size()) {
-                throw new UncheckedScriptException(position, "too few values for the text");
+                throw new UncheckedScriptException(position, "too few values for the format string");
             }
             formatted.append(ScriptValues.toText(meter, position, values.get(next)));
             next++;
--- a/src/main/java/reedmux/gatekeeper/script/ScriptOperators.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptOperators.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
 
-/** The operators of a script: arithmetic, concatenation and repetition, {@code %} on texts, and comparison. */
+/** Implements the operators: arithmetic, concatenation, repetition, string formatting by {@code %}, and comparison. */
 final class ScriptOperators {
     private final ScriptMeter meter;
 
@@ -13,15 +13,16 @@
         this.meter = meter;
     }
 
-    /** Unary plus or minus. */
+    /** Applies unary plus or minus. */
     Object sign(ScriptPosition position, String operator, Object value) {
         if (!ScriptValues.isNumber(value)) {
-            throw new UncheckedScriptException(position, "'" + operator + "' of a " + ScriptValues.typeName(value));
+            throw new UncheckedScriptException(
+                    position, "'" + operator + "' cannot be applied to a " + ScriptValues.typeName(value));
         }
         return operator.equals("+") ? value : binary(position, "-", 0L, value);
     }
 
-    /** One of {@code + - * / // %}. */
+    /** Applies one of the binary operators {@code + - * / // %}. */
     Object binary(ScriptPosition position, String operator, Object left, Object right) {
         if (ScriptValues.isNumber(left) && ScriptValues.isNumber(right)) {
             return arithmetic(position, operator, (Number) left, (Number) right);
@@ -68,7 +69,7 @@
         return repeated.toString();
     }
 
-    /** Integers stay integers but for {@code /}; an integer and a float give a float. */
+    /** Two integers give an integer, except that {@code /} gives a float; an integer and a float give a float. */
     private static Object arithmetic(ScriptPosition position, String operator, Number left, Number right) {
         boolean isDivision = operator.equals("/") || operator.equals("//") || operator.equals("%");
         if (isDivision && right.doubleValue() == 0) {
@@ -80,7 +81,7 @@
         }
         double result = floatArithmetic(operator, left.doubleValue(), right.doubleValue());
         if (!Double.isFinite(result)) {
-            throw new UncheckedScriptException(position, "the result of '" + operator + "' is no number");
+            throw new UncheckedScriptException(position, "the result of '" + operator + "' is not a finite number");
         }
         return result;
     }
@@ -129,17 +130,18 @@
                 next++;
             } else {
                 throw new UncheckedScriptException(
-                        position, takesValue ? "too few values for the text" : "only %s, %d and %% are known");
+                        position,
+                        takesValue ? "too few values for the format string" : "only %s, %d and %% are supported");
             }
         }
         if (next < values.size()) {
-            throw new UncheckedScriptException(position, "too many values for the text");
+            throw new UncheckedScriptException(position, "too many values for the format string");
         }
         meter.countCharacters(position, formatted.length());
         return formatted.toString();
     }
 
-    /** One of {@code == != in < > <= >=}. */
+    /** Applies one of the comparison operators {@code == != in < > <= >=}. */
     boolean compare(ScriptPosition position, String operator, Object left, Object right) {
         return switch (operator) {
             case "==" -> ScriptValues.areEqual(meter, position, left, right);
@@ -160,10 +162,10 @@
         } else if (container instanceof List<?> list) {
             return list.stream().anyMatch(element -> ScriptValues.areEqual(meter, position, element, value));
         }
-        throw new UncheckedScriptException(position, "'in' of a " + ScriptValues.typeName(container));
+        throw new UncheckedScriptException(position, "'in' cannot be applied to a " + ScriptValues.typeName(container));
     }
 
-    /** Compares two numbers or two strings, as a {@link java.util.Comparator} does. */
+    /** Compares two numbers or two strings; the result is that of a {@link java.util.Comparator}. */
     int compareOrder(ScriptPosition position, Object left, Object right) {
         meter.countStep(position);
         if (left instanceof Long first && right instanceof Long second) {
@@ -175,6 +177,6 @@
         }
         throw new UncheckedScriptException(
                 position,
-                "a " + ScriptValues.typeName(left) + " and a " + ScriptValues.typeName(right) + " have no order");
+                "a " + ScriptValues.typeName(left) + " and a " + ScriptValues.typeName(right) + " cannot be ordered");
     }
 }
--- a/src/main/java/reedmux/gatekeeper/script/ScriptScope.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptScope.java
@@ -6,12 +6,12 @@
 import java.util.TreeSet;
 import org.antlr.v4.runtime.Token;
 
-/** Names and their values; a name that is not bound here is looked up in the enclosing scope. */
+/** A scope that maps names to values. Names that are not bound in it are looked up in the enclosing scope. */
 final class ScriptScope {
     private final ScriptScope enclosing;
     private final Map<String, Object> names = new HashMap<>();
 
-    /** A scope within {@code enclosing}, which is null for the outermost one. */
+    /** Creates a scope inside {@code enclosing}, which is null for the outermost scope. */
     ScriptScope(ScriptScope enclosing) {
         this.enclosing = enclosing;
     }
@@ -20,18 +20,18 @@
         names.put(name, value);
     }
 
-    /** The value bound in this very scope, or null. */
+    /** Returns the value bound in this scope itself, or null; enclosing scopes are not searched. */
     Object lookUpLocal(String name) {
         return names.get(name);
     }
 
-    /** The value bound in this scope or in the nearest one around it, or null. */
+    /** Returns the value bound in this scope or in the nearest enclosing scope that binds the name, or null. */
     Object lookUp(String name) {
         Object found = names.get(name);
         return found != null || enclosing == null ? found : enclosing.lookUp(name);
     }
 
-    /** As {@link #lookUp}; a name that is not bound is an error. */
+    /** Returns the same value as {@link #lookUp}, but throws an exception if the name is not bound. */
     Object resolve(Token name) {
         Object found = lookUp(name.getText());
         if (found == null) {
@@ -40,7 +40,7 @@
         return found;
     }
 
-    /** As {@link #lookUpLocal}; a name that is not bound here is an error. */
+    /** Returns the same value as {@link #lookUpLocal}, but throws an exception if this scope does not bind the name. */
     Object resolveLocal(Token name) {
         Object found = lookUpLocal(name.getText());
         if (found == null) {
--- a/src/main/java/reedmux/gatekeeper/script/ScriptSyntax.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptSyntax.java
@@ -10,10 +10,10 @@
 import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
 import reedmux.gatekeeper.script.ScriptParser.FileContext;
 
-/** Parses a script with the parser that ANTLR generates; the first syntax error ends it. */
+/** Parses scripts with the ANTLR-generated parser. Parsing stops at the first syntax error. */
 final class ScriptSyntax {
 
-    /** Turns the parser's first error into an exception. */
+    /** Throws an exception for the first error that the lexer or the parser reports. */
     private static final class FailingErrorListener extends BaseErrorListener {
         @Override
         public void syntaxError(
@@ -51,7 +51,7 @@
         return parser.file();
     }
 
-    /** Where a piece of the syntax tree begins. */
+    /** Returns the position at which a node of the syntax tree starts. */
     static ScriptPosition positionOf(ParserRuleContext context) {
         return UncheckedScriptException.positionOf(context.start);
     }
--- a/src/main/java/reedmux/gatekeeper/script/ScriptValues.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptValues.java
@@ -5,9 +5,9 @@
 import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
 
 /**
- * The values of scripts, as plain Java objects: {@link Boolean}, {@link Long}, {@link Double}, {@link String},
- * {@link List}, {@link Map}, {@link ScriptCallable}, {@link Declaration} and {@link #NONE}. Unlike in Starlark a tuple
- * is a list.
+ * Operations on the values of scripts, which are plain Java objects: {@link Boolean}, {@link Long}, {@link Double},
+ * {@link String}, {@link List}, {@link Map}, {@link ScriptCallable}, {@link Declaration} and {@link #NONE}. Unlike in
+ * Starlark, tuples are represented as lists.
  */
 public final class ScriptValues {
     /** The value of {@code None}. */
@@ -20,13 +20,13 @@
 
     /** A value that can be called. */
     interface ScriptCallable {
-        /** The name that errors and {@code str} give it. */
+        /** The name used in error messages and by {@code str}. */
         String name();
     }
 
     private ScriptValues() {}
 
-    /** The name that scripts give a value's type. */
+    /** Returns the type name of a value as scripts and error messages show it. */
     static String typeName(Object value) {
         if (value instanceof Boolean) {
             return "bool";
@@ -46,7 +46,7 @@
         return value instanceof Declaration declaration ? declaration.kind() : "NoneType";
     }
 
-    /** False for {@code False}, {@code None}, zero and what is empty. */
+    /** Returns false for {@code False}, {@code None}, zero, and empty strings, lists and dicts; true otherwise. */
     static boolean isTruthy(Object value) {
         if (value instanceof Boolean flag) {
             return flag;
@@ -69,8 +69,8 @@
     }
 
     /**
-     * Equality as scripts have it: 1 equals 1.0. Each comparison counts as a step, since lists that share elements can
-     * make far more comparisons than they have elements.
+     * Tests two values for equality by the rules of scripts, where 1 equals 1.0. Each comparison counts as a step,
+     * since lists that share elements can require far more comparisons than they have elements.
      */
     static boolean areEqual(ScriptMeter meter, ScriptPosition position, Object left, Object right) {
         meter.countStep(position);
@@ -112,7 +112,7 @@
         return true;
     }
 
-    /** A value as {@code str} gives it: strings as they are, others as a script would write them. */
+    /** Converts a value to a string as {@code str} does: strings are unchanged, other values are written as literals. */
     public static String toText(ScriptMeter meter, ScriptPosition position, Object value) {
         if (value instanceof String text) {
             return text;
--- a/src/main/java/reedmux/gatekeeper/script/StatementExecutor.java
+++ b/src/main/java/reedmux/gatekeeper/script/StatementExecutor.java
@@ -20,10 +20,10 @@
 import reedmux.gatekeeper.script.ScriptParser.StatementContext;
 import reedmux.gatekeeper.script.ScriptParser.SuiteContext;
 
-/** Executes statements: simple ones, branches, loops and definitions of functions. */
+/** Executes statements: simple statements, conditionals, loops and function definitions. */
 final class StatementExecutor {
 
-    /** How a statement or a suite ended. */
+    /** How the execution of a statement or a suite completed. */
     enum Completion {
         NORMAL,
         BREAK,
@@ -35,7 +35,7 @@
     private final ScriptCollections collections;
     private final ExpressionEvaluator expressions;
     private final AssignmentExecutor assignments;
-    /** What the last {@code return} gave. */
+    /** The value of the most recently executed {@code return} statement. */
     private Object returnValue;
 
     StatementExecutor(
@@ -49,7 +49,7 @@
         this.assignments = assignments;
     }
 
-    /** Executes a function's body and returns the value that it returns. */
+    /** Executes the body of a function and returns its value, which is {@code None} without a {@code return}. */
     Object executeBody(SuiteContext body, ScriptScope scope) {
         return execute(body, scope) == Completion.RETURN ? returnValue : ScriptValues.NONE;
     }
@@ -130,13 +130,14 @@
         for (ParameterContext parameter : definition.parameter()) {
             String name = parameter.NAME().getText();
             if (!names.add(name)) {
-                throw new UncheckedScriptException(positionOf(parameter), "the parameter '" + name + "' is told twice");
+                throw new UncheckedScriptException(positionOf(parameter), "duplicate parameter '" + name + "'");
             }
             if (parameter.test() != null) {
                 defaults.put(name, expressions.evaluate(parameter.test(), scope));
             } else if (!defaults.isEmpty()) {
                 throw new UncheckedScriptException(
-                        positionOf(parameter), "the parameter '" + name + "' needs a default, as one before it");
+                        positionOf(parameter),
+                        "the parameter '" + name + "' needs a default, since an earlier parameter has one");
             }
         }
         assignments.bind(definition.NAME().getSymbol(), new ScriptFunction(definition, scope, defaults), scope);
--- a/src/main/java/reedmux/gatekeeper/script/UncheckedScriptException.java
+++ b/src/main/java/reedmux/gatekeeper/script/UncheckedScriptException.java
@@ -5,14 +5,15 @@
 import reedmux.gatekeeper.script.ScriptException.ScriptPosition;
 
 /**
- * An error in a script, thrown through the generated parser and the interpreter. Whoever knows the script's file turns
- * it into a {@link ScriptException}; it never leaves the settings.
+ * An error in a script, without the name of its file. It is unchecked because it propagates through the generated
+ * parser. Callers that know the file name convert it to a {@link ScriptException}; it does not propagate beyond the
+ * packages that read settings scripts.
  */
 public final class UncheckedScriptException extends ParseCancellationException {
     private static final long serialVersionUID = 1;
     private final transient ScriptPosition position;
 
-    /** An error at a position of the script. */
+    /** Creates an exception for an error at a position in the script. */
     public UncheckedScriptException(ScriptPosition position, String message) {
         super(message);
         this.position = position;
@@ -23,7 +24,7 @@
         this.position = position;
     }
 
-    /** Where in the script the error is. */
+    /** Returns the position of the error in the script. */
     public ScriptPosition position() {
         return position;
     }
@@ -32,7 +33,7 @@
         return new ScriptPosition(token.getLine(), token.getCharPositionInLine() + 1);
     }
 
-    /** Leaves the stack trace out: the error is in the script, whose position it carries. */
+    /** Omits the stack trace, since the error is in the script and its position is part of the exception. */
     @Override
     public synchronized Throwable fillInStackTrace() {
         return this;
--- a/src/test/java/reedmux/gatekeeper/script/ScriptInterpreterTest.java
+++ b/src/test/java/reedmux/gatekeeper/script/ScriptInterpreterTest.java
@@ -21,16 +21,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import reedmux.gatekeeper.settings.OperatorSettings;
 
-/** The language of the settings scripts: its values, the positions in its errors, and that every script terminates. */
+/** Tests the language of settings scripts: values, the positions in error messages, and termination of every script. */
 final class ScriptInterpreterTest {
     private static final List<Declaration.DeclarationKind> KINDS =
-            List.of(new Declaration.DeclarationKind("told", true, List.of("value", "other")));
+            List.of(new Declaration.DeclarationKind("rule", true, List.of("value", "other")));
 
     private static String evaluate(String script) throws ScriptException {
-        List<Declaration> declared = ScriptInterpreter.run("x.star", script, KINDS);
-        assertEquals(1, declared.size(), script);
-        Object value = declared.get(0).keys().get("value").value();
-        return ScriptValues.toText(new ScriptMeter(), declared.get(0).position(), List.of(value));
+        List<Declaration> declarations = ScriptInterpreter.run("x.star", script, KINDS);
+        assertEquals(1, declarations.size(), script);
+        Object value = declarations.get(0).keys().get("value").value();
+        return ScriptValues.toText(new ScriptMeter(), declarations.get(0).position(), List.of(value));
     }
 
     private static String errorMessage(String script) {
@@ -72,7 +72,7 @@
                 "1 - 2 - 3|[-4]"
             })
     void evaluatesExpressions(String expression, String expected) throws ScriptException {
-        assertEquals(expected, evaluate("told(value = " + expression + ")"));
+        assertEquals(expected, evaluate("rule(value = " + expression + ")"));
     }
 
     @Test
@@ -82,7 +82,7 @@
                 def name(n, other = "even"):
 
                     if n % 2 == 0:
-                        return other   # and one here
+                        return other   # a trailing comment
                     elif n < 0: return None
                     else:
                         pass
@@ -93,7 +93,7 @@
                     if i == 4:
                         break
                     all.append(name(n = i))
-                told(
+                rule(
                   value = all,
                 )"""));
         assertEquals(
@@ -107,10 +107,10 @@
             delimiter = '|',
             quoteCharacter = '`',
             value = {
-                "told(valeu = 1)|x.star:1:6: told has no key 'valeu', did you mean 'value'?",
-                "tolld(value = 1)|x.star:1:1: unknown name 'tolld', did you mean 'told'?",
-                "told(value = 1, value = 2)|x.star:1:17: 'value' is told twice",
-                "told(1)|x.star:1:1: told takes its values by name, as in value = ...",
+                "rule(valeu = 1)|x.star:1:6: rule has no key 'valeu', did you mean 'value'?",
+                "rulle(value = 1)|x.star:1:1: unknown name 'rulle', did you mean 'rule'?",
+                "rule(value = 1, value = 2)|x.star:1:17: 'value' is told twice",
+                "rule(1)|x.star:1:1: rule takes its values by name, as in value = ...",
                 "x = 1 +|x.star:1:8: the end of the line makes no sense here",
                 "x = (1, 2|x.star:1:10: the end of the file makes no sense here",
                 "while True: pass|x.star:1:1: 'while' is not part of the settings script",
@@ -124,7 +124,7 @@
                 "x = [1][2]|x.star:1:5: the index 2 lies outside of 1 elements",
                 "x = {'rate': 1}['rat']|x.star:1:5: the dict has no key [\"rat\"], did you mean 'rate'?",
                 "x = 'a'.uper()|x.star:1:9: a string has no 'uper', did you mean 'upper'?",
-                "told = 3|x.star:1:1: 'told' is a function of ours and keeps its meaning",
+                "rule = 3|x.star:1:1: 'rule' is a function of ours and keeps its meaning",
                 "a, b = [1]|x.star:1:1: 2 names for 1 values",
                 "return 1|x.star:1:1: 'return' outside of a function",
                 "x = 1(2)|x.star:1:5: a int cannot be called",
@@ -150,7 +150,7 @@
                 errorMessage("def f(g):\n    return g(f)\ndef h(g):\n    return g(h)\nx = f(h)"));
     }
 
-    /** Each of these would never end, or take all memory, without a bound. */
+    /** Without the limits on steps and memory, each of these scripts would run endlessly or exhaust the memory. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -205,9 +205,9 @@
         assertTrue(errorMessage(" ".repeat(300_000)).startsWith("x.star:1:1: the script is longer than 262144"));
     }
 
-    /** Arbitrary text is either a script or an error with its position; nothing else is thrown. */
+    /** Arbitrary text is either a valid script or rejected with the position of the error; nothing else is thrown. */
     @Property(tries = 2_000, seed = "11")
-    void arbitraryTextFailsWithAPosition(
+    void arbitraryTextIsValidOrRejectedWithPosition(
             @ForAll
                     @Chars({
                         'a', 'x', '1', '0', '.', ' ', '\n', '(', ')', '[', ']', '{', '}', ':', ',', '=', '+', '-', '\'',
@@ -227,12 +227,12 @@
         }
     }
 
-    /** A valid script, truncated anywhere. */
+    /** A valid script that is truncated at any position is either valid or rejected with the position of the error. */
     @Property(tries = 500, seed = "12")
-    void truncatedScriptFailsWithAPosition(@ForAll @IntRange(max = 600) int length) throws Exception {
-        String whole = Files.readString(Path.of("deploy/east.star"));
+    void truncatedScriptIsValidOrRejectedWithPosition(@ForAll @IntRange(max = 600) int length) throws Exception {
+        String completeScript = Files.readString(Path.of("deploy/east.star"));
         try {
-            OperatorSettings.parse("x.star", whole.substring(0, Math.min(length, whole.length())));
+            OperatorSettings.parse("x.star", completeScript.substring(0, Math.min(length, completeScript.length())));
         } catch (ScriptException e) {
             assertTrue(e.getMessage().startsWith("x.star:"), e.getMessage());
         }
@@ -240,7 +240,7 @@
 
     @Example
     void evaluationIsDeterministic() throws ScriptException {
-        String script = "told(value = [str({'b': i, 'a': [i]}) for i in range(50)])";
+        String script = "rule(value = [str({'b': i, 'a': [i]}) for i in range(50)])";
         assertEquals(evaluate(script), evaluate(script));
     }
 }
