--- a/src/main/java/reedmux/gatekeeper/script/CallEvaluator.java
+++ b/src/main/java/reedmux/gatekeeper/script/CallEvaluator.java
@@ -173,8 +173,7 @@
                                 + NameSuggestions.suggest(name, names));
             } else if (index < positionalCount) {
                 throw new UncheckedScriptException(
-                        argument.position(),
-                        "'" + function.name() + "' receives more than one value for '" + name + "'");
+                        argument.position(), "'" + function.name() + "' receives '" + name + "' more than once");
             }
             values.put(name, argument.value());
         });
--- a/src/main/java/reedmux/gatekeeper/script/ScriptValues.java
+++ b/src/main/java/reedmux/gatekeeper/script/ScriptValues.java
@@ -112,7 +112,7 @@
         return true;
     }
 
-    /** Converts a value to a string as {@code str} does: strings are unchanged, other values are written as literals. */
+    /** Converts a value to text as {@code str} does. Strings are unchanged; other values are written as literals. */
     public static String toText(ScriptMeter meter, ScriptPosition position, Object value) {
         if (value instanceof String text) {
             return text;
--- a/src/main/java/reedmux/gatekeeper/script/StatementExecutor.java
+++ b/src/main/java/reedmux/gatekeeper/script/StatementExecutor.java
@@ -130,7 +130,8 @@
         for (ParameterContext parameter : definition.parameter()) {
             String name = parameter.NAME().getText();
             if (!names.add(name)) {
-                throw new UncheckedScriptException(positionOf(parameter), "duplicate parameter '" + name + "'");
+                throw new UncheckedScriptException(
+                        positionOf(parameter), "the parameter '" + name + "' is declared twice");
             }
             if (parameter.test() != null) {
                 defaults.put(name, expressions.evaluate(parameter.test(), scope));
