--- a/src/test/java/reedmux/gatekeeper/script/ScriptInterpreterTest.java
+++ b/src/test/java/reedmux/gatekeeper/script/ScriptInterpreterTest.java
@@ -99,7 +99,7 @@
         assertEquals(
                 "[6]",
                 evaluate("a, (b, c) = 1, [2, 3]\nd = {}\nd['x'] = [a + b]\nd['x'][0] += "
-                        + "c\ntold(value = d['x'][0])"));
+                        + "c\nrule(value = d['x'][0])"));
     }
 
     @ParameterizedTest
