--- a/src/main/java/reedmux/simulation/soak/DepartingClient.java
+++ b/src/main/java/reedmux/simulation/soak/DepartingClient.java
@@ -15,7 +15,7 @@
  * thread.
  */
 final class DepartingClient {
-    private static final int MAX_STAY_MICROS = 400_000;
+    private static final int MAX_VISIT_MICROS = 400_000;
     private static final int MAX_PAUSE_MICROS = 150_000;
     private static final int WORK_MILLIS = 4_000;
     private static final int TIME_LEFT_MILLIS = 30_000;
@@ -54,9 +54,9 @@
             return;
         }
         try {
-            new Visit().begin();
+            new Visit().scheduleDeparture();
         } catch (IOException e) {
-            comeBack();
+            scheduleNextVisit();
         }
     }
 
@@ -64,7 +64,7 @@
         stopped = true;
     }
 
-    private void comeBack() {
+    private void scheduleNextVisit() {
         reactor.scheduleAfter(1 + random.nextInt(MAX_PAUSE_MICROS), this::start);
     }
 
@@ -73,8 +73,8 @@
         private final String id = name + '.' + ++visits;
         private final Ending ending = Ending.values()[random.nextInt(Ending.values().length)];
         private final Connection connection;
-        private boolean answered;
-        private boolean ended;
+        private boolean responseReceived;
+        private boolean closed;
 
         private Visit() throws IOException {
             SoakMachine proxy = context.anyProxy();
@@ -97,45 +97,45 @@
             }
         }
 
-        private void begin() {
-            reactor.scheduleAfter(1 + random.nextInt(MAX_STAY_MICROS), this::leave);
+        private void scheduleDeparture() {
+            reactor.scheduleAfter(1 + random.nextInt(MAX_VISIT_MICROS), this::depart);
         }
 
-        private void leave() {
-            if (ended) {
+        private void depart() {
+            if (closed) {
                 return;
             }
-            if (!answered) {
+            if (!responseReceived) {
                 invariants.onClientLeft(id, reactor.now());
             }
             if (ending == Ending.HALF_CLOSE) {
                 connection.shutdownOutput();
-                reactor.scheduleAfter(MAX_STAY_MICROS, this::end);
+                reactor.scheduleAfter(MAX_VISIT_MICROS, this::close);
             } else {
-                end();
+                close();
             }
         }
 
-        private void end() {
-            if (!ended) {
-                ended = true;
+        private void close() {
+            if (!closed) {
+                closed = true;
                 connection.close();
-                comeBack();
+                scheduleNextVisit();
             }
         }
 
         @Override
         public void onInput() {
-            answered |= connection.available() > 0;
+            responseReceived |= connection.available() > 0;
             connection.skip(connection.available());
             if (connection.isInputEnded()) {
-                end();
+                close();
             }
         }
 
         @Override
         public void onClosed(String reason) {
-            end();
+            close();
         }
     }
 }
--- a/src/main/java/reedmux/simulation/soak/OperatorTraffic.java
+++ b/src/main/java/reedmux/simulation/soak/OperatorTraffic.java
@@ -61,15 +61,15 @@
     }
 
     /** One change after another, the next one as soon as the last one is decided; others go on beside it. */
-    private void sendSeries(int left) {
-        if (!stopped && left > 0) {
+    private void sendSeries(int remaining) {
+        if (!stopped && remaining > 0) {
             operators
                     .get(1)
                     .changeConfiguration(
                             configurations.validChange(),
                             ExpectedDecision.ACCEPT,
                             ConfigurationGenerator::visibleEffect,
-                            status -> sendSeries(left - 1));
+                            status -> sendSeries(remaining - 1));
         }
     }
 
--- a/src/main/java/reedmux/simulation/soak/ProgramProcess.java
+++ b/src/main/java/reedmux/simulation/soak/ProgramProcess.java
@@ -31,12 +31,12 @@
             "-XX:MaxMetaspaceSize=48m");
 
     /** What a program writes once it handles signals; before that the JVM ends at any of them. */
-    private static final String FIRST_LINE = " begins";
+    private static final String SIGNALS_HANDLED_MARKER = " begins";
 
     private final Process process;
     private final Path output;
-    private final long outputBefore;
-    private boolean begun;
+    private final long initialOutputLength;
+    private boolean handlesSignals;
     /** Whether a signal that ends it was sent. */
     private boolean endExpected;
 
@@ -48,7 +48,7 @@
     /** The same with a launcher's option that says what becomes of a signal. */
     ProgramProcess(String program, Path settings, Path output, String signalOption) throws IOException {
         this.output = output;
-        outputBefore = Files.exists(output) ? Files.size(output) : 0;
+        initialOutputLength = Files.exists(output) ? Files.size(output) : 0;
         List<String> command = new ArrayList<>();
         command.add(LAUNCHER);
         command.add(signalOption);
@@ -66,8 +66,8 @@
     }
 
     private static String classPath() {
-        String ofTests = System.getProperty("surefire.test.class.path");
-        return ofTests == null ? System.getProperty("java.class.path") : ofTests;
+        String testClassPath = System.getProperty("surefire.test.class.path");
+        return testClassPath == null ? System.getProperty("java.class.path") : testClassPath;
     }
 
     /** Runs a task with the exit code once the process has ended, on a thread of the JVM. */
@@ -93,13 +93,13 @@
     }
 
     /** Whether it handles signals by now. */
-    boolean hasBegun() throws IOException {
-        if (!begun) {
-            byte[] all = Files.readAllBytes(output);
-            String own = new String(all, (int) outputBefore, (int) (all.length - outputBefore), StandardCharsets.UTF_8);
-            begun = own.contains(FIRST_LINE);
+    boolean handlesSignals() throws IOException {
+        if (!handlesSignals) {
+            byte[] bytes = Files.readAllBytes(output);
+            String ownOutput = new String(bytes, (int) initialOutputLength, (int) (bytes.length - initialOutputLength), StandardCharsets.UTF_8);
+            handlesSignals = ownOutput.contains(SIGNALS_HANDLED_MARKER);
         }
-        return begun;
+        return handlesSignals;
     }
 
     /** Sends a signal, by its name without {@code SIG}, to this process alone. */
--- a/src/main/java/reedmux/simulation/soak/ResponsivenessMonitor.java
+++ b/src/main/java/reedmux/simulation/soak/ResponsivenessMonitor.java
@@ -20,16 +20,16 @@
     private static final String NO_ANSWER = "no answer";
 
     /** Hears of a proxy that was held up. */
-    interface HoldUpListener {
-        void onHeldUp(SoakMachine proxy, long from, long until);
+    interface StallListener {
+        void onStalled(SoakMachine proxy, long from, long until);
     }
 
     private final Reactor reactor;
     private final Supplier<List<SoakMachine>> proxies;
-    private final HoldUpListener listener;
+    private final StallListener listener;
     private long probedAt;
 
-    ResponsivenessMonitor(Reactor reactor, Supplier<List<SoakMachine>> proxies, HoldUpListener listener) {
+    ResponsivenessMonitor(Reactor reactor, Supplier<List<SoakMachine>> proxies, StallListener listener) {
         this.reactor = reactor;
         this.proxies = proxies;
         this.listener = listener;
@@ -45,7 +45,7 @@
         boolean late = now - probedAt > PROBE_INTERVAL_MICROS + MAX_TIMER_LATENESS_MICROS;
         for (SoakMachine proxy : List.copyOf(proxies.get())) {
             if (late) {
-                listener.onHeldUp(proxy, probedAt, now);
+                listener.onStalled(proxy, probedAt, now);
             }
             probe(proxy, now);
         }
@@ -67,7 +67,7 @@
 
     private void onProbeEnded(SoakMachine proxy, long sentAt, boolean listens) {
         if (listens && reactor.now() - sentAt > MAX_RESPONSE_MICROS) {
-            listener.onHeldUp(proxy, sentAt, reactor.now());
+            listener.onStalled(proxy, sentAt, reactor.now());
         }
     }
 }
--- a/src/main/java/reedmux/simulation/soak/SoakChecker.java
+++ b/src/main/java/reedmux/simulation/soak/SoakChecker.java
@@ -76,35 +76,35 @@
         new Http1ServerConnection(reactor, connection, this::serve);
     }
 
-    private void serve(Http1ServerConnection.Http1Request call, Http1ServerConnection from) {
-        Http1Head head = call.head();
+    private void serve(Http1ServerConnection.Http1Request request, Http1ServerConnection connection) {
+        Http1Head head = request.head();
         String attempt = head.get("Reedmux-Attempt-Id");
         String target = head.get("Reedmux-Target-Instance");
         if (target != null && !target.equals(id)) {
-            from.respond(Http1Head.response(421).add("Reedmux-Instance-Id", id), new byte[0]);
+            connection.respond(Http1Head.response(421).add("Reedmux-Instance-Id", id), new byte[0]);
             return;
         }
         invariants.onRequestArrived(attempt, service, reactor.now());
         if (busy < SLOTS) {
-            execute(head, attempt, from);
+            execute(head, attempt, connection);
         } else if (queue.size() < MAX_QUEUED) {
-            Runnable waiting = () -> execute(head, attempt, from);
+            Runnable waiting = () -> execute(head, attempt, connection);
             queue.add(waiting);
-            from.setDisconnectListener(() -> queue.remove(waiting));
+            connection.setDisconnectListener(() -> queue.remove(waiting));
         } else {
-            from.respond(Http1Head.response(503).add("Reedmux-Not-Executed", "1"), new byte[0]);
+            connection.respond(Http1Head.response(503).add("Reedmux-Not-Executed", "1"), new byte[0]);
         }
     }
 
-    private void execute(Http1Head head, String attempt, Http1ServerConnection from) {
+    private void execute(Http1Head head, String attempt, Http1ServerConnection connection) {
         if (crashed) {
             return;
         }
         busy++;
         invariants.onRequestExecuted(attempt, id, service, head.get("Reedmux-Tenant"), reactor.now());
-        Execution execution = new Execution(attempt, from, workMicros(head));
+        Execution execution = new Execution(attempt, connection, workMicros(head));
         executions.add(execution);
-        from.setDisconnectListener(() -> execution.end(false));
+        connection.setDisconnectListener(() -> execution.end(false));
     }
 
     private long workMicros(Http1Head head) {
@@ -152,9 +152,9 @@
             return;
         }
         try {
-            InetSocketAddress at = listener.address();
+            InetSocketAddress address = listener.address();
             String body = "{\"plant\":\"" + service + "\",\"address\":\""
-                    + at.getAddress().getHostAddress() + ':' + at.getPort() + "\",\"zone\":\"" + zone
+                    + address.getAddress().getHostAddress() + ':' + address.getPort() + "\",\"zone\":\"" + zone
                     + "\",\"revision\":\"v1\",\"capacity\":" + SLOTS
                     + ",\"phase\":\"ready\",\"coldLeftMs\":0,\"seq\":" + ++sequence + '}';
             new OneShotHttpCall(
--- a/src/main/java/reedmux/simulation/soak/SoakFaults.java
+++ b/src/main/java/reedmux/simulation/soak/SoakFaults.java
@@ -38,7 +38,7 @@
     private final ClusterInvariantChecker invariants;
     private final Consumer<String> log;
     private long until;
-    private long coreHealthyAt;
+    private long coreRecoveredAt;
 
     SoakFaults(SoakRun run, Reactor reactor, Random random, ClusterInvariantChecker invariants, Consumer<String> log) {
         this.run = run;
@@ -56,16 +56,16 @@
     }
 
     /** When the core counts again after the last fault. */
-    long coreHealthyAt() {
-        return coreHealthyAt;
+    long coreRecoveredAt() {
+        return coreRecoveredAt;
     }
 
-    private SoakMachine any(List<SoakMachine> machines) {
+    private SoakMachine randomMachine(List<SoakMachine> machines) {
         return machines.get(random.nextInt(machines.size()));
     }
 
-    private void later(long most, Runnable task) {
-        reactor.scheduleAfter(1 + random.nextInt((int) most), task);
+    private void scheduleWithin(long maxDelayMicros, Runnable task) {
+        reactor.scheduleAfter(1 + random.nextInt((int) maxDelayMicros), task);
     }
 
     // ---- Proxies and checkers ----------------------------------------------------------------------
@@ -74,19 +74,19 @@
         if (reactor.now() > until) {
             return;
         }
-        SoakMachine proxy = any(run.proxies());
+        SoakMachine proxy = randomMachine(run.proxies());
         switch (random.nextInt(PROXY_KINDS)) {
             case 0 -> rollProxies();
             case 1 -> terminate(proxy);
             case 2 -> {
                 terminate(proxy);
-                later(EARLY_SIGNAL_MICROS, () -> hangUp(proxy));
+                scheduleWithin(EARLY_SIGNAL_MICROS, () -> hangUp(proxy));
             }
             case 3 -> {
                 log.accept(proxy.name() + " is killed, and gets SIGHUP and SIGTERM soon after its start");
                 proxy.kill();
-                reactor.scheduleAfter(SECOND / 2, () -> later(EARLY_SIGNAL_MICROS, () -> hangUp(proxy)));
-                reactor.scheduleAfter(SECOND / 2, () -> later(2 * EARLY_SIGNAL_MICROS, () -> terminate(proxy)));
+                reactor.scheduleAfter(SECOND / 2, () -> scheduleWithin(EARLY_SIGNAL_MICROS, () -> hangUp(proxy)));
+                reactor.scheduleAfter(SECOND / 2, () -> scheduleWithin(2 * EARLY_SIGNAL_MICROS, () -> terminate(proxy)));
             }
             case 4 -> {
                 long length = 1 + random.nextInt(MAX_PAUSE_MICROS);
@@ -97,7 +97,7 @@
             case 6 -> run.cutChecker(random);
             default -> run.proxies().forEach(this::hangUp);
         }
-        later(MAX_INTERVAL_MICROS, this::injectProxyFaults);
+        scheduleWithin(MAX_INTERVAL_MICROS, this::injectProxyFaults);
     }
 
     private void terminate(SoakMachine machine) {
@@ -114,10 +114,10 @@
     private void rollProxies() {
         List<SoakMachine> order = new ArrayList<>(run.proxies());
         Collections.shuffle(order, random);
-        long at = 0;
+        long delayMicros = 0;
         for (SoakMachine proxy : order.subList(0, Math.min(MAX_SERIES, Math.max(1, order.size() - 1)))) {
-            reactor.scheduleAfter(at, () -> terminate(proxy));
-            at += 1 + random.nextInt(MAX_SERIES_INTERVAL_MICROS);
+            reactor.scheduleAfter(delayMicros, () -> terminate(proxy));
+            delayMicros += 1 + random.nextInt(MAX_SERIES_INTERVAL_MICROS);
         }
     }
 
@@ -127,10 +127,10 @@
         if (reactor.now() > until) {
             return;
         }
-        if (reactor.now() >= coreHealthyAt) {
-            injectCoreFault(any(run.cores()));
+        if (reactor.now() >= coreRecoveredAt) {
+            injectCoreFault(randomMachine(run.cores()));
         }
-        later(MAX_INTERVAL_MICROS, this::injectCoreFaults);
+        scheduleWithin(MAX_INTERVAL_MICROS, this::injectCoreFaults);
     }
 
     private void injectCoreFault(SoakMachine core) {
@@ -153,7 +153,7 @@
             case 3 -> {
                 log.accept("all of the core is killed");
                 invariants.addCoreFault(reactor.now(), reactor.now() + RESTART_MICROS, true);
-                coreHealthyAt = reactor.now() + RESTART_MICROS + CONVERGENCE_MICROS;
+                coreRecoveredAt = reactor.now() + RESTART_MICROS + CONVERGENCE_MICROS;
                 run.cores().forEach(SoakMachine::kill);
             }
             case 4 -> run.cores().forEach(this::hangUp);
@@ -169,12 +169,12 @@
     /** One is gone for good, and another of other name and address comes before or after that. */
     private void replace(SoakMachine core) {
         boolean planned = random.nextBoolean();
-        long apart = SECOND / 2 + random.nextInt((int) SECOND);
-        long startsAfter = planned ? 0 : apart;
+        long gapMicros = SECOND / 2 + random.nextInt((int) SECOND);
+        long startsAfter = planned ? 0 : gapMicros;
         log.accept(core.name() + (planned ? " is replaced as planned" : " is gone for good, and replaced"));
-        noteFault(core, apart + RESTART_MICROS);
+        noteFault(core, gapMicros + RESTART_MICROS);
         reactor.scheduleAfter(startsAfter, () -> run.addCore());
-        reactor.scheduleAfter(apart - startsAfter, () -> run.removeCore(core, planned));
+        reactor.scheduleAfter(gapMicros - startsAfter, () -> run.removeCore(core, planned));
     }
 
     private void noteFault(SoakMachine core, long length) {
@@ -182,6 +182,6 @@
         invariants.addCoreFault(now, now + length, false);
         invariants.addMachineFault(core.name(), now, now + length);
         invariants.addMachineFault(core.ip(), now, now + length);
-        coreHealthyAt = now + length + CONVERGENCE_MICROS;
+        coreRecoveredAt = now + length + CONVERGENCE_MICROS;
     }
 }
--- a/src/main/java/reedmux/simulation/soak/SoakMachine.java
+++ b/src/main/java/reedmux/simulation/soak/SoakMachine.java
@@ -64,7 +64,7 @@
 
     private long faultUntil;
     /** Until when the machine that the soak runs on gave it no processor. */
-    private long heldUpUntil;
+    private long stalledUntil;
 
     SoakMachine(Fleet fleet, String name, String ip, String zone, List<String> programs, boolean coldStart) {
         this.fleet = fleet;
@@ -108,8 +108,8 @@
     }
 
     /** It got no processor until a time, so that it may end late; clients are owed what they are owed all the same. */
-    void noteHeldUp(long until) {
-        heldUpUntil = Math.max(heldUpUntil, until);
+    void noteStall(long until) {
+        stalledUntil = Math.max(stalledUntil, until);
     }
 
     Path outputOf(String program) {
@@ -177,14 +177,14 @@
     void terminate() {
         processes.values().forEach(ProgramProcess::expectEnd);
         signal("TERM");
-        List<ProgramProcess> told = List.copyOf(processes.values());
+        List<ProgramProcess> signalled = List.copyOf(processes.values());
         long signalledAt = fleet.reactor().now();
         fleet.reactor().scheduleAfter(GRACE_MICROS + GRACE_TOLERANCE_MICROS, () -> {
-            boolean overdue = told.stream().anyMatch(ProgramProcess::isAlive);
-            if (overdue && !isFaulty(signalledAt) && heldUpUntil < signalledAt) {
+            boolean overdue = signalled.stream().anyMatch(ProgramProcess::isAlive);
+            if (overdue && !isFaulty(signalledAt) && stalledUntil < signalledAt) {
                 fleet.onViolation("GRACE: " + name + " still runs long after SIGTERM");
             }
-            told.stream().filter(ProgramProcess::isAlive).forEach(process -> signal(process, "KILL"));
+            signalled.stream().filter(ProgramProcess::isAlive).forEach(process -> signal(process, "KILL"));
         });
     }
 
@@ -246,7 +246,7 @@
                 writeSettings(fleet.directory().resolve(name + '-' + program + ".toml"));
             }
             for (ProgramProcess process : processes.values()) {
-                if (process.hasBegun()) {
+                if (process.handlesSignals()) {
                     process.signal("HUP");
                 }
             }
--- a/src/main/java/reedmux/simulation/soak/SoakRun.java
+++ b/src/main/java/reedmux/simulation/soak/SoakRun.java
@@ -56,7 +56,7 @@
     private final Random random;
     private final ClusterInvariantChecker invariants = new ClusterInvariantChecker();
     private final ConfigurationGenerator configurations;
-    private final List<SoakMachine> all = new ArrayList<>();
+    private final List<SoakMachine> machines = new ArrayList<>();
     private final List<SoakMachine> proxies = new ArrayList<>();
     private final List<SoakMachine> cores = new ArrayList<>();
     private final List<SoakChecker> checkers = new ArrayList<>();
@@ -76,7 +76,7 @@
     private int startedCheckers;
     private int addedCores;
     private int heldUpTimes;
-    private long faultsSince;
+    private long faultsStartedAt;
 
     private SoakRun(SoakOptions options, Path directory, int network) throws IOException {
         this.options = options;
@@ -110,8 +110,8 @@
     public static SoakOutcome run(SoakOptions options, Path directory, int network)
             throws IOException, InterruptedException {
         SoakRun soak = new SoakRun(options, directory, network);
-        Thread atExit = new Thread(soak::destroyAll);
-        Runtime.getRuntime().addShutdownHook(atExit); // no process outlives a soak that is ended early
+        Thread shutdownHook = new Thread(soak::destroyAll);
+        Runtime.getRuntime().addShutdownHook(shutdownHook); // no process outlives a soak that is ended early
         Thread thread = new Thread(soak::runReactor, "soak-" + options.seed());
         thread.setDaemon(true);
         soak.reactor.execute(soak::startAll);
@@ -125,7 +125,7 @@
             thread.join();
             soak.destroyAll();
         }
-        Runtime.getRuntime().removeShutdownHook(atExit);
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
         soak.checkOutputs();
         return new SoakOutcome(
                 options.seed(),
@@ -143,7 +143,7 @@
 
     private void destroyAll() {
         try {
-            for (SoakMachine machine : List.copyOf(all)) {
+            for (SoakMachine machine : List.copyOf(machines)) {
                 machine.destroy();
             }
             if (throttle != null) {
@@ -215,9 +215,9 @@
         invariants.addMachineFault(machine.name(), from, until);
     }
 
-    private void onHeldUp(SoakMachine proxy, long from, long until) {
+    private void onStalled(SoakMachine proxy, long from, long until) {
         heldUpTimes++;
-        proxy.noteHeldUp(until);
+        proxy.noteStall(until);
         invariants.addMachineFault(proxy.name(), from, until);
     }
 
@@ -231,9 +231,9 @@
         return cores;
     }
 
-    private SoakMachine newMachine(String name, String ip, int number, List<String> programs, boolean coldStart) {
-        SoakMachine machine = new SoakMachine(this, name, ip, zoneOf(number), programs, coldStart);
-        all.add(machine);
+    private SoakMachine newMachine(String name, String ip, int index, List<String> programs, boolean coldStart) {
+        SoakMachine machine = new SoakMachine(this, name, ip, zoneOf(index), programs, coldStart);
+        machines.add(machine);
         return machine;
     }
 
@@ -256,16 +256,16 @@
     }
 
     /** Crashes a checker and starts another one. */
-    void replaceChecker(Random drawn) {
+    void replaceChecker(Random faultRandom) {
         logFault("a checker crashes");
-        checkers.remove(drawn.nextInt(checkers.size())).crash();
+        checkers.remove(faultRandom.nextInt(checkers.size())).crash();
         startChecker();
     }
 
     /** Cuts the connections of a checker. */
-    void cutChecker(Random drawn) {
+    void cutChecker(Random faultRandom) {
         logFault("the connections of a checker are cut");
-        checkers.get(drawn.nextInt(checkers.size())).cutConnections();
+        checkers.get(faultRandom.nextInt(checkers.size())).cutConnections();
     }
 
     private void startChecker() {
@@ -278,8 +278,8 @@
         }
     }
 
-    private void logFault(String what) {
-        faultLog.add(String.format("%.3f %s", (reactor.now() - faultsSince) / 1e6, what));
+    private void logFault(String description) {
+        faultLog.add(String.format("%.3f %s", (reactor.now() - faultsStartedAt) / 1e6, description));
     }
 
     // ---- Course ------------------------------------------------------------------------------------
@@ -292,24 +292,24 @@
             proxies.add(newMachine("edge-" + i, network + "2." + (i + 1), i, List.of("proxy"), true));
         }
         cores.forEach(core -> controlAddresses.add(core.address(SoakMachine.CONTROL_PORT_OFFSET)));
-        all.forEach(SoakMachine::start);
+        machines.forEach(SoakMachine::start);
         for (int i = 0; i < options.checkers(); i++) {
             startChecker();
         }
-        long begun = reactor.now();
-        invariants.addCoreFault(begun, begun + START_TIMEOUT_MICROS, true); // what is late in a start is no fault
-        changeUntilTaken(
+        long startedAt = reactor.now();
+        invariants.addCoreFault(startedAt, startedAt + START_TIMEOUT_MICROS, true); // what is late in a start is no fault
+        sendChangeUntilAcknowledged(
                 configurations.initialChange(),
-                begun + START_TIMEOUT_MICROS,
+                startedAt + START_TIMEOUT_MICROS,
                 "the start",
-                () -> createTenants(begun + START_TIMEOUT_MICROS));
+                () -> createTenants(startedAt + START_TIMEOUT_MICROS));
     }
 
     private void createTenants(long deadline) {
         context = new ClientContext(reactor, random, invariants, configurations::planRequest, proxies);
         tenants = new TenantTraffic(
                 context, operators.get(0), configurations, this::logFault, options.tenants(), options.rate());
-        changeUntilTaken(
+        sendChangeUntilAcknowledged(
                 tenants.initialChange(),
                 deadline,
                 "the start",
@@ -317,7 +317,7 @@
     }
 
     /** Sends a change until it is acknowledged. */
-    private void changeUntilTaken(String body, long deadline, String phase, Runnable then) {
+    private void sendChangeUntilAcknowledged(String body, long deadline, String phase, Runnable onAcknowledged) {
         operators
                 .get(0)
                 .changeConfiguration(
@@ -326,56 +326,56 @@
                         ConfigurationGenerator::visibleEffect,
                         status -> {
                             if (status == 200) {
-                                then.run();
+                                onAcknowledged.run();
                             } else if (reactor.now() > deadline) {
                                 fail("after " + phase + " no change is acknowledged");
                             } else {
-                                changeUntilTaken(body, deadline, phase, then);
+                                sendChangeUntilAcknowledged(body, deadline, phase, onAcknowledged);
                             }
                         });
     }
 
     /** Goes on once all proxies are ready. */
-    private void awaitReady(long deadline, String phase, Runnable then) {
-        int[] open = {proxies.size()};
+    private void awaitReady(long deadline, String phase, Runnable onReady) {
+        int[] pending = {proxies.size()};
         int[] ready = {0};
         for (SoakMachine proxy : proxies) {
-            askReadiness(proxy, isReady -> {
+            probeReadiness(proxy, isReady -> {
                 ready[0] += isReady ? 1 : 0;
-                if (--open[0] > 0) {
+                if (--pending[0] > 0) {
                     return;
                 }
                 if (ready[0] == proxies.size()) {
-                    then.run();
+                    onReady.run();
                 } else if (reactor.now() > deadline) {
                     fail("after " + phase + " only " + ready[0] + " of " + proxies.size() + " proxies are ready");
                 } else {
-                    reactor.scheduleAfter(POLL_MICROS, () -> awaitReady(deadline, phase, then));
+                    reactor.scheduleAfter(POLL_MICROS, () -> awaitReady(deadline, phase, onReady));
                 }
             });
         }
     }
 
-    private void askReadiness(SoakMachine proxy, Consumer<Boolean> answer) {
+    private void probeReadiness(SoakMachine proxy, Consumer<Boolean> callback) {
         try {
             new OneShotHttpCall(
                     reactor,
                     proxy.address(SoakMachine.READINESS_PORT_OFFSET),
                     OneShotHttpCall.request("GET", "/v1/readiness", "ready", ""),
                     SECOND,
-                    (status, head, text) -> answer.accept(status == 200));
+                    (status, head, text) -> callback.accept(status == 200));
         } catch (IOException e) {
-            answer.accept(false);
+            callback.accept(false);
         }
     }
 
-    private void fail(String why) {
-        onViolation(why);
+    private void fail(String reason) {
+        onViolation(reason);
         finished.complete(null);
     }
 
     private void beginTraffic() {
-        faultsSince = reactor.now();
+        faultsStartedAt = reactor.now();
         operators.forEach(operator -> operator.loseResponses(LOST_RESPONSE_SHARE, SECOND / 2));
         for (int i = 0; i < options.clients(); i++) {
             SoakClient client = new SoakClient(context, "q" + i);
@@ -391,10 +391,10 @@
         operatorTraffic.start();
         tenants.start();
         reactor.scheduleEvery(QUOTA_SETTLE_INTERVAL_MICROS, this::settleQuotas);
-        new ResponsivenessMonitor(reactor, () -> proxies, this::onHeldUp).start();
-        long end = faultsSince + options.seconds() * SECOND;
+        new ResponsivenessMonitor(reactor, () -> proxies, this::onStalled).start();
+        long end = faultsStartedAt + options.seconds() * SECOND;
         faults.start(end);
-        reactor.scheduleAt(end, this::awaitCalm);
+        reactor.scheduleAt(end, this::endFaultsAndAwaitRecovery);
     }
 
     private void startThrottle() {
@@ -419,18 +419,18 @@
     }
 
     /** The last fault was injected: once what is under way is over, the gateway has to be whole again. */
-    private void awaitCalm() {
+    private void endFaultsAndAwaitRecovery() {
         operatorTraffic.stop();
         tenants.endFaults();
         endThrottle();
-        long calmAt = Math.max(reactor.now() + SoakMachine.GRACE_MICROS, faults.coreHealthyAt());
+        long calmAt = Math.max(reactor.now() + SoakMachine.GRACE_MICROS, faults.coreRecoveredAt());
         reactor.scheduleAt(calmAt, () -> {
             operators.forEach(operator -> operator.loseResponses(0, 0));
             long deadline = reactor.now() + RECOVERY_TIMEOUT_MICROS;
             awaitReady(
                     deadline,
                     "the faults",
-                    () -> changeUntilTaken(configurations.validChange(), deadline, "the faults", this::readBack));
+                    () -> sendChangeUntilAcknowledged(configurations.validChange(), deadline, "the faults", this::readBack));
         });
     }
 
@@ -459,12 +459,12 @@
 
     /** What programs have written of invariants and of errors that nobody expects. */
     private void checkOutputs() throws IOException {
-        for (SoakMachine machine : all) {
+        for (SoakMachine machine : machines) {
             for (String program : machine.programs()) {
                 Path output = machine.outputOf(program);
                 if (Files.exists(output)) {
                     Files.readAllLines(output).stream()
-                            .filter(SoakRun::isAlarming)
+                            .filter(SoakRun::reportsFailure)
                             .limit(3)
                             .forEach(line -> invariants.onInvariantViolation(machine.name() + ": " + line));
                 }
@@ -472,7 +472,7 @@
         }
     }
 
-    private static boolean isAlarming(String line) {
+    private static boolean reportsFailure(String line) {
         return line.contains(InvariantMonitor.LOG_PREFIX)
                 || line.contains("Exception")
                 || line.contains("OutOfMemoryError");
--- a/src/main/java/reedmux/simulation/soak/SoakTenant.java
+++ b/src/main/java/reedmux/simulation/soak/SoakTenant.java
@@ -20,7 +20,7 @@
     private double quotaRate;
     private double demandFactor = 1;
     private long surgeUntil = Long.MIN_VALUE;
-    private boolean fromAnywhere;
+    private boolean surgeAtAllProxies;
     private int requestsWithinQuota;
     private int refusedWithinQuota;
 
@@ -57,9 +57,9 @@
     }
 
     /** It asks for many times its usual until a time. */
-    void surge(double factor, boolean anywhere, long until) {
+    void surge(double factor, boolean atAllProxies, long until) {
         demandFactor = factor;
-        fromAnywhere = anywhere;
+        surgeAtAllProxies = atAllProxies;
         surgeUntil = until;
     }
 
@@ -69,7 +69,7 @@
 
     /** The proxies that its requests reach now. */
     List<SoakMachine> proxies(List<SoakMachine> all, long now) {
-        return now < surgeUntil && fromAnywhere ? all : proxies;
+        return now < surgeUntil && surgeAtAllProxies ? all : proxies;
     }
 
     /** Counts a response to a request that was sent at {@code sentAt}, if the quota had room for all then. */
--- a/src/main/java/reedmux/simulation/soak/TenantTraffic.java
+++ b/src/main/java/reedmux/simulation/soak/TenantTraffic.java
@@ -132,9 +132,9 @@
     private void surge() {
         boolean largest = random.nextInt(LARGEST_SURGE_SHARE) == 0;
         SoakTenant tenant = tenants.get(largest ? 0 : random.nextInt(tenants.size()));
-        boolean anywhere = random.nextBoolean();
-        log.accept(tenant.name() + " asks for " + SURGE_FACTOR + " times its usual" + (anywhere ? ", anywhere" : ""));
-        tenant.surge(SURGE_FACTOR, anywhere, reactor.now() + SURGE_MICROS);
+        boolean atAllProxies = random.nextBoolean();
+        log.accept(tenant.name() + " asks for " + SURGE_FACTOR + " times its usual" + (atAllProxies ? ", anywhere" : ""));
+        tenant.surge(SURGE_FACTOR, atAllProxies, reactor.now() + SURGE_MICROS);
     }
 
     private void scheduleQuotaChange() {
--- a/src/test/java/reedmux/simulation/soak/SoakMachineTest.java
+++ b/src/test/java/reedmux/simulation/soak/SoakMachineTest.java
@@ -77,7 +77,7 @@
 
     /** Both programs get a signal; the second one ends after the first one has been started again. */
     @Test
-    public void programThatEndsLaterThanTheOtherByTheSameSignalIsNotReported()
+    public void delayedExitAfterSharedSignalIsNotReported()
             throws IOException, InterruptedException, ExecutionException, TimeoutException {
         SingleMachineFleet fleet = new SingleMachineFleet();
         SoakMachine machine = new SoakMachine(fleet, "core-0", IP, "zone-a", List.of("store", "registry"), true);
--- a/src/test/java/reedmux/simulation/soak/SoakTest.java
+++ b/src/test/java/reedmux/simulation/soak/SoakTest.java
@@ -46,16 +46,16 @@
     public void noInvariantIsViolatedUnderOverlappingFaults()
             throws IOException, ExecutionException, InterruptedException {
         for (int first = 0; first < SEEDS.length; first += 2) {
-            CompletableFuture<SoakOutcome> one = start(first);
-            CompletableFuture<SoakOutcome> other = start(first + 1);
-            assertGood(one.get());
-            assertGood(other.get());
+            CompletableFuture<SoakOutcome> firstRun = start(first);
+            CompletableFuture<SoakOutcome> secondRun = start(first + 1);
+            assertNoViolations(firstRun.get());
+            assertNoViolations(secondRun.get());
         }
     }
 
     /** As on machines with a quota of processor time: each proxy stands still for a part of every tenth of a second. */
     @Test
-    public void tenantsKeepToTheirQuotasAtProxiesThatStandStill() throws IOException {
+    public void tenantsStayWithinTheirQuotasWhenProxiesAreThrottled() throws IOException {
         SoakOptions options = new SoakOptions(11, SECONDS, 24, 3, 24, 4, 0, 16, 150, 60);
         SoakOutcome outcome = run(options, directory, FIRST_NETWORK + SEEDS.length + 1);
         assertEquals(outcome.violations(), List.of(), String.join("\n", outcome.faults()));
@@ -64,11 +64,11 @@
 
     private CompletableFuture<SoakOutcome> start(int index) throws IOException {
         SoakOptions options = new SoakOptions(SEEDS[index], SECONDS, 4, 3, 5, 10, 6, 6, 60, 60);
-        Path ofRun = Files.createDirectory(directory.resolve("seed-" + SEEDS[index]));
-        return CompletableFuture.supplyAsync(() -> run(options, ofRun, FIRST_NETWORK + index));
+        Path runDirectory = Files.createDirectory(directory.resolve("seed-" + SEEDS[index]));
+        return CompletableFuture.supplyAsync(() -> run(options, runDirectory, FIRST_NETWORK + index));
     }
 
-    private static void assertGood(SoakOutcome outcome) {
+    private static void assertNoViolations(SoakOutcome outcome) {
         assertEquals(
                 outcome.violations(),
                 List.of(),
@@ -96,7 +96,7 @@
         CompletableFuture<Integer> exit = new CompletableFuture<>();
         store.onExit(exit::complete);
         try {
-            await(store::hasBegun, () -> Files.readString(output));
+            await(store::handlesSignals, () -> Files.readString(output));
             store.signal("HUP");
             await(
                     () -> Files.readString(output).contains("settings read again"),
@@ -115,13 +115,13 @@
      * a changed file is taken up all the same.
      */
     @Test
-    public void programWhoseParentIgnoresHangUpSaysSoAndReadsChangedSettings()
+    public void programWithIgnoredHangUpLogsItAndReloadsChangedSettings()
             throws IOException, InterruptedException {
         Path settings = writeStoreSettings();
         Path output = directory.resolve("store.log");
         ProgramProcess store = new ProgramProcess("store", settings, output, ProgramProcess.HANG_UP_IGNORED);
         try {
-            await(store::hasBegun, () -> Files.readString(output));
+            await(store::handlesSignals, () -> Files.readString(output));
             assertTrue(Files.readString(output).contains("SIGHUP is ignored"), Files.readString(output));
             store.signal("HUP");
             await(() -> Files.readString(output).contains("listens"), () -> Files.readString(output));
