--- a/src/main/java/reedmux/simulation/soak/ClientContext.java
+++ b/src/main/java/reedmux/simulation/soak/ClientContext.java
@@ -8,11 +8,13 @@
 import reedmux.simulation.cluster.SimulatedClients;
 
 /**
- * What all clients of a soak share.
+ * The state shared by all clients of a soak.
  *
- * @param invariants hear of every request
- * @param plan       draws the next request
- * @param proxies    a live list
+ * @param reactor    runs the clients and provides the time
+ * @param random     the source of the clients' random choices
+ * @param invariants receives a report of every request
+ * @param plan       generates the next request
+ * @param proxies    the proxies that are currently in use; a live list
  */
 record ClientContext(
         Reactor reactor,
@@ -25,7 +27,7 @@
         return proxies.get(random.nextInt(proxies.size()));
     }
 
-    /** Tells the invariants of a request that is sent now. */
+    /** Reports a request that is being sent now to the invariant checker. */
     void reportSent(String id, SoakMachine proxy, SimulatedClients.PlannedRequest planned) {
         invariants.onRequestSent(
                 id,
--- a/src/main/java/reedmux/simulation/soak/DepartingClient.java
+++ b/src/main/java/reedmux/simulation/soak/DepartingClient.java
@@ -10,26 +10,26 @@
 import reedmux.simulation.harness.OneShotHttpCall;
 
 /**
- * A client that leaves without waiting for its response, at any moment and in one of several ways, and comes back with
- * another request. Its requests take long, so that a checker that is not told would go on with them. For the reactor's
- * thread.
+ * A client that disconnects at a random time and in one of several ways without waiting for its response, and later
+ * connects again with another request. Its requests take a long time to execute, so that a checker that is not notified
+ * of the departure would continue to execute them. Must be used on the reactor's thread only.
  */
 final class DepartingClient {
     private static final int MAX_VISIT_MICROS = 400_000;
     private static final int MAX_PAUSE_MICROS = 150_000;
     private static final int WORK_MILLIS = 4_000;
     private static final int TIME_LEFT_MILLIS = 30_000;
-    /** More than a proxy reads ahead of the request that is open. */
+    /** Exceeds the number of bytes that a proxy reads ahead while a request is in flight. */
     private static final int PIPELINED_BYTES = 200 * 1024;
 
-    /** How a client leaves. */
+    /** The ways in which a client disconnects. */
     private enum Ending {
         CLOSE,
-        /** The end of its own direction only. */
+        /** Shuts down the client's output only; the connection is closed later. */
         HALF_CLOSE,
-        /** With its request sent in part. */
+        /** Closes the connection after only a part of the request was sent. */
         CLOSE_WITHIN_REQUEST,
-        /** Behind input that nobody has asked for. */
+        /** Closes the connection after sending unsolicited bytes behind the request. */
         CLOSE_BEHIND_MORE_INPUT
     }
 
@@ -68,7 +68,7 @@
         reactor.scheduleAfter(1 + random.nextInt(MAX_PAUSE_MICROS), this::start);
     }
 
-    /** One connection with one request. */
+    /** One connection that carries one request. */
     private final class Visit implements Connection.ConnectionHandler {
         private final String id = name + '.' + ++visits;
         private final Ending ending = Ending.values()[random.nextInt(Ending.values().length)];
--- a/src/main/java/reedmux/simulation/soak/OperatorTraffic.java
+++ b/src/main/java/reedmux/simulation/soak/OperatorTraffic.java
@@ -8,9 +8,9 @@
 import reedmux.simulation.cluster.SimulatedOperator;
 
 /**
- * The operators of a soak, who change and read the configuration at random times: changes follow each other before
- * the ones before them are decided, come in pairs that contend, in series, and are now and then invalid. For the
- * reactor's thread.
+ * The operators of a soak, who change and read the configuration at random times. Changes are sent before earlier ones
+ * are decided, in concurrent pairs that may conflict and in series, and some of them are invalid. Must be used on the
+ * reactor's thread only.
  */
 final class OperatorTraffic {
     private static final int MAX_CHANGE_INTERVAL_MICROS = 400_000;
@@ -23,7 +23,7 @@
     private final ConfigurationGenerator configurations;
     private boolean stopped;
 
-    /** {@code operators}: two of them. */
+    /** Creates the traffic of exactly two {@code operators}. */
     OperatorTraffic(
             Reactor reactor, Random random, List<SimulatedOperator> operators, ConfigurationGenerator configurations) {
         this.reactor = reactor;
@@ -37,7 +37,7 @@
         sendReads();
     }
 
-    /** Nothing new is sent from now on. */
+    /** Stops sending changes and reads; those in flight still complete. */
     void stop() {
         stopped = true;
     }
@@ -60,7 +60,7 @@
         reactor.scheduleAfter(1 + random.nextInt(MAX_CHANGE_INTERVAL_MICROS), this::sendChanges);
     }
 
-    /** One change after another, the next one as soon as the last one is decided; others go on beside it. */
+    /** Sends each change once the previous one of the series is decided, concurrently with other traffic. */
     private void sendSeries(int remaining) {
         if (!stopped && remaining > 0) {
             operators
--- a/src/main/java/reedmux/simulation/soak/ProcessThrottle.java
+++ b/src/main/java/reedmux/simulation/soak/ProcessThrottle.java
@@ -9,9 +9,10 @@
 import reedmux.common.eventloop.Reactor;
 
 /**
- * Gives proxies less of the processor than they want, as machines with a quota of processor time do: each stands still
- * for a part of every period, all at different times. It is slow, and not faulty. The signals go by one shell, as a
- * process for each would take more of the processor than the proxies. For the reactor's thread.
+ * Limits the processor time of proxies, as machines with a CPU quota do: each proxy is paused for a part of every
+ * period, and the proxies are paused at different times. A throttled proxy is slow but does not count as faulty. All
+ * signals are sent through one shell, because a process for each signal would use more processor time than the proxies.
+ * Must be used on the reactor's thread only.
  */
 final class ProcessThrottle {
     private static final long MICROS_PER_MILLI = 1000;
@@ -25,7 +26,7 @@
     private final Writer commands;
     private boolean stopped;
 
-    /** {@code maxPauseMillis}: how long a proxy stands still in each tenth of a second, at most. */
+    /** Creates a throttle that pauses a proxy for at most {@code maxPauseMillis} in each 100 ms. */
     ProcessThrottle(Reactor reactor, Random random, Supplier<List<SoakMachine>> proxies, int maxPauseMillis)
             throws IOException {
         this.reactor = reactor;
@@ -45,7 +46,7 @@
         }
     }
 
-    /** All go on from now on. */
+    /** Stops pausing proxies; those that are paused now are resumed at the end of their pause. */
     void stop() {
         stopped = true;
     }
@@ -68,11 +69,11 @@
             }
             commands.flush();
         } catch (IOException e) {
-            stopped = true; // the shell has ended, and with it the soak
+            stopped = true; // the shell exits only when the soak ends
         }
     }
 
-    /** Ends the shell, once all that was sent is carried out. */
+    /** Waits until the shell has executed all commands sent to it and has exited. */
     void close() throws InterruptedException {
         try {
             commands.close();
--- a/src/main/java/reedmux/simulation/soak/ProgramProcess.java
+++ b/src/main/java/reedmux/simulation/soak/ProgramProcess.java
@@ -9,16 +9,19 @@
 import java.util.concurrent.TimeUnit;
 import reedmux.common.settings.ProcessSettings;
 
-/** One of the system's programs as a process of the operating system; it ends with this one at the latest. */
+/** Runs one of the system's programs as an operating-system process, which must not outlive this JVM. */
 final class ProgramProcess {
     private static final String SIGNAL_COMMAND = "kill";
     private static final String LAUNCHER = "env";
-    /** As the platform starts programs: a parent that ignores SIGHUP, as nohup does, has its children ignore it. */
+    /**
+     * The launcher option that restores the default action of SIGHUP, as the platform does when it starts programs.
+     * Without it, a program whose parent ignores SIGHUP, as nohup does, would inherit that and ignore the signal.
+     */
     static final String HANG_UP_BY_DEFAULT = "--default-signal=HUP";
 
     static final String HANG_UP_IGNORED = "--ignore-signal=HUP";
     private static final long KILL_SECONDS = 5;
-    /** As deploy/system.toml has them, without the class archive that only its build makes. */
+    /** The options in deploy/system.toml, except for the class archive, which only the deployment build creates. */
     private static final List<String> JVM_OPTIONS = List.of(
             "-Xms12m",
             "-Xmx64m",
@@ -30,22 +33,22 @@
             "-XX:ReservedCodeCacheSize=24m",
             "-XX:MaxMetaspaceSize=48m");
 
-    /** What a program writes once it handles signals; before that the JVM ends at any of them. */
+    /** Logged by a program once it handles signals; until then any signal terminates the JVM. */
     private static final String SIGNALS_HANDLED_MARKER = " begins";
 
     private final Process process;
     private final Path output;
     private final long initialOutputLength;
     private boolean handlesSignals;
-    /** Whether a signal that ends it was sent. */
+    /** Whether a signal that terminates the process was sent or is about to be sent. */
     private boolean endExpected;
 
-    /** Starts a program; {@code output} receives what it writes, behind what is there. */
+    /** Starts a program; its output is appended to the file {@code output}. */
     ProgramProcess(String program, Path settings, Path output) throws IOException {
         this(program, settings, output, HANG_UP_BY_DEFAULT);
     }
 
-    /** The same with a launcher's option that says what becomes of a signal. */
+    /** Starts a program with a launcher option that sets how it initially handles a signal. */
     ProgramProcess(String program, Path settings, Path output, String signalOption) throws IOException {
         this.output = output;
         initialOutputLength = Files.exists(output) ? Files.size(output) : 0;
@@ -70,12 +73,12 @@
         return testClassPath == null ? System.getProperty("java.class.path") : testClassPath;
     }
 
-    /** Runs a task with the exit code once the process has ended, on a thread of the JVM. */
+    /** Registers a task that is run on a thread of the JVM with the exit code once the process has exited. */
     void onExit(java.util.function.IntConsumer task) {
         process.onExit().thenAccept(ended -> task.accept(ended.exitValue()));
     }
 
-    /** A signal that ends it is about to be sent. */
+    /** Records that a terminating signal is about to be sent, so that the exit is not reported as a fault. */
     void expectEnd() {
         endExpected = true;
     }
@@ -92,24 +95,28 @@
         return process.isAlive();
     }
 
-    /** Whether it handles signals by now. */
+    /** Whether the process already handles signals. */
     boolean handlesSignals() throws IOException {
         if (!handlesSignals) {
             byte[] bytes = Files.readAllBytes(output);
-            String ownOutput = new String(bytes, (int) initialOutputLength, (int) (bytes.length - initialOutputLength), StandardCharsets.UTF_8);
+            String ownOutput = new String(
+                    bytes,
+                    (int) initialOutputLength,
+                    (int) (bytes.length - initialOutputLength),
+                    StandardCharsets.UTF_8);
             handlesSignals = ownOutput.contains(SIGNALS_HANDLED_MARKER);
         }
         return handlesSignals;
     }
 
-    /** Sends a signal, by its name without {@code SIG}, to this process alone. */
+    /** Sends a signal, named without {@code SIG}, to this process only. */
     void signal(String name) throws IOException {
         if (process.isAlive()) {
             new ProcessBuilder(SIGNAL_COMMAND, "-" + name, Long.toString(process.pid())).start();
         }
     }
 
-    /** Kills the process, and waits for its end. */
+    /** Kills the process and waits for its exit with a timeout. */
     void killAndWait() throws InterruptedException {
         process.destroyForcibly();
         process.waitFor(KILL_SECONDS, TimeUnit.SECONDS);
--- a/src/main/java/reedmux/simulation/soak/ResponsivenessMonitor.java
+++ b/src/main/java/reedmux/simulation/soak/ResponsivenessMonitor.java
@@ -7,9 +7,10 @@
 import reedmux.simulation.harness.OneShotHttpCall;
 
 /**
- * Finds out which proxies the machine holds up, as it does where many processes share few cores: it asks each proxy
- * again and again whether it is ready, and looks whether its own timers are late. What a proxy that takes over a second
- * for this does late is no fault of the program; one that is down or refuses counts as usual. For the reactor's thread.
+ * Detects proxies that get too little processor time from the host, which happens when many processes share few cores.
+ * It probes the readiness of each proxy periodically and checks whether its own timers fire late. If a proxy takes more
+ * than a second to respond, its late actions are not faults of the program. A proxy that is down or refuses connections
+ * is not reported as stalled. Must be used on the reactor's thread only.
  */
 final class ResponsivenessMonitor {
     private static final long SECOND = 1_000_000;
@@ -19,7 +20,7 @@
     private static final long MAX_TIMER_LATENESS_MICROS = SECOND / 2;
     private static final String NO_ANSWER = "no answer";
 
-    /** Hears of a proxy that was held up. */
+    /** Receives the intervals, in microseconds, in which proxies were stalled. */
     interface StallListener {
         void onStalled(SoakMachine proxy, long from, long until);
     }
@@ -61,7 +62,7 @@
                     PROBE_TIMEOUT_MICROS,
                     (status, head, text) -> onProbeEnded(proxy, sentAt, status != 0 || text.equals(NO_ANSWER)));
         } catch (IOException e) {
-            // without a descriptor nothing is known of it
+            // no file descriptor is available, so the proxy can't be probed
         }
     }
 
--- a/src/main/java/reedmux/simulation/soak/SoakChecker.java
+++ b/src/main/java/reedmux/simulation/soak/SoakChecker.java
@@ -17,7 +17,7 @@
 import reedmux.simulation.cluster.ClusterInvariantChecker;
 import reedmux.simulation.harness.OneShotHttpCall;
 
-/** A stand-in for a checker, which works on some requests at once, queues a few more and may crash. */
+/** A simulated checker that executes several requests concurrently, queues a limited number and may crash. */
 final class SoakChecker {
     private static final int SLOTS = 6;
     private static final int MAX_QUEUED = 12;
@@ -25,11 +25,11 @@
     private static final long CALL_TIMEOUT_MICROS = 1_000_000;
     private static final int MIN_WORK_MICROS = 30_000;
     private static final int WORK_RANGE_MICROS = 170_000;
-    /** One request in so many takes long. */
+    /** One in this many requests is slow. */
     private static final int LONG_REQUEST_SHARE = 12;
 
     private static final long LONG_WORK_MICROS = 900_000;
-    /** How long a request is to be worked on, in milliseconds; drawn for requests without it. */
+    /** The request header with the execution time in milliseconds; the time of other requests is random. */
     static final String WORK_MILLIS = "Work-Millis";
 
     private final Reactor reactor;
@@ -48,7 +48,7 @@
     private int controlIndex;
     private boolean crashed;
 
-    /** Starts at a free port of {@code ip}; {@code control} is a live list. */
+    /** Starts a checker on a free port of {@code ip}; {@code control} is a live list of control addresses. */
     SoakChecker(
             Reactor reactor,
             Random random,
@@ -117,18 +117,18 @@
                 : MIN_WORK_MICROS + random.nextInt(WORK_RANGE_MICROS);
     }
 
-    /** A request that is worked on until it is answered or its connection is closed. */
+    /** The execution of a request, which lasts until the response is sent or the connection is closed. */
     private final class Execution {
         private final String attempt;
         private final Reactor.ScheduledTask work;
 
-        private Execution(String attempt, Http1ServerConnection from, long workMicros) {
+        private Execution(String attempt, Http1ServerConnection connection, long workMicros) {
             this.attempt = attempt;
-            work = reactor.scheduleAfter(workMicros, () -> respond(from));
+            work = reactor.scheduleAfter(workMicros, () -> respond(connection));
         }
 
-        private void respond(Http1ServerConnection from) {
-            from.respond(
+        private void respond(Http1ServerConnection connection) {
+            connection.respond(
                     Http1Head.response(200).add("Reedmux-Attempt-Id", attempt).add("Reedmux-Server-Seal", id),
                     (id + ' ' + service + ' ' + attempt).getBytes(StandardCharsets.UTF_8));
             end(true);
@@ -169,7 +169,7 @@
         reactor.scheduleAfter(HEARTBEAT_INTERVAL_MICROS, this::sendHeartbeat);
     }
 
-    /** Cuts all its connections, with their requests unanswered, and goes on. */
+    /** Closes all connections without responding to their requests; the checker continues to run. */
     void cutConnections() {
         connections.forEach(Connection::close);
         connections.clear();
@@ -177,7 +177,7 @@
         List.copyOf(executions).forEach(execution -> execution.end(false));
     }
 
-    /** Ends without notice, with its requests unanswered. */
+    /** Stops without notice and without responding to its requests. */
     void crash() {
         crashed = true;
         listener.close();
--- a/src/main/java/reedmux/simulation/soak/SoakClient.java
+++ b/src/main/java/reedmux/simulation/soak/SoakClient.java
@@ -9,13 +9,14 @@
 import reedmux.simulation.harness.PersistentHttpClient;
 
 /**
- * A client that stays with one proxy: it goes on over its open connection, also when it is told that this closes, and
- * comes back to the same proxy until that refuses its connections. For the reactor's thread.
+ * A client that keeps using one proxy. It continues to send requests on its open connection, even after the proxy has
+ * announced that it will close the connection, and reconnects to the same proxy until that stops running. Must be used
+ * on the reactor's thread only.
  */
 final class SoakClient implements PersistentHttpClient.Conversation {
     private static final long RESPONSE_TIMEOUT_MICROS = 7_000_000;
     private static final long RECONNECT_DELAY_MICROS = 20_000;
-    /** Of so many requests one is the last one to its proxy. */
+    /** The client draws a new proxy once in this many requests. */
     private static final int REQUESTS_PER_PROXY = 40;
 
     private static final int[] TIMES_LEFT_MILLIS = {600, 2_000, 2_000, 30_000};
--- a/src/main/java/reedmux/simulation/soak/SoakFaults.java
+++ b/src/main/java/reedmux/simulation/soak/SoakFaults.java
@@ -9,24 +9,24 @@
 import reedmux.simulation.cluster.ClusterInvariantChecker;
 
 /**
- * Injects faults and planned work at random times, so that they overlap: into proxies and checkers at any time, into
- * the core one machine at a time, with the time in between after which the next loss may come. For the reactor's
- * thread.
+ * Injects faults and planned maintenance at random times, so that they overlap. Proxies and checkers may be hit at any
+ * time. In the core, either one machine is hit or all machines are killed at once, and the next fault is injected only
+ * after the core has had time to recover. Must be used on the reactor's thread only.
  */
 final class SoakFaults {
     private static final long SECOND = 1_000_000;
     private static final int MAX_PAUSE_MICROS = 1_200_000;
-    /** Between two faults of one kind or another. */
+    /** The maximum interval between two faults of proxies and checkers, and between two faults of the core. */
     private static final int MAX_INTERVAL_MICROS = 900_000;
-    /** Between two signals of a series. */
+    /** The maximum interval between two signals of a series. */
     private static final int MAX_SERIES_INTERVAL_MICROS = 900_000;
-    /** The longest series: a longer one would go on after the last fault of a soak. */
+    /** The maximum length of a series; a longer one would still be sending signals after the last fault of a soak. */
     private static final int MAX_SERIES = 12;
-    /** A signal that comes while a process still starts. */
+    /** The maximum delay of a signal that is meant to arrive while a process is still starting. */
     private static final int EARLY_SIGNAL_MICROS = 900_000;
-    /** After this a machine that is back, or new, counts. */
+    /** The time after which a restarted or new core machine counts as a full member, so that another one may fail. */
     private static final long CONVERGENCE_MICROS = 4 * SECOND;
-    /** A restart takes this long at most, on a machine with as many processes as a soak has. */
+    /** The maximum duration of a restart on a host that runs as many processes as a soak does. */
     private static final long RESTART_MICROS = 2 * SECOND;
 
     private static final int PROXY_KINDS = 8;
@@ -48,14 +48,14 @@
         this.log = log;
     }
 
-    /** Injects faults until a time. */
+    /** Injects faults until {@code end}, in the reactor's time. */
     void start(long end) {
         until = end;
         injectProxyFaults();
         injectCoreFaults();
     }
 
-    /** When the core counts again after the last fault. */
+    /** Returns the time by which the core has recovered from the last fault. */
     long coreRecoveredAt() {
         return coreRecoveredAt;
     }
@@ -83,10 +83,11 @@
                 scheduleWithin(EARLY_SIGNAL_MICROS, () -> hangUp(proxy));
             }
             case 3 -> {
-                log.accept(proxy.name() + " is killed, and gets SIGHUP and SIGTERM soon after its start");
+                log.accept(proxy.name() + " is killed and signalled with SIGHUP and SIGTERM soon after");
                 proxy.kill();
                 reactor.scheduleAfter(SECOND / 2, () -> scheduleWithin(EARLY_SIGNAL_MICROS, () -> hangUp(proxy)));
-                reactor.scheduleAfter(SECOND / 2, () -> scheduleWithin(2 * EARLY_SIGNAL_MICROS, () -> terminate(proxy)));
+                reactor.scheduleAfter(
+                        SECOND / 2, () -> scheduleWithin(2 * EARLY_SIGNAL_MICROS, () -> terminate(proxy)));
             }
             case 4 -> {
                 long length = 1 + random.nextInt(MAX_PAUSE_MICROS);
@@ -101,16 +102,16 @@
     }
 
     private void terminate(SoakMachine machine) {
-        log.accept(machine.name() + " gets SIGTERM");
+        log.accept(machine.name() + " receives SIGTERM");
         machine.terminate();
     }
 
     private void hangUp(SoakMachine machine) {
-        log.accept(machine.name() + " gets SIGHUP");
+        log.accept(machine.name() + " receives SIGHUP");
         machine.hangUp();
     }
 
-    /** Most proxies one after the other, sooner than each of them is back. */
+    /** Terminates most proxies one after another, without waiting until each of them is running again. */
     private void rollProxies() {
         List<SoakMachine> order = new ArrayList<>(run.proxies());
         Collections.shuffle(order, random);
@@ -151,7 +152,7 @@
                 core.pause(length);
             }
             case 3 -> {
-                log.accept("all of the core is killed");
+                log.accept("all core machines are killed");
                 invariants.addCoreFault(reactor.now(), reactor.now() + RESTART_MICROS, true);
                 coreRecoveredAt = reactor.now() + RESTART_MICROS + CONVERGENCE_MICROS;
                 run.cores().forEach(SoakMachine::kill);
@@ -166,12 +167,12 @@
         }
     }
 
-    /** One is gone for good, and another of other name and address comes before or after that. */
+    /** Removes a core machine for good; its replacement, with a new name and address, starts before or after that. */
     private void replace(SoakMachine core) {
         boolean planned = random.nextBoolean();
         long gapMicros = SECOND / 2 + random.nextInt((int) SECOND);
         long startsAfter = planned ? 0 : gapMicros;
-        log.accept(core.name() + (planned ? " is replaced as planned" : " is gone for good, and replaced"));
+        log.accept(core.name() + (planned ? " is replaced as planned" : " is lost permanently and replaced"));
         noteFault(core, gapMicros + RESTART_MICROS);
         reactor.scheduleAfter(startsAfter, () -> run.addCore());
         reactor.scheduleAfter(gapMicros - startsAfter, () -> run.removeCore(core, planned));
--- a/src/main/java/reedmux/simulation/soak/SoakMachine.java
+++ b/src/main/java/reedmux/simulation/soak/SoakMachine.java
@@ -14,21 +14,21 @@
 import reedmux.common.eventloop.Reactor;
 
 /**
- * A machine of the soak: an address of the loopback network with one or two programs, which are started again whenever
- * they end, as the platform does. For the reactor's thread.
+ * A machine of the soak: a loopback address with one or two programs, which are restarted whenever they exit, as the
+ * platform does. Must be used on the reactor's thread only.
  */
 final class SoakMachine {
     static final int FRONT_PORT_OFFSET = 21;
     static final int READINESS_PORT_OFFSET = 22;
     static final int CONTROL_PORT_OFFSET = 20;
     static final long GRACE_MICROS = 6_000_000;
-    /** The platform is late, too; beyond that a process counts as one that does not end. */
+    /** Allows for delays of the platform; a process that outlives its grace period by more than this is reported. */
     private static final long GRACE_TOLERANCE_MICROS = 1_500_000;
 
     private static final int PORT_RANGE_WIDTH = 10;
     private static final long RESTART_DELAY_MICROS = 300_000;
 
-    /** What all machines of a soak share. */
+    /** The environment shared by all machines of a soak. */
     interface Fleet {
 
         Reactor reactor();
@@ -37,14 +37,14 @@
 
         Path directory();
 
-        /** The addresses of the seeds, as the settings of a start have them. */
+        /** The IP addresses of the seeds that are written to the settings of a program. */
         List<String> seeds();
 
         void onViolation(String violation);
 
         void onStarted();
 
-        /** A machine is killed or held up from one time to another, in microseconds. */
+        /** Called when a machine is killed or paused, with the interval of the fault in microseconds. */
         void onMachineFault(SoakMachine machine, long from, long until);
     }
 
@@ -54,16 +54,16 @@
     private final String zone;
     private final List<String> programs;
     private final Map<String, ProgramProcess> processes = new LinkedHashMap<>();
-    /** Whether the whole system starts for the first time. */
+    /** Whether the next start is part of the first start of the whole system. */
     private boolean coldStart;
 
     private boolean removed;
 
-    /** Whether its disk is lost before the next start. */
+    /** Whether the disk is to be deleted before the next start. */
     private boolean diskLost;
 
     private long faultUntil;
-    /** Until when the machine that the soak runs on gave it no processor. */
+    /** The end of the last interval in which the host gave this machine no processor time. */
     private long stalledUntil;
 
     SoakMachine(Fleet fleet, String name, String ip, String zone, List<String> programs, boolean coldStart) {
@@ -96,18 +96,21 @@
                 && processes.values().stream().allMatch(ProgramProcess::isAlive);
     }
 
-    /** Whether it was killed or held up so lately that clients may have noticed. */
+    /** Whether clients may have noticed a kill or pause of this machine at {@code since} or later. */
     boolean isFaulty(long since) {
         return faultUntil >= since;
     }
 
-    /** Until when clients may notice an unplanned fault of this machine. */
+    /** Records an unplanned fault of this machine that clients may notice until the given time. */
     void noteFault(long until) {
         faultUntil = Math.max(faultUntil, until);
         fleet.onMachineFault(this, fleet.reactor().now(), until);
     }
 
-    /** It got no processor until a time, so that it may end late; clients are owed what they are owed all the same. */
+    /**
+     * Records that the host gave this machine no processor time until the given time. The machine may then exceed its
+     * grace period, but its guarantees to clients still hold.
+     */
     void noteStall(long until) {
         stalledUntil = Math.max(stalledUntil, until);
     }
@@ -120,7 +123,7 @@
         return programs;
     }
 
-    /** The processes that run now. */
+    /** The ids of the running processes. */
     List<Long> processIds() {
         return processes.values().stream()
                 .filter(ProgramProcess::isAlive)
@@ -140,7 +143,8 @@
             return;
         }
         if (diskLost && processes.values().stream().anyMatch(ProgramProcess::isAlive)) {
-            fleet.reactor().scheduleAfter(RESTART_DELAY_MICROS, () -> start(program)); // it still uses the disk
+            fleet.reactor()
+                    .scheduleAfter(RESTART_DELAY_MICROS, () -> start(program)); // a running program still uses the disk
             return;
         }
         try {
@@ -164,7 +168,7 @@
             return;
         }
         if (!process.isEndExpected() && !removed) {
-            fleet.onViolation("FAULT: " + name + '/' + program + " ends by itself with " + code);
+            fleet.onViolation("FAULT: " + name + '/' + program + " exited unexpectedly with code " + code);
         }
         fleet.reactor().scheduleAfter(RESTART_DELAY_MICROS, () -> {
             if (processes.get(program) == process) {
@@ -173,7 +177,10 @@
         });
     }
 
-    /** Sends SIGTERM; who has not ended within the grace period is killed, and reported. */
+    /**
+     * Sends SIGTERM to all programs. Those that have not exited within the grace period and its tolerance are killed
+     * and reported, unless the machine was faulty or stalled since.
+     */
     void terminate() {
         processes.values().forEach(ProgramProcess::expectEnd);
         signal("TERM");
@@ -182,20 +189,20 @@
         fleet.reactor().scheduleAfter(GRACE_MICROS + GRACE_TOLERANCE_MICROS, () -> {
             boolean overdue = signalled.stream().anyMatch(ProgramProcess::isAlive);
             if (overdue && !isFaulty(signalledAt) && stalledUntil < signalledAt) {
-                fleet.onViolation("GRACE: " + name + " still runs long after SIGTERM");
+                fleet.onViolation("GRACE: " + name + " is still running after its grace period");
             }
             signalled.stream().filter(ProgramProcess::isAlive).forEach(process -> signal(process, "KILL"));
         });
     }
 
-    /** Kills its programs without notice. */
+    /** Kills all programs without notice. */
     void kill() {
         processes.values().forEach(ProgramProcess::expectEnd);
         noteFault(fleet.reactor().now() + RESTART_DELAY_MICROS);
         signal("KILL");
     }
 
-    /** Kills its programs; when they start again the disk is empty. */
+    /** Kills all programs and deletes the disk before they are restarted. */
     void loseDisk() {
         diskLost = true;
         kill();
@@ -213,7 +220,7 @@
         }
     }
 
-    /** Ends it for good. */
+    /** Stops the machine permanently, with SIGTERM if {@code planned} and SIGKILL otherwise. */
     void remove(boolean planned) {
         removed = true;
         if (planned) {
@@ -223,12 +230,12 @@
         }
     }
 
-    /** Holds its programs up for a while. */
+    /** Pauses all programs for the given time. */
     void pause(long micros) {
         pause(List.copyOf(processes.values()), micros);
     }
 
-    /** Holds one of its programs up for a while. */
+    /** Pauses one program for the given time. */
     void pause(String program, long micros) {
         pause(List.of(processes.get(program)), micros);
     }
@@ -239,7 +246,10 @@
         fleet.reactor().scheduleAfter(micros, () -> paused.forEach(process -> signal(process, "CONT")));
     }
 
-    /** The settings have changed: tells the programs, but for those that end at any signal as they just begin. */
+    /**
+     * Rewrites the settings and sends SIGHUP to the programs. Programs that do not handle signals yet are skipped,
+     * because any signal would terminate them.
+     */
     void hangUp() {
         try {
             for (String program : programs) {
@@ -255,7 +265,7 @@
         }
     }
 
-    /** Replaces the file at once, so that a process that starts doesn't read a part of it. */
+    /** Replaces the file atomically, so that a starting process does not read a partly written file. */
     private void writeSettings(Path file) throws IOException {
         Path next = file.resolveSibling(file.getFileName() + ".new");
         Files.writeString(next, settings());
@@ -274,7 +284,7 @@
         }
     }
 
-    /** Ends its programs at the end of the soak; for any thread once the reactor has stopped. */
+    /** Kills all programs at the end of the soak; may be called on any thread once the reactor has stopped. */
     void destroy() throws InterruptedException {
         removed = true;
         for (ProgramProcess process : processes.values()) {
--- a/src/main/java/reedmux/simulation/soak/SoakOptions.java
+++ b/src/main/java/reedmux/simulation/soak/SoakOptions.java
@@ -1,18 +1,18 @@
 package reedmux.simulation.soak;
 
 /**
- * What a soak consists of.
+ * The options of a soak.
  *
- * @param seed     of all its random choices
- * @param seconds  for which faults are injected
- * @param proxies  processes that serve clients
- * @param cores    machines of the core, each with a store and a registry
- * @param checkers stand-ins for checkers
- * @param clients  clients that send one request after another
- * @param leaving  clients that leave without waiting for their responses
- * @param tenants  with quotas of their own, of which some go beyond them
- * @param rate     what these tenants usually ask for together, in requests a second
- * @param throttle how long each proxy stands still in every tenth of a second, at most, in milliseconds
+ * @param seed     the seed of all random choices
+ * @param seconds  the time for which faults are injected, in seconds
+ * @param proxies  the number of proxy processes
+ * @param cores    the number of core machines, each of which runs a store and a registry
+ * @param checkers the number of simulated checkers
+ * @param clients  the number of clients that send sequential requests
+ * @param leaving  the number of clients that disconnect without waiting for their responses
+ * @param tenants  the number of tenants with quotas of their own, some of which exceed them
+ * @param rate     the usual total request rate of these tenants, in requests per second
+ * @param throttle the maximum time for which each proxy is paused in every 100 ms, in milliseconds
  */
 public record SoakOptions(
         long seed,
--- a/src/main/java/reedmux/simulation/soak/SoakOutcome.java
+++ b/src/main/java/reedmux/simulation/soak/SoakOutcome.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * How a soak went.
+ * The result of a soak.
  *
- * @param seed             its seed
- * @param violations       of invariants; empty for a good one
- * @param faults           what was injected, with seconds from the first one
- * @param requests         of clients
- * @param served           of these requests
- * @param endedByDeparture executions that ended as their client had left
- * @param processes        that were started
- * @param heldUpTimes      how often the machine held a proxy up for over a second
- * @param worstQuotaShare  the largest share of what its quota allows that any tenant had executed in a window
- * @param withinQuota      requests of tenants that kept to their quota
- * @param refused          of these, as if they were beyond it
+ * @param seed             the seed of the soak
+ * @param violations       the violations of invariants; empty if the soak passed
+ * @param faults           the injected faults, each with its time in seconds since the traffic was started
+ * @param requests         the number of requests that clients sent
+ * @param served           the number of these requests that were served
+ * @param endedByDeparture the number of executions that ended because their client had disconnected
+ * @param processes        the number of processes that were started
+ * @param heldUpTimes      how often the host stalled a proxy for more than a second
+ * @param worstQuotaShare  the largest fraction of its quota that any tenant had executed in a window
+ * @param withinQuota      the number of responses to tenants that stayed within their quota
+ * @param refused          the number of these responses that refused the request for exceeding the quota
  */
 public record SoakOutcome(
         long seed,
--- a/src/main/java/reedmux/simulation/soak/SoakRun.java
+++ b/src/main/java/reedmux/simulation/soak/SoakRun.java
@@ -23,11 +23,11 @@
 import reedmux.simulation.harness.OneShotHttpCall;
 
 /**
- * One soak: starts the processes, has clients, operators and faults go on beside each other for a while, and then
- * checks that the gateway is whole again, that nothing acknowledged is lost, that no program has found an invariant
- * violated, and that all end in order.
+ * Runs one soak. It starts the processes and runs clients, operators and faults concurrently for a while. Then it
+ * checks that the gateway has recovered, that no acknowledged change is lost, that no program has reported a violated
+ * invariant, and that the proxies shut down gracefully.
  *
- * <p>Everything but {@link #run} runs on the thread of one reactor.
+ * <p>Everything except {@link #run} and the cleanup runs on the thread of one reactor.
  */
 public final class SoakRun implements SoakMachine.Fleet {
     private static final long SECOND = 1_000_000;
@@ -36,13 +36,18 @@
     private static final int MAX_FIRST_PORT = 60_000;
     private static final int CHECKER_HOST = 200;
     private static final int SEEDS = 3;
-    /** How long the start of all processes may take, and the recovery after the last fault. */
+    /** The maximum duration of the start of all processes. */
     private static final long START_TIMEOUT_MICROS = 90 * SECOND;
 
+    /** The maximum duration of the recovery after the last fault. */
     private static final long RECOVERY_TIMEOUT_MICROS = 25 * SECOND;
+
     private static final long POLL_MICROS = SECOND / 4;
     private static final long FINAL_READ_MICROS = 5 * SECOND;
-    /** On a machine with hundreds of processes each may be late; a checker that is not told goes on for longer. */
+    /**
+     * The time after the departure of a client within which the execution of its request must end. Any process may be
+     * late on a host with hundreds of them; a checker that is not notified of the departure takes longer than this.
+     */
     private static final long DEPARTURE_LIMIT_MICROS = 2 * SECOND;
 
     private static final long QUOTA_SETTLE_INTERVAL_MICROS = SECOND / 4;
@@ -102,16 +107,17 @@
     }
 
     /**
-     * Runs one soak.
+     * Runs one soak and returns its result.
      *
-     * @param directory for settings, disks and logs; empty
-     * @param network the second part of its loopback addresses, so that several can run beside each other
+     * @param options   the options of the soak
+     * @param directory an empty directory for settings, disks and logs
+     * @param network   the second byte of the loopback addresses; soaks with different ones can run concurrently
      */
     public static SoakOutcome run(SoakOptions options, Path directory, int network)
             throws IOException, InterruptedException {
         SoakRun soak = new SoakRun(options, directory, network);
         Thread shutdownHook = new Thread(soak::destroyAll);
-        Runtime.getRuntime().addShutdownHook(shutdownHook); // no process outlives a soak that is ended early
+        Runtime.getRuntime().addShutdownHook(shutdownHook); // so that no process outlives an aborted soak
         Thread thread = new Thread(soak::runReactor, "soak-" + options.seed());
         thread.setDaemon(true);
         soak.reactor.execute(soak::startAll);
@@ -119,7 +125,7 @@
         try {
             soak.finished.get(RUN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            soak.invariants.onInvariantViolation("the soak does not end: " + e);
+            soak.invariants.onInvariantViolation("the soak did not finish: " + e);
         } finally {
             soak.reactor.stop();
             thread.join();
@@ -162,7 +168,7 @@
         }
     }
 
-    /** A port that is free at one address; the range begins with it, at all addresses. */
+    /** Finds a port that is free at one address; it becomes the start of the port range at all addresses. */
     private static int findFirstPort(String ip) throws IOException {
         try (ServerSocket probe = new ServerSocket()) {
             probe.bind(new InetSocketAddress(ip, 0));
@@ -221,12 +227,12 @@
         invariants.addMachineFault(proxy.name(), from, until);
     }
 
-    /** The proxies; a live list. */
+    /** Returns a live list of the proxies. */
     List<SoakMachine> proxies() {
         return proxies;
     }
 
-    /** The machines of the core; a live list. */
+    /** Returns a live list of the core machines. */
     List<SoakMachine> cores() {
         return cores;
     }
@@ -237,34 +243,34 @@
         return machine;
     }
 
-    /** Starts one more core machine, of a new name and address, with an empty disk. */
+    /** Starts an additional core machine with a new name, a new address and an empty disk. */
     void addCore() {
         int number = options.cores() + addedCores++;
         SoakMachine core = newMachine(
                 "core-" + number, network + "1." + (number + 1), number, List.of("store", "registry"), false);
         cores.add(core);
         core.start();
-        // operators and checkers hear of it later
+        // operators and checkers learn the address only later
         reactor.scheduleAfter(SECOND, () -> controlAddresses.add(core.address(SoakMachine.CONTROL_PORT_OFFSET)));
     }
 
-    /** Ends a core machine for good. */
+    /** Stops a core machine permanently. */
     void removeCore(SoakMachine core, boolean planned) {
         cores.remove(core);
         core.remove(planned);
         reactor.scheduleAfter(SECOND, () -> controlAddresses.remove(core.address(SoakMachine.CONTROL_PORT_OFFSET)));
     }
 
-    /** Crashes a checker and starts another one. */
+    /** Crashes a random checker and starts another one. */
     void replaceChecker(Random faultRandom) {
         logFault("a checker crashes");
         checkers.remove(faultRandom.nextInt(checkers.size())).crash();
         startChecker();
     }
 
-    /** Cuts the connections of a checker. */
+    /** Closes all connections of a random checker. */
     void cutChecker(Random faultRandom) {
-        logFault("the connections of a checker are cut");
+        logFault("the connections of a checker are closed");
         checkers.get(faultRandom.nextInt(checkers.size())).cutConnections();
     }
 
@@ -282,7 +288,7 @@
         faultLog.add(String.format("%.3f %s", (reactor.now() - faultsStartedAt) / 1e6, description));
     }
 
-    // ---- Course ------------------------------------------------------------------------------------
+    // ---- Phases ------------------------------------------------------------------------------------
 
     private void startAll() {
         for (int i = 0; i < options.cores(); i++) {
@@ -297,7 +303,8 @@
             startChecker();
         }
         long startedAt = reactor.now();
-        invariants.addCoreFault(startedAt, startedAt + START_TIMEOUT_MICROS, true); // what is late in a start is no fault
+        invariants.addCoreFault(
+                startedAt, startedAt + START_TIMEOUT_MICROS, true); // delays during startup are not faults
         sendChangeUntilAcknowledged(
                 configurations.initialChange(),
                 startedAt + START_TIMEOUT_MICROS,
@@ -316,7 +323,7 @@
                 () -> awaitReady(deadline, "the start", this::beginTraffic));
     }
 
-    /** Sends a change until it is acknowledged. */
+    /** Sends a change repeatedly until it is acknowledged or the deadline has passed. */
     private void sendChangeUntilAcknowledged(String body, long deadline, String phase, Runnable onAcknowledged) {
         operators
                 .get(0)
@@ -328,14 +335,14 @@
                             if (status == 200) {
                                 onAcknowledged.run();
                             } else if (reactor.now() > deadline) {
-                                fail("after " + phase + " no change is acknowledged");
+                                fail("after " + phase + " no change was acknowledged");
                             } else {
                                 sendChangeUntilAcknowledged(body, deadline, phase, onAcknowledged);
                             }
                         });
     }
 
-    /** Goes on once all proxies are ready. */
+    /** Polls until all proxies are ready, and fails the soak if they are not at the deadline. */
     private void awaitReady(long deadline, String phase, Runnable onReady) {
         int[] pending = {proxies.size()};
         int[] ready = {0};
@@ -348,7 +355,7 @@
                 if (ready[0] == proxies.size()) {
                     onReady.run();
                 } else if (reactor.now() > deadline) {
-                    fail("after " + phase + " only " + ready[0] + " of " + proxies.size() + " proxies are ready");
+                    fail("after " + phase + " only " + ready[0] + " of " + proxies.size() + " proxies were ready");
                 } else {
                     reactor.scheduleAfter(POLL_MICROS, () -> awaitReady(deadline, phase, onReady));
                 }
@@ -418,7 +425,7 @@
         invariants.settleQuotas(proxies.stream().map(SoakMachine::name).toList(), reactor.now());
     }
 
-    /** The last fault was injected: once what is under way is over, the gateway has to be whole again. */
+    /** Ends the faults. Once those in progress are over, the gateway must recover within the timeout. */
     private void endFaultsAndAwaitRecovery() {
         operatorTraffic.stop();
         tenants.endFaults();
@@ -430,7 +437,8 @@
             awaitReady(
                     deadline,
                     "the faults",
-                    () -> sendChangeUntilAcknowledged(configurations.validChange(), deadline, "the faults", this::readBack));
+                    () -> sendChangeUntilAcknowledged(
+                            configurations.validChange(), deadline, "the faults", this::readBack));
         });
     }
 
@@ -441,9 +449,9 @@
         });
     }
 
-    /** All proxies get SIGTERM under load and end by themselves. */
+    /** Sends SIGTERM to all proxies under load; they must exit within their grace period. */
     private void terminateAll() {
-        logFault("all proxies get SIGTERM");
+        logFault("all proxies receive SIGTERM");
         proxies.forEach(proxy -> proxy.remove(true));
         reactor.scheduleAfter(SoakMachine.GRACE_MICROS + 2 * SECOND, () -> {
             clients.forEach(SoakClient::stop);
@@ -457,7 +465,7 @@
 
     // ---- Outputs -----------------------------------------------------------------------------------
 
-    /** What programs have written of invariants and of errors that nobody expects. */
+    /** Reports violated invariants and unexpected errors that the programs have logged, at most three per program. */
     private void checkOutputs() throws IOException {
         for (SoakMachine machine : machines) {
             for (String program : machine.programs()) {
--- a/src/main/java/reedmux/simulation/soak/SoakTenant.java
+++ b/src/main/java/reedmux/simulation/soak/SoakTenant.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * A tenant of the soak: what it asks for, what its quota allows, and what became of its requests. Rates are requests a
+ * A tenant of the soak, with its request rate, its quota and the counts of its responses. All rates are in requests per
  * second.
  */
 final class SoakTenant {
-    /** A tenant's quota in relation to what it usually asks for. */
+    /** The usual quota of a tenant, as a multiple of its usual request rate. */
     private static final double QUOTA_SHARE = 1.6;
-    /** Requests that a tenant without a surge has had refused lately may still be the surge's. */
+    /** The time after a surge, in microseconds, in which requests may still be refused because of the surge. */
     private static final long SURGE_AFTERMATH_MICROS = 3_000_000;
 
     private final String name;
     private final double usualRate;
-    /** Where its clients connect to; a surge may come from anywhere. */
+    /** The proxies that this tenant's clients connect to; a surge may be sent to all proxies instead. */
     private final List<SoakMachine> proxies;
 
     private double quotaRate;
@@ -43,7 +43,7 @@
         return usualRate;
     }
 
-    /** The rate and the burst of its quota, which are the same number. */
+    /** The rate of the quota, which is also its burst. */
     double quotaRate() {
         return quotaRate;
     }
@@ -56,7 +56,7 @@
         return QUOTA_SHARE * usualRate;
     }
 
-    /** It asks for many times its usual until a time. */
+    /** Multiplies the request rate by {@code factor} until the given time. */
     void surge(double factor, boolean atAllProxies, long until) {
         demandFactor = factor;
         surgeAtAllProxies = atAllProxies;
@@ -67,12 +67,15 @@
         return now < surgeUntil ? usualRate * demandFactor : usualRate;
     }
 
-    /** The proxies that its requests reach now. */
+    /** The proxies that requests are sent to at the given time. */
     List<SoakMachine> proxies(List<SoakMachine> all, long now) {
         return now < surgeUntil && surgeAtAllProxies ? all : proxies;
     }
 
-    /** Counts a response to a request that was sent at {@code sentAt}, if the quota had room for all then. */
+    /**
+     * Counts a response if the tenant was within its quota when the request was sent, that is, if there was no surge at
+     * {@code sentAt} or shortly before and the quota is not below its usual value.
+     */
     void countResponse(long sentAt, boolean refused) {
         if (sentAt > surgeUntil + SURGE_AFTERMATH_MICROS && quotaRate >= usualQuotaRate()) {
             requestsWithinQuota++;
--- a/src/main/java/reedmux/simulation/soak/TenantTraffic.java
+++ b/src/main/java/reedmux/simulation/soak/TenantTraffic.java
@@ -15,12 +15,13 @@
 import reedmux.simulation.harness.OneShotHttpCall;
 
 /**
- * Tenants with quotas of their own, a few of them large: each sends at its rate whatever becomes of its requests, and
- * now and then one asks for many times its quota, or its quota is changed. For the reactor's thread.
+ * Generates the traffic of tenants with quotas of their own, a few of them large. Each tenant sends at its own rate,
+ * regardless of its responses (open loop). At random times a tenant surges to several times its quota, or the quota of
+ * a tenant is changed. Must be used on the reactor's thread only.
  */
 final class TenantTraffic {
     private static final long SECOND = 1_000_000;
-    /** The n-th largest tenant asks for the largest one's rate divided by n to the power of this. */
+    /** The rate of the n-th largest tenant is that of the largest one divided by n to the power of this. */
     private static final double SIZE_EXPONENT = 0.8;
 
     private static final int CLIENTS_OF_TENANT = 12;
@@ -29,7 +30,7 @@
     private static final int MAX_SURGE_INTERVAL_MICROS = 3_000_000;
     private static final int MAX_QUOTA_CHANGE_INTERVAL_MICROS = 4_000_000;
     private static final double[] QUOTA_FACTORS = {0.5, 1, 1, 2};
-    /** One surge in so many is of the largest tenant. */
+    /** One in this many surges is of the largest tenant; the others are of a tenant drawn from all of them. */
     private static final int LARGEST_SURGE_SHARE = 3;
 
     private static final long RESPONSE_TIMEOUT_MICROS = 5_000_000;
@@ -48,7 +49,7 @@
     private boolean stopped;
     private boolean faultsEnded;
 
-    /** {@code rate}: what all tenants together usually ask for, in requests a second. */
+    /** Creates tenants whose usual total rate is {@code rate}, in requests per second. */
     TenantTraffic(
             ClientContext context,
             SimulatedOperator operator,
@@ -80,7 +81,7 @@
         return Math.pow(number + 1, -SIZE_EXPONENT);
     }
 
-    /** The change that creates all tenants. */
+    /** Returns the configuration change that creates all tenants. */
     String initialChange() {
         List<String> items = new ArrayList<>();
         long revision = configurations.nextRevision();
@@ -100,7 +101,7 @@
                         + tenant.quotaRate());
     }
 
-    /** Begins with all tenants' requests; surges and changes follow. */
+    /** Starts the requests of all tenants, their surges and the changes of their quotas. */
     void start() {
         for (SoakTenant tenant : tenants) {
             scheduleRequest(tenant);
@@ -111,7 +112,7 @@
         }
     }
 
-    /** No further surge begins, and no quota changes. */
+    /** Starts no further surges and changes no further quotas. */
     void endFaults() {
         faultsEnded = true;
     }
@@ -133,7 +134,8 @@
         boolean largest = random.nextInt(LARGEST_SURGE_SHARE) == 0;
         SoakTenant tenant = tenants.get(largest ? 0 : random.nextInt(tenants.size()));
         boolean atAllProxies = random.nextBoolean();
-        log.accept(tenant.name() + " asks for " + SURGE_FACTOR + " times its usual" + (atAllProxies ? ", anywhere" : ""));
+        log.accept(tenant.name() + " sends " + SURGE_FACTOR + " times its usual rate"
+                + (atAllProxies ? ", to all proxies" : ""));
         tenant.surge(SURGE_FACTOR, atAllProxies, reactor.now() + SURGE_MICROS);
     }
 
@@ -148,7 +150,7 @@
 
     private void changeQuota(SoakTenant tenant) {
         double rate = tenant.usualQuotaRate() * QUOTA_FACTORS[random.nextInt(QUOTA_FACTORS.length)];
-        log.accept(tenant.name() + " may use " + rate + " a second");
+        log.accept(tenant.name() + " has a new quota of " + rate + " requests per second");
         tenant.setQuotaRate(rate);
         invariants.onQuotaSent(tenant.name(), rate, rate);
         operator.changeConfiguration(
@@ -167,7 +169,7 @@
         long delay = (long) (-Math.log(1 - random.nextDouble()) * meanSeconds * SECOND);
         reactor.scheduleAfter(Math.min(delay, SECOND), () -> {
             if (!stopped) {
-                if (delay <= SECOND) { // longer ones are drawn anew, as the demand may have changed
+                if (delay <= SECOND) { // longer delays are drawn again, because the demand may have changed
                     send(tenant);
                 }
                 scheduleRequest(tenant);
@@ -206,7 +208,7 @@
                     RESPONSE_TIMEOUT_MICROS,
                     (status, head, text) -> onResponse(tenant, id, sentAt, status, head));
         } catch (IOException e) {
-            // without a descriptor it is not sent
+            // no file descriptor is available, so the request is not sent
         }
     }
 
@@ -217,12 +219,12 @@
         }
     }
 
-    /** The requests of tenants within their quota, with responses. */
+    /** The number of responses to tenants that stayed within their quota. */
     int requestsWithinQuota() {
         return tenants.stream().mapToInt(SoakTenant::requestsWithinQuota).sum();
     }
 
-    /** How many of these were refused as if they were beyond it. */
+    /** The number of these responses that refused the request for exceeding the quota. */
     int refusedWithinQuota() {
         return tenants.stream().mapToInt(SoakTenant::refusedWithinQuota).sum();
     }
--- a/src/main/java/reedmux/simulation/soak/package-info.java
+++ b/src/main/java/reedmux/simulation/soak/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The soak: the system's programs as processes of their own, on real sockets of the loopback network, under signals,
- * kills, pauses, replaced machines and lost answers that overlap, while clients stay with their connections. What is
- * judged is what clients, checkers and operators see, and the invariants that the programs check themselves.
+ * The soak test, which runs the system's programs as separate processes on loopback sockets while clients keep their
+ * connections open. Signals, kills, pauses, machine replacements and lost responses overlap. The test checks what
+ * clients, checkers and operators observe, and the invariants that the programs check themselves.
  */
 package reedmux.simulation.soak;
--- a/src/test/java/reedmux/simulation/soak/SoakMachineTest.java
+++ b/src/test/java/reedmux/simulation/soak/SoakMachineTest.java
@@ -17,7 +17,7 @@
 import reedmux.common.eventloop.Reactor;
 import reedmux.common.logging.RingBufferLogger;
 
-/** A machine of the soak reports the ends that nobody has asked for, and no others. */
+/** Tests that a machine of the soak reports unexpected exits of its programs only. */
 public class SoakMachineTest {
     private static final String IP = "127.133.0.1";
     private static final long HALF_SECOND = 500_000;
@@ -75,7 +75,10 @@
         public void onMachineFault(SoakMachine machine, long from, long until) {}
     }
 
-    /** Both programs get a signal; the second one ends after the first one has been started again. */
+    /**
+     * Both programs receive SIGTERM, but one of them is paused and exits only after the other one was restarted. This
+     * exit must not be reported as unexpected.
+     */
     @Test
     public void delayedExitAfterSharedSignalIsNotReported()
             throws IOException, InterruptedException, ExecutionException, TimeoutException {
--- a/src/test/java/reedmux/simulation/soak/SoakTest.java
+++ b/src/test/java/reedmux/simulation/soak/SoakTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Real processes and signals: a short soak of a few seeds, and what a long one has found. */
+/** Runs short soaks with real processes and signals, and regression tests for faults found by longer soaks. */
 public class SoakTest {
     private static final long[] SEEDS = {1, 2, 3, 4};
     private static final int SECONDS = 15;
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Two seeds beside each other at a time. */
+    /** Runs the seeds in concurrent pairs. */
     @Test
     public void noInvariantIsViolatedUnderOverlappingFaults()
             throws IOException, ExecutionException, InterruptedException {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** As on machines with a quota of processor time: each proxy stands still for a part of every tenth of a second. */
+    /** Pauses each proxy for a part of every 100 ms, as machines with a CPU quota do. */
     @Test
     public void tenantsStayWithinTheirQuotasWhenProxiesAreThrottled() throws IOException {
         SoakOptions options = new SoakOptions(11, SECONDS, 24, 3, 24, 4, 0, 16, 150, 60);
@@ -86,7 +86,7 @@
         }
     }
 
-    /** A program handles signals before it listens: SIGHUP does not end it, and SIGTERM ends it in order. */
+    /** A program handles signals before it listens: SIGHUP does not end it, and SIGTERM shuts it down gracefully. */
     @Test
     public void signalsDuringTheStartOfAProgramAreHandled()
             throws IOException, InterruptedException, ExecutionException, TimeoutException {
@@ -110,13 +110,12 @@
     }
 
     /**
-     * A program that was started by one that ignores SIGHUP, as nohup does, said nothing of it and was taken for one
-     * that loses signals: in a test run under nohup the signal came and nothing was read. It is told in the log, and
-     * a changed file is taken up all the same.
+     * A program inherits an ignored SIGHUP from its parent, for example nohup. It used not to log this, so that in a
+     * test run under nohup it seemed to lose the signal: SIGHUP was sent, but the settings were not reloaded. The
+     * program must log that SIGHUP is ignored, and must still reload a changed settings file.
      */
     @Test
-    public void programWithIgnoredHangUpLogsItAndReloadsChangedSettings()
-            throws IOException, InterruptedException {
+    public void programWithIgnoredHangUpLogsItAndReloadsChangedSettings() throws IOException, InterruptedException {
         Path settings = writeStoreSettings();
         Path output = directory.resolve("store.log");
         ProgramProcess store = new ProgramProcess("store", settings, output, ProgramProcess.HANG_UP_IGNORED);
@@ -158,7 +157,7 @@
         String describe() throws IOException;
     }
 
-    /** Polls for at most 20 seconds; {@code detail}: what there is to see where it fails. */
+    /** Polls the condition for at most 20 seconds; {@code detail} describes the state in the failure message. */
     private static void await(Condition condition, Detail detail) throws IOException, InterruptedException {
         CompletableFuture<Void> never = new CompletableFuture<>();
         for (int i = 0; i < 1_000; i++) {
@@ -171,6 +170,6 @@
                 continue;
             }
         }
-        throw new AssertionError("nothing in 20 s: " + detail.describe());
+        throw new AssertionError("condition not met within 20 s: " + detail.describe());
     }
 }
