--- a/src/main/java/reedmux/simulation/invariants/ColdLoadInvariant.java
+++ b/src/main/java/reedmux/simulation/invariants/ColdLoadInvariant.java
@@ -11,7 +11,7 @@
 /** A provider that warms up is sent no more work within a window than a multiple of its capacity at that time. */
 final class ColdLoadInvariant {
     private static final class CheckedProvider {
-        long startedAt = Long.MIN_VALUE;
+        long startTimeMicros = Long.MIN_VALUE;
         double capacity;
         double coldCapacityShare = 1;
         long warmUpTime;
@@ -29,9 +29,9 @@
     }
 
     /** A provider has started; {@code capacity} in microseconds of work a second once it is warm. */
-    void onStarted(long at, String name, double capacity, double coldCapacityShare, long warmUpTime) {
+    void onStarted(long timeMicros, String name, double capacity, double coldCapacityShare, long warmUpTime) {
         CheckedProvider provider = find(name);
-        provider.startedAt = at;
+        provider.startTimeMicros = timeMicros;
         provider.capacity = capacity;
         provider.coldCapacityShare = coldCapacityShare;
         provider.warmUpTime = warmUpTime;
@@ -39,14 +39,14 @@
     }
 
     /** A request of so much work, in microseconds of one core, was delivered. */
-    void onDelivered(long at, String id, String name, double work) {
+    void onDelivered(long timeMicros, String id, String name, double work) {
         CheckedProvider provider = find(name);
-        provider.delivered.add(new TimedAmount(at, work));
-        while (provider.delivered.peek().at() <= at - parameters.coldOverloadWindow()) {
+        provider.delivered.add(new TimedAmount(timeMicros, work));
+        while (provider.delivered.peek().timeMicros() <= timeMicros - parameters.coldOverloadWindow()) {
             provider.delivered.poll();
         }
-        long age = at - provider.startedAt;
-        if (provider.startedAt == Long.MIN_VALUE || age >= provider.warmUpTime) {
+        long age = timeMicros - provider.startTimeMicros;
+        if (provider.startTimeMicros == Long.MIN_VALUE || age >= provider.warmUpTime) {
             return;
         }
         log.countCheck(HistoryRule.COLD);
@@ -59,7 +59,7 @@
         double sum =
                 provider.delivered.stream().mapToDouble(TimedAmount::amount).sum();
         if (sum > max) {
-            log.add(HistoryRule.COLD, at, id + " brings " + name + " to " + sum + " us of work, at most " + max);
+            log.add(HistoryRule.COLD, timeMicros, id + " brings " + name + " to " + sum + " us of work, at most " + max);
         }
     }
 
--- a/src/main/java/reedmux/simulation/invariants/ForwardingInvariant.java
+++ b/src/main/java/reedmux/simulation/invariants/ForwardingInvariant.java
@@ -11,37 +11,37 @@
 /** Each group keeps to its budget for what it forwards to other regions. */
 final class ForwardingInvariant {
     private final ViolationLog log;
-    private final Map<String, List<TimedAmount>> forwardsOfGroup = new TreeMap<>();
-    private final Map<String, Integer> acceptedOfGroup = new TreeMap<>();
+    private final Map<String, List<TimedAmount>> forwardsByGroup = new TreeMap<>();
+    private final Map<String, Integer> acceptedCountByGroup = new TreeMap<>();
 
     ForwardingInvariant(ViolationLog log) {
         this.log = log;
     }
 
     void onAccepted(String group) {
-        acceptedOfGroup.merge(group, 1, Integer::sum);
+        acceptedCountByGroup.merge(group, 1, Integer::sum);
     }
 
-    void onForwarded(long at, String group, double units) {
-        forwardsOfGroup.computeIfAbsent(group, key -> new ArrayList<>()).add(new TimedAmount(at, units));
+    void onForwarded(long timeMicros, String group, double units) {
+        forwardsByGroup.computeIfAbsent(group, key -> new ArrayList<>()).add(new TimedAmount(timeMicros, units));
     }
 
     /** Checks all of a group's forwards at the end of the history. */
-    void check(long at, String group, ForwardingBudget budget) {
-        List<TimedAmount> forwards = forwardsOfGroup.getOrDefault(group, List.of());
-        int accepted = acceptedOfGroup.getOrDefault(group, 0);
+    void check(long timeMicros, String group, ForwardingBudget budget) {
+        List<TimedAmount> forwards = forwardsByGroup.getOrDefault(group, List.of());
+        int accepted = acceptedCountByGroup.getOrDefault(group, 0);
         if (forwards.size() > budget.share() * accepted + HistoryChecker.ROUNDING_TOLERANCE) {
-            log.add(HistoryRule.AWAY, at, group + " sent " + forwards.size() + " away of " + accepted);
+            log.add(HistoryRule.AWAY, timeMicros, group + " sent " + forwards.size() + " away of " + accepted);
         }
         double level = 0;
-        long before = forwards.isEmpty() ? 0 : forwards.get(0).at();
+        long previousTimeMicros = forwards.isEmpty() ? 0 : forwards.get(0).timeMicros();
         for (TimedAmount forward : forwards) {
-            long passed = forward.at() - before;
-            before = forward.at();
-            level = Math.max(0, level - budget.rate() * passed / HistoryChecker.MICROS_PER_SECOND) + forward.amount();
+            long elapsedMicros = forward.timeMicros() - previousTimeMicros;
+            previousTimeMicros = forward.timeMicros();
+            level = Math.max(0, level - budget.rate() * elapsedMicros / HistoryChecker.MICROS_PER_SECOND) + forward.amount();
             if (level > budget.burst() + HistoryChecker.ROUNDING_TOLERANCE) {
-                String what = group + " sent " + level + " units away in a burst, at most " + budget.burst();
-                log.add(HistoryRule.AWAY, forward.at(), what);
+                String description = group + " sent " + level + " units away in a burst, at most " + budget.burst();
+                log.add(HistoryRule.AWAY, forward.timeMicros(), description);
                 return;
             }
         }
--- a/src/main/java/reedmux/simulation/invariants/HistoryChecker.java
+++ b/src/main/java/reedmux/simulation/invariants/HistoryChecker.java
@@ -70,10 +70,10 @@
     public record ForwardingBudget(double share, double rate, double burst) {}
 
     /** A rule that is broken. */
-    public record Violation(HistoryRule rule, long at, String what) {
+    public record Violation(HistoryRule rule, long timeMicros, String description) {
         @Override
         public String toString() {
-            return rule + " at " + at + " us: " + what;
+            return rule + " at " + timeMicros + " us: " + description;
         }
     }
 
@@ -121,7 +121,7 @@
     }
 
     /** An amount at a time. */
-    record TimedAmount(long at, double amount) {}
+    record TimedAmount(long timeMicros, double amount) {}
 
     static final double MICROS_PER_SECOND = 1e6;
     /** What sums of floating-point numbers may differ by. */
@@ -147,7 +147,7 @@
     /** Sets how far quotas may be passed in what follows. */
     public void setQuotaTolerance(QuotaTolerance tolerance) {
         quotas.setTolerance(tolerance);
-        transcript.tolerance(tolerance);
+        transcript.appendTolerance(tolerance);
     }
 
     /** From now on writes all events down, in the form that {@link HistoryReader} reads. */
@@ -163,7 +163,7 @@
     // ---- Consumers ---------------------------------------------------------------------------------
     /** A request's last byte has come in at a gatekeeper; {@code plan} is null where no quota is checked. */
     public void onAccepted(
-            long at,
+            long timeMicros,
             String group,
             String gatekeeper,
             String id,
@@ -172,14 +172,14 @@
             long customer,
             double units,
             long deadline) {
-        transcript.event(
-                at,
+        transcript.appendEvent(
+                timeMicros,
                 "taken %s %s %s %s %s %d %s %d",
                 group,
                 gatekeeper,
                 id,
                 repeatable ? "safe" : "unsafe",
-                HistoryTranscript.form(plan),
+                HistoryTranscript.formatPlan(plan),
                 customer,
                 units,
                 deadline);
@@ -189,149 +189,149 @@
     }
 
     /** Nobody waits for an answer any more: the consumer has left, or the gatekeeper that accepted it has died. */
-    public void onExcused(long at, String id) {
-        transcript.event(at, "excused %s", id);
+    public void onExcused(long timeMicros, String id) {
+        transcript.appendEvent(timeMicros, "excused %s", id);
         requests.get(id).excused = true;
     }
 
     /** The last byte of a final answer has gone out. */
-    public void onAnswered(long at, String id, AnswerKind kind) {
-        transcript.event(at, "answered %s %s", id, kind.name().toLowerCase(Locale.ROOT));
+    public void onAnswered(long timeMicros, String id, AnswerKind kind) {
+        transcript.appendEvent(timeMicros, "answered %s %s", id, kind.name().toLowerCase(Locale.ROOT));
         CheckedRequest request = requests.get(id);
         if (request.answer != null) {
-            log.add(HistoryRule.ANSWER, at, id + " is answered twice");
-        } else if (at > request.deadline + parameters.deadlineSlack) {
-            log.add(HistoryRule.ANSWER, at, id + " is answered " + (at - request.deadline) + " us late");
+            log.add(HistoryRule.ANSWER, timeMicros, id + " is answered twice");
+        } else if (timeMicros > request.deadline + parameters.deadlineSlack) {
+            log.add(HistoryRule.ANSWER, timeMicros, id + " is answered " + (timeMicros - request.deadline) + " us late");
         }
         request.answer = kind;
         if (kind == AnswerKind.REFUSED
                 && !request.repeatable
                 && (request.executions > 0 || request.calls.values().stream().anyMatch(CheckedCall::mayHaveRun))) {
-            log.add(HistoryRule.REPEAT, at, id + " is rejected, but has run or may have");
+            log.add(HistoryRule.REPEAT, timeMicros, id + " is rejected, but has run or may have");
         }
     }
 
     // ---- Calls -------------------------------------------------------------------------------------
-    private CheckedCall call(CheckedRequest request, String gatekeeper, int number) {
+    private CheckedCall findOrCreateCall(CheckedRequest request, String gatekeeper, int number) {
         return request.calls.computeIfAbsent(gatekeeper + '#' + number, key -> new CheckedCall());
     }
 
     /** The first byte of a gatekeeper's call goes out. */
-    public void onCallStarted(long at, String gatekeeper, String id, int number, String provider) {
-        transcript.event(at, "begins %s %s %d %s", gatekeeper, id, number, provider);
+    public void onCallStarted(long timeMicros, String gatekeeper, String id, int number, String provider) {
+        transcript.appendEvent(timeMicros, "begins %s %s %d %s", gatekeeper, id, number, provider);
         CheckedRequest request = requests.get(id);
-        call(request, gatekeeper, number);
+        findOrCreateCall(request, gatekeeper, number);
         if (gatekeeper.equals(request.gatekeeper) && request.answer != null) {
-            log.add(HistoryRule.ANSWER, at, id + " is sent after its final answer");
+            log.add(HistoryRule.ANSWER, timeMicros, id + " is sent after its final answer");
         }
         if (number >= parameters.maxCalls) {
-            log.add(HistoryRule.REPEAT, at, id + " is sent more than " + parameters.maxCalls + " times");
+            log.add(HistoryRule.REPEAT, timeMicros, id + " is sent more than " + parameters.maxCalls + " times");
         }
-        Long since = notReadySince.get(gatekeeper + ' ' + provider);
-        if (since != null && at - since > parameters.drainGrace) {
+        Long notReadySinceMicros = notReadySince.get(gatekeeper + ' ' + provider);
+        if (notReadySinceMicros != null && timeMicros - notReadySinceMicros > parameters.drainGrace) {
             log.add(
                     HistoryRule.DRAIN,
-                    at,
-                    id + " goes to " + provider + " " + (at - since) + " us after the word that it is not ready");
+                    timeMicros,
+                    id + " goes to " + provider + " " + (timeMicros - notReadySinceMicros) + " us after the word that it is not ready");
         }
     }
 
     /** A call's last byte has come to the provider; {@code work} in microseconds of one core. */
-    public void onRequestDelivered(long at, String gatekeeper, String id, int number, String provider, double work) {
-        transcript.event(at, "whole %s %s %d %s %s", gatekeeper, id, number, provider, work);
+    public void onRequestDelivered(long timeMicros, String gatekeeper, String id, int number, String provider, double work) {
+        transcript.appendEvent(timeMicros, "whole %s %s %d %s %s", gatekeeper, id, number, provider, work);
         CheckedRequest request = requests.get(id);
-        CheckedCall call = call(request, gatekeeper, number);
+        CheckedCall call = findOrCreateCall(request, gatekeeper, number);
         for (CheckedCall other : request.calls.values()) {
             if (other == call || !other.delivered) {
                 continue;
             }
             log.countCheck(HistoryRule.REPEAT);
             if (!request.repeatable && other.mayHaveRun()) {
-                log.add(HistoryRule.REPEAT, at, id + " is sent again and may have run");
+                log.add(HistoryRule.REPEAT, timeMicros, id + " is sent again and may have run");
             } else if (!parameters.hedging && !other.ended) {
-                log.add(HistoryRule.REPEAT, at, id + " is out twice at once");
+                log.add(HistoryRule.REPEAT, timeMicros, id + " is out twice at once");
             }
         }
         if (!request.repeatable && request.answer == AnswerKind.REFUSED) {
-            log.add(HistoryRule.REPEAT, at, id + " comes to a provider after its rejection");
+            log.add(HistoryRule.REPEAT, timeMicros, id + " comes to a provider after its rejection");
         }
         call.delivered = true;
         if (!request.charged && request.plan != null) {
             request.charged = true;
-            quotas.onDelivered(at, id, request.customer, request.plan, request.units);
+            quotas.onDelivered(timeMicros, id, request.customer, request.plan, request.units);
         }
-        coldLoad.onDelivered(at, id, provider, work);
+        coldLoad.onDelivered(timeMicros, id, provider, work);
     }
 
     /** A call has ended for its gatekeeper; one that the gatekeeper closed itself may have run. */
-    public void onCallEnded(long at, String gatekeeper, String id, int number, boolean neverRan) {
-        transcript.event(at, "ended %s %s %d %s", gatekeeper, id, number, neverRan ? "never-ran" : "may-have-run");
-        CheckedCall call = call(requests.get(id), gatekeeper, number);
+    public void onCallEnded(long timeMicros, String gatekeeper, String id, int number, boolean neverRan) {
+        transcript.appendEvent(timeMicros, "ended %s %s %d %s", gatekeeper, id, number, neverRan ? "never-ran" : "may-have-run");
+        CheckedCall call = findOrCreateCall(requests.get(id), gatekeeper, number);
         call.ended = true;
         call.neverRan = neverRan;
     }
 
     /** A provider begins to run it. */
-    public void onExecuted(long at, String id) {
-        transcript.event(at, "runs %s", id);
+    public void onExecuted(long timeMicros, String id) {
+        transcript.appendEvent(timeMicros, "runs %s", id);
         CheckedRequest request = requests.get(id);
         log.countCheck(HistoryRule.REPEAT);
         if (++request.executions > 1 && !request.repeatable) {
-            log.add(HistoryRule.REPEAT, at, id + " runs a second time and must not");
+            log.add(HistoryRule.REPEAT, timeMicros, id + " runs a second time and must not");
         }
         if (request.answer == AnswerKind.REFUSED && !request.repeatable) {
-            log.add(HistoryRule.REPEAT, at, id + " runs after its rejection");
+            log.add(HistoryRule.REPEAT, timeMicros, id + " runs after its rejection");
         }
     }
 
     // ---- Providers and other regions ---------------------------------------------------------------
     /** Discovery has notified a gatekeeper of whether a provider may be sent requests. */
-    public void onProviderStatus(long at, String gatekeeper, String provider, boolean ready) {
-        transcript.event(at, "told %s %s %s", gatekeeper, provider, ready ? "ready" : "not-ready");
+    public void onProviderStatus(long timeMicros, String gatekeeper, String provider, boolean ready) {
+        transcript.appendEvent(timeMicros, "told %s %s %s", gatekeeper, provider, ready ? "ready" : "not-ready");
         if (ready) {
             notReadySince.remove(gatekeeper + ' ' + provider);
         } else {
             log.countCheck(HistoryRule.DRAIN);
-            notReadySince.putIfAbsent(gatekeeper + ' ' + provider, at);
+            notReadySince.putIfAbsent(gatekeeper + ' ' + provider, timeMicros);
         }
     }
 
     /** A gatekeeper has died; a new one under its name has been notified of nothing yet. */
-    public void onGatekeeperRestarted(long at, String gatekeeper) {
-        transcript.event(at, "restarted %s", gatekeeper);
+    public void onGatekeeperRestarted(long timeMicros, String gatekeeper) {
+        transcript.appendEvent(timeMicros, "restarted %s", gatekeeper);
         notReadySince.keySet().removeIf(key -> key.startsWith(gatekeeper + ' '));
     }
 
     /** A provider has started; {@code capacity} in microseconds of work a second once it is warm. */
     public void onProviderStarted(
-            long at, String provider, double capacity, double coldCapacityShare, long warmUpTime) {
-        transcript.event(at, "started %s %s %s %d", provider, capacity, coldCapacityShare, warmUpTime);
-        coldLoad.onStarted(at, provider, capacity, coldCapacityShare, warmUpTime);
+            long timeMicros, String provider, double capacity, double coldCapacityShare, long warmUpTime) {
+        transcript.appendEvent(timeMicros, "started %s %s %s %d", provider, capacity, coldCapacityShare, warmUpTime);
+        coldLoad.onStarted(timeMicros, provider, capacity, coldCapacityShare, warmUpTime);
     }
 
     /** A request was forwarded from one region to another, whether or not it arrives. */
-    public void onForwarded(long at, String from, String id, double units) {
-        transcript.event(at, "crossed %s %s %s", from, id, units);
+    public void onForwarded(long timeMicros, String from, String id, double units) {
+        transcript.appendEvent(timeMicros, "crossed %s %s %s", from, id, units);
         CheckedRequest request = requests.get(id);
         log.countCheck(HistoryRule.AWAY);
         if (++request.forwards > 1) {
-            log.add(HistoryRule.AWAY, at, id + " travels twice");
+            log.add(HistoryRule.AWAY, timeMicros, id + " travels twice");
         }
         if (!request.group.equals(from)) {
-            log.add(HistoryRule.AWAY, at, id + " of " + request.group + " is sent on by " + from);
+            log.add(HistoryRule.AWAY, timeMicros, id + " of " + request.group + " is sent on by " + from);
         }
-        forwarding.onForwarded(at, from, units);
+        forwarding.onForwarded(timeMicros, from, units);
     }
 
     // ---- The verdict -------------------------------------------------------------------------------
     /** Checks what only the end of the history shows; returns all violations. */
-    public List<Violation> violations(long at, Map<String, ForwardingBudget> budgets) {
+    public List<Violation> violations(long timeMicros, Map<String, ForwardingBudget> budgets) {
         requests.forEach((id, request) -> {
-            if (request.answer == null && !request.excused && request.deadline + parameters.deadlineSlack < at) {
-                log.add(HistoryRule.ANSWER, at, id + " is never answered");
+            if (request.answer == null && !request.excused && request.deadline + parameters.deadlineSlack < timeMicros) {
+                log.add(HistoryRule.ANSWER, timeMicros, id + " is never answered");
             }
         });
-        budgets.forEach((group, budget) -> forwarding.check(at, group, budget));
+        budgets.forEach((group, budget) -> forwarding.check(timeMicros, group, budget));
         return log.violations();
     }
 
--- a/src/main/java/reedmux/simulation/invariants/HistoryReader.java
+++ b/src/main/java/reedmux/simulation/invariants/HistoryReader.java
@@ -32,25 +32,25 @@
      * @throws MalformedHistoryException at the first line that cannot be read, or where there is no end
      */
     public static HistoryReader check(RuleParameters parameters, List<String> lines) {
-        HistoryReader history = new HistoryReader(parameters);
+        HistoryReader reader = new HistoryReader(parameters);
         int lineNumber = 0;
         for (String line : lines) {
             lineNumber++;
             if (line.isBlank() || line.startsWith("#")) {
                 continue;
-            } else if (history.violations != null) {
+            } else if (reader.violations != null) {
                 throw new MalformedHistoryException(lineNumber, "after the end: " + line, null);
             }
             try {
-                history.readLine(line.split(" "));
+                reader.readLine(line.split(" "));
             } catch (RuntimeException e) {
                 throw new MalformedHistoryException(lineNumber, "cannot be read: " + line, e);
             }
         }
-        if (history.violations == null) {
+        if (reader.violations == null) {
             throw new MalformedHistoryException(lineNumber, "the history has no end", null);
         }
-        return history;
+        return reader;
     }
 
     /** The violations that were found. */
@@ -79,26 +79,26 @@
                             Double.parseDouble(fields[4])));
             return;
         }
-        long at = Long.parseLong(fields[0]);
+        long timeMicros = Long.parseLong(fields[0]);
         switch (fields[1]) {
             case "taken" ->
                 checker.onAccepted(
-                        at,
+                        timeMicros,
                         fields[2],
                         fields[3],
                         fields[4],
-                        readChoice(fields[5], "safe", "unsafe"),
+                        readBoolean(fields[5], "safe", "unsafe"),
                         readPlan(fields[6]),
                         Long.parseLong(fields[7]),
                         Double.parseDouble(fields[8]),
                         Long.parseLong(fields[9]));
-            case "excused" -> checker.onExcused(at, fields[2]);
+            case "excused" -> checker.onExcused(timeMicros, fields[2]);
             case "answered" ->
-                checker.onAnswered(at, fields[2], AnswerKind.valueOf(fields[3].toUpperCase(Locale.ROOT)));
-            case "begins" -> checker.onCallStarted(at, fields[2], fields[3], Integer.parseInt(fields[4]), fields[5]);
+                checker.onAnswered(timeMicros, fields[2], AnswerKind.valueOf(fields[3].toUpperCase(Locale.ROOT)));
+            case "begins" -> checker.onCallStarted(timeMicros, fields[2], fields[3], Integer.parseInt(fields[4]), fields[5]);
             case "whole" ->
                 checker.onRequestDelivered(
-                        at,
+                        timeMicros,
                         fields[2],
                         fields[3],
                         Integer.parseInt(fields[4]),
@@ -106,32 +106,32 @@
                         Double.parseDouble(fields[6]));
             case "ended" ->
                 checker.onCallEnded(
-                        at,
+                        timeMicros,
                         fields[2],
                         fields[3],
                         Integer.parseInt(fields[4]),
-                        readChoice(fields[5], "never-ran", "may-have-run"));
-            case "runs" -> checker.onExecuted(at, fields[2]);
+                        readBoolean(fields[5], "never-ran", "may-have-run"));
+            case "runs" -> checker.onExecuted(timeMicros, fields[2]);
             case "told" ->
-                checker.onProviderStatus(at, fields[2], fields[3], readChoice(fields[4], "ready", "not-ready"));
-            case "restarted" -> checker.onGatekeeperRestarted(at, fields[2]);
+                checker.onProviderStatus(timeMicros, fields[2], fields[3], readBoolean(fields[4], "ready", "not-ready"));
+            case "restarted" -> checker.onGatekeeperRestarted(timeMicros, fields[2]);
             case "started" ->
                 checker.onProviderStarted(
-                        at,
+                        timeMicros,
                         fields[2],
                         Double.parseDouble(fields[3]),
                         Double.parseDouble(fields[4]),
                         Long.parseLong(fields[5]));
-            case "crossed" -> checker.onForwarded(at, fields[2], fields[3], Double.parseDouble(fields[4]));
+            case "crossed" -> checker.onForwarded(timeMicros, fields[2], fields[3], Double.parseDouble(fields[4]));
             default -> throw new IllegalArgumentException("no such event: " + fields[1]);
         }
     }
 
-    private static boolean readChoice(String word, String yes, String no) {
-        if (!word.equals(yes) && !word.equals(no)) {
-            throw new IllegalArgumentException(word + " is neither " + yes + " nor " + no);
+    private static boolean readBoolean(String word, String trueWord, String falseWord) {
+        if (!word.equals(trueWord) && !word.equals(falseWord)) {
+            throw new IllegalArgumentException(word + " is neither " + trueWord + " nor " + falseWord);
         }
-        return word.equals(yes);
+        return word.equals(trueWord);
     }
 
     private static PlanLimits readPlan(String word) {
--- a/src/main/java/reedmux/simulation/invariants/HistoryTranscript.java
+++ b/src/main/java/reedmux/simulation/invariants/HistoryTranscript.java
@@ -13,16 +13,16 @@
     }
 
     /** An event; {@code line} is a format of its words. */
-    void event(long at, String line, Object... values) {
+    void appendEvent(long timeMicros, String line, Object... values) {
         if (text != null) {
-            text.append(at)
+            text.append(timeMicros)
                     .append(' ')
                     .append(String.format(Locale.ROOT, line, values))
                     .append('\n');
         }
     }
 
-    void tolerance(QuotaTolerance tolerance) {
+    void appendTolerance(QuotaTolerance tolerance) {
         if (text != null) {
             text.append("tolerance ")
                     .append(tolerance.bursts())
@@ -32,7 +32,7 @@
         }
     }
 
-    static String form(PlanLimits plan) {
+    static String formatPlan(PlanLimits plan) {
         return plan == null
                 ? "-"
                 : plan.quotaRate() + "/" + plan.quotaBurst() + "/" + plan.rateLimit() + "/" + plan.rateLimitBurst()
--- a/src/main/java/reedmux/simulation/invariants/QuotaInvariant.java
+++ b/src/main/java/reedmux/simulation/invariants/QuotaInvariant.java
@@ -12,7 +12,7 @@
  * a tolerance may pass, and the rate limit as a token bucket, which only its slack may.
  */
 final class QuotaInvariant {
-    private static final double SECOND = HistoryChecker.MICROS_PER_SECOND;
+    private static final double MICROS_PER_SECOND = HistoryChecker.MICROS_PER_SECOND;
 
     private static final class CustomerUsage {
         /** Units over what the quota's rate has drained. */
@@ -20,12 +20,12 @@
         /** What is left of the rate limit. */
         double tokens;
 
-        long at;
+        long updatedAtMicros;
     }
 
     private final RuleParameters parameters;
     private final ViolationLog log;
-    private final Map<String, CustomerUsage> usageOfCustomer = new HashMap<>();
+    private final Map<String, CustomerUsage> usageByCustomer = new HashMap<>();
     private QuotaTolerance tolerance;
 
     QuotaInvariant(RuleParameters parameters, ViolationLog log) {
@@ -39,41 +39,41 @@
     }
 
     /** A customer's request was delivered to a provider for the first time. */
-    void onDelivered(long at, String id, String customer, PlanLimits plan, double units) {
-        CustomerUsage usage = usageOfCustomer.get(customer);
+    void onDelivered(long timeMicros, String id, String customer, PlanLimits plan, double units) {
+        CustomerUsage usage = usageByCustomer.get(customer);
         if (usage == null) {
             usage = new CustomerUsage();
             usage.tokens = plan.rateLimitBurst();
-            usage.at = at;
-            usageOfCustomer.put(customer, usage);
+            usage.updatedAtMicros = timeMicros;
+            usageByCustomer.put(customer, usage);
         }
-        double passed = (at - usage.at) / SECOND;
-        usage.at = at;
+        double elapsedSeconds = (timeMicros - usage.updatedAtMicros) / MICROS_PER_SECOND;
+        usage.updatedAtMicros = timeMicros;
         if (plan.quotaRate() > 0) {
             log.countCheck(HistoryRule.QUOTA);
-            usage.level = Math.max(0, usage.level - plan.quotaRate() * passed) + units;
-            checkLevel(at, id, customer, plan, usage.level - plan.quotaBurst());
+            usage.level = Math.max(0, usage.level - plan.quotaRate() * elapsedSeconds) + units;
+            checkLevel(timeMicros, id, customer, plan, usage.level - plan.quotaBurst());
         }
         if (plan.rateLimit() > 0) {
             log.countCheck(HistoryRule.CEILING);
-            usage.tokens = Math.min(plan.rateLimitBurst(), usage.tokens + plan.rateLimit() * passed) - units;
-            checkTokens(at, id, customer, plan, usage.tokens);
+            usage.tokens = Math.min(plan.rateLimitBurst(), usage.tokens + plan.rateLimit() * elapsedSeconds) - units;
+            checkTokens(timeMicros, id, customer, plan, usage.tokens);
         }
     }
 
-    private void checkLevel(long at, String id, String customer, PlanLimits plan, double over) {
-        double max = tolerance.bursts() * plan.quotaBurst() + plan.quotaRate() * tolerance.time() / SECOND;
-        if (over > max + HistoryChecker.ROUNDING_TOLERANCE) {
-            String what = id + " lifts " + customer + " " + over + " units over its quota, at most " + max;
-            log.add(HistoryRule.QUOTA, at, what);
+    private void checkLevel(long timeMicros, String id, String customer, PlanLimits plan, double excess) {
+        double max = tolerance.bursts() * plan.quotaBurst() + plan.quotaRate() * tolerance.time() / MICROS_PER_SECOND;
+        if (excess > max + HistoryChecker.ROUNDING_TOLERANCE) {
+            String description = id + " lifts " + customer + " " + excess + " units over its quota, at most " + max;
+            log.add(HistoryRule.QUOTA, timeMicros, description);
         }
     }
 
-    private void checkTokens(long at, String id, String customer, PlanLimits plan, double tokens) {
-        double min = -plan.rateLimitSlack() - plan.rateLimit() * parameters.rateLimitSlackTime() / SECOND;
+    private void checkTokens(long timeMicros, String id, String customer, PlanLimits plan, double tokens) {
+        double min = -plan.rateLimitSlack() - plan.rateLimit() * parameters.rateLimitSlackTime() / MICROS_PER_SECOND;
         if (tokens < min - HistoryChecker.ROUNDING_TOLERANCE) {
-            String what = id + " leaves " + customer + " " + tokens + " units of its ceiling, at least " + min;
-            log.add(HistoryRule.CEILING, at, what);
+            String description = id + " leaves " + customer + " " + tokens + " units of its ceiling, at least " + min;
+            log.add(HistoryRule.CEILING, timeMicros, description);
         }
     }
 }
--- a/src/main/java/reedmux/simulation/invariants/ViolationLog.java
+++ b/src/main/java/reedmux/simulation/invariants/ViolationLog.java
@@ -15,9 +15,9 @@
     private final Map<HistoryRule, Integer> checks = new EnumMap<>(HistoryRule.class);
     private final List<Violation> violations = new ArrayList<>();
 
-    void add(HistoryRule rule, long at, String what) {
+    void add(HistoryRule rule, long at, String description) {
         if (violations.size() < MAX_VIOLATIONS) {
-            violations.add(new Violation(rule, at, what));
+            violations.add(new Violation(rule, at, description));
         }
     }
 
--- a/src/test/java/reedmux/simulation/cluster/CatchUpExperimentTest.java
+++ b/src/test/java/reedmux/simulation/cluster/CatchUpExperimentTest.java
@@ -11,40 +11,40 @@
 
     /** Killed at many moments of a snapshot: never whole on disk without all, and all is there in the end. */
     @Test
-    public void killedAtEachStepOfASnapshotItIsNotWholeTooEarly() {
-        int between = 0;
-        for (long after = 0; after < 40; after++) {
-            CatchUpExperiment day = new CatchUpExperiment(7);
-            day.changeItems(0, ITEMS);
-            day.simulation().runFor(2 * CatchUpExperiment.SECOND_MICROS);
-            day.laggard().losePower(CatchUpExperiment.SECOND_MICROS / 10, true);
-            day.simulation().runFor(CatchUpExperiment.SECOND_MICROS / 10 + after * 500);
-            if (after % 2 == 0) {
-                day.laggard().kill(CatchUpExperiment.SECOND_MICROS / 10);
+    public void storeKilledDuringSnapshotIsNotMarkedCompleteTooEarly() {
+        int incompleteCount = 0;
+        for (long delayHalfMillis = 0; delayHalfMillis < 40; delayHalfMillis++) {
+            CatchUpExperiment experiment = new CatchUpExperiment(7);
+            experiment.changeItems(0, ITEMS);
+            experiment.simulation().runFor(2 * CatchUpExperiment.SECOND_MICROS);
+            experiment.laggard().losePower(CatchUpExperiment.SECOND_MICROS / 10, true);
+            experiment.simulation().runFor(CatchUpExperiment.SECOND_MICROS / 10 + delayHalfMillis * 500);
+            if (delayHalfMillis % 2 == 0) {
+                experiment.laggard().kill(CatchUpExperiment.SECOND_MICROS / 10);
             } else {
-                day.laggard().losePower(CatchUpExperiment.SECOND_MICROS / 10, false);
+                experiment.laggard().losePower(CatchUpExperiment.SECOND_MICROS / 10, false);
             }
-            CatchUpExperiment.DiskContent left = day.readDisk();
-            assertTrue(!left.complete() || left.items() == ITEMS, "after " + after / 2.0 + " ms: " + left);
-            between += left.complete() ? 0 : 1;
-            day.simulation().runFor(10 * CatchUpExperiment.SECOND_MICROS);
+            CatchUpExperiment.DiskContent contentAfterKill = experiment.readDisk();
+            assertTrue(!contentAfterKill.complete() || contentAfterKill.items() == ITEMS, "after " + delayHalfMillis / 2.0 + " ms: " + contentAfterKill);
+            incompleteCount += contentAfterKill.complete() ? 0 : 1;
+            experiment.simulation().runFor(10 * CatchUpExperiment.SECOND_MICROS);
             assertEquals(
-                    day.readDisk(), new CatchUpExperiment.DiskContent(ITEMS, true), "after " + after / 2.0 + " ms");
+                    experiment.readDisk(), new CatchUpExperiment.DiskContent(ITEMS, true), "after " + delayHalfMillis / 2.0 + " ms");
         }
-        assertTrue(between > 5 && between < 40, between + " kills before it was whole");
+        assertTrue(incompleteCount > 5 && incompleteCount < 40, incompleteCount + " kills before it was whole");
     }
 
     /** What a restart costs is digests and what was missed, not what there is. */
     @Test
-    public void aRestartCostsWhatWasMissed() {
-        CatchUpExperiment day = new CatchUpExperiment(8);
-        day.changeItems(0, ITEMS);
-        day.simulation().runFor(2 * CatchUpExperiment.SECOND_MICROS);
-        long before = day.receivedBytes();
-        day.laggard().losePower(CatchUpExperiment.SECOND_MICROS, false);
-        day.changeItems(0, 10);
-        day.simulation().runFor(5 * CatchUpExperiment.SECOND_MICROS);
-        assertTrue(day.receivedBytes() - before < 60_000, day.receivedBytes() - before + " bytes");
-        assertEquals(day.readDisk().items(), ITEMS);
+    public void restartedStoreReceivesOnlyMissedChanges() {
+        CatchUpExperiment experiment = new CatchUpExperiment(8);
+        experiment.changeItems(0, ITEMS);
+        experiment.simulation().runFor(2 * CatchUpExperiment.SECOND_MICROS);
+        long receivedBytesBefore = experiment.receivedBytes();
+        experiment.laggard().losePower(CatchUpExperiment.SECOND_MICROS, false);
+        experiment.changeItems(0, 10);
+        experiment.simulation().runFor(5 * CatchUpExperiment.SECOND_MICROS);
+        assertTrue(experiment.receivedBytes() - receivedBytesBefore < 60_000, experiment.receivedBytes() - receivedBytesBefore + " bytes");
+        assertEquals(experiment.readDisk().items(), ITEMS);
     }
 }
--- a/src/test/java/reedmux/simulation/cluster/ClientDepartureClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ClientDepartureClusterTest.java
@@ -16,25 +16,25 @@
  * connection may end; with the programs as they are.
  */
 public class ClientDepartureClusterTest {
-    private static final long SECOND = 1_000_000;
-    private static final long MILLI = 1000;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long MILLISECOND_MICROS = 1000;
     /** Departures are tried this far apart, from the opening of a connection until the request is long at work. */
-    private static final long STEP = 500;
+    private static final long DEPARTURE_STEP_MICROS = 500;
 
-    private static final long LAST_DEPARTURE = 60 * MILLI;
-    private static final int WORK_MILLIS = 2_500;
+    private static final long LAST_DEPARTURE_MICROS = 60 * MILLISECOND_MICROS;
+    private static final int IDEMPOTENT_WORK_MILLIS = 2_500;
     /** Less than the routes' timeout, at which a checker ends a request. */
-    private static final int EFFECT_MILLIS = 1_500;
+    private static final int EFFECTFUL_WORK_MILLIS = 1_500;
 
-    private static final String ORDER = "an order";
+    private static final String ORDER_BODY = "an order";
 
     private ServingDeployment serving;
     private Deployment.DeployedNode edge;
-    private int clients;
-    private int answered;
+    private int clientCount;
+    private int answeredCount;
 
     /** How a client ends its connection. */
-    public enum Ending {
+    public enum ConnectionClose {
         /** Both directions at once, as most programs do. */
         CLOSE,
         /** Its own direction only. */
@@ -43,7 +43,7 @@
 
     /** Sends one request over a connection of its own and leaves without its response. */
     private final class LeavingClient implements Connection.ConnectionHandler {
-        private final String id = "d" + ++clients;
+        private final String id = "d" + ++clientCount;
         private final Connection connection;
 
         private LeavingClient(byte[] prefix, String method, String body, int workMillis) throws IOException {
@@ -71,9 +71,9 @@
                     "Authorization: Bearer key-0-first.\r\n"));
         }
 
-        private void leave(Ending ending) {
+        private void leave(ConnectionClose ending) {
             serving.invariants().onClientLeft(id, serving.simulation().now());
-            if (ending == Ending.HALF_CLOSE) {
+            if (ending == ConnectionClose.HALF_CLOSE) {
                 connection.shutdownOutput();
             } else {
                 connection.close();
@@ -82,7 +82,7 @@
 
         @Override
         public void onInput() {
-            answered += connection.available() > 0 ? 1 : 0;
+            answeredCount += connection.available() > 0 ? 1 : 0;
         }
 
         @Override
@@ -92,14 +92,14 @@
     private void startServing() {
         serving = new ServingDeployment(21, line -> {});
         edge = serving.deployment().proxies().get(0);
-        clients = 0;
-        answered = 0;
+        clientCount = 0;
+        answeredCount = 0;
     }
 
-    private void onClientMachine(long at, OnClientMachine task) {
+    private void scheduleOnClientMachine(long timeMicros, ClientTask task) {
         serving.simulation()
                 .scheduleAt(
-                        at,
+                        timeMicros,
                         () -> serving.outside().reactor().execute(() -> {
                             try {
                                 task.run();
@@ -109,25 +109,25 @@
                         }));
     }
 
-    private interface OnClientMachine {
+    private interface ClientTask {
         void run() throws IOException;
     }
 
     /** A client comes at a time, and leaves so much later. */
-    private void sendAndLeave(long at, long after, Ending ending, String method, String body) {
-        onClientMachine(at, () -> {
-            int workMillis = method.equals("GET") ? WORK_MILLIS : EFFECT_MILLIS;
+    private void sendAndLeave(long timeMicros, long delayMicros, ConnectionClose close, String method, String body) {
+        scheduleOnClientMachine(timeMicros, () -> {
+            int workMillis = method.equals("GET") ? IDEMPOTENT_WORK_MILLIS : EFFECTFUL_WORK_MILLIS;
             LeavingClient client = new LeavingClient(new byte[0], method, body, workMillis);
-            serving.outside().reactor().scheduleAfter(after, () -> client.leave(ending));
+            serving.outside().reactor().scheduleAfter(delayMicros, () -> client.leave(close));
         });
     }
 
     @DataProvider
     public Object[][] departures() {
         List<Object[]> cases = new ArrayList<>();
-        for (Ending ending : new Ending[] {Ending.CLOSE, Ending.HALF_CLOSE}) {
+        for (ConnectionClose ending : new ConnectionClose[] {ConnectionClose.CLOSE, ConnectionClose.HALF_CLOSE}) {
             cases.add(new Object[] {ending, "GET", ""});
-            cases.add(new Object[] {ending, "POST", ORDER});
+            cases.add(new Object[] {ending, "POST", ORDER_BODY});
             cases.add(new Object[] {ending, "POST", "an upload ".repeat(30_000)});
         }
         return cases.toArray(new Object[0][]);
@@ -138,18 +138,18 @@
      * longer executed then, and another one runs once at most, to its end.
      */
     @Test(dataProvider = "departures")
-    public void nothingGoesOnForClientsThatHaveLeft(Ending ending, String method, String body) {
+    public void requestsOfDepartedClientsAreCancelled(ConnectionClose close, String method, String body) {
         startServing();
-        long at = serving.simulation().now();
-        for (long after = STEP; after <= LAST_DEPARTURE; after += STEP) {
-            sendAndLeave(at, after, ending, method, body);
-            at += 30 * MILLI; // fewer at once than checkers have slots, or most would be queued there
+        long timeMicros = serving.simulation().now();
+        for (long delayMicros = DEPARTURE_STEP_MICROS; delayMicros <= LAST_DEPARTURE_MICROS; delayMicros += DEPARTURE_STEP_MICROS) {
+            sendAndLeave(timeMicros, delayMicros, close, method, body);
+            timeMicros += 30 * MILLISECOND_MICROS; // fewer at once than checkers have slots, or most would be queued there
         }
-        serving.simulation().runFor(at - serving.simulation().now() + 10 * SECOND);
+        serving.simulation().runFor(timeMicros - serving.simulation().now() + 10 * SECOND_MICROS);
         serving.invariants().checkDepartures(serving.simulation().now());
         assertEquals(serving.invariants().violations(), List.of());
-        assertEquals(answered, 0);
-        if (body.equals(ORDER)) {
+        assertEquals(answeredCount, 0);
+        if (body.equals(ORDER_BODY)) {
             assertEquals(serving.invariants().departures().abortedEffectCount(), 0);
             assertTrue(serving.invariants().departures().completedEffectCount() > 20);
         }
@@ -160,52 +160,52 @@
 
     /** A proxy that drains has no client left, but a checker works on an order: it does not end before that. */
     @Test
-    public void anEffectIsNotCutByTheEndOfItsProxy() {
+    public void shutdownWaitsForEffectfulRequestWithoutClient() {
         startServing();
-        long at = serving.simulation().now();
-        edge.terminate(300 * MILLI);
-        sendAndLeave(at + 1_900 * MILLI, 50 * MILLI, Ending.CLOSE, "POST", ORDER);
-        serving.simulation().runFor(10 * SECOND);
+        long startMicros = serving.simulation().now();
+        edge.terminate(300 * MILLISECOND_MICROS);
+        sendAndLeave(startMicros + 1_900 * MILLISECOND_MICROS, 50 * MILLISECOND_MICROS, ConnectionClose.CLOSE, "POST", ORDER_BODY);
+        serving.simulation().runFor(10 * SECOND_MICROS);
         assertEquals(serving.invariants().departures().completedEffectCount(), 1);
         assertEquals(serving.invariants().violations(), List.of());
     }
 
     /** All checkers are full: requests wait in the proxy and in the checkers' queues as their clients leave. */
     @Test
-    public void whatWaitsIsDroppedWithItsClient() {
+    public void queuedRequestsOfDepartedClientsAreDropped() {
         startServing();
-        long at = serving.simulation().now();
+        long startMicros = serving.simulation().now();
         for (int i = 0; i < 120; i++) {
-            sendAndLeave(at + i * MILLI, 20 * MILLI + i * MILLI, Ending.CLOSE, i % 3 == 0 ? "POST" : "GET", "");
+            sendAndLeave(startMicros + i * MILLISECOND_MICROS, 20 * MILLISECOND_MICROS + i * MILLISECOND_MICROS, ConnectionClose.CLOSE, i % 3 == 0 ? "POST" : "GET", "");
         }
-        serving.simulation().runFor(10 * SECOND);
+        serving.simulation().runFor(10 * SECOND_MICROS);
         serving.invariants().checkDepartures(serving.simulation().now());
         assertEquals(serving.invariants().violations(), List.of());
     }
 
     /** Behind an open request there is more input than the proxy reads ahead: the client's end lies behind that. */
     @Test
-    public void aDepartureBehindUnreadInputIsNoticed() {
+    public void departureBehindUnreadInputIsDetected() {
         startServing();
-        byte[] open = OneShotHttpCall.request(
+        byte[] openRequest = OneShotHttpCall.request(
                 "GET",
                 "/r1/x",
                 "h.example",
                 "",
                 "Reedmux-Attempt-Id: open\r\n",
                 "Reedmux-Time-Left-Ms: 20000\r\n",
-                SimulatedChecker.WORK_MILLIS + ": " + WORK_MILLIS + "\r\n",
+                SimulatedChecker.WORK_MILLIS + ": " + IDEMPOTENT_WORK_MILLIS + "\r\n",
                 "Authorization: Bearer key-0-first.\r\n");
-        long at = serving.simulation().now();
-        onClientMachine(at, () -> {
-            serving.invariants().onRequestSent("open", edge.name(), true, null, null, null, at);
-            LeavingClient client = new LeavingClient(open, "POST", "more ".repeat(100_000), WORK_MILLIS);
-            serving.outside().reactor().scheduleAfter(300 * MILLI, () -> {
+        long startMicros = serving.simulation().now();
+        scheduleOnClientMachine(startMicros, () -> {
+            serving.invariants().onRequestSent("open", edge.name(), true, null, null, null, startMicros);
+            LeavingClient client = new LeavingClient(openRequest, "POST", "more ".repeat(100_000), IDEMPOTENT_WORK_MILLIS);
+            serving.outside().reactor().scheduleAfter(300 * MILLISECOND_MICROS, () -> {
                 serving.invariants().onClientLeft("open", serving.simulation().now());
-                client.leave(Ending.CLOSE);
+                client.leave(ConnectionClose.CLOSE);
             });
         });
-        serving.simulation().runFor(10 * SECOND);
+        serving.simulation().runFor(10 * SECOND_MICROS);
         serving.invariants().checkDepartures(serving.simulation().now());
         assertEquals(serving.invariants().violations(), List.of());
         assertTrue(serving.invariants().executionsEndedByDeparture() > 0);
@@ -213,15 +213,15 @@
 
     /** A proxy that restarts holds requests until it can serve; those whose client leaves meanwhile are dropped. */
     @Test
-    public void whatWaitsForTheStartIsDroppedWithItsClient() {
+    public void requestsHeldDuringStartupAreDroppedWithTheirClients() {
         startServing();
-        edge.terminate(300 * MILLI);
-        long at = serving.simulation().now();
+        edge.terminate(300 * MILLISECOND_MICROS);
+        long startMicros = serving.simulation().now();
         for (int i = 0; i < 400; i++) {
             sendAndLeave(
-                    at + i * 20 * MILLI, 25 * MILLI + i % 7 * MILLI, Ending.CLOSE, i % 3 == 0 ? "POST" : "GET", "");
+                    startMicros + i * 20 * MILLISECOND_MICROS, 25 * MILLISECOND_MICROS + i % 7 * MILLISECOND_MICROS, ConnectionClose.CLOSE, i % 3 == 0 ? "POST" : "GET", "");
         }
-        serving.simulation().runFor(20 * SECOND);
+        serving.simulation().runFor(20 * SECOND_MICROS);
         serving.invariants().checkDepartures(serving.simulation().now());
         assertEquals(serving.invariants().violations(), List.of());
         assertTrue(serving.invariants().executionsEndedByDeparture() > 10);
--- a/src/test/java/reedmux/simulation/cluster/ClusterInvariantCheckerTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ClusterInvariantCheckerTest.java
@@ -10,16 +10,16 @@
 
 /** Histories that break one rule each, and beside each its neighbour that does not. */
 public class ClusterInvariantCheckerTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     private static final String ROUTE = "routes/r";
     private static final String PLANT = "{\"probe\":\"/\",\"connCeiling\":9,\"protocol\":\"h1\",\"tls\":false}";
-    private ClusterInvariantChecker watch;
+    private ClusterInvariantChecker checker;
 
     @BeforeMethod
-    public void begin() {
-        watch = new ClusterInvariantChecker();
-        version(1, "desk", 0);
-        watch.onChangeAcknowledged(List.of(item(1, "desk")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, 0, 0);
+    public void setUp() {
+        checker = new ClusterInvariantChecker();
+        recordVersionSent(1, "desk", 0);
+        checker.onChangeAcknowledged(List.of(item(1, "desk")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, 0, 0);
     }
 
     private static ConfigurationItem item(long revision, String service) {
@@ -32,250 +32,250 @@
                         : "{\"host\":\"h\",\"prefix\":\"/r/\",\"kind\":\"effectful\",\"plant\":\"" + service + "\"}");
     }
 
-    private void version(long revision, String service, long at) {
-        watch.onVersionSent(item(revision, service), service, at);
+    private void recordVersionSent(long revision, String service, long timeMicros) {
+        checker.onVersionSent(item(revision, service), service, timeMicros);
     }
 
-    private void breaks(String rule) {
-        assertEquals(watch.violations().size(), 1, watch.violations().toString());
+    private void assertViolates(String rule) {
+        assertEquals(checker.violations().size(), 1, checker.violations().toString());
         assertTrue(
-                watch.violations().get(0).startsWith(rule), watch.violations().toString());
+                checker.violations().get(0).startsWith(rule), checker.violations().toString());
     }
 
-    private void keeps() {
-        assertEquals(watch.violations(), List.of());
+    private void assertNoViolations() {
+        assertEquals(checker.violations(), List.of());
     }
 
-    private void sent(String id, boolean repeatable) {
-        watch.onRequestSent(id, "edge", repeatable, "t", "desk", ROUTE, SECOND);
+    private void recordRequestSent(String id, boolean repeatable) {
+        checker.onRequestSent(id, "edge", repeatable, "t", "desk", ROUTE, SECOND_MICROS);
     }
 
     @Test
-    public void twice() {
-        sent("a", true);
-        watch.onRequestExecuted("a", "c1", "desk", "t", SECOND);
-        watch.onRequestExecuted("a", "c2", "desk", "t", SECOND);
-        keeps();
-        sent("b", false);
-        watch.onRequestExecuted("b", "c1", "desk", "t", SECOND);
-        watch.onRequestExecuted("b", "c2", "desk", "t", SECOND);
-        breaks("TWICE");
+    public void effectfulRequestExecutedTwice() {
+        recordRequestSent("a", true);
+        checker.onRequestExecuted("a", "c1", "desk", "t", SECOND_MICROS);
+        checker.onRequestExecuted("a", "c2", "desk", "t", SECOND_MICROS);
+        assertNoViolations();
+        recordRequestSent("b", false);
+        checker.onRequestExecuted("b", "c1", "desk", "t", SECOND_MICROS);
+        checker.onRequestExecuted("b", "c2", "desk", "t", SECOND_MICROS);
+        assertViolates("TWICE");
     }
 
     @Test
-    public void refusedAfterItHasRun() {
-        sent("a", false);
-        watch.onResponse("a", 503, null, SECOND);
-        keeps();
-        watch.onRequestExecuted("a", "c1", "desk", "t", 2 * SECOND);
-        breaks("REFUSED");
+    public void requestRejectedAfterExecution() {
+        recordRequestSent("a", false);
+        checker.onResponse("a", 503, null, SECOND_MICROS);
+        assertNoViolations();
+        checker.onRequestExecuted("a", "c1", "desk", "t", 2 * SECOND_MICROS);
+        assertViolates("REFUSED");
     }
 
     @Test
-    public void mixed() {
-        sent("a", false);
-        watch.onRequestExecuted("a", "c1", "desk", "t", SECOND);
-        watch.onResponse("a", 200, "c1", SECOND);
-        keeps();
-        sent("b", false);
-        watch.onResponse("b", 200, "c1", SECOND);
-        breaks("MIXED");
+    public void responseFromCheckerThatDidNotExecute() {
+        recordRequestSent("a", false);
+        checker.onRequestExecuted("a", "c1", "desk", "t", SECOND_MICROS);
+        checker.onResponse("a", 200, "c1", SECOND_MICROS);
+        assertNoViolations();
+        recordRequestSent("b", false);
+        checker.onResponse("b", 200, "c1", SECOND_MICROS);
+        assertViolates("MIXED");
     }
 
     @Test
-    public void unasked() {
-        watch.onRequestExecuted("nobody", "c1", "desk", "t", SECOND);
-        breaks("UNASKED");
+    public void executionOfUnknownRequest() {
+        checker.onRequestExecuted("nobody", "c1", "desk", "t", SECOND_MICROS);
+        assertViolates("UNASKED");
     }
 
     @Test
-    public void anothersTenant() {
-        sent("a", false);
-        watch.onRequestExecuted("a", "c1", "desk", "another", SECOND);
-        breaks("UNASKED");
+    public void executionForWrongTenant() {
+        recordRequestSent("a", false);
+        checker.onRequestExecuted("a", "c1", "desk", "another", SECOND_MICROS);
+        assertViolates("UNASKED");
     }
 
     @Test
-    public void aServiceThatNoVersionNames() {
-        sent("a", false);
-        watch.onRequestExecuted("a", "c1", "intake", "t", SECOND);
-        breaks("ROUTE");
+    public void executionByServiceOfNoRouteVersion() {
+        recordRequestSent("a", false);
+        checker.onRequestExecuted("a", "c1", "intake", "t", SECOND_MICROS);
+        assertViolates("ROUTE");
     }
 
     @Test
-    public void aDrainThatIsNotKept() {
-        watch.onDrainAcknowledged("c1", "core", SECOND);
-        sent("a", true);
-        watch.onRequestExecuted("a", "c1", "desk", "t", 3 * SECOND);
-        keeps();
-        watch.onRequestExecuted("a", "c1", "desk", "t", 3 * SECOND + 1);
-        breaks("DRAIN");
+    public void executionAfterDrainGracePeriod() {
+        checker.onDrainAcknowledged("c1", "core", SECOND_MICROS);
+        recordRequestSent("a", true);
+        checker.onRequestExecuted("a", "c1", "desk", "t", 3 * SECOND_MICROS);
+        assertNoViolations();
+        checker.onRequestExecuted("a", "c1", "desk", "t", 3 * SECOND_MICROS + 1);
+        assertViolates("DRAIN");
     }
 
     @Test
-    public void anOldVersionLongAfterANewOne() {
-        version(2, "intake", SECOND);
-        watch.onChangeAcknowledged(
-                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, SECOND, SECOND);
-        watch.onEffectObserved("edge", "edge#1", ROUTE, "desk", "desk"::equals, 3 * SECOND, 3 * SECOND);
-        keeps();
-        watch.onEffectObserved("edge", "edge#1", ROUTE, "desk", "desk"::equals, 3 * SECOND + 1, 4 * SECOND);
-        breaks("CONFIG");
+    public void oldVersionInForceAfterPropagationLimit() {
+        recordVersionSent(2, "intake", SECOND_MICROS);
+        checker.onChangeAcknowledged(
+                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, SECOND_MICROS, SECOND_MICROS);
+        checker.onEffectObserved("edge", "edge#1", ROUTE, "desk", "desk"::equals, 3 * SECOND_MICROS, 3 * SECOND_MICROS);
+        assertNoViolations();
+        checker.onEffectObserved("edge", "edge#1", ROUTE, "desk", "desk"::equals, 3 * SECOND_MICROS + 1, 4 * SECOND_MICROS);
+        assertViolates("CONFIG");
     }
 
     @Test
-    public void whoIsInTroubleIsNotJudged() {
-        version(2, "intake", SECOND);
-        watch.onChangeAcknowledged(
-                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, SECOND, SECOND);
-        watch.addMachineFault("edge", 2 * SECOND, 3 * SECOND);
-        watch.onEffectObserved("edge", "edge#1", ROUTE, "desk", "desk"::equals, 5 * SECOND, 5 * SECOND);
-        keeps();
+    public void machineWithRecentFaultIsExempt() {
+        recordVersionSent(2, "intake", SECOND_MICROS);
+        checker.onChangeAcknowledged(
+                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, SECOND_MICROS, SECOND_MICROS);
+        checker.addMachineFault("edge", 2 * SECOND_MICROS, 3 * SECOND_MICROS);
+        checker.onEffectObserved("edge", "edge#1", ROUTE, "desk", "desk"::equals, 5 * SECOND_MICROS, 5 * SECOND_MICROS);
+        assertNoViolations();
     }
 
     @Test
-    public void goingBack() {
-        version(2, "intake", SECOND);
-        watch.onEffectObserved("edge", "edge#1", ROUTE, "intake", "intake"::equals, SECOND, SECOND);
-        watch.onEffectObserved("edge", "edge#2", ROUTE, "desk", "desk"::equals, 2 * SECOND, 2 * SECOND);
-        keeps();
-        watch.onEffectObserved("edge", "edge#1", ROUTE, "desk", "desk"::equals, 2 * SECOND, 2 * SECOND);
-        breaks("CONFIG");
+    public void processRevertsToOlderVersion() {
+        recordVersionSent(2, "intake", SECOND_MICROS);
+        checker.onEffectObserved("edge", "edge#1", ROUTE, "intake", "intake"::equals, SECOND_MICROS, SECOND_MICROS);
+        checker.onEffectObserved("edge", "edge#2", ROUTE, "desk", "desk"::equals, 2 * SECOND_MICROS, 2 * SECOND_MICROS);
+        assertNoViolations();
+        checker.onEffectObserved("edge", "edge#1", ROUTE, "desk", "desk"::equals, 2 * SECOND_MICROS, 2 * SECOND_MICROS);
+        assertViolates("CONFIG");
     }
 
     @Test
-    public void anInvalidCallThatIsAcknowledged() {
-        version(2, "nobody", SECOND);
-        watch.onChangeAcknowledged(
-                List.of(item(2, "nobody")), ClusterInvariantChecker.ExpectedDecision.REJECT, SECOND, SECOND);
-        breaks("CONFIG");
+    public void invalidChangeAcknowledged() {
+        recordVersionSent(2, "nobody", SECOND_MICROS);
+        checker.onChangeAcknowledged(
+                List.of(item(2, "nobody")), ClusterInvariantChecker.ExpectedDecision.REJECT, SECOND_MICROS, SECOND_MICROS);
+        assertViolates("CONFIG");
     }
 
     @Test
-    public void anAcknowledgedItemThatIsGone() {
-        watch.checkFinalRead("{\"signals\":[]}", "LOST", SECOND);
-        breaks("LOST");
+    public void acknowledgedItemMissingFromFinalRead() {
+        checker.checkFinalRead("{\"signals\":[]}", "LOST", SECOND_MICROS);
+        assertViolates("LOST");
     }
 
     @Test
-    public void noAnswerAtTheEnd() {
-        watch.checkFinalRead(null, "LOST", SECOND);
-        breaks("LOST");
+    public void finalReadWithoutResponse() {
+        checker.checkFinalRead(null, "LOST", SECOND_MICROS);
+        assertViolates("LOST");
     }
 
     @Test
-    public void aValidChangeWithoutAcknowledgement() {
-        version(2, "intake", SECOND);
-        watch.onChangeRejected(
-                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, false, SECOND, 4 * SECOND);
-        keeps();
-        watch.onChangeRejected(
-                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, false, SECOND, 5 * SECOND);
-        breaks("ACKS");
+    public void validChangeNotAcknowledgedInTime() {
+        recordVersionSent(2, "intake", SECOND_MICROS);
+        checker.onChangeRejected(
+                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, false, SECOND_MICROS, 4 * SECOND_MICROS);
+        assertNoViolations();
+        checker.onChangeRejected(
+                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, false, SECOND_MICROS, 5 * SECOND_MICROS);
+        assertViolates("ACKS");
     }
 
     @Test
-    public void aRequestThatIsBrokenOffByWhoLeaves() {
-        sent("a", false);
-        watch.onConnectionLost("a", true, false, SECOND);
-        keeps();
-        watch.onConnectionLost("a", true, true, SECOND);
-        breaks("LOST");
+    public void drainingProxyAbortsRequest() {
+        recordRequestSent("a", false);
+        checker.onConnectionLost("a", true, false, SECOND_MICROS);
+        assertNoViolations();
+        checker.onConnectionLost("a", true, true, SECOND_MICROS);
+        assertViolates("LOST");
     }
 
     @Test
-    public void moreThanAQuota() {
-        watch.setQuota(10, 10);
+    public void quotaExceeded() {
+        checker.setQuota(10, 10);
         for (int i = 0; i < 86; i++) { // (10 * 5 + 10) * 1.1 + 20
-            sent("a" + i, true);
-            watch.onRequestExecuted("a" + i, "c1", "desk", "t", SECOND);
+            recordRequestSent("a" + i, true);
+            checker.onRequestExecuted("a" + i, "c1", "desk", "t", SECOND_MICROS);
         }
-        watch.checkWindows();
-        keeps();
-        sent("b", true);
-        watch.onRequestExecuted("b", "c1", "desk", "t", SECOND);
-        watch.checkWindows();
-        breaks("QUOTA");
+        checker.checkWindows();
+        assertNoViolations();
+        recordRequestSent("b", true);
+        checker.onRequestExecuted("b", "c1", "desk", "t", SECOND_MICROS);
+        checker.checkWindows();
+        assertViolates("QUOTA");
     }
 
     @Test
-    public void moreThanTheBudget() {
+    public void retryBudgetExceeded() {
         for (int i = 0; i < 70; i++) {
-            sent("a" + i, true);
-            watch.onRequestArrived("a" + i, "desk", SECOND);
-            watch.onRequestArrived("a" + i, "desk", SECOND);
+            recordRequestSent("a" + i, true);
+            checker.onRequestArrived("a" + i, "desk", SECOND_MICROS);
+            checker.onRequestArrived("a" + i, "desk", SECOND_MICROS);
         }
-        watch.checkWindows();
-        keeps(); // 70 of 0.2 * 70 + 56
-        sent("b", true);
-        watch.onRequestArrived("b", "desk", SECOND);
-        watch.onRequestArrived("b", "desk", SECOND);
-        watch.checkWindows();
-        breaks("BUDGET");
+        checker.checkWindows();
+        assertNoViolations(); // 70 of 0.2 * 70 + 56
+        recordRequestSent("b", true);
+        checker.onRequestArrived("b", "desk", SECOND_MICROS);
+        checker.onRequestArrived("b", "desk", SECOND_MICROS);
+        checker.checkWindows();
+        assertViolates("BUDGET");
     }
 
     @Test
-    public void noRecovery() {
-        watch.checkRecovery(100, 25);
-        keeps();
-        watch.checkRecovery(100, 24);
-        breaks("RECOVER");
+    public void throughputDoesNotRecover() {
+        checker.checkRecovery(100, 25);
+        assertNoViolations();
+        checker.checkRecovery(100, 24);
+        assertViolates("RECOVER");
     }
 
-    private void refused(long revision, String service, ClusterInvariantChecker.ExpectedDecision proper) {
-        watch.onChangeRejected(List.of(item(revision, service)), proper, true, SECOND, SECOND);
+    private void recordRejection(long revision, String service, ClusterInvariantChecker.ExpectedDecision expected) {
+        checker.onChangeRejected(List.of(item(revision, service)), expected, true, SECOND_MICROS, SECOND_MICROS);
     }
 
     @Test
-    public void anAcknowledgedChangeThatIsRefusedWhenItIsSentAgain() {
-        version(2, "intake", SECOND);
-        refused(2, "intake", ClusterInvariantChecker.ExpectedDecision.EITHER);
-        keeps();
-        refused(1, "desk", ClusterInvariantChecker.ExpectedDecision.EITHER);
-        breaks("CONFIG");
+    public void acknowledgedChangeRejectedWhenResent() {
+        recordVersionSent(2, "intake", SECOND_MICROS);
+        recordRejection(2, "intake", ClusterInvariantChecker.ExpectedDecision.EITHER);
+        assertNoViolations();
+        recordRejection(1, "desk", ClusterInvariantChecker.ExpectedDecision.EITHER);
+        assertViolates("CONFIG");
     }
 
     @Test
-    public void aValidChangeThatIsRefused() {
-        watch.addCoreFault(0, SECOND, false);
-        version(2, "intake", SECOND);
-        refused(2, "intake", ClusterInvariantChecker.ExpectedDecision.REJECT);
-        keeps();
-        version(3, "intake", SECOND);
-        refused(3, "intake", ClusterInvariantChecker.ExpectedDecision.ACCEPT);
-        breaks("DUTY");
+    public void validChangeRejected() {
+        checker.addCoreFault(0, SECOND_MICROS, false);
+        recordVersionSent(2, "intake", SECOND_MICROS);
+        recordRejection(2, "intake", ClusterInvariantChecker.ExpectedDecision.REJECT);
+        assertNoViolations();
+        recordVersionSent(3, "intake", SECOND_MICROS);
+        recordRejection(3, "intake", ClusterInvariantChecker.ExpectedDecision.ACCEPT);
+        assertViolates("DUTY");
     }
 
     @Test
-    public void twoContentsUnderOneNumber() {
-        version(2, "desk", SECOND);
-        version(2, "intake", SECOND);
-        version(3, "desk", SECOND);
-        watch.onChangeAcknowledged(
-                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.EITHER, SECOND, SECOND);
-        watch.onChangeAcknowledged(
-                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.EITHER, SECOND, SECOND);
-        watch.onChangeAcknowledged(
-                List.of(item(3, "desk")), ClusterInvariantChecker.ExpectedDecision.EITHER, SECOND, SECOND);
-        keeps();
-        watch.onChangeAcknowledged(
-                List.of(item(2, "desk")), ClusterInvariantChecker.ExpectedDecision.EITHER, SECOND, SECOND);
-        breaks("CONFIG");
+    public void twoContentsAcknowledgedUnderOneRevision() {
+        recordVersionSent(2, "desk", SECOND_MICROS);
+        recordVersionSent(2, "intake", SECOND_MICROS);
+        recordVersionSent(3, "desk", SECOND_MICROS);
+        checker.onChangeAcknowledged(
+                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.EITHER, SECOND_MICROS, SECOND_MICROS);
+        checker.onChangeAcknowledged(
+                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.EITHER, SECOND_MICROS, SECOND_MICROS);
+        checker.onChangeAcknowledged(
+                List.of(item(3, "desk")), ClusterInvariantChecker.ExpectedDecision.EITHER, SECOND_MICROS, SECOND_MICROS);
+        assertNoViolations();
+        checker.onChangeAcknowledged(
+                List.of(item(2, "desk")), ClusterInvariantChecker.ExpectedDecision.EITHER, SECOND_MICROS, SECOND_MICROS);
+        assertViolates("CONFIG");
     }
 
     @Test
-    public void whatIsInForceUnderANumberThatAnotherHas() {
-        version(2, "desk", SECOND);
-        version(2, "intake", SECOND);
-        watch.onEffectObserved("edge", "edge#1", ROUTE, "intake", "intake"::equals, SECOND, SECOND);
-        keeps();
-        watch.onChangeAcknowledged(
-                List.of(item(2, "desk")), ClusterInvariantChecker.ExpectedDecision.EITHER, SECOND, SECOND);
-        watch.onEffectObserved("edge", "edge#2", ROUTE, "intake", "intake"::equals, SECOND, SECOND);
-        breaks("CONFIG");
-    }
-
-    private static String read(long revision, String service) {
+    public void contentInForceUnderRevisionOfAnotherContent() {
+        recordVersionSent(2, "desk", SECOND_MICROS);
+        recordVersionSent(2, "intake", SECOND_MICROS);
+        checker.onEffectObserved("edge", "edge#1", ROUTE, "intake", "intake"::equals, SECOND_MICROS, SECOND_MICROS);
+        assertNoViolations();
+        checker.onChangeAcknowledged(
+                List.of(item(2, "desk")), ClusterInvariantChecker.ExpectedDecision.EITHER, SECOND_MICROS, SECOND_MICROS);
+        checker.onEffectObserved("edge", "edge#2", ROUTE, "intake", "intake"::equals, SECOND_MICROS, SECOND_MICROS);
+        assertViolates("CONFIG");
+    }
+
+    private static String readResponse(long revision, String service) {
         return "{\"signals\":[{\"signalKind\":\"plants\",\"heading\":{\"name\":\"" + service
                 + "\",\"revision\":1},\"reference\":" + PLANT + "},{\"signalKind\":\"routes\","
                 + "\"heading\":{\"name\":\"r\",\"revision\":" + revision + "},\"reference\":"
@@ -283,82 +283,82 @@
     }
 
     @Test
-    public void anOldReadAfterAnAcknowledgement() {
+    public void staleReadAfterAcknowledgement() {
         for (String service : List.of("desk", "intake")) {
-            watch.onVersionSent(new ConfigurationItem("plants", service, 1, PLANT), "", 0);
+            checker.onVersionSent(new ConfigurationItem("plants", service, 1, PLANT), "", 0);
         }
-        version(2, "intake", SECOND);
-        watch.onChangeAcknowledged(
-                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, SECOND, 2 * SECOND);
-        watch.checkRead(read(2, "intake"), 3 * SECOND);
-        watch.checkRead(read(1, "desk"), 2 * SECOND - 1);
-        keeps();
-        watch.checkRead(read(1, "desk"), 2 * SECOND);
-        breaks("CONFIG");
+        recordVersionSent(2, "intake", SECOND_MICROS);
+        checker.onChangeAcknowledged(
+                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, SECOND_MICROS, 2 * SECOND_MICROS);
+        checker.checkRead(readResponse(2, "intake"), 3 * SECOND_MICROS);
+        checker.checkRead(readResponse(1, "desk"), 2 * SECOND_MICROS - 1);
+        assertNoViolations();
+        checker.checkRead(readResponse(1, "desk"), 2 * SECOND_MICROS);
+        assertViolates("CONFIG");
     }
 
     @Test
-    public void aChangeThatWaitsInASettledStretch() {
-        watch.addCoreFault(2 * SECOND, 3 * SECOND, false); // settled again at 6
-        version(2, "intake", SECOND);
-        watch.onChangeAcknowledged(
-                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, SECOND, 10 * SECOND - 1);
-        keeps();
-        version(3, "intake", SECOND);
-        watch.onChangeAcknowledged(
-                List.of(item(3, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, SECOND, 10 * SECOND);
-        breaks("ACKS");
+    public void acknowledgementLateWhileCoreIsSettled() {
+        checker.addCoreFault(2 * SECOND_MICROS, 3 * SECOND_MICROS, false); // settled again at 6
+        recordVersionSent(2, "intake", SECOND_MICROS);
+        checker.onChangeAcknowledged(
+                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, SECOND_MICROS, 10 * SECOND_MICROS - 1);
+        assertNoViolations();
+        recordVersionSent(3, "intake", SECOND_MICROS);
+        checker.onChangeAcknowledged(
+                List.of(item(3, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, SECOND_MICROS, 10 * SECOND_MICROS);
+        assertViolates("ACKS");
     }
 
     @Test
-    public void aStartThatIsReadyOnAMinoritysWord() {
-        watch.addMinoritySpan("edge", 2 * SECOND, 22 * SECOND);
-        watch.onReady("edge", SECOND, 5 * SECOND); // it began before
-        watch.onReady("edge", 3 * SECOND, 22 * SECOND + 1);
-        watch.onReady("another", 3 * SECOND, 5 * SECOND);
-        keeps();
-        watch.onReady("edge", 3 * SECOND, 22 * SECOND);
-        breaks("CONTACT");
+    public void proxyReadyWhileInMinority() {
+        checker.addMinoritySpan("edge", 2 * SECOND_MICROS, 22 * SECOND_MICROS);
+        checker.onReady("edge", SECOND_MICROS, 5 * SECOND_MICROS); // it began before
+        checker.onReady("edge", 3 * SECOND_MICROS, 22 * SECOND_MICROS + 1);
+        checker.onReady("another", 3 * SECOND_MICROS, 5 * SECOND_MICROS);
+        assertNoViolations();
+        checker.onReady("edge", 3 * SECOND_MICROS, 22 * SECOND_MICROS);
+        assertViolates("CONTACT");
     }
 
     @Test
-    public void checkersThatNobodyHears() {
+    public void tooManyUnacknowledgedDrains() {
         for (int i = 0; i < 12; i++) {
-            watch.onDrainAcknowledged("c" + i, "core", SECOND);
+            checker.onDrainAcknowledged("c" + i, "core", SECOND_MICROS);
         }
         for (int i = 0; i < 3; i++) { // a fifth of fifteen
-            watch.onDrainUnacknowledged(SECOND, 6 * SECOND);
+            checker.onDrainUnacknowledged(SECOND_MICROS, 6 * SECOND_MICROS);
         }
-        watch.checkWindows();
-        keeps();
-        watch.onDrainUnacknowledged(SECOND, 6 * SECOND);
-        watch.checkWindows();
-        breaks("ACKS");
+        checker.checkWindows();
+        assertNoViolations();
+        checker.onDrainUnacknowledged(SECOND_MICROS, 6 * SECOND_MICROS);
+        checker.checkWindows();
+        assertViolates("ACKS");
     }
 
     @Test
-    public void aProcessThatEndsByItself() {
-        watch.onUnexpectedExit("core/store");
-        breaks("FAULT");
+    public void processExitsUnexpectedly() {
+        checker.onUnexpectedExit("core/store");
+        assertViolates("FAULT");
     }
 
     @Test
-    public void aDrainThatIsNotKeptInTheMidstOfACut() {
-        watch.onDrainAcknowledged("c1", "core", SECOND);
-        watch.addCoreFault(SECOND, 21 * SECOND, false);
-        sent("a", true);
-        watch.onRequestExecuted("a", "c1", "desk", "t", 4 * SECOND); // the core is not settled yet
-        keeps();
-        watch.onRequestExecuted("a", "c1", "desk", "t", 4 * SECOND + 1);
-        breaks("DRAIN");
+    public void executionAfterDrainDuringCoreFault() {
+        checker.onDrainAcknowledged("c1", "core", SECOND_MICROS);
+        checker.addCoreFault(SECOND_MICROS, 21 * SECOND_MICROS, false);
+        recordRequestSent("a", true);
+        checker.onRequestExecuted("a", "c1", "desk", "t", 4 * SECOND_MICROS); // the core is not settled yet
+        assertNoViolations();
+        checker.onRequestExecuted("a", "c1", "desk", "t", 4 * SECOND_MICROS + 1);
+        assertViolates("DRAIN");
     }
 
     @Test
-    public void aDrainThatSomebodyOutOfTouchHasAcknowledged() {
-        watch.addMachineFault("core", 0, 2 * SECOND);
-        watch.onDrainAcknowledged("c1", "core", SECOND);
-        sent("a", true);
-        watch.onRequestExecuted("a", "c1", "desk", "t", 9 * SECOND);
-        keeps();
+    public void drainAcknowledgedByFaultyMachineIsExempt() {
+        checker.addMachineFault("core", 0, 2 * SECOND_MICROS);
+        checker.onDrainAcknowledged("c1", "core", SECOND_MICROS);
+        recordRequestSent("a", true);
+        checker.onRequestExecuted("a", "c1", "desk", "t", 9 * SECOND_MICROS);
+        assertNoViolations();
     }
 }
--- a/src/test/java/reedmux/simulation/cluster/DiskLossClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/DiskLossClusterTest.java
@@ -18,7 +18,7 @@
 
 /** Machines of the core that lose their disks while nothing is changed; with the programs as they are. */
 public class DiskLossClusterTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     private static final int SEEDS = 3;
     private static final String CHANGE = "{\"apply\":{\"signals\":[{\"signalKind\":\"plants\",\"heading\":"
             + "{\"name\":\"newer\",\"revision\":99},"
@@ -26,26 +26,26 @@
 
     /** Who loses its disk first, who does after that, and who is gone for good in the end. */
     @DataProvider
-    public Object[][] orders() {
+    public Object[][] failureOrders() {
         return new Object[][] {{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}};
     }
 
     /** Each has the time to count again, so that the core is never without more than one. */
-    @Test(dataProvider = "orders")
-    public void theCoreTakesChangesAfterLossesOfAllItsDisks(int first, int second, int replaced) {
+    @Test(dataProvider = "failureOrders")
+    public void coreAcceptsChangesAfterAllDisksWereLost(int first, int second, int replaced) {
         for (int seed = 1; seed <= SEEDS; seed++) {
             ServingDeployment serving = new ServingDeployment(seed, line -> {});
             List<Deployment.DeployedNode> cores = serving.deployment().coreNodes();
-            for (int lost : new int[] {first, second}) {
-                cores.get(lost).losePower(SECOND, true);
-                serving.simulation().runFor(8 * SECOND);
+            for (int coreIndex : new int[] {first, second}) {
+                cores.get(coreIndex).losePower(SECOND_MICROS, true);
+                serving.simulation().runFor(8 * SECOND_MICROS);
             }
-            cores.get(replaced).kill(SECOND); // the others see its connections end
-            serving.simulation().runFor(SECOND / 10);
-            cores.get(replaced).replace("10.1.7.10", "core-new", false, SECOND / 2 * seed);
-            serving.simulation().runFor(12 * SECOND);
+            cores.get(replaced).kill(SECOND_MICROS); // the others see its connections end
+            serving.simulation().runFor(SECOND_MICROS / 10);
+            cores.get(replaced).replace("10.1.7.10", "core-new", false, SECOND_MICROS / 2 * seed);
+            serving.simulation().runFor(12 * SECOND_MICROS);
             for (InetSocketAddress control : serving.deployment().controlAddresses()) {
-                assertEquals(change(serving, control), 200, "seed " + seed + " at " + control);
+                assertEquals(applyChange(serving, control), 200, "seed " + seed + " at " + control);
             }
             assertTrue(
                     serving.invariants().violations().isEmpty(),
@@ -55,7 +55,7 @@
 
     /** What a store that pulls from another one is told of whether that one is complete. */
     private static final class PullingPeer implements RpcConnection.RpcConnectionHandler {
-        private final List<Boolean> told = new ArrayList<>();
+        private final List<Boolean> completeFlags = new ArrayList<>();
 
         @Override
         public void onConnected(RpcConnection connection) {
@@ -67,7 +67,7 @@
             if (message instanceof Messages.SnapshotChunk chunk) {
                 connection.sendMessage(new Messages.SnapshotChunkRequest(chunk.incarnation(), chunk.upToChange()));
             } else if (message instanceof Messages.ConfigurationUpdate update) {
-                told.add(update.complete());
+                completeFlags.add(update.complete());
                 connection.sendMessage(new Messages.ChangesRequest(update.incarnation(), update.upToChange()));
             }
         }
@@ -78,7 +78,7 @@
 
     /** A store that has lost its disk is pulled from before it is complete, and nothing changes after that. */
     @Test
-    public void aStoreThatBecomesCompleteTellsThoseWhoPullFromIt() throws IOException {
+    public void storeNotifiesPullingPeersWhenItBecomesComplete() throws IOException {
         ServingDeployment serving = new ServingDeployment(1, line -> {});
         ClusterSimulation simulation = serving.simulation();
         List<Deployment.DeployedNode> cores = serving.deployment().coreNodes();
@@ -86,8 +86,8 @@
         SimulatedMachine cutOff = cores.get(1).machine();
         simulation.partition(lost, cutOff);
         simulation.partition(cutOff, lost);
-        cores.get(0).losePower(SECOND, true);
-        simulation.runFor(3 * SECOND);
+        cores.get(0).losePower(SECOND_MICROS, true);
+        simulation.runFor(3 * SECOND_MICROS);
         SimulatedProcess process = new SimulatedProcess(
                 simulation, new SimulatedMachine(simulation, "10.7.0.5", "hall-a", false), "peer", 0, line -> {});
         Messages.Hello hello =
@@ -101,19 +101,19 @@
                 SocketAddresses.parse(lost.ip() + ':' + Deployment.STORE_PORT),
                 peer);
         keepAlive(process, connection);
-        simulation.runFor(SECOND);
-        assertEquals(peer.told, List.of(false));
+        simulation.runFor(SECOND_MICROS);
+        assertEquals(peer.completeFlags, List.of(false));
         simulation.heal(lost, cutOff);
         simulation.heal(cutOff, lost);
-        simulation.runFor(12 * SECOND);
-        assertEquals(peer.told, List.of(false, true));
+        simulation.runFor(12 * SECOND_MICROS);
+        assertEquals(peer.completeFlags, List.of(false, true));
     }
 
     private static void keepAlive(SimulatedProcess process, RpcConnection connection) {
-        process.reactor().scheduleEvery(SECOND / 2, () -> connection.sendMessage(new Messages.KeepAlive()));
+        process.reactor().scheduleEvery(SECOND_MICROS / 2, () -> connection.sendMessage(new Messages.KeepAlive()));
     }
 
-    private static int change(ServingDeployment serving, InetSocketAddress control) {
+    private static int applyChange(ServingDeployment serving, InetSocketAddress control) {
         int[] result = {0};
         serving.outside().reactor().execute(() -> {
             try {
@@ -121,13 +121,13 @@
                         serving.outside().reactor(),
                         control,
                         OneShotHttpCall.post("/v1/Config.Adjust", CHANGE),
-                        3 * SECOND,
+                        3 * SECOND_MICROS,
                         (status, head, text) -> result[0] = status);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         });
-        serving.simulation().runFor(4 * SECOND);
+        serving.simulation().runFor(4 * SECOND_MICROS);
         return result[0];
     }
 }
--- a/src/test/java/reedmux/simulation/cluster/ProgramsClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ProgramsClusterTest.java
@@ -12,7 +12,7 @@
 
 /** One moment of the programs' lives, brought about in virtual time. */
 public class ProgramsClusterTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     private final List<String> log = new ArrayList<>();
     private ClusterSimulation simulation;
     private Deployment deployment;
@@ -27,9 +27,9 @@
         outside = serving.outside();
     }
 
-    private int[] ask(String path, long timeLeft) throws java.io.IOException {
-        int[] told = {-1, 0};
-        long begun = simulation.now();
+    private int[] sendRequest(String path, long timeLeftMillis) throws java.io.IOException {
+        int[] result = {-1, 0};
+        long startMicros = simulation.now();
         outside.reactor().execute(() -> {
             try {
                 new OneShotHttpCall(
@@ -40,86 +40,86 @@
                                 path,
                                 "h.example",
                                 "",
-                                "Reedmux-Attempt-Id: a" + begun + "\r\n",
-                                "Reedmux-Time-Left-Ms: " + timeLeft + "\r\n",
+                                "Reedmux-Attempt-Id: a" + startMicros + "\r\n",
+                                "Reedmux-Time-Left-Ms: " + timeLeftMillis + "\r\n",
                                 "Authorization: Bearer key-0-first.\r\n"),
-                        3 * SECOND,
+                        3 * SECOND_MICROS,
                         (status, head, text) -> {
-                            told[0] = status;
-                            told[1] = (int) (simulation.now() - begun);
+                            result[0] = status;
+                            result[1] = (int) (simulation.now() - startMicros);
                         });
             } catch (java.io.IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
         });
-        simulation.runFor(2 * SECOND);
-        return told;
+        simulation.runFor(2 * SECOND_MICROS);
+        return result;
     }
 
     /** A connection that is reset before it has said who it is ended the store's process. */
     @Test
-    public void aConnectionThatEndsBeforeItsFirstMessageHurtsNobody() throws java.io.IOException {
+    public void connectionClosedBeforeHelloIsHarmless() throws java.io.IOException {
         for (int port = 7360; port < 7362; port++) {
-            SimulatedTcpSocket line =
+            SimulatedTcpSocket socket =
                     (SimulatedTcpSocket) outside.connect(SocketAddresses.parse("10.1.0.10:" + port), null);
-            simulation.runFor(SECOND);
-            line.write(java.nio.ByteBuffer.wrap(new byte[] {0, 0}));
-            simulation.runFor(SECOND / 10);
-            line.close();
+            simulation.runFor(SECOND_MICROS);
+            socket.write(java.nio.ByteBuffer.wrap(new byte[] {0, 0}));
+            simulation.runFor(SECOND_MICROS / 10);
+            socket.close();
         }
-        simulation.runFor(5 * SECOND);
-        assertEquals(log.stream().filter(line -> line.contains("Exception")).toList(), List.of());
+        simulation.runFor(5 * SECOND_MICROS);
+        assertEquals(log.stream().filter(socket -> socket.contains("Exception")).toList(), List.of());
         assertTrue(deployment.coreNodes().get(0).machine().tcpListener(7360) != null);
     }
 
     /** A request that meets the end of a start waits for it; one that meets its beginning is told when. */
     @Test
-    public void aRequestWaitsForTheEndOfAStart() throws java.io.IOException {
-        assertEquals(ask("/r0/x", 1_500)[0], 200);
-        deployment.proxies().get(0).kill(SECOND / 2);
-        simulation.runFor(SECOND / 2 + 500);
-        int[] told = ask("/r0/x", 2_500);
-        assertEquals(told[0], 200);
-        assertTrue(told[1] < SECOND / 2, "took " + told[1]);
+    public void requestWaitsForStartupToFinish() throws java.io.IOException {
+        assertEquals(sendRequest("/r0/x", 1_500)[0], 200);
+        deployment.proxies().get(0).kill(SECOND_MICROS / 2);
+        simulation.runFor(SECOND_MICROS / 2 + 500);
+        int[] result = sendRequest("/r0/x", 2_500);
+        assertEquals(result[0], 200);
+        assertTrue(result[1] < SECOND_MICROS / 2, "took " + result[1]);
     }
 
     /** Its checkers call a registry that is cut off from the others, which hear of it through proxies. */
     @Test
-    public void theCheckersOfARegistryThatIsCutOffAreNotSilent() {
-        SimulatedMachine cut = deployment.coreNodes().get(0).machine();
+    public void checkersOfPartitionedRegistryStayAvailable() {
+        SimulatedMachine partitionedMachine = deployment.coreNodes().get(0).machine();
         for (Deployment.DeployedNode core : deployment.coreNodes().subList(1, 3)) {
-            simulation.partition(cut, core.machine());
-            simulation.partition(core.machine(), cut);
+            simulation.partition(partitionedMachine, core.machine());
+            simulation.partition(core.machine(), partitionedMachine);
         }
-        simulation.runFor(20 * SECOND);
+        simulation.runFor(20 * SECOND_MICROS);
         assertEquals(log.stream().filter(line -> line.contains("silent")).toList(), List.of());
         deployment.coreNodes().forEach(core -> simulation.partition(simulation.machine("10.3.0.1"), core.machine()));
-        simulation.runFor(10 * SECOND);
+        simulation.runFor(10 * SECOND_MICROS);
         assertTrue(log.stream().anyMatch(line -> line.contains("silent")), "who calls nobody is silent");
     }
 
     /** A registry that is gone is followed by others for its checkers, none of which is silent in between. */
     @Test
-    public void theCheckersOfARegistryThatIsGoneAreNotSilent() {
-        deployment.coreNodes().get(0).losePower(60 * SECOND, false);
-        simulation.runFor(20 * SECOND);
+    public void checkersOfFailedRegistryStayAvailable() {
+        deployment.coreNodes().get(0).losePower(60 * SECOND_MICROS, false);
+        simulation.runFor(20 * SECOND_MICROS);
         assertEquals(log.stream().filter(line -> line.contains("silent")).toList(), List.of());
     }
 
     /** Without anybody of the core it is answered in time to come back. */
     @Test
-    public void whoKnowsNothingRefusesInTime() throws java.io.IOException {
-        deployment.coreNodes().forEach(core -> core.losePower(60 * SECOND, false));
-        deployment.proxies().get(0).kill(SECOND / 2);
-        simulation.runFor(SECOND);
-        int[] told = ask("/r0/x", 2_000);
-        assertEquals(told[0], 503);
-        assertTrue(told[1] < 300_000, "took " + told[1]);
+    public void proxyWithoutCoreRejectsInTime() throws java.io.IOException {
+        deployment.coreNodes().forEach(core -> core.losePower(60 * SECOND_MICROS, false));
+        deployment.proxies().get(0).kill(SECOND_MICROS / 2);
+        simulation.runFor(SECOND_MICROS);
+        int[] result = sendRequest("/r0/x", 2_000);
+        assertEquals(result[0], 503);
+        assertTrue(result[1] < 300_000, "took " + result[1]);
     }
 
     /** What its registry tells, between the pieces of what its store tells, takes nothing of these away. */
     @Test
-    public void aProxyThatStartsTakesASnapshotInPieces() throws java.io.IOException {
+    public void startingProxyReceivesChunkedSnapshot() throws java.io.IOException {
         SimulatedOperator operator = new SimulatedOperator(
                 simulation, "10.8.0.9", deployment.controlAddresses(), new ClusterInvariantChecker());
         for (int from = 0; from < 6_000; from += 500) {
@@ -128,13 +128,13 @@
                     ClusterInvariantChecker.ExpectedDecision.ACCEPT,
                     ConfigurationGenerator::visibleEffect,
                     status -> assertEquals((int) status, 200));
-            simulation.runFor(2 * SECOND);
+            simulation.runFor(2 * SECOND_MICROS);
         }
         for (int i = 0; i < 10; i++) {
-            long downFor = SECOND / 10 + i * 700;
+            long downFor = SECOND_MICROS / 10 + i * 700;
             deployment.proxies().forEach(edge -> edge.kill(downFor));
-            simulation.runFor(SECOND / 2);
-            assertEquals(ask("/r0/x", 1_500)[0], 200, "after start " + i);
+            simulation.runFor(SECOND_MICROS / 2);
+            assertEquals(sendRequest("/r0/x", 1_500)[0], 200, "after start " + i);
         }
     }
 }
--- a/src/test/java/reedmux/simulation/cluster/ProxyShutdownClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ProxyShutdownClusterTest.java
@@ -13,18 +13,18 @@
 
 /** Clients that stay with a proxy which was told to end, until it is gone; with the programs as they are. */
 public class ProxyShutdownClusterTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     private static final int CLIENTS = 12;
-    private static final long RESPONSE_TIMEOUT = 5 * SECOND;
+    private static final long RESPONSE_TIMEOUT_MICROS = 5 * SECOND_MICROS;
 
     private ServingDeployment serving;
     private Deployment.DeployedNode edge;
-    private long signalAt;
-    private long endedAt;
-    private int served;
-    private int rejected;
-    private int executedAndLost;
-    private final List<Long> servedAt = new ArrayList<>();
+    private long signalTimeMicros;
+    private long exitTimeMicros;
+    private int servedCount;
+    private int rejectedCount;
+    private int executedButLostCount;
+    private final List<Long> servedTimesMicros = new ArrayList<>();
 
     /** One client's requests, the next one as soon as the last one has ended. */
     private final class OrderingClient implements PersistentHttpClient.Conversation {
@@ -40,14 +40,14 @@
             client = new PersistentHttpClient(
                     serving.outside().reactor(),
                     serving.deployment().frontAddress(edge),
-                    RESPONSE_TIMEOUT,
+                    RESPONSE_TIMEOUT_MICROS,
                     ignoresClose,
                     this);
         }
 
         @Override
         public byte[] nextRequest() {
-            if (endedAt > 0) {
+            if (exitTimeMicros > 0) {
                 return null;
             }
             id = name + '.' + ++number;
@@ -73,10 +73,10 @@
         @Override
         public void onResponse(Http1Head head, byte[] body) {
             if (head.status() == 200) {
-                served++;
-                servedAt.add(serving.simulation().now());
+                servedCount++;
+                servedTimesMicros.add(serving.simulation().now());
             } else {
-                rejected++;
+                rejectedCount++;
                 assertTrue(head.status() == 503 || head.status() == 429, "status " + head.status());
                 assertTrue(head.get("Retry-After") != null, "a rejection says when to come back");
             }
@@ -85,9 +85,9 @@
         @Override
         public void onLost(String reason) {
             if (serving.invariants().hasExecuted(id)) {
-                executedAndLost++;
+                executedButLostCount++;
             }
-            if (endedAt == 0) { // the platform sends it here again
+            if (exitTimeMicros == 0) { // the platform sends it here again
                 serving.outside().reactor().scheduleAfter(10_000, client::start);
             }
         }
@@ -100,31 +100,31 @@
 
     /** Whatever was passed on to a checker has its response, however late after SIGTERM it has come. */
     @Test(dataProvider = "clients")
-    public void whatIsPassedOnAfterSigtermIsAnswered(int timeLeftMillis, boolean ignoresClose) {
+    public void requestsForwardedAfterSigtermGetResponses(int timeLeftMillis, boolean ignoresClose) {
         serving = new ServingDeployment(11, line -> {});
         edge = serving.deployment().proxies().get(0);
-        endedAt = 0;
-        served = 0;
-        rejected = 0;
-        executedAndLost = 0;
-        servedAt.clear();
+        exitTimeMicros = 0;
+        servedCount = 0;
+        rejectedCount = 0;
+        executedButLostCount = 0;
+        servedTimesMicros.clear();
         SimulatedProcess process = edge.process("proxy");
-        process.onExit(() -> endedAt = serving.simulation().now());
+        process.onExit(() -> exitTimeMicros = serving.simulation().now());
         for (int i = 0; i < CLIENTS; i++) {
             serving.outside()
                     .reactor()
                     .execute(new OrderingClient("c" + i, timeLeftMillis, ignoresClose).client::start);
         }
-        serving.simulation().runFor(2 * SECOND);
-        signalAt = serving.simulation().now();
+        serving.simulation().runFor(2 * SECOND_MICROS);
+        signalTimeMicros = serving.simulation().now();
         edge.terminate(300_000);
-        serving.simulation().runFor(8 * SECOND);
-        assertTrue(endedAt > signalAt && endedAt < signalAt + 6 * SECOND, "it ends within the grace period");
-        assertEquals(executedAndLost, 0, "requests that were passed on and have no response");
+        serving.simulation().runFor(8 * SECOND_MICROS);
+        assertTrue(exitTimeMicros > signalTimeMicros && exitTimeMicros < signalTimeMicros + 6 * SECOND_MICROS, "it ends within the grace period");
+        assertEquals(executedButLostCount, 0, "requests that were passed on and have no response");
         assertEquals(serving.invariants().violations(), List.of());
-        long inTheFirstTwoSeconds = servedAt.stream()
-                .filter(at -> at > signalAt && at < signalAt + 2 * SECOND)
+        long servedInFirstTwoSeconds = servedTimesMicros.stream()
+                .filter(at -> at > signalTimeMicros && at < signalTimeMicros + 2 * SECOND_MICROS)
                 .count();
-        assertTrue(inTheFirstTwoSeconds > 20, "the platform still sends clients for two seconds: they are served");
+        assertTrue(servedInFirstTwoSeconds > 20, "the platform still sends clients for two seconds: they are served");
     }
 }
--- a/src/test/java/reedmux/simulation/cluster/QuorumContactClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/QuorumContactClusterTest.java
@@ -22,9 +22,9 @@
 
 /** Who is cut off or was frozen, with the programs as they are, in virtual time. */
 public class QuorumContactClusterTest {
-    private static final long SECOND = 1_000_000;
-    private static final String EMPTY = "{\"apply\":{\"signals\":[]}}";
-    private static final String NEWER = "{\"apply\":{\"signals\":[{\"signalKind\":\"plants\",\"heading\":"
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final String EMPTY_CHANGE = "{\"apply\":{\"signals\":[]}}";
+    private static final String NEWER_CHANGE = "{\"apply\":{\"signals\":[{\"signalKind\":\"plants\",\"heading\":"
             + "{\"name\":\"newer\",\"revision\":99},"
             + "\"reference\":{\"probe\":\"/health\",\"connCeiling\":9}}]}}";
     private ClusterSimulation simulation;
@@ -40,23 +40,23 @@
     }
 
     /** Asks somebody and lets two seconds pass; what is not answered is 0. */
-    private String ask(InetSocketAddress at, byte[] call) {
-        String[] told = {"0"};
+    private String call(InetSocketAddress address, byte[] call) {
+        String[] response = {"0"};
         outside.reactor().execute(() -> {
             try {
                 new OneShotHttpCall(
-                        outside.reactor(), at, call, 3 * SECOND, (status, head, text) -> told[0] = status + " " + text);
+                        outside.reactor(), address, call, 3 * SECOND_MICROS, (status, head, text) -> response[0] = status + " " + text);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         });
-        simulation.runFor(2 * SECOND);
-        return told[0];
+        simulation.runFor(2 * SECOND_MICROS);
+        return response[0];
     }
 
-    private int ask(InetSocketAddress at, String path) {
-        String told = ask(
-                at,
+    private int call(InetSocketAddress address, String path) {
+        String response = call(
+                address,
                 OneShotHttpCall.request(
                         "GET",
                         path,
@@ -65,30 +65,30 @@
                         "Reedmux-Attempt-Id: a" + simulation.now() + "\r\n",
                         "Reedmux-Time-Left-Ms: 1500\r\n",
                         "Authorization: Bearer key-0-first.\r\n"));
-        return Integer.parseInt(told.split(" ")[0]);
+        return Integer.parseInt(response.split(" ")[0]);
     }
 
-    private String control(int core, byte[] call) {
-        return ask(deployment.controlAddresses().get(core), call);
+    private String callControl(int core, byte[] call) {
+        return call(deployment.controlAddresses().get(core), call);
     }
 
-    private static byte[] read() {
+    private static byte[] readRequest() {
         return OneShotHttpCall.request("GET", "/v1/Config.Read", "control", "");
     }
 
-    private void cut(boolean both) {
+    private void setPartitioned(boolean partitioned) {
         List<Deployment.DeployedNode> cores = deployment.coreNodes();
-        List<SimulatedMachine> far =
+        List<SimulatedMachine> majoritySide =
                 List.of(cores.get(1).machine(), cores.get(2).machine());
-        for (SimulatedMachine near :
+        for (SimulatedMachine minorityMachine :
                 List.of(cores.get(0).machine(), deployment.proxies().get(0).machine())) {
-            for (SimulatedMachine other : far) {
-                if (both) {
-                    simulation.partition(near, other);
-                    simulation.partition(other, near);
+            for (SimulatedMachine majorityMachine : majoritySide) {
+                if (partitioned) {
+                    simulation.partition(minorityMachine, majorityMachine);
+                    simulation.partition(majorityMachine, minorityMachine);
                 } else {
-                    simulation.heal(near, other);
-                    simulation.heal(other, near);
+                    simulation.heal(minorityMachine, majorityMachine);
+                    simulation.heal(majorityMachine, minorityMachine);
                 }
             }
         }
@@ -96,60 +96,60 @@
 
     /** It serves on with what its side has, and says 503 where the others may know better. */
     @Test
-    public void aProxyThatIsStartedOnTheSideOfTheMinorityIsNotReady() {
+    public void proxyStartedInMinorityIsNotReady() {
         InetSocketAddress ready =
                 deployment.readinessAddress(deployment.proxies().get(0));
         InetSocketAddress front = deployment.frontAddress(deployment.proxies().get(0));
-        assertEquals(ask(ready, "/v1/readiness"), 200);
-        cut(true);
-        simulation.runFor(4 * SECOND);
-        assertEquals(ask(ready, "/v1/readiness"), 200, "who was ready stays so");
-        deployment.proxies().get(0).kill(SECOND / 2);
-        simulation.runFor(10 * SECOND);
-        assertEquals(ask(ready, "/v1/readiness"), 503);
-        assertEquals(ask(front, "/r0/x"), 200);
-        assertEquals(ask(front, "/nowhere/x"), 503);
-        cut(false);
-        simulation.runFor(4 * SECOND);
-        assertEquals(ask(ready, "/v1/readiness"), 200);
-        assertEquals(ask(front, "/nowhere/x"), 404);
+        assertEquals(call(ready, "/v1/readiness"), 200);
+        setPartitioned(true);
+        simulation.runFor(4 * SECOND_MICROS);
+        assertEquals(call(ready, "/v1/readiness"), 200, "who was ready stays so");
+        deployment.proxies().get(0).kill(SECOND_MICROS / 2);
+        simulation.runFor(10 * SECOND_MICROS);
+        assertEquals(call(ready, "/v1/readiness"), 503);
+        assertEquals(call(front, "/r0/x"), 200);
+        assertEquals(call(front, "/nowhere/x"), 503);
+        setPartitioned(false);
+        simulation.runFor(4 * SECOND_MICROS);
+        assertEquals(call(ready, "/v1/readiness"), 200);
+        assertEquals(call(front, "/nowhere/x"), 404);
     }
 
     /** From the first moment of a cut, when its links still stand, until its end. */
     @Test
-    public void aStoreThatIsCutOffNeitherReadsNorConfirmsNorRefuses() {
-        assertTrue(control(0, OneShotHttpCall.post("/v1/Config.Adjust", EMPTY)).startsWith("200"));
-        cut(true);
+    public void isolatedStoreAnswersNeitherReadsNorChanges() {
+        assertTrue(callControl(0, OneShotHttpCall.post("/v1/Config.Adjust", EMPTY_CHANGE)).startsWith("200"));
+        setPartitioned(true);
         for (int i = 0; i < 5; i++) {
             assertTrue(
-                    control(1, OneShotHttpCall.post("/v1/Config.Adjust", NEWER)).startsWith(i == 0 ? "" : "200"));
+                    callControl(1, OneShotHttpCall.post("/v1/Config.Adjust", NEWER_CHANGE)).startsWith(i == 0 ? "" : "200"));
             for (byte[] call : List.of(
-                    read(),
-                    OneShotHttpCall.post("/v1/Config.Adjust", EMPTY),
-                    OneShotHttpCall.post("/v1/Config.Adjust", NEWER.replace("connCeiling", "x")))) {
-                String told = control(0, call);
-                assertTrue(told.startsWith("503"), told);
+                    readRequest(),
+                    OneShotHttpCall.post("/v1/Config.Adjust", EMPTY_CHANGE),
+                    OneShotHttpCall.post("/v1/Config.Adjust", NEWER_CHANGE.replace("connCeiling", "x")))) {
+                String response = callControl(0, call);
+                assertTrue(response.startsWith("503"), response);
             }
         }
-        cut(false);
-        simulation.runFor(3 * SECOND);
-        assertTrue(control(0, read()).contains("\"newer\""));
+        setPartitioned(false);
+        simulation.runFor(3 * SECOND_MICROS);
+        assertTrue(callControl(0, readRequest()).contains("\"newer\""));
     }
 
     /** Its calls have waited for it, and so have messages of 20 s ago. */
     @Test
-    public void aStoreThatWakesDoesNotAnswerFromWhatItHeld() {
-        for (long early : new long[] {0, 50_000, SECOND}) {
+    public void thawedStoreDoesNotAnswerStaleReads() {
+        for (long remainingFreezeMicros : new long[] {0, 50_000, SECOND_MICROS}) {
             start();
-            deployment.coreNodes().get(0).freeze(20 * SECOND);
-            simulation.runFor(3 * SECOND);
+            deployment.coreNodes().get(0).freeze(20 * SECOND_MICROS);
+            simulation.runFor(3 * SECOND_MICROS);
             assertTrue(
-                    control(1, OneShotHttpCall.post("/v1/Config.Adjust", NEWER)).startsWith("200"));
-            simulation.runFor(15 * SECOND - early);
-            String told = control(0, read());
-            assertFalse(told.startsWith("200") && !told.contains("\"newer\""), told);
-            simulation.runFor(3 * SECOND);
-            assertTrue(control(0, read()).contains("\"newer\""));
+                    callControl(1, OneShotHttpCall.post("/v1/Config.Adjust", NEWER_CHANGE)).startsWith("200"));
+            simulation.runFor(15 * SECOND_MICROS - remainingFreezeMicros);
+            String response = callControl(0, readRequest());
+            assertFalse(response.startsWith("200") && !response.contains("\"newer\""), response);
+            simulation.runFor(3 * SECOND_MICROS);
+            assertTrue(callControl(0, readRequest()).contains("\"newer\""));
         }
     }
 
@@ -158,14 +158,14 @@
      * changes between them lies in a range that was alike in the first.
      */
     @Test
-    public void whatChangesWhileDigestsAreComparedIsToldBehindThem() throws IOException {
+    public void changesDuringDigestComparisonAreSentAfterIt() throws IOException {
         SimulatedProcess peer = new SimulatedProcess(
                 simulation, new SimulatedMachine(simulation, "10.7.0.5", "hall-a", false), "peer", 0, line -> {});
         Messages.Hello hello =
                 new Messages.Hello(Messages.FORMAT_VERSION, "store", "peer", "10.7.0.5", "hall-a", 1, List.of());
-        Replica known = new Replica();
-        List<Integer> differ = new ArrayList<>();
-        boolean[] over = {false};
+        Replica replica = new Replica();
+        List<Integer> differingRanges = new ArrayList<>();
+        boolean[] updateReceived = {false};
         RpcConnection.RpcConnectionHandler owner = new RpcConnection.RpcConnectionHandler() {
             @Override
             public void onConnected(RpcConnection link) {}
@@ -173,13 +173,13 @@
             @Override
             public void onMessage(RpcConnection link, Object message) {
                 if (message instanceof Messages.SnapshotChunk piece) {
-                    known.merge(piece.items());
+                    replica.merge(piece.items());
                     link.sendMessage(new Messages.SnapshotChunkRequest(piece.incarnation(), piece.upToChange()));
                 } else if (message instanceof Messages.ConfigurationUpdate items) {
-                    known.merge(items.items());
-                    over[0] = true;
+                    replica.merge(items.items());
+                    updateReceived[0] = true;
                 } else if (message instanceof Messages.DigestMismatch told) {
-                    differ.addAll(told.ranges());
+                    differingRanges.addAll(told.ranges());
                 }
             }
 
@@ -190,46 +190,46 @@
                 SocketAddresses.parse(deployment.coreNodes().get(1).machine().ip() + ':' + Deployment.STORE_PORT);
         peer.submit(() -> {});
         RpcConnection link = RpcConnection.connect(peer.reactor(), new MessageCodec(), hello, store, owner);
-        simulation.runFor(SECOND / 2);
+        simulation.runFor(SECOND_MICROS / 2);
         peer.submit(() -> link.sendMessage(
-                new Messages.DigestRequest(List.of(), known.digests().digestsOf(List.of()))));
-        simulation.runFor(SECOND / 10);
-        assertFalse(differ.isEmpty());
-        List<String> later = new ArrayList<>();
+                new Messages.DigestRequest(List.of(), replica.digests().digestsOf(List.of()))));
+        simulation.runFor(SECOND_MICROS / 10);
+        assertFalse(differingRanges.isEmpty());
+        List<String> expectedKeys = new ArrayList<>();
         for (int i = 0; i < 8; i++) { // of eight names some are in ranges that were alike
             String name = "later" + i;
-            later.add("plants/" + name);
-            assertTrue(control(1, OneShotHttpCall.post("/v1/Config.Adjust", NEWER.replace("newer", name)))
+            expectedKeys.add("plants/" + name);
+            assertTrue(callControl(1, OneShotHttpCall.post("/v1/Config.Adjust", NEWER_CHANGE.replace("newer", name)))
                     .startsWith("200"));
             peer.submit(() -> link.sendMessage(new Messages.KeepAlive()));
         }
         peer.submit(() -> link.sendMessage(
-                new Messages.DigestRequest(differ, known.digests().digestsOf(differ))));
-        simulation.runFor(SECOND);
-        assertTrue(over[0]);
-        List<String> has = new ArrayList<>();
-        known.committed().forEach(item -> has.add(item.key()));
-        assertTrue(has.containsAll(later), later + " and " + has);
+                new Messages.DigestRequest(differingRanges, replica.digests().digestsOf(differingRanges))));
+        simulation.runFor(SECOND_MICROS);
+        assertTrue(updateReceived[0]);
+        List<String> receivedKeys = new ArrayList<>();
+        replica.committed().forEach(item -> receivedKeys.add(item.key()));
+        assertTrue(receivedKeys.containsAll(expectedKeys), expectedKeys + " and " + receivedKeys);
     }
 
     /** Both sides of a link, one of which was frozen for longer than the other waits. */
     @Test
-    public void whatWasSaidInAnotherTimeIsNotRead() throws IOException {
-        for (boolean wakes : new boolean[] {false, true}) {
-            SimulatedProcess one = new SimulatedProcess(
+    public void messagesSentBeforeLinkTimeoutAreDiscarded() throws IOException {
+        for (boolean outlivesTimeout : new boolean[] {false, true}) {
+            SimulatedProcess sender = new SimulatedProcess(
                     simulation,
-                    new SimulatedMachine(simulation, "10.7.0." + (wakes ? 1 : 3), "hall-a", false),
+                    new SimulatedMachine(simulation, "10.7.0." + (outlivesTimeout ? 1 : 3), "hall-a", false),
                     "one",
                     0,
                     line -> {});
-            SimulatedProcess two = new SimulatedProcess(
+            SimulatedProcess receiver = new SimulatedProcess(
                     simulation,
-                    new SimulatedMachine(simulation, "10.7.0." + (wakes ? 2 : 4), "hall-a", false),
+                    new SimulatedMachine(simulation, "10.7.0." + (outlivesTimeout ? 2 : 4), "hall-a", false),
                     "two",
                     0,
                     line -> {});
-            List<Object> heard = new ArrayList<>();
-            InetSocketAddress at = SocketAddresses.parse(two.machine().ip() + ":7000");
+            List<Object> events = new ArrayList<>();
+            InetSocketAddress receiverAddress = SocketAddresses.parse(receiver.machine().ip() + ":7000");
             Messages.Hello hello =
                     new Messages.Hello(Messages.FORMAT_VERSION, "store", "n", "10.7.0.9", "z", 1, List.of());
             RpcConnection[] links = new RpcConnection[2];
@@ -239,30 +239,30 @@
 
                 @Override
                 public void onMessage(RpcConnection link, Object message) {
-                    heard.add(message);
+                    events.add(message);
                 }
 
                 @Override
                 public void onDisconnected(RpcConnection link) {
-                    heard.add("down");
+                    events.add("down");
                 }
             };
             new TcpListener(
-                    two.reactor(),
-                    at,
-                    wire -> links[1] = RpcConnection.accept(two.reactor(), new MessageCodec(), hello, wire, owner));
-            one.submit(() -> {});
-            two.submit(() -> {});
-            links[0] = RpcConnection.connect(one.reactor(), new MessageCodec(), hello, at, owner);
-            simulation.runFor(SECOND);
+                    receiver.reactor(),
+                    receiverAddress,
+                    wire -> links[1] = RpcConnection.accept(receiver.reactor(), new MessageCodec(), hello, wire, owner));
+            sender.submit(() -> {});
+            receiver.submit(() -> {});
+            links[0] = RpcConnection.connect(sender.reactor(), new MessageCodec(), hello, receiverAddress, owner);
+            simulation.runFor(SECOND_MICROS);
             assertNotEquals(links[1], null);
-            two.freeze();
+            receiver.freeze();
             links[0].sendMessage(new Messages.ConfigurationReadRequest(1));
-            simulation.runFor(wakes ? 20 * SECOND : SECOND);
-            two.thaw();
-            simulation.runFor(SECOND / 10);
-            assertEquals(heard.contains(new Messages.ConfigurationReadRequest(1)), !wakes);
-            assertEquals(heard.contains("down"), wakes);
+            simulation.runFor(outlivesTimeout ? 20 * SECOND_MICROS : SECOND_MICROS);
+            receiver.thaw();
+            simulation.runFor(SECOND_MICROS / 10);
+            assertEquals(events.contains(new Messages.ConfigurationReadRequest(1)), !outlivesTimeout);
+            assertEquals(events.contains("down"), outlivesTimeout);
         }
     }
 }
--- a/src/test/java/reedmux/simulation/invariants/HistoryCheckerTest.java
+++ b/src/test/java/reedmux/simulation/invariants/HistoryCheckerTest.java
@@ -28,21 +28,21 @@
  * no other, beside a near miss. A file holds several, each under {@code == TITLE : RULE or none}.
  */
 public final class HistoryCheckerTest {
-    private static final Path FOLDER = Path.of("src/test/resources/histories");
-    private static final RuleParameters FIGURES =
+    private static final Path HISTORIES = Path.of("src/test/resources/histories");
+    private static final RuleParameters RULE_PARAMETERS =
             new RuleParameters(8_000, 250_000, 4, 1_000_000, 150_000, 4, true, new QuotaTolerance(1, 2_000_000));
 
     /** One history of a file, with the rule that it breaks. */
-    public record HistoryCase(String title, String verdict, List<String> lines) {
+    public record HistoryCase(String title, String expectedRule, List<String> lines) {
         @Override
         public String toString() {
             return title;
         }
     }
 
-    static List<HistoryCase> cases() throws IOException {
+    static List<HistoryCase> historyCases() throws IOException {
         List<HistoryCase> all = new ArrayList<>();
-        try (Stream<Path> files = Files.list(FOLDER)) {
+        try (Stream<Path> files = Files.list(HISTORIES)) {
             for (Path file : files.sorted().toList()) {
                 for (String line : Files.readAllLines(file)) {
                     if (line.startsWith("== ")) {
@@ -58,36 +58,36 @@
     }
 
     @ParameterizedTest
-    @MethodSource("cases")
-    void eachHistoryBreaksTheRuleThatItSays(HistoryCase one) {
-        HistoryReader history = HistoryReader.check(FIGURES, one.lines);
-        Set<String> broken = history.violations().stream()
+    @MethodSource("historyCases")
+    void historyBreaksExactlyItsExpectedRule(HistoryCase historyCase) {
+        HistoryReader reader = HistoryReader.check(RULE_PARAMETERS, historyCase.lines);
+        Set<String> violatedRules = reader.violations().stream()
                 .map(fault -> fault.rule().name())
                 .collect(Collectors.toCollection(TreeSet::new));
-        assertEquals(one.verdict.equals("none") ? Set.of() : Set.of(one.verdict), broken, history.violations() + "");
-        assertTrue(!history.checker().checks().isEmpty(), "nothing was looked at");
+        assertEquals(historyCase.expectedRule.equals("none") ? Set.of() : Set.of(historyCase.expectedRule), violatedRules, reader.violations() + "");
+        assertTrue(!reader.checker().checks().isEmpty(), "nothing was looked at");
     }
 
     @Test
-    void eachRuleIsBrokenOnceAtLeastAndNearlyOnce() throws IOException {
-        Set<HistoryRule> broken = EnumSet.noneOf(HistoryRule.class);
-        Set<HistoryRule> kept = EnumSet.noneOf(HistoryRule.class);
-        for (HistoryCase one : cases()) {
-            if (one.verdict.equals("none")) {
-                kept.addAll(HistoryReader.check(FIGURES, one.lines)
+    void everyRuleHasViolatingAndCompliantHistories() throws IOException {
+        Set<HistoryRule> violatedRules = EnumSet.noneOf(HistoryRule.class);
+        Set<HistoryRule> compliantRules = EnumSet.noneOf(HistoryRule.class);
+        for (HistoryCase historyCase : historyCases()) {
+            if (historyCase.expectedRule.equals("none")) {
+                compliantRules.addAll(HistoryReader.check(RULE_PARAMETERS, historyCase.lines)
                         .checker()
                         .checks()
                         .keySet());
             } else {
-                broken.add(HistoryRule.valueOf(one.verdict));
+                violatedRules.add(HistoryRule.valueOf(historyCase.expectedRule));
             }
         }
-        assertEquals(EnumSet.allOf(HistoryRule.class), broken);
-        assertEquals(EnumSet.allOf(HistoryRule.class), kept);
+        assertEquals(EnumSet.allOf(HistoryRule.class), violatedRules);
+        assertEquals(EnumSet.allOf(HistoryRule.class), compliantRules);
     }
 
     @Test
-    void whatCannotBeReadIsNoHistory() {
+    void malformedHistoriesAreRejected() {
         for (List<String> lines : List.of(
                 List.of("5 taken"),
                 List.of("5 sneezes n0"),
@@ -95,29 +95,29 @@
                 List.of("5 answered nobody served", "end 9"),
                 List.of("end 9", "end 10"),
                 List.of("5 told n0 s1 perhaps", "end 9"))) {
-            assertThrows(IllegalArgumentException.class, () -> HistoryReader.check(FIGURES, lines), lines + "");
+            assertThrows(IllegalArgumentException.class, () -> HistoryReader.check(RULE_PARAMETERS, lines), lines + "");
         }
     }
 
     /** Seeds that print themselves where a rule is broken; every rule has to have been looked at. */
     @Test
-    void drawnHistoriesBreakNoRule() {
-        Set<HistoryRule> seen = EnumSet.noneOf(HistoryRule.class);
+    void randomScenariosViolateNoRule() {
+        Set<HistoryRule> checkedRules = EnumSet.noneOf(HistoryRule.class);
         for (long seed = 0; seed < 150; seed++) {
             InvariantScenarios.InvariantRun result = InvariantScenarios.storm(seed, 20);
             assertEquals(List.<Violation>of(), result.violations(), "seed " + seed);
-            seen.addAll(result.checks().keySet());
+            checkedRules.addAll(result.checks().keySet());
         }
-        assertEquals(EnumSet.complementOf(EnumSet.of(HistoryRule.AWAY)), seen);
+        assertEquals(EnumSet.complementOf(EnumSet.of(HistoryRule.AWAY)), checkedRules);
     }
 
     /** The same seed gives the same history, and its text read again the same verdict. */
     @Test
-    void aSeedReplaysToTheSameHistoryAndItsTextToTheSameVerdict() {
-        InvariantScenarios.InvariantRun one = InvariantScenarios.storm(7, 10);
-        assertEquals(one.history(), InvariantScenarios.storm(7, 10).history());
-        HistoryReader read = HistoryReader.check(FIGURES, one.history().lines().toList());
-        assertEquals(one.violations(), read.violations());
-        assertEquals(one.checks(), read.checker().checks());
+    void sameSeedGivesSameHistoryAndItsTranscriptSameViolations() {
+        InvariantScenarios.InvariantRun run = InvariantScenarios.storm(7, 10);
+        assertEquals(run.history(), InvariantScenarios.storm(7, 10).history());
+        HistoryReader reader = HistoryReader.check(RULE_PARAMETERS, run.history().lines().toList());
+        assertEquals(run.violations(), reader.violations());
+        assertEquals(run.checks(), reader.checker().checks());
     }
 }
