--- a/src/main/java/reedmux/simulation/invariants/ColdLoadInvariant.java
+++ b/src/main/java/reedmux/simulation/invariants/ColdLoadInvariant.java
@@ -8,14 +8,17 @@
 import reedmux.simulation.invariants.HistoryChecker.RuleParameters;
 import reedmux.simulation.invariants.HistoryChecker.TimedAmount;
 
-/** A provider that warms up is sent no more work within a window than a multiple of its capacity at that time. */
+/**
+ * Checks that a provider that is warming up receives at most a configured multiple of its current capacity within a
+ * sliding time window.
+ */
 final class ColdLoadInvariant {
     private static final class CheckedProvider {
         long startTimeMicros = Long.MIN_VALUE;
         double capacity;
         double coldCapacityShare = 1;
         long warmUpTime;
-        /** Work that was delivered within the window. */
+        /** Work delivered within the sliding window, oldest first. */
         final Deque<TimedAmount> delivered = new ArrayDeque<>();
     }
 
@@ -28,7 +31,12 @@
         this.log = log;
     }
 
-    /** A provider has started; {@code capacity} in microseconds of work a second once it is warm. */
+    /**
+     * Records the start of a provider and discards the work delivered to its predecessor.
+     *
+     * @param capacity          capacity once warm, in microseconds of work per second
+     * @param coldCapacityShare share of that capacity that is available at the start
+     */
     void onStarted(long timeMicros, String name, double capacity, double coldCapacityShare, long warmUpTime) {
         CheckedProvider provider = find(name);
         provider.startTimeMicros = timeMicros;
@@ -38,7 +46,7 @@
         provider.delivered.clear();
     }
 
-    /** A request of so much work, in microseconds of one core, was delivered. */
+    /** Records a delivered request; {@code work} is in microseconds of one core. */
     void onDelivered(long timeMicros, String id, String name, double work) {
         CheckedProvider provider = find(name);
         provider.delivered.add(new TimedAmount(timeMicros, work));
@@ -59,7 +67,10 @@
         double sum =
                 provider.delivered.stream().mapToDouble(TimedAmount::amount).sum();
         if (sum > max) {
-            log.add(HistoryRule.COLD, timeMicros, id + " brings " + name + " to " + sum + " us of work, at most " + max);
+            log.add(
+                    HistoryRule.COLD,
+                    timeMicros,
+                    id + " raises the work of " + name + " to " + sum + " us, limit " + max);
         }
     }
 
--- a/src/main/java/reedmux/simulation/invariants/ForwardingInvariant.java
+++ b/src/main/java/reedmux/simulation/invariants/ForwardingInvariant.java
@@ -8,7 +8,7 @@
 import reedmux.simulation.invariants.HistoryChecker.HistoryRule;
 import reedmux.simulation.invariants.HistoryChecker.TimedAmount;
 
-/** Each group keeps to its budget for what it forwards to other regions. */
+/** Checks that each group stays within its budget for requests forwarded to other regions. */
 final class ForwardingInvariant {
     private final ViolationLog log;
     private final Map<String, List<TimedAmount>> forwardsByGroup = new TreeMap<>();
@@ -26,21 +26,25 @@
         forwardsByGroup.computeIfAbsent(group, key -> new ArrayList<>()).add(new TimedAmount(timeMicros, units));
     }
 
-    /** Checks all of a group's forwards at the end of the history. */
+    /** Checks all forwards of a group against its budget; called once, at the end of the history. */
     void check(long timeMicros, String group, ForwardingBudget budget) {
         List<TimedAmount> forwards = forwardsByGroup.getOrDefault(group, List.of());
         int accepted = acceptedCountByGroup.getOrDefault(group, 0);
         if (forwards.size() > budget.share() * accepted + HistoryChecker.ROUNDING_TOLERANCE) {
-            log.add(HistoryRule.AWAY, timeMicros, group + " sent " + forwards.size() + " away of " + accepted);
+            log.add(
+                    HistoryRule.AWAY,
+                    timeMicros,
+                    group + " forwarded " + forwards.size() + " of " + accepted + " requests");
         }
         double level = 0;
         long previousTimeMicros = forwards.isEmpty() ? 0 : forwards.get(0).timeMicros();
         for (TimedAmount forward : forwards) {
             long elapsedMicros = forward.timeMicros() - previousTimeMicros;
             previousTimeMicros = forward.timeMicros();
-            level = Math.max(0, level - budget.rate() * elapsedMicros / HistoryChecker.MICROS_PER_SECOND) + forward.amount();
+            level = Math.max(0, level - budget.rate() * elapsedMicros / HistoryChecker.MICROS_PER_SECOND)
+                    + forward.amount();
             if (level > budget.burst() + HistoryChecker.ROUNDING_TOLERANCE) {
-                String description = group + " sent " + level + " units away in a burst, at most " + budget.burst();
+                String description = group + " sent " + level + " units away in a burst, limit " + budget.burst();
                 log.add(HistoryRule.AWAY, forward.timeMicros(), description);
                 return;
             }
--- a/src/main/java/reedmux/simulation/invariants/HistoryChecker.java
+++ b/src/main/java/reedmux/simulation/invariants/HistoryChecker.java
@@ -7,30 +7,31 @@
 import java.util.TreeMap;
 
 /**
- * Finds which of the platform's rules a history breaks. Events come in the order of their times, in microseconds of one
- * clock; a group is a set of gatekeepers with quotas of their own. For one thread.
+ * Checks a history of events against the platform's rules and collects the violations. Events must be reported in
+ * chronological order; all times are in microseconds of one clock. A group is a set of gatekeepers that share quotas
+ * with each other but not with other groups. Not thread-safe.
  */
 public final class HistoryChecker {
 
-    /** The rules, by the names that histories use. */
+    /** The rules, under the names used in histories. */
     public enum HistoryRule {
-        /** Each request has one final answer in time. */
+        /** Each request receives exactly one final answer, before its deadline plus a slack. */
         ANSWER,
-        /** A request is sent again only where that has no second effect, and not too often. */
+        /** A request is sent again only if this cannot have a second effect, and only a limited number of times. */
         REPEAT,
-        /** A provider that is not ready is sent nothing after a grace time. */
+        /** A provider that is not ready receives no new calls after a grace period. */
         DRAIN,
-        /** A provider that warms up is not overloaded. */
+        /** A provider that is warming up is not overloaded. */
         COLD,
-        /** A customer never passes its plan's rate limit. */
+        /** A customer never exceeds its plan's rate limit. */
         CEILING,
-        /** A customer passes its plan's quota by a tolerance at most. */
+        /** A customer exceeds its plan's quota by at most a tolerance. */
         QUOTA,
-        /** A request is forwarded once, within its group's budget. */
+        /** A request is forwarded at most once, and within its group's budget. */
         AWAY
     }
 
-    /** What a final answer says. */
+    /** The outcome that a final answer reports. */
     public enum AnswerKind {
         SERVED,
         REFUSED,
@@ -38,16 +39,17 @@
     }
 
     /**
-     * The parameters of the rules, times in microseconds.
+     * The parameters of the rules; times are in microseconds.
      *
-     * @param deadlineSlack        how far behind its deadline an answer still counts
-     * @param drainGrace           how long new calls may go on after the notice that a provider drains or is gone
-     * @param coldOverloadMultiple of a cold provider's capacity, which may not be sent within the window
-     * @param coldOverloadWindow   that window
-     * @param rateLimitSlackTime   what the rate limit gives in this time is added to its slack
-     * @param maxCalls             calls of one request at most
-     * @param hedging              whether two calls of one request may be in flight at once
-     * @param quotaTolerance       how far quotas may be passed
+     * @param deadlineSlack        time after its deadline at which an answer is still in time
+     * @param drainGrace           time for which new calls are allowed after the notice that a provider drains or is gone
+     * @param coldOverloadMultiple multiple of a cold provider's capacity that the work sent within the window must not
+     *                             exceed
+     * @param coldOverloadWindow   length of that window
+     * @param rateLimitSlackTime   time whose worth of tokens at the rate limit is added to the rate limit's slack
+     * @param maxCalls             maximum number of calls per request
+     * @param hedging              whether two calls of one request may be in flight at the same time
+     * @param quotaTolerance       amount by which quotas may be exceeded
      */
     public record RuleParameters(
             long deadlineSlack,
@@ -59,17 +61,17 @@
             boolean hedging,
             QuotaTolerance quotaTolerance) {}
 
-    /** How far quotas may be passed: bursts, and microseconds of the rate. */
+    /** The amount by which quotas may be exceeded: a number of bursts plus the units of {@code time} us at the quota rate. */
     public record QuotaTolerance(double bursts, long time) {}
 
-    /** A plan's quota and rate limit in units and units a second; a rate of 0 for none. */
+    /** A plan's quota and rate limit, in units and units per second; a rate of 0 disables the limit. */
     public record PlanLimits(
             double quotaRate, double quotaBurst, double rateLimit, double rateLimitBurst, double rateLimitSlack) {}
 
-    /** What a group may forward to other regions: a share of its requests, and units a second with a burst. */
+    /** A group's budget for forwards to other regions: a share of its requests, and units per second with a burst. */
     public record ForwardingBudget(double share, double rate, double burst) {}
 
-    /** A rule that is broken. */
+    /** A violation of a rule. */
     public record Violation(HistoryRule rule, long timeMicros, String description) {
         @Override
         public String toString() {
@@ -120,11 +122,11 @@
         }
     }
 
-    /** An amount at a time. */
+    /** An amount that was recorded at a point in time. */
     record TimedAmount(long timeMicros, double amount) {}
 
     static final double MICROS_PER_SECOND = 1e6;
-    /** What sums of floating-point numbers may differ by. */
+    /** Absolute rounding error allowed in sums of floating-point numbers. */
     static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final RuleParameters parameters;
@@ -134,34 +136,34 @@
     private final ColdLoadInvariant coldLoad;
     private final ForwardingInvariant forwarding = new ForwardingInvariant(log);
     private final Map<String, CheckedRequest> requests = new HashMap<>();
-    /** When a gatekeeper was first notified that a provider is not ready, by the names of both. */
+    /** Time at which a gatekeeper was first notified that a provider is not ready, keyed by "gatekeeper provider". */
     private final Map<String, Long> notReadySince = new HashMap<>();
 
-    /** A checker that knows of no event yet. */
+    /** Creates a checker with an empty history. */
     public HistoryChecker(RuleParameters parameters) {
         this.parameters = parameters;
         quotas = new QuotaInvariant(parameters, log);
         coldLoad = new ColdLoadInvariant(parameters, log);
     }
 
-    /** Sets how far quotas may be passed in what follows. */
+    /** Sets the quota tolerance for all subsequent events. */
     public void setQuotaTolerance(QuotaTolerance tolerance) {
         quotas.setTolerance(tolerance);
         transcript.appendTolerance(tolerance);
     }
 
-    /** From now on writes all events down, in the form that {@link HistoryReader} reads. */
+    /** Starts to record all subsequent events in the text format that {@link HistoryReader} reads. */
     public void startTranscript() {
         transcript.start();
     }
 
-    /** All events since {@link #startTranscript}. */
+    /** Returns the recorded events since {@link #startTranscript}. */
     public String transcript() {
         return transcript.text();
     }
 
     // ---- Consumers ---------------------------------------------------------------------------------
-    /** A request's last byte has come in at a gatekeeper; {@code plan} is null where no quota is checked. */
+    /** A gatekeeper has received the last byte of a request; {@code plan} is null if no quota is checked. */
     public void onAccepted(
             long timeMicros,
             String group,
@@ -188,20 +190,23 @@
         forwarding.onAccepted(group);
     }
 
-    /** Nobody waits for an answer any more: the consumer has left, or the gatekeeper that accepted it has died. */
+    /** A request no longer needs an answer: its consumer has disconnected, or the gatekeeper that accepted it has crashed. */
     public void onExcused(long timeMicros, String id) {
         transcript.appendEvent(timeMicros, "excused %s", id);
         requests.get(id).excused = true;
     }
 
-    /** The last byte of a final answer has gone out. */
+    /** The last byte of a final answer has been sent. */
     public void onAnswered(long timeMicros, String id, AnswerKind kind) {
         transcript.appendEvent(timeMicros, "answered %s %s", id, kind.name().toLowerCase(Locale.ROOT));
         CheckedRequest request = requests.get(id);
         if (request.answer != null) {
             log.add(HistoryRule.ANSWER, timeMicros, id + " is answered twice");
         } else if (timeMicros > request.deadline + parameters.deadlineSlack) {
-            log.add(HistoryRule.ANSWER, timeMicros, id + " is answered " + (timeMicros - request.deadline) + " us late");
+            log.add(
+                    HistoryRule.ANSWER,
+                    timeMicros,
+                    id + " is answered " + (timeMicros - request.deadline) + " us late");
         }
         request.answer = kind;
         if (kind == AnswerKind.REFUSED
@@ -216,7 +221,7 @@
         return request.calls.computeIfAbsent(gatekeeper + '#' + number, key -> new CheckedCall());
     }
 
-    /** The first byte of a gatekeeper's call goes out. */
+    /** A gatekeeper has sent the first byte of a call to a provider. */
     public void onCallStarted(long timeMicros, String gatekeeper, String id, int number, String provider) {
         transcript.appendEvent(timeMicros, "begins %s %s %d %s", gatekeeper, id, number, provider);
         CheckedRequest request = requests.get(id);
@@ -232,28 +237,30 @@
             log.add(
                     HistoryRule.DRAIN,
                     timeMicros,
-                    id + " goes to " + provider + " " + (timeMicros - notReadySinceMicros) + " us after the word that it is not ready");
+                    id + " is sent to " + provider + " " + (timeMicros - notReadySinceMicros)
+                            + " us after the notice that it is not ready");
         }
     }
 
-    /** A call's last byte has come to the provider; {@code work} in microseconds of one core. */
-    public void onRequestDelivered(long timeMicros, String gatekeeper, String id, int number, String provider, double work) {
+    /** A provider has received the last byte of a call; {@code work} is in microseconds of one core. */
+    public void onRequestDelivered(
+            long timeMicros, String gatekeeper, String id, int number, String provider, double work) {
         transcript.appendEvent(timeMicros, "whole %s %s %d %s %s", gatekeeper, id, number, provider, work);
         CheckedRequest request = requests.get(id);
         CheckedCall call = findOrCreateCall(request, gatekeeper, number);
-        for (CheckedCall other : request.calls.values()) {
-            if (other == call || !other.delivered) {
+        for (CheckedCall otherCall : request.calls.values()) {
+            if (otherCall == call || !otherCall.delivered) {
                 continue;
             }
             log.countCheck(HistoryRule.REPEAT);
-            if (!request.repeatable && other.mayHaveRun()) {
-                log.add(HistoryRule.REPEAT, timeMicros, id + " is sent again and may have run");
-            } else if (!parameters.hedging && !other.ended) {
-                log.add(HistoryRule.REPEAT, timeMicros, id + " is out twice at once");
+            if (!request.repeatable && otherCall.mayHaveRun()) {
+                log.add(HistoryRule.REPEAT, timeMicros, id + " is sent again although it may have been executed");
+            } else if (!parameters.hedging && !otherCall.ended) {
+                log.add(HistoryRule.REPEAT, timeMicros, id + " has two calls in flight at the same time");
             }
         }
         if (!request.repeatable && request.answer == AnswerKind.REFUSED) {
-            log.add(HistoryRule.REPEAT, timeMicros, id + " comes to a provider after its rejection");
+            log.add(HistoryRule.REPEAT, timeMicros, id + " reaches a provider after its rejection");
         }
         call.delivered = true;
         if (!request.charged && request.plan != null) {
@@ -263,15 +270,16 @@
         coldLoad.onDelivered(timeMicros, id, provider, work);
     }
 
-    /** A call has ended for its gatekeeper; one that the gatekeeper closed itself may have run. */
+    /** A call has ended for its gatekeeper; a call that the gatekeeper cancelled itself may have been executed. */
     public void onCallEnded(long timeMicros, String gatekeeper, String id, int number, boolean neverRan) {
-        transcript.appendEvent(timeMicros, "ended %s %s %d %s", gatekeeper, id, number, neverRan ? "never-ran" : "may-have-run");
+        transcript.appendEvent(
+                timeMicros, "ended %s %s %d %s", gatekeeper, id, number, neverRan ? "never-ran" : "may-have-run");
         CheckedCall call = findOrCreateCall(requests.get(id), gatekeeper, number);
         call.ended = true;
         call.neverRan = neverRan;
     }
 
-    /** A provider begins to run it. */
+    /** A provider starts to execute a request. */
     public void onExecuted(long timeMicros, String id) {
         transcript.appendEvent(timeMicros, "runs %s", id);
         CheckedRequest request = requests.get(id);
@@ -280,12 +288,12 @@
             log.add(HistoryRule.REPEAT, timeMicros, id + " runs a second time and must not");
         }
         if (request.answer == AnswerKind.REFUSED && !request.repeatable) {
-            log.add(HistoryRule.REPEAT, timeMicros, id + " runs after its rejection");
+            log.add(HistoryRule.REPEAT, timeMicros, id + " is executed after its rejection");
         }
     }
 
     // ---- Providers and other regions ---------------------------------------------------------------
-    /** Discovery has notified a gatekeeper of whether a provider may be sent requests. */
+    /** Discovery has notified a gatekeeper whether a provider is ready to receive requests. */
     public void onProviderStatus(long timeMicros, String gatekeeper, String provider, boolean ready) {
         transcript.appendEvent(timeMicros, "told %s %s %s", gatekeeper, provider, ready ? "ready" : "not-ready");
         if (ready) {
@@ -296,20 +304,20 @@
         }
     }
 
-    /** A gatekeeper has died; a new one under its name has been notified of nothing yet. */
+    /** A gatekeeper has crashed; its successor of the same name has received no provider status yet. */
     public void onGatekeeperRestarted(long timeMicros, String gatekeeper) {
         transcript.appendEvent(timeMicros, "restarted %s", gatekeeper);
         notReadySince.keySet().removeIf(key -> key.startsWith(gatekeeper + ' '));
     }
 
-    /** A provider has started; {@code capacity} in microseconds of work a second once it is warm. */
+    /** A provider has started; {@code capacity} is its capacity once warm, in microseconds of work per second. */
     public void onProviderStarted(
             long timeMicros, String provider, double capacity, double coldCapacityShare, long warmUpTime) {
         transcript.appendEvent(timeMicros, "started %s %s %s %d", provider, capacity, coldCapacityShare, warmUpTime);
         coldLoad.onStarted(timeMicros, provider, capacity, coldCapacityShare, warmUpTime);
     }
 
-    /** A request was forwarded from one region to another, whether or not it arrives. */
+    /** A request was forwarded from one region to another; it counts whether or not it arrives there. */
     public void onForwarded(long timeMicros, String from, String id, double units) {
         transcript.appendEvent(timeMicros, "crossed %s %s %s", from, id, units);
         CheckedRequest request = requests.get(id);
@@ -318,16 +326,18 @@
             log.add(HistoryRule.AWAY, timeMicros, id + " travels twice");
         }
         if (!request.group.equals(from)) {
-            log.add(HistoryRule.AWAY, timeMicros, id + " of " + request.group + " is sent on by " + from);
+            log.add(HistoryRule.AWAY, timeMicros, id + " of " + request.group + " is forwarded by " + from);
         }
         forwarding.onForwarded(timeMicros, from, units);
     }
 
-    // ---- The verdict -------------------------------------------------------------------------------
-    /** Checks what only the end of the history shows; returns all violations. */
+    // ---- Results -----------------------------------------------------------------------------------
+    /** Runs the checks that need the whole history, such as unanswered requests, and returns all violations. */
     public List<Violation> violations(long timeMicros, Map<String, ForwardingBudget> budgets) {
         requests.forEach((id, request) -> {
-            if (request.answer == null && !request.excused && request.deadline + parameters.deadlineSlack < timeMicros) {
+            if (request.answer == null
+                    && !request.excused
+                    && request.deadline + parameters.deadlineSlack < timeMicros) {
                 log.add(HistoryRule.ANSWER, timeMicros, id + " is never answered");
             }
         });
@@ -335,7 +345,7 @@
         return log.violations();
     }
 
-    /** How many events were checked against each rule: one that is not in it was not checked at all. */
+    /** Returns how many events were checked against each rule; rules that were never checked are absent. */
     public Map<HistoryRule, Integer> checks() {
         return log.checks();
     }
--- a/src/main/java/reedmux/simulation/invariants/HistoryReader.java
+++ b/src/main/java/reedmux/simulation/invariants/HistoryReader.java
@@ -12,10 +12,10 @@
 import reedmux.simulation.invariants.HistoryChecker.Violation;
 
 /**
- * Reads a history as text, an event a line in the order of their times: {@code TIME EVENT ...}, where the values are
- * the parameters of the {@link HistoryChecker}'s method for that event. {@code #} begins a comment, {@code budget GROUP
- * SHARE RATE BURST} bounds what a group forwards, {@code tolerance BURSTS MICROS} is that of the quotas, and {@code end
- * TIME} is the last line.
+ * Reads a history from text and checks it. Each line holds one event as {@code TIME EVENT ...}, in chronological order;
+ * the values are the parameters of the {@link HistoryChecker} method for that event. Lines that start with {@code #} are
+ * comments, {@code budget GROUP SHARE RATE BURST} sets the forwarding budget of a group, {@code tolerance BURSTS MICROS}
+ * sets the quota tolerance, and {@code end TIME} is the last line.
  */
 public final class HistoryReader {
     private final HistoryChecker checker;
@@ -29,7 +29,7 @@
     /**
      * Reads and checks a history.
      *
-     * @throws MalformedHistoryException at the first line that cannot be read, or where there is no end
+     * @throws MalformedHistoryException at the first malformed line, or if the {@code end} line is missing
      */
     public static HistoryReader check(RuleParameters parameters, List<String> lines) {
         HistoryReader reader = new HistoryReader(parameters);
@@ -39,26 +39,26 @@
             if (line.isBlank() || line.startsWith("#")) {
                 continue;
             } else if (reader.violations != null) {
-                throw new MalformedHistoryException(lineNumber, "after the end: " + line, null);
+                throw new MalformedHistoryException(lineNumber, "line after the end of the history: " + line, null);
             }
             try {
                 reader.readLine(line.split(" "));
             } catch (RuntimeException e) {
-                throw new MalformedHistoryException(lineNumber, "cannot be read: " + line, e);
+                throw new MalformedHistoryException(lineNumber, "malformed line: " + line, e);
             }
         }
         if (reader.violations == null) {
-            throw new MalformedHistoryException(lineNumber, "the history has no end", null);
+            throw new MalformedHistoryException(lineNumber, "the history has no end line", null);
         }
         return reader;
     }
 
-    /** The violations that were found. */
+    /** Returns the violations found. */
     public List<Violation> violations() {
         return violations;
     }
 
-    /** The checker, with all that it has counted. */
+    /** Returns the checker that processed the history. */
     public HistoryChecker checker() {
         return checker;
     }
@@ -95,7 +95,8 @@
             case "excused" -> checker.onExcused(timeMicros, fields[2]);
             case "answered" ->
                 checker.onAnswered(timeMicros, fields[2], AnswerKind.valueOf(fields[3].toUpperCase(Locale.ROOT)));
-            case "begins" -> checker.onCallStarted(timeMicros, fields[2], fields[3], Integer.parseInt(fields[4]), fields[5]);
+            case "begins" ->
+                checker.onCallStarted(timeMicros, fields[2], fields[3], Integer.parseInt(fields[4]), fields[5]);
             case "whole" ->
                 checker.onRequestDelivered(
                         timeMicros,
@@ -113,7 +114,8 @@
                         readBoolean(fields[5], "never-ran", "may-have-run"));
             case "runs" -> checker.onExecuted(timeMicros, fields[2]);
             case "told" ->
-                checker.onProviderStatus(timeMicros, fields[2], fields[3], readBoolean(fields[4], "ready", "not-ready"));
+                checker.onProviderStatus(
+                        timeMicros, fields[2], fields[3], readBoolean(fields[4], "ready", "not-ready"));
             case "restarted" -> checker.onGatekeeperRestarted(timeMicros, fields[2]);
             case "started" ->
                 checker.onProviderStarted(
@@ -123,7 +125,7 @@
                         Double.parseDouble(fields[4]),
                         Long.parseLong(fields[5]));
             case "crossed" -> checker.onForwarded(timeMicros, fields[2], fields[3], Double.parseDouble(fields[4]));
-            default -> throw new IllegalArgumentException("no such event: " + fields[1]);
+            default -> throw new IllegalArgumentException("unknown event: " + fields[1]);
         }
     }
 
--- a/src/main/java/reedmux/simulation/invariants/HistoryTranscript.java
+++ b/src/main/java/reedmux/simulation/invariants/HistoryTranscript.java
@@ -4,7 +4,7 @@
 import reedmux.simulation.invariants.HistoryChecker.PlanLimits;
 import reedmux.simulation.invariants.HistoryChecker.QuotaTolerance;
 
-/** Writes events down in the form that {@link HistoryReader} reads, once it is started. */
+/** Records events in the text format that {@link HistoryReader} reads; does nothing until started. */
 final class HistoryTranscript {
     private StringBuilder text;
 
@@ -12,12 +12,12 @@
         text = new StringBuilder();
     }
 
-    /** An event; {@code line} is a format of its words. */
-    void appendEvent(long timeMicros, String line, Object... values) {
+    /** Appends an event; {@code format} is the format string of its name and values. */
+    void appendEvent(long timeMicros, String format, Object... values) {
         if (text != null) {
             text.append(timeMicros)
                     .append(' ')
-                    .append(String.format(Locale.ROOT, line, values))
+                    .append(String.format(Locale.ROOT, format, values))
                     .append('\n');
         }
     }
--- a/src/main/java/reedmux/simulation/invariants/MalformedHistoryException.java
+++ b/src/main/java/reedmux/simulation/invariants/MalformedHistoryException.java
@@ -1,10 +1,10 @@
 package reedmux.simulation.invariants;
 
-/** A history that cannot be read; the message names the line and its number. */
+/** Thrown when a history is malformed; the message contains the line number and the reason. */
 public final class MalformedHistoryException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
 
-    MalformedHistoryException(int lineNumber, String what, Throwable cause) {
-        super("line " + lineNumber + ": " + what, cause);
+    MalformedHistoryException(int lineNumber, String reason, Throwable cause) {
+        super("line " + lineNumber + ": " + reason, cause);
     }
 }
--- a/src/main/java/reedmux/simulation/invariants/QuotaInvariant.java
+++ b/src/main/java/reedmux/simulation/invariants/QuotaInvariant.java
@@ -8,16 +8,17 @@
 import reedmux.simulation.invariants.HistoryChecker.RuleParameters;
 
 /**
- * What each customer's delivered requests take stays within its plan: the quota as a leaky bucket over the group, which
- * a tolerance may pass, and the rate limit as a token bucket, which only its slack may.
+ * Checks that the delivered requests of each customer stay within its plan. The quota is a leaky bucket for the whole
+ * group that may be exceeded by the quota tolerance; the rate limit is a token bucket that may be exceeded only by its
+ * slack.
  */
 final class QuotaInvariant {
     private static final double MICROS_PER_SECOND = HistoryChecker.MICROS_PER_SECOND;
 
     private static final class CustomerUsage {
-        /** Units over what the quota's rate has drained. */
+        /** Fill level of the quota's leaky bucket, in units. */
         double level;
-        /** What is left of the rate limit. */
+        /** Remaining tokens of the rate limit's token bucket, in units; negative when overdrawn. */
         double tokens;
 
         long updatedAtMicros;
@@ -38,7 +39,7 @@
         this.tolerance = tolerance;
     }
 
-    /** A customer's request was delivered to a provider for the first time. */
+    /** Charges a request to its customer, at its first delivery to a provider. */
     void onDelivered(long timeMicros, String id, String customer, PlanLimits plan, double units) {
         CustomerUsage usage = usageByCustomer.get(customer);
         if (usage == null) {
@@ -64,7 +65,7 @@
     private void checkLevel(long timeMicros, String id, String customer, PlanLimits plan, double excess) {
         double max = tolerance.bursts() * plan.quotaBurst() + plan.quotaRate() * tolerance.time() / MICROS_PER_SECOND;
         if (excess > max + HistoryChecker.ROUNDING_TOLERANCE) {
-            String description = id + " lifts " + customer + " " + excess + " units over its quota, at most " + max;
+            String description = id + " raises " + customer + " " + excess + " units above its quota, limit " + max;
             log.add(HistoryRule.QUOTA, timeMicros, description);
         }
     }
@@ -72,7 +73,8 @@
     private void checkTokens(long timeMicros, String id, String customer, PlanLimits plan, double tokens) {
         double min = -plan.rateLimitSlack() - plan.rateLimit() * parameters.rateLimitSlackTime() / MICROS_PER_SECOND;
         if (tokens < min - HistoryChecker.ROUNDING_TOLERANCE) {
-            String description = id + " leaves " + customer + " " + tokens + " units of its ceiling, at least " + min;
+            String description =
+                    id + " leaves " + customer + " " + tokens + " tokens of its rate limit, minimum " + min;
             log.add(HistoryRule.CEILING, timeMicros, description);
         }
     }
--- a/src/main/java/reedmux/simulation/invariants/ViolationLog.java
+++ b/src/main/java/reedmux/simulation/invariants/ViolationLog.java
@@ -7,9 +7,9 @@
 import reedmux.simulation.invariants.HistoryChecker.HistoryRule;
 import reedmux.simulation.invariants.HistoryChecker.Violation;
 
-/** The violations that were found, and how often each rule was checked. */
+/** Collects violations and counts the checks of each rule. */
 final class ViolationLog {
-    /** More than these say nothing new. */
+    /** Maximum number of violations kept; further ones add no information. */
     private static final int MAX_VIOLATIONS = 20;
 
     private final Map<HistoryRule, Integer> checks = new EnumMap<>(HistoryRule.class);
@@ -21,7 +21,7 @@
         }
     }
 
-    /** An event was checked against a rule. */
+    /** Counts an event that was checked against a rule. */
     void countCheck(HistoryRule rule) {
         checks.merge(rule, 1, Integer::sum);
     }
--- a/src/main/java/reedmux/simulation/invariants/package-info.java
+++ b/src/main/java/reedmux/simulation/invariants/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The platform's rules, checked from outside: what crosses between gatekeepers and consumers, providers and discovery,
- * with its times, and nothing from within. {@link reedmux.simulation.invariants.HistoryChecker} is notified of the
- * events of a scenario as it goes, or of those of a text that {@link reedmux.simulation.invariants.HistoryReader}
- * reads, and names each rule that is broken. Nothing of the gatekeeper imports it.
+ * Black-box checks of the platform's rules. They use only the messages that gatekeepers exchange with consumers,
+ * providers and discovery, with their times, and no internal state.
+ * {@link reedmux.simulation.invariants.HistoryChecker} receives the events of a running scenario, or those of a recorded
+ * history that {@link reedmux.simulation.invariants.HistoryReader} reads, and reports each violated rule. The gatekeeper
+ * must not depend on this package.
  */
 package reedmux.simulation.invariants;
--- a/src/test/java/reedmux/simulation/cluster/CatchUpExperimentTest.java
+++ b/src/test/java/reedmux/simulation/cluster/CatchUpExperimentTest.java
@@ -5,11 +5,14 @@
 
 import org.testng.annotations.Test;
 
-/** A store that missed changes, or lost its disk, and is killed while it catches up. */
+/** Tests a store that missed changes, or lost its disk, and crashes while it catches up. */
 public class CatchUpExperimentTest {
     private static final int ITEMS = 2_000;
 
-    /** Killed at many moments of a snapshot: never whole on disk without all, and all is there in the end. */
+    /**
+     * The store crashes at many points of the snapshot transfer. Its disk is never marked complete while items are
+     * missing, and it holds all items in the end.
+     */
     @Test
     public void storeKilledDuringSnapshotIsNotMarkedCompleteTooEarly() {
         int incompleteCount = 0;
@@ -25,16 +28,21 @@
                 experiment.laggard().losePower(CatchUpExperiment.SECOND_MICROS / 10, false);
             }
             CatchUpExperiment.DiskContent contentAfterKill = experiment.readDisk();
-            assertTrue(!contentAfterKill.complete() || contentAfterKill.items() == ITEMS, "after " + delayHalfMillis / 2.0 + " ms: " + contentAfterKill);
+            assertTrue(
+                    !contentAfterKill.complete() || contentAfterKill.items() == ITEMS,
+                    "after " + delayHalfMillis / 2.0 + " ms: " + contentAfterKill);
             incompleteCount += contentAfterKill.complete() ? 0 : 1;
             experiment.simulation().runFor(10 * CatchUpExperiment.SECOND_MICROS);
             assertEquals(
-                    experiment.readDisk(), new CatchUpExperiment.DiskContent(ITEMS, true), "after " + delayHalfMillis / 2.0 + " ms");
+                    experiment.readDisk(),
+                    new CatchUpExperiment.DiskContent(ITEMS, true),
+                    "after " + delayHalfMillis / 2.0 + " ms");
         }
-        assertTrue(incompleteCount > 5 && incompleteCount < 40, incompleteCount + " kills before it was whole");
+        assertTrue(
+                incompleteCount > 5 && incompleteCount < 40, incompleteCount + " crashes before the disk was complete");
     }
 
-    /** What a restart costs is digests and what was missed, not what there is. */
+    /** A restarted store receives digests and the changes that it missed, not all items again. */
     @Test
     public void restartedStoreReceivesOnlyMissedChanges() {
         CatchUpExperiment experiment = new CatchUpExperiment(8);
@@ -44,7 +52,9 @@
         experiment.laggard().losePower(CatchUpExperiment.SECOND_MICROS, false);
         experiment.changeItems(0, 10);
         experiment.simulation().runFor(5 * CatchUpExperiment.SECOND_MICROS);
-        assertTrue(experiment.receivedBytes() - receivedBytesBefore < 60_000, experiment.receivedBytes() - receivedBytesBefore + " bytes");
+        assertTrue(
+                experiment.receivedBytes() - receivedBytesBefore < 60_000,
+                experiment.receivedBytes() - receivedBytesBefore + " bytes");
         assertEquals(experiment.readDisk().items(), ITEMS);
     }
 }
--- a/src/test/java/reedmux/simulation/cluster/ClientDepartureClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ClientDepartureClusterTest.java
@@ -12,18 +12,21 @@
 import reedmux.simulation.harness.OneShotHttpCall;
 
 /**
- * Clients that leave before they have their response, at every moment of a request's way and in each way in which a
- * connection may end; with the programs as they are.
+ * Tests clients that disconnect before they receive their response, at every stage of a request and for each way to
+ * close a connection. Runs the production programs.
  */
 public class ClientDepartureClusterTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long MILLISECOND_MICROS = 1000;
-    /** Departures are tried this far apart, from the opening of a connection until the request is long at work. */
+    /**
+     * Interval between the tested departure times, which range from the opening of the connection until long after the
+     * request has started to execute.
+     */
     private static final long DEPARTURE_STEP_MICROS = 500;
 
     private static final long LAST_DEPARTURE_MICROS = 60 * MILLISECOND_MICROS;
     private static final int IDEMPOTENT_WORK_MILLIS = 2_500;
-    /** Less than the routes' timeout, at which a checker ends a request. */
+    /** Shorter than the routes' timeout, after which a checker aborts a request. */
     private static final int EFFECTFUL_WORK_MILLIS = 1_500;
 
     private static final String ORDER_BODY = "an order";
@@ -33,15 +36,15 @@
     private int clientCount;
     private int answeredCount;
 
-    /** How a client ends its connection. */
+    /** The way in which a client closes its connection. */
     public enum ConnectionClose {
-        /** Both directions at once, as most programs do. */
+        /** Closes both directions at once, as most programs do. */
         CLOSE,
-        /** Its own direction only. */
+        /** Closes only the client's sending direction. */
         HALF_CLOSE
     }
 
-    /** Sends one request over a connection of its own and leaves without its response. */
+    /** Sends one request over its own connection and disconnects without waiting for the response. */
     private final class LeavingClient implements Connection.ConnectionHandler {
         private final String id = "d" + ++clientCount;
         private final Connection connection;
@@ -71,9 +74,9 @@
                     "Authorization: Bearer key-0-first.\r\n"));
         }
 
-        private void leave(ConnectionClose ending) {
+        private void leave(ConnectionClose closeMode) {
             serving.invariants().onClientLeft(id, serving.simulation().now());
-            if (ending == ConnectionClose.HALF_CLOSE) {
+            if (closeMode == ConnectionClose.HALF_CLOSE) {
                 connection.shutdownOutput();
             } else {
                 connection.close();
@@ -113,37 +116,42 @@
         void run() throws IOException;
     }
 
-    /** A client comes at a time, and leaves so much later. */
-    private void sendAndLeave(long timeMicros, long delayMicros, ConnectionClose close, String method, String body) {
+    /** Connects a client at {@code timeMicros}, which disconnects {@code delayMicros} later. */
+    private void sendAndLeave(
+            long timeMicros, long delayMicros, ConnectionClose closeMode, String method, String body) {
         scheduleOnClientMachine(timeMicros, () -> {
             int workMillis = method.equals("GET") ? IDEMPOTENT_WORK_MILLIS : EFFECTFUL_WORK_MILLIS;
             LeavingClient client = new LeavingClient(new byte[0], method, body, workMillis);
-            serving.outside().reactor().scheduleAfter(delayMicros, () -> client.leave(close));
+            serving.outside().reactor().scheduleAfter(delayMicros, () -> client.leave(closeMode));
         });
     }
 
     @DataProvider
     public Object[][] departures() {
         List<Object[]> cases = new ArrayList<>();
-        for (ConnectionClose ending : new ConnectionClose[] {ConnectionClose.CLOSE, ConnectionClose.HALF_CLOSE}) {
-            cases.add(new Object[] {ending, "GET", ""});
-            cases.add(new Object[] {ending, "POST", ORDER_BODY});
-            cases.add(new Object[] {ending, "POST", "an upload ".repeat(30_000)});
+        for (ConnectionClose closeMode : new ConnectionClose[] {ConnectionClose.CLOSE, ConnectionClose.HALF_CLOSE}) {
+            cases.add(new Object[] {closeMode, "GET", ""});
+            cases.add(new Object[] {closeMode, "POST", ORDER_BODY});
+            cases.add(new Object[] {closeMode, "POST", "an upload ".repeat(30_000)});
         }
         return cases.toArray(new Object[0][]);
     }
 
     /**
-     * At each moment: nothing of a request reaches a checker long after its client has left, an idempotent one is no
-     * longer executed then, and another one runs once at most, to its end.
+     * Whenever the client disconnects, no part of its request reaches a checker long after that. An idempotent request is
+     * no longer executed then; any other request is executed at most once, and to completion.
      */
     @Test(dataProvider = "departures")
-    public void requestsOfDepartedClientsAreCancelled(ConnectionClose close, String method, String body) {
+    public void requestsOfDepartedClientsAreCancelled(ConnectionClose closeMode, String method, String body) {
         startServing();
         long timeMicros = serving.simulation().now();
-        for (long delayMicros = DEPARTURE_STEP_MICROS; delayMicros <= LAST_DEPARTURE_MICROS; delayMicros += DEPARTURE_STEP_MICROS) {
-            sendAndLeave(timeMicros, delayMicros, close, method, body);
-            timeMicros += 30 * MILLISECOND_MICROS; // fewer at once than checkers have slots, or most would be queued there
+        for (long delayMicros = DEPARTURE_STEP_MICROS;
+                delayMicros <= LAST_DEPARTURE_MICROS;
+                delayMicros += DEPARTURE_STEP_MICROS) {
+            sendAndLeave(timeMicros, delayMicros, closeMode, method, body);
+            timeMicros += 30
+                    * MILLISECOND_MICROS; // keeps concurrency below the checkers' slots; otherwise most requests would
+            // queue there
         }
         serving.simulation().runFor(timeMicros - serving.simulation().now() + 10 * SECOND_MICROS);
         serving.invariants().checkDepartures(serving.simulation().now());
@@ -155,35 +163,48 @@
         }
         assertTrue(
                 !method.equals("GET") || serving.invariants().executionsEndedByDeparture() > 20,
-                serving.invariants().executionsEndedByDeparture() + " executions were ended");
+                serving.invariants().executionsEndedByDeparture() + " executions were cancelled");
     }
 
-    /** A proxy that drains has no client left, but a checker works on an order: it does not end before that. */
+    /** A draining proxy without clients does not exit while a checker still executes an effectful request. */
     @Test
     public void shutdownWaitsForEffectfulRequestWithoutClient() {
         startServing();
         long startMicros = serving.simulation().now();
         edge.terminate(300 * MILLISECOND_MICROS);
-        sendAndLeave(startMicros + 1_900 * MILLISECOND_MICROS, 50 * MILLISECOND_MICROS, ConnectionClose.CLOSE, "POST", ORDER_BODY);
+        sendAndLeave(
+                startMicros + 1_900 * MILLISECOND_MICROS,
+                50 * MILLISECOND_MICROS,
+                ConnectionClose.CLOSE,
+                "POST",
+                ORDER_BODY);
         serving.simulation().runFor(10 * SECOND_MICROS);
         assertEquals(serving.invariants().departures().completedEffectCount(), 1);
         assertEquals(serving.invariants().violations(), List.of());
     }
 
-    /** All checkers are full: requests wait in the proxy and in the checkers' queues as their clients leave. */
+    /** All checkers are at capacity, so requests are queued in the proxy and the checkers when their clients disconnect. */
     @Test
     public void queuedRequestsOfDepartedClientsAreDropped() {
         startServing();
         long startMicros = serving.simulation().now();
         for (int i = 0; i < 120; i++) {
-            sendAndLeave(startMicros + i * MILLISECOND_MICROS, 20 * MILLISECOND_MICROS + i * MILLISECOND_MICROS, ConnectionClose.CLOSE, i % 3 == 0 ? "POST" : "GET", "");
+            sendAndLeave(
+                    startMicros + i * MILLISECOND_MICROS,
+                    20 * MILLISECOND_MICROS + i * MILLISECOND_MICROS,
+                    ConnectionClose.CLOSE,
+                    i % 3 == 0 ? "POST" : "GET",
+                    "");
         }
         serving.simulation().runFor(10 * SECOND_MICROS);
         serving.invariants().checkDepartures(serving.simulation().now());
         assertEquals(serving.invariants().violations(), List.of());
     }
 
-    /** Behind an open request there is more input than the proxy reads ahead: the client's end lies behind that. */
+    /**
+     * More input follows an open request than the proxy reads ahead, so the end of the connection lies behind unread
+     * input.
+     */
     @Test
     public void departureBehindUnreadInputIsDetected() {
         startServing();
@@ -199,7 +220,8 @@
         long startMicros = serving.simulation().now();
         scheduleOnClientMachine(startMicros, () -> {
             serving.invariants().onRequestSent("open", edge.name(), true, null, null, null, startMicros);
-            LeavingClient client = new LeavingClient(openRequest, "POST", "more ".repeat(100_000), IDEMPOTENT_WORK_MILLIS);
+            LeavingClient client =
+                    new LeavingClient(openRequest, "POST", "more ".repeat(100_000), IDEMPOTENT_WORK_MILLIS);
             serving.outside().reactor().scheduleAfter(300 * MILLISECOND_MICROS, () -> {
                 serving.invariants().onClientLeft("open", serving.simulation().now());
                 client.leave(ConnectionClose.CLOSE);
@@ -211,7 +233,7 @@
         assertTrue(serving.invariants().executionsEndedByDeparture() > 0);
     }
 
-    /** A proxy that restarts holds requests until it can serve; those whose client leaves meanwhile are dropped. */
+    /** A restarting proxy holds requests until it can serve, and drops those whose client disconnects meanwhile. */
     @Test
     public void requestsHeldDuringStartupAreDroppedWithTheirClients() {
         startServing();
@@ -219,7 +241,11 @@
         long startMicros = serving.simulation().now();
         for (int i = 0; i < 400; i++) {
             sendAndLeave(
-                    startMicros + i * 20 * MILLISECOND_MICROS, 25 * MILLISECOND_MICROS + i % 7 * MILLISECOND_MICROS, ConnectionClose.CLOSE, i % 3 == 0 ? "POST" : "GET", "");
+                    startMicros + i * 20 * MILLISECOND_MICROS,
+                    25 * MILLISECOND_MICROS + i % 7 * MILLISECOND_MICROS,
+                    ConnectionClose.CLOSE,
+                    i % 3 == 0 ? "POST" : "GET",
+                    "");
         }
         serving.simulation().runFor(20 * SECOND_MICROS);
         serving.invariants().checkDepartures(serving.simulation().now());
--- a/src/test/java/reedmux/simulation/cluster/ClusterInvariantCheckerTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ClusterInvariantCheckerTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.Test;
 import reedmux.control.configuration.ConfigurationItem;
 
-/** Histories that break one rule each, and beside each its neighbour that does not. */
+/** Tests each rule with a history that violates it and a similar history that complies with it. */
 public class ClusterInvariantCheckerTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final String ROUTE = "routes/r";
@@ -39,7 +39,8 @@
     private void assertViolates(String rule) {
         assertEquals(checker.violations().size(), 1, checker.violations().toString());
         assertTrue(
-                checker.violations().get(0).startsWith(rule), checker.violations().toString());
+                checker.violations().get(0).startsWith(rule),
+                checker.violations().toString());
     }
 
     private void assertNoViolations() {
@@ -116,10 +117,14 @@
     public void oldVersionInForceAfterPropagationLimit() {
         recordVersionSent(2, "intake", SECOND_MICROS);
         checker.onChangeAcknowledged(
-                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, SECOND_MICROS, SECOND_MICROS);
+                List.of(item(2, "intake")),
+                ClusterInvariantChecker.ExpectedDecision.ACCEPT,
+                SECOND_MICROS,
+                SECOND_MICROS);
         checker.onEffectObserved("edge", "edge#1", ROUTE, "desk", "desk"::equals, 3 * SECOND_MICROS, 3 * SECOND_MICROS);
         assertNoViolations();
-        checker.onEffectObserved("edge", "edge#1", ROUTE, "desk", "desk"::equals, 3 * SECOND_MICROS + 1, 4 * SECOND_MICROS);
+        checker.onEffectObserved(
+                "edge", "edge#1", ROUTE, "desk", "desk"::equals, 3 * SECOND_MICROS + 1, 4 * SECOND_MICROS);
         assertViolates("CONFIG");
     }
 
@@ -127,7 +132,10 @@
     public void machineWithRecentFaultIsExempt() {
         recordVersionSent(2, "intake", SECOND_MICROS);
         checker.onChangeAcknowledged(
-                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, SECOND_MICROS, SECOND_MICROS);
+                List.of(item(2, "intake")),
+                ClusterInvariantChecker.ExpectedDecision.ACCEPT,
+                SECOND_MICROS,
+                SECOND_MICROS);
         checker.addMachineFault("edge", 2 * SECOND_MICROS, 3 * SECOND_MICROS);
         checker.onEffectObserved("edge", "edge#1", ROUTE, "desk", "desk"::equals, 5 * SECOND_MICROS, 5 * SECOND_MICROS);
         assertNoViolations();
@@ -147,7 +155,10 @@
     public void invalidChangeAcknowledged() {
         recordVersionSent(2, "nobody", SECOND_MICROS);
         checker.onChangeAcknowledged(
-                List.of(item(2, "nobody")), ClusterInvariantChecker.ExpectedDecision.REJECT, SECOND_MICROS, SECOND_MICROS);
+                List.of(item(2, "nobody")),
+                ClusterInvariantChecker.ExpectedDecision.REJECT,
+                SECOND_MICROS,
+                SECOND_MICROS);
         assertViolates("CONFIG");
     }
 
@@ -167,10 +178,18 @@
     public void validChangeNotAcknowledgedInTime() {
         recordVersionSent(2, "intake", SECOND_MICROS);
         checker.onChangeRejected(
-                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, false, SECOND_MICROS, 4 * SECOND_MICROS);
+                List.of(item(2, "intake")),
+                ClusterInvariantChecker.ExpectedDecision.ACCEPT,
+                false,
+                SECOND_MICROS,
+                4 * SECOND_MICROS);
         assertNoViolations();
         checker.onChangeRejected(
-                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, false, SECOND_MICROS, 5 * SECOND_MICROS);
+                List.of(item(2, "intake")),
+                ClusterInvariantChecker.ExpectedDecision.ACCEPT,
+                false,
+                SECOND_MICROS,
+                5 * SECOND_MICROS);
         assertViolates("ACKS");
     }
 
@@ -252,14 +271,26 @@
         recordVersionSent(2, "intake", SECOND_MICROS);
         recordVersionSent(3, "desk", SECOND_MICROS);
         checker.onChangeAcknowledged(
-                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.EITHER, SECOND_MICROS, SECOND_MICROS);
+                List.of(item(2, "intake")),
+                ClusterInvariantChecker.ExpectedDecision.EITHER,
+                SECOND_MICROS,
+                SECOND_MICROS);
         checker.onChangeAcknowledged(
-                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.EITHER, SECOND_MICROS, SECOND_MICROS);
+                List.of(item(2, "intake")),
+                ClusterInvariantChecker.ExpectedDecision.EITHER,
+                SECOND_MICROS,
+                SECOND_MICROS);
         checker.onChangeAcknowledged(
-                List.of(item(3, "desk")), ClusterInvariantChecker.ExpectedDecision.EITHER, SECOND_MICROS, SECOND_MICROS);
+                List.of(item(3, "desk")),
+                ClusterInvariantChecker.ExpectedDecision.EITHER,
+                SECOND_MICROS,
+                SECOND_MICROS);
         assertNoViolations();
         checker.onChangeAcknowledged(
-                List.of(item(2, "desk")), ClusterInvariantChecker.ExpectedDecision.EITHER, SECOND_MICROS, SECOND_MICROS);
+                List.of(item(2, "desk")),
+                ClusterInvariantChecker.ExpectedDecision.EITHER,
+                SECOND_MICROS,
+                SECOND_MICROS);
         assertViolates("CONFIG");
     }
 
@@ -270,7 +301,10 @@
         checker.onEffectObserved("edge", "edge#1", ROUTE, "intake", "intake"::equals, SECOND_MICROS, SECOND_MICROS);
         assertNoViolations();
         checker.onChangeAcknowledged(
-                List.of(item(2, "desk")), ClusterInvariantChecker.ExpectedDecision.EITHER, SECOND_MICROS, SECOND_MICROS);
+                List.of(item(2, "desk")),
+                ClusterInvariantChecker.ExpectedDecision.EITHER,
+                SECOND_MICROS,
+                SECOND_MICROS);
         checker.onEffectObserved("edge", "edge#2", ROUTE, "intake", "intake"::equals, SECOND_MICROS, SECOND_MICROS);
         assertViolates("CONFIG");
     }
@@ -289,7 +323,10 @@
         }
         recordVersionSent(2, "intake", SECOND_MICROS);
         checker.onChangeAcknowledged(
-                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, SECOND_MICROS, 2 * SECOND_MICROS);
+                List.of(item(2, "intake")),
+                ClusterInvariantChecker.ExpectedDecision.ACCEPT,
+                SECOND_MICROS,
+                2 * SECOND_MICROS);
         checker.checkRead(readResponse(2, "intake"), 3 * SECOND_MICROS);
         checker.checkRead(readResponse(1, "desk"), 2 * SECOND_MICROS - 1);
         assertNoViolations();
@@ -299,21 +336,27 @@
 
     @Test
     public void acknowledgementLateWhileCoreIsSettled() {
-        checker.addCoreFault(2 * SECOND_MICROS, 3 * SECOND_MICROS, false); // settled again at 6
+        checker.addCoreFault(2 * SECOND_MICROS, 3 * SECOND_MICROS, false); // settled again at 6 s
         recordVersionSent(2, "intake", SECOND_MICROS);
         checker.onChangeAcknowledged(
-                List.of(item(2, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, SECOND_MICROS, 10 * SECOND_MICROS - 1);
+                List.of(item(2, "intake")),
+                ClusterInvariantChecker.ExpectedDecision.ACCEPT,
+                SECOND_MICROS,
+                10 * SECOND_MICROS - 1);
         assertNoViolations();
         recordVersionSent(3, "intake", SECOND_MICROS);
         checker.onChangeAcknowledged(
-                List.of(item(3, "intake")), ClusterInvariantChecker.ExpectedDecision.ACCEPT, SECOND_MICROS, 10 * SECOND_MICROS);
+                List.of(item(3, "intake")),
+                ClusterInvariantChecker.ExpectedDecision.ACCEPT,
+                SECOND_MICROS,
+                10 * SECOND_MICROS);
         assertViolates("ACKS");
     }
 
     @Test
     public void proxyReadyWhileInMinority() {
         checker.addMinoritySpan("edge", 2 * SECOND_MICROS, 22 * SECOND_MICROS);
-        checker.onReady("edge", SECOND_MICROS, 5 * SECOND_MICROS); // it began before
+        checker.onReady("edge", SECOND_MICROS, 5 * SECOND_MICROS); // it started before the minority span
         checker.onReady("edge", 3 * SECOND_MICROS, 22 * SECOND_MICROS + 1);
         checker.onReady("another", 3 * SECOND_MICROS, 5 * SECOND_MICROS);
         assertNoViolations();
@@ -326,7 +369,7 @@
         for (int i = 0; i < 12; i++) {
             checker.onDrainAcknowledged("c" + i, "core", SECOND_MICROS);
         }
-        for (int i = 0; i < 3; i++) { // a fifth of fifteen
+        for (int i = 0; i < 3; i++) { // one fifth of the 15 drains
             checker.onDrainUnacknowledged(SECOND_MICROS, 6 * SECOND_MICROS);
         }
         checker.checkWindows();
@@ -347,7 +390,7 @@
         checker.onDrainAcknowledged("c1", "core", SECOND_MICROS);
         checker.addCoreFault(SECOND_MICROS, 21 * SECOND_MICROS, false);
         recordRequestSent("a", true);
-        checker.onRequestExecuted("a", "c1", "desk", "t", 4 * SECOND_MICROS); // the core is not settled yet
+        checker.onRequestExecuted("a", "c1", "desk", "t", 4 * SECOND_MICROS); // the core has not settled yet
         assertNoViolations();
         checker.onRequestExecuted("a", "c1", "desk", "t", 4 * SECOND_MICROS + 1);
         assertViolates("DRAIN");
--- a/src/test/java/reedmux/simulation/cluster/DiskLossClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/DiskLossClusterTest.java
@@ -16,7 +16,7 @@
 import reedmux.control.rpc.RpcConnection;
 import reedmux.simulation.harness.OneShotHttpCall;
 
-/** Machines of the core that lose their disks while nothing is changed; with the programs as they are. */
+/** Tests core machines that lose their disks while the configuration is unchanged. Runs the production programs. */
 public class DiskLossClusterTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final int SEEDS = 3;
@@ -24,13 +24,13 @@
             + "{\"name\":\"newer\",\"revision\":99},"
             + "\"reference\":{\"probe\":\"/health\",\"connCeiling\":9}}]}}";
 
-    /** Who loses its disk first, who does after that, and who is gone for good in the end. */
+    /** Indices of the core machines that lose their disk first and second, and of the one that is finally replaced. */
     @DataProvider
     public Object[][] failureOrders() {
         return new Object[][] {{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}};
     }
 
-    /** Each has the time to count again, so that the core is never without more than one. */
+    /** Each machine has time to recover before the next failure, so the core never misses more than one machine. */
     @Test(dataProvider = "failureOrders")
     public void coreAcceptsChangesAfterAllDisksWereLost(int first, int second, int replaced) {
         for (int seed = 1; seed <= SEEDS; seed++) {
@@ -40,7 +40,7 @@
                 cores.get(coreIndex).losePower(SECOND_MICROS, true);
                 serving.simulation().runFor(8 * SECOND_MICROS);
             }
-            cores.get(replaced).kill(SECOND_MICROS); // the others see its connections end
+            cores.get(replaced).kill(SECOND_MICROS); // the other machines observe that its connections close
             serving.simulation().runFor(SECOND_MICROS / 10);
             cores.get(replaced).replace("10.1.7.10", "core-new", false, SECOND_MICROS / 2 * seed);
             serving.simulation().runFor(12 * SECOND_MICROS);
@@ -53,7 +53,7 @@
         }
     }
 
-    /** What a store that pulls from another one is told of whether that one is complete. */
+    /** Pulls changes from a store and records the completeness that the store reports. */
     private static final class PullingPeer implements RpcConnection.RpcConnectionHandler {
         private final List<Boolean> completeFlags = new ArrayList<>();
 
@@ -76,7 +76,7 @@
         public void onDisconnected(RpcConnection connection) {}
     }
 
-    /** A store that has lost its disk is pulled from before it is complete, and nothing changes after that. */
+    /** A peer pulls from a store that lost its disk before the store is complete, and no change follows. */
     @Test
     public void storeNotifiesPullingPeersWhenItBecomesComplete() throws IOException {
         ServingDeployment serving = new ServingDeployment(1, line -> {});
--- a/src/test/java/reedmux/simulation/cluster/DrainAcknowledgementClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/DrainAcknowledgementClusterTest.java
@@ -8,10 +8,10 @@
 import org.testng.annotations.Test;
 import reedmux.simulation.harness.OneShotHttpCall;
 
-/** Who acknowledges that a checker leaves, how soon, and who does not; with the programs as they are. */
+/** Tests which registries acknowledge the drain or leave of a checker, and how fast. Runs the production programs. */
 public class DrainAcknowledgementClusterTest {
     private static final long SECOND_MICROS = 1_000_000;
-    /** A caller waits for a second. */
+    /** Time a caller waits for a response. */
     private static final long CALL_TIMEOUT_MICROS = SECOND_MICROS;
 
     private ClusterSimulation simulation;
@@ -19,7 +19,7 @@
     private SimulatedProcess outside;
     private int seq;
 
-    /** An answer, and when it came; status 0 where none came in time. */
+    /** A response and its latency; the status is 0 if no response arrived in time. */
     private record TimedResponse(int status, long elapsedMicros, int bytes) {}
 
     @BeforeMethod
@@ -69,8 +69,10 @@
     private void isolate(int core) {
         for (int other = 0; other < 3; other++) {
             if (other != core) {
-                SimulatedMachine isolatedMachine = deployment.coreNodes().get(core).machine();
-                SimulatedMachine otherMachine = deployment.coreNodes().get(other).machine();
+                SimulatedMachine isolatedMachine =
+                        deployment.coreNodes().get(core).machine();
+                SimulatedMachine otherMachine =
+                        deployment.coreNodes().get(other).machine();
                 simulation.partition(isolatedMachine, otherMachine);
                 simulation.partition(otherMachine, isolatedMachine);
             }
@@ -83,18 +85,21 @@
         assertAcknowledgedInTime(sendHeartbeat(1, "i-1", "draining"));
         assertAcknowledgedInTime(call(2, "/v1/Instances.Leave/i-1", "{}"));
         assertAcknowledgedInTime(call(2, "/v1/Instances.Leave/i-2", "{}"));
-        assertAcknowledgedInTime(sendHeartbeat(0, "i-2", "ready")); // late: it is over all the same
+        assertAcknowledgedInTime(sendHeartbeat(0, "i-2", "ready")); // late heartbeat: the leave stays in effect
         assertAcknowledgedInTime(sendHeartbeat(1, "i-3", "draining"));
     }
 
-    /** Cut off it takes beats, and no drain: nobody else would know. Another acknowledges it. */
+    /**
+     * An isolated registry accepts heartbeats but rejects drains, because no other registry would learn of them. Another
+     * registry acknowledges the drain.
+     */
     @Test
     public void isolatedRegistryRejectsDrainInTime() {
         assertAcknowledgedInTime(sendHeartbeat(0, "i-1", "ready"));
         isolate(0);
         TimedResponse first = sendHeartbeat(0, "i-1", "draining");
         assertEquals(first.status(), 503);
-        assertTrue(first.elapsedMicros() < CALL_TIMEOUT_MICROS, first.toString()); // links still stand for a while
+        assertTrue(first.elapsedMicros() < CALL_TIMEOUT_MICROS, first.toString()); // the links have not timed out yet
         simulation.runFor(5 * SECOND_MICROS);
         assertAcknowledgedInTime(sendHeartbeat(0, "i-9", "ready"));
         TimedResponse later = sendHeartbeat(0, "i-1", "draining");
@@ -104,7 +109,7 @@
         assertAcknowledgedInTime(call(2, "/v1/Instances.Leave/i-1", "{}"));
     }
 
-    /** One that is left alone of three does not acknowledge either, and does again once it is not alone. */
+    /** The last of three registries acknowledges no drain, and does so again once another one is back. */
     @Test
     public void loneRegistryAcknowledgesOnceAnotherReturns() {
         deployment.coreNodes().get(1).losePower(20 * SECOND_MICROS, false);
@@ -115,7 +120,7 @@
         assertAcknowledgedInTime(sendHeartbeat(0, "i-1", "draining"));
     }
 
-    /** What it was told before it was frozen it answers to nobody, and nothing that it holds is too old. */
+    /** A thawed registry does not answer calls from before its freeze and does not act on stale state. */
     @Test
     public void thawedRegistryDoesNotAnswerFromStaleState() {
         assertAcknowledgedInTime(sendHeartbeat(0, "i-1", "ready"));
@@ -124,7 +129,7 @@
         assertAcknowledgedInTime(sendHeartbeat(1, "i-1", "draining"));
         assertAcknowledgedInTime(call(1, "/v1/Instances.Leave/i-1", "{}"));
         simulation.runFor(20 * SECOND_MICROS);
-        assertAcknowledgedInTime(sendHeartbeat(0, "i-1", "ready")); // late, and no way back
+        assertAcknowledgedInTime(sendHeartbeat(0, "i-1", "ready")); // late heartbeat: does not undo the leave
         assertAcknowledgedInTime(sendHeartbeat(0, "i-2", "draining"));
     }
 }
--- a/src/test/java/reedmux/simulation/cluster/ProgramsClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ProgramsClusterTest.java
@@ -10,7 +10,7 @@
 import reedmux.common.net.SocketAddresses;
 import reedmux.simulation.harness.OneShotHttpCall;
 
-/** One moment of the programs' lives, brought about in virtual time. */
+/** Tests individual situations of the production programs, reproduced in virtual time. */
 public class ProgramsClusterTest {
     private static final long SECOND_MICROS = 1_000_000;
     private final List<String> log = new ArrayList<>();
@@ -56,7 +56,7 @@
         return result;
     }
 
-    /** A connection that is reset before it has said who it is ended the store's process. */
+    /** Guards against a fault in which a connection that closed before its first message terminated the store's process. */
     @Test
     public void connectionClosedBeforeHelloIsHarmless() throws java.io.IOException {
         for (int port = 7360; port < 7362; port++) {
@@ -72,7 +72,10 @@
         assertTrue(deployment.coreNodes().get(0).machine().tcpListener(7360) != null);
     }
 
-    /** A request that meets the end of a start waits for it; one that meets its beginning is told when. */
+    /**
+     * A request that arrives near the end of a proxy's start waits for it; one that arrives at the beginning is told when
+     * to retry.
+     */
     @Test
     public void requestWaitsForStartupToFinish() throws java.io.IOException {
         assertEquals(sendRequest("/r0/x", 1_500)[0], 200);
@@ -80,10 +83,10 @@
         simulation.runFor(SECOND_MICROS / 2 + 500);
         int[] result = sendRequest("/r0/x", 2_500);
         assertEquals(result[0], 200);
-        assertTrue(result[1] < SECOND_MICROS / 2, "took " + result[1]);
+        assertTrue(result[1] < SECOND_MICROS / 2, "took " + result[1] + " us");
     }
 
-    /** Its checkers call a registry that is cut off from the others, which hear of it through proxies. */
+    /** Checkers report to a registry that is partitioned from the others, which receive its reports through proxies. */
     @Test
     public void checkersOfPartitionedRegistryStayAvailable() {
         SimulatedMachine partitionedMachine = deployment.coreNodes().get(0).machine();
@@ -95,10 +98,12 @@
         assertEquals(log.stream().filter(line -> line.contains("silent")).toList(), List.of());
         deployment.coreNodes().forEach(core -> simulation.partition(simulation.machine("10.3.0.1"), core.machine()));
         simulation.runFor(10 * SECOND_MICROS);
-        assertTrue(log.stream().anyMatch(line -> line.contains("silent")), "who calls nobody is silent");
+        assertTrue(
+                log.stream().anyMatch(line -> line.contains("silent")),
+                "a checker that reaches no registry is reported as silent");
     }
 
-    /** A registry that is gone is followed by others for its checkers, none of which is silent in between. */
+    /** When a registry fails, other registries take over its checkers, none of which becomes silent meanwhile. */
     @Test
     public void checkersOfFailedRegistryStayAvailable() {
         deployment.coreNodes().get(0).losePower(60 * SECOND_MICROS, false);
@@ -106,7 +111,7 @@
         assertEquals(log.stream().filter(line -> line.contains("silent")).toList(), List.of());
     }
 
-    /** Without anybody of the core it is answered in time to come back. */
+    /** A proxy that reaches no core machine rejects requests early enough for the client to retry. */
     @Test
     public void proxyWithoutCoreRejectsInTime() throws java.io.IOException {
         deployment.coreNodes().forEach(core -> core.losePower(60 * SECOND_MICROS, false));
@@ -114,10 +119,10 @@
         simulation.runFor(SECOND_MICROS);
         int[] result = sendRequest("/r0/x", 2_000);
         assertEquals(result[0], 503);
-        assertTrue(result[1] < 300_000, "took " + result[1]);
+        assertTrue(result[1] < 300_000, "took " + result[1] + " us");
     }
 
-    /** What its registry tells, between the pieces of what its store tells, takes nothing of these away. */
+    /** Registry updates that arrive between the chunks of a store snapshot do not discard any of those chunks. */
     @Test
     public void startingProxyReceivesChunkedSnapshot() throws java.io.IOException {
         SimulatedOperator operator = new SimulatedOperator(
--- a/src/test/java/reedmux/simulation/cluster/ProxyShutdownClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ProxyShutdownClusterTest.java
@@ -11,7 +11,7 @@
 import reedmux.simulation.harness.OneShotHttpCall;
 import reedmux.simulation.harness.PersistentHttpClient;
 
-/** Clients that stay with a proxy which was told to end, until it is gone; with the programs as they are. */
+/** Tests clients that keep using a proxy after its SIGTERM until it exits. Runs the production programs. */
 public class ProxyShutdownClusterTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final int CLIENTS = 12;
@@ -26,7 +26,7 @@
     private int executedButLostCount;
     private final List<Long> servedTimesMicros = new ArrayList<>();
 
-    /** One client's requests, the next one as soon as the last one has ended. */
+    /** Sends requests one after another, each as soon as the previous one has ended. */
     private final class OrderingClient implements PersistentHttpClient.Conversation {
         private final String name;
         private final int timeLeftMillis;
@@ -78,7 +78,7 @@
             } else {
                 rejectedCount++;
                 assertTrue(head.status() == 503 || head.status() == 429, "status " + head.status());
-                assertTrue(head.get("Retry-After") != null, "a rejection says when to come back");
+                assertTrue(head.get("Retry-After") != null, "a rejection has a Retry-After header");
             }
         }
 
@@ -87,7 +87,7 @@
             if (serving.invariants().hasExecuted(id)) {
                 executedButLostCount++;
             }
-            if (exitTimeMicros == 0) { // the platform sends it here again
+            if (exitTimeMicros == 0) { // the platform routes the client to this proxy again
                 serving.outside().reactor().scheduleAfter(10_000, client::start);
             }
         }
@@ -98,7 +98,7 @@
         return new Object[][] {{2_500, false}, {2_500, true}, {60_000, false}, {700, true}};
     }
 
-    /** Whatever was passed on to a checker has its response, however late after SIGTERM it has come. */
+    /** Every request that the proxy forwards to a checker gets a response, however long after SIGTERM it arrives. */
     @Test(dataProvider = "clients")
     public void requestsForwardedAfterSigtermGetResponses(int timeLeftMillis, boolean ignoresClose) {
         serving = new ServingDeployment(11, line -> {});
@@ -119,12 +119,16 @@
         signalTimeMicros = serving.simulation().now();
         edge.terminate(300_000);
         serving.simulation().runFor(8 * SECOND_MICROS);
-        assertTrue(exitTimeMicros > signalTimeMicros && exitTimeMicros < signalTimeMicros + 6 * SECOND_MICROS, "it ends within the grace period");
-        assertEquals(executedButLostCount, 0, "requests that were passed on and have no response");
+        assertTrue(
+                exitTimeMicros > signalTimeMicros && exitTimeMicros < signalTimeMicros + 6 * SECOND_MICROS,
+                "the proxy exits within the grace period");
+        assertEquals(executedButLostCount, 0, "requests executed without a response");
         assertEquals(serving.invariants().violations(), List.of());
         long servedInFirstTwoSeconds = servedTimesMicros.stream()
                 .filter(at -> at > signalTimeMicros && at < signalTimeMicros + 2 * SECOND_MICROS)
                 .count();
-        assertTrue(servedInFirstTwoSeconds > 20, "the platform still sends clients for two seconds: they are served");
+        assertTrue(
+                servedInFirstTwoSeconds > 20,
+                "clients that the platform still sends in the first two seconds are served");
     }
 }
--- a/src/test/java/reedmux/simulation/cluster/QuorumContactClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/QuorumContactClusterTest.java
@@ -20,7 +20,7 @@
 import reedmux.control.rpc.RpcConnection;
 import reedmux.simulation.harness.OneShotHttpCall;
 
-/** Who is cut off or was frozen, with the programs as they are, in virtual time. */
+/** Tests partitioned and frozen machines in virtual time. Runs the production programs. */
 public class QuorumContactClusterTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final String EMPTY_CHANGE = "{\"apply\":{\"signals\":[]}}";
@@ -39,13 +39,17 @@
         outside = serving.outside();
     }
 
-    /** Asks somebody and lets two seconds pass; what is not answered is 0. */
+    /** Sends a call and runs for two seconds; returns status and body, or "0" without a response. */
     private String call(InetSocketAddress address, byte[] call) {
         String[] response = {"0"};
         outside.reactor().execute(() -> {
             try {
                 new OneShotHttpCall(
-                        outside.reactor(), address, call, 3 * SECOND_MICROS, (status, head, text) -> response[0] = status + " " + text);
+                        outside.reactor(),
+                        address,
+                        call,
+                        3 * SECOND_MICROS,
+                        (status, head, text) -> response[0] = status + " " + text);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -94,7 +98,7 @@
         }
     }
 
-    /** It serves on with what its side has, and says 503 where the others may know better. */
+    /** It serves from the state on its side, and answers 503 where the majority may have newer state. */
     @Test
     public void proxyStartedInMinorityIsNotReady() {
         InetSocketAddress ready =
@@ -103,7 +107,7 @@
         assertEquals(call(ready, "/v1/readiness"), 200);
         setPartitioned(true);
         simulation.runFor(4 * SECOND_MICROS);
-        assertEquals(call(ready, "/v1/readiness"), 200, "who was ready stays so");
+        assertEquals(call(ready, "/v1/readiness"), 200, "a ready proxy stays ready");
         deployment.proxies().get(0).kill(SECOND_MICROS / 2);
         simulation.runFor(10 * SECOND_MICROS);
         assertEquals(call(ready, "/v1/readiness"), 503);
@@ -115,14 +119,15 @@
         assertEquals(call(front, "/nowhere/x"), 404);
     }
 
-    /** From the first moment of a cut, when its links still stand, until its end. */
+    /** Holds from the start of a partition, before the links time out, until its end. */
     @Test
     public void isolatedStoreAnswersNeitherReadsNorChanges() {
-        assertTrue(callControl(0, OneShotHttpCall.post("/v1/Config.Adjust", EMPTY_CHANGE)).startsWith("200"));
+        assertTrue(callControl(0, OneShotHttpCall.post("/v1/Config.Adjust", EMPTY_CHANGE))
+                .startsWith("200"));
         setPartitioned(true);
         for (int i = 0; i < 5; i++) {
-            assertTrue(
-                    callControl(1, OneShotHttpCall.post("/v1/Config.Adjust", NEWER_CHANGE)).startsWith(i == 0 ? "" : "200"));
+            assertTrue(callControl(1, OneShotHttpCall.post("/v1/Config.Adjust", NEWER_CHANGE))
+                    .startsWith(i == 0 ? "" : "200"));
             for (byte[] call : List.of(
                     readRequest(),
                     OneShotHttpCall.post("/v1/Config.Adjust", EMPTY_CHANGE),
@@ -136,15 +141,15 @@
         assertTrue(callControl(0, readRequest()).contains("\"newer\""));
     }
 
-    /** Its calls have waited for it, and so have messages of 20 s ago. */
+    /** While the store was frozen, calls were queued for it, and so were messages that are 20 s old. */
     @Test
     public void thawedStoreDoesNotAnswerStaleReads() {
         for (long remainingFreezeMicros : new long[] {0, 50_000, SECOND_MICROS}) {
             start();
             deployment.coreNodes().get(0).freeze(20 * SECOND_MICROS);
             simulation.runFor(3 * SECOND_MICROS);
-            assertTrue(
-                    callControl(1, OneShotHttpCall.post("/v1/Config.Adjust", NEWER_CHANGE)).startsWith("200"));
+            assertTrue(callControl(1, OneShotHttpCall.post("/v1/Config.Adjust", NEWER_CHANGE))
+                    .startsWith("200"));
             simulation.runFor(15 * SECOND_MICROS - remainingFreezeMicros);
             String response = callControl(0, readRequest());
             assertFalse(response.startsWith("200") && !response.contains("\"newer\""), response);
@@ -154,8 +159,8 @@
     }
 
     /**
-     * As in world --point 4 --cores 4 --seeds 80: a store that starts compares digests in two steps, and what
-     * changes between them lies in a range that was alike in the first.
+     * Reproduces world --point 4 --cores 4 --seeds 80. A starting store compares digests in two steps; a change between
+     * the steps may lie in a range that was equal in the first step.
      */
     @Test
     public void changesDuringDigestComparisonAreSentAfterIt() throws IOException {
@@ -172,14 +177,14 @@
 
             @Override
             public void onMessage(RpcConnection link, Object message) {
-                if (message instanceof Messages.SnapshotChunk piece) {
-                    replica.merge(piece.items());
-                    link.sendMessage(new Messages.SnapshotChunkRequest(piece.incarnation(), piece.upToChange()));
-                } else if (message instanceof Messages.ConfigurationUpdate items) {
-                    replica.merge(items.items());
+                if (message instanceof Messages.SnapshotChunk chunk) {
+                    replica.merge(chunk.items());
+                    link.sendMessage(new Messages.SnapshotChunkRequest(chunk.incarnation(), chunk.upToChange()));
+                } else if (message instanceof Messages.ConfigurationUpdate update) {
+                    replica.merge(update.items());
                     updateReceived[0] = true;
-                } else if (message instanceof Messages.DigestMismatch told) {
-                    differingRanges.addAll(told.ranges());
+                } else if (message instanceof Messages.DigestMismatch mismatch) {
+                    differingRanges.addAll(mismatch.ranges());
                 }
             }
 
@@ -196,7 +201,7 @@
         simulation.runFor(SECOND_MICROS / 10);
         assertFalse(differingRanges.isEmpty());
         List<String> expectedKeys = new ArrayList<>();
-        for (int i = 0; i < 8; i++) { // of eight names some are in ranges that were alike
+        for (int i = 0; i < 8; i++) { // some of the eight names fall into ranges that were equal
             String name = "later" + i;
             expectedKeys.add("plants/" + name);
             assertTrue(callControl(1, OneShotHttpCall.post("/v1/Config.Adjust", NEWER_CHANGE.replace("newer", name)))
@@ -209,10 +214,13 @@
         assertTrue(updateReceived[0]);
         List<String> receivedKeys = new ArrayList<>();
         replica.committed().forEach(item -> receivedKeys.add(item.key()));
-        assertTrue(receivedKeys.containsAll(expectedKeys), expectedKeys + " and " + receivedKeys);
+        assertTrue(receivedKeys.containsAll(expectedKeys), "expected " + expectedKeys + ", received " + receivedKeys);
     }
 
-    /** Both sides of a link, one of which was frozen for longer than the other waits. */
+    /**
+     * The receiver of a link is frozen. A message sent meanwhile is discarded if the freeze outlasts the sender's link
+     * timeout, and delivered otherwise.
+     */
     @Test
     public void messagesSentBeforeLinkTimeoutAreDiscarded() throws IOException {
         for (boolean outlivesTimeout : new boolean[] {false, true}) {
@@ -229,7 +237,8 @@
                     0,
                     line -> {});
             List<Object> events = new ArrayList<>();
-            InetSocketAddress receiverAddress = SocketAddresses.parse(receiver.machine().ip() + ":7000");
+            InetSocketAddress receiverAddress =
+                    SocketAddresses.parse(receiver.machine().ip() + ":7000");
             Messages.Hello hello =
                     new Messages.Hello(Messages.FORMAT_VERSION, "store", "n", "10.7.0.9", "z", 1, List.of());
             RpcConnection[] links = new RpcConnection[2];
@@ -250,7 +259,8 @@
             new TcpListener(
                     receiver.reactor(),
                     receiverAddress,
-                    wire -> links[1] = RpcConnection.accept(receiver.reactor(), new MessageCodec(), hello, wire, owner));
+                    wire -> links[1] =
+                            RpcConnection.accept(receiver.reactor(), new MessageCodec(), hello, wire, owner));
             sender.submit(() -> {});
             receiver.submit(() -> {});
             links[0] = RpcConnection.connect(sender.reactor(), new MessageCodec(), hello, receiverAddress, owner);
--- a/src/test/java/reedmux/simulation/cluster/ServingDeployment.java
+++ b/src/test/java/reedmux/simulation/cluster/ServingDeployment.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /**
- * A small deployment in virtual time that serves: two edge machines, three core machines, four checkers and one
- * configuration, five seconds after its start. With it goes a process that belongs to nobody, for calls from outside.
+ * A small running deployment in virtual time, five seconds after its start: two edge machines, three core machines, four
+ * checkers and one configuration. It also has a process outside the deployment, for external calls.
  */
 final class ServingDeployment {
     private static final long SECOND_MICROS = 1_000_000;
@@ -18,7 +18,7 @@
     private final SimulatedProcess outside;
     private final ClusterInvariantChecker invariants = new ClusterInvariantChecker();
 
-    /** Starts it; {@code seed} determines the simulation, {@code log} gets the lines of the programs. */
+    /** Starts the deployment; {@code seed} determines the simulation, {@code log} receives the log lines of the programs. */
     ServingDeployment(long seed, Consumer<String> log) {
         simulation = new ClusterSimulation(seed);
         deployment = new Deployment(simulation, EDGE_MACHINES, CORE_MACHINES, log);
@@ -57,12 +57,12 @@
         return deployment;
     }
 
-    /** What the checkers have observed. */
+    /** Returns the invariant checker that the simulated checkers report to. */
     ClusterInvariantChecker invariants() {
         return invariants;
     }
 
-    /** A process on a machine of its own. */
+    /** Returns the external process, which runs on its own machine. */
     SimulatedProcess outside() {
         return outside;
     }
--- a/src/test/java/reedmux/simulation/cluster/ShowClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ShowClusterTest.java
@@ -17,7 +17,7 @@
 import reedmux.control.configuration.ItemJson;
 import reedmux.simulation.harness.OneShotHttpCall;
 
-/** What operators are shown, in virtual time: with a majority, and at a machine that is cut off. */
+/** Tests the views shown to operators in virtual time, with a majority and on an isolated machine. */
 public class ShowClusterTest {
     private static final long SECOND_MICROS = 1_000_000;
     private ClusterSimulation simulation;
@@ -56,7 +56,8 @@
         return ItemJson.requireObject(ItemJson.parse(response.substring(4)), "the answer");
     }
 
-    private static List<Map<String, Object>> entries(Map<String, Object> response) throws InvalidConfigurationException {
+    private static List<Map<String, Object>> entries(Map<String, Object> response)
+            throws InvalidConfigurationException {
         List<Map<String, Object>> entries = new ArrayList<>();
         for (Object entry : ItemJson.listOrEmpty(response.get("entries"), "entries")) {
             entries.add(ItemJson.requireObject(entry, "entry"));
@@ -68,7 +69,7 @@
         return ItemJson.requireInteger(response.get(key), key);
     }
 
-    /** Cuts the first core machine off from the other two. */
+    /** Partitions the first core machine from the other two. */
     private void isolateFirstCoreMachine() {
         SimulatedMachine isolatedMachine = deployment.coreNodes().get(0).machine();
         for (int i = 1; i < 3; i++) {
@@ -84,7 +85,7 @@
                 Map<String, Object> response = show(core, view);
                 assertEquals(response.get("majority"), true, view);
                 assertEquals(integer(response, "epoch"), 0, view);
-                assertTrue(integer(response, "ageMs") < 1_000, view + " is " + response.get("ageMs") + " old");
+                assertTrue(integer(response, "ageMs") < 1_000, view + " is " + response.get("ageMs") + " ms old");
             }
             assertEquals(entries(show(core, "Members")).size(), 2);
             List<Map<String, Object>> members = entries(show(core, "Core"));
@@ -150,7 +151,7 @@
         assertTrue(integer(after, "ageMs") > integer(show(1, "Items"), "ageMs") + 8_000);
     }
 
-    /** While the links still stand after a cut, nothing but a round tells that there is no majority. */
+    /** Until the links time out after a partition, only a quorum round reveals that the majority is lost. */
     @Test
     public void lossOfMajorityIsReportedBeforeLinksTimeOut() throws InvalidConfigurationException {
         isolateFirstCoreMachine();
@@ -163,7 +164,8 @@
     @Test
     public void invalidParametersAreRejectedByName() {
         assertEquals(sendRequest(0, "/v1/Show.Items?limit=0"), "400 Show.Items: limit is no number from 1 to 1000\n");
-        assertEquals(sendRequest(0, "/v1/Show.Items?limit=1001"), "400 Show.Items: limit is no number from 1 to 1000\n");
+        assertEquals(
+                sendRequest(0, "/v1/Show.Items?limit=1001"), "400 Show.Items: limit is no number from 1 to 1000\n");
         assertEquals(sendRequest(0, "/v1/Show.Items?service=a"), "400 Show.Items has no parameter service\n");
         assertEquals(sendRequest(0, "/v1/Show.Items?after=%zz"), "400 Show.Items: after cannot be read\n");
         assertTrue(sendRequest(0, "/v1/Show.Lives").startsWith("404 there is no Show.Lives, but Members"));
--- a/src/test/java/reedmux/simulation/cluster/SimulatedRunBatchTest.java
+++ b/src/test/java/reedmux/simulation/cluster/SimulatedRunBatchTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Whole days with the production programs, in virtual time. */
+/** Tests complete simulated runs of the production programs in virtual time. */
 public class SimulatedRunBatchTest {
 
     @Test
@@ -20,9 +20,12 @@
                         24,
                         4,
                         line -> {},
-                        day -> day.violations().forEach(line -> violations.add("seed " + day.seed() + ": " + line)));
+                        outcome -> outcome.violations()
+                                .forEach(line -> violations.add("seed " + outcome.seed() + ": " + line)));
         assertEquals(violations, List.of());
-        assertTrue(totals.served() > 0.7 * totals.requests(), totals.served() + " of " + totals.requests());
+        assertTrue(
+                totals.served() > 0.7 * totals.requests(),
+                totals.served() + " of " + totals.requests() + " requests served");
     }
 
     @Test
@@ -34,11 +37,12 @@
                         106,
                         4,
                         line -> {},
-                        day -> day.violations().forEach(line -> violations.add("seed " + day.seed() + ": " + line)));
+                        outcome -> outcome.violations()
+                                .forEach(line -> violations.add("seed " + outcome.seed() + ": " + line)));
         assertEquals(violations, List.of());
     }
 
-    /** Without ballots seeds 91 and 110 of these leave a configuration to which nothing can be added. */
+    /** Without ballots, seeds 91 and 110 of this range leave a configuration to which nothing can be added. */
     @Test
     public void contendingOperatorsLeaveValidConfiguration() throws InterruptedException {
         List<String> violations = new ArrayList<>();
@@ -48,17 +52,18 @@
                         115,
                         4,
                         line -> {},
-                        day -> day.violations().forEach(line -> violations.add("seed " + day.seed() + ": " + line)));
+                        outcome -> outcome.violations()
+                                .forEach(line -> violations.add("seed " + outcome.seed() + ": " + line)));
         assertEquals(violations, List.of());
     }
 
     @Test
     public void repeatedSeedGivesSameDigest() throws InterruptedException {
         long firstDigest = new SimulatedRunBatch(new SimulatedRun.RunOptions(5, 3, 6, false))
-                .run(7, 9, 1, line -> {}, day -> {})
+                .run(7, 9, 1, line -> {}, outcome -> {})
                 .digest();
         long secondDigest = new SimulatedRunBatch(new SimulatedRun.RunOptions(5, 3, 6, false))
-                .run(7, 9, 3, line -> {}, day -> {})
+                .run(7, 9, 3, line -> {}, outcome -> {})
                 .digest();
         assertEquals(secondDigest, firstDigest);
     }
@@ -68,7 +73,7 @@
         return new Object[][] {{1, 3}, {1, 5}, {2, 3}, {2, 4}, {3, 3}, {3, 5}, {4, 3}, {5, 3}};
     }
 
-    /** Days full of what the operators' points tell of: see {@link FaultStorm}. */
+    /** Runs dense in the faults that {@link FaultStorm} describes for each point. */
     @Test(dataProvider = "faultStorms")
     public void faultStormViolatesNoInvariant(int point, int cores) throws InterruptedException {
         List<String> violations = new ArrayList<>();
@@ -78,16 +83,21 @@
                         3,
                         4,
                         line -> {},
-                        day -> day.violations().forEach(line -> violations.add("seed " + day.seed() + ": " + line)));
+                        outcome -> outcome.violations()
+                                .forEach(line -> violations.add("seed " + outcome.seed() + ": " + line)));
         assertEquals(violations, List.of());
     }
 
     @Test
     public void repeatedStormSeedGivesSameDigest() throws InterruptedException {
         SimulatedRun.RunOptions options = new SimulatedRun.RunOptions(5, 5, 1, false, 2, true);
-        long firstDigest =
-                new SimulatedRunBatch(options).run(5, 6, 1, line -> {}, day -> {}).digest();
+        long firstDigest = new SimulatedRunBatch(options)
+                .run(5, 6, 1, line -> {}, outcome -> {})
+                .digest();
         assertEquals(
-                new SimulatedRunBatch(options).run(5, 6, 2, line -> {}, day -> {}).digest(), firstDigest);
+                new SimulatedRunBatch(options)
+                        .run(5, 6, 2, line -> {}, outcome -> {})
+                        .digest(),
+                firstDigest);
     }
 }
--- a/src/test/java/reedmux/simulation/invariants/HistoryCheckerTest.java
+++ b/src/test/java/reedmux/simulation/invariants/HistoryCheckerTest.java
@@ -24,15 +24,16 @@
 import reedmux.simulation.region.InvariantScenarios;
 
 /**
- * Plays the histories in {@code src/test/resources/histories}: of each rule at least one that breaks it and
- * no other, beside a near miss. A file holds several, each under {@code == TITLE : RULE or none}.
+ * Checks the histories in {@code src/test/resources/histories}. For each rule there is at least one history that
+ * violates this rule only, and one that just complies with it. A file holds several histories, each introduced by a
+ * line {@code == TITLE : RULE or none}.
  */
 public final class HistoryCheckerTest {
     private static final Path HISTORIES = Path.of("src/test/resources/histories");
     private static final RuleParameters RULE_PARAMETERS =
             new RuleParameters(8_000, 250_000, 4, 1_000_000, 150_000, 4, true, new QuotaTolerance(1, 2_000_000));
 
-    /** One history of a file, with the rule that it breaks. */
+    /** One history of a file and the rule that it violates, or "none". */
     public record HistoryCase(String title, String expectedRule, List<String> lines) {
         @Override
         public String toString() {
@@ -46,8 +47,8 @@
             for (Path file : files.sorted().toList()) {
                 for (String line : Files.readAllLines(file)) {
                     if (line.startsWith("== ")) {
-                        String[] head = line.substring(3).split(" : ");
-                        all.add(new HistoryCase(head[0], head[1], new ArrayList<>()));
+                        String[] titleAndRule = line.substring(3).split(" : ");
+                        all.add(new HistoryCase(titleAndRule[0], titleAndRule[1], new ArrayList<>()));
                     } else if (!all.isEmpty()) {
                         all.get(all.size() - 1).lines.add(line);
                     }
@@ -62,10 +63,13 @@
     void historyBreaksExactlyItsExpectedRule(HistoryCase historyCase) {
         HistoryReader reader = HistoryReader.check(RULE_PARAMETERS, historyCase.lines);
         Set<String> violatedRules = reader.violations().stream()
-                .map(fault -> fault.rule().name())
+                .map(violation -> violation.rule().name())
                 .collect(Collectors.toCollection(TreeSet::new));
-        assertEquals(historyCase.expectedRule.equals("none") ? Set.of() : Set.of(historyCase.expectedRule), violatedRules, reader.violations() + "");
-        assertTrue(!reader.checker().checks().isEmpty(), "nothing was looked at");
+        assertEquals(
+                historyCase.expectedRule.equals("none") ? Set.of() : Set.of(historyCase.expectedRule),
+                violatedRules,
+                reader.violations() + "");
+        assertTrue(!reader.checker().checks().isEmpty(), "no rule was checked");
     }
 
     @Test
@@ -99,7 +103,7 @@
         }
     }
 
-    /** Seeds that print themselves where a rule is broken; every rule has to have been looked at. */
+    /** Random scenarios violate no rule; a failure names the seed. Every rule but AWAY must have been checked. */
     @Test
     void randomScenariosViolateNoRule() {
         Set<HistoryRule> checkedRules = EnumSet.noneOf(HistoryRule.class);
@@ -111,12 +115,13 @@
         assertEquals(EnumSet.complementOf(EnumSet.of(HistoryRule.AWAY)), checkedRules);
     }
 
-    /** The same seed gives the same history, and its text read again the same verdict. */
+    /** A seed always gives the same history, and checking its transcript gives the same violations and counts. */
     @Test
     void sameSeedGivesSameHistoryAndItsTranscriptSameViolations() {
         InvariantScenarios.InvariantRun run = InvariantScenarios.storm(7, 10);
         assertEquals(run.history(), InvariantScenarios.storm(7, 10).history());
-        HistoryReader reader = HistoryReader.check(RULE_PARAMETERS, run.history().lines().toList());
+        HistoryReader reader =
+                HistoryReader.check(RULE_PARAMETERS, run.history().lines().toList());
         assertEquals(run.violations(), reader.violations());
         assertEquals(run.checks(), reader.checker().checks());
     }
