--- a/src/main/java/reedmux/simulation/invariants/ForwardingInvariant.java
+++ b/src/main/java/reedmux/simulation/invariants/ForwardingInvariant.java
@@ -34,7 +34,7 @@
             log.add(
                     HistoryRule.AWAY,
                     timeMicros,
-                    group + " forwarded " + forwards.size() + " of " + accepted + " requests");
+                    group + " forwarded " + forwards.size() + " requests of " + accepted);
         }
         double level = 0;
         long previousTimeMicros = forwards.isEmpty() ? 0 : forwards.get(0).timeMicros();
--- a/src/main/java/reedmux/simulation/invariants/HistoryChecker.java
+++ b/src/main/java/reedmux/simulation/invariants/HistoryChecker.java
@@ -61,7 +61,10 @@
             boolean hedging,
             QuotaTolerance quotaTolerance) {}
 
-    /** The amount by which quotas may be exceeded: a number of bursts plus the units of {@code time} us at the quota rate. */
+    /**
+     * The amount by which quotas may be exceeded: a number of bursts plus the units of {@code time} us at the quota
+     * rate.
+     */
     public record QuotaTolerance(double bursts, long time) {}
 
     /** A plan's quota and rate limit, in units and units per second; a rate of 0 disables the limit. */
@@ -190,7 +193,10 @@
         forwarding.onAccepted(group);
     }
 
-    /** A request no longer needs an answer: its consumer has disconnected, or the gatekeeper that accepted it has crashed. */
+    /**
+     * A request no longer needs an answer: its consumer has disconnected, or the gatekeeper that accepted it has
+     * crashed.
+     */
     public void onExcused(long timeMicros, String id) {
         transcript.appendEvent(timeMicros, "excused %s", id);
         requests.get(id).excused = true;
--- a/src/main/java/reedmux/simulation/invariants/HistoryReader.java
+++ b/src/main/java/reedmux/simulation/invariants/HistoryReader.java
@@ -13,9 +13,9 @@
 
 /**
  * Reads a history from text and checks it. Each line holds one event as {@code TIME EVENT ...}, in chronological order;
- * the values are the parameters of the {@link HistoryChecker} method for that event. Lines that start with {@code #} are
- * comments, {@code budget GROUP SHARE RATE BURST} sets the forwarding budget of a group, {@code tolerance BURSTS MICROS}
- * sets the quota tolerance, and {@code end TIME} is the last line.
+ * the values are the parameters of the {@link HistoryChecker} method for that event. Lines that start with {@code #}
+ * are comments, {@code budget GROUP SHARE RATE BURST} sets the forwarding budget of a group, {@code tolerance BURSTS
+ * MICROS} sets the quota tolerance, and {@code end TIME} is the last line.
  */
 public final class HistoryReader {
     private final HistoryChecker checker;
--- a/src/test/java/reedmux/simulation/cluster/ClientDepartureClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ClientDepartureClusterTest.java
@@ -138,8 +138,8 @@
     }
 
     /**
-     * Whenever the client disconnects, no part of its request reaches a checker long after that. An idempotent request is
-     * no longer executed then; any other request is executed at most once, and to completion.
+     * Whenever the client disconnects, no part of its request reaches a checker long after that. An idempotent request
+     * is no longer executed then; any other request is executed at most once, and to completion.
      */
     @Test(dataProvider = "departures")
     public void requestsOfDepartedClientsAreCancelled(ConnectionClose closeMode, String method, String body) {
@@ -183,7 +183,9 @@
         assertEquals(serving.invariants().violations(), List.of());
     }
 
-    /** All checkers are at capacity, so requests are queued in the proxy and the checkers when their clients disconnect. */
+    /**
+     * All checkers are at capacity, so requests are queued in the proxy and the checkers when their clients disconnect.
+     */
     @Test
     public void queuedRequestsOfDepartedClientsAreDropped() {
         startServing();
--- a/src/test/java/reedmux/simulation/cluster/ClusterInvariantCheckerTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ClusterInvariantCheckerTest.java
@@ -97,7 +97,7 @@
     }
 
     @Test
-    public void executionByServiceOfNoRouteVersion() {
+    public void executionByUnroutedService() {
         recordRequestSent("a", false);
         checker.onRequestExecuted("a", "c1", "intake", "t", SECOND_MICROS);
         assertViolates("ROUTE");
--- a/src/test/java/reedmux/simulation/cluster/DiskLossClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/DiskLossClusterTest.java
@@ -30,7 +30,7 @@
         return new Object[][] {{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}};
     }
 
-    /** Each machine has time to recover before the next failure, so the core never misses more than one machine. */
+    /** Each machine has time to count toward the majority again, so that the core never lacks more than one machine. */
     @Test(dataProvider = "failureOrders")
     public void coreAcceptsChangesAfterAllDisksWereLost(int first, int second, int replaced) {
         for (int seed = 1; seed <= SEEDS; seed++) {
--- a/src/test/java/reedmux/simulation/cluster/DrainAcknowledgementClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/DrainAcknowledgementClusterTest.java
@@ -90,8 +90,8 @@
     }
 
     /**
-     * An isolated registry accepts heartbeats but rejects drains, because no other registry would learn of them. Another
-     * registry acknowledges the drain.
+     * An isolated registry accepts heartbeats but rejects drains, because no other registry would learn of them.
+     * Another registry acknowledges the drain.
      */
     @Test
     public void isolatedRegistryRejectsDrainInTime() {
@@ -120,7 +120,10 @@
         assertAcknowledgedInTime(sendHeartbeat(0, "i-1", "draining"));
     }
 
-    /** A thawed registry does not answer calls from before its freeze and does not act on stale state. */
+    /**
+     * A frozen registry does not answer the calls that it has received. After the thaw it acknowledges only what
+     * another registry knows by then, so none of its answers rests on stale state.
+     */
     @Test
     public void thawedRegistryDoesNotAnswerFromStaleState() {
         assertAcknowledgedInTime(sendHeartbeat(0, "i-1", "ready"));
--- a/src/test/java/reedmux/simulation/cluster/ProgramsClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/ProgramsClusterTest.java
@@ -56,7 +56,9 @@
         return result;
     }
 
-    /** Guards against a fault in which a connection that closed before its first message terminated the store's process. */
+    /**
+     * Guards against a fault in which a connection that closed before its first message terminated the store's process.
+     */
     @Test
     public void connectionClosedBeforeHelloIsHarmless() throws java.io.IOException {
         for (int port = 7360; port < 7362; port++) {
@@ -73,8 +75,8 @@
     }
 
     /**
-     * A request that arrives near the end of a proxy's start waits for it; one that arrives at the beginning is told when
-     * to retry.
+     * A request that arrives near the end of a proxy's start waits for it; one that arrives at the beginning is told
+     * when to retry.
      */
     @Test
     public void requestWaitsForStartupToFinish() throws java.io.IOException {
@@ -83,10 +85,12 @@
         simulation.runFor(SECOND_MICROS / 2 + 500);
         int[] result = sendRequest("/r0/x", 2_500);
         assertEquals(result[0], 200);
-        assertTrue(result[1] < SECOND_MICROS / 2, "took " + result[1] + " us");
+        assertTrue(result[1] < SECOND_MICROS / 2, "microseconds until the response: " + result[1]);
     }
 
-    /** Checkers report to a registry that is partitioned from the others, which receive its reports through proxies. */
+    /**
+     * Checkers report to a registry that is partitioned from the others, which learn of these checkers through proxies.
+     */
     @Test
     public void checkersOfPartitionedRegistryStayAvailable() {
         SimulatedMachine partitionedMachine = deployment.coreNodes().get(0).machine();
@@ -119,7 +123,7 @@
         simulation.runFor(SECOND_MICROS);
         int[] result = sendRequest("/r0/x", 2_000);
         assertEquals(result[0], 503);
-        assertTrue(result[1] < 300_000, "took " + result[1] + " us");
+        assertTrue(result[1] < 300_000, "microseconds until the response: " + result[1]);
     }
 
     /** Registry updates that arrive between the chunks of a store snapshot do not discard any of those chunks. */
--- a/src/test/java/reedmux/simulation/cluster/QuorumContactClusterTest.java
+++ b/src/test/java/reedmux/simulation/cluster/QuorumContactClusterTest.java
@@ -171,7 +171,7 @@
         Replica replica = new Replica();
         List<Integer> differingRanges = new ArrayList<>();
         boolean[] updateReceived = {false};
-        RpcConnection.RpcConnectionHandler owner = new RpcConnection.RpcConnectionHandler() {
+        RpcConnection.RpcConnectionHandler handler = new RpcConnection.RpcConnectionHandler() {
             @Override
             public void onConnected(RpcConnection link) {}
 
@@ -194,7 +194,7 @@
         InetSocketAddress store =
                 SocketAddresses.parse(deployment.coreNodes().get(1).machine().ip() + ':' + Deployment.STORE_PORT);
         peer.submit(() -> {});
-        RpcConnection link = RpcConnection.connect(peer.reactor(), new MessageCodec(), hello, store, owner);
+        RpcConnection link = RpcConnection.connect(peer.reactor(), new MessageCodec(), hello, store, handler);
         simulation.runFor(SECOND_MICROS / 2);
         peer.submit(() -> link.sendMessage(
                 new Messages.DigestRequest(List.of(), replica.digests().digestsOf(List.of()))));
@@ -214,12 +214,12 @@
         assertTrue(updateReceived[0]);
         List<String> receivedKeys = new ArrayList<>();
         replica.committed().forEach(item -> receivedKeys.add(item.key()));
-        assertTrue(receivedKeys.containsAll(expectedKeys), "expected " + expectedKeys + ", received " + receivedKeys);
+        assertTrue(receivedKeys.containsAll(expectedKeys), expectedKeys + " expected, but received " + receivedKeys);
     }
 
     /**
-     * The receiver of a link is frozen. A message sent meanwhile is discarded if the freeze outlasts the sender's link
-     * timeout, and delivered otherwise.
+     * The receiver of a link is frozen. If the freeze outlasts the sender's link timeout, the message sent meanwhile
+     * is discarded and the link is closed; otherwise the message is delivered.
      */
     @Test
     public void messagesSentBeforeLinkTimeoutAreDiscarded() throws IOException {
@@ -242,7 +242,7 @@
             Messages.Hello hello =
                     new Messages.Hello(Messages.FORMAT_VERSION, "store", "n", "10.7.0.9", "z", 1, List.of());
             RpcConnection[] links = new RpcConnection[2];
-            RpcConnection.RpcConnectionHandler owner = new RpcConnection.RpcConnectionHandler() {
+            RpcConnection.RpcConnectionHandler handler = new RpcConnection.RpcConnectionHandler() {
                 @Override
                 public void onConnected(RpcConnection link) {}
 
@@ -259,11 +259,11 @@
             new TcpListener(
                     receiver.reactor(),
                     receiverAddress,
-                    wire -> links[1] =
-                            RpcConnection.accept(receiver.reactor(), new MessageCodec(), hello, wire, owner));
+                    socket -> links[1] =
+                            RpcConnection.accept(receiver.reactor(), new MessageCodec(), hello, socket, handler));
             sender.submit(() -> {});
             receiver.submit(() -> {});
-            links[0] = RpcConnection.connect(sender.reactor(), new MessageCodec(), hello, receiverAddress, owner);
+            links[0] = RpcConnection.connect(sender.reactor(), new MessageCodec(), hello, receiverAddress, handler);
             simulation.runFor(SECOND_MICROS);
             assertNotEquals(links[1], null);
             receiver.freeze();
--- a/src/test/java/reedmux/simulation/cluster/ServingDeployment.java
+++ b/src/test/java/reedmux/simulation/cluster/ServingDeployment.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /**
- * A small running deployment in virtual time, five seconds after its start: two edge machines, three core machines, four
- * checkers and one configuration. It also has a process outside the deployment, for external calls.
+ * A small running deployment in virtual time, five seconds after its start: two edge machines, three core machines,
+ * four checkers and one configuration. It also has a process outside the deployment, for external calls.
  */
 final class ServingDeployment {
     private static final long SECOND_MICROS = 1_000_000;
@@ -18,7 +18,10 @@
     private final SimulatedProcess outside;
     private final ClusterInvariantChecker invariants = new ClusterInvariantChecker();
 
-    /** Starts the deployment; {@code seed} determines the simulation, {@code log} receives the log lines of the programs. */
+    /**
+     * Starts the deployment; {@code seed} determines the simulation, {@code log} receives the log lines of the
+     * programs.
+     */
     ServingDeployment(long seed, Consumer<String> log) {
         simulation = new ClusterSimulation(seed);
         deployment = new Deployment(simulation, EDGE_MACHINES, CORE_MACHINES, log);
@@ -57,7 +60,7 @@
         return deployment;
     }
 
-    /** Returns the invariant checker that the simulated checkers report to. */
+    /** Returns the invariant checker, to which the programs, the simulated checkers and the operator report. */
     ClusterInvariantChecker invariants() {
         return invariants;
     }
--- a/src/test/java/reedmux/simulation/cluster/SimulatedRunBatchTest.java
+++ b/src/test/java/reedmux/simulation/cluster/SimulatedRunBatchTest.java
@@ -25,7 +25,7 @@
         assertEquals(violations, List.of());
         assertTrue(
                 totals.served() > 0.7 * totals.requests(),
-                totals.served() + " of " + totals.requests() + " requests served");
+                totals.served() + " served of " + totals.requests());
     }
 
     @Test
--- a/src/test/java/reedmux/simulation/invariants/HistoryCheckerTest.java
+++ b/src/test/java/reedmux/simulation/invariants/HistoryCheckerTest.java
@@ -29,7 +29,7 @@
  * line {@code == TITLE : RULE or none}.
  */
 public final class HistoryCheckerTest {
-    private static final Path HISTORIES = Path.of("src/test/resources/histories");
+    private static final Path HISTORY_FOLDER = Path.of("src/test/resources/histories");
     private static final RuleParameters RULE_PARAMETERS =
             new RuleParameters(8_000, 250_000, 4, 1_000_000, 150_000, 4, true, new QuotaTolerance(1, 2_000_000));
 
@@ -43,7 +43,7 @@
 
     static List<HistoryCase> historyCases() throws IOException {
         List<HistoryCase> all = new ArrayList<>();
-        try (Stream<Path> files = Files.list(HISTORIES)) {
+        try (Stream<Path> files = Files.list(HISTORY_FOLDER)) {
             for (Path file : files.sorted().toList()) {
                 for (String line : Files.readAllLines(file)) {
                     if (line.startsWith("== ")) {
