--- a/src/main/java/reedmux/simulation/invariants/ForwardingInvariant.java
+++ b/src/main/java/reedmux/simulation/invariants/ForwardingInvariant.java
@@ -31,10 +31,7 @@
         List<TimedAmount> forwards = forwardsByGroup.getOrDefault(group, List.of());
         int accepted = acceptedCountByGroup.getOrDefault(group, 0);
         if (forwards.size() > budget.share() * accepted + HistoryChecker.ROUNDING_TOLERANCE) {
-            log.add(
-                    HistoryRule.AWAY,
-                    timeMicros,
-                    group + " forwarded " + forwards.size() + " requests of " + accepted);
+            log.add(HistoryRule.AWAY, timeMicros, group + " forwarded " + forwards.size() + " requests of " + accepted);
         }
         double level = 0;
         long previousTimeMicros = forwards.isEmpty() ? 0 : forwards.get(0).timeMicros();
--- a/src/test/java/reedmux/simulation/cluster/SimulatedRunBatchTest.java
+++ b/src/test/java/reedmux/simulation/cluster/SimulatedRunBatchTest.java
@@ -23,9 +23,7 @@
                         outcome -> outcome.violations()
                                 .forEach(line -> violations.add("seed " + outcome.seed() + ": " + line)));
         assertEquals(violations, List.of());
-        assertTrue(
-                totals.served() > 0.7 * totals.requests(),
-                totals.served() + " served of " + totals.requests());
+        assertTrue(totals.served() > 0.7 * totals.requests(), totals.served() + " served of " + totals.requests());
     }
 
     @Test
