--- a/src/main/java/reedmux/simulation/invariants/HistoryChecker.java
+++ b/src/main/java/reedmux/simulation/invariants/HistoryChecker.java
@@ -42,7 +42,8 @@
      * The parameters of the rules; times are in microseconds.
      *
      * @param deadlineSlack        time after its deadline at which an answer is still in time
-     * @param drainGrace           time for which new calls are allowed after the notice that a provider drains or is gone
+     * @param drainGrace           time for which new calls are allowed after the notice that a provider drains or is
+     *                             gone
      * @param coldOverloadMultiple multiple of a cold provider's capacity that the work sent within the window must not
      *                             exceed
      * @param coldOverloadWindow   length of that window
