--- a/src/main/java/reedmux/simulation/standin/ConsumerStandIn.java
+++ b/src/main/java/reedmux/simulation/standin/ConsumerStandIn.java
@@ -23,10 +23,23 @@
 import org.apache.hc.core5.http.io.entity.EntityUtils;
 import org.apache.hc.core5.http.message.BasicClassicHttpRequest;
 
-/** Consumers: send requests at a pace of their own, whatever comes of those before, and note each answer. */
+/**
+ * A load generator that acts as the consumers of a gatekeeper. It works as an open loop: each request is sent without
+ * waiting for the outcome of earlier ones, and the outcome of every request is recorded.
+ */
 public final class ConsumerStandIn implements AutoCloseable {
 
-    /** A request to be sent. */
+    /**
+     * The description of a request to send.
+     *
+     * @param id             the trace id, which the provider repeats in its response body
+     * @param requestClass   the request class, which becomes the path of the request
+     * @param idempotent     whether to send a GET without a body rather than a POST with one
+     * @param customer       the customer id, sent as 16 hex digits
+     * @param units          the quota units that the request costs
+     * @param deadlineMillis the time until the request expires, in milliseconds
+     * @param gatekeepers    the value of {@code spread} in the quota header
+     */
     public record ScenarioRequest(
             String id,
             String requestClass,
@@ -37,11 +50,12 @@
             int gatekeepers) {}
 
     /**
-     * What came of one; times in nanoseconds of the system's monotonic clock.
+     * The outcome of a request. Times are nanoseconds of the system's monotonic clock.
      *
-     * @param status     the answer's, or 0 where the connection was refused, -1 where it broke
-     * @param retryAfterSeconds seconds, or a number below nought where not told
-     * @param bodyMatches whether the body was the one verdict that belongs to the request
+     * @param status            the status code of the response, 0 if no connection could be established, or -1 if the
+     *                          exchange failed later
+     * @param retryAfterSeconds the value of the Retry-After header in seconds, or a negative number without the header
+     * @param bodyMatches       whether the response body is the verdict that belongs to this request
      */
     public record RequestOutcome(
             ScenarioRequest request,
@@ -50,7 +64,7 @@
             int status,
             double retryAfterSeconds,
             boolean bodyMatches) {
-        /** How long the request took, in milliseconds. */
+        /** Returns the duration of the request in milliseconds. */
         public double millis() {
             return (endedAtNanos - sentAtNanos) / 1e6;
         }
@@ -68,33 +82,33 @@
 
     private final String host;
 
-    /** Sends its requests to one gatekeeper. */
+    /** Creates a consumer that sends its requests to the given gatekeeper without a Host header. */
     public ConsumerStandIn(InetSocketAddress gatekeeper) {
         this(gatekeeper, null);
     }
 
-    /** Consumers of one host, which they name in each request. */
+    /** Creates a consumer that sends the given Host header with each request, or none if {@code host} is null. */
     public ConsumerStandIn(InetSocketAddress gatekeeper, String host) {
         this.gatekeeper = gatekeeper;
         this.host = host;
     }
 
-    /** Everything that was answered or broke off, in the order of the ends. */
+    /** Returns the outcomes of all completed and failed requests, in order of completion. */
     public List<RequestOutcome> outcomes() {
         return List.copyOf(outcomes);
     }
 
-    /** Sends a request, over a kept connection if there is one, and returns at once. */
-    public void send(ScenarioRequest asked) {
-        threads.execute(() -> outcomes.add(exchange(asked)));
+    /** Sends a request asynchronously, over an idle connection if one is available, and returns immediately. */
+    public void send(ScenarioRequest scenarioRequest) {
+        threads.execute(() -> outcomes.add(exchange(scenarioRequest)));
     }
 
-    /** Sends a request and waits for what comes of it; not noted under {@link #outcomes}. */
-    public RequestOutcome sendAndWait(ScenarioRequest asked) {
-        return exchange(asked);
+    /** Sends a request and waits for its outcome, which is not added to {@link #outcomes}. */
+    public RequestOutcome sendAndWait(ScenarioRequest scenarioRequest) {
+        return exchange(scenarioRequest);
     }
 
-    private RequestOutcome exchange(ScenarioRequest asked) {
+    private RequestOutcome exchange(ScenarioRequest scenarioRequest) {
         long sentAt = System.nanoTime();
         boolean connected = false;
         try {
@@ -106,32 +120,32 @@
                 connection = connect();
             }
             connected = true;
-            connection.sendRequestHeader(request(asked));
-            if (!asked.idempotent()) {
-                connection.sendRequestEntity(request(asked));
+            connection.sendRequestHeader(createRequest(scenarioRequest));
+            if (!scenarioRequest.idempotent()) {
+                connection.sendRequestEntity(createRequest(scenarioRequest));
             }
             connection.flush();
             ClassicHttpResponse response = connection.receiveResponseHeader();
             connection.receiveResponseEntity(response);
             String body = response.getEntity() == null ? "" : EntityUtils.toString(response.getEntity());
-            RequestOutcome one = new RequestOutcome(
-                    asked,
+            RequestOutcome outcome = new RequestOutcome(
+                    scenarioRequest,
                     sentAt,
                     System.nanoTime(),
                     response.getCode(),
-                    seconds(response.getFirstHeader("Retry-After")),
-                    body.equals("verdict " + asked.id()));
-            Header close = response.getFirstHeader("Connection");
-            if (close != null && close.getValue().equals("close")) {
+                    parseRetryAfterSeconds(response.getFirstHeader("Retry-After")),
+                    body.equals("verdict " + scenarioRequest.id()));
+            Header connectionHeader = response.getFirstHeader("Connection");
+            if (connectionHeader != null && connectionHeader.getValue().equals("close")) {
                 connection.close();
             } else {
                 synchronized (idleConnections) {
                     idleConnections.push(connection);
                 }
             }
-            return one;
+            return outcome;
         } catch (IOException | HttpException e) {
-            return new RequestOutcome(asked, sentAt, System.nanoTime(), connected ? -1 : 0, -1, false);
+            return new RequestOutcome(scenarioRequest, sentAt, System.nanoTime(), connected ? -1 : 0, -1, false);
         }
     }
 
@@ -145,29 +159,31 @@
         return connection;
     }
 
-    private ClassicHttpRequest request(ScenarioRequest asked) {
-        ClassicHttpRequest request =
-                new BasicClassicHttpRequest(asked.idempotent() ? "GET" : "POST", '/' + asked.requestClass());
+    private ClassicHttpRequest createRequest(ScenarioRequest scenarioRequest) {
+        ClassicHttpRequest request = new BasicClassicHttpRequest(
+                scenarioRequest.idempotent() ? "GET" : "POST", '/' + scenarioRequest.requestClass());
         if (host != null) {
             request.setHeader("Host", host);
         }
-        request.setHeader("X-Trace-Id", asked.id());
+        request.setHeader("X-Trace-Id", scenarioRequest.id());
         request.setHeader("X-Plan", "full-plant");
-        request.setHeader("X-Customer", String.format(Locale.ROOT, "%016x", asked.customer()));
-        request.setHeader("X-Expires-In-Ms", asked.deadlineMillis());
-        request.setHeader("X-Quota", "units=" + asked.units() + ",spread=" + asked.gatekeepers() + ",first=0");
-        if (!asked.idempotent()) {
+        request.setHeader("X-Customer", String.format(Locale.ROOT, "%016x", scenarioRequest.customer()));
+        request.setHeader("X-Expires-In-Ms", scenarioRequest.deadlineMillis());
+        request.setHeader(
+                "X-Quota",
+                "units=" + scenarioRequest.units() + ",spread=" + scenarioRequest.gatekeepers() + ",first=0");
+        if (!scenarioRequest.idempotent()) {
             request.setEntity(new ByteArrayEntity(new byte[200], ContentType.APPLICATION_OCTET_STREAM));
             request.setHeader("Content-Length", 200);
         }
         return request;
     }
 
-    private static double seconds(Header header) {
+    private static double parseRetryAfterSeconds(Header header) {
         return header == null ? -1 : Double.parseDouble(header.getValue());
     }
 
-    /** Whether the gatekeeper says that it can serve. */
+    /** Returns whether the health endpoint of the gatekeeper answers with status 200. */
     public boolean isGatekeeperReady() {
         try (DefaultBHttpClientConnection connection = connect()) {
             connection.sendRequestHeader(new BasicClassicHttpRequest("GET", "/healthz"));
@@ -178,7 +194,11 @@
         }
     }
 
-    /** Waits for the answers of all that was sent; returns whether all came. */
+    /**
+     * Makes {@link #send} reject further requests and waits for the outcomes of those already sent.
+     *
+     * @return whether all requests ended within the timeout of 15 seconds
+     */
     public boolean awaitOutcomes() throws InterruptedException {
         threads.shutdown();
         return threads.awaitTermination(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
--- a/src/main/java/reedmux/simulation/standin/DiscoveryStandIn.java
+++ b/src/main/java/reedmux/simulation/standin/DiscoveryStandIn.java
@@ -12,12 +12,18 @@
 import org.apache.hc.core5.http.HttpException;
 import org.apache.hc.core5.http.impl.io.DefaultBHttpServerConnection;
 
-/** Discovery: tells the whole list, and holds a watch until there is news. */
+/**
+ * A discovery service that always responds with the full member list. A watch request (long poll) is held until the
+ * revision changes or its timeout expires, for 60 seconds at most.
+ */
 public final class DiscoveryStandIn extends StandInServer {
-    /** What it does with a question. */
+    /** How the server responds to a request. */
     public enum DiscoveryStandInBehavior {
+        /** Sends the member list. */
         ANSWERS,
+        /** Sends no response and closes the connection after a minute. */
         SILENT,
+        /** Sends status 200 with truncated JSON. */
         NONSENSE
     }
 
@@ -27,10 +33,10 @@
     private long revision = 1;
     private volatile DiscoveryStandInBehavior behavior = DiscoveryStandInBehavior.ANSWERS;
 
-    /** Listens on a free port of the loopback address. */
+    /** Creates a server that listens on a free port of the loopback address. */
     public DiscoveryStandIn() throws IOException {}
 
-    /** Lists a provider under a phase, or strikes it off at {@code Gone}. */
+    /** Lists a provider with the given phase, or removes it from the list if the phase is {@code Gone}. */
     public synchronized void setPhase(String id, String hostPort, String phase) {
         members.put(id, hostPort);
         phases.put(id, phase);
@@ -38,11 +44,12 @@
         notifyAll();
     }
 
-    public void setBehavior(DiscoveryStandInBehavior told) {
-        behavior = told;
+    /** Sets how the server responds to subsequent requests. */
+    public void setBehavior(DiscoveryStandInBehavior newBehavior) {
+        behavior = newBehavior;
     }
 
-    /** The whole list in discovery's form. */
+    /** Returns the full member list in the JSON format of the discovery protocol. */
     public synchronized String fullList() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator json = new JsonFactory().createGenerator(bytes)) {
@@ -74,11 +81,11 @@
     boolean handle(Socket socket, DefaultBHttpServerConnection connection, ClassicHttpRequest request)
             throws IOException, HttpException, InterruptedException {
         readBody(connection, request);
-        DiscoveryStandInBehavior now = behavior;
-        if (now == DiscoveryStandInBehavior.SILENT) {
+        DiscoveryStandInBehavior currentBehavior = behavior;
+        if (currentBehavior == DiscoveryStandInBehavior.SILENT) {
             Thread.sleep(MAX_WATCH_MILLIS);
             return false;
-        } else if (now == DiscoveryStandInBehavior.NONSENSE) {
+        } else if (currentBehavior == DiscoveryStandInBehavior.NONSENSE) {
             send(connection, response(200, "{\"revision\":".getBytes(StandardCharsets.UTF_8)));
             return true;
         }
@@ -90,19 +97,21 @@
         return true;
     }
 
-    private synchronized void awaitChange(long since, long millis) throws InterruptedException {
-        long end = System.nanoTime() + millis * 1_000_000;
-        for (long left = millis; revision <= since && left > 0; left = (end - System.nanoTime()) / 1_000_000) {
-            wait(left);
+    private synchronized void awaitChange(long since, long timeoutMillis) throws InterruptedException {
+        long deadline = System.nanoTime() + timeoutMillis * 1_000_000;
+        for (long remainingMillis = timeoutMillis;
+                revision <= since && remainingMillis > 0;
+                remainingMillis = (deadline - System.nanoTime()) / 1_000_000) {
+            wait(remainingMillis);
         }
     }
 
     private static long queryParameter(String target, String name) {
-        int at = target.indexOf(name + '=');
-        if (at < 0) {
+        int start = target.indexOf(name + '=');
+        if (start < 0) {
             return -1;
         }
-        int end = target.indexOf('&', at);
-        return Long.parseLong(target.substring(at + name.length() + 1, end < 0 ? target.length() : end));
+        int end = target.indexOf('&', start);
+        return Long.parseLong(target.substring(start + name.length() + 1, end < 0 ? target.length() : end));
     }
 }
--- a/src/main/java/reedmux/simulation/standin/ProviderStandIn.java
+++ b/src/main/java/reedmux/simulation/standin/ProviderStandIn.java
@@ -14,19 +14,27 @@
 import org.apache.hc.core5.http.impl.io.DefaultBHttpServerConnection;
 
 /**
- * A provider: runs so many requests at once, lets some wait, and fails as it is told to. Counts runs by
- * id.
+ * A provider that runs a limited number of requests concurrently, queues a limited number of others, and fails as its
+ * script says. It counts the executions of each request by trace id.
  */
 public final class ProviderStandIn extends StandInServer {
-    /** What it does with a request. */
+    /** How the provider treats a request. */
     public enum ProviderStandInBehavior {
+        /** Runs the request and responds with status 200 and the verdict for its id. */
         ANSWERS,
+        /** Rejects the request with status 503 and a header which says that it was not run. */
         FULL,
+        /** Runs the request and responds with status 500. */
         ERRS,
+        /** Counts the request as run, frees its core, sends no response and closes the connection after 30 seconds. */
         HANGS,
+        /** Runs the request for 20 times the usual duration and responds normally. */
         SLOW,
+        /** Resets the connection without running the request. */
         RESETS_BEFORE,
+        /** Runs the request and resets the connection instead of responding. */
         RESETS_AFTER,
+        /** Runs the request, sends part of a response and resets the connection. */
         HALF_ANSWERS
     }
 
@@ -39,19 +47,25 @@
     private final long workMillis;
     private volatile Function<String, ProviderStandInBehavior> script = id -> ProviderStandInBehavior.ANSWERS;
 
-    /** {@code queueCapacity} requests may wait for one of the cores. */
-    public ProviderStandIn(int cores, int room, long workMillis) throws IOException {
+    /**
+     * Creates a provider on a free port of the loopback address.
+     *
+     * @param cores         the number of requests that run concurrently
+     * @param queueCapacity the number of requests that may wait for a core before further ones are rejected
+     * @param workMillis    the duration of a request, in milliseconds
+     */
+    public ProviderStandIn(int cores, int queueCapacity, long workMillis) throws IOException {
         this.cores = new Semaphore(cores);
-        this.queueCapacity = room;
+        this.queueCapacity = queueCapacity;
         this.workMillis = workMillis;
     }
 
-    /** What it does from now on, by the id of the request. */
-    public void setScript(Function<String, ProviderStandInBehavior> told) {
-        script = told;
+    /** Sets the function that chooses the behavior for each subsequent request by its trace id. */
+    public void setScript(Function<String, ProviderStandInBehavior> newScript) {
+        script = newScript;
     }
 
-    /** How often each request has begun to run here. */
+    /** Returns how many times each request has started to run on this provider, by trace id. */
     public Map<String, AtomicInteger> runs() {
         return runs;
     }
@@ -65,16 +79,17 @@
             return true;
         }
         String id = header(request, "X-Trace-Id");
-        ProviderStandInBehavior does = script.apply(id);
-        if (does == ProviderStandInBehavior.RESETS_BEFORE) {
-            reset(socket); // with the body, or the head's last byte, perhaps unread
+        ProviderStandInBehavior behavior = script.apply(id);
+        if (behavior == ProviderStandInBehavior.RESETS_BEFORE) {
+            reset(socket); // the body or the last byte of the header may still be unread
             return false;
         }
         readBody(connection, request);
-        if (does == ProviderStandInBehavior.FULL || waiting.get() >= queueCapacity && cores.availablePermits() == 0) {
-            ClassicHttpResponse full = response(503, new byte[0]);
-            full.setHeader("X-Never-Ran", "1");
-            send(connection, full);
+        if (behavior == ProviderStandInBehavior.FULL
+                || waiting.get() >= queueCapacity && cores.availablePermits() == 0) {
+            ClassicHttpResponse rejection = response(503, new byte[0]);
+            rejection.setHeader("X-Never-Ran", "1");
+            send(connection, rejection);
             return true;
         }
         waiting.incrementAndGet();
@@ -82,7 +97,7 @@
         waiting.decrementAndGet();
         try {
             runs.computeIfAbsent(id, key -> new AtomicInteger()).incrementAndGet();
-            if (does == ProviderStandInBehavior.HANGS) {
+            if (behavior == ProviderStandInBehavior.HANGS) {
                 cores.release();
                 try {
                     Thread.sleep(HANG_MILLIS);
@@ -91,21 +106,23 @@
                 }
                 return false;
             }
-            Thread.sleep(does == ProviderStandInBehavior.SLOW ? SLOW_FACTOR * workMillis : workMillis);
+            Thread.sleep(behavior == ProviderStandInBehavior.SLOW ? SLOW_FACTOR * workMillis : workMillis);
         } finally {
             cores.release();
         }
         byte[] verdict = ("verdict " + id).getBytes(StandardCharsets.UTF_8);
-        if (does == ProviderStandInBehavior.RESETS_AFTER) {
+        if (behavior == ProviderStandInBehavior.RESETS_AFTER) {
             reset(socket);
             return false;
-        } else if (does == ProviderStandInBehavior.HALF_ANSWERS) {
+        } else if (behavior == ProviderStandInBehavior.HALF_ANSWERS) {
             socket.getOutputStream()
                     .write("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nhalf".getBytes(StandardCharsets.US_ASCII));
             reset(socket);
             return false;
         }
-        send(connection, does == ProviderStandInBehavior.ERRS ? response(500, new byte[0]) : response(200, verdict));
+        send(
+                connection,
+                behavior == ProviderStandInBehavior.ERRS ? response(500, new byte[0]) : response(200, verdict));
         return true;
     }
 }
--- a/src/main/java/reedmux/simulation/standin/RegionLinkStandIn.java
+++ b/src/main/java/reedmux/simulation/standin/RegionLinkStandIn.java
@@ -17,18 +17,30 @@
 import org.apache.hc.core5.http.io.entity.EntityUtils;
 import org.apache.hc.core5.http.message.BasicClassicHttpRequest;
 
-/** The line between two regions: notes each request that crosses it, and breaks as it is told to. */
+/** A proxy on the link between two regions that records each incoming request and injects scripted link failures. */
 public final class RegionLinkStandIn extends StandInServer {
-    /** What it does with a request. */
+    /** How the link treats a request. */
     public enum RegionLinkStandInBehavior {
+        /** Forwards the request and returns the response. */
         PASSES,
+        /** Neither forwards the request nor responds, and closes the connection after 20 seconds. */
         SILENT,
+        /** Resets the connection before it forwards the request. */
         BREAKS_BEFORE,
+        /** Resets the connection 5 ms after it has forwarded the request, without waiting for the response. */
         BREAKS_AFTER,
+        /** Forwards the request, receives the response and resets the connection instead of returning it. */
         BREAKS_ANSWERING
     }
 
-    /** One that has crossed; {@code at} in nanoseconds of the system's monotonic clock. */
+    /**
+     * A request that has arrived at the link.
+     *
+     * @param atNanos the time of arrival, in nanoseconds of the system's monotonic clock
+     * @param id      the trace id, or empty without the header
+     * @param path    the value of the region path header, or empty without the header
+     * @param units   the value of the region units header, or 0 without the header
+     */
     public record LinkCrossing(long atNanos, String id, String path, double units) {}
 
     private static final int TIMEOUT_MILLIS = 20_000;
@@ -36,16 +48,17 @@
     private final List<LinkCrossing> crossings = new CopyOnWriteArrayList<>();
     private volatile Supplier<RegionLinkStandInBehavior> script = () -> RegionLinkStandInBehavior.PASSES;
 
-    /** A line to a gateway's listener for regions. */
-    public RegionLinkStandIn(InetSocketAddress to) throws IOException {
-        this.gateway = to;
+    /** Creates a link that forwards to the region listener of a gateway. */
+    public RegionLinkStandIn(InetSocketAddress gateway) throws IOException {
+        this.gateway = gateway;
     }
 
-    public void setScript(Supplier<RegionLinkStandInBehavior> told) {
-        script = told;
+    /** Sets the function that chooses the behavior for each subsequent request. */
+    public void setScript(Supplier<RegionLinkStandInBehavior> newScript) {
+        script = newScript;
     }
 
-    /** All that has come in here, in order. */
+    /** Returns all requests that have arrived at the link, in order of arrival. */
     public List<LinkCrossing> crossings() {
         return crossings;
     }
@@ -59,55 +72,55 @@
                 header(request, "X-Trace-Id"),
                 header(request, "X-Region-Path"),
                 units.isEmpty() ? 0 : Double.parseDouble(units)));
-        RegionLinkStandInBehavior does = script.get();
-        if (does == RegionLinkStandInBehavior.SILENT) {
+        RegionLinkStandInBehavior behavior = script.get();
+        if (behavior == RegionLinkStandInBehavior.SILENT) {
             Thread.sleep(TIMEOUT_MILLIS);
             return false;
-        } else if (does == RegionLinkStandInBehavior.BREAKS_BEFORE) {
+        } else if (behavior == RegionLinkStandInBehavior.BREAKS_BEFORE) {
             reset(socket);
             return false;
         }
         byte[] body = readBody(connection, request);
-        try (DefaultBHttpClientConnection onward = new DefaultBHttpClientConnection(Http1Config.DEFAULT);
-                Socket there = new Socket()) {
-            there.connect(gateway, TIMEOUT_MILLIS);
-            there.setTcpNoDelay(true);
-            there.setSoTimeout(TIMEOUT_MILLIS);
-            onward.bind(there);
-            ClassicHttpRequest same = new BasicClassicHttpRequest(request.getMethod(), request.getPath());
+        try (DefaultBHttpClientConnection gatewayConnection = new DefaultBHttpClientConnection(Http1Config.DEFAULT);
+                Socket gatewaySocket = new Socket()) {
+            gatewaySocket.connect(gateway, TIMEOUT_MILLIS);
+            gatewaySocket.setTcpNoDelay(true);
+            gatewaySocket.setSoTimeout(TIMEOUT_MILLIS);
+            gatewayConnection.bind(gatewaySocket);
+            ClassicHttpRequest forwarded = new BasicClassicHttpRequest(request.getMethod(), request.getPath());
             for (Header header : request.getHeaders()) {
-                same.addHeader(header);
+                forwarded.addHeader(header);
             }
             if (body.length > 0) {
-                same.setEntity(new ByteArrayEntity(body, null));
+                forwarded.setEntity(new ByteArrayEntity(body, null));
             }
-            onward.sendRequestHeader(same);
+            gatewayConnection.sendRequestHeader(forwarded);
             if (body.length > 0) {
-                onward.sendRequestEntity(same);
+                gatewayConnection.sendRequestEntity(forwarded);
             }
-            onward.flush();
-            if (does == RegionLinkStandInBehavior.BREAKS_AFTER) {
+            gatewayConnection.flush();
+            if (behavior == RegionLinkStandInBehavior.BREAKS_AFTER) {
                 Thread.sleep(5);
                 reset(socket);
                 return false;
             }
-            ClassicHttpResponse answer = onward.receiveResponseHeader();
-            onward.receiveResponseEntity(answer);
-            byte[] told = answer.getEntity() == null ? new byte[0] : EntityUtils.toByteArray(answer.getEntity());
-            if (does == RegionLinkStandInBehavior.BREAKS_ANSWERING) {
+            ClassicHttpResponse reply = gatewayConnection.receiveResponseHeader();
+            gatewayConnection.receiveResponseEntity(reply);
+            byte[] responseBody = reply.getEntity() == null ? new byte[0] : EntityUtils.toByteArray(reply.getEntity());
+            if (behavior == RegionLinkStandInBehavior.BREAKS_ANSWERING) {
                 reset(socket);
                 return false;
             }
-            ClassicHttpResponse back = response(answer.getCode(), told);
+            ClassicHttpResponse response = response(reply.getCode(), responseBody);
             for (String name : List.of("Retry-After", "X-Never-Ran", "X-Region-Took-Us")) {
-                if (answer.getFirstHeader(name) != null) {
-                    back.setHeader(answer.getFirstHeader(name));
+                if (reply.getFirstHeader(name) != null) {
+                    response.setHeader(reply.getFirstHeader(name));
                 }
             }
-            send(connection, back);
+            send(connection, response);
             return true;
         } catch (IOException e) {
-            reset(socket); // the other end has gone: so does this one
+            reset(socket); // the gateway is unreachable or has closed its connection: reset this one as well
             return false;
         }
     }
--- a/src/main/java/reedmux/simulation/standin/StandInServer.java
+++ b/src/main/java/reedmux/simulation/standin/StandInServer.java
@@ -20,7 +20,7 @@
 import org.apache.hc.core5.http.io.entity.EntityUtils;
 import org.apache.hc.core5.http.message.BasicClassicHttpResponse;
 
-/** An HTTP server on a free loopback port, one thread a connection, that can be closed and opened again. */
+/** An HTTP server on a free loopback port, with one thread per connection, that can be stopped and restarted. */
 public abstract class StandInServer implements AutoCloseable {
     private static final int ACCEPT_BACKLOG = 512;
     private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
@@ -34,21 +34,21 @@
         startAccepting(listener);
     }
 
-    /** Where it listens; the same when it is opened again. */
+    /** Returns the address that the server listens on, which stays the same after a restart. */
     final InetSocketAddress address() {
         return address;
     }
 
-    /** The address that it listens on, as host and port. */
+    /** Returns the address that the server listens on, in the form {@code host:port}. */
     public final String hostPort() {
         return address.getAddress().getHostAddress() + ':' + address.getPort();
     }
 
-    private void startAccepting(ServerSocket on) {
+    private void startAccepting(ServerSocket serverSocket) {
         acceptThread = startThread("stand-in", () -> {
             while (true) {
                 try {
-                    Socket accepted = on.accept();
+                    Socket accepted = serverSocket.accept();
                     accepted.setTcpNoDelay(true);
                     openSockets.add(accepted);
                     startThread("stand-in-connection", () -> serve(accepted));
@@ -59,7 +59,7 @@
         });
     }
 
-    /** Starts a daemon thread. */
+    /** Starts a daemon thread with the given name and returns it. */
     public static Thread startThread(String name, Runnable task) {
         Thread thread = new Thread(task, name);
         thread.setDaemon(true);
@@ -75,7 +75,7 @@
                 request = connection.receiveRequestHeader();
             }
         } catch (IOException | HttpException e) {
-            // the other side has gone, which is one of the things that it may do
+            // the peer may close or reset the connection at any time
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -83,7 +83,11 @@
         }
     }
 
-    /** Serves one request, of which only the head has been read; returns whether the connection lives on. */
+    /**
+     * Handles one request, of which only the header has been read.
+     *
+     * @return whether the connection stays open for further requests
+     */
     abstract boolean handle(Socket socket, DefaultBHttpServerConnection connection, ClassicHttpRequest request)
             throws IOException, HttpException, InterruptedException;
 
@@ -107,12 +111,12 @@
         connection.flush();
     }
 
-    /** Ends a connection with a reset. */
+    /** Closes a connection with a TCP reset (RST) by setting a linger time of 0. */
     static void reset(Socket socket) throws IOException {
         try {
             socket.setSoLinger(true, 0);
         } catch (SocketException e) {
-            return; // it has ended by itself meanwhile
+            return; // the socket is already closed
         }
         socket.close();
     }
@@ -122,11 +126,11 @@
         return header == null ? "" : header.getValue();
     }
 
-    /** Goes away as a process does: connections are reset, new ones refused. */
+    /** Stops the server as if its process had died: resets open connections and refuses new ones. */
     public final void goDown() throws IOException {
         listener.close();
         try {
-            acceptThread.join(); // the system keeps the port for as long as a thread waits in accept
+            acceptThread.join(); // the operating system keeps the port in use while a thread is blocked in accept
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -135,13 +139,13 @@
         }
     }
 
-    /** Comes back at the same address. */
+    /** Restarts the server at the same address. */
     public final void comeUp() throws IOException {
-        ServerSocket again = new ServerSocket();
-        again.setReuseAddress(true);
-        again.bind(address, ACCEPT_BACKLOG);
-        listener = again;
-        startAccepting(again);
+        ServerSocket newListener = new ServerSocket();
+        newListener.setReuseAddress(true);
+        newListener.bind(address, ACCEPT_BACKLOG);
+        listener = newListener;
+        startAccepting(newListener);
     }
 
     @Override
--- a/src/test/java/reedmux/simulation/standin/StandInServerTest.java
+++ b/src/test/java/reedmux/simulation/standin/StandInServerTest.java
@@ -10,7 +10,10 @@
 import reedmux.simulation.standin.ConsumerStandIn.ScenarioRequest;
 import reedmux.simulation.standin.ProviderStandIn.ProviderStandInBehavior;
 
-/** The stand-ins do what they are told, or nothing that is measured with them would mean anything. */
+/**
+ * Tests that the stand-ins follow their scripts. A stand-in that deviates from its script would invalidate the results
+ * of every scenario that uses it.
+ */
 final class StandInServerTest {
 
     private static RequestOutcome send(InetSocketAddress address, String id) throws InterruptedException {
@@ -32,12 +35,12 @@
         "RESETS_AFTER,-1,1",
         "HALF_ANSWERS,-1,1"
     })
-    void providerFollowsItsScript(ProviderStandInBehavior does, int status, int runs) throws Exception {
+    void providerFollowsItsScript(ProviderStandInBehavior behavior, int status, int runs) throws Exception {
         try (ProviderStandIn provider = new ProviderStandIn(1, 1, 1)) {
-            provider.setScript(id -> does);
-            RequestOutcome told = send(provider.address(), "00000000000000aa");
-            assertEquals(status, told.status());
-            assertEquals(status == 200, told.bodyMatches());
+            provider.setScript(id -> behavior);
+            RequestOutcome outcome = send(provider.address(), "00000000000000aa");
+            assertEquals(status, outcome.status());
+            assertEquals(status == 200, outcome.bodyMatches());
             assertEquals(
                     runs,
                     provider.runs().values().stream().mapToInt(Number::intValue).sum());
@@ -46,28 +49,29 @@
 
     @ParameterizedTest
     @CsvSource({"PASSES,1,true", "BREAKS_BEFORE,0,false", "BREAKS_ANSWERING,1,false"})
-    void regionLinkFollowsItsScript(RegionLinkStandIn.RegionLinkStandInBehavior does, int runs, boolean answered)
+    void regionLinkFollowsItsScript(RegionLinkStandIn.RegionLinkStandInBehavior behavior, int runs, boolean answered)
             throws Exception {
         try (ProviderStandIn provider = new ProviderStandIn(1, 1, 1);
-                RegionLinkStandIn line = new RegionLinkStandIn(provider.address())) {
-            line.setScript(() -> does);
-            RequestOutcome told = send(line.address(), "00000000000000ab");
-            assertEquals(answered, told.status() == 200);
+                RegionLinkStandIn link = new RegionLinkStandIn(provider.address())) {
+            link.setScript(() -> behavior);
+            RequestOutcome outcome = send(link.address(), "00000000000000ab");
+            assertEquals(answered, outcome.status() == 200);
             assertEquals(runs, provider.runs().size());
-            assertEquals(1, line.crossings().size());
+            assertEquals(1, link.crossings().size());
         }
     }
 
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void downServerRefusesAndComesUpAtItsAddress(boolean back) throws Exception {
+    void stoppedServerRefusesConnectionsUntilRestartedAtSameAddress(boolean restart) throws Exception {
         try (ProviderStandIn provider = new ProviderStandIn(1, 1, 1)) {
             provider.goDown();
-            if (back) {
+            if (restart) {
                 provider.comeUp();
             }
             assertEquals(
-                    back ? 200 : 0, send(provider.address(), "00000000000000ac").status());
+                    restart ? 200 : 0,
+                    send(provider.address(), "00000000000000ac").status());
         }
     }
 }
