--- a/src/main/antlr4/reedmux/gatekeeper/script/Script.g4
+++ b/src/main/antlr4/reedmux/gatekeeper/script/Script.g4
@@ -1,6 +1,7 @@
 /*
- * The operators' settings script: the part of Starlark that always ends. No while, no recursion, no I/O.
- * INDENT and DEDENT come from IndentationTokenSource, which stands between the lexer and the parser.
+ * Grammar of the operators' settings scripts: a subset of Starlark in which every script terminates. It has no while
+ * loops, no recursion and no I/O. IndentationTokenSource, a token source between the lexer and the parser, inserts the
+ * INDENT and DEDENT tokens.
  */
 grammar Script;
 
@@ -21,7 +22,7 @@
     | tests                                 # expression
     ;
 
-/** What is assigned to: names, several at once, or an element. */
+/** An assignment target: a name, an element, or several targets to unpack a sequence into. */
 target: place (',' place)* ','?;
 
 place: NAME | '(' target ')' | place '[' test ']';
@@ -80,7 +81,7 @@
     | 'if' test                 # filter
     ;
 
-/** Reserved so that whoever knows Python is told what is not there. */
+/** Python keywords that the language lacks, reserved so that their use is reported as unsupported. */
 UNSUPPORTED
     : 'while' | 'lambda' | 'import' | 'load' | 'class' | 'try' | 'except' | 'raise' | 'with' | 'global'
     | 'yield' | 'del' | 'assert' | 'is' | 'async' | 'await' | 'nonlocal' | 'from' | 'finally' | 'as'
@@ -98,7 +99,7 @@
 COMMENT: '#' ~[\r\n]* -> skip;
 BLANK: ' '+ -> skip;
 JOINED: '\\' '\r'? '\n' -> skip;
-/** Tabs where an indent counts, and whatever else has no place in a script. */
+/** Any character that matches no other token, such as a tab, which may not be used for indentation. */
 STRAY: . ;
 
 fragment ESCAPE: '\\' .;
--- a/src/test/java/reedmux/ArchitectureTest.java
+++ b/src/test/java/reedmux/ArchitectureTest.java
@@ -20,10 +20,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Which package may use which, and that the packages that decide do no I/O. */
+/** Checks the allowed dependencies between packages, and that packages of pure logic perform no I/O. */
 public class ArchitectureTest {
-    /** Everything in these is a function of events and of the time that the caller passes in. */
-    private static final String[] DECIDING_PACKAGES = {
+    /** Packages whose code depends only on events and on the time passed in by the caller. */
+    private static final String[] PURE_PACKAGES = {
         "reedmux.common.quota..",
         "reedmux.control.changes..",
         "reedmux.control.configuration..",
@@ -42,11 +42,11 @@
         "reedmux.simulation.invariants..",
     };
 
-    /** Addresses and their parts are values; to make one from numbers asks no name server. */
+    /** Address types are plain values: creating one from a numeric address performs no DNS lookup. */
     private static final Set<String> ADDRESS_VALUES =
             Set.of("java.net.InetAddress", "java.net.InetSocketAddress", "java.net.SocketAddress");
 
-    /** Simulated days run in virtual time, so the real clock would make them differ from run to run. */
+    /** Simulations run in virtual time; reading the real clock would make their runs differ. */
     private static final String[] VIRTUAL_TIME_PACKAGES = {"reedmux.simulation.cluster..", "reedmux.simulation.region.."
     };
 
@@ -95,7 +95,7 @@
     }
 
     @DataProvider
-    public Object[][] forbiddenArrows() {
+    public Object[][] forbiddenDependencies() {
         return new Object[][] {
             {"reedmux.common..", "reedmux.[cli|control|gatekeeper|proxy|simulation].."},
             {"reedmux.control..", "reedmux.[cli|gatekeeper|proxy|simulation].."},
@@ -105,8 +105,8 @@
         };
     }
 
-    @Test(dataProvider = "forbiddenArrows")
-    public void programsUseOnlyWhatIsBelowThem(String from, String to) {
+    @Test(dataProvider = "forbiddenDependencies")
+    public void programsDependOnlyOnLowerLayers(String from, String to) {
         noClasses()
                 .that()
                 .resideInAPackage(from)
@@ -117,34 +117,34 @@
     }
 
     @DataProvider
-    public Object[][] decidingPackages() {
-        Object[][] all = new Object[DECIDING_PACKAGES.length][];
-        for (int i = 0; i < all.length; i++) {
-            all[i] = new Object[] {DECIDING_PACKAGES[i]};
+    public Object[][] purePackages() {
+        Object[][] rows = new Object[PURE_PACKAGES.length][];
+        for (int i = 0; i < rows.length; i++) {
+            rows[i] = new Object[] {PURE_PACKAGES[i]};
         }
-        return all;
+        return rows;
     }
 
-    /** Also fails when a package has no class, as after a rename that forgot this list. */
-    @Test(dataProvider = "decidingPackages")
-    public void decidingPackagesDoNoIo(String deciding) {
+    /** Also fails if a package contains no classes, for example after a rename that missed this list. */
+    @Test(dataProvider = "purePackages")
+    public void purePackagesDoNoIo(String purePackage) {
         noClasses()
                 .that()
-                .resideInAPackage(deciding)
+                .resideInAPackage(purePackage)
                 .should()
                 .dependOnClassesThat(DOES_IO)
                 .check(classes);
-        readsNoClock(resideInAnyPackage(deciding)).check(classes);
+        doNotReadClock(resideInAnyPackage(purePackage)).check(classes);
     }
 
-    /** One class measures what the programs that it runs cost, to charge it to the virtual clock. */
+    /** SimulatedProcess is exempt: it measures the cost of the programs it runs to charge it to the virtual clock. */
     @Test
     public void simulationsReadNoClock() {
-        readsNoClock(resideInAnyPackage(VIRTUAL_TIME_PACKAGES).and(not(simpleName("SimulatedProcess"))))
+        doNotReadClock(resideInAnyPackage(VIRTUAL_TIME_PACKAGES).and(not(simpleName("SimulatedProcess"))))
                 .check(classes);
     }
 
-    private static ArchRule readsNoClock(DescribedPredicate<JavaClass> readers) {
+    private static ArchRule doNotReadClock(DescribedPredicate<JavaClass> readers) {
         return noClasses()
                 .that(readers)
                 .should()
--- a/src/test/java/reedmux/ci/KnownRed.java
+++ b/src/test/java/reedmux/ci/KnownRed.java
@@ -18,20 +18,21 @@
 import org.xml.sax.SAXException;
 
 /**
- * Decides on a run of the tests whose failures Maven was told to pass over: only those that
- * {@code KNOWN-RED.txt} lists may have failed. {@code .ci/run} calls it; one argument checks the list alone.
+ * Judges a test run in which Maven ignored test failures: the run passes only if every failed test is listed in
+ * {@code KNOWN-RED.txt}. {@code .ci/run} calls it. With the list as the only argument, it checks just the format of
+ * the list.
  */
 public final class KnownRed {
-    static final int MOST = 3;
-    private static final Pattern LINE = Pattern.compile("([\\w.$]+\\.\\w+)\\s*,\\s*(\\S.*?)\\s*,\\s*(#\\d+)");
-    private static final Pattern CLOSING =
+    static final int MAX_LISTED = 3;
+    private static final Pattern ENTRY = Pattern.compile("([\\w.$]+\\.\\w+)\\s*,\\s*(\\S.*?)\\s*,\\s*(#\\d+)");
+    private static final Pattern SUMMARY =
             Pattern.compile("Tests run: (\\d+), Failures: (\\d+), Errors: (\\d+), Skipped: (\\d+)\\s*$");
-    /** What Surefire says where a process of the tests ended early: not all of them have a report then. */
-    private static final Pattern BROKEN =
+    /** What Surefire logs when a forked test JVM exits early, in which case some tests have no report. */
+    private static final Pattern INCOMPLETE_RUN =
             Pattern.compile("The forked VM terminated|error in the fork|Crashed tests:|Corrupted channel");
 
-    private final List<String> told = new ArrayList<>();
-    private boolean good = true;
+    private final List<String> messages = new ArrayList<>();
+    private boolean passed = true;
 
     private KnownRed() {}
 
@@ -41,53 +42,55 @@
             System.exit(2);
         }
         KnownRed outcome = args.length == 1
-                ? form(Path.of(args[0]))
+                ? checkList(Path.of(args[0]))
                 : decide(Path.of(args[0]), Path.of(args[1]), Path.of(args[2]));
-        outcome.told.forEach(System.out::println);
-        System.exit(outcome.good ? 0 : 1);
+        outcome.messages.forEach(System.out::println);
+        System.exit(outcome.passed ? 0 : 1);
     }
 
-    boolean good() {
-        return good;
+    boolean passed() {
+        return passed;
     }
 
-    List<String> told() {
-        return told;
+    List<String> messages() {
+        return messages;
     }
 
-    private void wrong(String line) {
-        good = false;
-        told.add("KNOWN-RED: " + line);
+    private void reportError(String line) {
+        passed = false;
+        messages.add("KNOWN-RED: " + line);
     }
 
-    /** Whether the list itself can be used. */
-    static KnownRed form(Path list) throws IOException {
+    /** Checks the format of the list without looking at any test reports. */
+    static KnownRed checkList(Path list) throws IOException {
         KnownRed outcome = new KnownRed();
         outcome.read(list);
         return outcome;
     }
 
-    /** Each listed test with its line. */
+    /** Returns each listed test with its line, and reports the lines that are malformed or duplicated. */
     private Map<String, String> read(Path list) throws IOException {
         Map<String, String> tests = new LinkedHashMap<>();
         int number = 0;
         for (String line : Files.readAllLines(list)) {
             number++;
-            Matcher parts = LINE.matcher(line.strip());
+            Matcher parts = ENTRY.matcher(line.strip());
             if (line.isBlank()) {
                 continue;
             } else if (!parts.matches()) {
-                wrong(list.getFileName() + ":" + number + ": not 'package.Class.method, cause, #issue': " + line);
+                reportError(list.getFileName() + ":" + number + ": not 'package.Class.method, cause, #issue': " + line);
             } else if (tests.put(parts.group(1), line.strip()) != null) {
-                wrong(list.getFileName() + ":" + number + ": listed twice: " + parts.group(1));
+                reportError(list.getFileName() + ":" + number + ": listed twice: " + parts.group(1));
             }
         }
-        if (tests.size() > MOST) {
-            wrong(list.getFileName() + " lists " + tests.size() + " tests, " + MOST + " at most are let pass");
+        if (tests.size() > MAX_LISTED) {
+            reportError(
+                    list.getFileName() + " lists " + tests.size() + " tests, " + MAX_LISTED + " at most are let pass");
         }
         return tests;
     }
 
+    /** Compares the failures in the reports and in Maven's log with the list. */
     static KnownRed decide(Path list, Path reports, Path log) throws IOException {
         KnownRed outcome = new KnownRed();
         Map<String, String> listed = outcome.read(list);
@@ -99,40 +102,40 @@
                 failures += count(file, ran, failed);
             }
         }
-        outcome.agrees(Files.readAllLines(log), failures);
+        outcome.checkComplete(Files.readAllLines(log), failures);
         failed.forEach((test, times) -> {
             if (!listed.containsKey(test)) {
-                outcome.wrong("failed, and not listed: " + test);
+                outcome.reportError("failed, and not listed: " + test);
             }
         });
         listed.forEach((test, line) -> {
             if (failed.containsKey(test)) {
-                outcome.told.add("KNOWN-RED: let pass: " + line);
+                outcome.messages.add("KNOWN-RED: let pass: " + line);
             } else if (ran.containsKey(test)) {
-                outcome.told.add("KNOWN-RED: passed, take it off the list: " + line);
+                outcome.messages.add("KNOWN-RED: passed, take it off the list: " + line);
             } else {
-                outcome.wrong("listed, but did not run: " + line);
+                outcome.reportError("listed, but did not run: " + line);
             }
         });
         return outcome;
     }
 
-    /** Whether the reports are whole: as many failures as the closing line counts, no process ended. */
-    private void agrees(List<String> log, int failures) {
-        int closing = -1;
+    /** Checks that the reports have as many failures as Surefire's summary, and that no test JVM exited early. */
+    private void checkComplete(List<String> log, int failures) {
+        int summaryFailures = -1;
         for (String line : log) {
-            Matcher sum = CLOSING.matcher(line);
-            if (BROKEN.matcher(line).find()) {
-                wrong("the tests did not all run: " + line.strip());
+            Matcher sum = SUMMARY.matcher(line);
+            if (INCOMPLETE_RUN.matcher(line).find()) {
+                reportError("the tests did not all run: " + line.strip());
             } else if (sum.find()) {
-                closing = Integer.parseInt(sum.group(2)) + Integer.parseInt(sum.group(3));
+                summaryFailures = Integer.parseInt(sum.group(2)) + Integer.parseInt(sum.group(3));
             }
         }
-        if (closing != failures) {
-            wrong(
-                    closing < 0
+        if (summaryFailures != failures) {
+            reportError(
+                    summaryFailures < 0
                             ? "the log has no closing line of Surefire"
-                            : "the closing line counts " + closing + " failures and errors, the reports have "
+                            : "the closing line counts " + summaryFailures + " failures and errors, the reports have "
                                     + failures);
         }
     }
@@ -145,16 +148,16 @@
                     .parse(file.toFile())
                     .getElementsByTagName("testcase");
             for (int i = 0; i < cases.getLength(); i++) {
-                Element one = (Element) cases.item(i);
-                // A case of several is told with its parameters and number behind the method's name.
-                String test = one.getAttribute("classname")
+                Element testCase = (Element) cases.item(i);
+                // For a parameterized test, Surefire appends the parameters and the index to the method name.
+                String test = testCase.getAttribute("classname")
                         + '.'
-                        + one.getAttribute("name").replaceFirst("[^\\w].*", "");
-                boolean red = one.getElementsByTagName("failure").getLength()
-                                + one.getElementsByTagName("error").getLength()
+                        + testCase.getAttribute("name").replaceFirst("[^\\w].*", "");
+                boolean failedCase = testCase.getElementsByTagName("failure").getLength()
+                                + testCase.getElementsByTagName("error").getLength()
                         > 0;
-                boolean skipped = one.getElementsByTagName("skipped").getLength() > 0;
-                if (red) {
+                boolean skipped = testCase.getElementsByTagName("skipped").getLength() > 0;
+                if (failedCase) {
                     failures++;
                     failed.merge(test, 1, Integer::sum);
                 } else if (!skipped) {
--- a/src/test/java/reedmux/testing/ScheduleExplorer.java
+++ b/src/test/java/reedmux/testing/ScheduleExplorer.java
@@ -6,15 +6,18 @@
 import java.util.function.Consumer;
 
 /**
- * Plays a test once for each schedule of its choices, such as which message is delivered next. The test takes every
- * choice from {@link #choose}, and has to be deterministic otherwise.
+ * Runs a test once for each schedule, that is, for each sequence of choices such as which message is delivered next.
+ * The test obtains every choice from {@link #choose} and must otherwise be deterministic.
  */
 public final class ScheduleExplorer {
-    /** The choices of the play under way, which the next play repeats but for the last one that has an alternative. */
+    /**
+     * The choices of the current run. The next run repeats them up to the last one that has an untried alternative, and
+     * takes that alternative there.
+     */
     private final List<Choice> choices = new ArrayList<>();
 
     private int nextChoice;
-    /** Draws the choices where schedules are sampled; null where all are explored. */
+    /** Draws the choices when schedules are sampled; null when they are enumerated. */
     private final Random random;
 
     private static final class Choice {
@@ -34,7 +37,7 @@
         this.random = random;
     }
 
-    /** Chooses one of so many alternatives, counted from 0. */
+    /** Returns the index, counted from 0, of the alternative to take out of {@code alternatives}. */
     public int choose(int alternatives) {
         if (alternatives == 1) {
             return 0;
@@ -48,7 +51,7 @@
         return choices.get(nextChoice++).taken;
     }
 
-    /** Goes on to the next schedule, depth first; returns whether there is one. */
+    /** Advances to the next schedule in depth-first order; returns false if there is none. */
     private boolean advance() {
         int last = choices.size() - 1;
         while (last >= 0 && choices.get(last).isLast()) {
@@ -62,29 +65,30 @@
         return true;
     }
 
-    /** Plays all schedules, but {@code most} of them at the most; returns how many it has played. */
-    public static int exploreAll(int most, Consumer<ScheduleExplorer> play) {
+    /** Runs the test for every schedule, up to {@code maxRuns} of them, and returns the number of runs. */
+    public static int exploreAll(int maxRuns, Consumer<ScheduleExplorer> test) {
         ScheduleExplorer explorer = new ScheduleExplorer(null);
-        int plays = 0;
+        int runs = 0;
         do {
-            play.accept(explorer);
-            plays++;
-        } while (plays < most && explorer.advance());
-        return plays;
+            test.accept(explorer);
+            runs++;
+        } while (runs < maxRuns && explorer.advance());
+        return runs;
     }
 
     /**
-     * Plays as {@link #exploreAll}, and where that does not reach the end, as many schedules that are drawn at random,
-     * always the same ones.
+     * Runs the test as {@link #exploreAll} does. If that reaches {@code maxRuns}, runs it for another {@code maxRuns}
+     * schedules drawn at random with fixed seeds, so that every execution draws the same ones. Returns the number of
+     * runs.
      */
-    public static int exploreAllOrSample(int most, Consumer<ScheduleExplorer> play) {
-        int plays = exploreAll(most, play);
-        if (plays < most) {
-            return plays;
+    public static int exploreAllOrSample(int maxRuns, Consumer<ScheduleExplorer> test) {
+        int runs = exploreAll(maxRuns, test);
+        if (runs < maxRuns) {
+            return runs;
         }
-        for (int seed = 0; seed < most; seed++) {
-            play.accept(new ScheduleExplorer(new Random(seed)));
+        for (int seed = 0; seed < maxRuns; seed++) {
+            test.accept(new ScheduleExplorer(new Random(seed)));
         }
-        return 2 * most;
+        return 2 * maxRuns;
     }
 }
